--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -13,27 +13,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// measured is where TestMeasure writes its tables; it does nothing without.
-const measured = "SEDGESPREAD_CELLS_TABLE"
+// tablePathEnv is where TestMeasure writes its tables; it does nothing without.
+const tablePathEnv = "SEDGESPREAD_CELLS_TABLE"
 
-// heap is how many bytes what a function makes holds.
-func heap[T any](make func() T) (T, float64) {
+// measureHeap is how many bytes what a function makes holds.
+func measureHeap[T any](build func() T) (T, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	made := make()
+	value := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	return made, float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	return value, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
 // TestMeasure compares the structures of this package with plain ones. `make results-cells` keeps the tables.
 func TestMeasure(t *testing.T) {
-	path := os.Getenv(measured)
+	path := os.Getenv(tablePathEnv)
 	if path == "" {
 		t.Skip("no table is wanted")
 	}
-	text := measurePrefixes(t) + "\n" + measureHeavy()
+	text := measurePrefixes(t) + "\n" + measureHeavyHitters()
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 }
 
@@ -57,8 +57,8 @@
 		prefix string
 		tenant Tenant
 	}
-	trie, trieBytes := heap(func() *PrefixTrie { return NewPrefixTrie(tenants) })
-	plain, plainBytes := heap(func() (all []pair) {
+	trie, trieBytes := measureHeap(func() *PrefixTrie { return NewPrefixTrie(tenants) })
+	sortedPrefixes, sortedBytes := measureHeap(func() (all []pair) {
 		for p, tenant := range tenants {
 			all = append(all, pair{p, tenant})
 		}
@@ -67,7 +67,7 @@
 		})
 		return slices.Clip(all)
 	})
-	lengths, lengthsBytes := heap(func() map[string]Tenant {
+	byPrefix, byPrefixBytes := measureHeap(func() map[string]Tenant {
 		m := make(map[string]Tenant, len(tenants))
 		for p, tenant := range tenants {
 			m[p] = tenant
@@ -75,16 +75,16 @@
 		return m
 	})
 	scan := func(key string) (Tenant, bool) {
-		for i := range plain {
-			if strings.HasPrefix(key, plain[i].prefix) {
-				return plain[i].tenant, true
+		for i := range sortedPrefixes {
+			if strings.HasPrefix(key, sortedPrefixes[i].prefix) {
+				return sortedPrefixes[i].tenant, true
 			}
 		}
 		return "", false
 	}
 	byLength := func(key string) (Tenant, bool) {
 		for n := len(key); n > 0; n-- {
-			if tenant, found := lengths[key[:n]]; found {
+			if tenant, found := byPrefix[key[:n]]; found {
 				return tenant, true
 			}
 		}
@@ -97,25 +97,25 @@
 		require.Equal(t, []any{a, x}, []any{b, y})
 		require.Equal(t, []any{a, x}, []any{c, z})
 	}
-	cost := func(look func(string) (Tenant, bool)) float64 {
+	cost := func(lookup func(string) (Tenant, bool)) float64 {
 		return float64(testing.Benchmark(func(b *testing.B) {
 			for i := range b.N {
-				look(keys[i%len(keys)])
+				lookup(keys[i%len(keys)])
 			}
 		}).NsPerOp())
 	}
-	one := cost(trie.Longest)
+	trieCost := cost(trie.Longest)
 	line := func(name string, bytes, ns float64) string {
-		return fmt.Sprintf("| %s | %.1f | %.0f | %.1f |\n", name, bytes/count, ns, ns/one)
+		return fmt.Sprintf("| %s | %.1f | %.0f | %.1f |\n", name, bytes/count, ns, ns/trieCost)
 	}
 	runtime.KeepAlive(tenants)
 	return "| 100,000 prefixes | bytes a prefix beyond its text | ns a look-up | over the trie |\n| --- | --- | --- | --- |\n" +
-		line("radix trie", trieBytes, one) + line("scan, the longest first", plainBytes, cost(scan)) +
-		line("map, asked by every length", lengthsBytes, cost(byLength))
+		line("radix trie", trieBytes, trieCost) + line("scan, the longest first", sortedBytes, cost(scan)) +
+		line("map, asked by every length", byPrefixBytes, cost(byLength))
 }
 
-// measureHeavy counts two million RPCs of a million tenants by space-saving and in a map.
-func measureHeavy() string {
+// measureHeavyHitters counts two million RPCs of a million tenants by space-saving and in a map.
+func measureHeavyHitters() string {
 	const tenants, rpcs, shown = 1_000_000, 2_000_000, 100
 	rng := rand.New(rand.NewSource(1))
 	zipf := rand.NewZipf(rng, 1.1, 2, tenants-1)
@@ -127,7 +127,7 @@
 	for i := range draws {
 		draws[i] = int32(zipf.Uint64())
 	}
-	plain, plainBytes := heap(func() map[Tenant]float64 {
+	counts, countsBytes := measureHeap(func() map[Tenant]float64 {
 		m := map[Tenant]float64{}
 		for i := range names { // every name comes once, as a flood of names does
 			m[names[i]]++
@@ -139,12 +139,12 @@
 	})
 	var b strings.Builder
 	b.WriteString("| a million tenants, three million RPCs | KiB | of the 100 heaviest found | mean error of those, parts of their load | ns an RPC |\n| --- | --- | --- | --- | --- |\n")
-	heaviest := func(all []TenantLoad) []TenantLoad { return heaviest(all)[:shown] }
+	topLoads := func(all []TenantLoad) []TenantLoad { return sortHeaviestFirst(all)[:shown] }
 	var exact []TenantLoad
-	for tenant, load := range plain {
+	for tenant, load := range counts {
 		exact = append(exact, TenantLoad{tenant, load, 0})
 	}
-	exact = heaviest(exact)
+	exact = topLoads(exact)
 	cost := func(add func(Tenant)) int64 {
 		return testing.Benchmark(func(b *testing.B) {
 			for i := range b.N {
@@ -152,8 +152,8 @@
 			}
 		}).NsPerOp()
 	}
-	for _, places := range []int{512, heavyKept, 8192} {
-		h, bytes := heap(func() *HeavyHitters {
+	for _, places := range []int{512, maxTrackedTenants, 8192} {
+		h, bytes := measureHeap(func() *HeavyHitters {
 			h := NewHeavyHitters(places)
 			for i := range names {
 				h.Add(names[i], 1)
@@ -163,18 +163,18 @@
 			}
 			return h
 		})
-		found, wrong := 0, 0.0
+		found, totalError := 0, 0.0
 		for _, w := range exact {
-			if _, kept := h.at[w.Tenant]; kept {
+			if _, kept := h.index[w.Tenant]; kept {
 				found++
 				load, over := h.Load(w.Tenant)
-				wrong += (load - over/2 - w.Load) / w.Load / shown
+				totalError += (load - over/2 - w.Load) / w.Load / shown
 			}
 		}
-		fmt.Fprintf(&b, "| space-saving, %d places | %.0f | %d | %.4f | %d |\n", places, bytes/1024, found, max(wrong, -wrong),
+		fmt.Fprintf(&b, "| space-saving, %d places | %.0f | %d | %.4f | %d |\n", places, bytes/1024, found, max(totalError, -totalError),
 			cost(func(tenant Tenant) { h.Add(tenant, 1) }))
 	}
-	fmt.Fprintf(&b, "| map | %.0f | %d | 0 | %d |\n", plainBytes/1024, shown, cost(func(tenant Tenant) { plain[tenant]++ }))
+	fmt.Fprintf(&b, "| map | %.0f | %d | 0 | %d |\n", countsBytes/1024, shown, cost(func(tenant Tenant) { counts[tenant]++ }))
 	runtime.KeepAlive(names)
 	return b.String()
 }
--- a/internal/cells/book.go
+++ b/internal/cells/book.go
@@ -42,8 +42,8 @@
 	return stageNames[s]
 }
 
-// before lists, for each stage, those that it may follow.
-var before = map[Stage][]Stage{
+// allowedPredecessors lists, for each stage, those that it may follow.
+var allowedPredecessors = map[Stage][]Stage{
 	StagePrepared:      {StageIdle},
 	StageHoldingWrites: {StagePrepared},
 	StageCatchingUp:    {StageHoldingWrites},
@@ -70,16 +70,16 @@
 
 // Directory is where tenants are that are not where their names hash to, by the newest epoch known here.
 type Directory struct {
-	layout  *Layout
-	pins    map[Tenant]Cell
-	entries map[Tenant]Entry
-	moving  map[Tenant]bool // those whose entry is of a move under way
-	newest  Epoch
+	layout      *Layout
+	pinned      map[Tenant]Cell
+	entries     map[Tenant]Entry
+	moving      map[Tenant]bool // those whose entry is of a move under way
+	latestEpoch Epoch
 }
 
 // NewDirectory makes a book in which nothing but pins is known.
 func NewDirectory(l *Layout, pins map[Tenant]Cell) *Directory {
-	return &Directory{layout: l, pins: pins, entries: map[Tenant]Entry{}, moving: map[Tenant]bool{}}
+	return &Directory{layout: l, pinned: pins, entries: map[Tenant]Entry{}, moving: map[Tenant]bool{}}
 }
 
 // Placement is what a driver goes by for a tenant's RPCs.
@@ -97,7 +97,7 @@
 			return Placement{Cell: b.layout.Find(e.Cell), Epoch: e.Epoch, Stage: e.Stage, MinPosition: e.MinPosition}
 		}
 	}
-	if c, pinned := b.pins[t]; pinned {
+	if c, pinned := b.pinned[t]; pinned {
 		return Placement{Cell: c}
 	}
 	return Placement{Cell: b.layout.HomeCell(t)}
@@ -113,13 +113,13 @@
 func (b *Directory) Layout() *Layout { return b.layout }
 
 // LatestEpoch is the newest epoch that the book knows.
-func (b *Directory) LatestEpoch() Epoch { return b.newest }
+func (b *Directory) LatestEpoch() Epoch { return b.latestEpoch }
 
 // Apply takes in an entry. One whose epoch is not newer than what is known of its tenant changes nothing, and applied is
 // false. One that does not follow from what is known is an error: the book would not be what its writer held.
 func (b *Directory) Apply(e Entry) (applied bool, err error) {
-	held, known := b.entries[e.Tenant]
-	if known && e.Epoch <= held.Epoch {
+	current, known := b.entries[e.Tenant]
+	if known && e.Epoch <= current.Epoch {
 		return false, nil
 	}
 	if b.layout.Find(e.Cell) == NoCell {
@@ -128,29 +128,29 @@
 	if e.To != "" && b.layout.Find(e.To) == NoCell {
 		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not in the file", e.Tenant, e.Epoch, e.To)
 	}
-	b.take(e)
+	b.store(e)
 	return true, nil
 }
 
-// take takes in an entry that is newer than what is known of its tenant.
-func (b *Directory) take(e Entry) {
+// store takes in an entry that is newer than what is known of its tenant.
+func (b *Directory) store(e Entry) {
 	b.entries[e.Tenant] = e
 	if e.Stage == StageIdle {
 		delete(b.moving, e.Tenant)
 	} else {
 		b.moving[e.Tenant] = true
 	}
-	b.newest = max(b.newest, e.Epoch)
+	b.latestEpoch = max(b.latestEpoch, e.Epoch)
 }
 
-// follows tells whether an entry is a step of the table from what the book holds.
-func (b *Directory) follows(e Entry) bool {
-	return slices.Contains(before[e.Stage], b.entries[e.Tenant].Stage) && e.Epoch > b.newest
+// isValidTransition tells whether an entry is a step of the table from what the book holds.
+func (b *Directory) isValidTransition(e Entry) bool {
+	return slices.Contains(allowedPredecessors[e.Stage], b.entries[e.Tenant].Stage) && e.Epoch > b.latestEpoch
 }
 
 // Since gives the entries with epochs above one, the oldest first.
 func (b *Directory) Since(known Epoch) (newer []Entry) {
-	if known >= b.newest {
+	if known >= b.latestEpoch {
 		return nil
 	}
 	for _, e := range b.entries {
@@ -158,10 +158,10 @@
 			newer = append(newer, e)
 		}
 	}
-	return byEpoch(newer)
+	return sortByEpoch(newer)
 }
 
-func byEpoch(entries []Entry) []Entry {
+func sortByEpoch(entries []Entry) []Entry {
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	return entries
 }
@@ -171,56 +171,56 @@
 	for t := range b.moving {
 		moving = append(moving, b.entries[t])
 	}
-	return byEpoch(moving)
+	return sortByEpoch(moving)
 }
 
 // Overrides are the cells of the tenants that are not where their names hash to.
 func (b *Directory) Overrides() map[Tenant]Cell {
-	seats := make(map[Tenant]Cell, len(b.pins)+len(b.entries))
-	for t, c := range b.pins {
-		seats[t] = c
+	overrides := make(map[Tenant]Cell, len(b.pinned)+len(b.entries))
+	for t, c := range b.pinned {
+		overrides[t] = c
 	}
 	for t, e := range b.entries {
-		seats[t] = b.layout.Find(e.Cell)
+		overrides[t] = b.layout.Find(e.Cell)
 	}
-	return seats
+	return overrides
 }
 
 // Update takes over the cells and the pins of a file read again: all of it, or an error and nothing. A tenant that has not
 // been moved must stay where it is.
 func (b *Directory) Update(l *Layout, pins map[Tenant]string) error {
-	if err := b.repinnable(b.places(l, pins)); err != nil {
+	if err := b.checkPins(b.resolvePins(l, pins)); err != nil {
 		return err
 	}
 	if err := b.layout.Update(l, b.Overrides()); err != nil {
 		return err
 	}
-	b.pins = b.places(b.layout, pins)
+	b.pinned = b.resolvePins(b.layout, pins)
 	return nil
 }
 
-// places are the pins with the places of their cells here; one in a cell that is new here has the place that it will get.
-func (b *Directory) places(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
-	placed := make(map[Tenant]Cell, len(pins))
+// resolvePins are the pins with the places of their cells here; one in a cell that is new here has the place that it will get.
+func (b *Directory) resolvePins(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
+	resolved := make(map[Tenant]Cell, len(pins))
 	for t, name := range pins {
-		if placed[t] = b.layout.Find(name); placed[t] == NoCell {
-			placed[t] = Cell(b.layout.Cells()) + l.Find(name)
+		if resolved[t] = b.layout.Find(name); resolved[t] == NoCell {
+			resolved[t] = Cell(b.layout.Cells()) + l.Find(name)
 		}
 	}
-	return placed
+	return resolved
 }
 
-// repinnable tells whether other pins leave every tenant where it is.
-func (b *Directory) repinnable(pins map[Tenant]Cell) error {
-	var both []Tenant
+// checkPins tells whether other pins leave every tenant where it is.
+func (b *Directory) checkPins(pins map[Tenant]Cell) error {
+	var tenants []Tenant
 	for t := range pins {
-		both = append(both, t)
+		tenants = append(tenants, t)
 	}
-	for t := range b.pins {
-		both = append(both, t)
+	for t := range b.pinned {
+		tenants = append(tenants, t)
 	}
-	slices.Sort(both)
-	for _, t := range slices.Compact(both) {
+	slices.Sort(tenants)
+	for _, t := range slices.Compact(tenants) {
 		if _, moved := b.entries[t]; moved {
 			continue
 		}
@@ -228,8 +228,8 @@
 		if !pinned {
 			next = b.layout.HomeCell(t)
 		}
-		if now := b.Placement(t).Cell; now != next {
-			return fmt.Errorf("tenant %q is in cell %q, and a file can't bring it into another: move it", t, b.layout.Name(now))
+		if current := b.Placement(t).Cell; current != next {
+			return fmt.Errorf("tenant %q is in cell %q, and a file can't bring it into another: move it", t, b.layout.Name(current))
 		}
 	}
 	return nil
@@ -237,6 +237,6 @@
 
 // Pinned tells whether the file pins a tenant.
 func (b *Directory) Pinned(t Tenant) bool {
-	_, pinned := b.pins[t]
+	_, pinned := b.pinned[t]
 	return pinned
 }
--- a/internal/cells/coordinator.go
+++ b/internal/cells/coordinator.go
@@ -18,30 +18,30 @@
 // then hands them to Apply, in their order and before anything is sent that rests on them. Records alone rebuild it.
 // Times are Unix time in nanoseconds, of one clock that does not go back.
 type Coordinator struct {
-	book   *Directory
-	leases leases
-	hold   int64            // a move may hold writes so long
-	skew   int64            // the clocks of coordinators may differ by so much
-	since  map[Tenant]held  // moves that hold writes
-	fills  bool             // the store has to be asked to fill a new cell
-	filled map[Tenant]Epoch // the entries of which it has taken what they ask
+	directory    *Directory
+	leases       leases
+	maxHold      int64               // a move may hold writes so long
+	maxClockSkew int64               // the clocks of coordinators may differ by so much
+	holds        map[Tenant]moveHold // moves that hold writes
+	waitsForFill bool                // the store has to be asked to fill a new cell
+	filled       map[Tenant]Epoch    // the entries of which it has taken what they ask
 }
 
-// held is since when a move holds writes, by the clock of the coordinator that sees to it now. The entry's own time is that
+// moveHold is since when a move holds writes, by the clock of the coordinator that sees to it now. The entry's own time is that
 // of the one before, whose clock may be minutes off.
-type held struct {
-	begun int64 // as the entry says, to tell one move from the next
-	here  int64
+type moveHold struct {
+	startedAt  int64 // as the entry says, to tell one move from the next
+	observedAt int64
 }
 
-// mostMoves is how many moves may be under way at once: each is a part of every report.
-const mostMoves = 256
+// maxConcurrentMoves is how many moves may be under way at once: each is a part of every report.
+const maxConcurrentMoves = 256
 
 // NewCoordinator starts at a time, over the records of the time before. A driver that they name may hold a lease given
 // just before that time. Where fills is set, moves wait for Filled. The clocks of those who coordinate one after another
 // may differ by skew.
-func NewCoordinator(now int64, b *Directory, lease, hold, skew int64, fills bool, records []Record) (*Coordinator, error) {
-	c := &Coordinator{book: b, leases: leases{lease: lease, drivers: map[string]*holder{}}, hold: hold, skew: skew, fills: fills}
+func NewCoordinator(now int64, directory *Directory, lease, maxHold, maxClockSkew int64, waitsForFill bool, records []Record) (*Coordinator, error) {
+	c := &Coordinator{directory: directory, leases: leases{duration: lease, drivers: map[string]*leaseHolder{}}, maxHold: maxHold, maxClockSkew: maxClockSkew, waitsForFill: waitsForFill}
 	for _, r := range records {
 		if err := c.Apply(now, r); err != nil {
 			return nil, err
@@ -55,9 +55,9 @@
 // one given just before it, and what drivers and the store told another one has to be heard again.
 func (c *Coordinator) TakeOver(now int64) {
 	for _, h := range c.leases.drivers {
-		h.until, h.acts, h.moves, h.promised = c.leases.over(now), 0, nil, 0
+		h.expiresAt, h.epoch, h.moves, h.pendingIncarnation = c.leases.expiry(now), 0, nil, 0
 	}
-	c.filled, c.since = map[Tenant]Epoch{}, map[Tenant]held{}
+	c.filled, c.holds = map[Tenant]Epoch{}, map[Tenant]moveHold{}
 }
 
 // Snapshot is all that records have said, in short.
@@ -70,25 +70,25 @@
 
 // Snapshot gives it for Restore.
 func (c *Coordinator) Snapshot() Snapshot {
-	p := Snapshot{Entries: c.book.Since(0), Drivers: c.leases.holders(), Incarnations: map[string]uint64{}}
-	for _, name := range p.Drivers {
+	snapshot := Snapshot{Entries: c.directory.Since(0), Drivers: c.leases.names(), Incarnations: map[string]uint64{}}
+	for _, name := range snapshot.Drivers {
 		h := c.leases.drivers[name]
-		p.Incarnations[name] = h.started
-		if h.shaded {
-			p.WithPredecessors = append(p.WithPredecessors, name)
+		snapshot.Incarnations[name] = h.recordedIncarnation
+		if h.hasPredecessor {
+			snapshot.WithPredecessors = append(snapshot.WithPredecessors, name)
 		}
 	}
-	return p
+	return snapshot
 }
 
 // Restore takes over at a time a past that is newer than what is known here.
-func (c *Coordinator) Restore(now int64, p Snapshot) {
-	for _, name := range p.Drivers {
-		c.leases.restored(now, name, p.Incarnations[name], slices.Contains(p.WithPredecessors, name))
+func (c *Coordinator) Restore(now int64, snapshot Snapshot) {
+	for _, name := range snapshot.Drivers {
+		c.leases.restore(now, name, snapshot.Incarnations[name], slices.Contains(snapshot.WithPredecessors, name))
 	}
-	for _, e := range p.Entries {
-		if held, known := c.book.entries[e.Tenant]; !known || e.Epoch > held.Epoch {
-			c.book.take(e)
+	for _, e := range snapshot.Entries {
+		if current, known := c.directory.entries[e.Tenant]; !known || e.Epoch > current.Epoch {
+			c.directory.store(e)
 		}
 	}
 }
@@ -97,27 +97,27 @@
 func (c *Coordinator) Apply(now int64, r Record) error {
 	switch {
 	case r.PredecessorsExpired:
-		c.leases.alone(r.Driver, r.Incarnation)
+		c.leases.clearPredecessor(r.Driver, r.Incarnation)
 	case r.Driver != "":
-		c.leases.starts(now, r.Driver, r.Incarnation)
+		c.leases.recordStart(now, r.Driver, r.Incarnation)
 	}
 	if r.Entry == nil {
 		return nil
 	}
-	if !c.book.follows(*r.Entry) {
+	if !c.directory.isValidTransition(*r.Entry) {
 		return fmt.Errorf("tenant %q, epoch %d: %v does not follow %v at epoch %d", r.Entry.Tenant, r.Entry.Epoch,
-			r.Entry.Stage, c.book.entries[r.Entry.Tenant].Stage, c.book.newest)
+			r.Entry.Stage, c.directory.entries[r.Entry.Tenant].Stage, c.directory.latestEpoch)
 	}
 	if r.Entry.Stage == StageIdle {
 		delete(c.filled, r.Entry.Tenant)
-		delete(c.since, r.Entry.Tenant)
+		delete(c.holds, r.Entry.Tenant)
 	}
-	c.book.take(*r.Entry) // also one of a cell that this coordinator's file lacks: all that coordinate must hold the same
+	c.directory.store(*r.Entry) // also one of a cell that this coordinator's file lacks: all that coordinate must hold the same
 	return nil
 }
 
 // Directory is where tenants are.
-func (c *Coordinator) Directory() *Directory { return c.book }
+func (c *Coordinator) Directory() *Directory { return c.directory }
 
 // Renew proposes what must be written down before Grant may answer a driver's report. From then on no earlier start of its
 // name gets a lease: others may have the record before this coordinator has.
@@ -129,24 +129,24 @@
 	switch {
 	case h == nil:
 		return []Record{{Driver: r.Driver, Incarnation: r.Incarnation}}, nil
-	case r.Incarnation <= h.started || r.Incarnation < h.promised:
+	case r.Incarnation <= h.recordedIncarnation || r.Incarnation < h.pendingIncarnation:
 		return nil, nil
 	}
-	h.promised = r.Incarnation
+	h.pendingIncarnation = r.Incarnation
 	return []Record{{Driver: r.Driver, Incarnation: r.Incarnation}}, nil
 }
 
 // Grant gives a driver its lease, with what is newer than what it acts on. Steps of moves are proposed by Step.
 func (c *Coordinator) Grant(now int64, r Report) Grant {
-	if r.Epoch > c.book.newest || !c.leases.take(now, r) {
+	if r.Epoch > c.directory.latestEpoch || !c.leases.renew(now, r) {
 		return Grant{}
 	}
-	return Grant{Lease: c.leases.lease, LatestEpoch: c.book.newest, Entries: c.book.Since(r.Epoch)}
+	return Grant{Lease: c.leases.duration, LatestEpoch: c.directory.latestEpoch, Entries: c.directory.Since(r.Epoch)}
 }
 
 // CurrentGrant is what Grant would say now, for an answer that waited: the report of its start was taken then.
 func (c *Coordinator) CurrentGrant(r Report) Grant {
-	return Grant{Lease: c.leases.lease, LatestEpoch: c.book.newest, Entries: c.book.Since(r.Epoch)}
+	return Grant{Lease: c.leases.duration, LatestEpoch: c.directory.latestEpoch, Entries: c.directory.Since(r.Epoch)}
 }
 
 // MarkFilled notes that the store has taken what the entry of an epoch asks of it.
@@ -154,27 +154,27 @@
 
 // Move proposes to move a tenant.
 func (c *Coordinator) Move(now int64, t Tenant, to string, why string) ([]Record, error) {
-	seat, held := c.book.Placement(t), c.book.entries[t]
-	target := c.book.layout.Find(to)
+	placement, current := c.directory.Placement(t), c.directory.entries[t]
+	target := c.directory.layout.Find(to)
 	switch {
 	case t == "":
 		return nil, fmt.Errorf("a move needs a tenant's name")
 	case target == NoCell:
 		return nil, fmt.Errorf("there is no cell %q", to)
-	case held.Stage != StageIdle:
-		return nil, fmt.Errorf("tenant %q is being moved: %v, to %q, since epoch %d", t, held.Stage, held.To, held.Epoch)
-	case seat.Cell == target:
+	case current.Stage != StageIdle:
+		return nil, fmt.Errorf("tenant %q is being moved: %v, to %q, since epoch %d", t, current.Stage, current.To, current.Epoch)
+	case placement.Cell == target:
 		return nil, fmt.Errorf("tenant %q is in cell %q already", t, to)
-	case len(c.book.Moving()) >= mostMoves:
-		return nil, fmt.Errorf("%d moves are under way, which is the most", mostMoves)
+	case len(c.directory.Moving()) >= maxConcurrentMoves:
+		return nil, fmt.Errorf("%d moves are under way, which is the most", maxConcurrentMoves)
 	}
-	e := Entry{Tenant: t, Cell: c.book.layout.Name(seat.Cell), Stage: StagePrepared, To: to, MinPosition: held.MinPosition, Reason: why}
+	e := Entry{Tenant: t, Cell: c.directory.layout.Name(placement.Cell), Stage: StagePrepared, To: to, MinPosition: current.MinPosition, Reason: why}
 	return c.propose(now, e), nil
 }
 
 // Abort proposes to call a move off.
 func (c *Coordinator) Abort(now int64, t Tenant, why string) ([]Record, error) {
-	e, known := c.book.entries[t]
+	e, known := c.directory.entries[t]
 	switch {
 	case !known || e.Stage == StageIdle:
 		return nil, fmt.Errorf("tenant %q is not being moved", t)
@@ -189,73 +189,73 @@
 
 // propose numbers and dates an entry.
 func (c *Coordinator) propose(now int64, e Entry) []Record {
-	e.Epoch, e.DecidedAt = c.book.newest+1, now
+	e.Epoch, e.DecidedAt = c.directory.latestEpoch+1, now
 	return []Record{{Entry: &e}}
 }
 
 // Step proposes the next step of a move that is ready for one, or nothing. Whoever drives it calls again until nothing
 // is proposed.
 func (c *Coordinator) Step(now int64) []Record {
-	for _, e := range c.book.Moving() {
-		if next, ready := c.next(now, e); ready {
+	for _, e := range c.directory.Moving() {
+		if next, ready := c.nextEntry(now, e); ready {
 			return c.propose(now, next)
 		}
 	}
-	return c.leases.passed(now)
+	return c.leases.expiredPredecessors(now)
 }
 
-// next is the step that a move is ready for: the table at Stage.
-func (c *Coordinator) next(now int64, e Entry) (next Entry, ready bool) {
+// nextEntry is the step that a move is ready for: the table at Stage.
+func (c *Coordinator) nextEntry(now int64, e Entry) (next Entry, ready bool) {
 	next = e
 	switch e.Stage {
 	case StagePrepared:
 		next.Stage, next.HoldStartedAt = StageHoldingWrites, now
-		return next, c.fillsAs(e) && c.leases.all(now, e, acts)
+		return next, c.isFilled(e) && c.leases.allHolders(now, e, anyReport)
 	case StageHoldingWrites, StageCatchingUp, StageHoldingAll:
-		if c.heldFor(now, e) > c.hold {
-			next.Stage, next.Reason = StageRollingBack, fmt.Sprintf("writes were held for over %d ms, at %v", c.hold/1_000_000, e.Stage)
+		if c.holdDuration(now, e) > c.maxHold {
+			next.Stage, next.Reason = StageRollingBack, fmt.Sprintf("writes were held for over %d ms, at %v", c.maxHold/1_000_000, e.Stage)
 			return next, true
 		}
 	}
 	switch e.Stage {
 	case StageHoldingWrites:
-		next.Stage, next.CutoverPosition = StageCatchingUp, c.cut(now, e)
-		return next, c.leases.all(now, e, func(m MoveReport) bool { return m.Writes == 0 })
+		next.Stage, next.CutoverPosition = StageCatchingUp, c.cutoverPosition(now, e)
+		return next, c.leases.allHolders(now, e, func(m MoveReport) bool { return m.Writes == 0 })
 	case StageCatchingUp:
 		next.Stage = StageHoldingAll
-		return next, c.leases.any(e, func(m MoveReport) bool { return m.CaughtUp })
+		return next, c.leases.anyHolder(e, func(m MoveReport) bool { return m.CaughtUp })
 	case StageHoldingAll:
 		next.Stage, next.Cell, next.To, next.MinPosition = StageSwitched, e.To, e.Cell, max(e.MinPosition, e.CutoverPosition)
-		return next, c.leases.all(now, e, func(m MoveReport) bool { return m.OpenRPCs == 0 })
+		return next, c.leases.allHolders(now, e, func(m MoveReport) bool { return m.OpenRPCs == 0 })
 	case StageSwitched, StageRollingBack:
 		next.Stage, next.To, next.HoldStartedAt, next.CutoverPosition = StageIdle, "", 0, 0
-		return next, c.fillsAs(e) && c.leases.all(now, e, acts)
+		return next, c.isFilled(e) && c.leases.allHolders(now, e, anyReport)
 	}
 	return next, false
 }
 
-// heldFor is how long a move has held writes under this coordinator.
-func (c *Coordinator) heldFor(now int64, e Entry) int64 {
-	if c.since[e.Tenant].begun != e.HoldStartedAt {
-		c.since[e.Tenant] = held{begun: e.HoldStartedAt, here: now}
+// holdDuration is how long a move has held writes under this coordinator.
+func (c *Coordinator) holdDuration(now int64, e Entry) int64 {
+	if c.holds[e.Tenant].startedAt != e.HoldStartedAt {
+		c.holds[e.Tenant] = moveHold{startedAt: e.HoldStartedAt, observedAt: now}
 	}
-	return now - c.since[e.Tenant].here
+	return now - c.holds[e.Tenant].observedAt
 }
 
-func acts(MoveReport) bool { return true }
+func anyReport(MoveReport) bool { return true }
 
-// fillsAs tells whether the store has taken what an entry asks of it: to begin filling the new cell, or to end that.
-func (c *Coordinator) fillsAs(e Entry) bool { return !c.fills || c.filled[e.Tenant] == e.Epoch }
+// isFilled tells whether the store has taken what an entry asks of it: to begin filling the new cell, or to end that.
+func (c *Coordinator) isFilled(e Entry) bool { return !c.waitsForFill || c.filled[e.Tenant] == e.Epoch }
 
-// cut is the position that the new cell has to reach: past every write that was answered. Those of drivers that told are
+// cutoverPosition is the position that the new cell has to reach: past every write that was answered. Those of drivers that told are
 // known; one whose lease ran out answered none after that, which is before now, and so, by any coordinator's clock, before
 // now and what clocks may differ by.
-func (c *Coordinator) cut(now int64, e Entry) int64 {
-	cut := now + c.skew
+func (c *Coordinator) cutoverPosition(now int64, e Entry) int64 {
+	position := now + c.maxClockSkew
 	for _, h := range c.leases.drivers {
-		cut = max(cut, h.moves[e.Tenant].LastCommit)
+		position = max(position, h.moves[e.Tenant].LastCommit)
 	}
-	return cut
+	return position
 }
 
 // Driver is what the coordinator knows of a driver.
@@ -267,9 +267,9 @@
 
 // Drivers are those that have had leases, by name.
 func (c *Coordinator) Drivers() (drivers []Driver) {
-	for _, name := range c.leases.holders() {
+	for _, name := range c.leases.names() {
 		h := c.leases.drivers[name]
-		drivers = append(drivers, Driver{Name: name, LeaseExpiresAt: h.until, Epoch: h.acts})
+		drivers = append(drivers, Driver{Name: name, LeaseExpiresAt: h.expiresAt, Epoch: h.epoch})
 	}
 	return drivers
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -13,31 +13,31 @@
 
 // Layout is the cells that there are, in parallel arrays by their place. A place is never used again for another cell.
 type Layout struct {
-	names  []string
-	groups []Groups
-	weight []float64 // part of the tenants by hash, 0 for none
-	hall   []string
-	able   []float64 // RPCs a second, 0 for not known
-	mark   []uint64  // hash of the name
-	gone   []bool
-	index  map[string]Cell
-	spread int // groups that a tenant uses, at most
+	names           []string
+	groups          []Groups
+	weight          []float64 // part of the tenants by hash, 0 for none
+	hall            []string
+	capacity        []float64 // RPCs a second, 0 for not known
+	nameHash        []uint64  // hash of the name
+	removed         []bool
+	index           map[string]Cell
+	groupsPerTenant int // groups that a tenant uses, at most
 }
 
 // MaxGroupsPerTenant is the most groups of a cell that one tenant can use.
 const MaxGroupsPerTenant = 16
 
 // NewLayout makes a layout without cells, in which a tenant uses up to spread groups of its cell.
-func NewLayout(spread int) *Layout {
-	return &Layout{index: map[string]Cell{}, spread: min(max(1, spread), MaxGroupsPerTenant)}
+func NewLayout(groupsPerTenant int) *Layout {
+	return &Layout{index: map[string]Cell{}, groupsPerTenant: min(max(1, groupsPerTenant), MaxGroupsPerTenant)}
 }
 
 // Add adds a cell. Its name must be new and its groups nobody else's.
-func (l *Layout) Add(name string, groups Groups, weight, able float64, hall string) Cell {
+func (l *Layout) Add(name string, groups Groups, weight, capacity float64, hall string) Cell {
 	c := Cell(len(l.names))
 	l.names, l.groups, l.weight = append(l.names, name), append(l.groups, groups), append(l.weight, weight)
-	l.hall, l.able, l.gone = append(l.hall, hall), append(l.able, able), append(l.gone, false)
-	l.mark = append(l.mark, xxhash.Sum64String(name))
+	l.hall, l.capacity, l.removed = append(l.hall, hall), append(l.capacity, capacity), append(l.removed, false)
+	l.nameHash = append(l.nameHash, xxhash.Sum64String(name))
 	l.index[name] = c
 	return c
 }
@@ -47,7 +47,7 @@
 
 // Find gives the cell of a name, or NoCell.
 func (l *Layout) Find(name string) Cell {
-	if c, known := l.index[name]; known && !l.gone[c] {
+	if c, known := l.index[name]; known && !l.removed[c] {
 		return c
 	}
 	return NoCell
@@ -64,26 +64,26 @@
 // Groups are a cell's groups.
 func (l *Layout) Groups(c Cell) Groups { return l.groups[c] }
 
-// mixed spreads two hashes over 64 bits (the finalizer of splitmix64).
-func mixed(a, b uint64) uint64 {
+// mixHashes spreads two hashes over 64 bits (the finalizer of splitmix64).
+func mixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// drawn is the chance in (0,1) that a hash stands for.
-func drawn(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
+// hashToUnitInterval is the chance in (0,1) that a hash stands for.
+func hashToUnitInterval(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
 
 // HomeCell is the cell that a tenant's name hashes to, by weighted rendezvous: each cell draws a score from its own name
 // and the tenant's, and the highest wins. A cell that comes or goes so moves only the tenants that it wins or had.
 func (l *Layout) HomeCell(t Tenant) Cell {
 	hash, home, best := xxhash.Sum64String(string(t)), NoCell, math.Inf(-1)
 	for c := range l.names {
-		if l.weight[c] <= 0 || l.gone[c] {
+		if l.weight[c] <= 0 || l.removed[c] {
 			continue
 		}
-		if score := -l.weight[c] / math.Log(drawn(mixed(hash, l.mark[c]))); score > best {
+		if score := -l.weight[c] / math.Log(hashToUnitInterval(mixHashes(hash, l.nameHash[c]))); score > best {
 			home, best = Cell(c), score
 		}
 	}
@@ -93,41 +93,41 @@
 // TenantGroups is the choice of a cell's groups that a tenant uses, the same at every driver: two tenants rarely have all of
 // theirs in common, so that one that harms its own harms few others wholly.
 func (l *Layout) TenantGroups(t Tenant, c Cell) Groups {
-	var at [MaxGroupsPerTenant]rules.GroupID
-	return slices.Clone(l.shard(&at, xxhash.Sum64String(string(t)), c))
+	var buffer [MaxGroupsPerTenant]rules.GroupID
+	return slices.Clone(l.selectGroups(&buffer, xxhash.Sum64String(string(t)), c))
 }
 
-// shard draws a tenant's groups into room that the caller has, the best first.
-func (l *Layout) shard(room *[MaxGroupsPerTenant]rules.GroupID, hash uint64, c Cell) Groups {
+// selectGroups draws a tenant's groups into room that the caller has, the best first.
+func (l *Layout) selectGroups(buffer *[MaxGroupsPerTenant]rules.GroupID, hash uint64, c Cell) Groups {
 	var scores [MaxGroupsPerTenant]uint64
 	n := 0
-	for _, g := range l.groups[c] {
-		score := mixed(hash, uint64(g)+0x517cc1b727220a95)
-		at := n
-		for at > 0 && scores[at-1] < score {
-			at--
+	for _, group := range l.groups[c] {
+		score := mixHashes(hash, uint64(group)+0x517cc1b727220a95)
+		index := n
+		for index > 0 && scores[index-1] < score {
+			index--
 		}
-		if at >= l.spread {
+		if index >= l.groupsPerTenant {
 			continue
 		}
-		n = min(n+1, l.spread)
-		copy(scores[at+1:n], scores[at:n-1])
-		copy(room[at+1:n], room[at:n-1])
-		scores[at], room[at] = score, g
+		n = min(n+1, l.groupsPerTenant)
+		copy(scores[index+1:n], scores[index:n-1])
+		copy(buffer[index+1:n], buffer[index:n-1])
+		scores[index], buffer[index] = score, group
 	}
-	return room[:n]
+	return buffer[:n]
 }
 
 // Group is the group of a cell that holds a tenant's key.
 func (l *Layout) Group(t Tenant, key string, c Cell) rules.GroupID {
-	var room [MaxGroupsPerTenant]rules.GroupID
-	groups := l.shard(&room, xxhash.Sum64String(string(t)), c)
+	var buffer [MaxGroupsPerTenant]rules.GroupID
+	groups := l.selectGroups(&buffer, xxhash.Sum64String(string(t)), c)
 	if len(groups) == 1 {
 		return groups[0]
 	}
 	hash, best := xxhash.Sum64String(key), 0
 	for i, g := range groups {
-		if mixed(hash, uint64(g)) > mixed(hash, uint64(groups[best])) {
+		if mixHashes(hash, uint64(g)) > mixHashes(hash, uint64(groups[best])) {
 			best = i
 		}
 	}
@@ -136,19 +136,19 @@
 
 // Update takes over what another layout says, for drivers that run: seats are the tenants that are not where their
 // names hash to. It changes nothing and names the cause where a tenant would be elsewhere without having been moved.
-func (l *Layout) Update(next *Layout, seats map[Tenant]Cell) error {
-	if next.spread != l.spread {
-		return fmt.Errorf("groups_a_tenant: %d, was %d: tenants would change their groups without a move", next.spread, l.spread)
+func (l *Layout) Update(next *Layout, overrides map[Tenant]Cell) error {
+	if next.groupsPerTenant != l.groupsPerTenant {
+		return fmt.Errorf("groups_a_tenant: %d, was %d: tenants would change their groups without a move", next.groupsPerTenant, l.groupsPerTenant)
 	}
 	for c, name := range l.names {
 		n, kept := next.index[name]
 		switch {
-		case l.gone[c]:
+		case l.removed[c]:
 			if kept {
 				return fmt.Errorf("cell %q: a cell of that name was taken away: it needs another name or a restart", name)
 			}
 		case !kept:
-			if err := l.removable(Cell(c), seats); err != nil {
+			if err := l.checkRemovable(Cell(c), overrides); err != nil {
 				return err
 			}
 		case !slices.Equal(next.groups[n], l.groups[c]):
@@ -162,45 +162,45 @@
 			return fmt.Errorf("cell %q: a cell that is new to a running driver takes no tenants by hash: its weight must be 0", name)
 		}
 	}
-	l.take(next)
+	l.merge(next)
 	return nil
 }
 
-// take does what Become has checked.
-func (l *Layout) take(next *Layout) {
+// merge does what Become has checked.
+func (l *Layout) merge(next *Layout) {
 	for c, name := range l.names {
 		if n, kept := next.index[name]; kept {
-			l.hall[c], l.able[c] = next.hall[n], next.able[n]
+			l.hall[c], l.capacity[c] = next.hall[n], next.capacity[n]
 		} else {
-			l.gone[c] = true
+			l.removed[c] = true
 		}
 	}
 	for n, name := range next.names {
 		if _, known := l.index[name]; !known {
-			l.Add(name, next.groups[n], next.weight[n], next.able[n], next.hall[n])
+			l.Add(name, next.groups[n], next.weight[n], next.capacity[n], next.hall[n])
 		}
 	}
 }
 
-// removable tells whether a cell can go: not while any tenant is in it.
-func (l *Layout) removable(c Cell, seats map[Tenant]Cell) error {
+// checkRemovable tells whether a cell can go: not while any tenant is in it.
+func (l *Layout) checkRemovable(c Cell, overrides map[Tenant]Cell) error {
 	if l.weight[c] > 0 {
 		return fmt.Errorf("cell %q can't go: it takes tenants by hash (weight %v)", l.names[c], l.weight[c])
 	}
-	var left []string
-	for t, at := range seats {
+	var remaining []string
+	for t, at := range overrides {
 		if at == c {
-			left = append(left, string(t))
+			remaining = append(remaining, string(t))
 		}
 	}
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		return nil
 	}
-	slices.Sort(left)
+	slices.Sort(remaining)
 	const shown = 5
-	more := ""
-	if len(left) > shown {
-		left, more = left[:shown], fmt.Sprintf(" and %d more", len(left)-shown)
+	suffix := ""
+	if len(remaining) > shown {
+		remaining, suffix = remaining[:shown], fmt.Sprintf(" and %d more", len(remaining)-shown)
 	}
-	return fmt.Errorf("cell %q can't go: it still has %s%s", l.names[c], strings.Join(left, ", "), more)
+	return fmt.Errorf("cell %q can't go: it still has %s%s", l.names[c], strings.Join(remaining, ", "), suffix)
 }
--- a/internal/cells/leases.go
+++ b/internal/cells/leases.go
@@ -31,121 +31,123 @@
 // leases is which drivers may act, on what, and until when. Names of drivers and their starts are written down before the
 // first lease, so that a coordinator that takes over knows whom it has to wait for.
 type leases struct {
-	lease   int64
-	drivers map[string]*holder
+	duration int64
+	drivers  map[string]*leaseHolder
 }
 
-type holder struct {
-	started     uint64 // the newest start that was written down
-	shaded      bool   // an earlier one may still act, as far as is written down
-	promised    uint64 // a start whose record is on its way: no earlier one gets a lease any more
-	incarnation uint64
-	until       int64 // it may act until then at the latest
-	before      int64 // so may an earlier start of its name, which can't be told from one that was killed
-	acts        Epoch // on all up to there
-	moves       map[Tenant]MoveReport
-	loads       []TenantLoad
+type leaseHolder struct {
+	recordedIncarnation  uint64 // the newest start that was written down
+	hasPredecessor       bool   // an earlier one may still act, as far as is written down
+	pendingIncarnation   uint64 // a start whose record is on its way: no earlier one gets a lease any more
+	incarnation          uint64
+	expiresAt            int64 // it may act until then at the latest
+	predecessorExpiresAt int64 // so may an earlier start of its name, which can't be told from one that was killed
+	epoch                Epoch // on all up to there
+	moves                map[Tenant]MoveReport
+	loads                []TenantLoad
 }
 
-// rateShare is the part of a lease by which it is waited for longer than it lasts: two clocks may differ in rate by as much.
-const rateShare = 500
+// clockRateDivisor is the part of a lease by which it is waited for longer than it lasts: two clocks may differ in rate by as much.
+const clockRateDivisor = 500
 
-// over is when a lease asked for at a time has provably run out, however fast or slow its holder's clock runs.
-func (l *leases) over(asked int64) int64 { return asked + l.lease + l.lease/rateShare }
+// expiry is when a lease asked for at a time has provably run out, however fast or slow its holder's clock runs.
+func (l *leases) expiry(requestedAt int64) int64 {
+	return requestedAt + l.duration + l.duration/clockRateDivisor
+}
 
-// known gives a driver's record, which is made for one not known.
-func (l *leases) known(name string) *holder {
+// holder gives a driver's record, which is made for one not known.
+func (l *leases) holder(name string) *leaseHolder {
 	h := l.drivers[name]
 	if h == nil {
-		h = &holder{}
+		h = &leaseHolder{}
 		l.drivers[name] = h
 	}
 	return h
 }
 
-// starts takes in that a start of a name was written down. No lease was given to an earlier one after that was proposed, so
+// recordStart takes in that a start of a name was written down. No lease was given to an earlier one after that was proposed, so
 // that it has run out as if it had been asked for now, by the clock of whoever has the record.
-func (l *leases) starts(now int64, name string, start uint64) {
-	_, had := l.drivers[name]
-	h := l.known(name)
-	if start <= h.started {
+func (l *leases) recordStart(now int64, name string, incarnation uint64) {
+	_, known := l.drivers[name]
+	h := l.holder(name)
+	if incarnation <= h.recordedIncarnation {
 		return
 	}
-	if had {
-		h.shaded, h.before = true, max(h.before, l.over(now))
+	if known {
+		h.hasPredecessor, h.predecessorExpiresAt = true, max(h.predecessorExpiresAt, l.expiry(now))
 	}
-	h.started = start
+	h.recordedIncarnation = incarnation
 }
 
-// alone takes in that provably no start of a name before one acts any more.
-func (l *leases) alone(name string, start uint64) {
-	if h := l.known(name); h.started == start {
-		h.shaded, h.before = false, 0
+// clearPredecessor takes in that provably no start of a name before one acts any more.
+func (l *leases) clearPredecessor(name string, incarnation uint64) {
+	if h := l.holder(name); h.recordedIncarnation == incarnation {
+		h.hasPredecessor, h.predecessorExpiresAt = false, 0
 	}
 }
 
-// restored takes over what others have written down of a name.
-func (l *leases) restored(now int64, name string, start uint64, shaded bool) {
-	if h := l.known(name); start > h.started {
-		if h.started, h.shaded, h.before = start, shaded, 0; shaded {
-			h.before = l.over(now)
+// restore takes over what others have written down of a name.
+func (l *leases) restore(now int64, name string, incarnation uint64, hasPredecessor bool) {
+	if h := l.holder(name); incarnation > h.recordedIncarnation {
+		if h.recordedIncarnation, h.hasPredecessor, h.predecessorExpiresAt = incarnation, hasPredecessor, 0; hasPredecessor {
+			h.predecessorExpiresAt = l.expiry(now)
 		}
 	}
 }
 
-// passed are names of which provably no earlier start acts any more and which are not written down as such, in order.
-func (l *leases) passed(now int64) (all []Record) {
-	for _, name := range l.holders() {
-		if h := l.drivers[name]; h.shaded && h.before < now {
-			all = append(all, Record{Driver: name, Incarnation: h.started, PredecessorsExpired: true})
+// expiredPredecessors are names of which provably no earlier start acts any more and which are not written down as such, in order.
+func (l *leases) expiredPredecessors(now int64) (records []Record) {
+	for _, name := range l.names() {
+		if h := l.drivers[name]; h.hasPredecessor && h.predecessorExpiresAt < now {
+			records = append(records, Record{Driver: name, Incarnation: h.recordedIncarnation, PredecessorsExpired: true})
 		}
 	}
-	return all
+	return records
 }
 
-// take takes in a report and tells whether its driver may have a lease: not one that has been followed by a newer start
+// renew takes in a report and tells whether its driver may have a lease: not one that has been followed by a newer start
 // under its name.
-func (l *leases) take(now int64, r Report) bool {
-	h := l.known(r.Driver)
-	if r.Incarnation < max(h.incarnation, h.started, h.promised) {
+func (l *leases) renew(now int64, report Report) bool {
+	h := l.holder(report.Driver)
+	if report.Incarnation < max(h.incarnation, h.recordedIncarnation, h.pendingIncarnation) {
 		return false
 	}
-	if r.Incarnation > h.incarnation && h.incarnation != 0 {
-		h.before = max(h.before, h.until)
+	if report.Incarnation > h.incarnation && h.incarnation != 0 {
+		h.predecessorExpiresAt = max(h.predecessorExpiresAt, h.expiresAt)
 	}
-	h.incarnation, h.until = r.Incarnation, l.over(now)
-	h.acts, h.moves = r.Epoch, make(map[Tenant]MoveReport, len(r.Moves))
-	for _, m := range r.Moves {
+	h.incarnation, h.expiresAt = report.Incarnation, l.expiry(now)
+	h.epoch, h.moves = report.Epoch, make(map[Tenant]MoveReport, len(report.Moves))
+	for _, m := range report.Moves {
 		h.moves[m.Tenant] = m
 	}
-	if len(r.Loads) > 0 {
-		h.loads = r.Loads
+	if len(report.Loads) > 0 {
+		h.loads = report.Loads
 	}
 	return true
 }
 
-// all tells whether each driver that may still act acts on an epoch and passes a test on its part of a tenant's move. A
+// allHolders tells whether each driver that may still act acts on an epoch and passes a test on its part of a tenant's move. A
 // driver whose lease has run out acts on nothing until it has asked again.
-func (l *leases) all(now int64, e Entry, test func(MoveReport) bool) bool {
+func (l *leases) allHolders(now int64, e Entry, test func(MoveReport) bool) bool {
 	for _, h := range l.drivers {
-		if h.before >= now {
+		if h.predecessorExpiresAt >= now {
 			return false
 		}
-		if h.until < now {
+		if h.expiresAt < now {
 			continue
 		}
-		m, told := h.moves[e.Tenant]
-		if h.acts < e.Epoch || !told || m.Epoch != e.Epoch || !test(m) {
+		m, reported := h.moves[e.Tenant]
+		if h.epoch < e.Epoch || !reported || m.Epoch != e.Epoch || !test(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// any tells whether some driver's part of a tenant's move passes a test.
-func (l *leases) any(e Entry, test func(MoveReport) bool) bool {
+// anyHolder tells whether some driver's part of a tenant's move passes a test.
+func (l *leases) anyHolder(e Entry, test func(MoveReport) bool) bool {
 	for _, h := range l.drivers {
-		if m, told := h.moves[e.Tenant]; told && m.Epoch == e.Epoch && test(m) {
+		if m, reported := h.moves[e.Tenant]; reported && m.Epoch == e.Epoch && test(m) {
 			return true
 		}
 	}
@@ -156,22 +158,22 @@
 func (l *leases) loads(now int64) []TenantLoad {
 	sums := map[Tenant]TenantLoad{}
 	for _, h := range l.drivers {
-		for _, w := range h.loads {
-			if h.until >= now {
-				sum := sums[w.Tenant]
-				sums[w.Tenant] = TenantLoad{w.Tenant, sum.Load + w.Load, sum.Overestimate + w.Overestimate}
+		for _, load := range h.loads {
+			if h.expiresAt >= now {
+				sum := sums[load.Tenant]
+				sums[load.Tenant] = TenantLoad{load.Tenant, sum.Load + load.Load, sum.Overestimate + load.Overestimate}
 			}
 		}
 	}
-	all := make([]TenantLoad, 0, len(sums))
-	for _, w := range sums {
-		all = append(all, w)
+	loads := make([]TenantLoad, 0, len(sums))
+	for _, load := range sums {
+		loads = append(loads, load)
 	}
-	return heaviest(all)
+	return sortHeaviestFirst(loads)
 }
 
-// holders are the names of the drivers known, in order.
-func (l *leases) holders() []string {
+// names are the names of the drivers known, in order.
+func (l *leases) names() []string {
 	names := make([]string, 0, len(l.drivers))
 	for name := range l.drivers {
 		names = append(names, name)
--- a/internal/cells/place_test.go
+++ b/internal/cells/place_test.go
@@ -12,37 +12,37 @@
 	"sedgespread/rules"
 )
 
-// layoutOf makes cells c0, c1 … of some weights, each with groups of its own.
-func layoutOf(spread, groups int, weights ...float64) *Layout {
-	l := NewLayout(spread)
+// newTestLayout makes cells c0, c1 … of some weights, each with groups of its own.
+func newTestLayout(groupsPerTenant, groups int, weights ...float64) *Layout {
+	l := NewLayout(groupsPerTenant)
 	for c, w := range weights {
-		var own Groups
+		var cellGroups Groups
 		for g := range groups {
-			own = append(own, rules.GroupID(c*groups+g+1))
+			cellGroups = append(cellGroups, rules.GroupID(c*groups+g+1))
 		}
-		l.Add(fmt.Sprintf("c%d", c), own, w, 100, "")
+		l.Add(fmt.Sprintf("c%d", c), cellGroups, w, 100, "")
 	}
 	return l
 }
 
-func homes(l *Layout, tenants int) (at []Cell) {
+func homeCells(l *Layout, tenants int) (cells []Cell) {
 	for t := range tenants {
-		at = append(at, l.HomeCell(Tenant(fmt.Sprintf("tenant-%d", t))))
+		cells = append(cells, l.HomeCell(Tenant(fmt.Sprintf("tenant-%d", t))))
 	}
-	return at
+	return cells
 }
 
 // Guards against a cell that comes or goes and moves tenants of others.
-func TestHomesFollowWeightsAndMoveTheirShare(t *testing.T) {
+func TestHomeCellsFollowWeights(t *testing.T) {
 	const tenants = 20_000
-	before := homes(layoutOf(1, 1, 1, 2, 1, 0), tenants)
+	before := homeCells(newTestLayout(1, 1, 1, 2, 1, 0), tenants)
 	count := map[Cell]int{}
 	for _, c := range before {
 		count[c]++
 	}
 	require.Zero(t, count[3], "a cell of weight 0 takes nobody")
 	require.InDelta(t, 0.5, float64(count[1])/tenants, 0.02)
-	after := homes(layoutOf(1, 1, 1, 2, 1, 0, 1), tenants)
+	after := homeCells(newTestLayout(1, 1, 1, 2, 1, 0, 1), tenants)
 	moved := 0
 	for i := range before {
 		if before[i] != after[i] {
@@ -53,9 +53,9 @@
 	require.InDelta(t, 0.2, float64(moved)/tenants, 0.02)
 }
 
-func TestShards(t *testing.T) {
-	l := layoutOf(2, 8, 1)
-	alike := 0
+func TestTenantGroups(t *testing.T) {
+	l := newTestLayout(2, 8, 1)
+	identical := 0
 	for i := range 2000 {
 		a, b := Tenant(fmt.Sprintf("a%d", i)), Tenant(fmt.Sprintf("b%d", i))
 		s := l.TenantGroups(a, 0)
@@ -64,11 +64,11 @@
 		require.Contains(t, s, l.Group(a, fmt.Sprint("key", i), 0))
 		o := l.TenantGroups(b, 0)
 		if (s[0] == o[0] || s[0] == o[1]) && (s[1] == o[0] || s[1] == o[1]) {
-			alike++
+			identical++
 		}
 	}
-	require.InDelta(t, 1.0/28, float64(alike)/2000, 0.015, "two of eight are 28 pairs")
-	require.Len(t, layoutOf(4, 2, 1).TenantGroups("a", 0), 2, "no more than there are")
+	require.InDelta(t, 1.0/28, float64(identical)/2000, 0.015, "two of eight are 28 pairs")
+	require.Len(t, newTestLayout(4, 2, 1).TenantGroups("a", 0), 2, "no more than there are")
 }
 
 // Against a plain scan of all prefixes.
@@ -92,45 +92,45 @@
 	})
 }
 
-func TestTenancy(t *testing.T) {
-	y := NewTenantResolver(map[string]Tenant{"club/": "club", "club/bots/": "bots"}, map[string]Tenant{"eve": "hall"},
+func TestTenantResolver(t *testing.T) {
+	resolver := NewTenantResolver(map[string]Tenant{"club/": "club", "club/bots/": "bots"}, map[string]Tenant{"eve": "hall"},
 		map[string]Tenant{"store": "shop"}, DefaultUser, "rest")
 	for _, c := range []struct {
 		key, user, database string
 		want                Tenant
 	}{{"club/bots/1", "eve", "store", "bots"}, {"club/x", "", "", "club"}, {"x", "eve", "store", "hall"},
 		{"x", "ann", "store", "shop"}, {"x", "ann", "y", "ann"}, {"x", "", "y", "rest"}} {
-		require.Equal(t, c.want, y.Resolve(c.key, c.user, c.database), "%+v", c)
+		require.Equal(t, c.want, resolver.Resolve(c.key, c.user, c.database), "%+v", c)
 	}
 	require.Equal(t, Tenant("y"), NewTenantResolver(nil, nil, nil, DefaultDatabase, "rest").Resolve("x", "ann", "y"))
 }
 
 // The promise of space-saving: never too little, and too much by no more than the total over the places.
-func TestHeavyKeepsItsBound(t *testing.T) {
-	const places = 100
-	h, plain := NewHeavyHitters(places), map[Tenant]float64{}
+func TestHeavyHittersErrorBound(t *testing.T) {
+	const capacity = 100
+	heavyHitters, exact := NewHeavyHitters(capacity), map[Tenant]float64{}
 	rng := rand.New(rand.NewSource(1))
 	zipf := rand.NewZipf(rng, 1.1, 1, 100_000)
 	for range 200_000 {
 		tenant := Tenant(fmt.Sprint(zipf.Uint64()))
-		h.Add(tenant, 1)
-		plain[tenant]++
+		heavyHitters.Add(tenant, 1)
+		exact[tenant]++
 	}
-	for tenant, load := range plain {
-		got, over := h.Load(tenant)
+	for tenant, load := range exact {
+		got, overestimate := heavyHitters.Load(tenant)
 		require.GreaterOrEqual(t, got, load)
-		require.LessOrEqual(t, got-over, load)
-		require.LessOrEqual(t, over, h.total/places)
+		require.LessOrEqual(t, got-overestimate, load)
+		require.LessOrEqual(t, overestimate, heavyHitters.total/capacity)
 	}
-	require.Equal(t, Tenant("0"), h.Top(1)[0].Tenant)
-	h.Decay(0.5)
-	require.InDelta(t, 100_000, h.total, 1e-6)
+	require.Equal(t, Tenant("0"), heavyHitters.Top(1)[0].Tenant)
+	heavyHitters.Decay(0.5)
+	require.InDelta(t, 100_000, heavyHitters.total, 1e-6)
 }
 
 // Guards against a file read again that would leave a tenant elsewhere than its data.
-func TestLayoutsThatRunningDriversRefuse(t *testing.T) {
+func TestUpdateRejectsUnsafeLayouts(t *testing.T) {
 	pinned := Tenant("pinned")
-	for layoutOf(1, 1, 1, 1, 0).HomeCell(pinned) != 0 {
+	for newTestLayout(1, 1, 1, 1, 0).HomeCell(pinned) != 0 {
 		pinned += "-"
 	}
 	for _, c := range []struct {
@@ -138,37 +138,47 @@
 		next func() (*Layout, map[Tenant]string)
 		says string
 	}{
-		{"nothing changes", func() (*Layout, map[Tenant]string) { return layoutOf(1, 1, 1, 1, 0), map[Tenant]string{pinned: "c1"} }, ""},
+		{"nothing changes", func() (*Layout, map[Tenant]string) {
+			return newTestLayout(1, 1, 1, 1, 0), map[Tenant]string{pinned: "c1"}
+		}, ""},
 		{"a cell with weight 0 comes", func() (*Layout, map[Tenant]string) {
-			return layoutOf(1, 1, 1, 1, 0, 0), map[Tenant]string{pinned: "c1"}
+			return newTestLayout(1, 1, 1, 1, 0, 0), map[Tenant]string{pinned: "c1"}
 		}, ""},
 		{"a cell comes that takes tenants", func() (*Layout, map[Tenant]string) {
-			return layoutOf(1, 1, 1, 1, 0, 1), map[Tenant]string{pinned: "c1"}
+			return newTestLayout(1, 1, 1, 1, 0, 1), map[Tenant]string{pinned: "c1"}
 		}, "weight must be 0"},
-		{"a weight changes", func() (*Layout, map[Tenant]string) { return layoutOf(1, 1, 1, 2, 0), map[Tenant]string{pinned: "c1"} }, "weight was 1"},
-		{"groups change", func() (*Layout, map[Tenant]string) { return layoutOf(1, 2, 1, 1, 0), map[Tenant]string{pinned: "c1"} }, "groups were"},
-		{"the spread changes", func() (*Layout, map[Tenant]string) { return layoutOf(2, 1, 1, 1, 0), map[Tenant]string{pinned: "c1"} }, "groups_a_tenant"},
+		{"a weight changes", func() (*Layout, map[Tenant]string) {
+			return newTestLayout(1, 1, 1, 2, 0), map[Tenant]string{pinned: "c1"}
+		}, "weight was 1"},
+		{"groups change", func() (*Layout, map[Tenant]string) {
+			return newTestLayout(1, 2, 1, 1, 0), map[Tenant]string{pinned: "c1"}
+		}, "groups were"},
+		{"the spread changes", func() (*Layout, map[Tenant]string) {
+			return newTestLayout(2, 1, 1, 1, 0), map[Tenant]string{pinned: "c1"}
+		}, "groups_a_tenant"},
 		{"a cell goes that takes tenants", func() (*Layout, map[Tenant]string) {
-			return layoutOf(1, 1, 1), map[Tenant]string{pinned: "c1"}
+			return newTestLayout(1, 1, 1), map[Tenant]string{pinned: "c1"}
 		}, "it takes tenants by hash"},
-		{"a pin goes", func() (*Layout, map[Tenant]string) { return layoutOf(1, 1, 1, 1, 0), map[Tenant]string{} }, "move it"},
+		{"a pin goes", func() (*Layout, map[Tenant]string) { return newTestLayout(1, 1, 1, 1, 0), map[Tenant]string{} }, "move it"},
 		{"a cell goes that has a tenant", func() (*Layout, map[Tenant]string) {
-			return layoutOf(1, 1, 1, 1), map[Tenant]string{pinned: "c1"}
+			return newTestLayout(1, 1, 1, 1), map[Tenant]string{pinned: "c1"}
 		}, `it still has moved`},
-		{"a pin changes", func() (*Layout, map[Tenant]string) { return layoutOf(1, 1, 1, 1, 0), map[Tenant]string{pinned: "c0"} }, "and a file can't bring it"},
+		{"a pin changes", func() (*Layout, map[Tenant]string) {
+			return newTestLayout(1, 1, 1, 1, 0), map[Tenant]string{pinned: "c0"}
+		}, "and a file can't bring it"},
 	} {
-		l := layoutOf(1, 1, 1, 1, 0)
-		b := NewDirectory(l, map[Tenant]Cell{pinned: 1})
-		_, err := b.Apply(Entry{Epoch: 1, Tenant: "moved", Cell: "c2"})
+		l := newTestLayout(1, 1, 1, 1, 0)
+		directory := NewDirectory(l, map[Tenant]Cell{pinned: 1})
+		_, err := directory.Apply(Entry{Epoch: 1, Tenant: "moved", Cell: "c2"})
 		require.NoError(t, err)
 		next, pins := c.next()
-		err = b.Update(next, pins)
+		err = directory.Update(next, pins)
 		if c.says == "" {
 			require.NoError(t, err, c.name)
 			continue
 		}
 		require.ErrorContains(t, err, c.says, c.name)
 		require.Equal(t, 3, l.Cells(), c.name)
-		require.Equal(t, Cell(1), b.Placement(pinned).Cell, c.name)
+		require.Equal(t, Cell(1), directory.Placement(pinned).Cell, c.name)
 	}
 }
--- a/internal/cells/prefixes.go
+++ b/internal/cells/prefixes.go
@@ -9,15 +9,15 @@
 // PrefixTrie finds the longest of many prefixes that a key begins with. It is a radix trie laid out in one array, the
 // children of a node side by side and ordered by their first byte.
 type PrefixTrie struct {
-	nodes []prefixNode
-	names []Tenant
+	nodes   []prefixNode
+	tenants []Tenant
 }
 
 type prefixNode struct {
-	label    string // what it adds to its parent's path
-	first    int32  // of its children
-	children int32
-	names    int32 // place of its tenant, -1 for none
+	label      string // what it adds to its parent's path
+	firstChild int32  // of its children
+	childCount int32
+	tenant     int32 // place of its tenant, -1 for none
 }
 
 // NewPrefixTrie lays out a trie. A prefix that stands twice has the tenant of either.
@@ -27,24 +27,24 @@
 		sorted = append(sorted, prefix)
 	}
 	slices.Sort(sorted)
-	p := &PrefixTrie{nodes: []prefixNode{{names: -1}}}
-	numbers := map[Tenant]int32{}
-	p.fill(0, sorted, 0, func(prefix string) int32 {
+	trie := &PrefixTrie{nodes: []prefixNode{{tenant: -1}}}
+	indexes := map[Tenant]int32{}
+	trie.build(0, sorted, 0, func(prefix string) int32 {
 		t := tenants[prefix]
-		if _, known := numbers[t]; !known {
-			numbers[t] = int32(len(p.names))
-			p.names = append(p.names, t)
+		if _, known := indexes[t]; !known {
+			indexes[t] = int32(len(trie.tenants))
+			trie.tenants = append(trie.tenants, t)
 		}
-		return numbers[t]
+		return indexes[t]
 	})
-	p.nodes = slices.Clip(p.nodes)
-	return p
+	trie.nodes = slices.Clip(trie.nodes)
+	return trie
 }
 
-// fill makes the children of a node from the prefixes below it, whose first depth bytes are the node's path.
-func (p *PrefixTrie) fill(node int, sorted []string, depth int, number func(string) int32) {
+// build makes the children of a node from the prefixes below it, whose first depth bytes are the node's path.
+func (p *PrefixTrie) build(node int, sorted []string, depth int, tenantIndex func(string) int32) {
 	if len(sorted) > 0 && len(sorted[0]) == depth {
-		p.nodes[node].names = number(sorted[0])
+		p.nodes[node].tenant = tenantIndex(sorted[0])
 		sorted = sorted[1:]
 	}
 	first := len(p.nodes)
@@ -52,17 +52,17 @@
 	for len(sorted) > 0 {
 		n := sort.Search(len(sorted), func(i int) bool { return sorted[i][depth] > sorted[0][depth] })
 		part := sorted[:n]
-		p.nodes = append(p.nodes, prefixNode{label: common(part[0], part[n-1])[depth:], names: -1})
+		p.nodes = append(p.nodes, prefixNode{label: commonPrefix(part[0], part[n-1])[depth:], tenant: -1})
 		parts, sorted = append(parts, part), sorted[n:]
 	}
-	p.nodes[node].first, p.nodes[node].children = int32(first), int32(len(parts))
+	p.nodes[node].firstChild, p.nodes[node].childCount = int32(first), int32(len(parts))
 	for i, part := range parts {
-		p.fill(first+i, part, depth+len(p.nodes[first+i].label), number)
+		p.build(first+i, part, depth+len(p.nodes[first+i].label), tenantIndex)
 	}
 }
 
-// common is what two texts begin with alike.
-func common(a, b string) string {
+// commonPrefix is what two texts begin with alike.
+func commonPrefix(a, b string) string {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
 		n++
@@ -73,10 +73,10 @@
 // Longest gives the tenant of the longest prefix that a key begins with.
 func (p *PrefixTrie) Longest(key string) (t Tenant, found bool) {
 	for node := &p.nodes[0]; ; {
-		if node.names >= 0 {
-			t, found = p.names[node.names], true
+		if node.tenant >= 0 {
+			t, found = p.tenants[node.tenant], true
 		}
-		if key == "" || node.children == 0 {
+		if key == "" || node.childCount == 0 {
 			return t, found
 		}
 		next := p.child(node, key[0])
@@ -89,7 +89,7 @@
 
 // child is the child of a node whose label begins with a byte, nil where none does.
 func (p *PrefixTrie) child(node *prefixNode, b byte) *prefixNode {
-	children := p.nodes[node.first : node.first+node.children]
+	children := p.nodes[node.firstChild : node.firstChild+node.childCount]
 	low, high := 0, len(children)
 	for low < high {
 		if middle := (low + high) / 2; children[middle].label[0] < b {
--- a/internal/cells/shares.go
+++ b/internal/cells/shares.go
@@ -5,34 +5,34 @@
 // of names no more than mostNamed have a share of their own; all others share one between them.
 type shares struct {
 	weights map[Tenant]float64 // of those that have another than 1
-	cells   []crowd            // by cell
+	cells   []cellShares       // by cell
 }
 
-// crowd is the tenants of one cell.
-type crowd struct {
-	present map[Tenant]*presence
-	rest    presence // of all that have no share of their own
-	sum     float64  // of the weights of all present
-	leaving []leaver // that use nothing any more, the first gone first
+// cellShares is the tenants of one cell.
+type cellShares struct {
+	active      map[Tenant]*tenantUsage
+	shared      tenantUsage  // of all that have no share of their own
+	totalWeight float64      // of the weights of all present
+	idle        []idleTenant // that use nothing any more, the first gone first
 }
 
-// presence is what a tenant uses.
-type presence struct {
-	weight float64
-	used   int64
-	left   int64 // when it last used something, if it uses nothing
-	named  bool
+// tenantUsage is what a tenant uses.
+type tenantUsage struct {
+	weight      float64
+	used        int64
+	idleSince   int64 // when it last used something, if it uses nothing
+	hasOwnShare bool
 }
 
-type leaver struct {
+type idleTenant struct {
 	tenant Tenant
-	at     int64
+	since  int64
 }
 
 const (
-	mostNamed = 1024       // tenants of a cell with a share of their own
-	lingerFor = second / 4 // a tenant that uses nothing still has its share so long
-	contended = 0.5        // of a cell's room in use, from which on shares bind
+	maxOwnShares        = 1024       // tenants of a cell with a share of their own
+	idleRetention       = second / 4 // a tenant that uses nothing still has its share so long
+	contentionThreshold = 0.5        // of a cell's room in use, from which on shares bind
 )
 
 func newShares(weights map[Tenant]float64, cells int) *shares {
@@ -44,7 +44,7 @@
 // grow makes room for more cells.
 func (s *shares) grow(cells int) {
 	for len(s.cells) < cells {
-		s.cells = append(s.cells, crowd{present: map[Tenant]*presence{}})
+		s.cells = append(s.cells, cellShares{active: map[Tenant]*tenantUsage{}})
 	}
 }
 
@@ -55,54 +55,54 @@
 	return 1
 }
 
-// enter gives a tenant's presence in a cell.
-func (s *shares) enter(c Cell, t Tenant, now int64) *presence {
-	w := &s.cells[c]
-	w.sweep(now)
-	if p := w.present[t]; p != nil {
+// usage gives a tenant's presence in a cell.
+func (s *shares) usage(c Cell, t Tenant, now int64) *tenantUsage {
+	cell := &s.cells[c]
+	cell.removeIdle(now)
+	if p := cell.active[t]; p != nil {
 		return p
 	}
-	if len(w.present) >= mostNamed {
-		if w.rest.weight == 0 {
-			w.rest.weight = 1
-			w.sum++
+	if len(cell.active) >= maxOwnShares {
+		if cell.shared.weight == 0 {
+			cell.shared.weight = 1
+			cell.totalWeight++
 		}
-		return &w.rest
+		return &cell.shared
 	}
-	p := &presence{weight: s.weight(t), left: now, named: true}
-	w.present[t] = p
-	w.sum += p.weight
-	w.leaving = append(w.leaving, leaver{t, now})
+	p := &tenantUsage{weight: s.weight(t), idleSince: now, hasOwnShare: true}
+	cell.active[t] = p
+	cell.totalWeight += p.weight
+	cell.idle = append(cell.idle, idleTenant{t, now})
 	return p
 }
 
-// sweep forgets the tenants that have used nothing for a while.
-func (w *crowd) sweep(now int64) {
+// removeIdle forgets the tenants that have used nothing for a while.
+func (w *cellShares) removeIdle(now int64) {
 	n := 0
-	for ; n < len(w.leaving) && now-w.leaving[n].at >= lingerFor; n++ {
-		if p := w.present[w.leaving[n].tenant]; p != nil && p.used == 0 && now-p.left >= lingerFor {
-			w.sum -= p.weight
-			delete(w.present, w.leaving[n].tenant)
+	for ; n < len(w.idle) && now-w.idle[n].since >= idleRetention; n++ {
+		if p := w.active[w.idle[n].tenant]; p != nil && p.used == 0 && now-p.idleSince >= idleRetention {
+			w.totalWeight -= p.weight
+			delete(w.active, w.idle[n].tenant)
 		}
 	}
-	w.leaving = w.leaving[n:]
-	if len(w.present) == 0 && w.rest.used == 0 {
-		w.sum, w.rest.weight = 0, 0
+	w.idle = w.idle[n:]
+	if len(w.active) == 0 && w.shared.used == 0 {
+		w.totalWeight, w.shared.weight = 0, 0
 	}
 }
 
-// fair is what a tenant may use of a cell's room where all want some: at least one.
-func (w *crowd) fair(p *presence, room int64) int64 {
-	return max(1, int64(float64(room)*p.weight/max(p.weight, w.sum)))
+// fairShare is what a tenant may use of a cell's room where all want some: at least one.
+func (w *cellShares) fairShare(p *tenantUsage, limit int64) int64 {
+	return max(1, int64(float64(limit)*p.weight/max(p.weight, w.totalWeight)))
 }
 
-// use notes that a tenant uses so much more, or less.
-func (w *crowd) use(p *presence, t Tenant, more, now int64) {
-	p.used += more
+// add notes that a tenant uses so much more, or less.
+func (w *cellShares) add(p *tenantUsage, t Tenant, amount, now int64) {
+	p.used += amount
 	if p.used == 0 {
-		p.left = now
-		if p.named && w.present[t] == p {
-			w.leaving = append(w.leaving, leaver{t, now})
+		p.idleSince = now
+		if p.hasOwnShare && w.active[t] == p {
+			w.idle = append(w.idle, idleTenant{t, now})
 		}
 	}
 }
--- a/internal/cells/tenancy.go
+++ b/internal/cells/tenancy.go
@@ -12,16 +12,16 @@
 // TenantResolver tells which tenant an RPC belongs to: that of the longest prefix of its key, else of the user or the database
 // that its client named at its start, else what Own says, else Others.
 type TenantResolver struct {
-	prefixes  *PrefixTrie
-	users     map[string]Tenant
-	databases map[string]Tenant
-	own       DefaultTenant
-	others    Tenant
+	prefixes      *PrefixTrie
+	users         map[string]Tenant
+	databases     map[string]Tenant
+	defaultTenant DefaultTenant
+	fallback      Tenant
 }
 
 // NewTenantResolver makes a tenancy of its rules.
-func NewTenantResolver(prefixes, users, databases map[string]Tenant, own DefaultTenant, others Tenant) *TenantResolver {
-	return &TenantResolver{prefixes: NewPrefixTrie(prefixes), users: users, databases: databases, own: own, others: others}
+func NewTenantResolver(prefixes, users, databases map[string]Tenant, defaultTenant DefaultTenant, fallback Tenant) *TenantResolver {
+	return &TenantResolver{prefixes: NewPrefixTrie(prefixes), users: users, databases: databases, defaultTenant: defaultTenant, fallback: fallback}
 }
 
 // Resolve is the tenant of an RPC.
@@ -36,10 +36,10 @@
 		return t
 	}
 	switch {
-	case y.own == DefaultUser && user != "":
+	case y.defaultTenant == DefaultUser && user != "":
 		return Tenant(user)
-	case y.own == DefaultDatabase && database != "":
+	case y.defaultTenant == DefaultDatabase && database != "":
 		return Tenant(database)
 	}
-	return y.others
+	return y.fallback
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -45,7 +45,7 @@
 const (
 	granted state = iota
 	idle
-	doubtful
+	uncertain
 	answered
 )
 
@@ -92,47 +92,47 @@
 	ReasonDeadlineExceeded        // its deadline is past
 	ReasonUnknownCaller           // the caller is not known
 	ReasonJournalFailed           // its record could not be written
-	whys
+	reasonCount
 )
 
 // entry is one RPC, in a place that is used again once it is forgotten.
 type entry struct {
-	id       ID
-	caller   Caller
-	effect   rules.Effect
-	group    rules.GroupID
-	window   int64
-	deadline int64
-	risk     int64 // when the first grant was given that may have run, 0 for none
-	grant    Grant // the last one
-	state    state
-	fate     Outcome
-	split    bool // grants of it that may have run were for several groups: a report that allowed that was lost in a crash
+	id             ID
+	caller         Caller
+	effect         rules.Effect
+	group          rules.GroupID
+	window         int64
+	deadline       int64
+	firstRiskAt    int64 // when the first grant was given that may have run, 0 for none
+	grant          Grant // the last one
+	state          state
+	outcome        Outcome
+	multipleGroups bool // grants of it that may have run were for several groups: a report that allowed that was lost in a crash
 }
 
 // Ledger is the account. Its methods are to be called one after another.
 type Ledger struct {
-	entries []entry
-	free    []int32
-	byID    map[ID]int32
-	byGrant map[Grant]int32
-	wheel   *TimingWheel
-	last    Grant
-	most    int
-	blind   int64 // it can't tell repeats until then
+	entries          []entry
+	free             []int32
+	byID             map[ID]int32
+	byGrant          map[Grant]int32
+	expiry           *TimingWheel
+	lastGrant        Grant
+	capacity         int
+	recordsLostUntil int64 // it can't tell repeats until then
 	// callers, by place
-	names  []string
-	epochs []uint64
-	open   []int
-	quota  int
-	index  map[string]Caller
-	counts Counts
+	callerNames  []string
+	callerEpochs []uint64
+	openByCaller []int
+	quota        int
+	callerIndex  map[string]Caller
+	counts       Counts
 }
 
 // Counts are of what came and what became of it.
 type Counts struct {
 	Grants         int64
-	Rejected       [whys]int64
+	Rejected       [reasonCount]int64
 	Replayed       int64
 	UnknownReports int64 // reports of a grant that was reported already, or is not known any more
 	ForeignReports int64 // reports by another than the grant's caller, or by an earlier start of it
@@ -140,33 +140,33 @@
 }
 
 const (
-	tick  = int64(5_000_000)
-	grace = int64(50_000_000) // after its deadline an RPC may still be reported
+	expiryTick  = int64(5_000_000)
+	reportGrace = int64(50_000_000) // after its deadline an RPC may still be reported
 )
 
 // New makes a ledger at a time for so many RPCs, of which one caller may have so many. Its grants are numbered from the
 // time on, so that no report of a grant from before a crash is taken for one of another since.
-func New(now int64, most, quota int) *Ledger {
-	return &Ledger{byID: map[ID]int32{}, byGrant: map[Grant]int32{}, wheel: NewTimingWheel(now, tick), most: most, quota: quota,
-		index: map[string]Caller{}, last: Grant(now)}
+func New(now int64, capacity, quota int) *Ledger {
+	return &Ledger{byID: map[ID]int32{}, byGrant: map[Grant]int32{}, expiry: NewTimingWheel(now, expiryTick), capacity: capacity, quota: quota,
+		callerIndex: map[string]Caller{}, lastGrant: Grant(now)}
 }
 
 // Join makes a caller known, or tells that it has started anew: what it had out then may have run.
 func (l *Ledger) Join(name string, epoch uint64) (c Caller, joined bool) {
-	c, known := l.index[name]
+	c, known := l.callerIndex[name]
 	switch {
 	case !known:
-		c = Caller(len(l.names))
-		l.index[name] = c
-		l.names, l.epochs, l.open = append(l.names, name), append(l.epochs, epoch), append(l.open, 0)
+		c = Caller(len(l.callerNames))
+		l.callerIndex[name] = c
+		l.callerNames, l.callerEpochs, l.openByCaller = append(l.callerNames, name), append(l.callerEpochs, epoch), append(l.openByCaller, 0)
 		return c, true
-	case epoch < l.epochs[c]:
+	case epoch < l.callerEpochs[c]:
 		return c, false
-	case epoch > l.epochs[c]:
-		l.epochs[c] = epoch
+	case epoch > l.callerEpochs[c]:
+		l.callerEpochs[c] = epoch
 		for i := range l.entries {
 			if e := &l.entries[i]; e.caller == c && e.state == granted && e.id != "" {
-				l.doubt(e)
+				l.markUncertain(e)
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 // MarkRecordsLost says that records were lost: until a time this ledger can't tell whether an RPC was granted before.
-func (l *Ledger) MarkRecordsLost(until int64) { l.blind = max(l.blind, until) }
+func (l *Ledger) MarkRecordsLost(until int64) { l.recordsLostUntil = max(l.recordsLostUntil, until) }
 
 // Decide decides on an Ask. A grant is only proposed: Give it with Granted, once its record is written down.
 func (l *Ledger) Decide(now int64, a Request) Decision {
@@ -190,56 +190,56 @@
 }
 
 func (l *Ledger) decide(now int64, a Request) Decision {
-	if a.Caller < 0 || int(a.Caller) >= len(l.names) {
+	if a.Caller < 0 || int(a.Caller) >= len(l.callerNames) {
 		return Decision{Action: ActionReject, Reason: ReasonUnknownCaller}
 	}
-	place, known := l.byID[a.ID]
+	slot, known := l.byID[a.ID]
 	if !known {
-		return l.first(now, a)
+		return l.decideNew(now, a)
 	}
-	e := &l.entries[place]
+	e := &l.entries[slot]
 	switch {
 	case e.state == answered:
-		return Decision{Action: ActionReplay, Outcome: e.fate}
+		return Decision{Action: ActionReplay, Outcome: e.outcome}
 	case now >= e.deadline:
-		return l.refuse(e, ReasonDeadlineExceeded)
+		return l.abortOrReject(e, ReasonDeadlineExceeded)
 	case e.effect != a.Effect || e.window != a.Window: // not what it was: the stricter account counts
-		return l.refuse(e, ReasonMayHaveRun)
+		return l.abortOrReject(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
-	case e.effect == rules.Tokened && e.mayHaveRun() && (e.risk+e.window <= now || e.group != a.Group || e.split):
-		return l.refuse(e, ReasonOutsideWindow)
+	case e.effect == rules.Tokened && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != a.Group || e.multipleGroups):
+		return l.abortOrReject(e, ReasonOutsideWindow)
 	case e.effect == rules.NonIdempotent && e.state == granted:
-		return l.refuse(e, ReasonGrantOutstanding)
-	case e.effect == rules.NonIdempotent && e.fate == MayHaveRun:
-		return l.refuse(e, ReasonMayHaveRun)
+		return l.abortOrReject(e, ReasonGrantOutstanding)
+	case e.effect == rules.NonIdempotent && e.outcome == MayHaveRun:
+		return l.abortOrReject(e, ReasonMayHaveRun)
 	}
-	return Decision{Action: ActionGrant, Grant: l.last + 1}
+	return Decision{Action: ActionGrant, Grant: l.lastGrant + 1}
 }
 
 // mayHaveRun tells whether some grant of an RPC may have run, one that is out included.
-func (e *entry) mayHaveRun() bool { return e.state == granted || e.fate != NeverRan }
+func (e *entry) mayHaveRun() bool { return e.state == granted || e.outcome != NeverRan }
 
-// refuse aborts what may have run, and pushes back what never did.
-func (l *Ledger) refuse(e *entry, why Reason) Decision {
+// abortOrReject aborts what may have run, and pushes back what never did.
+func (l *Ledger) abortOrReject(e *entry, why Reason) Decision {
 	if e.mayHaveRun() {
 		return Decision{Action: ActionAbort, Reason: why}
 	}
 	return Decision{Action: ActionReject, Reason: why}
 }
 
-// first decides on an RPC that is not known here.
-func (l *Ledger) first(now int64, a Request) Decision {
+// decideNew decides on an RPC that is not known here.
+func (l *Ledger) decideNew(now int64, a Request) Decision {
 	switch {
 	case now >= a.Deadline:
 		return Decision{Action: ActionReject, Reason: ReasonDeadlineExceeded}
-	case now < l.blind && a.IsRetry && a.Effect != rules.Idempotent:
+	case now < l.recordsLostUntil && a.IsRetry && a.Effect != rules.Idempotent:
 		return Decision{Action: ActionAbort, Reason: ReasonRecordsLost}
-	case len(l.byID) >= l.most:
+	case len(l.byID) >= l.capacity:
 		return Decision{Action: ActionReject, Reason: ReasonFull}
-	case l.open[a.Caller] >= l.quota:
+	case l.openByCaller[a.Caller] >= l.quota:
 		return Decision{Action: ActionReject, Reason: ReasonQuota}
 	}
-	return Decision{Action: ActionGrant, Grant: l.last + 1}
+	return Decision{Action: ActionGrant, Grant: l.lastGrant + 1}
 }
 
 // Record is what has to outlast a crash: a grant of an RPC that is not idempotent, or what came of one.
@@ -258,41 +258,41 @@
 
 // Record is what must be written down before a grant may be given; needed is false for an idempotent RPC.
 func (l *Ledger) Record(now int64, a Request, g Grant) (r Record, needed bool) {
-	return Record{Grant: g, ID: a.ID, Caller: l.names[a.Caller], Epoch: l.epochs[a.Caller], Effect: a.Effect, Group: a.Group,
+	return Record{Grant: g, ID: a.ID, Caller: l.callerNames[a.Caller], Epoch: l.callerEpochs[a.Caller], Effect: a.Effect, Group: a.Group,
 		Window: a.Window, Deadline: a.Deadline, At: now}, a.Effect != rules.Idempotent
 }
 
 // Granted gives a grant that Decide has proposed just now.
 func (l *Ledger) Granted(now int64, a Request, g Grant) {
-	place, known := l.byID[a.ID]
+	slot, known := l.byID[a.ID]
 	if !known {
-		place = l.place()
-		l.entries[place] = entry{id: a.ID, caller: a.Caller, effect: a.Effect, group: a.Group, window: a.Window, deadline: a.Deadline}
-		l.byID[a.ID] = place
-		l.open[a.Caller]++
-		l.wheel.Set(place, a.Deadline+grace+max(0, a.Window))
+		slot = l.allocate()
+		l.entries[slot] = entry{id: a.ID, caller: a.Caller, effect: a.Effect, group: a.Group, window: a.Window, deadline: a.Deadline}
+		l.byID[a.ID] = slot
+		l.openByCaller[a.Caller]++
+		l.expiry.Set(slot, a.Deadline+reportGrace+max(0, a.Window))
 	}
-	e := &l.entries[place]
+	e := &l.entries[slot]
 	if e.state == granted && known { // one that is out, of an RPC that may be repeated
-		l.doubt(e)
+		l.markUncertain(e)
 	}
-	if e.risk == 0 {
-		e.risk, e.group = now, a.Group
+	if e.firstRiskAt == 0 {
+		e.firstRiskAt, e.group = now, a.Group
 	}
-	e.split = e.split || e.group != a.Group
+	e.multipleGroups = e.multipleGroups || e.group != a.Group
 	if known && e.caller != a.Caller {
-		l.open[e.caller]--
-		l.open[a.Caller]++
+		l.openByCaller[e.caller]--
+		l.openByCaller[a.Caller]++
 		e.caller = a.Caller
 	}
-	l.last = max(l.last, g)
+	l.lastGrant = max(l.lastGrant, g)
 	e.grant, e.state = g, granted
-	l.byGrant[g] = place
+	l.byGrant[g] = slot
 	l.counts.Grants++
 }
 
-// place gives a place for an RPC.
-func (l *Ledger) place() int32 {
+// allocate gives a place for an RPC.
+func (l *Ledger) allocate() int32 {
 	if n := len(l.free); n > 0 {
 		p := l.free[n-1]
 		l.free = l.free[:n-1]
@@ -302,22 +302,22 @@
 	return int32(len(l.entries) - 1)
 }
 
-// doubt notes that the grant that is out may have run, and will not be heard of.
-func (l *Ledger) doubt(e *entry) {
+// markUncertain notes that the grant that is out may have run, and will not be heard of.
+func (l *Ledger) markUncertain(e *entry) {
 	delete(l.byGrant, e.grant)
-	e.state, e.fate = doubtful, MayHaveRun
+	e.state, e.outcome = uncertain, MayHaveRun
 }
 
 // Report takes what came of a grant, and tells whether it counts: reports of grants that are not out, or are another
 // caller's, don't.
 func (l *Ledger) Report(c Caller, epoch uint64, g Grant, f Outcome) bool {
-	place, out := l.byGrant[g]
-	if !out {
+	slot, outstanding := l.byGrant[g]
+	if !outstanding {
 		l.counts.UnknownReports++
 		return false
 	}
-	e := &l.entries[place]
-	if e.caller != c || l.epochs[c] != epoch {
+	e := &l.entries[slot]
+	if e.caller != c || l.callerEpochs[c] != epoch {
 		l.counts.ForeignReports++
 		return false
 	}
@@ -325,23 +325,23 @@
 	switch f {
 	case NeverRan:
 		e.state = idle
-		if e.fate == NeverRan {
-			e.risk, e.split = 0, false
+		if e.outcome == NeverRan {
+			e.firstRiskAt, e.multipleGroups = 0, false
 		}
 	case MayHaveRun:
-		e.state, e.fate = doubtful, MayHaveRun
+		e.state, e.outcome = uncertain, MayHaveRun
 	case Ran:
-		e.state, e.fate = answered, Ran
+		e.state, e.outcome = answered, Ran
 	}
 	return true
 }
 
 // Answer notes the final answer of an RPC whose caller was told to push it back or to abort it.
 func (l *Ledger) Answer(id ID) {
-	if place, known := l.byID[id]; known {
-		if e := &l.entries[place]; e.state != answered {
+	if slot, known := l.byID[id]; known {
+		if e := &l.entries[slot]; e.state != answered {
 			if e.state == granted {
-				l.doubt(e)
+				l.markUncertain(e)
 			}
 			e.state = answered
 		}
@@ -350,31 +350,31 @@
 
 // Advance goes on to a time: what is past is forgotten. A grant that was never reported has ended in doubt by then.
 func (l *Ledger) Advance(now int64) {
-	for _, place := range l.wheel.Advance(now) {
-		e := &l.entries[place]
+	for _, slot := range l.expiry.Advance(now) {
+		e := &l.entries[slot]
 		if e.state == granted {
 			l.counts.ExpiredGrants++
-			l.doubt(e)
+			l.markUncertain(e)
 		}
-		l.open[e.caller]--
+		l.openByCaller[e.caller]--
 		delete(l.byID, e.id)
 		*e = entry{}
-		l.free = append(l.free, place)
+		l.free = append(l.free, slot)
 	}
 }
 
 // Recover takes in the records of the time before, in their order. What has no outcome may have run.
 func (l *Ledger) Recover(now int64, records []Record) {
 	for _, r := range records {
-		l.last = max(l.last, r.Grant)
+		l.lastGrant = max(l.lastGrant, r.Grant)
 		if r.ID == "" {
-			if place, out := l.byGrant[r.Grant]; out {
-				e := &l.entries[place]
-				l.Report(e.caller, l.epochs[e.caller], r.Grant, r.Outcome)
+			if slot, outstanding := l.byGrant[r.Grant]; outstanding {
+				e := &l.entries[slot]
+				l.Report(e.caller, l.callerEpochs[e.caller], r.Grant, r.Outcome)
 			}
 			continue
 		}
-		if r.Deadline+grace+max(0, r.Window) <= now {
+		if r.Deadline+reportGrace+max(0, r.Window) <= now {
 			continue
 		}
 		c, _ := l.Join(r.Caller, r.Epoch)
@@ -382,14 +382,14 @@
 	}
 	for i := range l.entries {
 		if e := &l.entries[i]; e.id != "" && e.state == granted {
-			l.doubt(e)
+			l.markUncertain(e)
 		}
 	}
 	l.counts = Counts{}
 }
 
 // Open is how many RPCs are known, and how many of them have a grant out.
-func (l *Ledger) Open() (known, out int) { return len(l.byID), len(l.byGrant) }
+func (l *Ledger) Open() (known, outstanding int) { return len(l.byID), len(l.byGrant) }
 
 // Counts are of what came and what became of it.
 func (l *Ledger) Counts() Counts { return l.counts }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -16,57 +16,57 @@
 const ms = int64(1_000_000)
 
 // Against a plain list: everything falls due once, no sooner than asked and up to a tick later, in the order of times.
-func TestWheel(t *testing.T) {
+func TestTimingWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 10
 		now := rapid.Int64Range(0, 1_000_000).Draw(t, "start")
-		w := NewTimingWheel(now, tick)
+		wheel := NewTimingWheel(now, tick)
 		want := map[int32]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				place := rapid.Int32Range(0, 20).Draw(t, "place")
+				id := rapid.Int32Range(0, 20).Draw(t, "place")
 				span := []int64{50, 700, 50_000, 3_000_000, 400_000_000}[rapid.IntRange(0, 4).Draw(t, "scale")]
 				at := now + rapid.Int64Range(-20, span).Draw(t, "in")
-				w.Set(place, at)
-				want[place] = max(at, now) // what is past falls due with the next tick
+				wheel.Set(id, at)
+				want[id] = max(at, now) // what is past falls due with the next tick
 			case 2:
-				place := rapid.Int32Range(0, 20).Draw(t, "clear")
-				w.Clear(place)
-				delete(want, place)
+				id := rapid.Int32Range(0, 20).Draw(t, "clear")
+				wheel.Clear(id)
+				delete(want, id)
 			case 3:
 				now += rapid.Int64Range(0, []int64{30, 1000, 100_000, 500_000_000}[rapid.IntRange(0, 3).Draw(t, "far")]).Draw(t, "passes")
 				last := int64(0)
-				for _, place := range w.Advance(now) {
-					at, is := want[place]
-					require.True(t, is, "%d was not set", place)
+				for _, id := range wheel.Advance(now) {
+					at, scheduled := want[id]
+					require.True(t, scheduled, "%d was not set", id)
 					require.LessOrEqual(t, at, now)
-					require.GreaterOrEqual(t, w.at[place], last)
-					last = w.at[place]
-					delete(want, place)
+					require.GreaterOrEqual(t, wheel.dueTick[id], last)
+					last = wheel.dueTick[id]
+					delete(want, id)
 				}
-				for place, at := range want {
-					require.Greater(t, at, now-2*tick, "%d should have fallen due", place)
+				for id, at := range want {
+					require.Greater(t, at, now-2*tick, "%d should have fallen due", id)
 				}
 			}
-			require.Equal(t, len(want), w.Count())
+			require.Equal(t, len(want), wheel.Count())
 		}
 	})
 }
 
-func open(t *testing.T) (*Ledger, func(now int64, a Request) Decision) {
+func newTestLedger(t *testing.T) (*Ledger, func(now int64, request Request) Decision) {
 	l := New(0, 100, 50)
 	for _, name := range []string{"a", "b"} {
 		_, joined := l.Join(name, 1)
 		require.True(t, joined)
 	}
-	return l, func(now int64, a Request) Decision {
-		if a.Deadline == 0 {
-			a.Deadline = 1000 * ms
+	return l, func(now int64, request Request) Decision {
+		if request.Deadline == 0 {
+			request.Deadline = 1000 * ms
 		}
-		d := l.Decide(now, a)
+		d := l.Decide(now, request)
 		if d.Action == ActionGrant {
-			l.Granted(now, a, d.Grant)
+			l.Granted(now, request, d.Grant)
 		}
 		return d
 	}
@@ -105,7 +105,7 @@
 		{MayHaveRun, read, 10 * ms, ActionGrant, ReasonNone},
 		{none, Request{ID: "1", Effect: rules.Idempotent, Group: 1, Caller: 1}, 10 * ms, ActionGrant, ReasonNone},
 	} {
-		l, do := open(t)
+		l, do := newTestLedger(t)
 		first := c.again
 		first.Group, first.Caller = 1, 0
 		d := do(0, first)
@@ -116,14 +116,14 @@
 		again := do(c.at, c.again)
 		require.Equal(t, []any{c.want, c.why}, []any{again.Action, again.Reason}, "row %d", i)
 	}
-	_, do := open(t)
+	_, do := newTestLedger(t)
 	do(0, write)
 	require.Equal(t, ActionAbort, do(ms, read).Action, "one that says now that a repeat is harmless does not make it so")
 }
 
 // Guards against callers that report twice, for others, or after they have started anew.
 func TestReports(t *testing.T) {
-	l, do := open(t)
+	l, do := newTestLedger(t)
 	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
 	g := do(0, write).Grant
 	require.False(t, l.Report(1, 1, g, NeverRan), "not its grant")
@@ -145,8 +145,8 @@
 }
 
 // Guards against a caller that never reports, and against a full ledger that forgets what may have run.
-func TestRoom(t *testing.T) {
-	l, do := open(t)
+func TestCapacityAndExpiry(t *testing.T) {
+	l, do := newTestLedger(t)
 	for i := range 50 {
 		require.Equal(t, ActionGrant, do(0, Request{ID: ID(fmt.Sprint("a", i)), Effect: rules.NonIdempotent}).Action)
 	}
@@ -158,9 +158,9 @@
 	require.Equal(t, ReasonUnknownCaller, do(0, Request{ID: "more", Caller: 7}).Reason)
 	l.Advance(1000 * ms)
 	require.Equal(t, ActionAbort, do(1000*ms, Request{ID: "a1", Effect: rules.NonIdempotent}).Action, "inside its time nothing is forgotten")
-	l.Advance(1000*ms + grace + tick)
-	known, out := l.Open()
-	require.Zero(t, known+out)
+	l.Advance(1000*ms + reportGrace + expiryTick)
+	known, outstanding := l.Open()
+	require.Zero(t, known+outstanding)
 	require.EqualValues(t, 100, l.Counts().ExpiredGrants)
 	require.Equal(t, ActionGrant, do(2000*ms, Request{ID: "more", Effect: rules.NonIdempotent, Deadline: 3000 * ms}).Action)
 	l.MarkRecordsLost(2500 * ms)
@@ -170,10 +170,10 @@
 
 // Whatever is asked and reported, and wherever the records are cut, a non-idempotent RPC is never granted again once it
 // may have run, and a tokened one only in its group and window.
-func TestNothingRunsTwice(t *testing.T) {
+func TestNonIdempotentRPCsRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const begun = 1000 * ms
-		now := begun
+		const startTime = 1000 * ms
+		now := startTime
 		l := New(now, 40, 30)
 		var records []Record
 		type sent struct {
@@ -198,7 +198,7 @@
 			case 0, 1, 2:
 				n := rapid.IntRange(0, 5).Draw(t, "id")
 				a := Request{ID: ID(fmt.Sprint(n)), Effect: effects[n%3], Caller: Caller(rapid.IntRange(0, 1).Draw(t, "caller")),
-					Group: rules.GroupID(rapid.IntRange(1, 2).Draw(t, "group")), Window: 100 * ms * int64(n%3%2), Deadline: begun + 400*ms}
+					Group: rules.GroupID(rapid.IntRange(1, 2).Draw(t, "group")), Window: 100 * ms * int64(n%3%2), Deadline: startTime + 400*ms}
 				d := l.Decide(now, a)
 				if d.Action != ActionGrant {
 					continue
@@ -220,15 +220,15 @@
 				if len(out) > 0 {
 					i := rapid.IntRange(0, len(out)-1).Draw(t, "reports")
 					s := out[i]
-					fate := MayHaveRun
+					outcome := MayHaveRun
 					if !s.ran && rapid.Bool().Draw(t, "unsent") {
-						fate = NeverRan
+						outcome = NeverRan
 						out = slices.Delete(out, i, i+1) // and it never will be
 					} else if s.ran {
-						fate = Ran
+						outcome = Ran
 					}
-					if l.Report(s.ask.Caller, s.epoch, s.grant, fate) && s.ask.Effect != rules.Idempotent && rapid.Bool().Draw(t, "recorded") {
-						records = append(records, Record{Grant: s.grant, Outcome: fate, At: now})
+					if l.Report(s.ask.Caller, s.epoch, s.grant, outcome) && s.ask.Effect != rules.Idempotent && rapid.Bool().Draw(t, "recorded") {
+						records = append(records, Record{Grant: s.grant, Outcome: outcome, At: now})
 					}
 				}
 			case 5:
@@ -258,22 +258,22 @@
 	})
 }
 
-// plain is a heap of what falls due, for comparison.
-type plain []struct {
+// expiryHeap is a heap of what falls due, for comparison.
+type expiryHeap []struct {
 	at    int64
 	place int32
 }
 
-func (p plain) Len() int           { return len(p) }
-func (p plain) Less(i, j int) bool { return p[i].at < p[j].at }
-func (p plain) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *plain) Push(x any) {
+func (p expiryHeap) Len() int           { return len(p) }
+func (p expiryHeap) Less(i, j int) bool { return p[i].at < p[j].at }
+func (p expiryHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
+func (p *expiryHeap) Push(x any) {
 	*p = append(*p, x.(struct {
 		at    int64
 		place int32
 	}))
 }
-func (p *plain) Pop() any {
+func (p *expiryHeap) Pop() any {
 	last := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
 	return last
@@ -281,18 +281,18 @@
 
 // A million open entries: one more is set and one falls due.
 func BenchmarkExpiry(b *testing.B) {
-	const openOnes = 1_000_000
+	const entryCount = 1_000_000
 	rng := rand.New(rand.NewSource(1))
 	b.Run("wheel", func(b *testing.B) {
-		w := NewTimingWheel(0, tick)
-		for i := range openOnes {
+		w := NewTimingWheel(0, expiryTick)
+		for i := range entryCount {
 			w.Set(int32(i), 1+rng.Int63n(2000*ms))
 		}
 		now := int64(0)
 		b.ReportAllocs()
 		b.ResetTimer()
 		for done := 0; done < b.N; {
-			now += tick
+			now += expiryTick
 			for _, place := range w.Advance(now) {
 				w.Set(place, now+1+rng.Int63n(2000*ms))
 				done++
@@ -300,8 +300,8 @@
 		}
 	})
 	b.Run("heap", func(b *testing.B) {
-		var h plain
-		for i := range openOnes {
+		var h expiryHeap
+		for i := range entryCount {
 			heap.Push(&h, struct {
 				at    int64
 				place int32
@@ -311,7 +311,7 @@
 		b.ReportAllocs()
 		b.ResetTimer()
 		for done := 0; done < b.N; {
-			now += tick
+			now += expiryTick
 			for h[0].at <= now {
 				p := heap.Pop(&h).(struct {
 					at    int64
--- a/internal/ledger/wheel.go
+++ b/internal/ledger/wheel.go
@@ -6,27 +6,27 @@
 // (Varghese and Lauck 1987): six levels of 64 slots, each slot a list that runs through arrays by place, so that setting,
 // moving and calling off cost the same however many wait. What is due in one tick comes in the order in which it was set.
 type TimingWheel struct {
-	tick  int64
-	now   int64 // in ticks
-	heads [levels][slots]int32
-	tails [levels][slots]int32
-	used  [levels]uint64 // which slots have anything
-	at    []int64        // by place, in ticks
-	next  []int32
-	prev  []int32
-	slot  []int16 // where a place hangs, off for nowhere
-	due   []int32
-	count int
+	tick     int64
+	now      int64 // in ticks
+	heads    [levels][slots]int32
+	tails    [levels][slots]int32
+	occupied [levels]uint64 // which slots have anything
+	dueTick  []int64        // by place, in ticks
+	next     []int32
+	prev     []int32
+	slotOf   []int16 // where a place hangs, off for nowhere
+	due      []int32
+	count    int
 }
 
 const (
-	levels    = 6
-	slotBits  = 6
-	slots     = 1 << slotBits
-	none      = int32(-1)
-	off       = int16(-1)
-	horizon   = int64(1)<<(levels*slotBits) - 1
-	slotsMask = slots - 1
+	levels       = 6
+	slotBits     = 6
+	slots        = 1 << slotBits
+	none         = int32(-1)
+	notScheduled = int16(-1)
+	horizon      = int64(1)<<(levels*slotBits) - 1
+	slotsMask    = slots - 1
 )
 
 // NewTimingWheel makes a wheel that starts at a time and tells times apart by a tick.
@@ -44,48 +44,48 @@
 func (w *TimingWheel) Count() int { return w.count }
 
 // Set lets a place fall due at a time, in place of when it was to before. It comes no sooner, and up to a tick later.
-func (w *TimingWheel) Set(place int32, at int64) {
-	for int(place) >= len(w.at) {
-		w.at, w.next, w.prev = append(w.at, 0), append(w.next, none), append(w.prev, none)
-		w.slot = append(w.slot, off)
+func (w *TimingWheel) Set(id int32, at int64) {
+	for int(id) >= len(w.dueTick) {
+		w.dueTick, w.next, w.prev = append(w.dueTick, 0), append(w.next, none), append(w.prev, none)
+		w.slotOf = append(w.slotOf, notScheduled)
 	}
-	w.Clear(place)
+	w.Clear(id)
 	ticks := (at + w.tick - 1) / w.tick
-	w.at[place] = min(max(ticks, w.now+1), w.now+horizon)
+	w.dueTick[id] = min(max(ticks, w.now+1), w.now+horizon)
 	w.count++
-	w.hang(place)
+	w.insert(id)
 }
 
 // Clear calls off what a place waits for, if it waits.
-func (w *TimingWheel) Clear(place int32) {
-	if int(place) >= len(w.slot) || w.slot[place] == off {
+func (w *TimingWheel) Clear(id int32) {
+	if int(id) >= len(w.slotOf) || w.slotOf[id] == notScheduled {
 		return
 	}
-	w.unhang(place)
+	w.remove(id)
 	w.count--
 }
 
-// hang puts a place into the slot of its time: the level is that of the highest bits in which it differs from now.
-func (w *TimingWheel) hang(place int32) {
+// insert puts a place into the slot of its time: the level is that of the highest bits in which it differs from now.
+func (w *TimingWheel) insert(id int32) {
 	level := 0
-	if differ := uint64(w.at[place] ^ w.now); differ > 0 {
+	if differ := uint64(w.dueTick[id] ^ w.now); differ > 0 {
 		level = min((63-bits.LeadingZeros64(differ))/slotBits, levels-1)
 	}
-	s := int(w.at[place]>>(level*slotBits)) & slotsMask
-	w.slot[place] = int16(level*slots + s)
-	w.next[place], w.prev[place] = none, w.tails[level][s]
+	s := int(w.dueTick[id]>>(level*slotBits)) & slotsMask
+	w.slotOf[id] = int16(level*slots + s)
+	w.next[id], w.prev[id] = none, w.tails[level][s]
 	if w.tails[level][s] == none {
-		w.heads[level][s] = place
+		w.heads[level][s] = id
 	} else {
-		w.next[w.tails[level][s]] = place
+		w.next[w.tails[level][s]] = id
 	}
-	w.tails[level][s] = place
-	w.used[level] |= 1 << s
+	w.tails[level][s] = id
+	w.occupied[level] |= 1 << s
 }
 
-func (w *TimingWheel) unhang(place int32) {
-	level, s := int(w.slot[place])/slots, int(w.slot[place])%slots
-	before, after := w.prev[place], w.next[place]
+func (w *TimingWheel) remove(id int32) {
+	level, s := int(w.slotOf[id])/slots, int(w.slotOf[id])%slots
+	before, after := w.prev[id], w.next[id]
 	if before == none {
 		w.heads[level][s] = after
 	} else {
@@ -97,50 +97,50 @@
 		w.prev[after] = before
 	}
 	if w.heads[level][s] == none {
-		w.used[level] &^= 1 << s
+		w.occupied[level] &^= 1 << s
 	}
-	w.slot[place] = off
+	w.slotOf[id] = notScheduled
 }
 
 // Advance goes on to a time and gives the places that have fallen due, until the next call.
 func (w *TimingWheel) Advance(now int64) []int32 {
 	w.due = w.due[:0]
 	for to := now / w.tick; w.now < to; {
-		w.now = w.skip(to)
+		w.now = w.nextTick(to)
 		for level := levels - 1; level > 0; level-- { // what has come near moves down
 			if w.now&(1<<(level*slotBits)-1) == 0 {
-				w.spill(level, int(w.now>>(level*slotBits))&slotsMask)
+				w.cascade(level, int(w.now>>(level*slotBits))&slotsMask)
 			}
 		}
 		s := int(w.now) & slotsMask
-		for place := w.heads[0][s]; place != none; place = w.heads[0][s] {
-			w.unhang(place)
+		for id := w.heads[0][s]; id != none; id = w.heads[0][s] {
+			w.remove(id)
 			w.count--
-			w.due = append(w.due, place)
+			w.due = append(w.due, id)
 		}
 	}
 	return w.due
 }
 
-// skip is the next tick at which anything may have to be done, or the last one asked for.
-func (w *TimingWheel) skip(to int64) int64 {
+// nextTick is the next tick at which anything may have to be done, or the last one asked for.
+func (w *TimingWheel) nextTick(to int64) int64 {
 	if w.count == 0 {
 		return to
 	}
-	if later := w.used[0] >> (uint(w.now) & slotsMask) >> 1; later != 0 {
+	if later := w.occupied[0] >> (uint(w.now) & slotsMask) >> 1; later != 0 {
 		return min(to, w.now+1+int64(bits.TrailingZeros64(later)))
 	}
 	return min(to, (w.now|slotsMask)+1)
 }
 
-// spill hangs what a slot has anew, lower down.
-func (w *TimingWheel) spill(level, s int) {
-	place := w.heads[level][s]
+// cascade hangs what a slot has anew, lower down.
+func (w *TimingWheel) cascade(level, s int) {
+	id := w.heads[level][s]
 	w.heads[level][s], w.tails[level][s] = none, none
-	w.used[level] &^= 1 << s
-	for place != none {
-		next := w.next[place]
-		w.hang(place)
-		place = next
+	w.occupied[level] &^= 1 << s
+	for id != none {
+		next := w.next[id]
+		w.insert(id)
+		id = next
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -39,76 +39,76 @@
 }
 
 const (
-	tolerance  = 0.01  // a worst load within this of the best found is as good, if it needs fewer moves
-	worthwhile = 0.001 // a step of polishing lowers the worst load by this part at least
-	targets    = 48    // worst loads tried between the bound and what there is
-	fewTenants = 18    // so many can be placed by branch and bound
-	mostNodes  = 1 << 20
+	loadTolerance    = 0.01  // a worst load within this of the best found is as good, if it needs fewer moves
+	minImprovement   = 0.001 // a step of polishing lowers the worst load by this part at least
+	targetCount      = 48    // worst loads tried between the bound and what there is
+	maxBranchTenants = 18    // so many can be placed by branch and bound
+	maxBranchNodes   = 1 << 20
 )
 
 // NewPlan makes a plan with at most so many moves, below 0 for any number.
-func NewPlan(tenants []Tenant, cells []Cell, most int) Plan {
-	w := newWork(tenants, cells)
-	if most < 0 {
-		most = len(tenants)
-	}
-	bound := w.bound()
-	best, first := w.present(), 0.0 // the lowest target that could be met
-	for i := 0; i < targets; i++ {
-		t := bound * math.Pow(max(1, w.worst(best)/bound), float64(i)/targets)
-		if first > 0 && t > first*(1+tolerance) {
+func NewPlan(tenants []Tenant, cells []Cell, maxMoves int) Plan {
+	s := newSolver(tenants, cells)
+	if maxMoves < 0 {
+		maxMoves = len(tenants)
+	}
+	bound := s.lowerBound()
+	best, firstMet := s.currentPlacement(), 0.0 // the lowest target that could be met
+	for i := 0; i < targetCount; i++ {
+		target := bound * math.Pow(max(1, s.maxLoad(best)/bound), float64(i)/targetCount)
+		if firstMet > 0 && target > firstMet*(1+loadTolerance) {
 			break
 		}
-		if place := w.within(t, most); place != nil {
-			best = w.better(best, place)
-			first = cmp.Or(first, t)
+		if placement := s.placeWithin(target, maxMoves); placement != nil {
+			best = s.betterPlacement(best, placement)
+			firstMet = cmp.Or(firstMet, target)
 		}
 	}
-	best = w.polish(best, most)
+	best = s.polish(best, maxMoves)
 	exact := false
-	if len(tenants) <= fewTenants && most >= len(tenants) {
+	if len(tenants) <= maxBranchTenants && maxMoves >= len(tenants) {
 		var found []int
-		if found, exact = w.branch(best); found == nil {
+		if found, exact = s.branchAndBound(best); found == nil {
 			found = best
 		}
 		if exact {
-			bound = w.worst(found)
+			bound = s.maxLoad(found)
 		}
-		best = w.better(best, found)
+		best = s.betterPlacement(best, found)
 	}
-	return w.plan(w.settle(best), bound, exact)
+	return s.plan(s.dropNeedlessMoves(best), bound, exact)
 }
 
 // Evaluate tells what a placement is worth, such as one that there is.
-func Evaluate(tenants []Tenant, cells []Cell, place []int) Plan {
-	w := newWork(tenants, cells)
-	return w.plan(place, w.bound(), false)
+func Evaluate(tenants []Tenant, cells []Cell, placement []int) Plan {
+	s := newSolver(tenants, cells)
+	return s.plan(placement, s.lowerBound(), false)
 }
 
-// work is a task with what is looked up often.
-type work struct {
-	tenants []Tenant
-	cells   []Cell
-	order   []int // tenants, the heaviest first
-	able    float64
-	stays   bool // some tenant may not be moved: cells that look alike are not
+// solver is a task with what is looked up often.
+type solver struct {
+	tenants       []Tenant
+	cells         []Cell
+	order         []int // tenants, the heaviest first
+	totalCapacity float64
+	hasPinned     bool // some tenant may not be moved: cells that look alike are not
 }
 
-func newWork(tenants []Tenant, cells []Cell) *work {
-	w := &work{tenants: tenants, cells: cells, order: make([]int, len(tenants))}
+func newSolver(tenants []Tenant, cells []Cell) *solver {
+	w := &solver{tenants: tenants, cells: cells, order: make([]int, len(tenants))}
 	for i := range w.order {
 		w.order[i] = i
 	}
 	slices.SortStableFunc(w.order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
 	for _, c := range cells {
-		w.able += c.Capacity
+		w.totalCapacity += c.Capacity
 	}
-	w.stays = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Pinned })
+	w.hasPinned = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Pinned })
 	return w
 }
 
-// may tells whether a tenant may be in a cell.
-func (w *work) may(t, c int) bool {
+// isAllowed tells whether a tenant may be in a cell.
+func (w *solver) isAllowed(t, c int) bool {
 	tenant := &w.tenants[t]
 	if tenant.Pinned && tenant.CurrentCell != NoCell {
 		return tenant.CurrentCell == c
@@ -116,7 +116,7 @@
 	return tenant.Hall == "" || tenant.Hall == w.cells[c].Hall
 }
 
-func (w *work) loads(place []int) []float64 {
+func (w *solver) loads(place []int) []float64 {
 	loads := make([]float64, len(w.cells))
 	for t, c := range place {
 		if c != NoCell {
@@ -126,14 +126,14 @@
 	return loads
 }
 
-func (w *work) worst(place []int) (worst float64) {
+func (w *solver) maxLoad(place []int) (highest float64) {
 	for c, load := range w.loads(place) {
-		worst = max(worst, load/w.cells[c].Capacity)
+		highest = max(highest, load/w.cells[c].Capacity)
 	}
-	return worst
+	return highest
 }
 
-func (w *work) moves(place []int) (n int) {
+func (w *solver) moveCount(place []int) (n int) {
 	for t, c := range place {
 		if at := w.tenants[t].CurrentCell; at != NoCell && at != c {
 			n++
@@ -142,28 +142,28 @@
 	return n
 }
 
-// bound is a worst load that no plan can go below: all load over all cells, the load of a hall over its cells, a tenant
+// lowerBound is a worst load that no plan can go below: all load over all cells, the load of a hall over its cells, a tenant
 // in the largest cell that it may have, what must stay over its cell, and, where there are more tenants than cells, two
 // of the heaviest in one.
-func (w *work) bound() float64 {
+func (w *solver) lowerBound() float64 {
 	var sum, largest float64
-	halls, stays := map[string]float64{}, make([]float64, len(w.cells))
-	able := map[string]float64{}
+	hallLoads, pinnedLoads := map[string]float64{}, make([]float64, len(w.cells))
+	hallCapacity := map[string]float64{}
 	for _, c := range w.cells {
 		largest = max(largest, c.Capacity)
-		able[c.Hall] += c.Capacity
+		hallCapacity[c.Hall] += c.Capacity
 	}
 	bound := 0.0
 	for t, tenant := range w.tenants {
 		sum += tenant.Load
 		if tenant.Pinned && tenant.CurrentCell != NoCell {
-			stays[tenant.CurrentCell] += tenant.Load
+			pinnedLoads[tenant.CurrentCell] += tenant.Load
 		} else if tenant.Hall != "" {
-			halls[tenant.Hall] += tenant.Load
+			hallLoads[tenant.Hall] += tenant.Load
 		}
 		best := 0.0
 		for c := range w.cells {
-			if w.may(t, c) {
+			if w.isAllowed(t, c) {
 				best = max(best, w.cells[c].Capacity)
 			}
 		}
@@ -171,13 +171,13 @@
 			bound = max(bound, tenant.Load/best)
 		}
 	}
-	bound = max(bound, sum/w.able)
-	for hall, load := range halls {
-		if able[hall] > 0 {
-			bound = max(bound, load/able[hall])
+	bound = max(bound, sum/w.totalCapacity)
+	for hall, load := range hallLoads {
+		if hallCapacity[hall] > 0 {
+			bound = max(bound, load/hallCapacity[hall])
 		}
 	}
-	for c, load := range stays {
+	for c, load := range pinnedLoads {
 		bound = max(bound, load/w.cells[c].Capacity)
 	}
 	if n := len(w.cells); len(w.order) > n {
@@ -186,21 +186,21 @@
 	return bound
 }
 
-// present is the placement that there is, with those that have no cell, or may not be in theirs, put where most is free.
-func (w *work) present() []int {
+// currentPlacement is the placement that there is, with those that have no cell, or may not be in theirs, put where most is free.
+func (w *solver) currentPlacement() []int {
 	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
-	var loose []int
+	var unplaced []int
 	for _, t := range w.order {
 		at := w.tenants[t].CurrentCell
-		if at != NoCell && w.may(t, at) {
+		if at != NoCell && w.isAllowed(t, at) {
 			place[t] = at
 			loads[at] += w.tenants[t].Load
 		} else {
-			loose = append(loose, t)
+			unplaced = append(unplaced, t)
 		}
 	}
-	for _, t := range loose {
-		place[t] = w.freest(t, loads)
+	for _, t := range unplaced {
+		place[t] = w.leastLoaded(t, loads)
 		if place[t] != NoCell {
 			loads[place[t]] += w.tenants[t].Load
 		}
@@ -208,22 +208,22 @@
 	return place
 }
 
-// freest is the cell whose load would be least with a tenant, Nowhere where none may have it.
-func (w *work) freest(t int, loads []float64) int {
+// leastLoaded is the cell whose load would be least with a tenant, Nowhere where none may have it.
+func (w *solver) leastLoaded(t int, loads []float64) int {
 	best, least := NoCell, math.Inf(1)
 	for c := range w.cells {
-		if load := (loads[c] + w.tenants[t].Load) / w.cells[c].Capacity; w.may(t, c) && load < least {
+		if load := (loads[c] + w.tenants[t].Load) / w.cells[c].Capacity; w.isAllowed(t, c) && load < least {
 			best, least = c, load
 		}
 	}
 	return best
 }
 
-// within looks for a placement in which no load is above a target, with few moves: cells that are above it give up the
+// placeWithin looks for a placement in which no load is above a target, with few moves: cells that are above it give up the
 // fewest tenants that bring them below, and those go where they fit best, if need be in place of lighter ones. It gives
 // nil where it finds none.
-func (w *work) within(target float64, most int) []int {
-	place := w.present()
+func (w *solver) placeWithin(target float64, maxMoves int) []int {
+	place := w.currentPlacement()
 	loads := w.loads(place)
 	limit := func(c int) float64 { return target*w.cells[c].Capacity*(1+1e-12) + 1e-12 }
 	members := make([][]int, len(w.cells)) // the heaviest first
@@ -233,49 +233,49 @@
 		}
 		members[place[t]] = append(members[place[t]], t)
 	}
-	var loose []int
+	var unplaced []int
 	for c := range w.cells {
-		loose = append(loose, w.shed(members[c], loads[c]-limit(c))...)
+		unplaced = append(unplaced, w.selectToRemove(members[c], loads[c]-limit(c))...)
 	}
 	heaviestFirst := func(ts []int) {
 		slices.SortStableFunc(ts, func(a, b int) int { return cmp.Compare(w.tenants[b].Load, w.tenants[a].Load) })
 	}
-	heaviestFirst(loose)
-	for _, t := range loose {
+	heaviestFirst(unplaced)
+	for _, t := range unplaced {
 		loads[place[t]] -= w.tenants[t].Load
 		place[t] = NoCell
 	}
-	for len(loose) > 0 {
-		t := loose[0]
-		loose = loose[1:]
-		c := w.tightest(t, loads, limit)
+	for len(unplaced) > 0 {
+		t := unplaced[0]
+		unplaced = unplaced[1:]
+		c := w.bestFit(t, loads, limit)
 		if c == NoCell {
-			var out []int
-			if out, c = w.displace(t, place, loads, limit, members); c == NoCell {
+			var displaced []int
+			if displaced, c = w.displace(t, place, loads, limit, members); c == NoCell {
 				return nil
 			}
-			for _, o := range out {
-				loads[c] -= w.tenants[o].Load
-				place[o] = NoCell
+			for _, other := range displaced {
+				loads[c] -= w.tenants[other].Load
+				place[other] = NoCell
 			}
-			loose = append(loose, out...)
-			heaviestFirst(loose)
+			unplaced = append(unplaced, displaced...)
+			heaviestFirst(unplaced)
 		}
 		place[t] = c
 		loads[c] += w.tenants[t].Load
 		members[c] = append(members[c], t)
 	}
-	if w.moves(place) > most {
+	if w.moveCount(place) > maxMoves {
 		return nil
 	}
 	return place
 }
 
-// shed names the fewest tenants of a cell that bring it down by an excess; of the last one the lightest that will do.
-func (w *work) shed(members []int, excess float64) (out []int) {
+// selectToRemove names the fewest tenants of a cell that bring it down by an excess; of the last one the lightest that will do.
+func (w *solver) selectToRemove(members []int, excess float64) (removed []int) {
 	for i, t := range members {
 		if excess <= 0 {
-			return out
+			return removed
 		}
 		if w.tenants[t].Pinned {
 			continue
@@ -287,19 +287,19 @@
 					last = lighter
 				}
 			}
-			return append(out, last)
+			return append(removed, last)
 		}
-		out = append(out, t)
+		removed = append(removed, t)
 		excess -= w.tenants[t].Load
 	}
-	return out
+	return removed
 }
 
-// tightest is the cell that has least room left with a tenant, Nowhere where it fits in none.
-func (w *work) tightest(t int, loads []float64, limit func(int) float64) int {
+// bestFit is the cell that has least room left with a tenant, Nowhere where it fits in none.
+func (w *solver) bestFit(t int, loads []float64, limit func(int) float64) int {
 	best, least := NoCell, math.Inf(1)
 	for c := range w.cells {
-		if left := limit(c) - loads[c] - w.tenants[t].Load; left >= 0 && left < least && w.may(t, c) {
+		if left := limit(c) - loads[c] - w.tenants[t].Load; left >= 0 && left < least && w.isAllowed(t, c) {
 			best, least = c, left
 		}
 	}
@@ -308,69 +308,69 @@
 
 // displace finds the cell where the fewest lighter tenants make room for one, and names them. Each that is placed so is
 // heavier than what it displaces, so that this comes to an end.
-func (w *work) displace(t int, place []int, loads []float64, limit func(int) float64, members [][]int) (out []int, in int) {
+func (w *solver) displace(t int, place []int, loads []float64, limit func(int) float64, members [][]int) (displaced []int, target int) {
 	load := w.tenants[t].Load
-	in = NoCell
+	target = NoCell
 	for c := range w.cells {
-		if !w.may(t, c) || load > limit(c) {
+		if !w.isAllowed(t, c) || load > limit(c) {
 			continue
 		}
-		short, some := loads[c]+load-limit(c), []int(nil)
-		for _, o := range members[c] {
-			if short <= 0 || in != NoCell && len(some) >= len(out) {
+		shortage, candidates := loads[c]+load-limit(c), []int(nil)
+		for _, candidate := range members[c] {
+			if shortage <= 0 || target != NoCell && len(candidates) >= len(displaced) {
 				break
 			}
-			if other := &w.tenants[o]; place[o] == c && !other.Pinned && other.Load < load {
-				some = append(some, o)
-				short -= other.Load
+			if other := &w.tenants[candidate]; place[candidate] == c && !other.Pinned && other.Load < load {
+				candidates = append(candidates, candidate)
+				shortage -= other.Load
 			}
 		}
-		if short <= 0 && (in == NoCell || len(some) < len(out)) {
-			out, in = some, c
+		if shortage <= 0 && (target == NoCell || len(candidates) < len(displaced)) {
+			displaced, target = candidates, c
 		}
 	}
-	return out, in
+	return displaced, target
 }
 
-// better is of two placements the one with the lower worst load, or with fewer moves where both are as good.
-func (w *work) better(a, b []int) []int {
-	x, y := w.worst(a), w.worst(b)
+// betterPlacement is of two placements the one with the lower worst load, or with fewer moves where both are as good.
+func (w *solver) betterPlacement(a, b []int) []int {
+	maxA, maxB := w.maxLoad(a), w.maxLoad(b)
 	switch {
-	case y < x*(1-tolerance):
+	case maxB < maxA*(1-loadTolerance):
 		return b
-	case x < y*(1-tolerance):
+	case maxA < maxB*(1-loadTolerance):
 		return a
-	case w.moves(b) < w.moves(a):
+	case w.moveCount(b) < w.moveCount(a):
 		return b
 	}
 	return a
 }
 
-// mostPolish is how many steps polish makes at the most.
-const mostPolish = 400
+// maxPolishSteps is how many steps polish makes at the most.
+const maxPolishSteps = 400
 
 // polish lowers the worst load step by step: a tenant leaves the worst cell, or changes places with a lighter one of
 // another, whichever leaves the higher of the two lowest.
-func (w *work) polish(place []int, most int) []int {
+func (w *solver) polish(place []int, maxMoves int) []int {
 	place = slices.Clone(place)
 	loads := w.loads(place)
-	for range mostPolish {
+	for range maxPolishSteps {
 		from := 0
 		for c := range loads {
 			if loads[c]/w.cells[c].Capacity > loads[from]/w.cells[from].Capacity {
 				from = c
 			}
 		}
-		s := w.bestStep(from, place, loads)
-		if s.out == NoCell {
+		s := w.bestSwap(from, place, loads)
+		if s.outgoing == NoCell {
 			break
 		}
 		next := slices.Clone(place)
-		next[s.out] = s.to
-		if s.back != NoCell {
-			next[s.back] = from
+		next[s.outgoing] = s.to
+		if s.incoming != NoCell {
+			next[s.incoming] = from
 		}
-		if w.moves(next) > most {
+		if w.moveCount(next) > maxMoves {
 			break
 		}
 		place = next
@@ -379,36 +379,36 @@
 	return place
 }
 
-// step takes a tenant out of a cell to another, in exchange for one or Nowhere.
-type step struct{ out, to, back int }
+// swap takes a tenant out of a cell to another, in exchange for one or Nowhere.
+type swap struct{ outgoing, to, incoming int }
 
-const widest = 64 // tenants of a cell that are looked at for a step
+const maxSwapCandidates = 64 // tenants of a cell that are looked at for a step
 
-func (w *work) bestStep(from int, place []int, loads []float64) step {
-	worst := loads[from] / w.cells[from].Capacity
-	best, least := step{NoCell, NoCell, NoCell}, worst*(1-worthwhile)
+func (w *solver) bestSwap(from int, place []int, loads []float64) swap {
+	maxLoad := loads[from] / w.cells[from].Capacity
+	best, lowest := swap{NoCell, NoCell, NoCell}, maxLoad*(1-minImprovement)
 	members := make([][]int, len(w.cells))
 	for _, t := range w.order {
-		if c := place[t]; c != NoCell && len(members[c]) < widest && !w.tenants[t].Pinned {
+		if c := place[t]; c != NoCell && len(members[c]) < maxSwapCandidates && !w.tenants[t].Pinned {
 			members[c] = append(members[c], t)
 		}
 	}
-	for _, out := range members[from] {
+	for _, outgoing := range members[from] {
 		for to := range w.cells {
-			if to == from || !w.may(out, to) {
+			if to == from || !w.isAllowed(outgoing, to) {
 				continue
 			}
-			try := func(back int, load float64) {
-				shift := w.tenants[out].Load - load
+			try := func(incoming int, load float64) {
+				shift := w.tenants[outgoing].Load - load
 				higher := max((loads[from]-shift)/w.cells[from].Capacity, (loads[to]+shift)/w.cells[to].Capacity)
-				if shift > 0 && higher < least {
-					best, least = step{out, to, back}, higher
+				if shift > 0 && higher < lowest {
+					best, lowest = swap{outgoing, to, incoming}, higher
 				}
 			}
 			try(NoCell, 0)
-			for _, back := range members[to] {
-				if w.may(back, from) {
-					try(back, w.tenants[back].Load)
+			for _, incoming := range members[to] {
+				if w.isAllowed(incoming, from) {
+					try(incoming, w.tenants[incoming].Load)
 				}
 			}
 		}
@@ -416,15 +416,15 @@
 	return best
 }
 
-// settle takes moves back that bring nothing: a tenant stays where it is if the worst load stays as low without.
-func (w *work) settle(place []int) []int {
+// dropNeedlessMoves takes moves back that bring nothing: a tenant stays where it is if the worst load stays as low without.
+func (w *solver) dropNeedlessMoves(place []int) []int {
 	place = slices.Clone(place)
 	loads := w.loads(place)
-	worst := w.worst(place)
+	maxLoad := w.maxLoad(place)
 	for i := len(w.order) - 1; i >= 0; i-- {
 		t := w.order[i]
 		at, load := w.tenants[t].CurrentCell, w.tenants[t].Load
-		if at == NoCell || at == place[t] || !w.may(t, at) || (loads[at]+load)/w.cells[at].Capacity > worst {
+		if at == NoCell || at == place[t] || !w.isAllowed(t, at) || (loads[at]+load)/w.cells[at].Capacity > maxLoad {
 			continue
 		}
 		loads[place[t]] -= load
@@ -434,55 +434,55 @@
 	return place
 }
 
-// branch looks for the least worst load by branch and bound, the heaviest tenants first. It gives nil where nothing
+// branchAndBound looks for the least worst load by branch and bound, the heaviest tenants first. It gives nil where nothing
 // better than a placement was found, and tells whether all that could be better was looked at.
-func (w *work) branch(best []int) (found []int, all bool) {
-	least := w.worst(best)
+func (w *solver) branchAndBound(best []int) (found []int, complete bool) {
+	least := w.maxLoad(best)
 	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
 	nodes := 0
-	var down func(i int)
-	down = func(i int) {
-		if nodes++; nodes > mostNodes {
+	var descend func(i int)
+	descend = func(i int) {
+		if nodes++; nodes > maxBranchNodes {
 			return
 		}
 		if i == len(w.order) {
-			least, found = w.worst(place), slices.Clone(place)
+			least, found = w.maxLoad(place), slices.Clone(place)
 			return
 		}
 		t := w.order[i]
-		type seen struct {
+		type cellState struct {
 			load, able float64
 			hall       string
 		}
-		tried := map[seen]bool{}
+		tried := map[cellState]bool{}
 		for c := range w.cells {
-			alike := seen{loads[c], w.cells[c].Capacity, w.cells[c].Hall}
-			if !w.may(t, c) || tried[alike] && !w.stays {
+			state := cellState{loads[c], w.cells[c].Capacity, w.cells[c].Hall}
+			if !w.isAllowed(t, c) || tried[state] && !w.hasPinned {
 				continue
 			}
-			tried[alike] = true
+			tried[state] = true
 			load := loads[c] + w.tenants[t].Load
 			if load/w.cells[c].Capacity >= least*(1-1e-9) {
 				continue
 			}
-			was := loads[c]
+			previous := loads[c]
 			loads[c], place[t] = load, c
-			down(i + 1)
-			loads[c] = was
+			descend(i + 1)
+			loads[c] = previous
 		}
 	}
-	down(0)
-	return found, nodes <= mostNodes
+	descend(0)
+	return found, nodes <= maxBranchNodes
 }
 
-func (w *work) plan(place []int, bound float64, exact bool) Plan {
-	p := Plan{Placement: place, Loads: w.loads(place), MaxLoad: w.worst(place), LowerBound: bound, IsOptimal: exact}
+func (w *solver) plan(place []int, bound float64, exact bool) Plan {
+	p := Plan{Placement: place, Loads: w.loads(place), MaxLoad: w.maxLoad(place), LowerBound: bound, IsOptimal: exact}
 	sum := 0.0
 	for c, load := range p.Loads {
 		sum += load
 		p.Loads[c] = load / w.cells[c].Capacity
 	}
-	p.MeanLoad = sum / w.able
+	p.MeanLoad = sum / w.totalCapacity
 	for _, t := range w.order {
 		if at := w.tenants[t].CurrentCell; at != NoCell && at != place[t] {
 			p.Moves = append(p.Moves, t)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -27,19 +27,19 @@
 		tenants[i] = Tenant{Name: fmt.Sprintf("tenant-%d", i), Load: noise.Rand() / math.Pow(float64(i+1), 0.7), CurrentCell: NoCell}
 		sum += tenants[i].Load
 	}
-	rooms, able := make([]Cell, cells), 0.0
-	for c := range rooms {
-		rooms[c] = Cell{Name: fmt.Sprintf("cell-%d", c), Capacity: 1 + float64(c%2), Hall: []string{"milan", "turin"}[c%2]}
-		able += rooms[c].Capacity
+	cellList, totalCapacity := make([]Cell, cells), 0.0
+	for c := range cellList {
+		cellList[c] = Cell{Name: fmt.Sprintf("cell-%d", c), Capacity: 1 + float64(c%2), Hall: []string{"milan", "turin"}[c%2]}
+		totalCapacity += cellList[c].Capacity
 	}
-	for c := range rooms {
-		rooms[c].Capacity *= sum / able / 0.6
+	for c := range cellList {
+		cellList[c].Capacity *= sum / totalCapacity / 0.6
 	}
-	return tenants, rooms
+	return tenants, cellList
 }
 
-// rendezvous places tenants as the cells of a layout do.
-func rendezvous(tenants []Tenant, cells []Cell) (place []int) {
+// placeByRendezvous places tenants as the cells of a layout do.
+func placeByRendezvous(tenants []Tenant, cells []Cell) (place []int) {
 	for _, t := range tenants {
 		best, at := math.Inf(-1), 0
 		for c, cell := range cells {
@@ -53,7 +53,7 @@
 	return place
 }
 
-func atRandom(tenants []Tenant, cells []Cell, seed uint64) (place []int) {
+func placeRandomly(tenants []Tenant, cells []Cell, seed uint64) (place []int) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range tenants {
 		place = append(place, rng.IntN(len(cells)))
@@ -61,14 +61,14 @@
 	return place
 }
 
-// firstFit places tenants, the heaviest first, in the first cell that stays below a limit, which grows until all fit.
-func firstFit(tenants []Tenant, cells []Cell) []int {
+// placeFirstFit places tenants, the heaviest first, in the first cell that stays below a limit, which grows until all fit.
+func placeFirstFit(tenants []Tenant, cells []Cell) []int {
 	order := make([]int, len(tenants))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
-	bound := newWork(tenants, cells).bound()
+	bound := newSolver(tenants, cells).lowerBound()
 	for limit := bound; ; limit *= 1.01 {
 		place, loads, fits := make([]int, len(tenants)), make([]float64, len(cells)), true
 		for _, t := range order {
@@ -92,26 +92,26 @@
 	}
 }
 
-func check(t require.TestingT, tenants []Tenant, cells []Cell, most int, p Plan) {
-	w := newWork(tenants, cells)
+func checkPlan(t require.TestingT, tenants []Tenant, cells []Cell, maxMoves int, p Plan) {
+	w := newSolver(tenants, cells)
 	moves := 0
 	for i, c := range p.Placement {
 		if c == NoCell {
 			continue
 		}
-		require.True(t, w.may(i, c), "tenant %d may not be in cell %d", i, c)
-		if tenants[i].CurrentCell != NoCell && tenants[i].CurrentCell != c && w.may(i, tenants[i].CurrentCell) {
+		require.True(t, w.isAllowed(i, c), "tenant %d may not be in cell %d", i, c)
+		if tenants[i].CurrentCell != NoCell && tenants[i].CurrentCell != c && w.isAllowed(i, tenants[i].CurrentCell) {
 			moves++
 		}
 	}
-	if most >= 0 {
-		require.LessOrEqual(t, moves, most)
+	if maxMoves >= 0 {
+		require.LessOrEqual(t, moves, maxMoves)
 	}
 	require.GreaterOrEqual(t, p.MaxLoad, p.LowerBound*(1-1e-9))
 }
 
 // Whatever is asked, a plan keeps what must be kept; small ones are the best there is.
-func TestPlansKeepTheirTerms(t *testing.T) {
+func TestPlanConstraintsAndOptimality(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := make([]Cell, rapid.IntRange(1, 4).Draw(t, "cells"))
 		for c := range cells {
@@ -125,41 +125,41 @@
 				tenants[i].Hall = cells[0].Hall
 			}
 		}
-		most := rapid.IntRange(-1, 3).Draw(t, "most")
-		p := NewPlan(tenants, cells, most)
-		check(t, tenants, cells, most, p)
-		if most < 0 {
+		maxMoves := rapid.IntRange(-1, 3).Draw(t, "most")
+		p := NewPlan(tenants, cells, maxMoves)
+		checkPlan(t, tenants, cells, maxMoves, p)
+		if maxMoves < 0 {
 			require.True(t, p.IsOptimal)
-			best := bruteForce(tenants, cells)
+			best := minMaxLoad(tenants, cells)
 			require.InDelta(t, best, p.LowerBound, 1e-9)
-			require.LessOrEqual(t, p.MaxLoad, best/(1-tolerance)+1e-9)
+			require.LessOrEqual(t, p.MaxLoad, best/(1-loadTolerance)+1e-9)
 		}
 	})
 }
 
-// bruteForce tries all placements.
-func bruteForce(tenants []Tenant, cells []Cell) float64 {
-	w, best, place := newWork(tenants, cells), math.Inf(1), make([]int, len(tenants))
-	var down func(i int)
-	down = func(i int) {
+// minMaxLoad tries all placements.
+func minMaxLoad(tenants []Tenant, cells []Cell) float64 {
+	w, best, place := newSolver(tenants, cells), math.Inf(1), make([]int, len(tenants))
+	var descend func(i int)
+	descend = func(i int) {
 		if i == len(tenants) {
-			best = min(best, w.worst(place))
+			best = min(best, w.maxLoad(place))
 			return
 		}
 		for c := range cells {
-			if w.may(i, c) {
+			if w.isAllowed(i, c) {
 				place[i] = c
-				down(i + 1)
+				descend(i + 1)
 			}
 		}
 	}
-	down(0)
+	descend(0)
 	return best
 }
 
 // Guards against plans that move more than they must: one that is asked for again has nothing to move, and one after a
 // small change moves little.
-func TestPlansMoveLittle(t *testing.T) {
+func TestPlanNeedsFewMoves(t *testing.T) {
 	tenants, cells := skewedTenants(1000, 8, 1)
 	p := NewPlan(tenants, cells, -1)
 	require.Less(t, p.MaxLoad, p.LowerBound*1.02)
@@ -173,16 +173,16 @@
 	require.Less(t, again.MaxLoad, Evaluate(tenants, cells, p.Placement).MaxLoad)
 	require.Len(t, NewPlan(tenants, cells, 0).Moves, 0)
 	few := NewPlan(tenants, cells, 3)
-	check(t, tenants, cells, 3, few)
+	checkPlan(t, tenants, cells, 3, few)
 	require.Less(t, few.MaxLoad, Evaluate(tenants, cells, p.Placement).MaxLoad)
 }
 
-// measured is where TestMeasure writes its table; it does nothing without.
-const measured = "SEDGESPREAD_PLANNER_TABLE"
+// tablePathEnv is where TestMeasure writes its table; it does nothing without.
+const tablePathEnv = "SEDGESPREAD_PLANNER_TABLE"
 
 // Compares plans with plain placements. `make results-planner` keeps the table.
 func TestMeasure(t *testing.T) {
-	path := os.Getenv(measured)
+	path := os.Getenv(tablePathEnv)
 	if path == "" {
 		t.Skip("no table is wanted")
 	}
@@ -190,7 +190,7 @@
 	b.WriteString("| tenants, cells | placement | worst cell over mean | over the lower bound | moves from rendezvous | CPU, relative to first-fit |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, size := range [][2]int{{1000, 8}, {1000, 40}, {100_000, 40}, {100_000, 200}} {
 		tenants, cells := skewedTenants(size[0], size[1], 1)
-		now := rendezvous(tenants, cells)
+		now := placeByRendezvous(tenants, cells)
 		for i, c := range now {
 			tenants[i].CurrentCell = c
 		}
@@ -206,8 +206,8 @@
 			fmt.Fprintf(&b, "| %d, %d | %s | %.4f | %.4f | %d | %.1f |\n", size[0], size[1], name, p.MaxLoad/p.MeanLoad, p.MaxLoad/p.LowerBound, len(p.Moves),
 				float64(took)/float64(plain))
 		}
-		line("first-fit decreasing", func() []int { return firstFit(tenants, cells) })
-		line("random", func() []int { return atRandom(tenants, cells, 1) })
+		line("first-fit decreasing", func() []int { return placeFirstFit(tenants, cells) })
+		line("random", func() []int { return placeRandomly(tenants, cells, 1) })
 		line("rendezvous", func() []int { return now })
 		line("plan, any number of moves", func() []int { return NewPlan(tenants, cells, -1).Placement })
 		line("plan, at most 20 moves", func() []int { return NewPlan(tenants, cells, 20).Placement })
