--- a/internal/cells/book.go
+++ b/internal/cells/book.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// Stage is how far a tenant's move has come.
+// Stage is the progress of a tenant's move.
 //
-//	from       what has been seen                            to         what drivers do with the tenant's RPCs in it
-//	Resting    a move is asked for, and allowed              Prepared   all to the old cell
-//	Prepared   every driver knows of it                      Holding    writes are held, reads to the old cell
-//	Holding    no write is in flight anywhere: the cut       Catching   as before; the new cell nears the cut
-//	Catching   the new cell's members have reached the cut   Closing    all are held
-//	Closing    nothing is in flight anywhere                 Switched   all to the new cell, from the cut on
-//	Switched   every driver acts on it                       Resting    the move is done
-//	Prepared, Holding, Catching, Closing
-//	           it is called off, or has held writes too long Returning  all to the old cell
-//	Returning  every driver acts on it                       Resting    the move is undone
+//	from             condition                                to               routing of the tenant's RPCs in from
+//	StageIdle          a move is requested and allowed        StagePrepared      all to the old cell
+//	StagePrepared      every driver knows of the move         StageHoldingWrites all to the old cell
+//	StageHoldingWrites no write is in flight on any driver    StageCatchingUp    writes held, reads to the old cell
+//	StageCatchingUp    the new cell reached CutoverPosition   StageHoldingAll    writes held, reads to the old cell
+//	StageHoldingAll    no RPC is in flight on any driver      StageSwitched      all held
+//	StageSwitched      every driver uses the new cell         StageIdle          all to the new cell
+//	StagePrepared to   the move is aborted or held writes     StageRollingBack
+//	StageHoldingAll    for too long
+//	StageRollingBack   every driver uses the old cell         StageIdle          all to the old cell
 //
-// "Every driver" and "anywhere" mean: each driver that may still act has said so, and all others' leases have provably
-// run out. After Switched there is no way back but another move.
+// "Every driver" means that each driver with a valid lease has reported it and that the leases of
+// all others have expired. After StageSwitched only another move can move the tenant back.
 type Stage int
 
 const (
@@ -42,7 +42,7 @@
 	return stageNames[s]
 }
 
-// allowedPredecessors lists, for each stage, those that it may follow.
+// allowedPredecessors lists the stages that each stage may follow.
 var allowedPredecessors = map[Stage][]Stage{
 	StagePrepared:      {StageIdle},
 	StageHoldingWrites: {StagePrepared},
@@ -53,36 +53,37 @@
 	StageIdle:          {StageSwitched, StageRollingBack},
 }
 
-// Entry is where one tenant is, by a decision of its own. It is what is written down and what drivers are sent.
-// Times and positions are Unix time in nanoseconds.
+// Entry is a placement decision for one tenant, as persisted and sent to drivers. Times and
+// positions are Unix time in nanoseconds.
 type Entry struct {
 	Epoch           Epoch  `json:"epoch"`
 	Tenant          Tenant `json:"tenant"`
-	Cell            string `json:"cell"` // where it is; the old cell until Switched
+	Cell            string `json:"cell"` // current cell; the old cell until StageSwitched
 	Stage           Stage  `json:"stage"`
-	To              string `json:"to,omitempty"`    // of a move under way: the new cell, or the one it came from where it returns
-	MinPosition     int64  `json:"floor,omitempty"` // position that a member must have reached to be read from
-	CutoverPosition int64  `json:"cut,omitempty"`   // position that the new cell has to reach
-	DecidedAt       int64  `json:"at"`              // when it was decided
-	HoldStartedAt   int64  `json:"begun,omitempty"` // when the move began to hold writes, 0 for not yet
+	To              string `json:"to,omitempty"`    // other cell of a move: the new cell, or the old one once switched
+	MinPosition     int64  `json:"floor,omitempty"` // position that a member must have reached to serve reads
+	CutoverPosition int64  `json:"cut,omitempty"`   // position that the new cell must reach
+	DecidedAt       int64  `json:"at"`
+	HoldStartedAt   int64  `json:"begun,omitempty"` // when the move began to hold writes, 0 if it has not
 	Reason          string `json:"why,omitempty"`
 }
 
-// Directory is where tenants are that are not where their names hash to, by the newest epoch known here.
+// Directory stores the placement of tenants that are moved or pinned, up to the latest known
+// epoch.
 type Directory struct {
 	layout      *Layout
 	pinned      map[Tenant]Cell
 	entries     map[Tenant]Entry
-	moving      map[Tenant]bool // those whose entry is of a move under way
+	moving      map[Tenant]bool // tenants with a move in progress
 	latestEpoch Epoch
 }
 
-// NewDirectory makes a book in which nothing but pins is known.
+// NewDirectory returns a directory that contains only the pinned tenants.
 func NewDirectory(l *Layout, pins map[Tenant]Cell) *Directory {
 	return &Directory{layout: l, pinned: pins, entries: map[Tenant]Entry{}, moving: map[Tenant]bool{}}
 }
 
-// Placement is what a driver goes by for a tenant's RPCs.
+// Placement determines how a driver routes a tenant's RPCs.
 type Placement struct {
 	Cell        Cell
 	Epoch       Epoch
@@ -90,7 +91,8 @@
 	MinPosition int64
 }
 
-// Placement is where a tenant is: where a move has put it, else where it is pinned, else where its name hashes to.
+// Placement returns the tenant's placement: its latest entry, else its pinned cell, else its home
+// cell.
 func (b *Directory) Placement(t Tenant) Placement {
 	if len(b.entries) > 0 {
 		if e, known := b.entries[t]; known {
@@ -103,36 +105,36 @@
 	return Placement{Cell: b.layout.HomeCell(t)}
 }
 
-// Entry is what a decision of its own says of a tenant.
+// Entry returns the latest placement decision for a tenant.
 func (b *Directory) Entry(t Tenant) (e Entry, known bool) {
 	e, known = b.entries[t]
 	return e, known
 }
 
-// Layout is the cells that there are.
+// Layout returns the layout of the cells.
 func (b *Directory) Layout() *Layout { return b.layout }
 
-// LatestEpoch is the newest epoch that the book knows.
+// LatestEpoch returns the highest epoch in the directory.
 func (b *Directory) LatestEpoch() Epoch { return b.latestEpoch }
 
-// Apply takes in an entry. One whose epoch is not newer than what is known of its tenant changes nothing, and applied is
-// false. One that does not follow from what is known is an error: the book would not be what its writer held.
+// Apply stores an entry. It returns false if the tenant already has an entry of the same or a
+// newer epoch, and an error if the entry refers to an unknown cell.
 func (b *Directory) Apply(e Entry) (applied bool, err error) {
 	current, known := b.entries[e.Tenant]
 	if known && e.Epoch <= current.Epoch {
 		return false, nil
 	}
 	if b.layout.Find(e.Cell) == NoCell {
-		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not in the file", e.Tenant, e.Epoch, e.Cell)
+		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not configured", e.Tenant, e.Epoch, e.Cell)
 	}
 	if e.To != "" && b.layout.Find(e.To) == NoCell {
-		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not in the file", e.Tenant, e.Epoch, e.To)
+		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not configured", e.Tenant, e.Epoch, e.To)
 	}
 	b.store(e)
 	return true, nil
 }
 
-// store takes in an entry that is newer than what is known of its tenant.
+// store saves an entry that is newer than the tenant's current one.
 func (b *Directory) store(e Entry) {
 	b.entries[e.Tenant] = e
 	if e.Stage == StageIdle {
@@ -143,12 +145,12 @@
 	b.latestEpoch = max(b.latestEpoch, e.Epoch)
 }
 
-// isValidTransition tells whether an entry is a step of the table from what the book holds.
+// isValidTransition reports whether an entry is a valid next stage with a new epoch.
 func (b *Directory) isValidTransition(e Entry) bool {
 	return slices.Contains(allowedPredecessors[e.Stage], b.entries[e.Tenant].Stage) && e.Epoch > b.latestEpoch
 }
 
-// Since gives the entries with epochs above one, the oldest first.
+// Since returns the entries newer than an epoch, in order of epoch.
 func (b *Directory) Since(known Epoch) (newer []Entry) {
 	if known >= b.latestEpoch {
 		return nil
@@ -166,7 +168,7 @@
 	return entries
 }
 
-// Moving are the entries of moves under way, the oldest first.
+// Moving returns the entries of moves in progress, in order of epoch.
 func (b *Directory) Moving() (moving []Entry) {
 	for t := range b.moving {
 		moving = append(moving, b.entries[t])
@@ -174,7 +176,7 @@
 	return sortByEpoch(moving)
 }
 
-// Overrides are the cells of the tenants that are not where their names hash to.
+// Overrides returns the cells of the tenants that are pinned or have been moved.
 func (b *Directory) Overrides() map[Tenant]Cell {
 	overrides := make(map[Tenant]Cell, len(b.pinned)+len(b.entries))
 	for t, c := range b.pinned {
@@ -186,8 +188,8 @@
 	return overrides
 }
 
-// Update takes over the cells and the pins of a file read again: all of it, or an error and nothing. A tenant that has not
-// been moved must stay where it is.
+// Update applies the cells and pinned tenants of a reloaded configuration, or returns an error and
+// changes nothing. It fails if it would change the cell of a tenant that has not been moved.
 func (b *Directory) Update(l *Layout, pins map[Tenant]string) error {
 	if err := b.checkPins(b.resolvePins(l, pins)); err != nil {
 		return err
@@ -199,7 +201,8 @@
 	return nil
 }
 
-// resolvePins are the pins with the places of their cells here; one in a cell that is new here has the place that it will get.
+// resolvePins maps pinned tenants to cells of the current layout. A cell that only l contains gets
+// the index that the update will give it.
 func (b *Directory) resolvePins(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
 	resolved := make(map[Tenant]Cell, len(pins))
 	for t, name := range pins {
@@ -210,7 +213,7 @@
 	return resolved
 }
 
-// checkPins tells whether other pins leave every tenant where it is.
+// checkPins returns an error if the pins would change the cell of a tenant.
 func (b *Directory) checkPins(pins map[Tenant]Cell) error {
 	var tenants []Tenant
 	for t := range pins {
@@ -229,13 +232,13 @@
 			next = b.layout.HomeCell(t)
 		}
 		if current := b.Placement(t).Cell; current != next {
-			return fmt.Errorf("tenant %q is in cell %q, and a file can't bring it into another: move it", t, b.layout.Name(current))
+			return fmt.Errorf("tenant %q is in cell %q, which reloading the configuration cannot change: move it", t, b.layout.Name(current))
 		}
 	}
 	return nil
 }
 
-// Pinned tells whether the file pins a tenant.
+// Pinned reports whether the configuration pins a tenant to a cell.
 func (b *Directory) Pinned(t Tenant) bool {
 	_, pinned := b.pinned[t]
 	return pinned
--- a/internal/cells/bulkheads.go
+++ b/internal/cells/bulkheads.go
@@ -1,42 +1,42 @@
 package cells
 
-// Resource is something that a driver owns and divides between cells.
+// Resource is a limited resource of a driver that is divided between cells.
 type Resource int
 
 const (
-	RPCs              Resource = iota // open, those held included
-	Attempts                          // out, those whose RPC has ended included
-	ResponseBytes                     // bytes of answers held at once
-	ClientConnections                 // of clients, by the cell of their last RPC
+	RPCs              Resource = iota // open RPCs, including those held
+	Attempts                          // attempts in flight, including those of finished RPCs
+	ResponseBytes                     // response bytes held in memory
+	ClientConnections                 // client connections, by the cell of their last RPC
 	resourceCount
 )
 
-// Budget are how much there is of each kind; 0 for no limit.
+// Budget is the total of each resource, 0 for no limit.
 type Budget [resourceCount]int64
 
-// Bulkheads divide what a driver owns between cells, by their weights. A cell may always use its share. What is idle of
-// the others' it may borrow, up to the part that they lend; from the moment that an owner wants its own, nothing is lent
-// that it could use, so that what was borrowed comes back as it ends. What is not lent at all is there at once.
+// Bulkheads divides a driver's resources between cells by weight. A cell can always use its own
+// share, and can borrow the part of other cells' idle shares that they lend. When a cell is denied
+// part of its own share, lending pauses until the borrowed resources are returned.
 type Bulkheads struct {
 	budget     Budget
 	lendRatio  float64
 	shares     [resourceCount][]float64
 	used       [resourceCount][]int64
-	totalUsed  [resourceCount]int64 // of used
+	totalUsed  [resourceCount]int64 // sum of used
 	lastDenied [resourceCount][]int64
 }
 
-// lendPause is how long a cell that was turned away within its share keeps others from borrowing.
+// lendPause is how long lending stops after a cell was denied within its own share.
 const lendPause = second / 2
 
-// NewBulkheads divides what there is. A cell's weight says what part is its own.
+// NewBulkheads divides a budget between cells by weight.
 func NewBulkheads(budget Budget, lendRatio float64, weights []float64) *Bulkheads {
 	b := &Bulkheads{budget: budget, lendRatio: lendRatio}
 	b.SetWeights(weights)
 	return b
 }
 
-// SetWeights divides anew. What is in use stays counted; cells keep their places.
+// SetWeights recalculates the shares. Current usage and the indexes of cells are kept.
 func (b *Bulkheads) SetWeights(weights []float64) {
 	sum := 0.0
 	for _, w := range weights {
@@ -53,13 +53,13 @@
 	}
 }
 
-// Share is a cell's own part.
+// Share returns a cell's own share, at least 1.
 func (b *Bulkheads) Share(k Resource, c Cell) int64 { return max(1, int64(b.shares[k][c])) }
 
-// Used is what a cell uses.
+// Used returns what a cell currently uses.
 func (b *Bulkheads) Used(k Resource, c Cell) int64 { return b.used[k][c] }
 
-// Limit is what a cell may use just now: its share, and what others lend it.
+// Limit returns what a cell may use now: its own share and what it can borrow.
 func (b *Bulkheads) Limit(k Resource, c Cell, now int64) int64 {
 	if b.budget[k] == 0 {
 		return 1 << 40
@@ -71,8 +71,8 @@
 	return share + max(0, b.borrowable(k, c, now))
 }
 
-// borrowable is what others lend a cell just now: of each the part of its share that it neither uses nor wants nor keeps, less
-// what third ones have borrowed already.
+// borrowable returns how much a cell can borrow now: the idle lendable shares of the other cells,
+// less what is already lent.
 func (b *Bulkheads) borrowable(k Resource, c Cell, now int64) int64 {
 	var idle, lent float64
 	for other := range b.shares[k] {
@@ -88,8 +88,8 @@
 	return min(int64(idle-lent), b.budget[k]-b.totalUsed[k]+max(0, b.used[k][c]-b.Share(k, c)))
 }
 
-// CanUse tells whether a cell may use so much more. Where it may not though it is within its share, others have borrowed
-// what is its own: from here on nothing is lent for a while.
+// CanUse reports whether a cell may use an additional amount. If a cell is denied within its own
+// share because others have borrowed it, lending pauses.
 func (b *Bulkheads) CanUse(k Resource, c Cell, amount, now int64) bool {
 	if b.budget[k] == 0 {
 		return true
@@ -104,13 +104,13 @@
 	return used <= b.Limit(k, c, now)
 }
 
-// Add notes that a cell uses so much more, or less.
+// Add changes a cell's usage by an amount, which may be negative.
 func (b *Bulkheads) Add(k Resource, c Cell, amount int64) {
 	b.used[k][c] += amount
 	b.totalUsed[k] += amount
 }
 
-// MostOverShare is the cell that is most over its share of something, as a part of that, or NoCell where none is.
+// MostOverShare returns the cell that exceeds its share by the largest ratio, or NoCell.
 func (b *Bulkheads) MostOverShare(k Resource) Cell {
 	over, maxRatio := NoCell, 1.0
 	if b.budget[k] == 0 {
--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -1,27 +1,30 @@
-// Package cells confines tenants to parts of the fleet. It decides which tenant an RPC belongs to, which cell and which
-// group of it the tenant uses, whether the cell and the tenant have room for one more RPC, and how a tenant passes from
-// one cell to another while its writes are in flight. It does no I/O, reads no clock and starts no goroutine: events
-// come in with their time, decisions go out. What must outlast a crash is an Entry, which whoever drives the package
-// writes down before it is applied. docs/cells.md weighs the ways.
+// Package cells confines tenants to parts of the fleet. It maps an RPC to its tenant, the tenant
+// to a cell and to a group of it, limits the RPCs of each cell and tenant, and moves tenants
+// between cells while writes are in flight.
 //
-// A cell is a set of whole groups; a group is a primary with its replicas, which discovery calls a cell.
+// The package does no I/O, reads no clock and starts no goroutine: callers pass in events with
+// their times. A caller must persist each Record before applying it.
+//
+// A cell is a set of groups. A group is a primary with its replicas; the discovery service calls a
+// group a cell.
 package cells
 
 import "sedgespread/rules"
 
-// Tenant is the name of whoever an RPC is done for.
+// Tenant is the name of the tenant that an RPC belongs to.
 type Tenant string
 
-// Cell is a cell's place in the Layout, the same for as long as a program runs.
+// Cell is the index of a cell in the Layout. It does not change while the program runs.
 type Cell int
 
-// NoCell stands for no cell at all.
+// NoCell means no cell.
 const NoCell Cell = -1
 
-// Epoch numbers the decisions on where tenants are, over all tenants. An older one is never acted on.
+// Epoch numbers placement decisions across all tenants. An older decision never replaces a newer
+// one.
 type Epoch uint64
 
-// Groups are the numbers of groups, as discovery has them.
+// Groups lists group ids as used by the discovery service.
 type Groups []rules.GroupID
 
 const second = int64(1_000_000_000)
--- a/internal/cells/coordinator.go
+++ b/internal/cells/coordinator.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// Record is what a coordinator writes down: an entry, or a driver's start that it gives leases to, or that no earlier start
-// of that name acts any more.
+// Record is a change that a coordinator persists: an entry, the start of a driver, or the expiry
+// of all leases of earlier starts of a driver.
 type Record struct {
 	Entry               *Entry `json:"entry,omitempty"`
 	Driver              string `json:"driver,omitempty"`
-	Incarnation         uint64 `json:"start,omitempty"` // its incarnation, 0 in records of builds that wrote down names alone
+	Incarnation         uint64 `json:"start,omitempty"` // 0 in records of old builds, which stored names only
 	PredecessorsExpired bool   `json:"alone,omitempty"`
 }
 
-// Coordinator decides on moves for all drivers. Its methods propose records; whoever drives it writes them down and
-// then hands them to Apply, in their order and before anything is sent that rests on them. Records alone rebuild it.
-// Times are Unix time in nanoseconds, of one clock that does not go back.
+// Coordinator decides on moves for all drivers. Its methods propose records; the caller persists
+// them, passes them to Apply in order, and only then sends anything that depends on them. The
+// state can be rebuilt from the records. Times are Unix time in nanoseconds from a monotonic
+// clock.
 type Coordinator struct {
 	directory    *Directory
 	leases       leases
-	maxHold      int64               // a move may hold writes so long
-	maxClockSkew int64               // the clocks of coordinators may differ by so much
+	maxHold      int64               // how long a move may hold writes
+	maxClockSkew int64               // between the clocks of coordinators
 	holds        map[Tenant]moveHold // moves that hold writes
-	waitsForFill bool                // the store has to be asked to fill a new cell
-	filled       map[Tenant]Epoch    // the entries of which it has taken what they ask
+	waitsForFill bool                // moves wait for MarkFilled
+	filled       map[Tenant]Epoch    // last entry of each tenant that the store has acted on
 }
 
-// moveHold is since when a move holds writes, by the clock of the coordinator that sees to it now. The entry's own time is that
-// of the one before, whose clock may be minutes off.
+// moveHold is when a move began to hold writes, by this coordinator's clock. The time in the entry
+// may be from another coordinator, whose clock may differ.
 type moveHold struct {
-	startedAt  int64 // as the entry says, to tell one move from the next
+	startedAt  int64 // HoldStartedAt of the entry, which identifies the move
 	observedAt int64
 }
 
-// maxConcurrentMoves is how many moves may be under way at once: each is a part of every report.
+// maxConcurrentMoves limits the size of reports, which contain each move.
 const maxConcurrentMoves = 256
 
-// NewCoordinator starts at a time, over the records of the time before. A driver that they name may hold a lease given
-// just before that time. Where fills is set, moves wait for Filled. The clocks of those who coordinate one after another
-// may differ by skew.
+// NewCoordinator returns a coordinator that starts at time now with the persisted records. Drivers
+// in the records may hold a lease granted just before now. If waitsForFill is set, moves wait for
+// MarkFilled. The clocks of successive coordinators may differ by maxClockSkew.
 func NewCoordinator(now int64, directory *Directory, lease, maxHold, maxClockSkew int64, waitsForFill bool, records []Record) (*Coordinator, error) {
 	c := &Coordinator{directory: directory, leases: leases{duration: lease, drivers: map[string]*leaseHolder{}}, maxHold: maxHold, maxClockSkew: maxClockSkew, waitsForFill: waitsForFill}
 	for _, r := range records {
@@ -51,8 +52,8 @@
 	return c, nil
 }
 
-// TakeOver says that this coordinator begins to act at a time, after which no other gives leases. Whoever is known may hold
-// one given just before it, and what drivers and the store told another one has to be heard again.
+// TakeOver makes this coordinator the active one. Each known driver may hold a lease granted just
+// before now by the previous coordinator, and drivers and the store must report again.
 func (c *Coordinator) TakeOver(now int64) {
 	for _, h := range c.leases.drivers {
 		h.expiresAt, h.epoch, h.moves, h.pendingIncarnation = c.leases.expiry(now), 0, nil, 0
@@ -60,15 +61,15 @@
 	c.filled, c.holds = map[Tenant]Epoch{}, map[Tenant]moveHold{}
 }
 
-// Snapshot is all that records have said, in short.
+// Snapshot is the state that results from all records.
 type Snapshot struct {
 	Entries          []Entry           `json:"entries"`
 	Drivers          []string          `json:"drivers"`
-	Incarnations     map[string]uint64 `json:"starts,omitempty"` // the newest of each
-	WithPredecessors []string          `json:"shaded,omitempty"` // of which an earlier start may act
+	Incarnations     map[string]uint64 `json:"starts,omitempty"` // latest of each driver
+	WithPredecessors []string          `json:"shaded,omitempty"` // drivers of which an earlier start may hold a lease
 }
 
-// Snapshot gives it for Restore.
+// Snapshot returns the state for Restore.
 func (c *Coordinator) Snapshot() Snapshot {
 	snapshot := Snapshot{Entries: c.directory.Since(0), Drivers: c.leases.names(), Incarnations: map[string]uint64{}}
 	for _, name := range snapshot.Drivers {
@@ -81,7 +82,7 @@
 	return snapshot
 }
 
-// Restore takes over at a time a past that is newer than what is known here.
+// Restore applies a snapshot that is newer than the current state.
 func (c *Coordinator) Restore(now int64, snapshot Snapshot) {
 	for _, name := range snapshot.Drivers {
 		c.leases.restore(now, name, snapshot.Incarnations[name], slices.Contains(snapshot.WithPredecessors, name))
@@ -93,7 +94,7 @@
 	}
 }
 
-// Apply takes in, at a time of the own clock, a record that has been written down.
+// Apply applies a persisted record at time now of the local clock.
 func (c *Coordinator) Apply(now int64, r Record) error {
 	switch {
 	case r.PredecessorsExpired:
@@ -112,15 +113,15 @@
 		delete(c.filled, r.Entry.Tenant)
 		delete(c.holds, r.Entry.Tenant)
 	}
-	c.directory.store(*r.Entry) // also one of a cell that this coordinator's file lacks: all that coordinate must hold the same
+	c.directory.store(*r.Entry) // even if the cell is not configured here: all coordinators must have the same state
 	return nil
 }
 
-// Directory is where tenants are.
+// Directory returns the placement of tenants.
 func (c *Coordinator) Directory() *Directory { return c.directory }
 
-// Renew proposes what must be written down before Grant may answer a driver's report. From then on no earlier start of its
-// name gets a lease: others may have the record before this coordinator has.
+// Renew proposes the records to persist before Grant may answer a report. From then on earlier
+// starts of the driver get no lease, since other coordinators may apply the record first.
 func (c *Coordinator) Renew(r Report) ([]Record, error) {
 	if r.Driver == "" {
 		return nil, fmt.Errorf("a driver needs a name")
@@ -136,7 +137,7 @@
 	return []Record{{Driver: r.Driver, Incarnation: r.Incarnation}}, nil
 }
 
-// Grant gives a driver its lease, with what is newer than what it acts on. Steps of moves are proposed by Step.
+// Grant renews a driver's lease and returns the entries that are new to it.
 func (c *Coordinator) Grant(now int64, r Report) Grant {
 	if r.Epoch > c.directory.latestEpoch || !c.leases.renew(now, r) {
 		return Grant{}
@@ -144,21 +145,22 @@
 	return Grant{Lease: c.leases.duration, LatestEpoch: c.directory.latestEpoch, Entries: c.directory.Since(r.Epoch)}
 }
 
-// CurrentGrant is what Grant would say now, for an answer that waited: the report of its start was taken then.
+// CurrentGrant returns what Grant would return now, without processing the report again. It serves
+// delayed responses.
 func (c *Coordinator) CurrentGrant(r Report) Grant {
 	return Grant{Lease: c.leases.duration, LatestEpoch: c.directory.latestEpoch, Entries: c.directory.Since(r.Epoch)}
 }
 
-// MarkFilled notes that the store has taken what the entry of an epoch asks of it.
+// MarkFilled records that the store has acted on the tenant's entry of an epoch.
 func (c *Coordinator) MarkFilled(t Tenant, e Epoch) { c.filled[t] = e }
 
-// Move proposes to move a tenant.
+// Move proposes a move of a tenant to another cell.
 func (c *Coordinator) Move(now int64, t Tenant, to string, why string) ([]Record, error) {
 	placement, current := c.directory.Placement(t), c.directory.entries[t]
 	target := c.directory.layout.Find(to)
 	switch {
 	case t == "":
-		return nil, fmt.Errorf("a move needs a tenant's name")
+		return nil, fmt.Errorf("a move needs a tenant name")
 	case target == NoCell:
 		return nil, fmt.Errorf("there is no cell %q", to)
 	case current.Stage != StageIdle:
@@ -166,35 +168,35 @@
 	case placement.Cell == target:
 		return nil, fmt.Errorf("tenant %q is in cell %q already", t, to)
 	case len(c.directory.Moving()) >= maxConcurrentMoves:
-		return nil, fmt.Errorf("%d moves are under way, which is the most", maxConcurrentMoves)
+		return nil, fmt.Errorf("%d moves are in progress, which is the maximum", maxConcurrentMoves)
 	}
 	e := Entry{Tenant: t, Cell: c.directory.layout.Name(placement.Cell), Stage: StagePrepared, To: to, MinPosition: current.MinPosition, Reason: why}
 	return c.propose(now, e), nil
 }
 
-// Abort proposes to call a move off.
+// Abort proposes to abort a move.
 func (c *Coordinator) Abort(now int64, t Tenant, why string) ([]Record, error) {
 	e, known := c.directory.entries[t]
 	switch {
 	case !known || e.Stage == StageIdle:
 		return nil, fmt.Errorf("tenant %q is not being moved", t)
 	case e.Stage == StageRollingBack:
-		return nil, fmt.Errorf("tenant %q is on its way back already", t)
+		return nil, fmt.Errorf("tenant %q is already being moved back", t)
 	case e.Stage == StageSwitched:
-		return nil, fmt.Errorf("tenant %q has been switched to cell %q: only another move brings it back", t, e.Cell)
+		return nil, fmt.Errorf("tenant %q has been switched to cell %q: only another move can return it", t, e.Cell)
 	}
 	e.Stage, e.Reason = StageRollingBack, why
 	return c.propose(now, e), nil
 }
 
-// propose numbers and dates an entry.
+// propose sets the epoch and the time of an entry.
 func (c *Coordinator) propose(now int64, e Entry) []Record {
 	e.Epoch, e.DecidedAt = c.directory.latestEpoch+1, now
 	return []Record{{Entry: &e}}
 }
 
-// Step proposes the next step of a move that is ready for one, or nothing. Whoever drives it calls again until nothing
-// is proposed.
+// Step proposes the next stage of a move that is ready for it, or else the expiry of leases of
+// earlier driver starts. The caller applies the records and repeats until there are none.
 func (c *Coordinator) Step(now int64) []Record {
 	for _, e := range c.directory.Moving() {
 		if next, ready := c.nextEntry(now, e); ready {
@@ -204,7 +206,7 @@
 	return c.leases.expiredPredecessors(now)
 }
 
-// nextEntry is the step that a move is ready for: the table at Stage.
+// nextEntry returns the next stage of a move and whether the move is ready for it; see Stage.
 func (c *Coordinator) nextEntry(now int64, e Entry) (next Entry, ready bool) {
 	next = e
 	switch e.Stage {
@@ -234,7 +236,7 @@
 	return next, false
 }
 
-// holdDuration is how long a move has held writes under this coordinator.
+// holdDuration returns how long a move has held writes under this coordinator.
 func (c *Coordinator) holdDuration(now int64, e Entry) int64 {
 	if c.holds[e.Tenant].startedAt != e.HoldStartedAt {
 		c.holds[e.Tenant] = moveHold{startedAt: e.HoldStartedAt, observedAt: now}
@@ -244,12 +246,12 @@
 
 func anyReport(MoveReport) bool { return true }
 
-// isFilled tells whether the store has taken what an entry asks of it: to begin filling the new cell, or to end that.
+// isFilled reports whether the store has acted on an entry, if moves wait for the store.
 func (c *Coordinator) isFilled(e Entry) bool { return !c.waitsForFill || c.filled[e.Tenant] == e.Epoch }
 
-// cutoverPosition is the position that the new cell has to reach: past every write that was answered. Those of drivers that told are
-// known; one whose lease ran out answered none after that, which is before now, and so, by any coordinator's clock, before
-// now and what clocks may differ by.
+// cutoverPosition returns a position after every acknowledged write: reported commits are known,
+// and drivers with expired leases acknowledged their last write before now, give or take the clock
+// skew.
 func (c *Coordinator) cutoverPosition(now int64, e Entry) int64 {
 	position := now + c.maxClockSkew
 	for _, h := range c.leases.drivers {
@@ -258,14 +260,14 @@
 	return position
 }
 
-// Driver is what the coordinator knows of a driver.
+// Driver is the state of a driver's lease.
 type Driver struct {
 	Name           string `json:"name"`
-	LeaseExpiresAt int64  `json:"until"` // its lease, Unix time in nanoseconds
+	LeaseExpiresAt int64  `json:"until"` // Unix time in nanoseconds
 	Epoch          Epoch  `json:"acts"`
 }
 
-// Drivers are those that have had leases, by name.
+// Drivers returns the drivers that have had leases, sorted by name.
 func (c *Coordinator) Drivers() (drivers []Driver) {
 	for _, name := range c.leases.names() {
 		h := c.leases.drivers[name]
@@ -274,5 +276,5 @@
 	return drivers
 }
 
-// Loads are the heaviest tenants that drivers tell of, in RPCs a second over all of them.
+// Loads returns the tenants with the highest load in RPCs per second, summed over all drivers.
 func (c *Coordinator) Loads(now int64) []TenantLoad { return c.leases.loads(now) }
--- a/internal/cells/gate.go
+++ b/internal/cells/gate.go
@@ -7,66 +7,67 @@
 	"sedgespread/rules"
 )
 
-// Request is one RPC, as far as its place and its room depend on it. Times are nanoseconds.
+// Request describes an RPC for placement and admission. Times are in nanoseconds.
 type Request struct {
 	Tenant       Tenant
 	Key          string
 	Write        bool
-	SoftDeadline int64 // soft deadline
-	TimeLeft     int64 // its client's time
+	SoftDeadline int64
+	TimeLeft     int64 // until the client's deadline
 	Utility      float64
 }
 
-// Decision is what a gate decides on an RPC.
+// Decision is the result of admission for an RPC.
 type Decision struct {
 	Group       rules.GroupID
-	MinPosition int64  // position that a member must have reached to answer it
-	Reason      Reason // it is turned away, unless WhyNot
-	RetryAfter  int64  // of one that is turned away
+	MinPosition int64  // position that the serving member must have reached
+	Reason      Reason // why the RPC was rejected, ReasonNone if it was admitted
+	RetryAfter  int64  // for rejected RPCs
 }
 
-// Ticket is an RPC that a gate knows of, from Ask to Settle.
+// Ticket tracks an RPC from Admit to Settle.
 type Ticket struct {
 	Request
 	arrivedAt     int64
 	placement     Placement
 	usage         *tenantUsage
 	onDecision    func(Decision)
-	attempts      int   // call-outs made
-	responseBytes int64 // of answers
-	admitted      bool  // it was let in
+	attempts      int
+	responseBytes int64
+	admitted      bool
 	finished      bool
-	mayRunUntil   int64 // a call-out of it may still run until then
+	mayRunUntil   int64 // an attempt may still run until then
 }
 
-// tenantState is what a gate knows of a tenant while it has RPCs here, or its move is under way.
+// tenantState tracks a tenant that has RPCs on this driver or a move in progress.
 type tenantState struct {
-	tickets        map[*Ticket]bool // let in, and not settled
-	held           []*Ticket        // the first first
-	orphanedWrites []int64          // until when writes that ended may still run
+	tickets        map[*Ticket]bool // admitted and not settled
+	held           []*Ticket        // oldest first
+	orphanedWrites []int64          // when writes without a result stop running at the latest
 	lastCommit     int64
 }
 
-// AdmissionController is a driver's side of cells: it lets RPCs in, holds them while their tenant is moved, or turns them away.
+// AdmissionController admits, holds or rejects the RPCs of a driver by cell and tenant.
 type AdmissionController struct {
 	layout          *Layout
 	resolver        *TenantResolver
 	directory       *Directory
 	limits          *Limits // nil for none
-	leaseExpiresAt  int64   // it may act until then, by its own clock
-	maxHeld         int     // RPCs held
+	leaseExpiresAt  int64   // by the local clock
+	maxHeld         int     // RPCs held at once
 	heldCount       int
 	tenants         map[Tenant]*tenantState
 	rejected        [reasonCount]int64
-	loadsReportedAt int64 // when loads were last reported
-	fenced          int64 // answers that were not passed on because the lease had run out, or the tenant had moved
+	loadsReportedAt int64
+	fenced          int64 // attempts and responses dropped because the lease expired or the tenant moved
 	staleGrants     int64
 }
 
-// maxHoldRatio is the part of its client's time that an RPC is held at the most: the rest is for asking again.
+// maxHoldRatio is the part of the client's time that an RPC may be held, leaving time for a retry.
 const maxHoldRatio = 0.45
 
-// NewAdmissionController makes a driver's gate, which may hold so many RPCs. Where leased is false the file alone says where tenants are.
+// NewAdmissionController returns an admission controller that holds up to maxHeld RPCs. If leased
+// is false, it needs no lease and the configuration alone determines placements.
 func NewAdmissionController(directory *Directory, resolver *TenantResolver, limits *Limits, leased bool, maxHeld int) *AdmissionController {
 	g := &AdmissionController{layout: directory.layout, resolver: resolver, directory: directory, limits: limits, maxHeld: maxHeld, tenants: map[Tenant]*tenantState{}}
 	if !leased {
@@ -75,14 +76,14 @@
 	return g
 }
 
-// Tenant is whom an RPC is done for.
+// Tenant returns the tenant of an RPC.
 func (g *AdmissionController) Tenant(key, user, database string) Tenant {
 	return g.resolver.Resolve(key, user, database)
 }
 
-// Admit decides on an RPC. Where it is held, decided is false, and then takes the verdict later. Of one that was let in
-// and has had no call-out, then may be told that its room is taken back: it is to be turned away. A ticket that was let
-// in must be ended and settled.
+// Admit decides on an RPC. If the RPC is held, decided is false and onDecision is called later.
+// onDecision may also reject an admitted RPC without attempts when its capacity is reclaimed. An
+// admitted ticket must be finished and settled.
 func (g *AdmissionController) Admit(now int64, request Request, onDecision func(Decision)) (ticket *Ticket, decision Decision, decided bool) {
 	ticket = &Ticket{Request: request, arrivedAt: now, placement: g.directory.Placement(request.Tenant), onDecision: onDecision}
 	switch {
@@ -101,7 +102,7 @@
 	return ticket, g.admit(ticket, now), true
 }
 
-// mustHold tells whether an RPC has to wait for its tenant's move.
+// mustHold reports whether an RPC must wait for its tenant's move.
 func (g *AdmissionController) mustHold(t *Ticket) bool {
 	switch t.placement.Stage {
 	case StageHoldingWrites, StageCatchingUp:
@@ -112,10 +113,10 @@
 	return false
 }
 
-// HoldDeadline is when an RPC that is held has to be let go of.
+// HoldDeadline returns when a held RPC must be rejected.
 func (t *Ticket) HoldDeadline() int64 { return t.arrivedAt + int64(maxHoldRatio*float64(t.TimeLeft)) }
 
-// admit lets an RPC in if there is room.
+// admit admits an RPC if the limits allow it.
 func (g *AdmissionController) admit(t *Ticket, now int64) Decision {
 	if g.limits != nil {
 		why := g.limits.admit(t, now)
@@ -132,7 +133,8 @@
 	return Decision{Group: g.layout.Group(t.Tenant, t.Key, t.placement.Cell), MinPosition: t.placement.MinPosition}
 }
 
-// reclaimBorrowed takes room back that a cell has borrowed, from the RPC let in last of those that no member got.
+// reclaimBorrowed rejects the newest unsent RPC of a cell that has borrowed capacity, and reports
+// whether there was one.
 func (g *AdmissionController) reclaimBorrowed(now int64) bool {
 	t := g.limits.newestBorrower()
 	if t == nil {
@@ -147,7 +149,7 @@
 	return true
 }
 
-// reject turns an RPC away.
+// reject counts and returns the rejection of an RPC.
 func (g *AdmissionController) reject(t *Ticket, why Reason) Decision {
 	g.rejected[why]++
 	v := Decision{Reason: why, RetryAfter: minRetryAfter}
@@ -166,17 +168,17 @@
 	return p
 }
 
-// Expire turns away an RPC that is held, if it still is: it can't be served in its time.
+// Expire rejects an RPC that is still held.
 func (g *AdmissionController) Expire(t *Ticket) {
 	if g.removeHeld(t) {
 		t.onDecision(g.reject(t, ReasonMoving))
 	}
 }
 
-// Cancel forgets an RPC that is held, whose client has gone.
+// Cancel removes a held RPC whose client has gone.
 func (g *AdmissionController) Cancel(t *Ticket) { g.removeHeld(t) }
 
-// removeHeld takes an RPC out of those held, and tells whether it was one.
+// removeHeld removes a held RPC and reports whether it was held.
 func (g *AdmissionController) removeHeld(t *Ticket) bool {
 	p := g.tenants[t.Tenant]
 	if p == nil {
@@ -192,10 +194,10 @@
 	return true
 }
 
-// MayProceed tells whether anything more may be done for an RPC: another call-out, or passing on its answer. Guards against
-// drivers that stood still, or were cut off, while their tenants were moved.
+// MayProceed reports whether an RPC may start another attempt or return its response. It guards
+// against drivers that were paused or disconnected while the tenant moved.
 func (g *AdmissionController) MayProceed(t *Ticket, now int64) bool {
-	placement := g.directory.Placement(t.Tenant) // a move there and back has raised its floor
+	placement := g.directory.Placement(t.Tenant) // moving away and back raises MinPosition
 	if now < g.leaseExpiresAt && placement.Cell == t.placement.Cell && placement.MinPosition == t.placement.MinPosition {
 		return true
 	}
@@ -203,7 +205,7 @@
 	return false
 }
 
-// AttemptStarted notes that a call-out is made for an RPC.
+// AttemptStarted records the start of an attempt for an RPC.
 func (g *AdmissionController) AttemptStarted(t *Ticket, now int64) {
 	t.attempts++
 	if g.limits != nil {
@@ -211,7 +213,8 @@
 	}
 }
 
-// AttemptEnded notes that a call-out has ended. One that may still run does so until a time, 0 for one that does not.
+// AttemptEnded records the end of an attempt. mayRunUntil is 0 if the attempt cannot still be
+// running.
 func (g *AdmissionController) AttemptEnded(t *Ticket, mayRunUntil int64, bytes int, now int64) {
 	t.mayRunUntil = max(t.mayRunUntil, mayRunUntil)
 	if g.limits != nil {
@@ -219,14 +222,14 @@
 	}
 }
 
-// Committed notes the position that the answer to a write told.
+// Committed records the position reported by the response to a write.
 func (g *AdmissionController) Committed(t *Ticket, position int64) {
 	if p := g.tenants[t.Tenant]; p != nil && t.Write {
 		p.lastCommit = max(p.lastCommit, position)
 	}
 }
 
-// Finished notes that an RPC has its final answer.
+// Finished records the final response to an RPC.
 func (g *AdmissionController) Finished(t *Ticket, served bool, now int64) {
 	if !t.admitted || t.finished {
 		return
@@ -237,7 +240,7 @@
 	}
 }
 
-// Cell is the cell that an RPC was let into, NoCell for one that was not.
+// Cell returns the cell that an RPC was admitted to, or NoCell.
 func (t *Ticket) Cell() Cell {
 	if !t.admitted {
 		return NoCell
@@ -245,7 +248,8 @@
 	return t.placement.Cell
 }
 
-// MoveConnection notes that a client's connection counts for another cell than before, NoCell for none.
+// MoveConnection moves a client connection between the cells that it counts for. NoCell means
+// none.
 func (g *AdmissionController) MoveConnection(from, to Cell) {
 	if g.limits == nil || from == to {
 		return
@@ -258,8 +262,8 @@
 	}
 }
 
-// MostOverConnectionShare is the cell whose clients have to go first where connections are short, NoCell for no matter which. Guards
-// the clients of other cells against one cell's that hold connections by hundreds.
+// MostOverConnectionShare returns the cell whose client connections should be closed first, or
+// NoCell. It guards against one cell's clients using up the connections of others.
 func (g *AdmissionController) MostOverConnectionShare() Cell {
 	if g.limits == nil {
 		return NoCell
@@ -267,7 +271,7 @@
 	return g.limits.bulkheads.MostOverShare(ClientConnections)
 }
 
-// Settle notes that an RPC has ended and nothing is out for it; what it held of an answer has been passed on.
+// Settle records that an RPC has no attempt in flight and that its response was passed on.
 func (g *AdmissionController) Settle(t *Ticket, now int64) {
 	p := g.tenants[t.Tenant]
 	if !t.admitted || p == nil || !p.tickets[t] {
@@ -283,18 +287,18 @@
 	g.removeIfIdle(t.Tenant, p)
 }
 
-// removeIfIdle forgets a tenant of whom nothing is here any more.
+// removeIfIdle removes a tenant's state if it holds nothing.
 func (g *AdmissionController) removeIfIdle(t Tenant, p *tenantState) {
 	if len(p.tickets) == 0 && len(p.held) == 0 && len(p.orphanedWrites) == 0 && p.lastCommit == 0 && g.tenants[t] == p {
 		delete(g.tenants, t)
 	}
 }
 
-// maxSweptTenants is how many tenants Sweep looks at in one go, at the most.
+// maxSweptTenants limits the work of one Sweep.
 const maxSweptTenants = 4096
 
-// Sweep forgets what is over: ghosts whose time is past, and commits of tenants that are not being moved, which are long
-// known to all members by the time that a move begins to need them.
+// Sweep removes expired orphaned writes, and commits of tenants without a move that all members
+// know by the time that a move needs them.
 func (g *AdmissionController) Sweep(now int64) {
 	visited := 0
 	for t, p := range g.tenants {
@@ -316,8 +320,8 @@
 	p.orphanedWrites = slices.DeleteFunc(p.orphanedWrites, func(until int64) bool { return until <= now })
 }
 
-// ApplyGrant takes in what the coordinator granted to a report that was made at a time. It gives the tenants whose entries
-// are new here.
+// ApplyGrant applies the grant for a report that was sent at requestedAt. It returns the tenants
+// with new entries.
 func (g *AdmissionController) ApplyGrant(requestedAt int64, grant Grant) (changed []Tenant, err error) {
 	if grant.Lease == 0 || grant.LatestEpoch < g.directory.LatestEpoch() {
 		g.staleGrants++
@@ -336,7 +340,7 @@
 	return changed, nil
 }
 
-// ResumeHeld goes on with what is held for a tenant, as far as its move allows now.
+// ResumeHeld decides again on a tenant's held RPCs after its placement has changed.
 func (g *AdmissionController) ResumeHeld(t Tenant, now int64) {
 	p := g.tenants[t]
 	if p == nil {
@@ -365,12 +369,12 @@
 }
 
 const (
-	loadReportInterval = second // loads are reported so far apart
-	maxReportedLoads   = 512    // of so many tenants
+	loadReportInterval = second
+	maxReportedLoads   = 512 // tenants per report
 )
 
-// Report is what this driver tells of the moves that it knows to be under way. Reached tells whether the members of a
-// group have been seen at a position.
+// Report returns this driver's report on the moves that it knows of. reached reports whether a
+// group's members have reached a position.
 func (g *AdmissionController) Report(now int64, name string, incarnation uint64, reached func(rules.GroupID, int64) bool) Report {
 	report := Report{Driver: name, Incarnation: incarnation, Epoch: g.directory.LatestEpoch()}
 	if g.limits != nil && now-g.loadsReportedAt >= loadReportInterval {
@@ -398,7 +402,7 @@
 	return report
 }
 
-// CatchUpGroups are the groups that moves under way need the positions of.
+// CatchUpGroups returns the groups whose positions are needed by moves in progress.
 func (g *AdmissionController) CatchUpGroups() (groups []rules.GroupID) {
 	for _, e := range g.directory.Moving() {
 		if to := g.layout.Find(e.To); e.Stage == StageCatchingUp && to != NoCell {
@@ -408,20 +412,20 @@
 	return groups
 }
 
-// Stats are what a gate has counted and holds.
+// Stats is a snapshot of the state and the counters of an AdmissionController.
 type Stats struct {
 	Rejected        map[string]int64 `json:"turned"`
-	Fenced          int64            `json:"lapsed"` // call-outs and answers given up because the lease had run out or the tenant had moved
-	StaleGrants     int64            `json:"stale"`  // grants older than what is known
+	Fenced          int64            `json:"lapsed"` // attempts and responses dropped because the lease expired or the tenant moved
+	StaleGrants     int64            `json:"stale"`  // grants older than the directory
 	Held            int              `json:"held"`
-	Tenants         int              `json:"tenants"` // that have RPCs here
+	Tenants         int              `json:"tenants"` // with RPCs on this driver
 	Epoch           Epoch            `json:"epoch"`
-	Lease           int64            `json:"lease_ns"` // what is left of it
+	Lease           int64            `json:"lease_ns"` // remaining time
 	Cells           []CellStats      `json:"cells"`
 	HeaviestTenants []TenantLoad     `json:"heavy"`
 }
 
-// CellStats are those of one cell at this driver.
+// CellStats is the part of Stats for one cell.
 type CellStats struct {
 	Name              string  `json:"name"`
 	Groups            Groups  `json:"groups"`
@@ -438,7 +442,8 @@
 	Tenants           int     `json:"tenants"`
 }
 
-// Stats tells what this gate has counted and holds, with the heaviest tenants.
+// Stats returns the current state and counters, with up to heaviest of the tenants with the
+// highest load.
 func (g *AdmissionController) Stats(now int64, heaviest int) Stats {
 	stats := Stats{Rejected: map[string]int64{}, Fenced: g.fenced, StaleGrants: g.staleGrants, Held: g.heldCount, Tenants: len(g.tenants),
 		Epoch: g.directory.LatestEpoch(), Lease: g.leaseExpiresAt - now}
@@ -465,7 +470,7 @@
 	return stats
 }
 
-// Load is a tenant's RPCs a second here, 0 for one that is not among the heaviest.
+// Load returns a tenant's RPCs per second on this driver, 0 if the tenant is not tracked.
 func (g *AdmissionController) Load(t Tenant, now int64) float64 {
 	if g.limits == nil {
 		return 0
@@ -473,13 +478,13 @@
 	return g.limits.rate(t, now)
 }
 
-// Directory is where tenants are, as this driver knows.
+// Directory returns the placement of tenants known to this driver.
 func (g *AdmissionController) Directory() *Directory { return g.directory }
 
-// Layout is the cells that there are.
+// Layout returns the layout of the cells.
 func (g *AdmissionController) Layout() *Layout { return g.layout }
 
-// Update takes over a file read again: all of it, or an error and nothing.
+// Update applies a reloaded configuration, or returns an error and changes nothing.
 func (g *AdmissionController) Update(l *Layout, resolver *TenantResolver, pins map[Tenant]string, weights map[Tenant]float64) error {
 	if err := g.directory.Update(l, pins); err != nil {
 		return err
--- a/internal/cells/heavy.go
+++ b/internal/cells/heavy.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// HeavyHitters keeps the heaviest of any number of tenants in bounded room, by the space-saving algorithm (Metwally, Agrawal,
-// El Abbadi 2005): a tenant that is not kept takes the place and the count of the lightest. What it says of a tenant is
-// never too little, and too much by at most the total over its places.
+// HeavyHitters tracks the tenants with the highest load in bounded memory by the space-saving
+// algorithm (Metwally, Agrawal, El Abbadi 2005): a new tenant replaces the one with the lowest
+// load and inherits its load. A tenant's load is never underestimated, and overestimated by at
+// most total/capacity.
 type HeavyHitters struct {
-	entries  []heavyEntry // a heap, the lightest on top
+	entries  []heavyEntry // min-heap by load
 	index    map[Tenant]int
 	total    float64
 	capacity int
@@ -18,10 +19,10 @@
 type heavyEntry struct {
 	tenant       Tenant
 	load         float64
-	overestimate float64 // of load, what may be another's
+	overestimate float64 // part of load that may belong to other tenants
 }
 
-// NewHeavyHitters keeps the loads of at most so many tenants.
+// NewHeavyHitters returns a tracker of up to capacity tenants.
 func NewHeavyHitters(capacity int) *HeavyHitters {
 	return &HeavyHitters{index: make(map[Tenant]int, capacity), capacity: max(1, capacity)}
 }
@@ -47,7 +48,7 @@
 	h.siftDown(0)
 }
 
-// Load is what a tenant's load is at the most, and how much of that may be another's.
+// Load returns an upper bound of a tenant's load and by how much it may be too high.
 func (h *HeavyHitters) Load(t Tenant) (load, overestimate float64) {
 	if i, kept := h.index[t]; kept {
 		return h.entries[i].load, h.entries[i].overestimate
@@ -58,7 +59,7 @@
 	return h.entries[0].load, h.entries[0].load
 }
 
-// Decay multiplies all loads, so that what was long ago counts less.
+// Decay multiplies all loads by a factor, so that older load counts less.
 func (h *HeavyHitters) Decay(factor float64) {
 	h.total *= factor
 	for i := range h.entries {
@@ -67,14 +68,14 @@
 	}
 }
 
-// TenantLoad is a tenant with its load.
+// TenantLoad is the load of a tenant.
 type TenantLoad struct {
 	Tenant       Tenant  `json:"tenant"`
 	Load         float64 `json:"load"`
-	Overestimate float64 `json:"over"` // of Load, what may be another's
+	Overestimate float64 `json:"over"` // part of Load that may belong to other tenants
 }
 
-// sortHeaviestFirst orders loads, the heaviest first.
+// sortHeaviestFirst sorts loads in place in descending order and returns them.
 func sortHeaviestFirst(loads []TenantLoad) []TenantLoad {
 	slices.SortFunc(loads, func(a, b TenantLoad) int {
 		return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Tenant, b.Tenant))
@@ -82,7 +83,7 @@
 	return loads
 }
 
-// Top are the heaviest tenants, the heaviest first.
+// Top returns up to limit tenants with the highest load, in descending order.
 func (h *HeavyHitters) Top(limit int) []TenantLoad {
 	all := make([]TenantLoad, len(h.entries))
 	for i, p := range h.entries {
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -11,28 +11,29 @@
 	"sedgespread/rules"
 )
 
-// Layout is the cells that there are, in parallel arrays by their place. A place is never used again for another cell.
+// Layout describes the cells in parallel slices indexed by Cell. The index of a removed cell is
+// not reused.
 type Layout struct {
 	names           []string
 	groups          []Groups
-	weight          []float64 // part of the tenants by hash, 0 for none
+	weight          []float64 // for the assignment of tenants by hash, 0 for none
 	hall            []string
-	capacity        []float64 // RPCs a second, 0 for not known
-	nameHash        []uint64  // hash of the name
+	capacity        []float64 // RPCs per second, 0 if unknown
+	nameHash        []uint64
 	removed         []bool
 	index           map[string]Cell
-	groupsPerTenant int // groups that a tenant uses, at most
+	groupsPerTenant int // maximum number of groups of a cell that a tenant uses
 }
 
-// MaxGroupsPerTenant is the most groups of a cell that one tenant can use.
+// MaxGroupsPerTenant is the upper bound of the groups of a cell that a tenant can use.
 const MaxGroupsPerTenant = 16
 
-// NewLayout makes a layout without cells, in which a tenant uses up to spread groups of its cell.
+// NewLayout returns a layout without cells, in which a tenant uses up to groupsPerTenant groups.
 func NewLayout(groupsPerTenant int) *Layout {
 	return &Layout{index: map[string]Cell{}, groupsPerTenant: min(max(1, groupsPerTenant), MaxGroupsPerTenant)}
 }
 
-// Add adds a cell. Its name must be new and its groups nobody else's.
+// Add adds a cell. Its name must be new and its groups must not belong to another cell.
 func (l *Layout) Add(name string, groups Groups, weight, capacity float64, hall string) Cell {
 	c := Cell(len(l.names))
 	l.names, l.groups, l.weight = append(l.names, name), append(l.groups, groups), append(l.weight, weight)
@@ -42,10 +43,10 @@
 	return c
 }
 
-// Cells is how many places there are, those of cells that have gone included.
+// Cells returns the number of cells, including removed ones.
 func (l *Layout) Cells() int { return len(l.names) }
 
-// Find gives the cell of a name, or NoCell.
+// Find returns the cell with a name, or NoCell.
 func (l *Layout) Find(name string) Cell {
 	if c, known := l.index[name]; known && !l.removed[c] {
 		return c
@@ -53,7 +54,7 @@
 	return NoCell
 }
 
-// Name is a cell's name, empty for NoCell.
+// Name returns a cell's name, empty for NoCell.
 func (l *Layout) Name(c Cell) string {
 	if c == NoCell {
 		return ""
@@ -61,10 +62,10 @@
 	return l.names[c]
 }
 
-// Groups are a cell's groups.
+// Groups returns a cell's groups.
 func (l *Layout) Groups(c Cell) Groups { return l.groups[c] }
 
-// mixHashes spreads two hashes over 64 bits (the finalizer of splitmix64).
+// mixHashes combines two hashes with the finalizer of splitmix64.
 func mixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -72,11 +73,11 @@
 	return x ^ x>>31
 }
 
-// hashToUnitInterval is the chance in (0,1) that a hash stands for.
+// hashToUnitInterval maps a hash to the interval (0,1).
 func hashToUnitInterval(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
 
-// HomeCell is the cell that a tenant's name hashes to, by weighted rendezvous: each cell draws a score from its own name
-// and the tenant's, and the highest wins. A cell that comes or goes so moves only the tenants that it wins or had.
+// HomeCell returns the cell that a tenant's name hashes to by weighted rendezvous hashing. Adding
+// or removing a cell moves only the tenants of that cell.
 func (l *Layout) HomeCell(t Tenant) Cell {
 	hash, home, best := xxhash.Sum64String(string(t)), NoCell, math.Inf(-1)
 	for c := range l.names {
@@ -90,14 +91,14 @@
 	return home
 }
 
-// TenantGroups is the choice of a cell's groups that a tenant uses, the same at every driver: two tenants rarely have all of
-// theirs in common, so that one that harms its own harms few others wholly.
+// TenantGroups returns the groups of a cell that a tenant uses, the same on every driver. Shuffle
+// sharding limits how many tenants share all groups with a misbehaving one.
 func (l *Layout) TenantGroups(t Tenant, c Cell) Groups {
 	var buffer [MaxGroupsPerTenant]rules.GroupID
 	return slices.Clone(l.selectGroups(&buffer, xxhash.Sum64String(string(t)), c))
 }
 
-// selectGroups draws a tenant's groups into room that the caller has, the best first.
+// selectGroups writes a tenant's groups to buffer, highest score first.
 func (l *Layout) selectGroups(buffer *[MaxGroupsPerTenant]rules.GroupID, hash uint64, c Cell) Groups {
 	var scores [MaxGroupsPerTenant]uint64
 	n := 0
@@ -118,7 +119,7 @@
 	return buffer[:n]
 }
 
-// Group is the group of a cell that holds a tenant's key.
+// Group returns the group of a cell that stores a tenant's key.
 func (l *Layout) Group(t Tenant, key string, c Cell) rules.GroupID {
 	var buffer [MaxGroupsPerTenant]rules.GroupID
 	groups := l.selectGroups(&buffer, xxhash.Sum64String(string(t)), c)
@@ -134,8 +135,8 @@
 	return groups[best]
 }
 
-// Update takes over what another layout says, for drivers that run: seats are the tenants that are not where their
-// names hash to. It changes nothing and names the cause where a tenant would be elsewhere without having been moved.
+// Update applies a new layout to a running driver. overrides holds the tenants outside their home
+// cells. It changes nothing and returns an error if a tenant would change its cell without a move.
 func (l *Layout) Update(next *Layout, overrides map[Tenant]Cell) error {
 	if next.groupsPerTenant != l.groupsPerTenant {
 		return fmt.Errorf("groups_a_tenant: %d, was %d: tenants would change their groups without a move", next.groupsPerTenant, l.groupsPerTenant)
@@ -145,7 +146,7 @@
 		switch {
 		case l.removed[c]:
 			if kept {
-				return fmt.Errorf("cell %q: a cell of that name was taken away: it needs another name or a restart", name)
+				return fmt.Errorf("cell %q: the name of a removed cell cannot be reused without a restart", name)
 			}
 		case !kept:
 			if err := l.checkRemovable(Cell(c), overrides); err != nil {
@@ -159,14 +160,14 @@
 	}
 	for n, name := range next.names {
 		if _, known := l.index[name]; !known && next.weight[n] > 0 {
-			return fmt.Errorf("cell %q: a cell that is new to a running driver takes no tenants by hash: its weight must be 0", name)
+			return fmt.Errorf("cell %q: a cell added to a running driver cannot take tenants by hash: its weight must be 0", name)
 		}
 	}
 	l.merge(next)
 	return nil
 }
 
-// merge does what Become has checked.
+// merge applies a layout that Update has validated.
 func (l *Layout) merge(next *Layout) {
 	for c, name := range l.names {
 		if n, kept := next.index[name]; kept {
@@ -182,10 +183,10 @@
 	}
 }
 
-// checkRemovable tells whether a cell can go: not while any tenant is in it.
+// checkRemovable returns an error if tenants are still assigned to a cell.
 func (l *Layout) checkRemovable(c Cell, overrides map[Tenant]Cell) error {
 	if l.weight[c] > 0 {
-		return fmt.Errorf("cell %q can't go: it takes tenants by hash (weight %v)", l.names[c], l.weight[c])
+		return fmt.Errorf("cell %q cannot be removed: it takes tenants by hash (weight %v)", l.names[c], l.weight[c])
 	}
 	var remaining []string
 	for t, at := range overrides {
@@ -202,5 +203,5 @@
 	if len(remaining) > shown {
 		remaining, suffix = remaining[:shown], fmt.Sprintf(" and %d more", len(remaining)-shown)
 	}
-	return fmt.Errorf("cell %q can't go: it still has %s%s", l.names[c], strings.Join(remaining, ", "), suffix)
+	return fmt.Errorf("cell %q cannot be removed: it still has %s%s", l.names[c], strings.Join(remaining, ", "), suffix)
 }
--- a/internal/cells/leases.go
+++ b/internal/cells/leases.go
@@ -2,60 +2,62 @@
 
 import "slices"
 
-// Report is what a driver tells the coordinator when it asks to renew its lease.
+// Report is what a driver sends to the coordinator to renew its lease.
 type Report struct {
 	Driver      string       `json:"driver"`
-	Incarnation uint64       `json:"incarnation"` // newer after each start
-	Epoch       Epoch        `json:"epoch"`       // the newest that it acts on
+	Incarnation uint64       `json:"incarnation"` // increases with each start
+	Epoch       Epoch        `json:"epoch"`       // latest known to the driver
 	Moves       []MoveReport `json:"moves,omitempty"`
-	Loads       []TenantLoad `json:"loads,omitempty"` // RPCs a second of its heaviest tenants, now and then
+	Loads       []TenantLoad `json:"loads,omitempty"` // RPCs per second of its busiest tenants, sent periodically
 }
 
-// MoveReport is a driver's part of a move under way, as far as it knows the stage of that epoch.
+// MoveReport is a driver's state of a move at the stage of Epoch.
 type MoveReport struct {
 	Tenant     Tenant `json:"tenant"`
 	Epoch      Epoch  `json:"epoch"`
-	Writes     int    `json:"writes"`  // that are in flight, or may still run
-	OpenRPCs   int    `json:"open"`    // RPCs, the writes among them
-	LastCommit int64  `json:"commit"`  // the newest that an answer told, Unix time in nanoseconds
-	CaughtUp   bool   `json:"reached"` // the new cell's members were seen at the cut or past it
+	Writes     int    `json:"writes"`  // in flight, or possibly still running
+	OpenRPCs   int    `json:"open"`    // in flight, including writes
+	LastCommit int64  `json:"commit"`  // latest position reported by a response, Unix time in nanoseconds
+	CaughtUp   bool   `json:"reached"` // the new cell's members reached CutoverPosition
 }
 
-// Grant is what the coordinator answers.
+// Grant is the coordinator's response to a Report.
 type Grant struct {
-	Lease       int64   `json:"lease_ns"`          // it may act on what it knows for so long after it asked; 0 for a driver that is out of date
-	LatestEpoch Epoch   `json:"newest"`            // of all entries, those that follow included
-	Entries     []Entry `json:"entries,omitempty"` // newer than what it acts on
+	Lease       int64   `json:"lease_ns"`          // validity counted from the request; 0 if refused
+	LatestEpoch Epoch   `json:"newest"`            // of all entries, including those in Entries
+	Entries     []Entry `json:"entries,omitempty"` // newer than the Epoch of the report
 }
 
-// leases is which drivers may act, on what, and until when. Names of drivers and their starts are written down before the
-// first lease, so that a coordinator that takes over knows whom it has to wait for.
+// leases tracks which drivers may act, at which epoch, and until when. A driver's start is
+// persisted before its first lease, so that a new coordinator knows which leases may still be
+// valid.
 type leases struct {
 	duration int64
 	drivers  map[string]*leaseHolder
 }
 
 type leaseHolder struct {
-	recordedIncarnation  uint64 // the newest start that was written down
-	hasPredecessor       bool   // an earlier one may still act, as far as is written down
-	pendingIncarnation   uint64 // a start whose record is on its way: no earlier one gets a lease any more
+	recordedIncarnation  uint64 // latest persisted start
+	hasPredecessor       bool   // an earlier start may hold a lease, according to the records
+	pendingIncarnation   uint64 // start being persisted; earlier ones get no lease
 	incarnation          uint64
-	expiresAt            int64 // it may act until then at the latest
-	predecessorExpiresAt int64 // so may an earlier start of its name, which can't be told from one that was killed
-	epoch                Epoch // on all up to there
+	expiresAt            int64
+	predecessorExpiresAt int64 // expiry of an earlier start, which may still be running
+	epoch                Epoch // latest known to the driver
 	moves                map[Tenant]MoveReport
 	loads                []TenantLoad
 }
 
-// clockRateDivisor is the part of a lease by which it is waited for longer than it lasts: two clocks may differ in rate by as much.
+// clockRateDivisor is the fraction of the lease added to its expiry, for clocks that run at
+// different rates.
 const clockRateDivisor = 500
 
-// expiry is when a lease asked for at a time has provably run out, however fast or slow its holder's clock runs.
+// expiry returns when a lease requested at a time has expired on any driver's clock.
 func (l *leases) expiry(requestedAt int64) int64 {
 	return requestedAt + l.duration + l.duration/clockRateDivisor
 }
 
-// holder gives a driver's record, which is made for one not known.
+// holder returns a driver's record and creates it if needed.
 func (l *leases) holder(name string) *leaseHolder {
 	h := l.drivers[name]
 	if h == nil {
@@ -65,8 +67,8 @@
 	return h
 }
 
-// recordStart takes in that a start of a name was written down. No lease was given to an earlier one after that was proposed, so
-// that it has run out as if it had been asked for now, by the clock of whoever has the record.
+// recordStart records a persisted start of a driver. No earlier start got a lease after this one
+// was proposed, so any such lease expires as if requested now.
 func (l *leases) recordStart(now int64, name string, incarnation uint64) {
 	_, known := l.drivers[name]
 	h := l.holder(name)
@@ -79,14 +81,14 @@
 	h.recordedIncarnation = incarnation
 }
 
-// clearPredecessor takes in that provably no start of a name before one acts any more.
+// clearPredecessor records that the leases of earlier starts of a driver have expired.
 func (l *leases) clearPredecessor(name string, incarnation uint64) {
 	if h := l.holder(name); h.recordedIncarnation == incarnation {
 		h.hasPredecessor, h.predecessorExpiresAt = false, 0
 	}
 }
 
-// restore takes over what others have written down of a name.
+// restore applies a driver's state from a snapshot.
 func (l *leases) restore(now int64, name string, incarnation uint64, hasPredecessor bool) {
 	if h := l.holder(name); incarnation > h.recordedIncarnation {
 		if h.recordedIncarnation, h.hasPredecessor, h.predecessorExpiresAt = incarnation, hasPredecessor, 0; hasPredecessor {
@@ -95,7 +97,8 @@
 	}
 }
 
-// expiredPredecessors are names of which provably no earlier start acts any more and which are not written down as such, in order.
+// expiredPredecessors returns records for drivers whose earlier starts' leases have expired,
+// sorted by name.
 func (l *leases) expiredPredecessors(now int64) (records []Record) {
 	for _, name := range l.names() {
 		if h := l.drivers[name]; h.hasPredecessor && h.predecessorExpiresAt < now {
@@ -105,8 +108,8 @@
 	return records
 }
 
-// renew takes in a report and tells whether its driver may have a lease: not one that has been followed by a newer start
-// under its name.
+// renew applies a report and reports whether the driver may get a lease. A driver that has been
+// replaced by a newer start may not.
 func (l *leases) renew(now int64, report Report) bool {
 	h := l.holder(report.Driver)
 	if report.Incarnation < max(h.incarnation, h.recordedIncarnation, h.pendingIncarnation) {
@@ -126,8 +129,9 @@
 	return true
 }
 
-// allHolders tells whether each driver that may still act acts on an epoch and passes a test on its part of a tenant's move. A
-// driver whose lease has run out acts on nothing until it has asked again.
+// allHolders reports whether every driver that may still act knows the entry's epoch and passes a
+// test on its report of the move. A driver with an expired lease does not act until it has
+// renewed.
 func (l *leases) allHolders(now int64, e Entry, test func(MoveReport) bool) bool {
 	for _, h := range l.drivers {
 		if h.predecessorExpiresAt >= now {
@@ -144,7 +148,7 @@
 	return true
 }
 
-// anyHolder tells whether some driver's part of a tenant's move passes a test.
+// anyHolder reports whether some driver's report of a move passes a test.
 func (l *leases) anyHolder(e Entry, test func(MoveReport) bool) bool {
 	for _, h := range l.drivers {
 		if m, reported := h.moves[e.Tenant]; reported && m.Epoch == e.Epoch && test(m) {
@@ -154,7 +158,7 @@
 	return false
 }
 
-// loads are the loads that drivers told of, summed over those that may act.
+// loads returns the reported loads, summed over the drivers with valid leases.
 func (l *leases) loads(now int64) []TenantLoad {
 	sums := map[Tenant]TenantLoad{}
 	for _, h := range l.drivers {
@@ -172,7 +176,7 @@
 	return sortHeaviestFirst(loads)
 }
 
-// names are the names of the drivers known, in order.
+// names returns the names of the known drivers, sorted.
 func (l *leases) names() []string {
 	names := make([]string, 0, len(l.drivers))
 	for name := range l.drivers {
--- a/internal/cells/limits.go
+++ b/internal/cells/limits.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// Limits decide whether a cell and its tenant have room for one more RPC, by what the driver's own budget allows and by
-// what the cell's answers show that it can bear.
+// Limits decides whether a cell and a tenant may start another RPC, from the driver's budget and
+// from a concurrency limit that adapts to the cell's response times.
 type Limits struct {
 	bulkheads    *Bulkheads
 	shares       *shares
 	heavyHitters *HeavyHitters
-	// by cell
-	concurrency []float64   // RPCs that may be open and still be answered in time, as learned
-	latency     []float64   // smoothed time of an RPC that was served
-	loweredAt   []int64     // when its pace was last lessened
-	demandRatio []float64   // smoothed: RPCs that came for one that was let in
+	// indexed by cell
+	concurrency []float64   // adaptive limit of open RPCs, 0 until the first response
+	latency     []float64   // smoothed, of RPCs served in time
+	loweredAt   []int64     // when concurrency was last decreased
+	demandRatio []float64   // smoothed requests per admitted request
 	decayedAt   int64       // when the loads were last halved
-	loadSeconds float64     // seconds that the loads stand for
-	maxUtility  float64     // the highest utility seen
-	unsent      [][]*Ticket // by cell, let in, the last last; those that do not wait any more among them
+	loadSeconds float64     // period that the loads cover
+	maxUtility  float64     // highest utility seen
+	unsent      [][]*Ticket // admitted RPCs, oldest first; may include some already sent
 }
 
 const (
-	minConcurrency            = 4.0            // least pace
-	concurrencyDecreaseFactor = 0.9            // of its pace that a cell keeps after an answer that came late or not
-	concurrencyIncrease       = 0.1            // that its pace grows by with an answer in time
-	utilityReservedRatio      = 0.25           // of a cell's room that the utility of an RPC decides on
-	initialLatency            = second / 10    // time of an RPC to expect
-	maxTrackedTenants         = 2048           // tenants whose load is kept
-	loadHalfLife              = 10 * second    // the loads count half
-	minRetryAfter             = second / 100   // least time to come back
-	maxDemandRatio            = 64             // comers for one that was let in, as far as the time to come back grows
-	smoothing                 = 1.0 / (1 << 4) // part that the newest has of a smoothed figure
+	minConcurrency            = 4.0
+	concurrencyDecreaseFactor = 0.9  // after a late or missing response
+	concurrencyIncrease       = 0.1  // after a response in time
+	utilityReservedRatio      = 0.25 // part of a cell's limit that depends on an RPC's utility
+	initialLatency            = second / 10
+	maxTrackedTenants         = 2048
+	loadHalfLife              = 10 * second
+	minRetryAfter             = second / 100
+	maxDemandRatio            = 64             // limits the increase of retry delays
+	smoothing                 = 1.0 / (1 << 4) // weight of a new sample in a moving average
 )
 
-// NewLimits makes the limits of a driver that has so much.
+// NewLimits returns the limits of a driver with a budget.
 func NewLimits(budget Budget, lendRatio float64, l *Layout, weights map[Tenant]float64) *Limits {
 	m := &Limits{bulkheads: NewBulkheads(budget, lendRatio, l.budgetWeights()), shares: newShares(weights, l.Cells()), heavyHitters: NewHeavyHitters(maxTrackedTenants)}
 	m.grow(l.Cells())
 	return m
 }
 
-// budgetWeights are the cells' parts of a budget. A cell that takes no tenants by hash has one as of the least weight, since
-// tenants are moved or pinned there.
+// budgetWeights returns the weights by which the budget is divided. A cell without tenants by hash
+// gets the lowest weight, since tenants can be moved or pinned to it.
 func (l *Layout) budgetWeights() []float64 {
 	least := 0.0
 	for c, w := range l.weight {
@@ -73,25 +73,25 @@
 	m.shares.grow(cells)
 }
 
-// Update follows a changed layout.
+// Update applies a changed layout.
 func (m *Limits) Update(l *Layout, weights map[Tenant]float64) {
 	m.bulkheads.SetWeights(l.budgetWeights())
 	m.shares.weights = weights
 	m.grow(l.Cells())
 }
 
-// Reason is the reason that an RPC was turned away for.
+// Reason is why an RPC was rejected.
 type Reason int
 
 const (
-	ReasonNone            Reason = iota // it was not
-	ReasonDriverFull                    // the driver has no room
-	ReasonCellFull                      // the cell has no room
-	ReasonTenantOverShare               // the tenant has used up its part
-	ReasonLowUtility                    // the last of the room is for RPCs of higher utility
-	ReasonMoving                        // its tenant is being moved, and it can't be held
-	ReasonNoLease                       // this driver does not know where its tenant is now
-	ReasonUnknownCell                   // its tenant's cell is not in the file
+	ReasonNone            Reason = iota // not rejected
+	ReasonDriverFull                    // the driver's budget is used up
+	ReasonCellFull                      // the cell's limit is reached
+	ReasonTenantOverShare               // the tenant has reached its fair share
+	ReasonLowUtility                    // the remaining capacity is reserved for higher utility
+	ReasonMoving                        // the tenant is being moved and the RPC cannot be held
+	ReasonNoLease                       // the driver holds no valid lease
+	ReasonUnknownCell                   // the tenant's cell is not configured
 	reasonCount
 )
 
@@ -99,7 +99,7 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// concurrencyLimit is how many RPCs a cell may have open just now.
+// concurrencyLimit returns how many RPCs a cell may have open now.
 func (m *Limits) concurrencyLimit(c Cell, now int64) int64 {
 	limit := m.bulkheads.Limit(RPCs, c, now)
 	if m.concurrency[c] > 0 {
@@ -108,8 +108,8 @@
 	return limit
 }
 
-// admit decides whether an RPC has room, and whom it counts for. Guards the other cells against a flood into one, and a
-// cell's tenants against one another; could harm where a cell's members bear far more than its share lets in.
+// admit decides whether an RPC may start. It protects other cells and other tenants of the cell
+// from overload.
 func (m *Limits) admit(t *Ticket, now int64) Reason {
 	m.decayLoads(now)
 	m.heavyHitters.Add(t.Tenant, 1)
@@ -135,7 +135,7 @@
 	return ReasonNone
 }
 
-// rejectionReason tells a tenant that fills the cell from one that meets it full.
+// rejectionReason distinguishes a tenant that is over its share from one that finds the cell full.
 func (m *Limits) rejectionReason(t *Ticket, limit int64, otherwise Reason) Reason {
 	if t.usage.used >= m.shares.cells[t.placement.Cell].fairShare(t.usage, limit) {
 		return ReasonTenantOverShare
@@ -143,7 +143,7 @@
 	return otherwise
 }
 
-// start notes that an RPC was let in.
+// start records an admitted RPC.
 func (m *Limits) start(t *Ticket, now int64) {
 	c := t.placement.Cell
 	m.bulkheads.Add(RPCs, c, 1)
@@ -154,11 +154,11 @@
 	m.unsent[c] = append(m.unsent[c], t)
 }
 
-// isUnsent tells whether an RPC is open and no member has got it.
+// isUnsent reports whether an RPC is open and no attempt has been made.
 func (t *Ticket) isUnsent() bool { return t.attempts == 0 && !t.finished }
 
-// newestBorrower is the RPC let in last that waits in what its cell has borrowed, nil for none: the cell that has borrowed most
-// gives first.
+// newestBorrower returns the newest unsent RPC of the cell that exceeds its share most, nil if
+// there is none.
 func (m *Limits) newestBorrower() *Ticket {
 	borrower, maxExcess := NoCell, int64(0)
 	for c := range m.unsent {
@@ -172,7 +172,7 @@
 	return m.newestUnsent(borrower)
 }
 
-// newestUnsent is the RPC of a cell let in last that waits, nil for none.
+// newestUnsent returns a cell's newest unsent RPC, nil if there is none.
 func (m *Limits) newestUnsent(c Cell) *Ticket {
 	for last := len(m.unsent[c]) - 1; last >= 0; last-- {
 		if t := m.unsent[c][last]; t.isUnsent() {
@@ -184,7 +184,8 @@
 	return nil
 }
 
-// attemptStarted notes a call-out. A further one counts as a further RPC of its tenant until the RPC is settled.
+// attemptStarted records an attempt. Each further attempt counts as another RPC of the tenant
+// until the RPC is settled.
 func (m *Limits) attemptStarted(t *Ticket, now int64) {
 	m.bulkheads.Add(Attempts, t.placement.Cell, 1)
 	if t.attempts > 1 {
@@ -192,26 +193,27 @@
 	}
 }
 
-// attemptEnded notes that a call-out has ended, with so many bytes.
+// attemptEnded records the end of an attempt and the size of its response.
 func (m *Limits) attemptEnded(t *Ticket, bytes int64) {
 	m.bulkheads.Add(Attempts, t.placement.Cell, -1)
 	m.bulkheads.Add(ResponseBytes, t.placement.Cell, bytes)
 	t.responseBytes += bytes
 }
 
-// finished notes that an RPC has its final answer.
+// finished records the final response to an RPC.
 func (m *Limits) finished(t *Ticket, served bool, now int64) {
 	m.bulkheads.Add(RPCs, t.placement.Cell, -1)
 	m.updateConcurrency(t, served, now)
 }
 
-// settle notes that nothing is left of an RPC.
+// settle releases what an RPC still uses.
 func (m *Limits) settle(t *Ticket, now int64) {
 	m.bulkheads.Add(ResponseBytes, t.placement.Cell, -t.responseBytes)
 	m.shares.cells[t.placement.Cell].add(t.usage, t.Tenant, -int64(max(1, t.attempts)), now)
 }
 
-// updateConcurrency learns from how long an RPC took that was served, and from one that ended without.
+// updateConcurrency adapts a cell's concurrency limit: an additive increase after a response in
+// time, a multiplicative decrease otherwise, at most once per latency.
 func (m *Limits) updateConcurrency(t *Ticket, served bool, now int64) {
 	c, latency := t.placement.Cell, now-t.arrivedAt
 	if m.concurrency[c] == 0 {
@@ -229,12 +231,12 @@
 	}
 }
 
-// retryAfter is when to try again: after the time in which the cell's room will have gone round among those that want it.
+// retryAfter returns the retry delay for a cell: its latency times its excess demand.
 func (m *Limits) retryAfter(c Cell) int64 {
 	return max(minRetryAfter, int64(m.latency[c]*m.demandRatio[c]))
 }
 
-// decayLoads halves the loads now and then.
+// decayLoads halves the loads once per loadHalfLife.
 func (m *Limits) decayLoads(now int64) {
 	if m.decayedAt == 0 {
 		m.decayedAt = now
@@ -245,12 +247,12 @@
 	}
 }
 
-// loadDuration is the time that the loads stand for.
+// loadDuration returns the seconds that the loads cover, at least 1.
 func (m *Limits) loadDuration(now int64) float64 {
 	return max(1, m.loadSeconds+float64(now-m.decayedAt)/float64(second))
 }
 
-// rate is a tenant's RPCs a second, 0 for one that is not kept.
+// rate returns a tenant's RPCs per second, 0 if it is not tracked.
 func (m *Limits) rate(t Tenant, now int64) float64 {
 	if _, kept := m.heavyHitters.index[t]; !kept {
 		return 0
@@ -259,7 +261,7 @@
 	return load / m.loadDuration(now)
 }
 
-// rates are the heaviest tenants in RPCs a second.
+// rates returns the busiest tenants in RPCs per second.
 func (m *Limits) rates(now int64, limit int) []TenantLoad {
 	top, seconds := m.heavyHitters.Top(limit), m.loadDuration(now)
 	for i := range top {
--- a/internal/cells/place_test.go
+++ b/internal/cells/place_test.go
@@ -165,7 +165,7 @@
 		}, `it still has moved`},
 		{"a pin changes", func() (*Layout, map[Tenant]string) {
 			return newTestLayout(1, 1, 1, 1, 0), map[Tenant]string{pinned: "c0"}
-		}, "and a file can't bring it"},
+		}, "which reloading the configuration cannot change"},
 	} {
 		l := newTestLayout(1, 1, 1, 1, 0)
 		directory := NewDirectory(l, map[Tenant]Cell{pinned: 1})
--- a/internal/cells/prefixes.go
+++ b/internal/cells/prefixes.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// PrefixTrie finds the longest of many prefixes that a key begins with. It is a radix trie laid out in one array, the
-// children of a node side by side and ordered by their first byte.
+// PrefixTrie finds the longest prefix of a key. It is a radix trie in one slice, with the children
+// of a node adjacent and ordered by their first byte.
 type PrefixTrie struct {
 	nodes   []prefixNode
 	tenants []Tenant
 }
 
 type prefixNode struct {
-	label      string // what it adds to its parent's path
-	firstChild int32  // of its children
+	label      string // appended to the parent's path
+	firstChild int32  // index
 	childCount int32
-	tenant     int32 // place of its tenant, -1 for none
+	tenant     int32 // index, -1 for none
 }
 
-// NewPrefixTrie lays out a trie. A prefix that stands twice has the tenant of either.
+// NewPrefixTrie builds a trie from prefixes.
 func NewPrefixTrie(tenants map[string]Tenant) *PrefixTrie {
 	sorted := make([]string, 0, len(tenants))
 	for prefix := range tenants {
@@ -41,7 +41,8 @@
 	return trie
 }
 
-// build makes the children of a node from the prefixes below it, whose first depth bytes are the node's path.
+// build adds the children of a node for the sorted prefixes below it, which share the node's path
+// of depth bytes.
 func (p *PrefixTrie) build(node int, sorted []string, depth int, tenantIndex func(string) int32) {
 	if len(sorted) > 0 && len(sorted[0]) == depth {
 		p.nodes[node].tenant = tenantIndex(sorted[0])
@@ -61,7 +62,7 @@
 	}
 }
 
-// commonPrefix is what two texts begin with alike.
+// commonPrefix returns the longest common prefix of two strings.
 func commonPrefix(a, b string) string {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
@@ -70,7 +71,7 @@
 	return a[:n]
 }
 
-// Longest gives the tenant of the longest prefix that a key begins with.
+// Longest returns the tenant of the longest prefix of a key.
 func (p *PrefixTrie) Longest(key string) (t Tenant, found bool) {
 	for node := &p.nodes[0]; ; {
 		if node.tenant >= 0 {
@@ -87,7 +88,7 @@
 	}
 }
 
-// child is the child of a node whose label begins with a byte, nil where none does.
+// child returns the child of a node whose label begins with a byte, nil if there is none.
 func (p *PrefixTrie) child(node *prefixNode, b byte) *prefixNode {
 	children := p.nodes[node.firstChild : node.firstChild+node.childCount]
 	low, high := 0, len(children)
--- a/internal/cells/shares.go
+++ b/internal/cells/shares.go
@@ -1,26 +1,26 @@
 package cells
 
-// shares divide a cell's room between the tenants that use it, by their weights: a tenant may have what is idle, and no
-// more than its fair share once the cell is contended. Tenants that were there a moment ago count as there. Of a flood
-// of names no more than mostNamed have a share of their own; all others share one between them.
+// shares divides the concurrency limit of a cell between its tenants by weight. A tenant may use
+// idle capacity, but no more than its fair share once the cell is contended. At most maxOwnShares
+// tenants have a share of their own; the others have one in common, which bounds memory.
 type shares struct {
-	weights map[Tenant]float64 // of those that have another than 1
-	cells   []cellShares       // by cell
+	weights map[Tenant]float64 // default 1
+	cells   []cellShares       // indexed by cell
 }
 
-// cellShares is the tenants of one cell.
+// cellShares tracks the tenants of one cell.
 type cellShares struct {
 	active      map[Tenant]*tenantUsage
-	shared      tenantUsage  // of all that have no share of their own
-	totalWeight float64      // of the weights of all present
-	idle        []idleTenant // that use nothing any more, the first gone first
+	shared      tenantUsage  // tenants without a share of their own
+	totalWeight float64      // of the active tenants
+	idle        []idleTenant // candidates for removal, oldest first
 }
 
-// tenantUsage is what a tenant uses.
+// tenantUsage is what a tenant uses of a cell.
 type tenantUsage struct {
 	weight      float64
 	used        int64
-	idleSince   int64 // when it last used something, if it uses nothing
+	idleSince   int64 // only valid while used is 0
 	hasOwnShare bool
 }
 
@@ -30,9 +30,9 @@
 }
 
 const (
-	maxOwnShares        = 1024       // tenants of a cell with a share of their own
-	idleRetention       = second / 4 // a tenant that uses nothing still has its share so long
-	contentionThreshold = 0.5        // of a cell's room in use, from which on shares bind
+	maxOwnShares        = 1024       // per cell
+	idleRetention       = second / 4 // how long an idle tenant keeps its share
+	contentionThreshold = 0.5        // part of a cell's limit in use above which shares are enforced
 )
 
 func newShares(weights map[Tenant]float64, cells int) *shares {
@@ -41,7 +41,6 @@
 	return s
 }
 
-// grow makes room for more cells.
 func (s *shares) grow(cells int) {
 	for len(s.cells) < cells {
 		s.cells = append(s.cells, cellShares{active: map[Tenant]*tenantUsage{}})
@@ -55,7 +54,7 @@
 	return 1
 }
 
-// usage gives a tenant's presence in a cell.
+// usage returns a tenant's usage of a cell and creates it if needed.
 func (s *shares) usage(c Cell, t Tenant, now int64) *tenantUsage {
 	cell := &s.cells[c]
 	cell.removeIdle(now)
@@ -76,7 +75,7 @@
 	return p
 }
 
-// removeIdle forgets the tenants that have used nothing for a while.
+// removeIdle removes tenants that have been idle for idleRetention.
 func (w *cellShares) removeIdle(now int64) {
 	n := 0
 	for ; n < len(w.idle) && now-w.idle[n].since >= idleRetention; n++ {
@@ -91,12 +90,12 @@
 	}
 }
 
-// fairShare is what a tenant may use of a cell's room where all want some: at least one.
+// fairShare returns a tenant's part of a limit, at least 1.
 func (w *cellShares) fairShare(p *tenantUsage, limit int64) int64 {
 	return max(1, int64(float64(limit)*p.weight/max(p.weight, w.totalWeight)))
 }
 
-// add notes that a tenant uses so much more, or less.
+// add changes a tenant's usage by an amount, which may be negative.
 func (w *cellShares) add(p *tenantUsage, t Tenant, amount, now int64) {
 	p.used += amount
 	if p.used == 0 {
--- a/internal/cells/tenancy.go
+++ b/internal/cells/tenancy.go
@@ -1,6 +1,6 @@
 package cells
 
-// DefaultTenant says whose name is the tenant's where no rule decides.
+// DefaultTenant selects the name that becomes the tenant if no rule matches.
 type DefaultTenant int
 
 const (
@@ -9,8 +9,8 @@
 	DefaultDatabase
 )
 
-// TenantResolver tells which tenant an RPC belongs to: that of the longest prefix of its key, else of the user or the database
-// that its client named at its start, else what Own says, else Others.
+// TenantResolver maps an RPC to its tenant: by the longest matching key prefix, else by the user,
+// else by the database of the client's connection, else by the default.
 type TenantResolver struct {
 	prefixes      *PrefixTrie
 	users         map[string]Tenant
@@ -19,12 +19,12 @@
 	fallback      Tenant
 }
 
-// NewTenantResolver makes a tenancy of its rules.
+// NewTenantResolver returns a resolver with the given rules.
 func NewTenantResolver(prefixes, users, databases map[string]Tenant, defaultTenant DefaultTenant, fallback Tenant) *TenantResolver {
 	return &TenantResolver{prefixes: NewPrefixTrie(prefixes), users: users, databases: databases, defaultTenant: defaultTenant, fallback: fallback}
 }
 
-// Resolve is the tenant of an RPC.
+// Resolve returns the tenant of an RPC.
 func (y *TenantResolver) Resolve(key, user, database string) Tenant {
 	if t, found := y.prefixes.Longest(key); found {
 		return t
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,45 +1,44 @@
-// Package ledger keeps account of RPCs that others send: who was granted what, what came of it, and the one final answer.
-// It decides whether a repeat of a known id gets another grant, the former answer or an abort. It does no I/O, reads no
-// clock and starts no goroutine. What must outlast a crash is a Record, which whoever drives it writes down before a
-// grant is given.
+// Package ledger tracks RPCs sent by other processes: who was granted permission to send one, the
+// reported outcome and the final response. It decides whether a retry of a known id gets another
+// grant, the earlier response or an abort.
 //
-// Times are Unix time in nanoseconds.
+// The package does no I/O, reads no clock and starts no goroutine. A caller must persist a Record
+// before it gives out a grant. Times are Unix time in nanoseconds.
 package ledger
 
 import "sedgespread/rules"
 
 type (
-	// ID names an RPC; its repeats have the same.
+	// ID identifies an RPC and its retries.
 	ID string
-	// Grant numbers a leave to send an RPC once.
+	// Grant numbers a permission to send an RPC once.
 	Grant uint64
-	// Caller is a caller's place, from Join.
+	// Caller is the index of a caller, returned by Join.
 	Caller int32
 )
 
-// Outcome is what is known of an RPC's effect.
+// Outcome is what is known about the execution of an RPC.
 type Outcome int
 
 const (
-	NeverRan   Outcome = iota // every grant of it was reported as never sent, or there was none
-	MayHaveRun                // a grant of it ended in the open, or was never reported
+	NeverRan   Outcome = iota // every grant was reported as never sent, or there was none
+	MayHaveRun                // a grant was reported as uncertain, or never reported
 	Ran
 )
 
-// state of an RPC:
+// state is the state of an RPC.
 //
-//	from      what has come                             to
-//	-         asked for, and there is room              granted
-//	granted   reported: never ran                       idle
-//	granted   reported: ran                             answered
-//	granted   reported: may have run; its life is over;
-//	          its caller has started anew               doubtful
-//	idle      asked for again                           granted
-//	doubtful  asked for again, and a repeat is harmless granted
-//	any       answered otherwise: aborted, pushed back  answered
-//	answered  its time is past                          -
+//	from       event                                          to
+//	-          requested, and there is capacity               granted
+//	granted    reported: never ran                            idle
+//	granted    reported: ran                                  answered
+//	granted    reported: may have run; or the RPC expired;
+//	           or the caller restarted                        uncertain
+//	idle       requested again                                granted
+//	uncertain  requested again, and a retry is safe           granted
+//	any        answered otherwise: aborted or rejected        answered
 //
-// An RPC whose time is past is forgotten in every state: nobody may ask for it any more.
+// An RPC is removed in any state once it has expired.
 type state uint8
 
 const (
@@ -55,47 +54,47 @@
 	Caller   Caller
 	Effect   rules.Effect
 	Group    rules.GroupID
-	Window   int64 // of a tokened one: repeats within it, in its group, are dropped
-	Deadline int64 // its client's; nothing is granted past it
-	IsRetry  bool  // its caller knows it to be a repeat
+	Window   int64 // of a tokened RPC: its group drops duplicates within this time
+	Deadline int64 // of the client; no grant after it
+	IsRetry  bool  // the caller knows that this is a retry
 }
 
-// Action is what a ledger decides on an Ask.
+// Action is how the ledger responds to a Request.
 type Action int
 
 const (
-	ActionGrant  Action = iota // a grant
-	ActionReplay               // the answer that it had already
-	ActionReject               // there is no room, and it never ran
-	ActionAbort                // it may have run, and a repeat is not harmless
+	ActionGrant  Action = iota // send the RPC
+	ActionReplay               // return the earlier response
+	ActionReject               // no capacity; the RPC never ran
+	ActionAbort                // the RPC may have run, and a retry is not safe
 )
 
-// Decision is what becomes of an Ask.
+// Decision is the response to a Request.
 type Decision struct {
 	Action  Action
 	Grant   Grant
-	Outcome Outcome // of a former answer
+	Outcome Outcome // for ActionReplay
 	Reason  Reason
 }
 
-// Reason is the reason for a decision that is no grant.
+// Reason is why a request got no grant.
 type Reason int
 
 const (
 	ReasonNone             Reason = iota
-	ReasonFull                    // the ledger has no room
-	ReasonQuota                   // the caller has used up its part
+	ReasonFull                    // the ledger is at capacity
+	ReasonQuota                   // the caller is at its quota
 	ReasonMayHaveRun              // an earlier grant of a non-idempotent RPC may have run
-	ReasonOutsideWindow           // a tokened one's window is over, or its group is another
-	ReasonGrantOutstanding        // an earlier grant is still out
-	ReasonRecordsLost             // this ledger has lost its records, and can't tell
-	ReasonDeadlineExceeded        // its deadline is past
-	ReasonUnknownCaller           // the caller is not known
-	ReasonJournalFailed           // its record could not be written
+	ReasonOutsideWindow           // a tokened RPC is past its window or has another group
+	ReasonGrantOutstanding        // an earlier grant has not been reported
+	ReasonRecordsLost             // records were lost, so that a retry cannot be recognized
+	ReasonDeadlineExceeded
+	ReasonUnknownCaller
+	ReasonJournalFailed // the record could not be persisted
 	reasonCount
 )
 
-// entry is one RPC, in a place that is used again once it is forgotten.
+// entry is one RPC. Its slot is reused after the RPC has expired.
 type entry struct {
 	id             ID
 	caller         Caller
@@ -103,14 +102,14 @@
 	group          rules.GroupID
 	window         int64
 	deadline       int64
-	firstRiskAt    int64 // when the first grant was given that may have run, 0 for none
-	grant          Grant // the last one
+	firstRiskAt    int64 // when the first grant that may have run was given, 0 for none
+	grant          Grant // latest grant
 	state          state
 	outcome        Outcome
-	multipleGroups bool // grants of it that may have run were for several groups: a report that allowed that was lost in a crash
+	multipleGroups bool // grants that may have run were for several groups, after a report was lost in a crash
 }
 
-// Ledger is the account. Its methods are to be called one after another.
+// Ledger tracks RPCs. It is not safe for concurrent use.
 type Ledger struct {
 	entries          []entry
 	free             []int32
@@ -119,8 +118,8 @@
 	expiry           *TimingWheel
 	lastGrant        Grant
 	capacity         int
-	recordsLostUntil int64 // it can't tell repeats until then
-	// callers, by place
+	recordsLostUntil int64 // retries cannot be recognized until then
+	// indexed by Caller
 	callerNames  []string
 	callerEpochs []uint64
 	openByCaller []int
@@ -129,29 +128,30 @@
 	counts       Counts
 }
 
-// Counts are of what came and what became of it.
+// Counts are the counters of a Ledger.
 type Counts struct {
 	Grants         int64
 	Rejected       [reasonCount]int64
 	Replayed       int64
-	UnknownReports int64 // reports of a grant that was reported already, or is not known any more
-	ForeignReports int64 // reports by another than the grant's caller, or by an earlier start of it
-	ExpiredGrants  int64 // grants whose life ended without a report
+	UnknownReports int64 // reports of a grant that is already reported or unknown
+	ForeignReports int64 // reports by another caller or an earlier start of it
+	ExpiredGrants  int64 // grants that expired without a report
 }
 
 const (
 	expiryTick  = int64(5_000_000)
-	reportGrace = int64(50_000_000) // after its deadline an RPC may still be reported
+	reportGrace = int64(50_000_000) // an RPC may still be reported this long after its deadline
 )
 
-// New makes a ledger at a time for so many RPCs, of which one caller may have so many. Its grants are numbered from the
-// time on, so that no report of a grant from before a crash is taken for one of another since.
+// New returns a ledger for up to capacity RPCs, and up to quota per caller. Grants are numbered
+// from now on, so that reports for grants from before a crash match no new grant.
 func New(now int64, capacity, quota int) *Ledger {
 	return &Ledger{byID: map[ID]int32{}, byGrant: map[Grant]int32{}, expiry: NewTimingWheel(now, expiryTick), capacity: capacity, quota: quota,
 		callerIndex: map[string]Caller{}, lastGrant: Grant(now)}
 }
 
-// Join makes a caller known, or tells that it has started anew: what it had out then may have run.
+// Join registers a caller. If the caller has restarted, its outstanding RPCs may have run. It
+// returns false for an earlier start.
 func (l *Ledger) Join(name string, epoch uint64) (c Caller, joined bool) {
 	c, known := l.callerIndex[name]
 	switch {
@@ -173,10 +173,12 @@
 	return c, true
 }
 
-// MarkRecordsLost says that records were lost: until a time this ledger can't tell whether an RPC was granted before.
+// MarkRecordsLost records that retries cannot be recognized before a time, since records were
+// lost.
 func (l *Ledger) MarkRecordsLost(until int64) { l.recordsLostUntil = max(l.recordsLostUntil, until) }
 
-// Decide decides on an Ask. A grant is only proposed: Give it with Granted, once its record is written down.
+// Decide decides on a request. A proposed grant takes effect with Granted, once its record is
+// persisted.
 func (l *Ledger) Decide(now int64, a Request) Decision {
 	d := l.decide(now, a)
 	if d.Action == ActionGrant {
@@ -203,7 +205,7 @@
 		return Decision{Action: ActionReplay, Outcome: e.outcome}
 	case now >= e.deadline:
 		return l.abortOrReject(e, ReasonDeadlineExceeded)
-	case e.effect != a.Effect || e.window != a.Window: // not what it was: the stricter account counts
+	case e.effect != a.Effect || e.window != a.Window: // changed by the caller; the stricter effect applies
 		return l.abortOrReject(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
 	case e.effect == rules.Tokened && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != a.Group || e.multipleGroups):
@@ -216,10 +218,10 @@
 	return Decision{Action: ActionGrant, Grant: l.lastGrant + 1}
 }
 
-// mayHaveRun tells whether some grant of an RPC may have run, one that is out included.
+// mayHaveRun reports whether any grant of an RPC may have run, including an outstanding one.
 func (e *entry) mayHaveRun() bool { return e.state == granted || e.outcome != NeverRan }
 
-// abortOrReject aborts what may have run, and pushes back what never did.
+// abortOrReject aborts an RPC that may have run, and rejects one that has not.
 func (l *Ledger) abortOrReject(e *entry, why Reason) Decision {
 	if e.mayHaveRun() {
 		return Decision{Action: ActionAbort, Reason: why}
@@ -227,7 +229,7 @@
 	return Decision{Action: ActionReject, Reason: why}
 }
 
-// decideNew decides on an RPC that is not known here.
+// decideNew decides on an unknown RPC.
 func (l *Ledger) decideNew(now int64, a Request) Decision {
 	switch {
 	case now >= a.Deadline:
@@ -242,10 +244,10 @@
 	return Decision{Action: ActionGrant, Grant: l.lastGrant + 1}
 }
 
-// Record is what has to outlast a crash: a grant of an RPC that is not idempotent, or what came of one.
+// Record persists the grant of a non-idempotent RPC, or the outcome of a grant.
 type Record struct {
 	Grant    Grant         `json:"grant"`
-	ID       ID            `json:"id,omitempty"` // empty where it says what came of a grant
+	ID       ID            `json:"id,omitempty"` // empty in the record of an outcome
 	Caller   string        `json:"caller,omitempty"`
 	Epoch    uint64        `json:"epoch,omitempty"`
 	Effect   rules.Effect  `json:"effect,omitempty"`
@@ -256,13 +258,14 @@
 	Outcome  Outcome       `json:"fate,omitempty"`
 }
 
-// Record is what must be written down before a grant may be given; needed is false for an idempotent RPC.
+// Record returns the record to persist before a grant is given. needed is false for an idempotent
+// RPC.
 func (l *Ledger) Record(now int64, a Request, g Grant) (r Record, needed bool) {
 	return Record{Grant: g, ID: a.ID, Caller: l.callerNames[a.Caller], Epoch: l.callerEpochs[a.Caller], Effect: a.Effect, Group: a.Group,
 		Window: a.Window, Deadline: a.Deadline, At: now}, a.Effect != rules.Idempotent
 }
 
-// Granted gives a grant that Decide has proposed just now.
+// Granted applies a grant that Decide has just proposed.
 func (l *Ledger) Granted(now int64, a Request, g Grant) {
 	slot, known := l.byID[a.ID]
 	if !known {
@@ -273,7 +276,7 @@
 		l.expiry.Set(slot, a.Deadline+reportGrace+max(0, a.Window))
 	}
 	e := &l.entries[slot]
-	if e.state == granted && known { // one that is out, of an RPC that may be repeated
+	if e.state == granted && known { // an outstanding grant of an RPC that may be retried
 		l.markUncertain(e)
 	}
 	if e.firstRiskAt == 0 {
@@ -291,7 +294,7 @@
 	l.counts.Grants++
 }
 
-// allocate gives a place for an RPC.
+// allocate returns a free slot.
 func (l *Ledger) allocate() int32 {
 	if n := len(l.free); n > 0 {
 		p := l.free[n-1]
@@ -302,14 +305,15 @@
 	return int32(len(l.entries) - 1)
 }
 
-// markUncertain notes that the grant that is out may have run, and will not be heard of.
+// markUncertain records that the outstanding grant may have run and that reports of it are
+// ignored.
 func (l *Ledger) markUncertain(e *entry) {
 	delete(l.byGrant, e.grant)
 	e.state, e.outcome = uncertain, MayHaveRun
 }
 
-// Report takes what came of a grant, and tells whether it counts: reports of grants that are not out, or are another
-// caller's, don't.
+// Report applies the outcome of a grant. It returns false if the grant is not outstanding or
+// belongs to another caller.
 func (l *Ledger) Report(c Caller, epoch uint64, g Grant, f Outcome) bool {
 	slot, outstanding := l.byGrant[g]
 	if !outstanding {
@@ -336,7 +340,7 @@
 	return true
 }
 
-// Answer notes the final answer of an RPC whose caller was told to push it back or to abort it.
+// Answer records the final response to an RPC that was rejected or aborted.
 func (l *Ledger) Answer(id ID) {
 	if slot, known := l.byID[id]; known {
 		if e := &l.entries[slot]; e.state != answered {
@@ -348,7 +352,8 @@
 	}
 }
 
-// Advance goes on to a time: what is past is forgotten. A grant that was never reported has ended in doubt by then.
+// Advance removes the RPCs that have expired. Grants that were not reported by then count as
+// uncertain.
 func (l *Ledger) Advance(now int64) {
 	for _, slot := range l.expiry.Advance(now) {
 		e := &l.entries[slot]
@@ -363,7 +368,7 @@
 	}
 }
 
-// Recover takes in the records of the time before, in their order. What has no outcome may have run.
+// Recover applies the persisted records in order. RPCs without an outcome may have run.
 func (l *Ledger) Recover(now int64, records []Record) {
 	for _, r := range records {
 		l.lastGrant = max(l.lastGrant, r.Grant)
@@ -388,8 +393,8 @@
 	l.counts = Counts{}
 }
 
-// Open is how many RPCs are known, and how many of them have a grant out.
+// Open returns the number of known RPCs and of outstanding grants.
 func (l *Ledger) Open() (known, outstanding int) { return len(l.byID), len(l.byGrant) }
 
-// Counts are of what came and what became of it.
+// Counts returns the counters.
 func (l *Ledger) Counts() Counts { return l.counts }
--- a/internal/ledger/wheel.go
+++ b/internal/ledger/wheel.go
@@ -2,19 +2,20 @@
 
 import "math/bits"
 
-// TimingWheel keeps what falls due at times, by places that its user gives out from 0. It is a hierarchical timing wheel
-// (Varghese and Lauck 1987): six levels of 64 slots, each slot a list that runs through arrays by place, so that setting,
-// moving and calling off cost the same however many wait. What is due in one tick comes in the order in which it was set.
+// TimingWheel schedules expiries of small integer ids chosen by the caller. It is a hierarchical
+// timing wheel (Varghese and Lauck 1987) of six levels with 64 slots each, where each slot is a
+// linked list, so that operations take constant time. Ids due in the same tick are returned in the
+// order in which they were set.
 type TimingWheel struct {
 	tick     int64
 	now      int64 // in ticks
 	heads    [levels][slots]int32
 	tails    [levels][slots]int32
-	occupied [levels]uint64 // which slots have anything
-	dueTick  []int64        // by place, in ticks
+	occupied [levels]uint64 // bit set of non-empty slots
+	dueTick  []int64        // by id
 	next     []int32
 	prev     []int32
-	slotOf   []int16 // where a place hangs, off for nowhere
+	slotOf   []int16 // by id, notScheduled if none
 	due      []int32
 	count    int
 }
@@ -29,7 +30,7 @@
 	slotsMask    = slots - 1
 )
 
-// NewTimingWheel makes a wheel that starts at a time and tells times apart by a tick.
+// NewTimingWheel returns a wheel that starts at a time and has the resolution of a tick.
 func NewTimingWheel(now, tick int64) *TimingWheel {
 	w := &TimingWheel{tick: tick, now: now / tick}
 	for l := range levels {
@@ -40,10 +41,10 @@
 	return w
 }
 
-// Count is how many places wait.
+// Count returns the number of scheduled ids.
 func (w *TimingWheel) Count() int { return w.count }
 
-// Set lets a place fall due at a time, in place of when it was to before. It comes no sooner, and up to a tick later.
+// Set schedules an id, replacing an earlier schedule. It expires up to one tick late, never early.
 func (w *TimingWheel) Set(id int32, at int64) {
 	for int(id) >= len(w.dueTick) {
 		w.dueTick, w.next, w.prev = append(w.dueTick, 0), append(w.next, none), append(w.prev, none)
@@ -56,7 +57,7 @@
 	w.insert(id)
 }
 
-// Clear calls off what a place waits for, if it waits.
+// Clear cancels an id if it is scheduled.
 func (w *TimingWheel) Clear(id int32) {
 	if int(id) >= len(w.slotOf) || w.slotOf[id] == notScheduled {
 		return
@@ -65,7 +66,8 @@
 	w.count--
 }
 
-// insert puts a place into the slot of its time: the level is that of the highest bits in which it differs from now.
+// insert adds an id to the slot of its due tick. The level is that of the highest bits in which it
+// differs from now.
 func (w *TimingWheel) insert(id int32) {
 	level := 0
 	if differ := uint64(w.dueTick[id] ^ w.now); differ > 0 {
@@ -102,12 +104,13 @@
 	w.slotOf[id] = notScheduled
 }
 
-// Advance goes on to a time and gives the places that have fallen due, until the next call.
+// Advance moves the time forward and returns the ids that are due. The result is valid until the
+// next call.
 func (w *TimingWheel) Advance(now int64) []int32 {
 	w.due = w.due[:0]
 	for to := now / w.tick; w.now < to; {
 		w.now = w.nextTick(to)
-		for level := levels - 1; level > 0; level-- { // what has come near moves down
+		for level := levels - 1; level > 0; level-- { // move ids that are now near to a lower level
 			if w.now&(1<<(level*slotBits)-1) == 0 {
 				w.cascade(level, int(w.now>>(level*slotBits))&slotsMask)
 			}
@@ -122,7 +125,7 @@
 	return w.due
 }
 
-// nextTick is the next tick at which anything may have to be done, or the last one asked for.
+// nextTick returns the next tick that may need work, at most to.
 func (w *TimingWheel) nextTick(to int64) int64 {
 	if w.count == 0 {
 		return to
@@ -133,7 +136,7 @@
 	return min(to, (w.now|slotsMask)+1)
 }
 
-// cascade hangs what a slot has anew, lower down.
+// cascade moves the ids of a slot to lower levels.
 func (w *TimingWheel) cascade(level, s int) {
 	id := w.heads[level][s]
 	w.heads[level][s], w.tails[level][s] = none, none
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,5 +1,6 @@
-// Package planner decides which tenants should be in which cells: the least worst load that it finds, and of plans that
-// come close to it one with few moves. It does no I/O and reads no clock; the same input gives the same plan.
+// Package planner computes an assignment of tenants to cells that minimizes the highest relative
+// load. Of plans within a tolerance of the lowest load found it prefers those with few moves. It
+// does no I/O and reads no clock; the same input gives the same plan.
 package planner
 
 import (
@@ -11,49 +12,49 @@
 // Tenant is a tenant to be placed.
 type Tenant struct {
 	Name        string
-	Load        float64 // RPCs a second
-	CurrentCell int     // place of its cell now, Nowhere for none
-	Pinned      bool    // it may not be moved
-	Hall        string  // its cell must stand there, empty for anywhere
+	Load        float64 // RPCs per second
+	CurrentCell int     // index of its cell, NoCell for none
+	Pinned      bool    // must stay in its current cell
+	Hall        string  // required hall of its cell, empty for any
 }
 
-// Cell is a cell to place tenants in.
+// Cell is a cell that tenants can be assigned to.
 type Cell struct {
 	Name     string
-	Capacity float64 // RPCs a second that it can bear, above 0
+	Capacity float64 // RPCs per second, above 0
 	Hall     string
 }
 
-// NoCell is where a tenant is that has no cell yet.
+// NoCell means that a tenant has no cell yet.
 const NoCell = -1
 
-// Plan is where tenants should be.
+// Plan is an assignment of tenants to cells.
 type Plan struct {
-	Placement  []int     // by tenant
-	Moves      []int     // tenants that are elsewhere now, the heaviest first
-	Loads      []float64 // by cell, over what it can bear
-	MaxLoad    float64   // of Loads
-	MeanLoad   float64   // of all load over all that cells can bear
-	LowerBound float64   // no plan has a lower worst
-	IsOptimal  bool      // some plan reaches the bound; this one comes within a hundredth of it, for fewer moves
+	Placement  []int     // cell of each tenant
+	Moves      []int     // tenants that change their cell, heaviest first
+	Loads      []float64 // of each cell, relative to its capacity
+	MaxLoad    float64   // highest of Loads
+	MeanLoad   float64   // total load relative to the total capacity
+	LowerBound float64   // no plan has a lower MaxLoad
+	IsOptimal  bool      // LowerBound is attainable, and MaxLoad is within loadTolerance of it
 }
 
 const (
-	loadTolerance    = 0.01  // a worst load within this of the best found is as good, if it needs fewer moves
-	minImprovement   = 0.001 // a step of polishing lowers the worst load by this part at least
-	targetCount      = 48    // worst loads tried between the bound and what there is
-	maxBranchTenants = 18    // so many can be placed by branch and bound
+	loadTolerance    = 0.01  // loads that differ by less than this part count as equal
+	minImprovement   = 0.001 // by which a step of polish must lower the highest load
+	targetCount      = 48    // loads tried between the lower bound and the current load
+	maxBranchTenants = 18    // above this, branch and bound is not tried
 	maxBranchNodes   = 1 << 20
 )
 
-// NewPlan makes a plan with at most so many moves, below 0 for any number.
+// NewPlan computes a plan with up to maxMoves moves, any number if negative.
 func NewPlan(tenants []Tenant, cells []Cell, maxMoves int) Plan {
 	s := newSolver(tenants, cells)
 	if maxMoves < 0 {
 		maxMoves = len(tenants)
 	}
 	bound := s.lowerBound()
-	best, firstMet := s.currentPlacement(), 0.0 // the lowest target that could be met
+	best, firstMet := s.currentPlacement(), 0.0 // lowest target that could be met
 	for i := 0; i < targetCount; i++ {
 		target := bound * math.Pow(max(1, s.maxLoad(best)/bound), float64(i)/targetCount)
 		if firstMet > 0 && target > firstMet*(1+loadTolerance) {
@@ -79,19 +80,19 @@
 	return s.plan(s.dropNeedlessMoves(best), bound, exact)
 }
 
-// Evaluate tells what a placement is worth, such as one that there is.
+// Evaluate computes the loads and moves of a given placement.
 func Evaluate(tenants []Tenant, cells []Cell, placement []int) Plan {
 	s := newSolver(tenants, cells)
 	return s.plan(placement, s.lowerBound(), false)
 }
 
-// solver is a task with what is looked up often.
+// solver holds the input and values derived from it.
 type solver struct {
 	tenants       []Tenant
 	cells         []Cell
-	order         []int // tenants, the heaviest first
+	order         []int // tenants, heaviest first
 	totalCapacity float64
-	hasPinned     bool // some tenant may not be moved: cells that look alike are not
+	hasPinned     bool // some tenants are pinned, so that cells with equal loads are not interchangeable
 }
 
 func newSolver(tenants []Tenant, cells []Cell) *solver {
@@ -107,7 +108,7 @@
 	return w
 }
 
-// isAllowed tells whether a tenant may be in a cell.
+// isAllowed reports whether a tenant may be placed in a cell.
 func (w *solver) isAllowed(t, c int) bool {
 	tenant := &w.tenants[t]
 	if tenant.Pinned && tenant.CurrentCell != NoCell {
@@ -142,9 +143,10 @@
 	return n
 }
 
-// lowerBound is a worst load that no plan can go below: all load over all cells, the load of a hall over its cells, a tenant
-// in the largest cell that it may have, what must stay over its cell, and, where there are more tenants than cells, two
-// of the heaviest in one.
+// lowerBound returns a load that no plan can be below. It is the highest of: total load over total
+// capacity, load over capacity of each hall, pinned load of each cell, each tenant in its largest
+// allowed cell, and, if there are more tenants than cells, two of the heaviest tenants sharing a
+// cell.
 func (w *solver) lowerBound() float64 {
 	var sum, largest float64
 	hallLoads, pinnedLoads := map[string]float64{}, make([]float64, len(w.cells))
@@ -186,7 +188,8 @@
 	return bound
 }
 
-// currentPlacement is the placement that there is, with those that have no cell, or may not be in theirs, put where most is free.
+// currentPlacement returns the current placement, with tenants that have no allowed cell placed in
+// the least loaded one.
 func (w *solver) currentPlacement() []int {
 	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
 	var unplaced []int
@@ -208,7 +211,8 @@
 	return place
 }
 
-// leastLoaded is the cell whose load would be least with a tenant, Nowhere where none may have it.
+// leastLoaded returns the cell with the lowest load after adding a tenant, NoCell if none is
+// allowed.
 func (w *solver) leastLoaded(t int, loads []float64) int {
 	best, least := NoCell, math.Inf(1)
 	for c := range w.cells {
@@ -219,14 +223,14 @@
 	return best
 }
 
-// placeWithin looks for a placement in which no load is above a target, with few moves: cells that are above it give up the
-// fewest tenants that bring them below, and those go where they fit best, if need be in place of lighter ones. It gives
-// nil where it finds none.
+// placeWithin searches for a placement with all loads within a target and few moves. Overloaded
+// cells give up the fewest tenants needed, which go to the cells where they fit best or displace
+// lighter ones. It returns nil if it finds none.
 func (w *solver) placeWithin(target float64, maxMoves int) []int {
 	place := w.currentPlacement()
 	loads := w.loads(place)
 	limit := func(c int) float64 { return target*w.cells[c].Capacity*(1+1e-12) + 1e-12 }
-	members := make([][]int, len(w.cells)) // the heaviest first
+	members := make([][]int, len(w.cells)) // heaviest first
 	for _, t := range w.order {
 		if place[t] == NoCell {
 			return nil
@@ -271,7 +275,8 @@
 	return place
 }
 
-// selectToRemove names the fewest tenants of a cell that bring it down by an excess; of the last one the lightest that will do.
+// selectToRemove returns the fewest tenants whose removal lowers a cell's load by excess. The last
+// one is the lightest that suffices.
 func (w *solver) selectToRemove(members []int, excess float64) (removed []int) {
 	for i, t := range members {
 		if excess <= 0 {
@@ -295,7 +300,8 @@
 	return removed
 }
 
-// bestFit is the cell that has least room left with a tenant, Nowhere where it fits in none.
+// bestFit returns the cell with the least remaining capacity after adding a tenant, NoCell if it
+// fits in none.
 func (w *solver) bestFit(t int, loads []float64, limit func(int) float64) int {
 	best, least := NoCell, math.Inf(1)
 	for c := range w.cells {
@@ -306,8 +312,8 @@
 	return best
 }
 
-// displace finds the cell where the fewest lighter tenants make room for one, and names them. Each that is placed so is
-// heavier than what it displaces, so that this comes to an end.
+// displace returns the cell where the fewest lighter tenants need to be removed to place a tenant,
+// and those tenants. Displaced tenants are always lighter, so that the search terminates.
 func (w *solver) displace(t int, place []int, loads []float64, limit func(int) float64, members [][]int) (displaced []int, target int) {
 	load := w.tenants[t].Load
 	target = NoCell
@@ -332,7 +338,8 @@
 	return displaced, target
 }
 
-// betterPlacement is of two placements the one with the lower worst load, or with fewer moves where both are as good.
+// betterPlacement returns the placement with the lower maximum load, or with fewer moves if the
+// loads are within loadTolerance.
 func (w *solver) betterPlacement(a, b []int) []int {
 	maxA, maxB := w.maxLoad(a), w.maxLoad(b)
 	switch {
@@ -346,11 +353,10 @@
 	return a
 }
 
-// maxPolishSteps is how many steps polish makes at the most.
 const maxPolishSteps = 400
 
-// polish lowers the worst load step by step: a tenant leaves the worst cell, or changes places with a lighter one of
-// another, whichever leaves the higher of the two lowest.
+// polish lowers the maximum load by local search: each step moves a tenant out of the most loaded
+// cell, or swaps it with a lighter one of another cell.
 func (w *solver) polish(place []int, maxMoves int) []int {
 	place = slices.Clone(place)
 	loads := w.loads(place)
@@ -379,10 +385,10 @@
 	return place
 }
 
-// swap takes a tenant out of a cell to another, in exchange for one or Nowhere.
+// swap moves a tenant to another cell, in exchange for one of its tenants or NoCell.
 type swap struct{ outgoing, to, incoming int }
 
-const maxSwapCandidates = 64 // tenants of a cell that are looked at for a step
+const maxSwapCandidates = 64 // per cell
 
 func (w *solver) bestSwap(from int, place []int, loads []float64) swap {
 	maxLoad := loads[from] / w.cells[from].Capacity
@@ -416,7 +422,7 @@
 	return best
 }
 
-// dropNeedlessMoves takes moves back that bring nothing: a tenant stays where it is if the worst load stays as low without.
+// dropNeedlessMoves undoes moves that are not needed to keep the maximum load.
 func (w *solver) dropNeedlessMoves(place []int) []int {
 	place = slices.Clone(place)
 	loads := w.loads(place)
@@ -434,8 +440,8 @@
 	return place
 }
 
-// branchAndBound looks for the least worst load by branch and bound, the heaviest tenants first. It gives nil where nothing
-// better than a placement was found, and tells whether all that could be better was looked at.
+// branchAndBound searches for a placement with a lower maximum load than best, placing the
+// heaviest tenants first. It returns nil if it finds none, and whether the search was complete.
 func (w *solver) branchAndBound(best []int) (found []int, complete bool) {
 	least := w.maxLoad(best)
 	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
