--- a/internal/cells/book.go
+++ b/internal/cells/book.go
@@ -8,7 +8,7 @@
 
 // Stage is the progress of a tenant's move.
 //
-//	from             condition                                to               routing of the tenant's RPCs in from
+//	from               condition                              to                 routing of the tenant's RPCs in from
 //	StageIdle          a move is requested and allowed        StagePrepared      all to the old cell
 //	StagePrepared      every driver knows of the move         StageHoldingWrites all to the old cell
 //	StageHoldingWrites no write is in flight on any driver    StageCatchingUp    writes held, reads to the old cell
--- a/internal/cells/bulkheads.go
+++ b/internal/cells/bulkheads.go
@@ -42,82 +42,84 @@
 	for _, w := range weights {
 		sum += w
 	}
-	for k := range b.budget {
-		for len(b.used[k]) < len(weights) {
-			b.used[k], b.lastDenied[k] = append(b.used[k], 0), append(b.lastDenied[k], 0)
+	for resource := range b.budget {
+		for len(b.used[resource]) < len(weights) {
+			b.used[resource], b.lastDenied[resource] = append(b.used[resource], 0), append(b.lastDenied[resource], 0)
 		}
-		b.shares[k] = b.shares[k][:0]
+		b.shares[resource] = b.shares[resource][:0]
 		for _, w := range weights {
-			b.shares[k] = append(b.shares[k], float64(b.budget[k])*w/sum)
+			b.shares[resource] = append(b.shares[resource], float64(b.budget[resource])*w/sum)
 		}
 	}
 }
 
 // Share returns a cell's own share, at least 1.
-func (b *Bulkheads) Share(k Resource, c Cell) int64 { return max(1, int64(b.shares[k][c])) }
+func (b *Bulkheads) Share(resource Resource, c Cell) int64 {
+	return max(1, int64(b.shares[resource][c]))
+}
 
 // Used returns what a cell currently uses.
-func (b *Bulkheads) Used(k Resource, c Cell) int64 { return b.used[k][c] }
+func (b *Bulkheads) Used(resource Resource, c Cell) int64 { return b.used[resource][c] }
 
 // Limit returns what a cell may use now: its own share and what it can borrow.
-func (b *Bulkheads) Limit(k Resource, c Cell, now int64) int64 {
-	if b.budget[k] == 0 {
+func (b *Bulkheads) Limit(resource Resource, c Cell, now int64) int64 {
+	if b.budget[resource] == 0 {
 		return 1 << 40
 	}
-	share := b.Share(k, c)
-	if share > b.used[k][c]+1 {
+	share := b.Share(resource, c)
+	if share > b.used[resource][c]+1 {
 		return share
 	}
-	return share + max(0, b.borrowable(k, c, now))
+	return share + max(0, b.borrowable(resource, c, now))
 }
 
 // borrowable returns how much a cell can borrow now: the idle lendable shares of the other cells,
 // less what is already lent.
-func (b *Bulkheads) borrowable(k Resource, c Cell, now int64) int64 {
+func (b *Bulkheads) borrowable(resource Resource, c Cell, now int64) int64 {
 	var idle, lent float64
-	for other := range b.shares[k] {
-		used, share := float64(b.used[k][other]), b.shares[k][other]
+	for other := range b.shares[resource] {
+		used, share := float64(b.used[resource][other]), b.shares[resource][other]
 		switch {
 		case Cell(other) == c:
 		case used > share:
 			lent += used - share
-		case now-b.lastDenied[k][other] >= lendPause:
+		case now-b.lastDenied[resource][other] >= lendPause:
 			idle += min(share*b.lendRatio, share-used)
 		}
 	}
-	return min(int64(idle-lent), b.budget[k]-b.totalUsed[k]+max(0, b.used[k][c]-b.Share(k, c)))
+	return min(int64(idle-lent), b.budget[resource]-b.totalUsed[resource]+max(0, b.used[resource][c]-b.Share(resource, c)))
 }
 
 // CanUse reports whether a cell may use an additional amount. If a cell is denied within its own
 // share because others have borrowed it, lending pauses.
-func (b *Bulkheads) CanUse(k Resource, c Cell, amount, now int64) bool {
-	if b.budget[k] == 0 {
+func (b *Bulkheads) CanUse(resource Resource, c Cell, amount, now int64) bool {
+	if b.budget[resource] == 0 {
 		return true
 	}
-	used := b.used[k][c] + amount
-	if b.totalUsed[k]+amount > b.budget[k] {
-		if used <= b.Share(k, c) {
-			b.lastDenied[k][c] = now
+	used := b.used[resource][c] + amount
+	if b.totalUsed[resource]+amount > b.budget[resource] {
+		if used <= b.Share(resource, c) {
+			b.lastDenied[resource][c] = now
 		}
 		return false
 	}
-	return used <= b.Limit(k, c, now)
+	return used <= b.Limit(resource, c, now)
 }
 
 // Add changes a cell's usage by an amount, which may be negative.
-func (b *Bulkheads) Add(k Resource, c Cell, amount int64) {
-	b.used[k][c] += amount
-	b.totalUsed[k] += amount
+func (b *Bulkheads) Add(resource Resource, c Cell, amount int64) {
+	b.used[resource][c] += amount
+	b.totalUsed[resource] += amount
 }
 
 // MostOverShare returns the cell that exceeds its share by the largest ratio, or NoCell.
-func (b *Bulkheads) MostOverShare(k Resource) Cell {
+func (b *Bulkheads) MostOverShare(resource Resource) Cell {
 	over, maxRatio := NoCell, 1.0
-	if b.budget[k] == 0 {
+	if b.budget[resource] == 0 {
 		return over
 	}
-	for c := range b.shares[k] {
-		if ratio := float64(b.used[k][c]) / float64(b.Share(k, Cell(c))); ratio > maxRatio {
+	for c := range b.shares[resource] {
+		if ratio := float64(b.used[resource][c]) / float64(b.Share(resource, Cell(c))); ratio > maxRatio {
 			over, maxRatio = Cell(c), ratio
 		}
 	}
--- a/internal/cells/coordinator.go
+++ b/internal/cells/coordinator.go
@@ -155,7 +155,7 @@
 func (c *Coordinator) MarkFilled(t Tenant, e Epoch) { c.filled[t] = e }
 
 // Move proposes a move of a tenant to another cell.
-func (c *Coordinator) Move(now int64, t Tenant, to string, why string) ([]Record, error) {
+func (c *Coordinator) Move(now int64, t Tenant, to string, reason string) ([]Record, error) {
 	placement, current := c.directory.Placement(t), c.directory.entries[t]
 	target := c.directory.layout.Find(to)
 	switch {
@@ -170,23 +170,23 @@
 	case len(c.directory.Moving()) >= maxConcurrentMoves:
 		return nil, fmt.Errorf("%d moves are in progress, which is the maximum", maxConcurrentMoves)
 	}
-	e := Entry{Tenant: t, Cell: c.directory.layout.Name(placement.Cell), Stage: StagePrepared, To: to, MinPosition: current.MinPosition, Reason: why}
-	return c.propose(now, e), nil
+	entry := Entry{Tenant: t, Cell: c.directory.layout.Name(placement.Cell), Stage: StagePrepared, To: to, MinPosition: current.MinPosition, Reason: reason}
+	return c.propose(now, entry), nil
 }
 
 // Abort proposes to abort a move.
-func (c *Coordinator) Abort(now int64, t Tenant, why string) ([]Record, error) {
-	e, known := c.directory.entries[t]
+func (c *Coordinator) Abort(now int64, t Tenant, reason string) ([]Record, error) {
+	entry, known := c.directory.entries[t]
 	switch {
-	case !known || e.Stage == StageIdle:
+	case !known || entry.Stage == StageIdle:
 		return nil, fmt.Errorf("tenant %q is not being moved", t)
-	case e.Stage == StageRollingBack:
+	case entry.Stage == StageRollingBack:
 		return nil, fmt.Errorf("tenant %q is already being moved back", t)
-	case e.Stage == StageSwitched:
-		return nil, fmt.Errorf("tenant %q has been switched to cell %q: only another move can return it", t, e.Cell)
+	case entry.Stage == StageSwitched:
+		return nil, fmt.Errorf("tenant %q has been switched to cell %q: only another move can return it", t, entry.Cell)
 	}
-	e.Stage, e.Reason = StageRollingBack, why
-	return c.propose(now, e), nil
+	entry.Stage, entry.Reason = StageRollingBack, reason
+	return c.propose(now, entry), nil
 }
 
 // propose sets the epoch and the time of an entry.
--- a/internal/cells/gate.go
+++ b/internal/cells/gate.go
@@ -94,8 +94,8 @@
 	case g.mustHold(ticket) && g.heldCount >= g.maxHeld:
 		return ticket, g.reject(ticket, ReasonMoving), true
 	case g.mustHold(ticket):
-		p := g.state(request.Tenant)
-		p.held = append(p.held, ticket)
+		state := g.state(request.Tenant)
+		state.held = append(state.held, ticket)
 		g.heldCount++
 		return ticket, Decision{}, false
 	}
@@ -119,12 +119,12 @@
 // admit admits an RPC if the limits allow it.
 func (g *AdmissionController) admit(t *Ticket, now int64) Decision {
 	if g.limits != nil {
-		why := g.limits.admit(t, now)
-		if why == ReasonDriverFull && g.reclaimBorrowed(now) {
-			why = g.limits.admit(t, now)
+		reason := g.limits.admit(t, now)
+		if reason == ReasonDriverFull && g.reclaimBorrowed(now) {
+			reason = g.limits.admit(t, now)
 		}
-		if why != ReasonNone {
-			return g.reject(t, why)
+		if reason != ReasonNone {
+			return g.reject(t, reason)
 		}
 		g.limits.start(t, now)
 	}
@@ -142,30 +142,30 @@
 	}
 	onDecision := t.onDecision
 	t.onDecision = nil
-	v := g.reject(t, ReasonDriverFull)
+	decision := g.reject(t, ReasonDriverFull)
 	g.Finished(t, false, now)
 	g.Settle(t, now)
-	onDecision(v)
+	onDecision(decision)
 	return true
 }
 
 // reject counts and returns the rejection of an RPC.
-func (g *AdmissionController) reject(t *Ticket, why Reason) Decision {
-	g.rejected[why]++
-	v := Decision{Reason: why, RetryAfter: minRetryAfter}
+func (g *AdmissionController) reject(t *Ticket, reason Reason) Decision {
+	g.rejected[reason]++
+	decision := Decision{Reason: reason, RetryAfter: minRetryAfter}
 	if g.limits != nil && t.placement.Cell != NoCell {
-		v.RetryAfter = g.limits.retryAfter(t.placement.Cell)
+		decision.RetryAfter = g.limits.retryAfter(t.placement.Cell)
 	}
-	return v
+	return decision
 }
 
 func (g *AdmissionController) state(t Tenant) *tenantState {
-	p := g.tenants[t]
-	if p == nil {
-		p = &tenantState{tickets: map[*Ticket]bool{}}
-		g.tenants[t] = p
+	state := g.tenants[t]
+	if state == nil {
+		state = &tenantState{tickets: map[*Ticket]bool{}}
+		g.tenants[t] = state
 	}
-	return p
+	return state
 }
 
 // Expire rejects an RPC that is still held.
@@ -180,17 +180,17 @@
 
 // removeHeld removes a held RPC and reports whether it was held.
 func (g *AdmissionController) removeHeld(t *Ticket) bool {
-	p := g.tenants[t.Tenant]
-	if p == nil {
+	state := g.tenants[t.Tenant]
+	if state == nil {
 		return false
 	}
-	index := slices.Index(p.held, t)
+	index := slices.Index(state.held, t)
 	if index < 0 {
 		return false
 	}
-	p.held = slices.Delete(p.held, index, index+1)
+	state.held = slices.Delete(state.held, index, index+1)
 	g.heldCount--
-	g.removeIfIdle(t.Tenant, p)
+	g.removeIfIdle(t.Tenant, state)
 	return true
 }
 
@@ -224,8 +224,8 @@
 
 // Committed records the position reported by the response to a write.
 func (g *AdmissionController) Committed(t *Ticket, position int64) {
-	if p := g.tenants[t.Tenant]; p != nil && t.Write {
-		p.lastCommit = max(p.lastCommit, position)
+	if state := g.tenants[t.Tenant]; state != nil && t.Write {
+		state.lastCommit = max(state.lastCommit, position)
 	}
 }
 
@@ -273,23 +273,23 @@
 
 // Settle records that an RPC has no attempt in flight and that its response was passed on.
 func (g *AdmissionController) Settle(t *Ticket, now int64) {
-	p := g.tenants[t.Tenant]
-	if !t.admitted || p == nil || !p.tickets[t] {
+	state := g.tenants[t.Tenant]
+	if !t.admitted || state == nil || !state.tickets[t] {
 		return
 	}
-	delete(p.tickets, t)
+	delete(state.tickets, t)
 	if g.limits != nil {
 		g.limits.settle(t, now)
 	}
 	if t.Write && t.mayRunUntil > now {
-		p.orphanedWrites = append(p.orphanedWrites, t.mayRunUntil)
+		state.orphanedWrites = append(state.orphanedWrites, t.mayRunUntil)
 	}
-	g.removeIfIdle(t.Tenant, p)
+	g.removeIfIdle(t.Tenant, state)
 }
 
 // removeIfIdle removes a tenant's state if it holds nothing.
-func (g *AdmissionController) removeIfIdle(t Tenant, p *tenantState) {
-	if len(p.tickets) == 0 && len(p.held) == 0 && len(p.orphanedWrites) == 0 && p.lastCommit == 0 && g.tenants[t] == p {
+func (g *AdmissionController) removeIfIdle(t Tenant, state *tenantState) {
+	if len(state.tickets) == 0 && len(state.held) == 0 && len(state.orphanedWrites) == 0 && state.lastCommit == 0 && g.tenants[t] == state {
 		delete(g.tenants, t)
 	}
 }
@@ -301,23 +301,23 @@
 // know by the time that a move needs them.
 func (g *AdmissionController) Sweep(now int64) {
 	visited := 0
-	for t, p := range g.tenants {
+	for t, state := range g.tenants {
 		if visited++; visited > maxSweptTenants {
 			return
 		}
-		p.dropExpiredWrites(now)
-		if p.lastCommit != 0 && now-p.lastCommit > commitRetention && g.directory.Placement(t).Stage == StageIdle {
-			p.lastCommit = 0
+		state.dropExpiredWrites(now)
+		if state.lastCommit != 0 && now-state.lastCommit > commitRetention && g.directory.Placement(t).Stage == StageIdle {
+			state.lastCommit = 0
 		}
-		g.removeIfIdle(t, p)
+		g.removeIfIdle(t, state)
 	}
 }
 
 // commitRetention is how long a commit is kept for a move that may begin.
 const commitRetention = 5 * second
 
-func (p *tenantState) dropExpiredWrites(now int64) {
-	p.orphanedWrites = slices.DeleteFunc(p.orphanedWrites, func(until int64) bool { return until <= now })
+func (s *tenantState) dropExpiredWrites(now int64) {
+	s.orphanedWrites = slices.DeleteFunc(s.orphanedWrites, func(until int64) bool { return until <= now })
 }
 
 // ApplyGrant applies the grant for a report that was sent at requestedAt. It returns the tenants
@@ -342,17 +342,17 @@
 
 // ResumeHeld decides again on a tenant's held RPCs after its placement has changed.
 func (g *AdmissionController) ResumeHeld(t Tenant, now int64) {
-	p := g.tenants[t]
-	if p == nil {
+	state := g.tenants[t]
+	if state == nil {
 		return
 	}
-	held := p.held
-	p.held = nil
+	held := state.held
+	state.held = nil
 	for _, ticket := range held {
 		ticket.placement = g.directory.Placement(t)
 		if g.mustHold(ticket) {
-			state := g.state(t)
-			state.held = append(state.held, ticket)
+			current := g.state(t)
+			current.held = append(current.held, ticket)
 			continue
 		}
 		g.heldCount--
@@ -365,7 +365,7 @@
 			ticket.onDecision(g.admit(ticket, now))
 		}
 	}
-	g.removeIfIdle(t, p)
+	g.removeIfIdle(t, state)
 }
 
 const (
@@ -382,10 +382,10 @@
 	}
 	for _, e := range g.directory.Moving() {
 		move := MoveReport{Tenant: e.Tenant, Epoch: e.Epoch}
-		if p := g.tenants[e.Tenant]; p != nil {
-			p.dropExpiredWrites(now)
-			move.Writes, move.OpenRPCs, move.LastCommit = len(p.orphanedWrites), len(p.orphanedWrites)+len(p.tickets), p.lastCommit
-			for t := range p.tickets {
+		if state := g.tenants[e.Tenant]; state != nil {
+			state.dropExpiredWrites(now)
+			move.Writes, move.OpenRPCs, move.LastCommit = len(state.orphanedWrites), len(state.orphanedWrites)+len(state.tickets), state.lastCommit
+			for t := range state.tickets {
 				if t.Write {
 					move.Writes++
 				}
--- a/internal/cells/heavy.go
+++ b/internal/cells/heavy.go
@@ -106,16 +106,16 @@
 
 func (h *HeavyHitters) siftDown(i int) {
 	for {
-		least := i
+		lightest := i
 		for _, child := range [2]int{2*i + 1, 2*i + 2} {
-			if child < len(h.entries) && h.entries[child].load < h.entries[least].load {
-				least = child
+			if child < len(h.entries) && h.entries[child].load < h.entries[lightest].load {
+				lightest = child
 			}
 		}
-		if least == i {
+		if lightest == i {
 			return
 		}
-		h.swap(i, least)
-		i = least
+		h.swap(i, lightest)
+		i = lightest
 	}
 }
--- a/internal/cells/limits.go
+++ b/internal/cells/limits.go
@@ -42,14 +42,14 @@
 // budgetWeights returns the weights by which the budget is divided. A cell without tenants by hash
 // gets the lowest weight, since tenants can be moved or pinned to it.
 func (l *Layout) budgetWeights() []float64 {
-	least := 0.0
+	lowest := 0.0
 	for c, w := range l.weight {
-		if w > 0 && !l.removed[c] && (least == 0 || w < least) {
-			least = w
+		if w > 0 && !l.removed[c] && (lowest == 0 || w < lowest) {
+			lowest = w
 		}
 	}
-	if least == 0 {
-		least = 1
+	if lowest == 0 {
+		lowest = 1
 	}
 	weights := make([]float64, len(l.weight))
 	for c, w := range l.weight {
@@ -58,7 +58,7 @@
 		case w > 0:
 			weights[c] = w
 		default:
-			weights[c] = least
+			weights[c] = lowest
 		}
 	}
 	return weights
@@ -215,19 +215,19 @@
 // updateConcurrency adapts a cell's concurrency limit: an additive increase after a response in
 // time, a multiplicative decrease otherwise, at most once per latency.
 func (m *Limits) updateConcurrency(t *Ticket, served bool, now int64) {
-	c, latency := t.placement.Cell, now-t.arrivedAt
-	if m.concurrency[c] == 0 {
-		m.concurrency[c] = float64(m.bulkheads.Share(RPCs, c))
+	cell, latency := t.placement.Cell, now-t.arrivedAt
+	if m.concurrency[cell] == 0 {
+		m.concurrency[cell] = float64(m.bulkheads.Share(RPCs, cell))
 	}
 	switch {
 	case served && latency <= t.SoftDeadline:
-		m.latency[c] += (float64(latency) - m.latency[c]) * smoothing
-		if budget := float64(m.bulkheads.budget[RPCs]); float64(m.bulkheads.Used(RPCs, c)) >= m.concurrency[c]/2 && (budget == 0 || m.concurrency[c] < budget) {
-			m.concurrency[c] += concurrencyIncrease
+		m.latency[cell] += (float64(latency) - m.latency[cell]) * smoothing
+		if budget := float64(m.bulkheads.budget[RPCs]); float64(m.bulkheads.Used(RPCs, cell)) >= m.concurrency[cell]/2 && (budget == 0 || m.concurrency[cell] < budget) {
+			m.concurrency[cell] += concurrencyIncrease
 		}
-	case now-m.loweredAt[c] >= int64(m.latency[c]) && t.arrivedAt >= m.loweredAt[c]:
-		m.loweredAt[c] = now
-		m.concurrency[c] = max(minConcurrency, m.concurrency[c]*concurrencyDecreaseFactor)
+	case now-m.loweredAt[cell] >= int64(m.latency[cell]) && t.arrivedAt >= m.loweredAt[cell]:
+		m.loweredAt[cell] = now
+		m.concurrency[cell] = max(minConcurrency, m.concurrency[cell]*concurrencyDecreaseFactor)
 	}
 }
 
--- a/internal/cells/shares.go
+++ b/internal/cells/shares.go
@@ -76,32 +76,32 @@
 }
 
 // removeIdle removes tenants that have been idle for idleRetention.
-func (w *cellShares) removeIdle(now int64) {
+func (s *cellShares) removeIdle(now int64) {
 	n := 0
-	for ; n < len(w.idle) && now-w.idle[n].since >= idleRetention; n++ {
-		if p := w.active[w.idle[n].tenant]; p != nil && p.used == 0 && now-p.idleSince >= idleRetention {
-			w.totalWeight -= p.weight
-			delete(w.active, w.idle[n].tenant)
+	for ; n < len(s.idle) && now-s.idle[n].since >= idleRetention; n++ {
+		if p := s.active[s.idle[n].tenant]; p != nil && p.used == 0 && now-p.idleSince >= idleRetention {
+			s.totalWeight -= p.weight
+			delete(s.active, s.idle[n].tenant)
 		}
 	}
-	w.idle = w.idle[n:]
-	if len(w.active) == 0 && w.shared.used == 0 {
-		w.totalWeight, w.shared.weight = 0, 0
+	s.idle = s.idle[n:]
+	if len(s.active) == 0 && s.shared.used == 0 {
+		s.totalWeight, s.shared.weight = 0, 0
 	}
 }
 
 // fairShare returns a tenant's part of a limit, at least 1.
-func (w *cellShares) fairShare(p *tenantUsage, limit int64) int64 {
-	return max(1, int64(float64(limit)*p.weight/max(p.weight, w.totalWeight)))
+func (s *cellShares) fairShare(usage *tenantUsage, limit int64) int64 {
+	return max(1, int64(float64(limit)*usage.weight/max(usage.weight, s.totalWeight)))
 }
 
 // add changes a tenant's usage by an amount, which may be negative.
-func (w *cellShares) add(p *tenantUsage, t Tenant, amount, now int64) {
-	p.used += amount
-	if p.used == 0 {
-		p.idleSince = now
-		if p.hasOwnShare && w.active[t] == p {
-			w.idle = append(w.idle, idleTenant{t, now})
+func (s *cellShares) add(usage *tenantUsage, t Tenant, amount, now int64) {
+	usage.used += amount
+	if usage.used == 0 {
+		usage.idleSince = now
+		if usage.hasOwnShare && s.active[t] == usage {
+			s.idle = append(s.idle, idleTenant{t, now})
 		}
 	}
 }
--- a/internal/cells/tenancy.go
+++ b/internal/cells/tenancy.go
@@ -25,21 +25,21 @@
 }
 
 // Resolve returns the tenant of an RPC.
-func (y *TenantResolver) Resolve(key, user, database string) Tenant {
-	if t, found := y.prefixes.Longest(key); found {
+func (r *TenantResolver) Resolve(key, user, database string) Tenant {
+	if t, found := r.prefixes.Longest(key); found {
 		return t
 	}
-	if t, found := y.users[user]; found {
+	if t, found := r.users[user]; found {
 		return t
 	}
-	if t, found := y.databases[database]; found {
+	if t, found := r.databases[database]; found {
 		return t
 	}
 	switch {
-	case y.defaultTenant == DefaultUser && user != "":
+	case r.defaultTenant == DefaultUser && user != "":
 		return Tenant(user)
-	case y.defaultTenant == DefaultDatabase && database != "":
+	case r.defaultTenant == DefaultDatabase && database != "":
 		return Tenant(database)
 	}
-	return y.fallback
+	return r.fallback
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -152,25 +152,25 @@
 
 // Join registers a caller. If the caller has restarted, its outstanding RPCs may have run. It
 // returns false for an earlier start.
-func (l *Ledger) Join(name string, epoch uint64) (c Caller, joined bool) {
-	c, known := l.callerIndex[name]
+func (l *Ledger) Join(name string, epoch uint64) (caller Caller, joined bool) {
+	caller, known := l.callerIndex[name]
 	switch {
 	case !known:
-		c = Caller(len(l.callerNames))
-		l.callerIndex[name] = c
+		caller = Caller(len(l.callerNames))
+		l.callerIndex[name] = caller
 		l.callerNames, l.callerEpochs, l.openByCaller = append(l.callerNames, name), append(l.callerEpochs, epoch), append(l.openByCaller, 0)
-		return c, true
-	case epoch < l.callerEpochs[c]:
-		return c, false
-	case epoch > l.callerEpochs[c]:
-		l.callerEpochs[c] = epoch
+		return caller, true
+	case epoch < l.callerEpochs[caller]:
+		return caller, false
+	case epoch > l.callerEpochs[caller]:
+		l.callerEpochs[caller] = epoch
 		for i := range l.entries {
-			if e := &l.entries[i]; e.caller == c && e.state == granted && e.id != "" {
+			if e := &l.entries[i]; e.caller == caller && e.state == granted && e.id != "" {
 				l.markUncertain(e)
 			}
 		}
 	}
-	return c, true
+	return caller, true
 }
 
 // MarkRecordsLost records that retries cannot be recognized before a time, since records were
@@ -179,25 +179,25 @@
 
 // Decide decides on a request. A proposed grant takes effect with Granted, once its record is
 // persisted.
-func (l *Ledger) Decide(now int64, a Request) Decision {
-	d := l.decide(now, a)
-	if d.Action == ActionGrant {
-		return d
+func (l *Ledger) Decide(now int64, request Request) Decision {
+	decision := l.decide(now, request)
+	if decision.Action == ActionGrant {
+		return decision
 	}
-	if d.Action == ActionReplay {
+	if decision.Action == ActionReplay {
 		l.counts.Replayed++
 	}
-	l.counts.Rejected[d.Reason]++
-	return d
+	l.counts.Rejected[decision.Reason]++
+	return decision
 }
 
-func (l *Ledger) decide(now int64, a Request) Decision {
-	if a.Caller < 0 || int(a.Caller) >= len(l.callerNames) {
+func (l *Ledger) decide(now int64, request Request) Decision {
+	if request.Caller < 0 || int(request.Caller) >= len(l.callerNames) {
 		return Decision{Action: ActionReject, Reason: ReasonUnknownCaller}
 	}
-	slot, known := l.byID[a.ID]
+	slot, known := l.byID[request.ID]
 	if !known {
-		return l.decideNew(now, a)
+		return l.decideNew(now, request)
 	}
 	e := &l.entries[slot]
 	switch {
@@ -205,10 +205,10 @@
 		return Decision{Action: ActionReplay, Outcome: e.outcome}
 	case now >= e.deadline:
 		return l.abortOrReject(e, ReasonDeadlineExceeded)
-	case e.effect != a.Effect || e.window != a.Window: // changed by the caller; the stricter effect applies
+	case e.effect != request.Effect || e.window != request.Window: // changed by the caller; the stricter effect applies
 		return l.abortOrReject(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
-	case e.effect == rules.Tokened && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != a.Group || e.multipleGroups):
+	case e.effect == rules.Tokened && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != request.Group || e.multipleGroups):
 		return l.abortOrReject(e, ReasonOutsideWindow)
 	case e.effect == rules.NonIdempotent && e.state == granted:
 		return l.abortOrReject(e, ReasonGrantOutstanding)
@@ -222,23 +222,23 @@
 func (e *entry) mayHaveRun() bool { return e.state == granted || e.outcome != NeverRan }
 
 // abortOrReject aborts an RPC that may have run, and rejects one that has not.
-func (l *Ledger) abortOrReject(e *entry, why Reason) Decision {
+func (l *Ledger) abortOrReject(e *entry, reason Reason) Decision {
 	if e.mayHaveRun() {
-		return Decision{Action: ActionAbort, Reason: why}
+		return Decision{Action: ActionAbort, Reason: reason}
 	}
-	return Decision{Action: ActionReject, Reason: why}
+	return Decision{Action: ActionReject, Reason: reason}
 }
 
 // decideNew decides on an unknown RPC.
-func (l *Ledger) decideNew(now int64, a Request) Decision {
+func (l *Ledger) decideNew(now int64, request Request) Decision {
 	switch {
-	case now >= a.Deadline:
+	case now >= request.Deadline:
 		return Decision{Action: ActionReject, Reason: ReasonDeadlineExceeded}
-	case now < l.recordsLostUntil && a.IsRetry && a.Effect != rules.Idempotent:
+	case now < l.recordsLostUntil && request.IsRetry && request.Effect != rules.Idempotent:
 		return Decision{Action: ActionAbort, Reason: ReasonRecordsLost}
 	case len(l.byID) >= l.capacity:
 		return Decision{Action: ActionReject, Reason: ReasonFull}
-	case l.openByCaller[a.Caller] >= l.quota:
+	case l.openByCaller[request.Caller] >= l.quota:
 		return Decision{Action: ActionReject, Reason: ReasonQuota}
 	}
 	return Decision{Action: ActionGrant, Grant: l.lastGrant + 1}
@@ -260,37 +260,37 @@
 
 // Record returns the record to persist before a grant is given. needed is false for an idempotent
 // RPC.
-func (l *Ledger) Record(now int64, a Request, g Grant) (r Record, needed bool) {
-	return Record{Grant: g, ID: a.ID, Caller: l.callerNames[a.Caller], Epoch: l.callerEpochs[a.Caller], Effect: a.Effect, Group: a.Group,
-		Window: a.Window, Deadline: a.Deadline, At: now}, a.Effect != rules.Idempotent
+func (l *Ledger) Record(now int64, request Request, grant Grant) (record Record, needed bool) {
+	return Record{Grant: grant, ID: request.ID, Caller: l.callerNames[request.Caller], Epoch: l.callerEpochs[request.Caller], Effect: request.Effect, Group: request.Group,
+		Window: request.Window, Deadline: request.Deadline, At: now}, request.Effect != rules.Idempotent
 }
 
 // Granted applies a grant that Decide has just proposed.
-func (l *Ledger) Granted(now int64, a Request, g Grant) {
-	slot, known := l.byID[a.ID]
+func (l *Ledger) Granted(now int64, request Request, grant Grant) {
+	slot, known := l.byID[request.ID]
 	if !known {
 		slot = l.allocate()
-		l.entries[slot] = entry{id: a.ID, caller: a.Caller, effect: a.Effect, group: a.Group, window: a.Window, deadline: a.Deadline}
-		l.byID[a.ID] = slot
-		l.openByCaller[a.Caller]++
-		l.expiry.Set(slot, a.Deadline+reportGrace+max(0, a.Window))
+		l.entries[slot] = entry{id: request.ID, caller: request.Caller, effect: request.Effect, group: request.Group, window: request.Window, deadline: request.Deadline}
+		l.byID[request.ID] = slot
+		l.openByCaller[request.Caller]++
+		l.expiry.Set(slot, request.Deadline+reportGrace+max(0, request.Window))
 	}
 	e := &l.entries[slot]
 	if e.state == granted && known { // an outstanding grant of an RPC that may be retried
 		l.markUncertain(e)
 	}
 	if e.firstRiskAt == 0 {
-		e.firstRiskAt, e.group = now, a.Group
+		e.firstRiskAt, e.group = now, request.Group
 	}
-	e.multipleGroups = e.multipleGroups || e.group != a.Group
-	if known && e.caller != a.Caller {
+	e.multipleGroups = e.multipleGroups || e.group != request.Group
+	if known && e.caller != request.Caller {
 		l.openByCaller[e.caller]--
-		l.openByCaller[a.Caller]++
-		e.caller = a.Caller
+		l.openByCaller[request.Caller]++
+		e.caller = request.Caller
 	}
-	l.lastGrant = max(l.lastGrant, g)
-	e.grant, e.state = g, granted
-	l.byGrant[g] = slot
+	l.lastGrant = max(l.lastGrant, grant)
+	e.grant, e.state = grant, granted
+	l.byGrant[grant] = slot
 	l.counts.Grants++
 }
 
@@ -314,19 +314,19 @@
 
 // Report applies the outcome of a grant. It returns false if the grant is not outstanding or
 // belongs to another caller.
-func (l *Ledger) Report(c Caller, epoch uint64, g Grant, f Outcome) bool {
-	slot, outstanding := l.byGrant[g]
+func (l *Ledger) Report(caller Caller, epoch uint64, grant Grant, outcome Outcome) bool {
+	slot, outstanding := l.byGrant[grant]
 	if !outstanding {
 		l.counts.UnknownReports++
 		return false
 	}
 	e := &l.entries[slot]
-	if e.caller != c || l.callerEpochs[c] != epoch {
+	if e.caller != caller || l.callerEpochs[caller] != epoch {
 		l.counts.ForeignReports++
 		return false
 	}
-	delete(l.byGrant, g)
-	switch f {
+	delete(l.byGrant, grant)
+	switch outcome {
 	case NeverRan:
 		e.state = idle
 		if e.outcome == NeverRan {
--- a/internal/ledger/wheel.go
+++ b/internal/ledger/wheel.go
@@ -70,36 +70,36 @@
 // differs from now.
 func (w *TimingWheel) insert(id int32) {
 	level := 0
-	if differ := uint64(w.dueTick[id] ^ w.now); differ > 0 {
-		level = min((63-bits.LeadingZeros64(differ))/slotBits, levels-1)
+	if difference := uint64(w.dueTick[id] ^ w.now); difference > 0 {
+		level = min((63-bits.LeadingZeros64(difference))/slotBits, levels-1)
 	}
-	s := int(w.dueTick[id]>>(level*slotBits)) & slotsMask
-	w.slotOf[id] = int16(level*slots + s)
-	w.next[id], w.prev[id] = none, w.tails[level][s]
-	if w.tails[level][s] == none {
-		w.heads[level][s] = id
+	slot := int(w.dueTick[id]>>(level*slotBits)) & slotsMask
+	w.slotOf[id] = int16(level*slots + slot)
+	w.next[id], w.prev[id] = none, w.tails[level][slot]
+	if w.tails[level][slot] == none {
+		w.heads[level][slot] = id
 	} else {
-		w.next[w.tails[level][s]] = id
+		w.next[w.tails[level][slot]] = id
 	}
-	w.tails[level][s] = id
-	w.occupied[level] |= 1 << s
+	w.tails[level][slot] = id
+	w.occupied[level] |= 1 << slot
 }
 
 func (w *TimingWheel) remove(id int32) {
-	level, s := int(w.slotOf[id])/slots, int(w.slotOf[id])%slots
+	level, slot := int(w.slotOf[id])/slots, int(w.slotOf[id])%slots
 	before, after := w.prev[id], w.next[id]
 	if before == none {
-		w.heads[level][s] = after
+		w.heads[level][slot] = after
 	} else {
 		w.next[before] = after
 	}
 	if after == none {
-		w.tails[level][s] = before
+		w.tails[level][slot] = before
 	} else {
 		w.prev[after] = before
 	}
-	if w.heads[level][s] == none {
-		w.occupied[level] &^= 1 << s
+	if w.heads[level][slot] == none {
+		w.occupied[level] &^= 1 << slot
 	}
 	w.slotOf[id] = notScheduled
 }
@@ -115,8 +115,8 @@
 				w.cascade(level, int(w.now>>(level*slotBits))&slotsMask)
 			}
 		}
-		s := int(w.now) & slotsMask
-		for id := w.heads[0][s]; id != none; id = w.heads[0][s] {
+		slot := int(w.now) & slotsMask
+		for id := w.heads[0][slot]; id != none; id = w.heads[0][slot] {
 			w.remove(id)
 			w.count--
 			w.due = append(w.due, id)
@@ -130,17 +130,17 @@
 	if w.count == 0 {
 		return to
 	}
-	if later := w.occupied[0] >> (uint(w.now) & slotsMask) >> 1; later != 0 {
-		return min(to, w.now+1+int64(bits.TrailingZeros64(later)))
+	if laterSlots := w.occupied[0] >> (uint(w.now) & slotsMask) >> 1; laterSlots != 0 {
+		return min(to, w.now+1+int64(bits.TrailingZeros64(laterSlots)))
 	}
 	return min(to, (w.now|slotsMask)+1)
 }
 
 // cascade moves the ids of a slot to lower levels.
-func (w *TimingWheel) cascade(level, s int) {
-	id := w.heads[level][s]
-	w.heads[level][s], w.tails[level][s] = none, none
-	w.occupied[level] &^= 1 << s
+func (w *TimingWheel) cascade(level, slot int) {
+	id := w.heads[level][slot]
+	w.heads[level][slot], w.tails[level][slot] = none, none
+	w.occupied[level] &^= 1 << slot
 	for id != none {
 		next := w.next[id]
 		w.insert(id)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -109,34 +109,34 @@
 }
 
 // isAllowed reports whether a tenant may be placed in a cell.
-func (w *solver) isAllowed(t, c int) bool {
-	tenant := &w.tenants[t]
+func (s *solver) isAllowed(t, c int) bool {
+	tenant := &s.tenants[t]
 	if tenant.Pinned && tenant.CurrentCell != NoCell {
 		return tenant.CurrentCell == c
 	}
-	return tenant.Hall == "" || tenant.Hall == w.cells[c].Hall
+	return tenant.Hall == "" || tenant.Hall == s.cells[c].Hall
 }
 
-func (w *solver) loads(place []int) []float64 {
-	loads := make([]float64, len(w.cells))
-	for t, c := range place {
+func (s *solver) loads(placement []int) []float64 {
+	loads := make([]float64, len(s.cells))
+	for t, c := range placement {
 		if c != NoCell {
-			loads[c] += w.tenants[t].Load
+			loads[c] += s.tenants[t].Load
 		}
 	}
 	return loads
 }
 
-func (w *solver) maxLoad(place []int) (highest float64) {
-	for c, load := range w.loads(place) {
-		highest = max(highest, load/w.cells[c].Capacity)
+func (s *solver) maxLoad(placement []int) (highest float64) {
+	for c, load := range s.loads(placement) {
+		highest = max(highest, load/s.cells[c].Capacity)
 	}
 	return highest
 }
 
-func (w *solver) moveCount(place []int) (n int) {
-	for t, c := range place {
-		if at := w.tenants[t].CurrentCell; at != NoCell && at != c {
+func (s *solver) moveCount(placement []int) (n int) {
+	for t, c := range placement {
+		if at := s.tenants[t].CurrentCell; at != NoCell && at != c {
 			n++
 		}
 	}
@@ -147,16 +147,16 @@
 // capacity, load over capacity of each hall, pinned load of each cell, each tenant in its largest
 // allowed cell, and, if there are more tenants than cells, two of the heaviest tenants sharing a
 // cell.
-func (w *solver) lowerBound() float64 {
+func (s *solver) lowerBound() float64 {
 	var sum, largest float64
-	hallLoads, pinnedLoads := map[string]float64{}, make([]float64, len(w.cells))
+	hallLoads, pinnedLoads := map[string]float64{}, make([]float64, len(s.cells))
 	hallCapacity := map[string]float64{}
-	for _, c := range w.cells {
+	for _, c := range s.cells {
 		largest = max(largest, c.Capacity)
 		hallCapacity[c.Hall] += c.Capacity
 	}
 	bound := 0.0
-	for t, tenant := range w.tenants {
+	for t, tenant := range s.tenants {
 		sum += tenant.Load
 		if tenant.Pinned && tenant.CurrentCell != NoCell {
 			pinnedLoads[tenant.CurrentCell] += tenant.Load
@@ -164,59 +164,59 @@
 			hallLoads[tenant.Hall] += tenant.Load
 		}
 		best := 0.0
-		for c := range w.cells {
-			if w.isAllowed(t, c) {
-				best = max(best, w.cells[c].Capacity)
+		for c := range s.cells {
+			if s.isAllowed(t, c) {
+				best = max(best, s.cells[c].Capacity)
 			}
 		}
 		if best > 0 {
 			bound = max(bound, tenant.Load/best)
 		}
 	}
-	bound = max(bound, sum/w.totalCapacity)
+	bound = max(bound, sum/s.totalCapacity)
 	for hall, load := range hallLoads {
 		if hallCapacity[hall] > 0 {
 			bound = max(bound, load/hallCapacity[hall])
 		}
 	}
 	for c, load := range pinnedLoads {
-		bound = max(bound, load/w.cells[c].Capacity)
+		bound = max(bound, load/s.cells[c].Capacity)
 	}
-	if n := len(w.cells); len(w.order) > n {
-		bound = max(bound, (w.tenants[w.order[n-1]].Load+w.tenants[w.order[n]].Load)/largest)
+	if n := len(s.cells); len(s.order) > n {
+		bound = max(bound, (s.tenants[s.order[n-1]].Load+s.tenants[s.order[n]].Load)/largest)
 	}
 	return bound
 }
 
 // currentPlacement returns the current placement, with tenants that have no allowed cell placed in
 // the least loaded one.
-func (w *solver) currentPlacement() []int {
-	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
+func (s *solver) currentPlacement() []int {
+	placement, loads := make([]int, len(s.tenants)), make([]float64, len(s.cells))
 	var unplaced []int
-	for _, t := range w.order {
-		at := w.tenants[t].CurrentCell
-		if at != NoCell && w.isAllowed(t, at) {
-			place[t] = at
-			loads[at] += w.tenants[t].Load
+	for _, t := range s.order {
+		at := s.tenants[t].CurrentCell
+		if at != NoCell && s.isAllowed(t, at) {
+			placement[t] = at
+			loads[at] += s.tenants[t].Load
 		} else {
 			unplaced = append(unplaced, t)
 		}
 	}
 	for _, t := range unplaced {
-		place[t] = w.leastLoaded(t, loads)
-		if place[t] != NoCell {
-			loads[place[t]] += w.tenants[t].Load
+		placement[t] = s.leastLoaded(t, loads)
+		if placement[t] != NoCell {
+			loads[placement[t]] += s.tenants[t].Load
 		}
 	}
-	return place
+	return placement
 }
 
 // leastLoaded returns the cell with the lowest load after adding a tenant, NoCell if none is
 // allowed.
-func (w *solver) leastLoaded(t int, loads []float64) int {
+func (s *solver) leastLoaded(t int, loads []float64) int {
 	best, least := NoCell, math.Inf(1)
-	for c := range w.cells {
-		if load := (loads[c] + w.tenants[t].Load) / w.cells[c].Capacity; w.isAllowed(t, c) && load < least {
+	for c := range s.cells {
+		if load := (loads[c] + s.tenants[t].Load) / s.cells[c].Capacity; s.isAllowed(t, c) && load < least {
 			best, least = c, load
 		}
 	}
@@ -226,86 +226,86 @@
 // placeWithin searches for a placement with all loads within a target and few moves. Overloaded
 // cells give up the fewest tenants needed, which go to the cells where they fit best or displace
 // lighter ones. It returns nil if it finds none.
-func (w *solver) placeWithin(target float64, maxMoves int) []int {
-	place := w.currentPlacement()
-	loads := w.loads(place)
-	limit := func(c int) float64 { return target*w.cells[c].Capacity*(1+1e-12) + 1e-12 }
-	members := make([][]int, len(w.cells)) // heaviest first
-	for _, t := range w.order {
-		if place[t] == NoCell {
+func (s *solver) placeWithin(target float64, maxMoves int) []int {
+	placement := s.currentPlacement()
+	loads := s.loads(placement)
+	limit := func(c int) float64 { return target*s.cells[c].Capacity*(1+1e-12) + 1e-12 }
+	members := make([][]int, len(s.cells)) // heaviest first
+	for _, t := range s.order {
+		if placement[t] == NoCell {
 			return nil
 		}
-		members[place[t]] = append(members[place[t]], t)
+		members[placement[t]] = append(members[placement[t]], t)
 	}
 	var unplaced []int
-	for c := range w.cells {
-		unplaced = append(unplaced, w.selectToRemove(members[c], loads[c]-limit(c))...)
+	for c := range s.cells {
+		unplaced = append(unplaced, s.selectToRemove(members[c], loads[c]-limit(c))...)
 	}
 	heaviestFirst := func(ts []int) {
-		slices.SortStableFunc(ts, func(a, b int) int { return cmp.Compare(w.tenants[b].Load, w.tenants[a].Load) })
+		slices.SortStableFunc(ts, func(a, b int) int { return cmp.Compare(s.tenants[b].Load, s.tenants[a].Load) })
 	}
 	heaviestFirst(unplaced)
 	for _, t := range unplaced {
-		loads[place[t]] -= w.tenants[t].Load
-		place[t] = NoCell
+		loads[placement[t]] -= s.tenants[t].Load
+		placement[t] = NoCell
 	}
 	for len(unplaced) > 0 {
 		t := unplaced[0]
 		unplaced = unplaced[1:]
-		c := w.bestFit(t, loads, limit)
+		c := s.bestFit(t, loads, limit)
 		if c == NoCell {
 			var displaced []int
-			if displaced, c = w.displace(t, place, loads, limit, members); c == NoCell {
+			if displaced, c = s.displace(t, placement, loads, limit, members); c == NoCell {
 				return nil
 			}
 			for _, other := range displaced {
-				loads[c] -= w.tenants[other].Load
-				place[other] = NoCell
+				loads[c] -= s.tenants[other].Load
+				placement[other] = NoCell
 			}
 			unplaced = append(unplaced, displaced...)
 			heaviestFirst(unplaced)
 		}
-		place[t] = c
-		loads[c] += w.tenants[t].Load
+		placement[t] = c
+		loads[c] += s.tenants[t].Load
 		members[c] = append(members[c], t)
 	}
-	if w.moveCount(place) > maxMoves {
+	if s.moveCount(placement) > maxMoves {
 		return nil
 	}
-	return place
+	return placement
 }
 
 // selectToRemove returns the fewest tenants whose removal lowers a cell's load by excess. The last
 // one is the lightest that suffices.
-func (w *solver) selectToRemove(members []int, excess float64) (removed []int) {
+func (s *solver) selectToRemove(members []int, excess float64) (removed []int) {
 	for i, t := range members {
 		if excess <= 0 {
 			return removed
 		}
-		if w.tenants[t].Pinned {
+		if s.tenants[t].Pinned {
 			continue
 		}
-		if load := w.tenants[t].Load; load >= excess {
+		if load := s.tenants[t].Load; load >= excess {
 			last := t
 			for _, lighter := range members[i:] {
-				if w.tenants[lighter].Load >= excess && !w.tenants[lighter].Pinned {
+				if s.tenants[lighter].Load >= excess && !s.tenants[lighter].Pinned {
 					last = lighter
 				}
 			}
 			return append(removed, last)
 		}
 		removed = append(removed, t)
-		excess -= w.tenants[t].Load
+		excess -= s.tenants[t].Load
 	}
 	return removed
 }
 
 // bestFit returns the cell with the least remaining capacity after adding a tenant, NoCell if it
 // fits in none.
-func (w *solver) bestFit(t int, loads []float64, limit func(int) float64) int {
+func (s *solver) bestFit(t int, loads []float64, limit func(int) float64) int {
 	best, least := NoCell, math.Inf(1)
-	for c := range w.cells {
-		if left := limit(c) - loads[c] - w.tenants[t].Load; left >= 0 && left < least && w.isAllowed(t, c) {
+	for c := range s.cells {
+		if left := limit(c) - loads[c] - s.tenants[t].Load; left >= 0 && left < least && s.isAllowed(t, c) {
 			best, least = c, left
 		}
 	}
@@ -314,11 +314,11 @@
 
 // displace returns the cell where the fewest lighter tenants need to be removed to place a tenant,
 // and those tenants. Displaced tenants are always lighter, so that the search terminates.
-func (w *solver) displace(t int, place []int, loads []float64, limit func(int) float64, members [][]int) (displaced []int, target int) {
-	load := w.tenants[t].Load
+func (s *solver) displace(t int, placement []int, loads []float64, limit func(int) float64, members [][]int) (displaced []int, target int) {
+	load := s.tenants[t].Load
 	target = NoCell
-	for c := range w.cells {
-		if !w.isAllowed(t, c) || load > limit(c) {
+	for c := range s.cells {
+		if !s.isAllowed(t, c) || load > limit(c) {
 			continue
 		}
 		shortage, candidates := loads[c]+load-limit(c), []int(nil)
@@ -326,7 +326,7 @@
 			if shortage <= 0 || target != NoCell && len(candidates) >= len(displaced) {
 				break
 			}
-			if other := &w.tenants[candidate]; place[candidate] == c && !other.Pinned && other.Load < load {
+			if other := &s.tenants[candidate]; placement[candidate] == c && !other.Pinned && other.Load < load {
 				candidates = append(candidates, candidate)
 				shortage -= other.Load
 			}
@@ -340,14 +340,14 @@
 
 // betterPlacement returns the placement with the lower maximum load, or with fewer moves if the
 // loads are within loadTolerance.
-func (w *solver) betterPlacement(a, b []int) []int {
-	maxA, maxB := w.maxLoad(a), w.maxLoad(b)
+func (s *solver) betterPlacement(a, b []int) []int {
+	maxA, maxB := s.maxLoad(a), s.maxLoad(b)
 	switch {
 	case maxB < maxA*(1-loadTolerance):
 		return b
 	case maxA < maxB*(1-loadTolerance):
 		return a
-	case w.moveCount(b) < w.moveCount(a):
+	case s.moveCount(b) < s.moveCount(a):
 		return b
 	}
 	return a
@@ -357,32 +357,32 @@
 
 // polish lowers the maximum load by local search: each step moves a tenant out of the most loaded
 // cell, or swaps it with a lighter one of another cell.
-func (w *solver) polish(place []int, maxMoves int) []int {
-	place = slices.Clone(place)
-	loads := w.loads(place)
+func (s *solver) polish(placement []int, maxMoves int) []int {
+	placement = slices.Clone(placement)
+	loads := s.loads(placement)
 	for range maxPolishSteps {
 		from := 0
 		for c := range loads {
-			if loads[c]/w.cells[c].Capacity > loads[from]/w.cells[from].Capacity {
+			if loads[c]/s.cells[c].Capacity > loads[from]/s.cells[from].Capacity {
 				from = c
 			}
 		}
-		s := w.bestSwap(from, place, loads)
-		if s.outgoing == NoCell {
+		step := s.bestSwap(from, placement, loads)
+		if step.outgoing == NoCell {
 			break
 		}
-		next := slices.Clone(place)
-		next[s.outgoing] = s.to
-		if s.incoming != NoCell {
-			next[s.incoming] = from
+		next := slices.Clone(placement)
+		next[step.outgoing] = step.to
+		if step.incoming != NoCell {
+			next[step.incoming] = from
 		}
-		if w.moveCount(next) > maxMoves {
+		if s.moveCount(next) > maxMoves {
 			break
 		}
-		place = next
-		loads = w.loads(place)
+		placement = next
+		loads = s.loads(placement)
 	}
-	return place
+	return placement
 }
 
 // swap moves a tenant to another cell, in exchange for one of its tenants or NoCell.
@@ -390,31 +390,31 @@
 
 const maxSwapCandidates = 64 // per cell
 
-func (w *solver) bestSwap(from int, place []int, loads []float64) swap {
-	maxLoad := loads[from] / w.cells[from].Capacity
+func (s *solver) bestSwap(from int, placement []int, loads []float64) swap {
+	maxLoad := loads[from] / s.cells[from].Capacity
 	best, lowest := swap{NoCell, NoCell, NoCell}, maxLoad*(1-minImprovement)
-	members := make([][]int, len(w.cells))
-	for _, t := range w.order {
-		if c := place[t]; c != NoCell && len(members[c]) < maxSwapCandidates && !w.tenants[t].Pinned {
+	members := make([][]int, len(s.cells))
+	for _, t := range s.order {
+		if c := placement[t]; c != NoCell && len(members[c]) < maxSwapCandidates && !s.tenants[t].Pinned {
 			members[c] = append(members[c], t)
 		}
 	}
 	for _, outgoing := range members[from] {
-		for to := range w.cells {
-			if to == from || !w.isAllowed(outgoing, to) {
+		for to := range s.cells {
+			if to == from || !s.isAllowed(outgoing, to) {
 				continue
 			}
 			try := func(incoming int, load float64) {
-				shift := w.tenants[outgoing].Load - load
-				higher := max((loads[from]-shift)/w.cells[from].Capacity, (loads[to]+shift)/w.cells[to].Capacity)
+				shift := s.tenants[outgoing].Load - load
+				higher := max((loads[from]-shift)/s.cells[from].Capacity, (loads[to]+shift)/s.cells[to].Capacity)
 				if shift > 0 && higher < lowest {
 					best, lowest = swap{outgoing, to, incoming}, higher
 				}
 			}
 			try(NoCell, 0)
 			for _, incoming := range members[to] {
-				if w.isAllowed(incoming, from) {
-					try(incoming, w.tenants[incoming].Load)
+				if s.isAllowed(incoming, from) {
+					try(incoming, s.tenants[incoming].Load)
 				}
 			}
 		}
@@ -423,56 +423,56 @@
 }
 
 // dropNeedlessMoves undoes moves that are not needed to keep the maximum load.
-func (w *solver) dropNeedlessMoves(place []int) []int {
-	place = slices.Clone(place)
-	loads := w.loads(place)
-	maxLoad := w.maxLoad(place)
-	for i := len(w.order) - 1; i >= 0; i-- {
-		t := w.order[i]
-		at, load := w.tenants[t].CurrentCell, w.tenants[t].Load
-		if at == NoCell || at == place[t] || !w.isAllowed(t, at) || (loads[at]+load)/w.cells[at].Capacity > maxLoad {
+func (s *solver) dropNeedlessMoves(placement []int) []int {
+	placement = slices.Clone(placement)
+	loads := s.loads(placement)
+	maxLoad := s.maxLoad(placement)
+	for i := len(s.order) - 1; i >= 0; i-- {
+		t := s.order[i]
+		at, load := s.tenants[t].CurrentCell, s.tenants[t].Load
+		if at == NoCell || at == placement[t] || !s.isAllowed(t, at) || (loads[at]+load)/s.cells[at].Capacity > maxLoad {
 			continue
 		}
-		loads[place[t]] -= load
+		loads[placement[t]] -= load
 		loads[at] += load
-		place[t] = at
+		placement[t] = at
 	}
-	return place
+	return placement
 }
 
 // branchAndBound searches for a placement with a lower maximum load than best, placing the
 // heaviest tenants first. It returns nil if it finds none, and whether the search was complete.
-func (w *solver) branchAndBound(best []int) (found []int, complete bool) {
-	least := w.maxLoad(best)
-	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
+func (s *solver) branchAndBound(best []int) (found []int, complete bool) {
+	least := s.maxLoad(best)
+	placement, loads := make([]int, len(s.tenants)), make([]float64, len(s.cells))
 	nodes := 0
 	var descend func(i int)
 	descend = func(i int) {
 		if nodes++; nodes > maxBranchNodes {
 			return
 		}
-		if i == len(w.order) {
-			least, found = w.maxLoad(place), slices.Clone(place)
+		if i == len(s.order) {
+			least, found = s.maxLoad(placement), slices.Clone(placement)
 			return
 		}
-		t := w.order[i]
+		t := s.order[i]
 		type cellState struct {
 			load, able float64
 			hall       string
 		}
 		tried := map[cellState]bool{}
-		for c := range w.cells {
-			state := cellState{loads[c], w.cells[c].Capacity, w.cells[c].Hall}
-			if !w.isAllowed(t, c) || tried[state] && !w.hasPinned {
+		for c := range s.cells {
+			state := cellState{loads[c], s.cells[c].Capacity, s.cells[c].Hall}
+			if !s.isAllowed(t, c) || tried[state] && !s.hasPinned {
 				continue
 			}
 			tried[state] = true
-			load := loads[c] + w.tenants[t].Load
-			if load/w.cells[c].Capacity >= least*(1-1e-9) {
+			load := loads[c] + s.tenants[t].Load
+			if load/s.cells[c].Capacity >= least*(1-1e-9) {
 				continue
 			}
 			previous := loads[c]
-			loads[c], place[t] = load, c
+			loads[c], placement[t] = load, c
 			descend(i + 1)
 			loads[c] = previous
 		}
@@ -481,16 +481,16 @@
 	return found, nodes <= maxBranchNodes
 }
 
-func (w *solver) plan(place []int, bound float64, exact bool) Plan {
-	p := Plan{Placement: place, Loads: w.loads(place), MaxLoad: w.maxLoad(place), LowerBound: bound, IsOptimal: exact}
+func (s *solver) plan(placement []int, bound float64, exact bool) Plan {
+	p := Plan{Placement: placement, Loads: s.loads(placement), MaxLoad: s.maxLoad(placement), LowerBound: bound, IsOptimal: exact}
 	sum := 0.0
 	for c, load := range p.Loads {
 		sum += load
-		p.Loads[c] = load / w.cells[c].Capacity
+		p.Loads[c] = load / s.cells[c].Capacity
 	}
-	p.MeanLoad = sum / w.totalCapacity
-	for _, t := range w.order {
-		if at := w.tenants[t].CurrentCell; at != NoCell && at != place[t] {
+	p.MeanLoad = sum / s.totalCapacity
+	for _, t := range s.order {
+		if at := s.tenants[t].CurrentCell; at != NoCell && at != placement[t] {
 			p.Moves = append(p.Moves, t)
 		}
 	}
