--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -19,7 +19,7 @@
 		now[i] = t.CurrentCell
 	}
 	before := planner.Evaluate(tenants, rooms, now)
-	plan := Plan{Worst: p.MaxLoad, Mean: p.MeanLoad, Bound: p.LowerBound, Before: before.MaxLoad, Exact: p.IsOptimal}
+	plan := Plan{Worst: p.MaxLoad, Mean: p.MeanLoad, Bound: p.LowerBound, Before: before.MaxLoad, Exact: p.IsBoundTight}
 	for i, r := range rooms {
 		plan.Cells = append(plan.Cells, CellPlan{Name: r.Name, Before: before.Loads[i], After: p.Loads[i]})
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -30,13 +30,13 @@
 
 // Plan is an assignment of tenants to cells.
 type Plan struct {
-	Placement  []int     // cell of each tenant
-	Moves      []int     // tenants that change their cell, heaviest first
-	Loads      []float64 // of each cell, relative to its capacity
-	MaxLoad    float64   // highest of Loads
-	MeanLoad   float64   // total load relative to the total capacity
-	LowerBound float64   // no plan has a lower MaxLoad
-	IsOptimal  bool      // LowerBound is attainable, and MaxLoad is within loadTolerance of it
+	Placement    []int     // cell of each tenant
+	Moves        []int     // tenants that change their cell, heaviest first
+	Loads        []float64 // of each cell, relative to its capacity
+	MaxLoad      float64   // highest of Loads
+	MeanLoad     float64   // total load relative to the total capacity
+	LowerBound   float64   // no plan has a lower MaxLoad
+	IsBoundTight bool      // LowerBound is attainable, and MaxLoad is within loadTolerance of it
 }
 
 const (
@@ -66,18 +66,18 @@
 		}
 	}
 	best = s.polish(best, maxMoves)
-	exact := false
+	isTight := false
 	if len(tenants) <= maxBranchTenants && maxMoves >= len(tenants) {
 		var found []int
-		if found, exact = s.branchAndBound(best); found == nil {
+		if found, isTight = s.branchAndBound(best); found == nil {
 			found = best
 		}
-		if exact {
+		if isTight {
 			bound = s.maxLoad(found)
 		}
 		best = s.betterPlacement(best, found)
 	}
-	return s.plan(s.dropNeedlessMoves(best), bound, exact)
+	return s.plan(s.dropNeedlessMoves(best), bound, isTight)
 }
 
 // Evaluate computes the loads and moves of a given placement.
@@ -96,16 +96,16 @@
 }
 
 func newSolver(tenants []Tenant, cells []Cell) *solver {
-	w := &solver{tenants: tenants, cells: cells, order: make([]int, len(tenants))}
-	for i := range w.order {
-		w.order[i] = i
+	s := &solver{tenants: tenants, cells: cells, order: make([]int, len(tenants))}
+	for i := range s.order {
+		s.order[i] = i
 	}
-	slices.SortStableFunc(w.order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
+	slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
 	for _, c := range cells {
-		w.totalCapacity += c.Capacity
+		s.totalCapacity += c.Capacity
 	}
-	w.hasPinned = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Pinned })
-	return w
+	s.hasPinned = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Pinned })
+	return s
 }
 
 // isAllowed reports whether a tenant may be placed in a cell.
@@ -457,8 +457,8 @@
 		}
 		t := s.order[i]
 		type cellState struct {
-			load, able float64
-			hall       string
+			load, capacity float64
+			hall           string
 		}
 		tried := map[cellState]bool{}
 		for c := range s.cells {
@@ -481,18 +481,18 @@
 	return found, nodes <= maxBranchNodes
 }
 
-func (s *solver) plan(placement []int, bound float64, exact bool) Plan {
-	p := Plan{Placement: placement, Loads: s.loads(placement), MaxLoad: s.maxLoad(placement), LowerBound: bound, IsOptimal: exact}
+func (s *solver) plan(placement []int, bound float64, isTight bool) Plan {
+	plan := Plan{Placement: placement, Loads: s.loads(placement), MaxLoad: s.maxLoad(placement), LowerBound: bound, IsBoundTight: isTight}
 	sum := 0.0
-	for c, load := range p.Loads {
+	for c, load := range plan.Loads {
 		sum += load
-		p.Loads[c] = load / s.cells[c].Capacity
+		plan.Loads[c] = load / s.cells[c].Capacity
 	}
-	p.MeanLoad = sum / s.totalCapacity
+	plan.MeanLoad = sum / s.totalCapacity
 	for _, t := range s.order {
 		if at := s.tenants[t].CurrentCell; at != NoCell && at != placement[t] {
-			p.Moves = append(p.Moves, t)
+			plan.Moves = append(plan.Moves, t)
 		}
 	}
-	return p
+	return plan
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -131,7 +131,7 @@
 		p := NewPlan(tenants, cells, maxMoves)
 		checkPlan(t, tenants, cells, maxMoves, p)
 		if maxMoves < 0 {
-			require.True(t, p.IsOptimal)
+			require.True(t, p.IsBoundTight)
 			best := minMaxLoad(tenants, cells)
 			require.InDelta(t, best, p.LowerBound, 1e-9)
 			require.LessOrEqual(t, p.MaxLoad, best/(1-loadTolerance)+1e-9)
