--- a/internal/cells/book.go
+++ b/internal/cells/book.go
@@ -93,69 +93,69 @@
 
 // Placement returns the tenant's placement: its latest entry, else its pinned cell, else its home
 // cell.
-func (b *Directory) Placement(t Tenant) Placement {
-	if len(b.entries) > 0 {
-		if e, known := b.entries[t]; known {
-			return Placement{Cell: b.layout.Find(e.Cell), Epoch: e.Epoch, Stage: e.Stage, MinPosition: e.MinPosition}
+func (d *Directory) Placement(t Tenant) Placement {
+	if len(d.entries) > 0 {
+		if e, known := d.entries[t]; known {
+			return Placement{Cell: d.layout.Find(e.Cell), Epoch: e.Epoch, Stage: e.Stage, MinPosition: e.MinPosition}
 		}
 	}
-	if c, pinned := b.pinned[t]; pinned {
+	if c, pinned := d.pinned[t]; pinned {
 		return Placement{Cell: c}
 	}
-	return Placement{Cell: b.layout.HomeCell(t)}
+	return Placement{Cell: d.layout.HomeCell(t)}
 }
 
 // Entry returns the latest placement decision for a tenant.
-func (b *Directory) Entry(t Tenant) (e Entry, known bool) {
-	e, known = b.entries[t]
+func (d *Directory) Entry(t Tenant) (e Entry, known bool) {
+	e, known = d.entries[t]
 	return e, known
 }
 
 // Layout returns the layout of the cells.
-func (b *Directory) Layout() *Layout { return b.layout }
+func (d *Directory) Layout() *Layout { return d.layout }
 
 // LatestEpoch returns the highest epoch in the directory.
-func (b *Directory) LatestEpoch() Epoch { return b.latestEpoch }
+func (d *Directory) LatestEpoch() Epoch { return d.latestEpoch }
 
 // Apply stores an entry. It returns false if the tenant already has an entry of the same or a
 // newer epoch, and an error if the entry refers to an unknown cell.
-func (b *Directory) Apply(e Entry) (applied bool, err error) {
-	current, known := b.entries[e.Tenant]
+func (d *Directory) Apply(e Entry) (applied bool, err error) {
+	current, known := d.entries[e.Tenant]
 	if known && e.Epoch <= current.Epoch {
 		return false, nil
 	}
-	if b.layout.Find(e.Cell) == NoCell {
+	if d.layout.Find(e.Cell) == NoCell {
 		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not configured", e.Tenant, e.Epoch, e.Cell)
 	}
-	if e.To != "" && b.layout.Find(e.To) == NoCell {
+	if e.To != "" && d.layout.Find(e.To) == NoCell {
 		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not configured", e.Tenant, e.Epoch, e.To)
 	}
-	b.store(e)
+	d.store(e)
 	return true, nil
 }
 
 // store saves an entry that is newer than the tenant's current one.
-func (b *Directory) store(e Entry) {
-	b.entries[e.Tenant] = e
+func (d *Directory) store(e Entry) {
+	d.entries[e.Tenant] = e
 	if e.Stage == StageIdle {
-		delete(b.moving, e.Tenant)
+		delete(d.moving, e.Tenant)
 	} else {
-		b.moving[e.Tenant] = true
+		d.moving[e.Tenant] = true
 	}
-	b.latestEpoch = max(b.latestEpoch, e.Epoch)
+	d.latestEpoch = max(d.latestEpoch, e.Epoch)
 }
 
 // isValidTransition reports whether an entry is a valid next stage with a new epoch.
-func (b *Directory) isValidTransition(e Entry) bool {
-	return slices.Contains(allowedPredecessors[e.Stage], b.entries[e.Tenant].Stage) && e.Epoch > b.latestEpoch
+func (d *Directory) isValidTransition(e Entry) bool {
+	return slices.Contains(allowedPredecessors[e.Stage], d.entries[e.Tenant].Stage) && e.Epoch > d.latestEpoch
 }
 
 // Since returns the entries newer than an epoch, in order of epoch.
-func (b *Directory) Since(known Epoch) (newer []Entry) {
-	if known >= b.latestEpoch {
+func (d *Directory) Since(known Epoch) (newer []Entry) {
+	if known >= d.latestEpoch {
 		return nil
 	}
-	for _, e := range b.entries {
+	for _, e := range d.entries {
 		if e.Epoch > known {
 			newer = append(newer, e)
 		}
@@ -169,77 +169,77 @@
 }
 
 // Moving returns the entries of moves in progress, in order of epoch.
-func (b *Directory) Moving() (moving []Entry) {
-	for t := range b.moving {
-		moving = append(moving, b.entries[t])
+func (d *Directory) Moving() (moving []Entry) {
+	for t := range d.moving {
+		moving = append(moving, d.entries[t])
 	}
 	return sortByEpoch(moving)
 }
 
 // Overrides returns the cells of the tenants that are pinned or have been moved.
-func (b *Directory) Overrides() map[Tenant]Cell {
-	overrides := make(map[Tenant]Cell, len(b.pinned)+len(b.entries))
-	for t, c := range b.pinned {
-		overrides[t] = c
+func (d *Directory) Overrides() map[Tenant]Cell {
+	overrides := make(map[Tenant]Cell, len(d.pinned)+len(d.entries))
+	for t, cell := range d.pinned {
+		overrides[t] = cell
 	}
-	for t, e := range b.entries {
-		overrides[t] = b.layout.Find(e.Cell)
+	for t, e := range d.entries {
+		overrides[t] = d.layout.Find(e.Cell)
 	}
 	return overrides
 }
 
 // Update applies the cells and pinned tenants of a reloaded configuration, or returns an error and
 // changes nothing. It fails if it would change the cell of a tenant that has not been moved.
-func (b *Directory) Update(l *Layout, pins map[Tenant]string) error {
-	if err := b.checkPins(b.resolvePins(l, pins)); err != nil {
+func (d *Directory) Update(l *Layout, pins map[Tenant]string) error {
+	if err := d.checkPins(d.resolvePins(l, pins)); err != nil {
 		return err
 	}
-	if err := b.layout.Update(l, b.Overrides()); err != nil {
+	if err := d.layout.Update(l, d.Overrides()); err != nil {
 		return err
 	}
-	b.pinned = b.resolvePins(b.layout, pins)
+	d.pinned = d.resolvePins(d.layout, pins)
 	return nil
 }
 
 // resolvePins maps pinned tenants to cells of the current layout. A cell that only l contains gets
 // the index that the update will give it.
-func (b *Directory) resolvePins(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
+func (d *Directory) resolvePins(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
 	resolved := make(map[Tenant]Cell, len(pins))
 	for t, name := range pins {
-		if resolved[t] = b.layout.Find(name); resolved[t] == NoCell {
-			resolved[t] = Cell(b.layout.Cells()) + l.Find(name)
+		if resolved[t] = d.layout.Find(name); resolved[t] == NoCell {
+			resolved[t] = Cell(d.layout.Cells()) + l.Find(name)
 		}
 	}
 	return resolved
 }
 
 // checkPins returns an error if the pins would change the cell of a tenant.
-func (b *Directory) checkPins(pins map[Tenant]Cell) error {
+func (d *Directory) checkPins(pins map[Tenant]Cell) error {
 	var tenants []Tenant
 	for t := range pins {
 		tenants = append(tenants, t)
 	}
-	for t := range b.pinned {
+	for t := range d.pinned {
 		tenants = append(tenants, t)
 	}
 	slices.Sort(tenants)
 	for _, t := range slices.Compact(tenants) {
-		if _, moved := b.entries[t]; moved {
+		if _, moved := d.entries[t]; moved {
 			continue
 		}
 		next, pinned := pins[t]
 		if !pinned {
-			next = b.layout.HomeCell(t)
+			next = d.layout.HomeCell(t)
 		}
-		if current := b.Placement(t).Cell; current != next {
-			return fmt.Errorf("tenant %q is in cell %q, which reloading the configuration cannot change: move it", t, b.layout.Name(current))
+		if current := d.Placement(t).Cell; current != next {
+			return fmt.Errorf("tenant %q is in cell %q, which reloading the configuration cannot change: move it", t, d.layout.Name(current))
 		}
 	}
 	return nil
 }
 
 // Pinned reports whether the configuration pins a tenant to a cell.
-func (b *Directory) Pinned(t Tenant) bool {
-	_, pinned := b.pinned[t]
+func (d *Directory) Pinned(t Tenant) bool {
+	_, pinned := d.pinned[t]
 	return pinned
 }
--- a/internal/cells/bulkheads.go
+++ b/internal/cells/bulkheads.go
@@ -14,9 +14,10 @@
 // Budget is the total of each resource, 0 for no limit.
 type Budget [resourceCount]int64
 
-// Bulkheads divides a driver's resources between cells by weight. A cell can always use its own
-// share, and can borrow the part of other cells' idle shares that they lend. When a cell is denied
-// part of its own share, lending pauses until the borrowed resources are returned.
+// Bulkheads divides a driver's resources between cells by weight. A cell owns its share,
+// and can borrow the part of other cells' idle shares that they lend. After a cell was denied part
+// of its own share, it lends nothing for lendPause, so that borrowed resources come back as their
+// RPCs finish.
 type Bulkheads struct {
 	budget     Budget
 	lendRatio  float64
@@ -26,9 +27,12 @@
 	lastDenied [resourceCount][]int64
 }
 
-// lendPause is how long lending stops after a cell was denied within its own share.
+// lendPause is how long a cell lends nothing after it was denied within its own share.
 const lendPause = second / 2
 
+// unlimited is the limit of a resource without a budget.
+const unlimited = 1 << 40
+
 // NewBulkheads divides a budget between cells by weight.
 func NewBulkheads(budget Budget, lendRatio float64, weights []float64) *Bulkheads {
 	b := &Bulkheads{budget: budget, lendRatio: lendRatio}
@@ -64,7 +68,7 @@
 // Limit returns what a cell may use now: its own share and what it can borrow.
 func (b *Bulkheads) Limit(resource Resource, c Cell, now int64) int64 {
 	if b.budget[resource] == 0 {
-		return 1 << 40
+		return unlimited
 	}
 	share := b.Share(resource, c)
 	if share > b.used[resource][c]+1 {
@@ -91,7 +95,7 @@
 }
 
 // CanUse reports whether a cell may use an additional amount. If a cell is denied within its own
-// share because others have borrowed it, lending pauses.
+// share because others have borrowed it, it stops lending for lendPause.
 func (b *Bulkheads) CanUse(resource Resource, c Cell, amount, now int64) bool {
 	if b.budget[resource] == 0 {
 		return true
--- a/internal/cells/gate.go
+++ b/internal/cells/gate.go
@@ -12,7 +12,7 @@
 	Tenant       Tenant
 	Key          string
 	Write        bool
-	SoftDeadline int64
+	SoftDeadline int64 // from the arrival of the RPC
 	TimeLeft     int64 // until the client's deadline
 	Utility      float64
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -25,7 +25,7 @@
 	groupsPerTenant int // maximum number of groups of a cell that a tenant uses
 }
 
-// MaxGroupsPerTenant is the upper bound of the groups of a cell that a tenant can use.
+// MaxGroupsPerTenant limits the groups of a cell that a tenant can use.
 const MaxGroupsPerTenant = 16
 
 // NewLayout returns a layout without cells, in which a tenant uses up to groupsPerTenant groups.
--- a/internal/cells/leases.go
+++ b/internal/cells/leases.go
@@ -48,7 +48,7 @@
 	loads                []TenantLoad
 }
 
-// clockRateDivisor is the fraction of the lease added to its expiry, for clocks that run at
+// clockRateDivisor extends the expiry of a lease by 1/500 of its duration, for clocks that run at
 // different rates.
 const clockRateDivisor = 500
 
--- a/internal/cells/limits.go
+++ b/internal/cells/limits.go
@@ -8,15 +8,14 @@
 	bulkheads    *Bulkheads
 	shares       *shares
 	heavyHitters *HeavyHitters
-	// indexed by cell
-	concurrency []float64   // adaptive limit of open RPCs, 0 until the first response
-	latency     []float64   // smoothed, of RPCs served in time
-	loweredAt   []int64     // when concurrency was last decreased
-	demandRatio []float64   // smoothed requests per admitted request
-	decayedAt   int64       // when the loads were last halved
-	loadSeconds float64     // period that the loads cover
-	maxUtility  float64     // highest utility seen
-	unsent      [][]*Ticket // admitted RPCs, oldest first; may include some already sent
+	concurrency  []float64   // by cell, adaptive limit of open RPCs, 0 until the first response
+	latency      []float64   // by cell, smoothed, of RPCs served in time
+	loweredAt    []int64     // by cell, when concurrency was last decreased
+	demandRatio  []float64   // by cell, smoothed requests per admitted request
+	decayedAt    int64       // when the loads were last halved
+	loadSeconds  float64     // period that the loads cover
+	maxUtility   float64     // highest utility seen
+	unsent       [][]*Ticket // by cell, admitted RPCs, oldest first; may include some already sent
 }
 
 const (
@@ -231,7 +230,7 @@
 	}
 }
 
-// retryAfter returns the retry delay for a cell: its latency times its excess demand.
+// retryAfter returns the retry delay for a cell: its latency times its demand ratio.
 func (m *Limits) retryAfter(c Cell) int64 {
 	return max(minRetryAfter, int64(m.latency[c]*m.demandRatio[c]))
 }
--- a/internal/cells/place_test.go
+++ b/internal/cells/place_test.go
@@ -58,12 +58,12 @@
 	identical := 0
 	for i := range 2000 {
 		a, b := Tenant(fmt.Sprintf("a%d", i)), Tenant(fmt.Sprintf("b%d", i))
-		s := l.TenantGroups(a, 0)
-		require.Len(t, s, 2)
-		require.NotEqual(t, s[0], s[1])
-		require.Contains(t, s, l.Group(a, fmt.Sprint("key", i), 0))
-		o := l.TenantGroups(b, 0)
-		if (s[0] == o[0] || s[0] == o[1]) && (s[1] == o[0] || s[1] == o[1]) {
+		groupsA := l.TenantGroups(a, 0)
+		require.Len(t, groupsA, 2)
+		require.NotEqual(t, groupsA[0], groupsA[1])
+		require.Contains(t, groupsA, l.Group(a, fmt.Sprint("key", i), 0))
+		groupsB := l.TenantGroups(b, 0)
+		if (groupsA[0] == groupsB[0] || groupsA[0] == groupsB[1]) && (groupsA[1] == groupsB[0] || groupsA[1] == groupsB[1]) {
 			identical++
 		}
 	}
@@ -86,8 +86,8 @@
 				longest, want, found = len(p), tenant, true
 			}
 		}
-		got, is := NewPrefixTrie(tenants).Longest(key)
-		require.Equal(t, found, is)
+		got, ok := NewPrefixTrie(tenants).Longest(key)
+		require.Equal(t, found, ok)
 		require.Equal(t, want, got)
 	})
 }
--- a/internal/cells/shares.go
+++ b/internal/cells/shares.go
@@ -58,8 +58,8 @@
 func (s *shares) usage(c Cell, t Tenant, now int64) *tenantUsage {
 	cell := &s.cells[c]
 	cell.removeIdle(now)
-	if p := cell.active[t]; p != nil {
-		return p
+	if usage := cell.active[t]; usage != nil {
+		return usage
 	}
 	if len(cell.active) >= maxOwnShares {
 		if cell.shared.weight == 0 {
@@ -68,19 +68,19 @@
 		}
 		return &cell.shared
 	}
-	p := &tenantUsage{weight: s.weight(t), idleSince: now, hasOwnShare: true}
-	cell.active[t] = p
-	cell.totalWeight += p.weight
+	usage := &tenantUsage{weight: s.weight(t), idleSince: now, hasOwnShare: true}
+	cell.active[t] = usage
+	cell.totalWeight += usage.weight
 	cell.idle = append(cell.idle, idleTenant{t, now})
-	return p
+	return usage
 }
 
 // removeIdle removes tenants that have been idle for idleRetention.
 func (s *cellShares) removeIdle(now int64) {
 	n := 0
 	for ; n < len(s.idle) && now-s.idle[n].since >= idleRetention; n++ {
-		if p := s.active[s.idle[n].tenant]; p != nil && p.used == 0 && now-p.idleSince >= idleRetention {
-			s.totalWeight -= p.weight
+		if usage := s.active[s.idle[n].tenant]; usage != nil && usage.used == 0 && now-usage.idleSince >= idleRetention {
+			s.totalWeight -= usage.weight
 			delete(s.active, s.idle[n].tenant)
 		}
 	}
--- a/internal/cells/walk_test.go
+++ b/internal/cells/walk_test.go
@@ -57,7 +57,7 @@
 }
 
 type sentGrant struct {
-	to          *simulatedDriver
+	driver      *simulatedDriver
 	incarnation uint64
 	requestedAt int64
 	grant       Grant
@@ -255,21 +255,21 @@
 	if sim.random(5) > 0 {
 		sim.grants = slices.Delete(sim.grants, i, i+1)
 	}
-	if g.incarnation != g.to.incarnation {
+	if g.incarnation != g.driver.incarnation {
 		return
 	}
-	changed, err := g.to.controller.ApplyGrant(g.requestedAt, g.grant)
+	changed, err := g.driver.controller.ApplyGrant(g.requestedAt, g.grant)
 	if err != nil {
 		sim.violation = err.Error()
 	}
 	if sim.bug == bugOldEpochs {
 		for _, e := range g.grant.Entries {
-			g.to.controller.directory.entries[e.Tenant] = e
+			g.driver.controller.directory.entries[e.Tenant] = e
 			changed = append(changed, e.Tenant)
 		}
 	}
 	for _, t := range changed {
-		g.to.controller.ResumeHeld(t, sim.now)
+		g.driver.controller.ResumeHeld(t, sim.now)
 	}
 }
 
@@ -532,14 +532,14 @@
 	}
 	_, v, _ := admit(0, true)
 	require.Equal(t, ReasonNoLease, v.Reason, "the driver has no lease")
-	grant := func(asked int64, e ...Entry) {
+	grant := func(requestedAt int64, e ...Entry) {
 		newest := g.directory.latestEpoch
 		for _, n := range e {
 			newest = max(newest, n.Epoch)
 		}
-		_, err := g.ApplyGrant(asked, Grant{Lease: second, LatestEpoch: newest, Entries: e})
+		_, err := g.ApplyGrant(requestedAt, Grant{Lease: second, LatestEpoch: newest, Entries: e})
 		require.NoError(t, err)
-		g.ResumeHeld("t", asked)
+		g.ResumeHeld("t", requestedAt)
 	}
 	grant(0)
 	first, v, _ := admit(ms, true)
@@ -585,17 +585,17 @@
 
 // Guards against an earlier start of a driver that may still act after a later one has reported.
 func TestMoveWaitsForPredecessorLease(t *testing.T) {
-	held := leases{duration: second, drivers: map[string]*leaseHolder{}}
+	drivers := leases{duration: second, drivers: map[string]*leaseHolder{}}
 	e := Entry{Tenant: "t", Epoch: 1}
 	renew := func(now int64, incarnation uint64) {
-		require.True(t, held.renew(now, Report{Driver: "a", Incarnation: incarnation, Epoch: 1, Moves: []MoveReport{{Tenant: "t", Epoch: 1}}}))
+		require.True(t, drivers.renew(now, Report{Driver: "a", Incarnation: incarnation, Epoch: 1, Moves: []MoveReport{{Tenant: "t", Epoch: 1}}}))
 	}
 	renew(1, 1)
-	require.True(t, held.allHolders(1, e, anyReport))
+	require.True(t, drivers.allHolders(1, e, anyReport))
 	renew(second/2, 2)
-	require.False(t, held.allHolders(second, e, anyReport))
+	require.False(t, drivers.allHolders(second, e, anyReport))
 	renew(second, 2)
-	require.True(t, held.allHolders(second+second/100, e, anyReport))
+	require.True(t, drivers.allHolders(second+second/100, e, anyReport))
 }
 
 // Guards against a new coordinator that does not know that an earlier start of a driver holds a
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -297,9 +297,9 @@
 // allocate returns a free slot.
 func (l *Ledger) allocate() int32 {
 	if n := len(l.free); n > 0 {
-		p := l.free[n-1]
+		slot := l.free[n-1]
 		l.free = l.free[:n-1]
-		return p
+		return slot
 	}
 	l.entries = append(l.entries, entry{})
 	return int32(len(l.entries) - 1)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -74,13 +74,13 @@
 }
 
 // Checks the transitions at state for each effect.
-func TestRepeats(t *testing.T) {
-	type try struct {
+func TestRetryDecisions(t *testing.T) {
+	type testCase struct {
 		report Outcome // for the first grant; -1 for none
 		again  Request
 		at     int64
 		want   Action
-		why    Reason
+		reason Reason
 	}
 	none := Outcome(-1)
 	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
@@ -88,7 +88,7 @@
 	read := Request{ID: "1", Effect: rules.Idempotent, Group: 1}
 	other := token
 	other.Group = 2
-	for i, c := range []try{
+	for i, c := range []testCase{
 		{none, write, 10 * ms, ActionAbort, ReasonGrantOutstanding},
 		{NeverRan, write, 10 * ms, ActionGrant, ReasonNone},
 		{MayHaveRun, write, 10 * ms, ActionAbort, ReasonMayHaveRun},
@@ -115,7 +115,7 @@
 			require.True(t, l.Report(0, 1, d.Grant, c.report))
 		}
 		again := do(c.at, c.again)
-		require.Equal(t, []any{c.want, c.why}, []any{again.Action, again.Reason}, "row %d", i)
+		require.Equal(t, []any{c.want, c.reason}, []any{again.Action, again.Reason}, "row %d", i)
 	}
 	_, do := newTestLedger(t)
 	do(0, write)
@@ -179,13 +179,13 @@
 		l := New(now, 40, 30)
 		var records []Record
 		type sent struct {
-			ask   Request
-			grant Grant
-			epoch uint64
-			ran   bool
-			at    int64
+			request Request
+			grant   Grant
+			epoch   uint64
+			ran     bool
+			at      int64
 		}
-		var out []sent
+		var sentRPCs []sent
 		ran := map[ID][]sent{}
 		epochs := []uint64{1, 1}
 		join := func() {
@@ -199,37 +199,37 @@
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1, 2:
 				n := rapid.IntRange(0, 5).Draw(t, "id")
-				a := Request{ID: ID(fmt.Sprint(n)), Effect: effects[n%3], Caller: Caller(rapid.IntRange(0, 1).Draw(t, "caller")),
+				request := Request{ID: ID(fmt.Sprint(n)), Effect: effects[n%3], Caller: Caller(rapid.IntRange(0, 1).Draw(t, "caller")),
 					Group: rules.GroupID(rapid.IntRange(1, 2).Draw(t, "group")), Window: 100 * ms * int64(n%3%2), Deadline: startTime + 400*ms}
-				d := l.Decide(now, a)
+				d := l.Decide(now, request)
 				if d.Action != ActionGrant {
 					continue
 				}
-				if r, needed := l.Record(now, a, d.Grant); needed {
+				if r, needed := l.Record(now, request, d.Grant); needed {
 					records = append(records, r)
 				}
-				l.Granted(now, a, d.Grant)
-				out = append(out, sent{ask: a, grant: d.Grant, epoch: epochs[a.Caller], at: now})
+				l.Granted(now, request, d.Grant)
+				sentRPCs = append(sentRPCs, sent{request: request, grant: d.Grant, epoch: epochs[request.Caller], at: now})
 			case 3: // a member executes the RPC
-				if len(out) > 0 {
-					s := &out[rapid.IntRange(0, len(out)-1).Draw(t, "runs")]
+				if len(sentRPCs) > 0 {
+					s := &sentRPCs[rapid.IntRange(0, len(sentRPCs)-1).Draw(t, "runs")]
 					if !s.ran {
 						s.ran = true
-						ran[s.ask.ID] = append(ran[s.ask.ID], *s)
+						ran[s.request.ID] = append(ran[s.request.ID], *s)
 					}
 				}
 			case 4: // a truthful report
-				if len(out) > 0 {
-					i := rapid.IntRange(0, len(out)-1).Draw(t, "reports")
-					s := out[i]
+				if len(sentRPCs) > 0 {
+					i := rapid.IntRange(0, len(sentRPCs)-1).Draw(t, "reports")
+					s := sentRPCs[i]
 					outcome := MayHaveRun
 					if !s.ran && rapid.Bool().Draw(t, "unsent") {
 						outcome = NeverRan
-						out = slices.Delete(out, i, i+1) // it will not be sent
+						sentRPCs = slices.Delete(sentRPCs, i, i+1) // it will not be sent
 					} else if s.ran {
 						outcome = Ran
 					}
-					if l.Report(s.ask.Caller, s.epoch, s.grant, outcome) && s.ask.Effect != rules.Idempotent && rapid.Bool().Draw(t, "recorded") {
+					if l.Report(s.request.Caller, s.epoch, s.grant, outcome) && s.request.Effect != rules.Idempotent && rapid.Bool().Draw(t, "recorded") {
 						records = append(records, Record{Grant: s.grant, Outcome: outcome, At: now})
 					}
 				}
@@ -246,13 +246,13 @@
 				l.Recover(now, records)
 				join()
 			}
-			for id, all := range ran {
-				for i, s := range all[1:] {
-					first := all[0]
-					require.NotEqual(t, rules.NonIdempotent, s.ask.Effect, "%s ran %d times", id, i+2)
-					if s.ask.Effect == rules.Tokened {
-						require.Equal(t, first.ask.Group, s.ask.Group)
-						require.Less(t, max(s.at, first.at)-min(s.at, first.at), s.ask.Window)
+			for id, executions := range ran {
+				for i, s := range executions[1:] {
+					first := executions[0]
+					require.NotEqual(t, rules.NonIdempotent, s.request.Effect, "%s ran %d times", id, i+2)
+					if s.request.Effect == rules.Tokened {
+						require.Equal(t, first.request.Group, s.request.Group)
+						require.Less(t, max(s.at, first.at)-min(s.at, first.at), s.request.Window)
 					}
 				}
 			}
@@ -295,8 +295,8 @@
 		b.ResetTimer()
 		for done := 0; done < b.N; {
 			now += expiryTick
-			for _, place := range w.Advance(now) {
-				w.Set(place, now+1+rng.Int63n(2000*ms))
+			for _, id := range w.Advance(now) {
+				w.Set(id, now+1+rng.Int63n(2000*ms))
 				done++
 			}
 		}
@@ -305,8 +305,8 @@
 		var entries expiryHeap
 		for i := range entryCount {
 			heap.Push(&entries, struct {
-				at    int64
-				place int32
+				at int64
+				id int32
 			}{1 + rng.Int63n(2000*ms), int32(i)})
 		}
 		now := int64(0)
@@ -316,8 +316,8 @@
 			now += expiryTick
 			for entries[0].at <= now {
 				p := heap.Pop(&entries).(struct {
-					at    int64
-					place int32
+					at int64
+					id int32
 				})
 				p.at = now + 1 + rng.Int63n(2000*ms)
 				heap.Push(&entries, p)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -40,7 +40,7 @@
 }
 
 // placeByRendezvous places tenants by weighted rendezvous hashing.
-func placeByRendezvous(tenants []Tenant, cells []Cell) (place []int) {
+func placeByRendezvous(tenants []Tenant, cells []Cell) (placement []int) {
 	for _, t := range tenants {
 		best, at := math.Inf(-1), 0
 		for c, cell := range cells {
@@ -49,17 +49,17 @@
 				best, at = score, c
 			}
 		}
-		place = append(place, at)
+		placement = append(placement, at)
 	}
-	return place
+	return placement
 }
 
-func placeRandomly(tenants []Tenant, cells []Cell, seed uint64) (place []int) {
+func placeRandomly(tenants []Tenant, cells []Cell, seed uint64) (placement []int) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range tenants {
-		place = append(place, rng.IntN(len(cells)))
+		placement = append(placement, rng.IntN(len(cells)))
 	}
-	return place
+	return placement
 }
 
 // placeFirstFit places the heaviest tenants first, each in the first cell with load below a limit,
@@ -72,7 +72,7 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
 	bound := newSolver(tenants, cells).lowerBound()
 	for limit := bound; ; limit *= 1.01 {
-		place, loads, fits := make([]int, len(tenants)), make([]float64, len(cells)), true
+		placement, loads, fits := make([]int, len(tenants)), make([]float64, len(cells)), true
 		for _, t := range order {
 			c := -1
 			for i := range cells {
@@ -85,11 +85,11 @@
 				fits = false
 				break
 			}
-			place[t] = c
+			placement[t] = c
 			loads[c] += tenants[t].Load
 		}
 		if fits {
-			return place
+			return placement
 		}
 	}
 }
@@ -141,16 +141,16 @@
 
 // minMaxLoad returns the lowest maximum load over all placements.
 func minMaxLoad(tenants []Tenant, cells []Cell) float64 {
-	s, best, place := newSolver(tenants, cells), math.Inf(1), make([]int, len(tenants))
+	s, best, placement := newSolver(tenants, cells), math.Inf(1), make([]int, len(tenants))
 	var descend func(i int)
 	descend = func(i int) {
 		if i == len(tenants) {
-			best = min(best, s.maxLoad(place))
+			best = min(best, s.maxLoad(placement))
 			return
 		}
 		for c := range cells {
 			if s.isAllowed(i, c) {
-				place[i] = c
+				placement[i] = c
 				descend(i + 1)
 			}
 		}
@@ -192,25 +192,25 @@
 	b.WriteString("| tenants, cells | placement | worst cell over mean | over the lower bound | moves from rendezvous | CPU, relative to first-fit |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, size := range [][2]int{{1000, 8}, {1000, 40}, {100_000, 40}, {100_000, 200}} {
 		tenants, cells := skewedTenants(size[0], size[1], 1)
-		now := placeByRendezvous(tenants, cells)
-		for i, c := range now {
+		current := placeByRendezvous(tenants, cells)
+		for i, c := range current {
 			tenants[i].CurrentCell = c
 		}
-		var plain time.Duration
-		line := func(name string, make func() []int) {
-			begun := time.Now()
-			place := make()
-			took := time.Since(begun)
-			if plain == 0 {
-				plain = took
+		var baseline time.Duration
+		line := func(name string, place func() []int) {
+			start := time.Now()
+			placement := place()
+			elapsed := time.Since(start)
+			if baseline == 0 {
+				baseline = elapsed
 			}
-			p := Evaluate(tenants, cells, place)
+			p := Evaluate(tenants, cells, placement)
 			fmt.Fprintf(&b, "| %d, %d | %s | %.4f | %.4f | %d | %.1f |\n", size[0], size[1], name, p.MaxLoad/p.MeanLoad, p.MaxLoad/p.LowerBound, len(p.Moves),
-				float64(took)/float64(plain))
+				float64(elapsed)/float64(baseline))
 		}
 		line("first-fit decreasing", func() []int { return placeFirstFit(tenants, cells) })
 		line("random", func() []int { return placeRandomly(tenants, cells, 1) })
-		line("rendezvous", func() []int { return now })
+		line("rendezvous", func() []int { return current })
 		line("plan, any number of moves", func() []int { return NewPlan(tenants, cells, -1).Placement })
 		line("plan, at most 20 moves", func() []int { return NewPlan(tenants, cells, 20).Placement })
 	}
