--- a/internal/cells/book.go
+++ b/internal/cells/book.go
@@ -6,31 +6,31 @@
 	"slices"
 )
 
-// Stage is how far a tenant's move has come.
+// Stage is the progress of a tenant's move.
 //
-//	from       what has been seen                            to         what drivers do with the tenant's RPCs in it
-//	Resting    a move is asked for, and allowed              Prepared   all to the old cell
-//	Prepared   every driver knows of it                      Holding    writes are held, reads to the old cell
-//	Holding    no write is in flight anywhere: the cut       Catching   as before; the new cell nears the cut
-//	Catching   the new cell's members have reached the cut   Closing    all are held
-//	Closing    nothing is in flight anywhere                 Switched   all to the new cell, from the cut on
-//	Switched   every driver acts on it                       Resting    the move is done
-//	Prepared, Holding, Catching, Closing
-//	           it is called off, or has held writes too long Returning  all to the old cell
-//	Returning  every driver acts on it                       Resting    the move is undone
+//	from               condition                              to                 routing of the tenant's RPCs in from
+//	StageIdle          a move is requested and allowed        StagePrepared      all to the old cell
+//	StagePrepared      every driver knows of the move         StageHoldingWrites all to the old cell
+//	StageHoldingWrites no write is in flight on any driver    StageCatchingUp    writes held, reads to the old cell
+//	StageCatchingUp    the new cell reached CutoverPosition   StageHoldingAll    writes held, reads to the old cell
+//	StageHoldingAll    no RPC is in flight on any driver      StageSwitched      all held
+//	StageSwitched      every driver uses the new cell         StageIdle          all to the new cell
+//	StagePrepared to   the move is aborted or held writes     StageRollingBack
+//	StageHoldingAll    for too long
+//	StageRollingBack   every driver uses the old cell         StageIdle          all to the old cell
 //
-// "Every driver" and "anywhere" mean: each driver that may still act has said so, and all others' leases have provably
-// run out. After Switched there is no way back but another move.
+// "Every driver" means that each driver with a valid lease has reported it and that the leases of
+// all others have expired. After StageSwitched only another move can move the tenant back.
 type Stage int
 
 const (
-	Resting Stage = iota
-	Prepared
-	Holding
-	Catching
-	Closing
-	Switched
-	Returning
+	StageIdle Stage = iota
+	StagePrepared
+	StageHoldingWrites
+	StageCatchingUp
+	StageHoldingAll
+	StageSwitched
+	StageRollingBack
 )
 
 var stageNames = [...]string{"resting", "prepared", "holding", "catching", "closing", "switched", "returning"}
@@ -42,201 +42,204 @@
 	return stageNames[s]
 }
 
-// before lists, for each stage, those that it may follow.
-var before = map[Stage][]Stage{
-	Prepared:  {Resting},
-	Holding:   {Prepared},
-	Catching:  {Holding},
-	Closing:   {Catching},
-	Switched:  {Closing},
-	Returning: {Prepared, Holding, Catching, Closing},
-	Resting:   {Switched, Returning},
+// allowedPredecessors lists the stages that each stage may follow.
+var allowedPredecessors = map[Stage][]Stage{
+	StagePrepared:      {StageIdle},
+	StageHoldingWrites: {StagePrepared},
+	StageCatchingUp:    {StageHoldingWrites},
+	StageHoldingAll:    {StageCatchingUp},
+	StageSwitched:      {StageHoldingAll},
+	StageRollingBack:   {StagePrepared, StageHoldingWrites, StageCatchingUp, StageHoldingAll},
+	StageIdle:          {StageSwitched, StageRollingBack},
 }
 
-// Entry is where one tenant is, by a decision of its own. It is what is written down and what drivers are sent.
-// Times and positions are Unix time in nanoseconds.
+// Entry is a placement decision for one tenant, as persisted and sent to drivers. Times and
+// positions are Unix time in nanoseconds.
 type Entry struct {
-	Epoch  Epoch  `json:"epoch"`
-	Tenant Tenant `json:"tenant"`
-	Cell   string `json:"cell"` // where it is; the old cell until Switched
-	Stage  Stage  `json:"stage"`
-	To     string `json:"to,omitempty"`    // of a move under way: the new cell, or the one it came from where it returns
-	Floor  int64  `json:"floor,omitempty"` // position that a member must have reached to be read from
-	Cut    int64  `json:"cut,omitempty"`   // position that the new cell has to reach
-	At     int64  `json:"at"`              // when it was decided
-	Begun  int64  `json:"begun,omitempty"` // when the move began to hold writes, 0 for not yet
-	Why    string `json:"why,omitempty"`
-}
-
-// Book is where tenants are that are not where their names hash to, by the newest epoch known here.
-type Book struct {
-	layout  *Layout
-	pins    map[Tenant]Cell
-	entries map[Tenant]Entry
-	moving  map[Tenant]bool // those whose entry is of a move under way
-	newest  Epoch
-}
-
-// NewBook makes a book in which nothing but pins is known.
-func NewBook(l *Layout, pins map[Tenant]Cell) *Book {
-	return &Book{layout: l, pins: pins, entries: map[Tenant]Entry{}, moving: map[Tenant]bool{}}
-}
-
-// Seat is what a driver goes by for a tenant's RPCs.
-type Seat struct {
-	Cell  Cell
-	Epoch Epoch
-	Stage Stage
-	Floor int64
-}
-
-// Seat is where a tenant is: where a move has put it, else where it is pinned, else where its name hashes to.
-func (b *Book) Seat(t Tenant) Seat {
-	if len(b.entries) > 0 {
-		if e, known := b.entries[t]; known {
-			return Seat{Cell: b.layout.Find(e.Cell), Epoch: e.Epoch, Stage: e.Stage, Floor: e.Floor}
+	Epoch           Epoch  `json:"epoch"`
+	Tenant          Tenant `json:"tenant"`
+	Cell            string `json:"cell"` // current cell; the old cell until StageSwitched
+	Stage           Stage  `json:"stage"`
+	To              string `json:"to,omitempty"`    // other cell of a move: the new cell, or the old one once switched
+	MinPosition     int64  `json:"floor,omitempty"` // position that a member must have reached to serve reads
+	CutoverPosition int64  `json:"cut,omitempty"`   // position that the new cell must reach
+	DecidedAt       int64  `json:"at"`
+	HoldStartedAt   int64  `json:"begun,omitempty"` // when the move began to hold writes, 0 if it has not
+	Reason          string `json:"why,omitempty"`
+}
+
+// Directory stores the placement of tenants that are moved or pinned, up to the latest known
+// epoch.
+type Directory struct {
+	layout      *Layout
+	pinned      map[Tenant]Cell
+	entries     map[Tenant]Entry
+	moving      map[Tenant]bool // tenants with a move in progress
+	latestEpoch Epoch
+}
+
+// NewDirectory returns a directory that contains only the pinned tenants.
+func NewDirectory(l *Layout, pins map[Tenant]Cell) *Directory {
+	return &Directory{layout: l, pinned: pins, entries: map[Tenant]Entry{}, moving: map[Tenant]bool{}}
+}
+
+// Placement determines how a driver routes a tenant's RPCs.
+type Placement struct {
+	Cell        Cell
+	Epoch       Epoch
+	Stage       Stage
+	MinPosition int64
+}
+
+// Placement returns the tenant's placement: its latest entry, else its pinned cell, else its home
+// cell.
+func (d *Directory) Placement(t Tenant) Placement {
+	if len(d.entries) > 0 {
+		if e, known := d.entries[t]; known {
+			return Placement{Cell: d.layout.Find(e.Cell), Epoch: e.Epoch, Stage: e.Stage, MinPosition: e.MinPosition}
 		}
 	}
-	if c, pinned := b.pins[t]; pinned {
-		return Seat{Cell: c}
+	if c, pinned := d.pinned[t]; pinned {
+		return Placement{Cell: c}
 	}
-	return Seat{Cell: b.layout.Home(t)}
+	return Placement{Cell: d.layout.HomeCell(t)}
 }
 
-// Entry is what a decision of its own says of a tenant.
-func (b *Book) Entry(t Tenant) (e Entry, known bool) {
-	e, known = b.entries[t]
+// Entry returns the latest placement decision for a tenant.
+func (d *Directory) Entry(t Tenant) (e Entry, known bool) {
+	e, known = d.entries[t]
 	return e, known
 }
 
-// Layout is the cells that there are.
-func (b *Book) Layout() *Layout { return b.layout }
+// Layout returns the layout of the cells.
+func (d *Directory) Layout() *Layout { return d.layout }
 
-// Newest is the newest epoch that the book knows.
-func (b *Book) Newest() Epoch { return b.newest }
+// LatestEpoch returns the highest epoch in the directory.
+func (d *Directory) LatestEpoch() Epoch { return d.latestEpoch }
 
-// Apply takes in an entry. One whose epoch is not newer than what is known of its tenant changes nothing, and applied is
-// false. One that does not follow from what is known is an error: the book would not be what its writer held.
-func (b *Book) Apply(e Entry) (applied bool, err error) {
-	held, known := b.entries[e.Tenant]
-	if known && e.Epoch <= held.Epoch {
+// Apply stores an entry. It returns false if the tenant already has an entry of the same or a
+// newer epoch, and an error if the entry refers to an unknown cell.
+func (d *Directory) Apply(e Entry) (applied bool, err error) {
+	current, known := d.entries[e.Tenant]
+	if known && e.Epoch <= current.Epoch {
 		return false, nil
 	}
-	if b.layout.Find(e.Cell) == NoCell {
-		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not in the file", e.Tenant, e.Epoch, e.Cell)
+	if d.layout.Find(e.Cell) == NoCell {
+		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not configured", e.Tenant, e.Epoch, e.Cell)
 	}
-	if e.To != "" && b.layout.Find(e.To) == NoCell {
-		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not in the file", e.Tenant, e.Epoch, e.To)
+	if e.To != "" && d.layout.Find(e.To) == NoCell {
+		return false, fmt.Errorf("tenant %q, epoch %d: cell %q is not configured", e.Tenant, e.Epoch, e.To)
 	}
-	b.take(e)
+	d.store(e)
 	return true, nil
 }
 
-// take takes in an entry that is newer than what is known of its tenant.
-func (b *Book) take(e Entry) {
-	b.entries[e.Tenant] = e
-	if e.Stage == Resting {
-		delete(b.moving, e.Tenant)
+// store saves an entry that is newer than the tenant's current one.
+func (d *Directory) store(e Entry) {
+	d.entries[e.Tenant] = e
+	if e.Stage == StageIdle {
+		delete(d.moving, e.Tenant)
 	} else {
-		b.moving[e.Tenant] = true
+		d.moving[e.Tenant] = true
 	}
-	b.newest = max(b.newest, e.Epoch)
+	d.latestEpoch = max(d.latestEpoch, e.Epoch)
 }
 
-// follows tells whether an entry is a step of the table from what the book holds.
-func (b *Book) follows(e Entry) bool {
-	return slices.Contains(before[e.Stage], b.entries[e.Tenant].Stage) && e.Epoch > b.newest
+// isValidTransition reports whether an entry is a valid next stage with a new epoch.
+func (d *Directory) isValidTransition(e Entry) bool {
+	return slices.Contains(allowedPredecessors[e.Stage], d.entries[e.Tenant].Stage) && e.Epoch > d.latestEpoch
 }
 
-// Since gives the entries with epochs above one, the oldest first.
-func (b *Book) Since(known Epoch) (newer []Entry) {
-	if known >= b.newest {
+// Since returns the entries newer than an epoch, in order of epoch.
+func (d *Directory) Since(known Epoch) (newer []Entry) {
+	if known >= d.latestEpoch {
 		return nil
 	}
-	for _, e := range b.entries {
+	for _, e := range d.entries {
 		if e.Epoch > known {
 			newer = append(newer, e)
 		}
 	}
-	return byEpoch(newer)
+	return sortByEpoch(newer)
 }
 
-func byEpoch(entries []Entry) []Entry {
+func sortByEpoch(entries []Entry) []Entry {
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	return entries
 }
 
-// Moving are the entries of moves under way, the oldest first.
-func (b *Book) Moving() (moving []Entry) {
-	for t := range b.moving {
-		moving = append(moving, b.entries[t])
+// Moving returns the entries of moves in progress, in order of epoch.
+func (d *Directory) Moving() (moving []Entry) {
+	for t := range d.moving {
+		moving = append(moving, d.entries[t])
 	}
-	return byEpoch(moving)
+	return sortByEpoch(moving)
 }
 
-// Seats are the cells of the tenants that are not where their names hash to.
-func (b *Book) Seats() map[Tenant]Cell {
-	seats := make(map[Tenant]Cell, len(b.pins)+len(b.entries))
-	for t, c := range b.pins {
-		seats[t] = c
+// Overrides returns the cells of the tenants that are pinned or have been moved.
+func (d *Directory) Overrides() map[Tenant]Cell {
+	overrides := make(map[Tenant]Cell, len(d.pinned)+len(d.entries))
+	for t, cell := range d.pinned {
+		overrides[t] = cell
 	}
-	for t, e := range b.entries {
-		seats[t] = b.layout.Find(e.Cell)
+	for t, e := range d.entries {
+		overrides[t] = d.layout.Find(e.Cell)
 	}
-	return seats
+	return overrides
 }
 
-// Become takes over the cells and the pins of a file read again: all of it, or an error and nothing. A tenant that has not
-// been moved must stay where it is.
-func (b *Book) Become(l *Layout, pins map[Tenant]string) error {
-	if err := b.repinnable(b.places(l, pins)); err != nil {
+// Update applies the cells and pinned tenants of a reloaded configuration, or returns an error and
+// changes nothing. It fails if it would change the cell of a tenant that has not been moved.
+func (d *Directory) Update(l *Layout, pins map[Tenant]string) error {
+	if err := d.checkPins(d.resolvePins(l, pins)); err != nil {
 		return err
 	}
-	if err := b.layout.Become(l, b.Seats()); err != nil {
+	if err := d.layout.Update(l, d.Overrides()); err != nil {
 		return err
 	}
-	b.pins = b.places(b.layout, pins)
+	d.pinned = d.resolvePins(d.layout, pins)
 	return nil
 }
 
-// places are the pins with the places of their cells here; one in a cell that is new here has the place that it will get.
-func (b *Book) places(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
-	placed := make(map[Tenant]Cell, len(pins))
+// resolvePins maps pinned tenants to cells of the current layout. A cell that only l contains gets
+// the index that the update will give it.
+func (d *Directory) resolvePins(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
+	resolved := make(map[Tenant]Cell, len(pins))
 	for t, name := range pins {
-		if placed[t] = b.layout.Find(name); placed[t] == NoCell {
-			placed[t] = Cell(b.layout.Cells()) + l.Find(name)
+		if resolved[t] = d.layout.Find(name); resolved[t] == NoCell {
+			resolved[t] = Cell(d.layout.Cells()) + l.Find(name)
 		}
 	}
-	return placed
+	return resolved
 }
 
-// repinnable tells whether other pins leave every tenant where it is.
-func (b *Book) repinnable(pins map[Tenant]Cell) error {
-	var both []Tenant
+// checkPins returns an error if the pins would change the cell of a tenant.
+func (d *Directory) checkPins(pins map[Tenant]Cell) error {
+	var tenants []Tenant
 	for t := range pins {
-		both = append(both, t)
+		tenants = append(tenants, t)
 	}
-	for t := range b.pins {
-		both = append(both, t)
+	for t := range d.pinned {
+		tenants = append(tenants, t)
 	}
-	slices.Sort(both)
-	for _, t := range slices.Compact(both) {
-		if _, moved := b.entries[t]; moved {
+	slices.Sort(tenants)
+	for _, t := range slices.Compact(tenants) {
+		if _, moved := d.entries[t]; moved {
 			continue
 		}
 		next, pinned := pins[t]
 		if !pinned {
-			next = b.layout.Home(t)
+			next = d.layout.HomeCell(t)
 		}
-		if now := b.Seat(t).Cell; now != next {
-			return fmt.Errorf("tenant %q is in cell %q, and a file can't bring it into another: move it", t, b.layout.Name(now))
+		if current := d.Placement(t).Cell; current != next {
+			return fmt.Errorf("tenant %q is in cell %q, which reloading the configuration cannot change: move it", t, d.layout.Name(current))
 		}
 	}
 	return nil
 }
 
-// Pinned tells whether the file pins a tenant.
-func (b *Book) Pinned(t Tenant) bool {
-	_, pinned := b.pins[t]
+// Pinned reports whether the configuration pins a tenant to a cell.
+func (d *Directory) Pinned(t Tenant) bool {
+	_, pinned := d.pinned[t]
 	return pinned
 }
--- a/internal/cells/bulkheads.go
+++ b/internal/cells/bulkheads.go
@@ -1,124 +1,130 @@
 package cells
 
-// Kind is something that a driver owns and divides between cells.
-type Kind int
+// Resource is a limited resource of a driver that is divided between cells.
+type Resource int
 
 const (
-	RPCs     Kind = iota // open, those held included
-	CallOuts             // out, those whose RPC has ended included
-	Answers              // bytes of answers held at once
-	Sockets              // of clients, by the cell of their last RPC
-	kinds
+	RPCs              Resource = iota // open RPCs, including those held
+	Attempts                          // attempts in flight, including those of finished RPCs
+	ResponseBytes                     // response bytes held in memory
+	ClientConnections                 // client connections, by the cell of their last RPC
+	resourceCount
 )
 
-// Amounts are how much there is of each kind; 0 for no limit.
-type Amounts [kinds]int64
+// Budget is the total of each resource, 0 for no limit.
+type Budget [resourceCount]int64
 
-// Bulkheads divide what a driver owns between cells, by their weights. A cell may always use its share. What is idle of
-// the others' it may borrow, up to the part that they lend; from the moment that an owner wants its own, nothing is lent
-// that it could use, so that what was borrowed comes back as it ends. What is not lent at all is there at once.
+// Bulkheads divides a driver's resources between cells by weight. A cell owns its share,
+// and can borrow the part of other cells' idle shares that they lend. After a cell was denied part
+// of its own share, it lends nothing for lendPause, so that borrowed resources come back as their
+// RPCs finish.
 type Bulkheads struct {
-	all    Amounts
-	lend   float64
-	shares [kinds][]float64
-	used   [kinds][]int64
-	sum    [kinds]int64 // of used
-	wanted [kinds][]int64
+	budget     Budget
+	lendRatio  float64
+	shares     [resourceCount][]float64
+	used       [resourceCount][]int64
+	totalUsed  [resourceCount]int64 // sum of used
+	lastDenied [resourceCount][]int64
 }
 
-// wantedFor is how long a cell that was turned away within its share keeps others from borrowing.
-const wantedFor = second / 2
+// lendPause is how long a cell lends nothing after it was denied within its own share.
+const lendPause = second / 2
 
-// NewBulkheads divides what there is. A cell's weight says what part is its own.
-func NewBulkheads(all Amounts, lend float64, weights []float64) *Bulkheads {
-	b := &Bulkheads{all: all, lend: lend}
-	b.Divide(weights)
+// unlimited is the limit of a resource without a budget.
+const unlimited = 1 << 40
+
+// NewBulkheads divides a budget between cells by weight.
+func NewBulkheads(budget Budget, lendRatio float64, weights []float64) *Bulkheads {
+	b := &Bulkheads{budget: budget, lendRatio: lendRatio}
+	b.SetWeights(weights)
 	return b
 }
 
-// Divide divides anew. What is in use stays counted; cells keep their places.
-func (b *Bulkheads) Divide(weights []float64) {
+// SetWeights recalculates the shares. Current usage and the indexes of cells are kept.
+func (b *Bulkheads) SetWeights(weights []float64) {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
 	}
-	for k := range b.all {
-		for len(b.used[k]) < len(weights) {
-			b.used[k], b.wanted[k] = append(b.used[k], 0), append(b.wanted[k], 0)
+	for resource := range b.budget {
+		for len(b.used[resource]) < len(weights) {
+			b.used[resource], b.lastDenied[resource] = append(b.used[resource], 0), append(b.lastDenied[resource], 0)
 		}
-		b.shares[k] = b.shares[k][:0]
+		b.shares[resource] = b.shares[resource][:0]
 		for _, w := range weights {
-			b.shares[k] = append(b.shares[k], float64(b.all[k])*w/sum)
+			b.shares[resource] = append(b.shares[resource], float64(b.budget[resource])*w/sum)
 		}
 	}
 }
 
-// Share is a cell's own part.
-func (b *Bulkheads) Share(k Kind, c Cell) int64 { return max(1, int64(b.shares[k][c])) }
+// Share returns a cell's own share, at least 1.
+func (b *Bulkheads) Share(resource Resource, c Cell) int64 {
+	return max(1, int64(b.shares[resource][c]))
+}
 
-// Used is what a cell uses.
-func (b *Bulkheads) Used(k Kind, c Cell) int64 { return b.used[k][c] }
+// Used returns what a cell currently uses.
+func (b *Bulkheads) Used(resource Resource, c Cell) int64 { return b.used[resource][c] }
 
-// Limit is what a cell may use just now: its share, and what others lend it.
-func (b *Bulkheads) Limit(k Kind, c Cell, now int64) int64 {
-	if b.all[k] == 0 {
-		return 1 << 40
+// Limit returns what a cell may use now: its own share and what it can borrow.
+func (b *Bulkheads) Limit(resource Resource, c Cell, now int64) int64 {
+	if b.budget[resource] == 0 {
+		return unlimited
 	}
-	share := b.Share(k, c)
-	if share > b.used[k][c]+1 {
+	share := b.Share(resource, c)
+	if share > b.used[resource][c]+1 {
 		return share
 	}
-	return share + max(0, b.lent(k, c, now))
+	return share + max(0, b.borrowable(resource, c, now))
 }
 
-// lent is what others lend a cell just now: of each the part of its share that it neither uses nor wants nor keeps, less
-// what third ones have borrowed already.
-func (b *Bulkheads) lent(k Kind, c Cell, now int64) int64 {
-	var idle, out float64
-	for o := range b.shares[k] {
-		used, share := float64(b.used[k][o]), b.shares[k][o]
+// borrowable returns how much a cell can borrow now: the idle lendable shares of the other cells,
+// less what is already lent.
+func (b *Bulkheads) borrowable(resource Resource, c Cell, now int64) int64 {
+	var idle, lent float64
+	for other := range b.shares[resource] {
+		used, share := float64(b.used[resource][other]), b.shares[resource][other]
 		switch {
-		case Cell(o) == c:
+		case Cell(other) == c:
 		case used > share:
-			out += used - share
-		case now-b.wanted[k][o] >= wantedFor:
-			idle += min(share*b.lend, share-used)
+			lent += used - share
+		case now-b.lastDenied[resource][other] >= lendPause:
+			idle += min(share*b.lendRatio, share-used)
 		}
 	}
-	return min(int64(idle-out), b.all[k]-b.sum[k]+max(0, b.used[k][c]-b.Share(k, c)))
+	return min(int64(idle-lent), b.budget[resource]-b.totalUsed[resource]+max(0, b.used[resource][c]-b.Share(resource, c)))
 }
 
-// Fits tells whether a cell may use so much more. Where it may not though it is within its share, others have borrowed
-// what is its own: from here on nothing is lent for a while.
-func (b *Bulkheads) Fits(k Kind, c Cell, more, now int64) bool {
-	if b.all[k] == 0 {
+// CanUse reports whether a cell may use an additional amount. If a cell is denied within its own
+// share because others have borrowed it, it stops lending for lendPause.
+func (b *Bulkheads) CanUse(resource Resource, c Cell, amount, now int64) bool {
+	if b.budget[resource] == 0 {
 		return true
 	}
-	used := b.used[k][c] + more
-	if b.sum[k]+more > b.all[k] {
-		if used <= b.Share(k, c) {
-			b.wanted[k][c] = now
+	used := b.used[resource][c] + amount
+	if b.totalUsed[resource]+amount > b.budget[resource] {
+		if used <= b.Share(resource, c) {
+			b.lastDenied[resource][c] = now
 		}
 		return false
 	}
-	return used <= b.Limit(k, c, now)
+	return used <= b.Limit(resource, c, now)
 }
 
-// Use notes that a cell uses so much more, or less.
-func (b *Bulkheads) Use(k Kind, c Cell, more int64) {
-	b.used[k][c] += more
-	b.sum[k] += more
+// Add changes a cell's usage by an amount, which may be negative.
+func (b *Bulkheads) Add(resource Resource, c Cell, amount int64) {
+	b.used[resource][c] += amount
+	b.totalUsed[resource] += amount
 }
 
-// Over is the cell that is most over its share of something, as a part of that, or NoCell where none is.
-func (b *Bulkheads) Over(k Kind) Cell {
-	over, most := NoCell, 1.0
-	if b.all[k] == 0 {
+// MostOverShare returns the cell that exceeds its share by the largest ratio, or NoCell.
+func (b *Bulkheads) MostOverShare(resource Resource) Cell {
+	over, maxRatio := NoCell, 1.0
+	if b.budget[resource] == 0 {
 		return over
 	}
-	for c := range b.shares[k] {
-		if by := float64(b.used[k][c]) / float64(b.Share(k, Cell(c))); by > most {
-			over, most = Cell(c), by
+	for c := range b.shares[resource] {
+		if ratio := float64(b.used[resource][c]) / float64(b.Share(resource, Cell(c))); ratio > maxRatio {
+			over, maxRatio = Cell(c), ratio
 		}
 	}
 	return over
--- a/internal/cells/coordinator.go
+++ b/internal/cells/coordinator.go
@@ -5,43 +5,44 @@
 	"slices"
 )
 
-// Record is what a coordinator writes down: an entry, or a driver's start that it gives leases to, or that no earlier start
-// of that name acts any more.
+// Record is a change that a coordinator persists: an entry, the start of a driver, or the expiry
+// of all leases of earlier starts of a driver.
 type Record struct {
-	Entry  *Entry `json:"entry,omitempty"`
-	Driver string `json:"driver,omitempty"`
-	Start  uint64 `json:"start,omitempty"` // its incarnation, 0 in records of builds that wrote down names alone
-	Alone  bool   `json:"alone,omitempty"`
+	Entry               *Entry `json:"entry,omitempty"`
+	Driver              string `json:"driver,omitempty"`
+	Incarnation         uint64 `json:"start,omitempty"` // 0 in records of old builds, which stored names only
+	PredecessorsExpired bool   `json:"alone,omitempty"`
 }
 
-// Coordinator decides on moves for all drivers. Its methods propose records; whoever drives it writes them down and
-// then hands them to Apply, in their order and before anything is sent that rests on them. Records alone rebuild it.
-// Times are Unix time in nanoseconds, of one clock that does not go back.
+// Coordinator decides on moves for all drivers. Its methods propose records; the caller persists
+// them, passes them to Apply in order, and only then sends anything that depends on them. The
+// state can be rebuilt from the records. Times are Unix time in nanoseconds from a monotonic
+// clock.
 type Coordinator struct {
-	book   *Book
-	leases leases
-	hold   int64            // a move may hold writes so long
-	skew   int64            // the clocks of coordinators may differ by so much
-	since  map[Tenant]held  // moves that hold writes
-	fills  bool             // the store has to be asked to fill a new cell
-	filled map[Tenant]Epoch // the entries of which it has taken what they ask
+	directory    *Directory
+	leases       leases
+	maxHold      int64               // how long a move may hold writes
+	maxClockSkew int64               // between the clocks of coordinators
+	holds        map[Tenant]moveHold // moves that hold writes
+	waitsForFill bool                // moves wait for MarkFilled
+	filled       map[Tenant]Epoch    // last entry of each tenant that the store has acted on
 }
 
-// held is since when a move holds writes, by the clock of the coordinator that sees to it now. The entry's own time is that
-// of the one before, whose clock may be minutes off.
-type held struct {
-	begun int64 // as the entry says, to tell one move from the next
-	here  int64
+// moveHold is when a move began to hold writes, by this coordinator's clock. The time in the entry
+// may be from another coordinator, whose clock may differ.
+type moveHold struct {
+	startedAt  int64 // HoldStartedAt of the entry, which identifies the move
+	observedAt int64
 }
 
-// mostMoves is how many moves may be under way at once: each is a part of every report.
-const mostMoves = 256
+// maxConcurrentMoves limits the size of reports, which contain each move.
+const maxConcurrentMoves = 256
 
-// NewCoordinator starts at a time, over the records of the time before. A driver that they name may hold a lease given
-// just before that time. Where fills is set, moves wait for Filled. The clocks of those who coordinate one after another
-// may differ by skew.
-func NewCoordinator(now int64, b *Book, lease, hold, skew int64, fills bool, records []Record) (*Coordinator, error) {
-	c := &Coordinator{book: b, leases: leases{lease: lease, drivers: map[string]*holder{}}, hold: hold, skew: skew, fills: fills}
+// NewCoordinator returns a coordinator that starts at time now with the persisted records. Drivers
+// in the records may hold a lease granted just before now. If waitsForFill is set, moves wait for
+// MarkFilled. The clocks of successive coordinators may differ by maxClockSkew.
+func NewCoordinator(now int64, directory *Directory, lease, maxHold, maxClockSkew int64, waitsForFill bool, records []Record) (*Coordinator, error) {
+	c := &Coordinator{directory: directory, leases: leases{duration: lease, drivers: map[string]*leaseHolder{}}, maxHold: maxHold, maxClockSkew: maxClockSkew, waitsForFill: waitsForFill}
 	for _, r := range records {
 		if err := c.Apply(now, r); err != nil {
 			return nil, err
@@ -51,76 +52,76 @@
 	return c, nil
 }
 
-// TakeOver says that this coordinator begins to act at a time, after which no other gives leases. Whoever is known may hold
-// one given just before it, and what drivers and the store told another one has to be heard again.
+// TakeOver makes this coordinator the active one. Each known driver may hold a lease granted just
+// before now by the previous coordinator, and drivers and the store must report again.
 func (c *Coordinator) TakeOver(now int64) {
 	for _, h := range c.leases.drivers {
-		h.until, h.acts, h.moves, h.promised = c.leases.over(now), 0, nil, 0
+		h.expiresAt, h.epoch, h.moves, h.pendingIncarnation = c.leases.expiry(now), 0, nil, 0
 	}
-	c.filled, c.since = map[Tenant]Epoch{}, map[Tenant]held{}
+	c.filled, c.holds = map[Tenant]Epoch{}, map[Tenant]moveHold{}
 }
 
-// Past is all that records have said, in short.
-type Past struct {
-	Entries []Entry           `json:"entries"`
-	Drivers []string          `json:"drivers"`
-	Starts  map[string]uint64 `json:"starts,omitempty"` // the newest of each
-	Shaded  []string          `json:"shaded,omitempty"` // of which an earlier start may act
+// Snapshot is the state that results from all records.
+type Snapshot struct {
+	Entries          []Entry           `json:"entries"`
+	Drivers          []string          `json:"drivers"`
+	Incarnations     map[string]uint64 `json:"starts,omitempty"` // latest of each driver
+	WithPredecessors []string          `json:"shaded,omitempty"` // drivers of which an earlier start may hold a lease
 }
 
-// Past gives it for Restore.
-func (c *Coordinator) Past() Past {
-	p := Past{Entries: c.book.Since(0), Drivers: c.leases.holders(), Starts: map[string]uint64{}}
-	for _, name := range p.Drivers {
+// Snapshot returns the state for Restore.
+func (c *Coordinator) Snapshot() Snapshot {
+	snapshot := Snapshot{Entries: c.directory.Since(0), Drivers: c.leases.names(), Incarnations: map[string]uint64{}}
+	for _, name := range snapshot.Drivers {
 		h := c.leases.drivers[name]
-		p.Starts[name] = h.started
-		if h.shaded {
-			p.Shaded = append(p.Shaded, name)
+		snapshot.Incarnations[name] = h.recordedIncarnation
+		if h.hasPredecessor {
+			snapshot.WithPredecessors = append(snapshot.WithPredecessors, name)
 		}
 	}
-	return p
+	return snapshot
 }
 
-// Restore takes over at a time a past that is newer than what is known here.
-func (c *Coordinator) Restore(now int64, p Past) {
-	for _, name := range p.Drivers {
-		c.leases.restored(now, name, p.Starts[name], slices.Contains(p.Shaded, name))
+// Restore applies a snapshot that is newer than the current state.
+func (c *Coordinator) Restore(now int64, snapshot Snapshot) {
+	for _, name := range snapshot.Drivers {
+		c.leases.restore(now, name, snapshot.Incarnations[name], slices.Contains(snapshot.WithPredecessors, name))
 	}
-	for _, e := range p.Entries {
-		if held, known := c.book.entries[e.Tenant]; !known || e.Epoch > held.Epoch {
-			c.book.take(e)
+	for _, e := range snapshot.Entries {
+		if current, known := c.directory.entries[e.Tenant]; !known || e.Epoch > current.Epoch {
+			c.directory.store(e)
 		}
 	}
 }
 
-// Apply takes in, at a time of the own clock, a record that has been written down.
+// Apply applies a persisted record at time now of the local clock.
 func (c *Coordinator) Apply(now int64, r Record) error {
 	switch {
-	case r.Alone:
-		c.leases.alone(r.Driver, r.Start)
+	case r.PredecessorsExpired:
+		c.leases.clearPredecessor(r.Driver, r.Incarnation)
 	case r.Driver != "":
-		c.leases.starts(now, r.Driver, r.Start)
+		c.leases.recordStart(now, r.Driver, r.Incarnation)
 	}
 	if r.Entry == nil {
 		return nil
 	}
-	if !c.book.follows(*r.Entry) {
+	if !c.directory.isValidTransition(*r.Entry) {
 		return fmt.Errorf("tenant %q, epoch %d: %v does not follow %v at epoch %d", r.Entry.Tenant, r.Entry.Epoch,
-			r.Entry.Stage, c.book.entries[r.Entry.Tenant].Stage, c.book.newest)
+			r.Entry.Stage, c.directory.entries[r.Entry.Tenant].Stage, c.directory.latestEpoch)
 	}
-	if r.Entry.Stage == Resting {
+	if r.Entry.Stage == StageIdle {
 		delete(c.filled, r.Entry.Tenant)
-		delete(c.since, r.Entry.Tenant)
+		delete(c.holds, r.Entry.Tenant)
 	}
-	c.book.take(*r.Entry) // also one of a cell that this coordinator's file lacks: all that coordinate must hold the same
+	c.directory.store(*r.Entry) // even if the cell is not configured here: all coordinators must have the same state
 	return nil
 }
 
-// Book is where tenants are.
-func (c *Coordinator) Book() *Book { return c.book }
+// Directory returns the placement of tenants.
+func (c *Coordinator) Directory() *Directory { return c.directory }
 
-// Renew proposes what must be written down before Grant may answer a driver's report. From then on no earlier start of its
-// name gets a lease: others may have the record before this coordinator has.
+// Renew proposes the records to persist before Grant may answer a report. From then on earlier
+// starts of the driver get no lease, since other coordinators may apply the record first.
 func (c *Coordinator) Renew(r Report) ([]Record, error) {
 	if r.Driver == "" {
 		return nil, fmt.Errorf("a driver needs a name")
@@ -128,151 +129,152 @@
 	h := c.leases.drivers[r.Driver]
 	switch {
 	case h == nil:
-		return []Record{{Driver: r.Driver, Start: r.Incarnation}}, nil
-	case r.Incarnation <= h.started || r.Incarnation < h.promised:
+		return []Record{{Driver: r.Driver, Incarnation: r.Incarnation}}, nil
+	case r.Incarnation <= h.recordedIncarnation || r.Incarnation < h.pendingIncarnation:
 		return nil, nil
 	}
-	h.promised = r.Incarnation
-	return []Record{{Driver: r.Driver, Start: r.Incarnation}}, nil
+	h.pendingIncarnation = r.Incarnation
+	return []Record{{Driver: r.Driver, Incarnation: r.Incarnation}}, nil
 }
 
-// Grant gives a driver its lease, with what is newer than what it acts on. Steps of moves are proposed by Step.
+// Grant renews a driver's lease and returns the entries that are new to it.
 func (c *Coordinator) Grant(now int64, r Report) Grant {
-	if r.Epoch > c.book.newest || !c.leases.take(now, r) {
+	if r.Epoch > c.directory.latestEpoch || !c.leases.renew(now, r) {
 		return Grant{}
 	}
-	return Grant{Lease: c.leases.lease, Newest: c.book.newest, Entries: c.book.Since(r.Epoch)}
+	return Grant{Lease: c.leases.duration, LatestEpoch: c.directory.latestEpoch, Entries: c.directory.Since(r.Epoch)}
 }
 
-// Newer is what Grant would say now, for an answer that waited: the report of its start was taken then.
-func (c *Coordinator) Newer(r Report) Grant {
-	return Grant{Lease: c.leases.lease, Newest: c.book.newest, Entries: c.book.Since(r.Epoch)}
+// CurrentGrant returns what Grant would return now, without processing the report again. It serves
+// delayed responses.
+func (c *Coordinator) CurrentGrant(r Report) Grant {
+	return Grant{Lease: c.leases.duration, LatestEpoch: c.directory.latestEpoch, Entries: c.directory.Since(r.Epoch)}
 }
 
-// Filled notes that the store has taken what the entry of an epoch asks of it.
-func (c *Coordinator) Filled(t Tenant, e Epoch) { c.filled[t] = e }
+// MarkFilled records that the store has acted on the tenant's entry of an epoch.
+func (c *Coordinator) MarkFilled(t Tenant, e Epoch) { c.filled[t] = e }
 
-// Move proposes to move a tenant.
-func (c *Coordinator) Move(now int64, t Tenant, to string, why string) ([]Record, error) {
-	seat, held := c.book.Seat(t), c.book.entries[t]
-	target := c.book.layout.Find(to)
+// Move proposes a move of a tenant to another cell.
+func (c *Coordinator) Move(now int64, t Tenant, to string, reason string) ([]Record, error) {
+	placement, current := c.directory.Placement(t), c.directory.entries[t]
+	target := c.directory.layout.Find(to)
 	switch {
 	case t == "":
-		return nil, fmt.Errorf("a move needs a tenant's name")
+		return nil, fmt.Errorf("a move needs a tenant name")
 	case target == NoCell:
 		return nil, fmt.Errorf("there is no cell %q", to)
-	case held.Stage != Resting:
-		return nil, fmt.Errorf("tenant %q is being moved: %v, to %q, since epoch %d", t, held.Stage, held.To, held.Epoch)
-	case seat.Cell == target:
+	case current.Stage != StageIdle:
+		return nil, fmt.Errorf("tenant %q is being moved: %v, to %q, since epoch %d", t, current.Stage, current.To, current.Epoch)
+	case placement.Cell == target:
 		return nil, fmt.Errorf("tenant %q is in cell %q already", t, to)
-	case len(c.book.Moving()) >= mostMoves:
-		return nil, fmt.Errorf("%d moves are under way, which is the most", mostMoves)
+	case len(c.directory.Moving()) >= maxConcurrentMoves:
+		return nil, fmt.Errorf("%d moves are in progress, which is the maximum", maxConcurrentMoves)
 	}
-	e := Entry{Tenant: t, Cell: c.book.layout.Name(seat.Cell), Stage: Prepared, To: to, Floor: held.Floor, Why: why}
-	return c.propose(now, e), nil
+	entry := Entry{Tenant: t, Cell: c.directory.layout.Name(placement.Cell), Stage: StagePrepared, To: to, MinPosition: current.MinPosition, Reason: reason}
+	return c.propose(now, entry), nil
 }
 
-// Abort proposes to call a move off.
-func (c *Coordinator) Abort(now int64, t Tenant, why string) ([]Record, error) {
-	e, known := c.book.entries[t]
+// Abort proposes to abort a move.
+func (c *Coordinator) Abort(now int64, t Tenant, reason string) ([]Record, error) {
+	entry, known := c.directory.entries[t]
 	switch {
-	case !known || e.Stage == Resting:
+	case !known || entry.Stage == StageIdle:
 		return nil, fmt.Errorf("tenant %q is not being moved", t)
-	case e.Stage == Returning:
-		return nil, fmt.Errorf("tenant %q is on its way back already", t)
-	case e.Stage == Switched:
-		return nil, fmt.Errorf("tenant %q has been switched to cell %q: only another move brings it back", t, e.Cell)
+	case entry.Stage == StageRollingBack:
+		return nil, fmt.Errorf("tenant %q is already being moved back", t)
+	case entry.Stage == StageSwitched:
+		return nil, fmt.Errorf("tenant %q has been switched to cell %q: only another move can return it", t, entry.Cell)
 	}
-	e.Stage, e.Why = Returning, why
-	return c.propose(now, e), nil
+	entry.Stage, entry.Reason = StageRollingBack, reason
+	return c.propose(now, entry), nil
 }
 
-// propose numbers and dates an entry.
+// propose sets the epoch and the time of an entry.
 func (c *Coordinator) propose(now int64, e Entry) []Record {
-	e.Epoch, e.At = c.book.newest+1, now
+	e.Epoch, e.DecidedAt = c.directory.latestEpoch+1, now
 	return []Record{{Entry: &e}}
 }
 
-// Step proposes the next step of a move that is ready for one, or nothing. Whoever drives it calls again until nothing
-// is proposed.
+// Step proposes the next stage of a move that is ready for it, or else the expiry of leases of
+// earlier driver starts. The caller applies the records and repeats until there are none.
 func (c *Coordinator) Step(now int64) []Record {
-	for _, e := range c.book.Moving() {
-		if next, ready := c.next(now, e); ready {
+	for _, e := range c.directory.Moving() {
+		if next, ready := c.nextEntry(now, e); ready {
 			return c.propose(now, next)
 		}
 	}
-	return c.leases.passed(now)
+	return c.leases.expiredPredecessors(now)
 }
 
-// next is the step that a move is ready for: the table at Stage.
-func (c *Coordinator) next(now int64, e Entry) (next Entry, ready bool) {
+// nextEntry returns the next stage of a move and whether the move is ready for it; see Stage.
+func (c *Coordinator) nextEntry(now int64, e Entry) (next Entry, ready bool) {
 	next = e
 	switch e.Stage {
-	case Prepared:
-		next.Stage, next.Begun = Holding, now
-		return next, c.fillsAs(e) && c.leases.all(now, e, acts)
-	case Holding, Catching, Closing:
-		if c.heldFor(now, e) > c.hold {
-			next.Stage, next.Why = Returning, fmt.Sprintf("writes were held for over %d ms, at %v", c.hold/1_000_000, e.Stage)
+	case StagePrepared:
+		next.Stage, next.HoldStartedAt = StageHoldingWrites, now
+		return next, c.isFilled(e) && c.leases.allHolders(now, e, anyReport)
+	case StageHoldingWrites, StageCatchingUp, StageHoldingAll:
+		if c.holdDuration(now, e) > c.maxHold {
+			next.Stage, next.Reason = StageRollingBack, fmt.Sprintf("writes were held for over %d ms, at %v", c.maxHold/1_000_000, e.Stage)
 			return next, true
 		}
 	}
 	switch e.Stage {
-	case Holding:
-		next.Stage, next.Cut = Catching, c.cut(now, e)
-		return next, c.leases.all(now, e, func(m MoveReport) bool { return m.Writes == 0 })
-	case Catching:
-		next.Stage = Closing
-		return next, c.leases.any(e, func(m MoveReport) bool { return m.Reached })
-	case Closing:
-		next.Stage, next.Cell, next.To, next.Floor = Switched, e.To, e.Cell, max(e.Floor, e.Cut)
-		return next, c.leases.all(now, e, func(m MoveReport) bool { return m.Open == 0 })
-	case Switched, Returning:
-		next.Stage, next.To, next.Begun, next.Cut = Resting, "", 0, 0
-		return next, c.fillsAs(e) && c.leases.all(now, e, acts)
+	case StageHoldingWrites:
+		next.Stage, next.CutoverPosition = StageCatchingUp, c.cutoverPosition(now, e)
+		return next, c.leases.allHolders(now, e, func(m MoveReport) bool { return m.Writes == 0 })
+	case StageCatchingUp:
+		next.Stage = StageHoldingAll
+		return next, c.leases.anyHolder(e, func(m MoveReport) bool { return m.CaughtUp })
+	case StageHoldingAll:
+		next.Stage, next.Cell, next.To, next.MinPosition = StageSwitched, e.To, e.Cell, max(e.MinPosition, e.CutoverPosition)
+		return next, c.leases.allHolders(now, e, func(m MoveReport) bool { return m.OpenRPCs == 0 })
+	case StageSwitched, StageRollingBack:
+		next.Stage, next.To, next.HoldStartedAt, next.CutoverPosition = StageIdle, "", 0, 0
+		return next, c.isFilled(e) && c.leases.allHolders(now, e, anyReport)
 	}
 	return next, false
 }
 
-// heldFor is how long a move has held writes under this coordinator.
-func (c *Coordinator) heldFor(now int64, e Entry) int64 {
-	if c.since[e.Tenant].begun != e.Begun {
-		c.since[e.Tenant] = held{begun: e.Begun, here: now}
+// holdDuration returns how long a move has held writes under this coordinator.
+func (c *Coordinator) holdDuration(now int64, e Entry) int64 {
+	if c.holds[e.Tenant].startedAt != e.HoldStartedAt {
+		c.holds[e.Tenant] = moveHold{startedAt: e.HoldStartedAt, observedAt: now}
 	}
-	return now - c.since[e.Tenant].here
+	return now - c.holds[e.Tenant].observedAt
 }
 
-func acts(MoveReport) bool { return true }
+func anyReport(MoveReport) bool { return true }
 
-// fillsAs tells whether the store has taken what an entry asks of it: to begin filling the new cell, or to end that.
-func (c *Coordinator) fillsAs(e Entry) bool { return !c.fills || c.filled[e.Tenant] == e.Epoch }
+// isFilled reports whether the store has acted on an entry, if moves wait for the store.
+func (c *Coordinator) isFilled(e Entry) bool { return !c.waitsForFill || c.filled[e.Tenant] == e.Epoch }
 
-// cut is the position that the new cell has to reach: past every write that was answered. Those of drivers that told are
-// known; one whose lease ran out answered none after that, which is before now, and so, by any coordinator's clock, before
-// now and what clocks may differ by.
-func (c *Coordinator) cut(now int64, e Entry) int64 {
-	cut := now + c.skew
+// cutoverPosition returns a position after every acknowledged write: reported commits are known,
+// and drivers with expired leases acknowledged their last write before now, give or take the clock
+// skew.
+func (c *Coordinator) cutoverPosition(now int64, e Entry) int64 {
+	position := now + c.maxClockSkew
 	for _, h := range c.leases.drivers {
-		cut = max(cut, h.moves[e.Tenant].Commit)
+		position = max(position, h.moves[e.Tenant].LastCommit)
 	}
-	return cut
+	return position
 }
 
-// Driver is what the coordinator knows of a driver.
+// Driver is the state of a driver's lease.
 type Driver struct {
-	Name  string `json:"name"`
-	Until int64  `json:"until"` // its lease, Unix time in nanoseconds
-	Acts  Epoch  `json:"acts"`
+	Name           string `json:"name"`
+	LeaseExpiresAt int64  `json:"until"` // Unix time in nanoseconds
+	Epoch          Epoch  `json:"acts"`
 }
 
-// Drivers are those that have had leases, by name.
+// Drivers returns the drivers that have had leases, sorted by name.
 func (c *Coordinator) Drivers() (drivers []Driver) {
-	for _, name := range c.leases.holders() {
+	for _, name := range c.leases.names() {
 		h := c.leases.drivers[name]
-		drivers = append(drivers, Driver{Name: name, Until: h.until, Acts: h.acts})
+		drivers = append(drivers, Driver{Name: name, LeaseExpiresAt: h.expiresAt, Epoch: h.epoch})
 	}
 	return drivers
 }
 
-// Loads are the heaviest tenants that drivers tell of, in RPCs a second over all of them.
-func (c *Coordinator) Loads(now int64) []Weighed { return c.leases.loads(now) }
+// Loads returns the tenants with the highest load in RPCs per second, summed over all drivers.
+func (c *Coordinator) Loads(now int64) []TenantLoad { return c.leases.loads(now) }
--- a/internal/cells/gate.go
+++ b/internal/cells/gate.go
@@ -7,322 +7,328 @@
 	"sedgespread/rules"
 )
 
-// Ask is one RPC, as far as its place and its room depend on it. Times are nanoseconds.
-type Ask struct {
-	Tenant  Tenant
-	Key     string
-	Write   bool
-	Soft    int64 // soft deadline
-	Left    int64 // its client's time
-	Utility float64
+// Request describes an RPC for placement and admission. Times are in nanoseconds.
+type Request struct {
+	Tenant       Tenant
+	Key          string
+	Write        bool
+	SoftDeadline int64 // from the arrival of the RPC
+	TimeLeft     int64 // until the client's deadline
+	Utility      float64
 }
 
-// Verdict is what a gate decides on an RPC.
-type Verdict struct {
-	Group    rules.GroupID
-	Floor    int64 // position that a member must have reached to answer it
-	Why      Why   // it is turned away, unless WhyNot
-	ComeBack int64 // of one that is turned away
+// Decision is the result of admission for an RPC.
+type Decision struct {
+	Group       rules.GroupID
+	MinPosition int64  // position that the serving member must have reached
+	Reason      Reason // why the RPC was rejected, ReasonNone if it was admitted
+	RetryAfter  int64  // for rejected RPCs
 }
 
-// Ticket is an RPC that a gate knows of, from Ask to Settle.
+// Ticket tracks an RPC from Admit to Settle.
 type Ticket struct {
-	Ask
-	at       int64
-	seat     Seat
-	presence *presence
-	then     func(Verdict)
-	calls    int   // call-outs made
-	bytes    int64 // of answers
-	let      bool  // it was let in
-	ended    bool
-	until    int64 // a call-out of it may still run until then
-}
-
-// present is what a gate knows of a tenant while it has RPCs here, or its move is under way.
-type present struct {
-	tickets map[*Ticket]bool // let in, and not settled
-	held    []*Ticket        // the first first
-	ghosts  []int64          // until when writes that ended may still run
-	commit  int64
-}
-
-// Gate is a driver's side of cells: it lets RPCs in, holds them while their tenant is moved, or turns them away.
-type Gate struct {
-	layout  *Layout
-	tenancy *Tenancy
-	book    *Book
-	limits  *Limits // nil for none
-	lease   int64   // it may act until then, by its own clock
-	most    int     // RPCs held
-	holding int
-	tenants map[Tenant]*present
-	turned  [whys]int64
-	weighed int64 // when loads were last reported
-	lapsed  int64 // answers that were not passed on because the lease had run out, or the tenant had moved
-	stale   int64
-}
-
-// heldShare is the part of its client's time that an RPC is held at the most: the rest is for asking again.
-const heldShare = 0.45
-
-// NewGate makes a driver's gate, which may hold so many RPCs. Where leased is false the file alone says where tenants are.
-func NewGate(b *Book, y *Tenancy, limits *Limits, leased bool, most int) *Gate {
-	g := &Gate{layout: b.layout, tenancy: y, book: b, limits: limits, most: most, tenants: map[Tenant]*present{}}
+	Request
+	arrivedAt     int64
+	placement     Placement
+	usage         *tenantUsage
+	onDecision    func(Decision)
+	attempts      int
+	responseBytes int64
+	admitted      bool
+	finished      bool
+	mayRunUntil   int64 // an attempt may still run until then
+}
+
+// tenantState tracks a tenant that has RPCs on this driver or a move in progress.
+type tenantState struct {
+	tickets        map[*Ticket]bool // admitted and not settled
+	held           []*Ticket        // oldest first
+	orphanedWrites []int64          // when writes without a result stop running at the latest
+	lastCommit     int64
+}
+
+// AdmissionController admits, holds or rejects the RPCs of a driver by cell and tenant.
+type AdmissionController struct {
+	layout          *Layout
+	resolver        *TenantResolver
+	directory       *Directory
+	limits          *Limits // nil for none
+	leaseExpiresAt  int64   // by the local clock
+	maxHeld         int     // RPCs held at once
+	heldCount       int
+	tenants         map[Tenant]*tenantState
+	rejected        [reasonCount]int64
+	loadsReportedAt int64
+	fenced          int64 // attempts and responses dropped because the lease expired or the tenant moved
+	staleGrants     int64
+}
+
+// maxHoldRatio is the part of the client's time that an RPC may be held, leaving time for a retry.
+const maxHoldRatio = 0.45
+
+// NewAdmissionController returns an admission controller that holds up to maxHeld RPCs. If leased
+// is false, it needs no lease and the configuration alone determines placements.
+func NewAdmissionController(directory *Directory, resolver *TenantResolver, limits *Limits, leased bool, maxHeld int) *AdmissionController {
+	g := &AdmissionController{layout: directory.layout, resolver: resolver, directory: directory, limits: limits, maxHeld: maxHeld, tenants: map[Tenant]*tenantState{}}
 	if !leased {
-		g.lease = math.MaxInt64
+		g.leaseExpiresAt = math.MaxInt64
 	}
 	return g
 }
 
-// Tenant is whom an RPC is done for.
-func (g *Gate) Tenant(key, user, database string) Tenant { return g.tenancy.Of(key, user, database) }
+// Tenant returns the tenant of an RPC.
+func (g *AdmissionController) Tenant(key, user, database string) Tenant {
+	return g.resolver.Resolve(key, user, database)
+}
 
-// Admit decides on an RPC. Where it is held, decided is false, and then takes the verdict later. Of one that was let in
-// and has had no call-out, then may be told that its room is taken back: it is to be turned away. A ticket that was let
-// in must be ended and settled.
-func (g *Gate) Admit(now int64, a Ask, then func(Verdict)) (t *Ticket, v Verdict, decided bool) {
-	t = &Ticket{Ask: a, at: now, seat: g.book.Seat(a.Tenant), then: then}
+// Admit decides on an RPC. If the RPC is held, decided is false and onDecision is called later.
+// onDecision may also reject an admitted RPC without attempts when its capacity is reclaimed. An
+// admitted ticket must be finished and settled.
+func (g *AdmissionController) Admit(now int64, request Request, onDecision func(Decision)) (ticket *Ticket, decision Decision, decided bool) {
+	ticket = &Ticket{Request: request, arrivedAt: now, placement: g.directory.Placement(request.Tenant), onDecision: onDecision}
 	switch {
-	case now >= g.lease:
-		return t, g.turn(t, WhyLease), true
-	case t.seat.Cell == NoCell:
-		return t, g.turn(t, WhyLost), true
-	case g.holds(t) && g.holding >= g.most:
-		return t, g.turn(t, WhyMove), true
-	case g.holds(t):
-		p := g.present(a.Tenant)
-		p.held = append(p.held, t)
-		g.holding++
-		return t, Verdict{}, false
-	}
-	return t, g.let(t, now), true
-}
-
-// holds tells whether an RPC has to wait for its tenant's move.
-func (g *Gate) holds(t *Ticket) bool {
-	switch t.seat.Stage {
-	case Holding, Catching:
+	case now >= g.leaseExpiresAt:
+		return ticket, g.reject(ticket, ReasonNoLease), true
+	case ticket.placement.Cell == NoCell:
+		return ticket, g.reject(ticket, ReasonUnknownCell), true
+	case g.mustHold(ticket) && g.heldCount >= g.maxHeld:
+		return ticket, g.reject(ticket, ReasonMoving), true
+	case g.mustHold(ticket):
+		state := g.state(request.Tenant)
+		state.held = append(state.held, ticket)
+		g.heldCount++
+		return ticket, Decision{}, false
+	}
+	return ticket, g.admit(ticket, now), true
+}
+
+// mustHold reports whether an RPC must wait for its tenant's move.
+func (g *AdmissionController) mustHold(t *Ticket) bool {
+	switch t.placement.Stage {
+	case StageHoldingWrites, StageCatchingUp:
 		return t.Write
-	case Closing:
+	case StageHoldingAll:
 		return true
 	}
 	return false
 }
 
-// HeldUntil is when an RPC that is held has to be let go of.
-func (t *Ticket) HeldUntil() int64 { return t.at + int64(heldShare*float64(t.Left)) }
+// HoldDeadline returns when a held RPC must be rejected.
+func (t *Ticket) HoldDeadline() int64 { return t.arrivedAt + int64(maxHoldRatio*float64(t.TimeLeft)) }
 
-// let lets an RPC in if there is room.
-func (g *Gate) let(t *Ticket, now int64) Verdict {
+// admit admits an RPC if the limits allow it.
+func (g *AdmissionController) admit(t *Ticket, now int64) Decision {
 	if g.limits != nil {
-		why := g.limits.admit(t, now)
-		if why == WhyDriver && g.reclaim(now) {
-			why = g.limits.admit(t, now)
+		reason := g.limits.admit(t, now)
+		if reason == ReasonDriverFull && g.reclaimBorrowed(now) {
+			reason = g.limits.admit(t, now)
 		}
-		if why != WhyNot {
-			return g.turn(t, why)
+		if reason != ReasonNone {
+			return g.reject(t, reason)
 		}
-		g.limits.enter(t, now)
+		g.limits.start(t, now)
 	}
-	t.let = true
-	g.present(t.Tenant).tickets[t] = true
-	return Verdict{Group: g.layout.Group(t.Tenant, t.Key, t.seat.Cell), Floor: t.seat.Floor}
+	t.admitted = true
+	g.state(t.Tenant).tickets[t] = true
+	return Decision{Group: g.layout.Group(t.Tenant, t.Key, t.placement.Cell), MinPosition: t.placement.MinPosition}
 }
 
-// reclaim takes room back that a cell has borrowed, from the RPC let in last of those that no member got.
-func (g *Gate) reclaim(now int64) bool {
-	t := g.limits.borrower()
+// reclaimBorrowed rejects the newest unsent RPC of a cell that has borrowed capacity, and reports
+// whether there was one.
+func (g *AdmissionController) reclaimBorrowed(now int64) bool {
+	t := g.limits.newestBorrower()
 	if t == nil {
 		return false
 	}
-	then := t.then
-	t.then = nil
-	v := g.turn(t, WhyDriver)
-	g.Ended(t, false, now)
+	onDecision := t.onDecision
+	t.onDecision = nil
+	decision := g.reject(t, ReasonDriverFull)
+	g.Finished(t, false, now)
 	g.Settle(t, now)
-	then(v)
+	onDecision(decision)
 	return true
 }
 
-// turn turns an RPC away.
-func (g *Gate) turn(t *Ticket, why Why) Verdict {
-	g.turned[why]++
-	v := Verdict{Why: why, ComeBack: shortWait}
-	if g.limits != nil && t.seat.Cell != NoCell {
-		v.ComeBack = g.limits.comeBack(t.seat.Cell)
+// reject counts and returns the rejection of an RPC.
+func (g *AdmissionController) reject(t *Ticket, reason Reason) Decision {
+	g.rejected[reason]++
+	decision := Decision{Reason: reason, RetryAfter: minRetryAfter}
+	if g.limits != nil && t.placement.Cell != NoCell {
+		decision.RetryAfter = g.limits.retryAfter(t.placement.Cell)
 	}
-	return v
+	return decision
 }
 
-func (g *Gate) present(t Tenant) *present {
-	p := g.tenants[t]
-	if p == nil {
-		p = &present{tickets: map[*Ticket]bool{}}
-		g.tenants[t] = p
+func (g *AdmissionController) state(t Tenant) *tenantState {
+	state := g.tenants[t]
+	if state == nil {
+		state = &tenantState{tickets: map[*Ticket]bool{}}
+		g.tenants[t] = state
 	}
-	return p
+	return state
 }
 
-// Expire turns away an RPC that is held, if it still is: it can't be served in its time.
-func (g *Gate) Expire(t *Ticket) {
-	if g.unhold(t) {
-		t.then(g.turn(t, WhyMove))
+// Expire rejects an RPC that is still held.
+func (g *AdmissionController) Expire(t *Ticket) {
+	if g.removeHeld(t) {
+		t.onDecision(g.reject(t, ReasonMoving))
 	}
 }
 
-// Leave forgets an RPC that is held, whose client has gone.
-func (g *Gate) Leave(t *Ticket) { g.unhold(t) }
+// Cancel removes a held RPC whose client has gone.
+func (g *AdmissionController) Cancel(t *Ticket) { g.removeHeld(t) }
 
-// unhold takes an RPC out of those held, and tells whether it was one.
-func (g *Gate) unhold(t *Ticket) bool {
-	p := g.tenants[t.Tenant]
-	if p == nil {
+// removeHeld removes a held RPC and reports whether it was held.
+func (g *AdmissionController) removeHeld(t *Ticket) bool {
+	state := g.tenants[t.Tenant]
+	if state == nil {
 		return false
 	}
-	at := slices.Index(p.held, t)
-	if at < 0 {
+	index := slices.Index(state.held, t)
+	if index < 0 {
 		return false
 	}
-	p.held = slices.Delete(p.held, at, at+1)
-	g.holding--
-	g.tidy(t.Tenant, p)
+	state.held = slices.Delete(state.held, index, index+1)
+	g.heldCount--
+	g.removeIfIdle(t.Tenant, state)
 	return true
 }
 
-// May tells whether anything more may be done for an RPC: another call-out, or passing on its answer. Guards against
-// drivers that stood still, or were cut off, while their tenants were moved.
-func (g *Gate) May(t *Ticket, now int64) bool {
-	seat := g.book.Seat(t.Tenant) // a move there and back has raised its floor
-	if now < g.lease && seat.Cell == t.seat.Cell && seat.Floor == t.seat.Floor {
+// MayProceed reports whether an RPC may start another attempt or return its response. It guards
+// against drivers that were paused or disconnected while the tenant moved.
+func (g *AdmissionController) MayProceed(t *Ticket, now int64) bool {
+	placement := g.directory.Placement(t.Tenant) // moving away and back raises MinPosition
+	if now < g.leaseExpiresAt && placement.Cell == t.placement.Cell && placement.MinPosition == t.placement.MinPosition {
 		return true
 	}
-	g.lapsed++
+	g.fenced++
 	return false
 }
 
-// CallOut notes that a call-out is made for an RPC.
-func (g *Gate) CallOut(t *Ticket, now int64) {
-	t.calls++
+// AttemptStarted records the start of an attempt for an RPC.
+func (g *AdmissionController) AttemptStarted(t *Ticket, now int64) {
+	t.attempts++
 	if g.limits != nil {
-		g.limits.callOut(t, now)
+		g.limits.attemptStarted(t, now)
 	}
 }
 
-// Returned notes that a call-out has ended. One that may still run does so until a time, 0 for one that does not.
-func (g *Gate) Returned(t *Ticket, until int64, bytes int, now int64) {
-	t.until = max(t.until, until)
+// AttemptEnded records the end of an attempt. mayRunUntil is 0 if the attempt cannot still be
+// running.
+func (g *AdmissionController) AttemptEnded(t *Ticket, mayRunUntil int64, bytes int, now int64) {
+	t.mayRunUntil = max(t.mayRunUntil, mayRunUntil)
 	if g.limits != nil {
-		g.limits.returned(t, int64(bytes))
+		g.limits.attemptEnded(t, int64(bytes))
 	}
 }
 
-// Committed notes the position that the answer to a write told.
-func (g *Gate) Committed(t *Ticket, position int64) {
-	if p := g.tenants[t.Tenant]; p != nil && t.Write {
-		p.commit = max(p.commit, position)
+// Committed records the position reported by the response to a write.
+func (g *AdmissionController) Committed(t *Ticket, position int64) {
+	if state := g.tenants[t.Tenant]; state != nil && t.Write {
+		state.lastCommit = max(state.lastCommit, position)
 	}
 }
 
-// Ended notes that an RPC has its final answer.
-func (g *Gate) Ended(t *Ticket, served bool, now int64) {
-	if !t.let || t.ended {
+// Finished records the final response to an RPC.
+func (g *AdmissionController) Finished(t *Ticket, served bool, now int64) {
+	if !t.admitted || t.finished {
 		return
 	}
-	t.ended = true
+	t.finished = true
 	if g.limits != nil {
-		g.limits.ended(t, served, now)
+		g.limits.finished(t, served, now)
 	}
 }
 
-// Cell is the cell that an RPC was let into, NoCell for one that was not.
+// Cell returns the cell that an RPC was admitted to, or NoCell.
 func (t *Ticket) Cell() Cell {
-	if !t.let {
+	if !t.admitted {
 		return NoCell
 	}
-	return t.seat.Cell
+	return t.placement.Cell
 }
 
-// Seat notes that a client's connection counts for another cell than before, NoCell for none.
-func (g *Gate) Seat(from, to Cell) {
+// MoveConnection moves a client connection between the cells that it counts for. NoCell means
+// none.
+func (g *AdmissionController) MoveConnection(from, to Cell) {
 	if g.limits == nil || from == to {
 		return
 	}
 	if from != NoCell {
-		g.limits.heads.Use(Sockets, from, -1)
+		g.limits.bulkheads.Add(ClientConnections, from, -1)
 	}
 	if to != NoCell {
-		g.limits.heads.Use(Sockets, to, 1)
+		g.limits.bulkheads.Add(ClientConnections, to, 1)
 	}
 }
 
-// Crowded is the cell whose clients have to go first where connections are short, NoCell for no matter which. Guards
-// the clients of other cells against one cell's that hold connections by hundreds.
-func (g *Gate) Crowded() Cell {
+// MostOverConnectionShare returns the cell whose client connections should be closed first, or
+// NoCell. It guards against one cell's clients using up the connections of others.
+func (g *AdmissionController) MostOverConnectionShare() Cell {
 	if g.limits == nil {
 		return NoCell
 	}
-	return g.limits.heads.Over(Sockets)
+	return g.limits.bulkheads.MostOverShare(ClientConnections)
 }
 
-// Settle notes that an RPC has ended and nothing is out for it; what it held of an answer has been passed on.
-func (g *Gate) Settle(t *Ticket, now int64) {
-	p := g.tenants[t.Tenant]
-	if !t.let || p == nil || !p.tickets[t] {
+// Settle records that an RPC has no attempt in flight and that its response was passed on.
+func (g *AdmissionController) Settle(t *Ticket, now int64) {
+	state := g.tenants[t.Tenant]
+	if !t.admitted || state == nil || !state.tickets[t] {
 		return
 	}
-	delete(p.tickets, t)
+	delete(state.tickets, t)
 	if g.limits != nil {
-		g.limits.settled(t, now)
+		g.limits.settle(t, now)
 	}
-	if t.Write && t.until > now {
-		p.ghosts = append(p.ghosts, t.until)
+	if t.Write && t.mayRunUntil > now {
+		state.orphanedWrites = append(state.orphanedWrites, t.mayRunUntil)
 	}
-	g.tidy(t.Tenant, p)
+	g.removeIfIdle(t.Tenant, state)
 }
 
-// tidy forgets a tenant of whom nothing is here any more.
-func (g *Gate) tidy(t Tenant, p *present) {
-	if len(p.tickets) == 0 && len(p.held) == 0 && len(p.ghosts) == 0 && p.commit == 0 && g.tenants[t] == p {
+// removeIfIdle removes a tenant's state if it holds nothing.
+func (g *AdmissionController) removeIfIdle(t Tenant, state *tenantState) {
+	if len(state.tickets) == 0 && len(state.held) == 0 && len(state.orphanedWrites) == 0 && state.lastCommit == 0 && g.tenants[t] == state {
 		delete(g.tenants, t)
 	}
 }
 
-// sweepEvery is how many tenants Sweep looks at in one go, at the most.
-const sweepEvery = 4096
+// maxSweptTenants limits the work of one Sweep.
+const maxSweptTenants = 4096
 
-// Sweep forgets what is over: ghosts whose time is past, and commits of tenants that are not being moved, which are long
-// known to all members by the time that a move begins to need them.
-func (g *Gate) Sweep(now int64) {
-	looked := 0
-	for t, p := range g.tenants {
-		if looked++; looked > sweepEvery {
+// Sweep removes expired orphaned writes, and commits of tenants without a move that all members
+// know by the time that a move needs them.
+func (g *AdmissionController) Sweep(now int64) {
+	visited := 0
+	for t, state := range g.tenants {
+		if visited++; visited > maxSweptTenants {
 			return
 		}
-		p.lay(now)
-		if p.commit != 0 && now-p.commit > commitKept && g.book.Seat(t).Stage == Resting {
-			p.commit = 0
+		state.dropExpiredWrites(now)
+		if state.lastCommit != 0 && now-state.lastCommit > commitRetention && g.directory.Placement(t).Stage == StageIdle {
+			state.lastCommit = 0
 		}
-		g.tidy(t, p)
+		g.removeIfIdle(t, state)
 	}
 }
 
-// commitKept is how long a commit is kept for a move that may begin.
-const commitKept = 5 * second
+// commitRetention is how long a commit is kept for a move that may begin.
+const commitRetention = 5 * second
 
-func (p *present) lay(now int64) {
-	p.ghosts = slices.DeleteFunc(p.ghosts, func(until int64) bool { return until <= now })
+func (s *tenantState) dropExpiredWrites(now int64) {
+	s.orphanedWrites = slices.DeleteFunc(s.orphanedWrites, func(until int64) bool { return until <= now })
 }
 
-// Granted takes in what the coordinator granted to a report that was made at a time. It gives the tenants whose entries
-// are new here.
-func (g *Gate) Granted(asked int64, grant Grant) (changed []Tenant, err error) {
-	if grant.Lease == 0 || grant.Newest < g.book.Newest() {
-		g.stale++
+// ApplyGrant applies the grant for a report that was sent at requestedAt. It returns the tenants
+// with new entries.
+func (g *AdmissionController) ApplyGrant(requestedAt int64, grant Grant) (changed []Tenant, err error) {
+	if grant.Lease == 0 || grant.LatestEpoch < g.directory.LatestEpoch() {
+		g.staleGrants++
 		return nil, nil
 	}
 	for _, e := range grant.Entries {
-		applied, err := g.book.Apply(e)
+		applied, err := g.directory.Apply(e)
 		if err != nil {
 			return changed, err
 		}
@@ -330,161 +336,162 @@
 			changed = append(changed, e.Tenant)
 		}
 	}
-	g.lease = max(g.lease, asked+grant.Lease)
+	g.leaseExpiresAt = max(g.leaseExpiresAt, requestedAt+grant.Lease)
 	return changed, nil
 }
 
-// Release goes on with what is held for a tenant, as far as its move allows now.
-func (g *Gate) Release(t Tenant, now int64) {
-	p := g.tenants[t]
-	if p == nil {
+// ResumeHeld decides again on a tenant's held RPCs after its placement has changed.
+func (g *AdmissionController) ResumeHeld(t Tenant, now int64) {
+	state := g.tenants[t]
+	if state == nil {
 		return
 	}
-	held := p.held
-	p.held = nil
-	for _, k := range held {
-		k.seat = g.book.Seat(t)
-		if g.holds(k) {
-			again := g.present(t)
-			again.held = append(again.held, k)
+	held := state.held
+	state.held = nil
+	for _, ticket := range held {
+		ticket.placement = g.directory.Placement(t)
+		if g.mustHold(ticket) {
+			current := g.state(t)
+			current.held = append(current.held, ticket)
 			continue
 		}
-		g.holding--
+		g.heldCount--
 		switch {
-		case now >= g.lease:
-			k.then(g.turn(k, WhyLease))
-		case k.seat.Cell == NoCell:
-			k.then(g.turn(k, WhyLost))
+		case now >= g.leaseExpiresAt:
+			ticket.onDecision(g.reject(ticket, ReasonNoLease))
+		case ticket.placement.Cell == NoCell:
+			ticket.onDecision(g.reject(ticket, ReasonUnknownCell))
 		default:
-			k.then(g.let(k, now))
+			ticket.onDecision(g.admit(ticket, now))
 		}
 	}
-	g.tidy(t, p)
+	g.removeIfIdle(t, state)
 }
 
 const (
-	weighEvery = second // loads are reported so far apart
-	weighMost  = 512    // of so many tenants
+	loadReportInterval = second
+	maxReportedLoads   = 512 // tenants per report
 )
 
-// Report is what this driver tells of the moves that it knows to be under way. Reached tells whether the members of a
-// group have been seen at a position.
-func (g *Gate) Report(now int64, name string, incarnation uint64, reached func(rules.GroupID, int64) bool) Report {
-	r := Report{Driver: name, Incarnation: incarnation, Epoch: g.book.Newest()}
-	if g.limits != nil && now-g.weighed >= weighEvery {
-		g.weighed, r.Loads = now, g.limits.rates(now, weighMost)
-	}
-	for _, e := range g.book.Moving() {
-		m := MoveReport{Tenant: e.Tenant, Epoch: e.Epoch}
-		if p := g.tenants[e.Tenant]; p != nil {
-			p.lay(now)
-			m.Writes, m.Open, m.Commit = len(p.ghosts), len(p.ghosts)+len(p.tickets), p.commit
-			for t := range p.tickets {
+// Report returns this driver's report on the moves that it knows of. reached reports whether a
+// group's members have reached a position.
+func (g *AdmissionController) Report(now int64, name string, incarnation uint64, reached func(rules.GroupID, int64) bool) Report {
+	report := Report{Driver: name, Incarnation: incarnation, Epoch: g.directory.LatestEpoch()}
+	if g.limits != nil && now-g.loadsReportedAt >= loadReportInterval {
+		g.loadsReportedAt, report.Loads = now, g.limits.rates(now, maxReportedLoads)
+	}
+	for _, e := range g.directory.Moving() {
+		move := MoveReport{Tenant: e.Tenant, Epoch: e.Epoch}
+		if state := g.tenants[e.Tenant]; state != nil {
+			state.dropExpiredWrites(now)
+			move.Writes, move.OpenRPCs, move.LastCommit = len(state.orphanedWrites), len(state.orphanedWrites)+len(state.tickets), state.lastCommit
+			for t := range state.tickets {
 				if t.Write {
-					m.Writes++
+					move.Writes++
 				}
 			}
 		}
-		if to := g.layout.Find(e.To); e.Stage == Catching && to != NoCell {
-			m.Reached = true
-			for _, group := range g.layout.Shard(e.Tenant, to) {
-				m.Reached = m.Reached && reached(group, e.Cut)
+		if to := g.layout.Find(e.To); e.Stage == StageCatchingUp && to != NoCell {
+			move.CaughtUp = true
+			for _, group := range g.layout.TenantGroups(e.Tenant, to) {
+				move.CaughtUp = move.CaughtUp && reached(group, e.CutoverPosition)
 			}
 		}
-		r.Moves = append(r.Moves, m)
+		report.Moves = append(report.Moves, move)
 	}
-	return r
+	return report
 }
 
-// Targets are the groups that moves under way need the positions of.
-func (g *Gate) Targets() (groups []rules.GroupID) {
-	for _, e := range g.book.Moving() {
-		if to := g.layout.Find(e.To); e.Stage == Catching && to != NoCell {
-			groups = append(groups, g.layout.Shard(e.Tenant, to)...)
+// CatchUpGroups returns the groups whose positions are needed by moves in progress.
+func (g *AdmissionController) CatchUpGroups() (groups []rules.GroupID) {
+	for _, e := range g.directory.Moving() {
+		if to := g.layout.Find(e.To); e.Stage == StageCatchingUp && to != NoCell {
+			groups = append(groups, g.layout.TenantGroups(e.Tenant, to)...)
 		}
 	}
 	return groups
 }
 
-// Figures are what a gate has counted and holds.
-type Figures struct {
-	Turned  map[string]int64 `json:"turned"`
-	Lapsed  int64            `json:"lapsed"` // call-outs and answers given up because the lease had run out or the tenant had moved
-	Stale   int64            `json:"stale"`  // grants older than what is known
-	Held    int              `json:"held"`
-	Tenants int              `json:"tenants"` // that have RPCs here
-	Epoch   Epoch            `json:"epoch"`
-	Lease   int64            `json:"lease_ns"` // what is left of it
-	Cells   []CellFigures    `json:"cells"`
-	Heavy   []Weighed        `json:"heavy"`
-}
-
-// CellFigures are those of one cell at this driver.
-type CellFigures struct {
-	Name     string  `json:"name"`
-	Groups   Groups  `json:"groups"`
-	Weight   float64 `json:"weight"`
-	Hall     string  `json:"hall,omitempty"`
-	RPCs     int64   `json:"rpcs"`
-	Share    int64   `json:"share"`
-	Limit    int64   `json:"limit"`
-	Pace     float64 `json:"pace"`
-	CallOuts int64   `json:"call_outs"`
-	Answers  int64   `json:"answer_bytes"`
-	Sockets  int64   `json:"client_sockets"`
-	Took     int64   `json:"took_ns"`
-	Crowd    int     `json:"tenants"`
-}
-
-// Figures tells what this gate has counted and holds, with the heaviest tenants.
-func (g *Gate) Figures(now int64, heaviest int) Figures {
-	f := Figures{Turned: map[string]int64{}, Lapsed: g.lapsed, Stale: g.stale, Held: g.holding, Tenants: len(g.tenants),
-		Epoch: g.book.Newest(), Lease: g.lease - now}
-	for w := WhyDriver; w < whys; w++ {
-		f.Turned[w.String()] = g.turned[w]
+// Stats is a snapshot of the state and the counters of an AdmissionController.
+type Stats struct {
+	Rejected        map[string]int64 `json:"turned"`
+	Fenced          int64            `json:"lapsed"` // attempts and responses dropped because the lease expired or the tenant moved
+	StaleGrants     int64            `json:"stale"`  // grants older than the directory
+	Held            int              `json:"held"`
+	Tenants         int              `json:"tenants"` // with RPCs on this driver
+	Epoch           Epoch            `json:"epoch"`
+	Lease           int64            `json:"lease_ns"` // remaining time
+	Cells           []CellStats      `json:"cells"`
+	HeaviestTenants []TenantLoad     `json:"heavy"`
+}
+
+// CellStats is the part of Stats for one cell.
+type CellStats struct {
+	Name              string  `json:"name"`
+	Groups            Groups  `json:"groups"`
+	Weight            float64 `json:"weight"`
+	Hall              string  `json:"hall,omitempty"`
+	RPCs              int64   `json:"rpcs"`
+	Share             int64   `json:"share"`
+	Limit             int64   `json:"limit"`
+	ConcurrencyLimit  float64 `json:"pace"`
+	Attempts          int64   `json:"call_outs"`
+	ResponseBytes     int64   `json:"answer_bytes"`
+	ClientConnections int64   `json:"client_sockets"`
+	Latency           int64   `json:"took_ns"`
+	Tenants           int     `json:"tenants"`
+}
+
+// Stats returns the current state and counters, with up to heaviest of the tenants with the
+// highest load.
+func (g *AdmissionController) Stats(now int64, heaviest int) Stats {
+	stats := Stats{Rejected: map[string]int64{}, Fenced: g.fenced, StaleGrants: g.staleGrants, Held: g.heldCount, Tenants: len(g.tenants),
+		Epoch: g.directory.LatestEpoch(), Lease: g.leaseExpiresAt - now}
+	for reason := ReasonDriverFull; reason < reasonCount; reason++ {
+		stats.Rejected[reason.String()] = g.rejected[reason]
 	}
 	for c, name := range g.layout.names {
-		if g.layout.gone[c] {
+		if g.layout.removed[c] {
 			continue
 		}
-		figures := CellFigures{Name: name, Groups: g.layout.groups[c], Weight: g.layout.weight[c], Hall: g.layout.hall[c]}
-		if m := g.limits; m != nil {
-			at := Cell(c)
-			figures.RPCs, figures.CallOuts = m.heads.Used(RPCs, at), m.heads.Used(CallOuts, at)
-			figures.Answers, figures.Sockets = m.heads.Used(Answers, at), m.heads.Used(Sockets, at)
-			figures.Share, figures.Limit, figures.Pace = m.heads.Share(RPCs, at), m.room(at, now), m.pace[c]
-			figures.Took, figures.Crowd = int64(m.took[c]), len(m.shares.cells[c].present)
+		cellStats := CellStats{Name: name, Groups: g.layout.groups[c], Weight: g.layout.weight[c], Hall: g.layout.hall[c]}
+		if limits := g.limits; limits != nil {
+			cell := Cell(c)
+			cellStats.RPCs, cellStats.Attempts = limits.bulkheads.Used(RPCs, cell), limits.bulkheads.Used(Attempts, cell)
+			cellStats.ResponseBytes, cellStats.ClientConnections = limits.bulkheads.Used(ResponseBytes, cell), limits.bulkheads.Used(ClientConnections, cell)
+			cellStats.Share, cellStats.Limit, cellStats.ConcurrencyLimit = limits.bulkheads.Share(RPCs, cell), limits.concurrencyLimit(cell, now), limits.concurrency[c]
+			cellStats.Latency, cellStats.Tenants = int64(limits.latency[c]), len(limits.shares.cells[c].active)
 		}
-		f.Cells = append(f.Cells, figures)
+		stats.Cells = append(stats.Cells, cellStats)
 	}
 	if g.limits != nil {
-		f.Heavy = g.limits.rates(now, heaviest)
+		stats.HeaviestTenants = g.limits.rates(now, heaviest)
 	}
-	return f
+	return stats
 }
 
-// Load is a tenant's RPCs a second here, 0 for one that is not among the heaviest.
-func (g *Gate) Load(t Tenant, now int64) float64 {
+// Load returns a tenant's RPCs per second on this driver, 0 if the tenant is not tracked.
+func (g *AdmissionController) Load(t Tenant, now int64) float64 {
 	if g.limits == nil {
 		return 0
 	}
 	return g.limits.rate(t, now)
 }
 
-// Book is where tenants are, as this driver knows.
-func (g *Gate) Book() *Book { return g.book }
+// Directory returns the placement of tenants known to this driver.
+func (g *AdmissionController) Directory() *Directory { return g.directory }
 
-// Layout is the cells that there are.
-func (g *Gate) Layout() *Layout { return g.layout }
+// Layout returns the layout of the cells.
+func (g *AdmissionController) Layout() *Layout { return g.layout }
 
-// Become takes over a file read again: all of it, or an error and nothing.
-func (g *Gate) Become(l *Layout, y *Tenancy, pins map[Tenant]string, weights map[Tenant]float64) error {
-	if err := g.book.Become(l, pins); err != nil {
+// Update applies a reloaded configuration, or returns an error and changes nothing.
+func (g *AdmissionController) Update(l *Layout, resolver *TenantResolver, pins map[Tenant]string, weights map[Tenant]float64) error {
+	if err := g.directory.Update(l, pins); err != nil {
 		return err
 	}
-	g.tenancy = y
+	g.resolver = resolver
 	if g.limits != nil {
-		g.limits.Divide(g.layout, weights)
+		g.limits.Update(g.layout, weights)
 	}
 	return nil
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -11,49 +11,50 @@
 	"sedgespread/rules"
 )
 
-// Layout is the cells that there are, in parallel arrays by their place. A place is never used again for another cell.
+// Layout describes the cells in parallel slices indexed by Cell. The index of a removed cell is
+// not reused.
 type Layout struct {
-	names  []string
-	groups []Groups
-	weight []float64 // part of the tenants by hash, 0 for none
-	hall   []string
-	able   []float64 // RPCs a second, 0 for not known
-	mark   []uint64  // hash of the name
-	gone   []bool
-	index  map[string]Cell
-	spread int // groups that a tenant uses, at most
+	names           []string
+	groups          []Groups
+	weight          []float64 // for the assignment of tenants by hash, 0 for none
+	hall            []string
+	capacity        []float64 // RPCs per second, 0 if unknown
+	nameHash        []uint64
+	removed         []bool
+	index           map[string]Cell
+	groupsPerTenant int // maximum number of groups of a cell that a tenant uses
 }
 
-// MostSpread is the most groups of a cell that one tenant can use.
-const MostSpread = 16
+// MaxGroupsPerTenant limits the groups of a cell that a tenant can use.
+const MaxGroupsPerTenant = 16
 
-// NewLayout makes a layout without cells, in which a tenant uses up to spread groups of its cell.
-func NewLayout(spread int) *Layout {
-	return &Layout{index: map[string]Cell{}, spread: min(max(1, spread), MostSpread)}
+// NewLayout returns a layout without cells, in which a tenant uses up to groupsPerTenant groups.
+func NewLayout(groupsPerTenant int) *Layout {
+	return &Layout{index: map[string]Cell{}, groupsPerTenant: min(max(1, groupsPerTenant), MaxGroupsPerTenant)}
 }
 
-// Add adds a cell. Its name must be new and its groups nobody else's.
-func (l *Layout) Add(name string, groups Groups, weight, able float64, hall string) Cell {
+// Add adds a cell. Its name must be new and its groups must not belong to another cell.
+func (l *Layout) Add(name string, groups Groups, weight, capacity float64, hall string) Cell {
 	c := Cell(len(l.names))
 	l.names, l.groups, l.weight = append(l.names, name), append(l.groups, groups), append(l.weight, weight)
-	l.hall, l.able, l.gone = append(l.hall, hall), append(l.able, able), append(l.gone, false)
-	l.mark = append(l.mark, xxhash.Sum64String(name))
+	l.hall, l.capacity, l.removed = append(l.hall, hall), append(l.capacity, capacity), append(l.removed, false)
+	l.nameHash = append(l.nameHash, xxhash.Sum64String(name))
 	l.index[name] = c
 	return c
 }
 
-// Cells is how many places there are, those of cells that have gone included.
+// Cells returns the number of cells, including removed ones.
 func (l *Layout) Cells() int { return len(l.names) }
 
-// Find gives the cell of a name, or NoCell.
+// Find returns the cell with a name, or NoCell.
 func (l *Layout) Find(name string) Cell {
-	if c, known := l.index[name]; known && !l.gone[c] {
+	if c, known := l.index[name]; known && !l.removed[c] {
 		return c
 	}
 	return NoCell
 }
 
-// Name is a cell's name, empty for NoCell.
+// Name returns a cell's name, empty for NoCell.
 func (l *Layout) Name(c Cell) string {
 	if c == NoCell {
 		return ""
@@ -61,94 +62,94 @@
 	return l.names[c]
 }
 
-// Groups are a cell's groups.
+// Groups returns a cell's groups.
 func (l *Layout) Groups(c Cell) Groups { return l.groups[c] }
 
-// mixed spreads two hashes over 64 bits (the finalizer of splitmix64).
-func mixed(a, b uint64) uint64 {
+// mixHashes combines two hashes with the finalizer of splitmix64.
+func mixHashes(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// drawn is the chance in (0,1) that a hash stands for.
-func drawn(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
+// hashToUnitInterval maps a hash to the interval (0,1).
+func hashToUnitInterval(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
 
-// Home is the cell that a tenant's name hashes to, by weighted rendezvous: each cell draws a score from its own name
-// and the tenant's, and the highest wins. A cell that comes or goes so moves only the tenants that it wins or had.
-func (l *Layout) Home(t Tenant) Cell {
+// HomeCell returns the cell that a tenant's name hashes to by weighted rendezvous hashing. Adding
+// or removing a cell moves only the tenants of that cell.
+func (l *Layout) HomeCell(t Tenant) Cell {
 	hash, home, best := xxhash.Sum64String(string(t)), NoCell, math.Inf(-1)
 	for c := range l.names {
-		if l.weight[c] <= 0 || l.gone[c] {
+		if l.weight[c] <= 0 || l.removed[c] {
 			continue
 		}
-		if score := -l.weight[c] / math.Log(drawn(mixed(hash, l.mark[c]))); score > best {
+		if score := -l.weight[c] / math.Log(hashToUnitInterval(mixHashes(hash, l.nameHash[c]))); score > best {
 			home, best = Cell(c), score
 		}
 	}
 	return home
 }
 
-// Shard is the choice of a cell's groups that a tenant uses, the same at every driver: two tenants rarely have all of
-// theirs in common, so that one that harms its own harms few others wholly.
-func (l *Layout) Shard(t Tenant, c Cell) Groups {
-	var at [MostSpread]rules.GroupID
-	return slices.Clone(l.shard(&at, xxhash.Sum64String(string(t)), c))
+// TenantGroups returns the groups of a cell that a tenant uses, the same on every driver. Shuffle
+// sharding limits how many tenants share all groups with a misbehaving one.
+func (l *Layout) TenantGroups(t Tenant, c Cell) Groups {
+	var buffer [MaxGroupsPerTenant]rules.GroupID
+	return slices.Clone(l.selectGroups(&buffer, xxhash.Sum64String(string(t)), c))
 }
 
-// shard draws a tenant's groups into room that the caller has, the best first.
-func (l *Layout) shard(room *[MostSpread]rules.GroupID, hash uint64, c Cell) Groups {
-	var scores [MostSpread]uint64
+// selectGroups writes a tenant's groups to buffer, highest score first.
+func (l *Layout) selectGroups(buffer *[MaxGroupsPerTenant]rules.GroupID, hash uint64, c Cell) Groups {
+	var scores [MaxGroupsPerTenant]uint64
 	n := 0
-	for _, g := range l.groups[c] {
-		score := mixed(hash, uint64(g)+0x517cc1b727220a95)
-		at := n
-		for at > 0 && scores[at-1] < score {
-			at--
+	for _, group := range l.groups[c] {
+		score := mixHashes(hash, uint64(group)+0x517cc1b727220a95)
+		index := n
+		for index > 0 && scores[index-1] < score {
+			index--
 		}
-		if at >= l.spread {
+		if index >= l.groupsPerTenant {
 			continue
 		}
-		n = min(n+1, l.spread)
-		copy(scores[at+1:n], scores[at:n-1])
-		copy(room[at+1:n], room[at:n-1])
-		scores[at], room[at] = score, g
+		n = min(n+1, l.groupsPerTenant)
+		copy(scores[index+1:n], scores[index:n-1])
+		copy(buffer[index+1:n], buffer[index:n-1])
+		scores[index], buffer[index] = score, group
 	}
-	return room[:n]
+	return buffer[:n]
 }
 
-// Group is the group of a cell that holds a tenant's key.
+// Group returns the group of a cell that stores a tenant's key.
 func (l *Layout) Group(t Tenant, key string, c Cell) rules.GroupID {
-	var room [MostSpread]rules.GroupID
-	groups := l.shard(&room, xxhash.Sum64String(string(t)), c)
+	var buffer [MaxGroupsPerTenant]rules.GroupID
+	groups := l.selectGroups(&buffer, xxhash.Sum64String(string(t)), c)
 	if len(groups) == 1 {
 		return groups[0]
 	}
 	hash, best := xxhash.Sum64String(key), 0
 	for i, g := range groups {
-		if mixed(hash, uint64(g)) > mixed(hash, uint64(groups[best])) {
+		if mixHashes(hash, uint64(g)) > mixHashes(hash, uint64(groups[best])) {
 			best = i
 		}
 	}
 	return groups[best]
 }
 
-// Become takes over what another layout says, for drivers that run: seats are the tenants that are not where their
-// names hash to. It changes nothing and names the cause where a tenant would be elsewhere without having been moved.
-func (l *Layout) Become(next *Layout, seats map[Tenant]Cell) error {
-	if next.spread != l.spread {
-		return fmt.Errorf("groups_a_tenant: %d, was %d: tenants would change their groups without a move", next.spread, l.spread)
+// Update applies a new layout to a running driver. overrides holds the tenants outside their home
+// cells. It changes nothing and returns an error if a tenant would change its cell without a move.
+func (l *Layout) Update(next *Layout, overrides map[Tenant]Cell) error {
+	if next.groupsPerTenant != l.groupsPerTenant {
+		return fmt.Errorf("groups_a_tenant: %d, was %d: tenants would change their groups without a move", next.groupsPerTenant, l.groupsPerTenant)
 	}
 	for c, name := range l.names {
 		n, kept := next.index[name]
 		switch {
-		case l.gone[c]:
+		case l.removed[c]:
 			if kept {
-				return fmt.Errorf("cell %q: a cell of that name was taken away: it needs another name or a restart", name)
+				return fmt.Errorf("cell %q: the name of a removed cell cannot be reused without a restart", name)
 			}
 		case !kept:
-			if err := l.removable(Cell(c), seats); err != nil {
+			if err := l.checkRemovable(Cell(c), overrides); err != nil {
 				return err
 			}
 		case !slices.Equal(next.groups[n], l.groups[c]):
@@ -159,48 +160,48 @@
 	}
 	for n, name := range next.names {
 		if _, known := l.index[name]; !known && next.weight[n] > 0 {
-			return fmt.Errorf("cell %q: a cell that is new to a running driver takes no tenants by hash: its weight must be 0", name)
+			return fmt.Errorf("cell %q: a cell added to a running driver cannot take tenants by hash: its weight must be 0", name)
 		}
 	}
-	l.take(next)
+	l.merge(next)
 	return nil
 }
 
-// take does what Become has checked.
-func (l *Layout) take(next *Layout) {
+// merge applies a layout that Update has validated.
+func (l *Layout) merge(next *Layout) {
 	for c, name := range l.names {
 		if n, kept := next.index[name]; kept {
-			l.hall[c], l.able[c] = next.hall[n], next.able[n]
+			l.hall[c], l.capacity[c] = next.hall[n], next.capacity[n]
 		} else {
-			l.gone[c] = true
+			l.removed[c] = true
 		}
 	}
 	for n, name := range next.names {
 		if _, known := l.index[name]; !known {
-			l.Add(name, next.groups[n], next.weight[n], next.able[n], next.hall[n])
+			l.Add(name, next.groups[n], next.weight[n], next.capacity[n], next.hall[n])
 		}
 	}
 }
 
-// removable tells whether a cell can go: not while any tenant is in it.
-func (l *Layout) removable(c Cell, seats map[Tenant]Cell) error {
+// checkRemovable returns an error if tenants are still assigned to a cell.
+func (l *Layout) checkRemovable(c Cell, overrides map[Tenant]Cell) error {
 	if l.weight[c] > 0 {
-		return fmt.Errorf("cell %q can't go: it takes tenants by hash (weight %v)", l.names[c], l.weight[c])
+		return fmt.Errorf("cell %q cannot be removed: it takes tenants by hash (weight %v)", l.names[c], l.weight[c])
 	}
-	var left []string
-	for t, at := range seats {
+	var remaining []string
+	for t, at := range overrides {
 		if at == c {
-			left = append(left, string(t))
+			remaining = append(remaining, string(t))
 		}
 	}
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		return nil
 	}
-	slices.Sort(left)
+	slices.Sort(remaining)
 	const shown = 5
-	more := ""
-	if len(left) > shown {
-		left, more = left[:shown], fmt.Sprintf(" and %d more", len(left)-shown)
+	suffix := ""
+	if len(remaining) > shown {
+		remaining, suffix = remaining[:shown], fmt.Sprintf(" and %d more", len(remaining)-shown)
 	}
-	return fmt.Errorf("cell %q can't go: it still has %s%s", l.names[c], strings.Join(left, ", "), more)
+	return fmt.Errorf("cell %q cannot be removed: it still has %s%s", l.names[c], strings.Join(remaining, ", "), suffix)
 }
--- a/internal/cells/leases.go
+++ b/internal/cells/leases.go
@@ -2,176 +2,182 @@
 
 import "slices"
 
-// Report is what a driver tells the coordinator when it asks to renew its lease.
+// Report is what a driver sends to the coordinator to renew its lease.
 type Report struct {
 	Driver      string       `json:"driver"`
-	Incarnation uint64       `json:"incarnation"` // newer after each start
-	Epoch       Epoch        `json:"epoch"`       // the newest that it acts on
+	Incarnation uint64       `json:"incarnation"` // increases with each start
+	Epoch       Epoch        `json:"epoch"`       // latest known to the driver
 	Moves       []MoveReport `json:"moves,omitempty"`
-	Loads       []Weighed    `json:"loads,omitempty"` // RPCs a second of its heaviest tenants, now and then
+	Loads       []TenantLoad `json:"loads,omitempty"` // RPCs per second of its busiest tenants, sent periodically
 }
 
-// MoveReport is a driver's part of a move under way, as far as it knows the stage of that epoch.
+// MoveReport is a driver's state of a move at the stage of Epoch.
 type MoveReport struct {
-	Tenant  Tenant `json:"tenant"`
-	Epoch   Epoch  `json:"epoch"`
-	Writes  int    `json:"writes"`  // that are in flight, or may still run
-	Open    int    `json:"open"`    // RPCs, the writes among them
-	Commit  int64  `json:"commit"`  // the newest that an answer told, Unix time in nanoseconds
-	Reached bool   `json:"reached"` // the new cell's members were seen at the cut or past it
+	Tenant     Tenant `json:"tenant"`
+	Epoch      Epoch  `json:"epoch"`
+	Writes     int    `json:"writes"`  // in flight, or possibly still running
+	OpenRPCs   int    `json:"open"`    // in flight, including writes
+	LastCommit int64  `json:"commit"`  // latest position reported by a response, Unix time in nanoseconds
+	CaughtUp   bool   `json:"reached"` // the new cell's members reached CutoverPosition
 }
 
-// Grant is what the coordinator answers.
+// Grant is the coordinator's response to a Report.
 type Grant struct {
-	Lease   int64   `json:"lease_ns"`          // it may act on what it knows for so long after it asked; 0 for a driver that is out of date
-	Newest  Epoch   `json:"newest"`            // of all entries, those that follow included
-	Entries []Entry `json:"entries,omitempty"` // newer than what it acts on
+	Lease       int64   `json:"lease_ns"`          // validity counted from the request; 0 if refused
+	LatestEpoch Epoch   `json:"newest"`            // of all entries, including those in Entries
+	Entries     []Entry `json:"entries,omitempty"` // newer than the Epoch of the report
 }
 
-// leases is which drivers may act, on what, and until when. Names of drivers and their starts are written down before the
-// first lease, so that a coordinator that takes over knows whom it has to wait for.
+// leases tracks which drivers may act, at which epoch, and until when. A driver's start is
+// persisted before its first lease, so that a new coordinator knows which leases may still be
+// valid.
 type leases struct {
-	lease   int64
-	drivers map[string]*holder
+	duration int64
+	drivers  map[string]*leaseHolder
 }
 
-type holder struct {
-	started     uint64 // the newest start that was written down
-	shaded      bool   // an earlier one may still act, as far as is written down
-	promised    uint64 // a start whose record is on its way: no earlier one gets a lease any more
-	incarnation uint64
-	until       int64 // it may act until then at the latest
-	before      int64 // so may an earlier start of its name, which can't be told from one that was killed
-	acts        Epoch // on all up to there
-	moves       map[Tenant]MoveReport
-	loads       []Weighed
+type leaseHolder struct {
+	recordedIncarnation  uint64 // latest persisted start
+	hasPredecessor       bool   // an earlier start may hold a lease, according to the records
+	pendingIncarnation   uint64 // start being persisted; earlier ones get no lease
+	incarnation          uint64
+	expiresAt            int64
+	predecessorExpiresAt int64 // expiry of an earlier start, which may still be running
+	epoch                Epoch // latest known to the driver
+	moves                map[Tenant]MoveReport
+	loads                []TenantLoad
 }
 
-// rateShare is the part of a lease by which it is waited for longer than it lasts: two clocks may differ in rate by as much.
-const rateShare = 500
+// clockRateDivisor extends the expiry of a lease by 1/500 of its duration, for clocks that run at
+// different rates.
+const clockRateDivisor = 500
 
-// over is when a lease asked for at a time has provably run out, however fast or slow its holder's clock runs.
-func (l *leases) over(asked int64) int64 { return asked + l.lease + l.lease/rateShare }
+// expiry returns when a lease requested at a time has expired on any driver's clock.
+func (l *leases) expiry(requestedAt int64) int64 {
+	return requestedAt + l.duration + l.duration/clockRateDivisor
+}
 
-// known gives a driver's record, which is made for one not known.
-func (l *leases) known(name string) *holder {
+// holder returns a driver's record and creates it if needed.
+func (l *leases) holder(name string) *leaseHolder {
 	h := l.drivers[name]
 	if h == nil {
-		h = &holder{}
+		h = &leaseHolder{}
 		l.drivers[name] = h
 	}
 	return h
 }
 
-// starts takes in that a start of a name was written down. No lease was given to an earlier one after that was proposed, so
-// that it has run out as if it had been asked for now, by the clock of whoever has the record.
-func (l *leases) starts(now int64, name string, start uint64) {
-	_, had := l.drivers[name]
-	h := l.known(name)
-	if start <= h.started {
+// recordStart records a persisted start of a driver. No earlier start got a lease after this one
+// was proposed, so any such lease expires as if requested now.
+func (l *leases) recordStart(now int64, name string, incarnation uint64) {
+	_, known := l.drivers[name]
+	h := l.holder(name)
+	if incarnation <= h.recordedIncarnation {
 		return
 	}
-	if had {
-		h.shaded, h.before = true, max(h.before, l.over(now))
+	if known {
+		h.hasPredecessor, h.predecessorExpiresAt = true, max(h.predecessorExpiresAt, l.expiry(now))
 	}
-	h.started = start
+	h.recordedIncarnation = incarnation
 }
 
-// alone takes in that provably no start of a name before one acts any more.
-func (l *leases) alone(name string, start uint64) {
-	if h := l.known(name); h.started == start {
-		h.shaded, h.before = false, 0
+// clearPredecessor records that the leases of earlier starts of a driver have expired.
+func (l *leases) clearPredecessor(name string, incarnation uint64) {
+	if h := l.holder(name); h.recordedIncarnation == incarnation {
+		h.hasPredecessor, h.predecessorExpiresAt = false, 0
 	}
 }
 
-// restored takes over what others have written down of a name.
-func (l *leases) restored(now int64, name string, start uint64, shaded bool) {
-	if h := l.known(name); start > h.started {
-		if h.started, h.shaded, h.before = start, shaded, 0; shaded {
-			h.before = l.over(now)
+// restore applies a driver's state from a snapshot.
+func (l *leases) restore(now int64, name string, incarnation uint64, hasPredecessor bool) {
+	if h := l.holder(name); incarnation > h.recordedIncarnation {
+		if h.recordedIncarnation, h.hasPredecessor, h.predecessorExpiresAt = incarnation, hasPredecessor, 0; hasPredecessor {
+			h.predecessorExpiresAt = l.expiry(now)
 		}
 	}
 }
 
-// passed are names of which provably no earlier start acts any more and which are not written down as such, in order.
-func (l *leases) passed(now int64) (all []Record) {
-	for _, name := range l.holders() {
-		if h := l.drivers[name]; h.shaded && h.before < now {
-			all = append(all, Record{Driver: name, Start: h.started, Alone: true})
+// expiredPredecessors returns records for drivers whose earlier starts' leases have expired,
+// sorted by name.
+func (l *leases) expiredPredecessors(now int64) (records []Record) {
+	for _, name := range l.names() {
+		if h := l.drivers[name]; h.hasPredecessor && h.predecessorExpiresAt < now {
+			records = append(records, Record{Driver: name, Incarnation: h.recordedIncarnation, PredecessorsExpired: true})
 		}
 	}
-	return all
+	return records
 }
 
-// take takes in a report and tells whether its driver may have a lease: not one that has been followed by a newer start
-// under its name.
-func (l *leases) take(now int64, r Report) bool {
-	h := l.known(r.Driver)
-	if r.Incarnation < max(h.incarnation, h.started, h.promised) {
+// renew applies a report and reports whether the driver may get a lease. A driver that has been
+// replaced by a newer start may not.
+func (l *leases) renew(now int64, report Report) bool {
+	h := l.holder(report.Driver)
+	if report.Incarnation < max(h.incarnation, h.recordedIncarnation, h.pendingIncarnation) {
 		return false
 	}
-	if r.Incarnation > h.incarnation && h.incarnation != 0 {
-		h.before = max(h.before, h.until)
+	if report.Incarnation > h.incarnation && h.incarnation != 0 {
+		h.predecessorExpiresAt = max(h.predecessorExpiresAt, h.expiresAt)
 	}
-	h.incarnation, h.until = r.Incarnation, l.over(now)
-	h.acts, h.moves = r.Epoch, make(map[Tenant]MoveReport, len(r.Moves))
-	for _, m := range r.Moves {
+	h.incarnation, h.expiresAt = report.Incarnation, l.expiry(now)
+	h.epoch, h.moves = report.Epoch, make(map[Tenant]MoveReport, len(report.Moves))
+	for _, m := range report.Moves {
 		h.moves[m.Tenant] = m
 	}
-	if len(r.Loads) > 0 {
-		h.loads = r.Loads
+	if len(report.Loads) > 0 {
+		h.loads = report.Loads
 	}
 	return true
 }
 
-// all tells whether each driver that may still act acts on an epoch and passes a test on its part of a tenant's move. A
-// driver whose lease has run out acts on nothing until it has asked again.
-func (l *leases) all(now int64, e Entry, test func(MoveReport) bool) bool {
+// allHolders reports whether every driver that may still act knows the entry's epoch and passes a
+// test on its report of the move. A driver with an expired lease does not act until it has
+// renewed.
+func (l *leases) allHolders(now int64, e Entry, test func(MoveReport) bool) bool {
 	for _, h := range l.drivers {
-		if h.before >= now {
+		if h.predecessorExpiresAt >= now {
 			return false
 		}
-		if h.until < now {
+		if h.expiresAt < now {
 			continue
 		}
-		m, told := h.moves[e.Tenant]
-		if h.acts < e.Epoch || !told || m.Epoch != e.Epoch || !test(m) {
+		m, reported := h.moves[e.Tenant]
+		if h.epoch < e.Epoch || !reported || m.Epoch != e.Epoch || !test(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// any tells whether some driver's part of a tenant's move passes a test.
-func (l *leases) any(e Entry, test func(MoveReport) bool) bool {
+// anyHolder reports whether some driver's report of a move passes a test.
+func (l *leases) anyHolder(e Entry, test func(MoveReport) bool) bool {
 	for _, h := range l.drivers {
-		if m, told := h.moves[e.Tenant]; told && m.Epoch == e.Epoch && test(m) {
+		if m, reported := h.moves[e.Tenant]; reported && m.Epoch == e.Epoch && test(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// loads are the loads that drivers told of, summed over those that may act.
-func (l *leases) loads(now int64) []Weighed {
-	sums := map[Tenant]Weighed{}
+// loads returns the reported loads, summed over the drivers with valid leases.
+func (l *leases) loads(now int64) []TenantLoad {
+	sums := map[Tenant]TenantLoad{}
 	for _, h := range l.drivers {
-		for _, w := range h.loads {
-			if h.until >= now {
-				sum := sums[w.Tenant]
-				sums[w.Tenant] = Weighed{w.Tenant, sum.Load + w.Load, sum.Over + w.Over}
+		for _, load := range h.loads {
+			if h.expiresAt >= now {
+				sum := sums[load.Tenant]
+				sums[load.Tenant] = TenantLoad{load.Tenant, sum.Load + load.Load, sum.Overestimate + load.Overestimate}
 			}
 		}
 	}
-	all := make([]Weighed, 0, len(sums))
-	for _, w := range sums {
-		all = append(all, w)
+	loads := make([]TenantLoad, 0, len(sums))
+	for _, load := range sums {
+		loads = append(loads, load)
 	}
-	return heaviest(all)
+	return sortHeaviestFirst(loads)
 }
 
-// holders are the names of the drivers known, in order.
-func (l *leases) holders() []string {
+// names returns the names of the known drivers, sorted.
+func (l *leases) names() []string {
 	names := make([]string, 0, len(l.drivers))
 	for name := range l.drivers {
 		names = append(names, name)
--- a/internal/cells/shares.go
+++ b/internal/cells/shares.go
@@ -1,38 +1,38 @@
 package cells
 
-// shares divide a cell's room between the tenants that use it, by their weights: a tenant may have what is idle, and no
-// more than its fair share once the cell is contended. Tenants that were there a moment ago count as there. Of a flood
-// of names no more than mostNamed have a share of their own; all others share one between them.
+// shares divides the concurrency limit of a cell between its tenants by weight. A tenant may use
+// idle capacity, but no more than its fair share once the cell is contended. At most maxOwnShares
+// tenants have a share of their own; the others have one in common, which bounds memory.
 type shares struct {
-	weights map[Tenant]float64 // of those that have another than 1
-	cells   []crowd            // by cell
+	weights map[Tenant]float64 // default 1
+	cells   []cellShares       // indexed by cell
 }
 
-// crowd is the tenants of one cell.
-type crowd struct {
-	present map[Tenant]*presence
-	rest    presence // of all that have no share of their own
-	sum     float64  // of the weights of all present
-	leaving []leaver // that use nothing any more, the first gone first
+// cellShares tracks the tenants of one cell.
+type cellShares struct {
+	active      map[Tenant]*tenantUsage
+	shared      tenantUsage  // tenants without a share of their own
+	totalWeight float64      // of the active tenants
+	idle        []idleTenant // candidates for removal, oldest first
 }
 
-// presence is what a tenant uses.
-type presence struct {
-	weight float64
-	used   int64
-	left   int64 // when it last used something, if it uses nothing
-	named  bool
+// tenantUsage is what a tenant uses of a cell.
+type tenantUsage struct {
+	weight      float64
+	used        int64
+	idleSince   int64 // only valid while used is 0
+	hasOwnShare bool
 }
 
-type leaver struct {
+type idleTenant struct {
 	tenant Tenant
-	at     int64
+	since  int64
 }
 
 const (
-	mostNamed = 1024       // tenants of a cell with a share of their own
-	lingerFor = second / 4 // a tenant that uses nothing still has its share so long
-	contended = 0.5        // of a cell's room in use, from which on shares bind
+	maxOwnShares        = 1024       // per cell
+	idleRetention       = second / 4 // how long an idle tenant keeps its share
+	contentionThreshold = 0.5        // part of a cell's limit in use above which shares are enforced
 )
 
 func newShares(weights map[Tenant]float64, cells int) *shares {
@@ -41,10 +41,9 @@
 	return s
 }
 
-// grow makes room for more cells.
 func (s *shares) grow(cells int) {
 	for len(s.cells) < cells {
-		s.cells = append(s.cells, crowd{present: map[Tenant]*presence{}})
+		s.cells = append(s.cells, cellShares{active: map[Tenant]*tenantUsage{}})
 	}
 }
 
@@ -55,54 +54,54 @@
 	return 1
 }
 
-// enter gives a tenant's presence in a cell.
-func (s *shares) enter(c Cell, t Tenant, now int64) *presence {
-	w := &s.cells[c]
-	w.sweep(now)
-	if p := w.present[t]; p != nil {
-		return p
+// usage returns a tenant's usage of a cell and creates it if needed.
+func (s *shares) usage(c Cell, t Tenant, now int64) *tenantUsage {
+	cell := &s.cells[c]
+	cell.removeIdle(now)
+	if usage := cell.active[t]; usage != nil {
+		return usage
 	}
-	if len(w.present) >= mostNamed {
-		if w.rest.weight == 0 {
-			w.rest.weight = 1
-			w.sum++
+	if len(cell.active) >= maxOwnShares {
+		if cell.shared.weight == 0 {
+			cell.shared.weight = 1
+			cell.totalWeight++
 		}
-		return &w.rest
+		return &cell.shared
 	}
-	p := &presence{weight: s.weight(t), left: now, named: true}
-	w.present[t] = p
-	w.sum += p.weight
-	w.leaving = append(w.leaving, leaver{t, now})
-	return p
+	usage := &tenantUsage{weight: s.weight(t), idleSince: now, hasOwnShare: true}
+	cell.active[t] = usage
+	cell.totalWeight += usage.weight
+	cell.idle = append(cell.idle, idleTenant{t, now})
+	return usage
 }
 
-// sweep forgets the tenants that have used nothing for a while.
-func (w *crowd) sweep(now int64) {
+// removeIdle removes tenants that have been idle for idleRetention.
+func (s *cellShares) removeIdle(now int64) {
 	n := 0
-	for ; n < len(w.leaving) && now-w.leaving[n].at >= lingerFor; n++ {
-		if p := w.present[w.leaving[n].tenant]; p != nil && p.used == 0 && now-p.left >= lingerFor {
-			w.sum -= p.weight
-			delete(w.present, w.leaving[n].tenant)
+	for ; n < len(s.idle) && now-s.idle[n].since >= idleRetention; n++ {
+		if usage := s.active[s.idle[n].tenant]; usage != nil && usage.used == 0 && now-usage.idleSince >= idleRetention {
+			s.totalWeight -= usage.weight
+			delete(s.active, s.idle[n].tenant)
 		}
 	}
-	w.leaving = w.leaving[n:]
-	if len(w.present) == 0 && w.rest.used == 0 {
-		w.sum, w.rest.weight = 0, 0
+	s.idle = s.idle[n:]
+	if len(s.active) == 0 && s.shared.used == 0 {
+		s.totalWeight, s.shared.weight = 0, 0
 	}
 }
 
-// fair is what a tenant may use of a cell's room where all want some: at least one.
-func (w *crowd) fair(p *presence, room int64) int64 {
-	return max(1, int64(float64(room)*p.weight/max(p.weight, w.sum)))
+// fairShare returns a tenant's part of a limit, at least 1.
+func (s *cellShares) fairShare(usage *tenantUsage, limit int64) int64 {
+	return max(1, int64(float64(limit)*usage.weight/max(usage.weight, s.totalWeight)))
 }
 
-// use notes that a tenant uses so much more, or less.
-func (w *crowd) use(p *presence, t Tenant, more, now int64) {
-	p.used += more
-	if p.used == 0 {
-		p.left = now
-		if p.named && w.present[t] == p {
-			w.leaving = append(w.leaving, leaver{t, now})
+// add changes a tenant's usage by an amount, which may be negative.
+func (s *cellShares) add(usage *tenantUsage, t Tenant, amount, now int64) {
+	usage.used += amount
+	if usage.used == 0 {
+		usage.idleSince = now
+		if usage.hasOwnShare && s.active[t] == usage {
+			s.idle = append(s.idle, idleTenant{t, now})
 		}
 	}
 }
--- a/internal/cells/tenancy.go
+++ b/internal/cells/tenancy.go
@@ -1,45 +1,45 @@
 package cells
 
-// Own says whose name is the tenant's where no rule decides.
-type Own int
+// DefaultTenant selects the name that becomes the tenant if no rule matches.
+type DefaultTenant int
 
 const (
-	OwnNobody Own = iota
-	OwnUser
-	OwnDatabase
+	DefaultNone DefaultTenant = iota
+	DefaultUser
+	DefaultDatabase
 )
 
-// Tenancy tells which tenant an RPC belongs to: that of the longest prefix of its key, else of the user or the database
-// that its client named at its start, else what Own says, else Others.
-type Tenancy struct {
-	prefixes  *Prefixes
-	users     map[string]Tenant
-	databases map[string]Tenant
-	own       Own
-	others    Tenant
+// TenantResolver maps an RPC to its tenant: by the longest matching key prefix, else by the user,
+// else by the database of the client's connection, else by the default.
+type TenantResolver struct {
+	prefixes      *PrefixTrie
+	users         map[string]Tenant
+	databases     map[string]Tenant
+	defaultTenant DefaultTenant
+	fallback      Tenant
 }
 
-// NewTenancy makes a tenancy of its rules.
-func NewTenancy(prefixes, users, databases map[string]Tenant, own Own, others Tenant) *Tenancy {
-	return &Tenancy{prefixes: NewPrefixes(prefixes), users: users, databases: databases, own: own, others: others}
+// NewTenantResolver returns a resolver with the given rules.
+func NewTenantResolver(prefixes, users, databases map[string]Tenant, defaultTenant DefaultTenant, fallback Tenant) *TenantResolver {
+	return &TenantResolver{prefixes: NewPrefixTrie(prefixes), users: users, databases: databases, defaultTenant: defaultTenant, fallback: fallback}
 }
 
-// Of is the tenant of an RPC.
-func (y *Tenancy) Of(key, user, database string) Tenant {
-	if t, found := y.prefixes.Longest(key); found {
+// Resolve returns the tenant of an RPC.
+func (r *TenantResolver) Resolve(key, user, database string) Tenant {
+	if t, found := r.prefixes.Longest(key); found {
 		return t
 	}
-	if t, found := y.users[user]; found {
+	if t, found := r.users[user]; found {
 		return t
 	}
-	if t, found := y.databases[database]; found {
+	if t, found := r.databases[database]; found {
 		return t
 	}
 	switch {
-	case y.own == OwnUser && user != "":
+	case r.defaultTenant == DefaultUser && user != "":
 		return Tenant(user)
-	case y.own == OwnDatabase && database != "":
+	case r.defaultTenant == DefaultDatabase && database != "":
 		return Tenant(database)
 	}
-	return y.others
+	return r.fallback
 }
--- a/internal/cells/walk_test.go
+++ b/internal/cells/walk_test.go
@@ -14,440 +14,442 @@
 	"sedgespread/rules"
 )
 
-// walk is a small world in which a tenant is moved: a coordinator that may crash at each record, drivers that may crash
-// or stand still, messages that are late, lost or come twice, and a store that shows each cell its own writes. What
-// happens next is drawn.
-type walk struct {
-	draw    func(n int) int // from 0 to n-1
-	bug     bug
-	now     int64
-	journal []Record
-	c       *Coordinator
-	drivers []*walker
-	reports []sentReport
-	grants  []sentGrant
-	store   []map[int]bool // by cell, the writes that it shows
-	flights []*flight
-	writes  int
-	starts  uint64
-	acked   map[int]bool
-	broken  string
-	visited map[string]bool
+// simulation runs random events while a tenant is moved: coordinator and driver crashes, pauses,
+// and late, lost and duplicated messages. The store returns writes per cell.
+type simulation struct {
+	random       func(n int) int // returns 0 to n-1
+	bug          plantedBug
+	now          int64
+	journal      []Record
+	coordinator  *Coordinator
+	drivers      []*simulatedDriver
+	reports      []sentReport
+	grants       []sentGrant
+	store        []map[int]bool // by cell, the visible writes
+	rpcs         []*simulatedRPC
+	writes       int
+	incarnations uint64
+	acknowledged map[int]bool
+	violation    string
+	visited      map[string]bool
 }
 
-// bug is what is planted.
-type bug int
+// plantedBug is a defect that the simulation must detect.
+type plantedBug int
 
 const (
-	sound     bug = iota
-	oldEpochs     // drivers act on entries that are older than what they know
-	noLease       // drivers act though their lease has run out
-	earlyTurn     // the coordinator does not wait for drivers that it has not heard from lately
+	noBug                 plantedBug = iota
+	bugOldEpochs                     // drivers apply entries older than the ones they know
+	bugIgnoresLease                  // drivers act after their lease has expired
+	bugSkipsSilentDrivers            // the coordinator does not wait for drivers that have not reported
 )
 
-// walker is a driver.
-type walker struct {
+// simulatedDriver is a driver with its admission controller.
+type simulatedDriver struct {
 	name        string
-	gate        *Gate
+	controller  *AdmissionController
 	incarnation uint64
 }
 
 type sentReport struct {
 	Report
-	asked int64
+	requestedAt int64
 }
 
 type sentGrant struct {
-	to          *walker
+	driver      *simulatedDriver
 	incarnation uint64
-	asked       int64
+	requestedAt int64
 	grant       Grant
 }
 
-// flight is an RPC that was let in.
-type flight struct {
-	at       *walker
-	gate     *Gate
-	ticket   *Ticket
-	cell     int
-	write    int // its number, 0 for a read
-	ran      bool
-	shows    map[int]bool // what a read found
-	owed     map[int]bool // writes acknowledged before it was asked
-	until    int64
-	returned bool
+// simulatedRPC is an admitted RPC.
+type simulatedRPC struct {
+	driver     *simulatedDriver
+	controller *AdmissionController
+	ticket     *Ticket
+	cell       int
+	writeID    int // 0 for a read
+	ran        bool
+	readResult map[int]bool // writes returned by a read
+	mustSee    map[int]bool // writes acknowledged before the RPC was sent
+	deadline   int64
 }
 
 const (
-	walkLease = 250 * ms
-	walkHold  = 2 * second
-	walkLeft  = 60 * ms
-	walkCells = 3
+	simLease      = 250 * ms
+	simMaxHold    = 2 * second
+	simRPCTimeout = 60 * ms
+	simCells      = 3
 )
 
-func newWalk(b bug, draw func(n int) int) *walk {
-	w := &walk{draw: draw, bug: b, now: second, acked: map[int]bool{}, visited: map[string]bool{}}
-	for range walkCells {
-		w.store = append(w.store, map[int]bool{})
+func newSimulation(planted plantedBug, random func(n int) int) *simulation {
+	sim := &simulation{random: random, bug: planted, now: second, acknowledged: map[int]bool{}, visited: map[string]bool{}}
+	for range simCells {
+		sim.store = append(sim.store, map[int]bool{})
 	}
-	w.restart()
+	sim.restartCoordinator()
 	for i := range 3 {
-		w.drivers = append(w.drivers, &walker{name: fmt.Sprint("d", i)})
-		w.begin(w.drivers[i])
+		sim.drivers = append(sim.drivers, &simulatedDriver{name: fmt.Sprint("d", i)})
+		sim.startDriver(sim.drivers[i])
 	}
-	return w
+	return sim
 }
 
-func walkBook() *Book {
-	return NewBook(layoutOf(1, 1, 1, 1, 1), map[Tenant]Cell{"t": 0})
+func newTestDirectory() *Directory {
+	return NewDirectory(newTestLayout(1, 1, 1, 1, 1), map[Tenant]Cell{"t": 0})
 }
 
-// restart starts the coordinator over what was written down.
-func (w *walk) restart() {
-	c, err := NewCoordinator(w.now, walkBook(), walkLease, walkHold, 0, false, w.journal)
+// restartCoordinator starts the coordinator from the journal.
+func (sim *simulation) restartCoordinator() {
+	c, err := NewCoordinator(sim.now, newTestDirectory(), simLease, simMaxHold, 0, false, sim.journal)
 	if err != nil {
-		w.broken = err.Error()
+		sim.violation = err.Error()
 		return
 	}
-	w.c = c
+	sim.coordinator = c
 }
 
-// begin starts a driver anew.
-func (w *walk) begin(d *walker) {
-	w.starts++
-	d.incarnation = w.starts
-	d.gate = NewGate(walkBook(), NewTenancy(nil, nil, nil, OwnNobody, "t"), nil, true, 4)
-	if w.bug == noLease {
-		d.gate.lease = math.MaxInt64
+// startDriver starts a driver, or restarts it with a new incarnation.
+func (sim *simulation) startDriver(driver *simulatedDriver) {
+	sim.incarnations++
+	driver.incarnation = sim.incarnations
+	driver.controller = NewAdmissionController(newTestDirectory(), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), nil, true, 4)
+	if sim.bug == bugIgnoresLease {
+		driver.controller.leaseExpiresAt = math.MaxInt64
 	}
 }
 
-// write writes records down, or crashes before one of them.
-func (w *walk) write(records []Record) bool {
+// writeRecords journals and applies records, with random crashes. It reports whether all were
+// applied.
+func (sim *simulation) writeRecords(records []Record) bool {
 	for _, r := range records {
-		if w.draw(25) == 0 {
-			w.restart()
+		if sim.random(25) == 0 {
+			sim.restartCoordinator()
 			return false
 		}
-		w.journal = append(w.journal, r)
-		if w.draw(25) == 0 { // after it is written, and before it counts
-			w.restart()
-			w.switched(r)
+		sim.journal = append(sim.journal, r)
+		if sim.random(25) == 0 { // crash between journal and application
+			sim.restartCoordinator()
+			sim.copyOnSwitch(r)
 			return false
 		}
-		if err := w.c.Apply(w.now, r); err != nil {
-			w.broken = err.Error()
+		if err := sim.coordinator.Apply(sim.now, r); err != nil {
+			sim.violation = err.Error()
 			return false
 		}
-		w.switched(r)
+		sim.copyOnSwitch(r)
 	}
 	return true
 }
 
-// switched lets the store show the new cell what the old one had up to the cut. Writes are dated by their number's time.
-func (w *walk) switched(r Record) {
-	if r.Entry != nil && r.Entry.Stage == Switched {
-		to, from := w.cell(r.Entry.Cell), w.cell(r.Entry.To)
-		maps.Copy(w.store[to], w.store[from])
+// copyOnSwitch makes the writes of the old cell visible in the new one.
+func (sim *simulation) copyOnSwitch(r Record) {
+	if r.Entry != nil && r.Entry.Stage == StageSwitched {
+		to, from := sim.cellIndex(r.Entry.Cell), sim.cellIndex(r.Entry.To)
+		maps.Copy(sim.store[to], sim.store[from])
 	}
 }
 
-func (w *walk) cell(name string) int { return slices.Index([]string{"c0", "c1", "c2"}, name) }
+func (sim *simulation) cellIndex(name string) int {
+	return slices.Index([]string{"c0", "c1", "c2"}, name)
+}
 
-// step does one thing.
-func (w *walk) step() {
-	d := w.drivers[w.draw(len(w.drivers))]
-	switch w.draw(16) {
+// step runs one random event.
+func (sim *simulation) step() {
+	driver := sim.drivers[sim.random(len(sim.drivers))]
+	switch sim.random(16) {
 	case 0, 1:
-		w.now += int64(w.draw(15)) * ms
-		if w.draw(30) == 0 {
-			w.now += 300 * ms // all stand still
+		sim.now += int64(sim.random(15)) * ms
+		if sim.random(30) == 0 {
+			sim.now += 300 * ms // all processes are paused
 		}
 	case 2, 3, 4:
-		r := d.gate.Report(w.now, d.name, d.incarnation, func(rules.GroupID, int64) bool { return w.draw(2) == 0 })
-		w.reports = append(w.reports, sentReport{r, w.now})
-		if w.draw(3) > 0 {
-			w.deliver(len(w.reports) - 1)
+		r := driver.controller.Report(sim.now, driver.name, driver.incarnation, func(rules.GroupID, int64) bool { return sim.random(2) == 0 })
+		sim.reports = append(sim.reports, sentReport{r, sim.now})
+		if sim.random(3) > 0 {
+			sim.deliverReport(len(sim.reports) - 1)
 		}
-		if w.draw(2) == 0 {
-			w.take()
+		if sim.random(2) == 0 {
+			sim.deliverGrant()
 		}
 	case 5:
-		if len(w.reports) > 0 {
-			w.deliver(w.draw(len(w.reports)))
+		if len(sim.reports) > 0 {
+			sim.deliverReport(sim.random(len(sim.reports)))
 		}
 	case 6, 7:
-		w.take()
+		sim.deliverGrant()
 	case 8:
-		if records := w.c.Step(w.now); len(records) > 0 {
-			w.write(records)
+		if records := sim.coordinator.Step(sim.now); len(records) > 0 {
+			sim.writeRecords(records)
 		}
 	case 9:
-		w.order()
+		sim.requestMove()
 	case 10:
-		switch w.draw(12) {
+		switch sim.random(12) {
 		case 0:
-			w.restart()
+			sim.restartCoordinator()
 		case 1:
-			w.begin(d)
-		case 2: // the earlier start runs on
-			if len(w.drivers) < 6 {
-				w.drivers = append(w.drivers, &walker{name: d.name})
-				w.begin(w.drivers[len(w.drivers)-1])
+			sim.startDriver(driver)
+		case 2: // an earlier incarnation keeps running
+			if len(sim.drivers) < 6 {
+				sim.drivers = append(sim.drivers, &simulatedDriver{name: driver.name})
+				sim.startDriver(sim.drivers[len(sim.drivers)-1])
 			}
 		}
 	case 11, 12:
-		w.ask(d, w.draw(2) == 0)
+		sim.sendRPC(driver, sim.random(2) == 0)
 	case 13, 14, 15:
-		w.fly()
+		sim.advanceRPC()
 	}
-	w.note()
+	sim.checkInvariants()
 }
 
-// order asks for a move or calls one off.
-func (w *walk) order() {
+// requestMove requests or aborts a move.
+func (sim *simulation) requestMove() {
 	var records []Record
 	var err error
-	if w.draw(40) == 0 {
-		records, err = w.c.Abort(w.now, "t", "walk")
+	if sim.random(40) == 0 {
+		records, err = sim.coordinator.Abort(sim.now, "t", "walk")
 	} else {
-		records, err = w.c.Move(w.now, "t", fmt.Sprint("c", w.draw(walkCells)), "walk")
+		records, err = sim.coordinator.Move(sim.now, "t", fmt.Sprint("c", sim.random(simCells)), "walk")
 	}
 	if err == nil {
-		w.write(records)
+		sim.writeRecords(records)
 	}
 }
 
-// deliver lets the coordinator have a report, which may come again.
-func (w *walk) deliver(i int) {
-	r := w.reports[i]
-	if w.draw(5) > 0 {
-		w.reports = slices.Delete(w.reports, i, i+1)
+// deliverReport delivers a report to the coordinator, which may be duplicated.
+func (sim *simulation) deliverReport(i int) {
+	r := sim.reports[i]
+	if sim.random(5) > 0 {
+		sim.reports = slices.Delete(sim.reports, i, i+1)
 	}
-	records, err := w.c.Renew(r.Report)
-	if err != nil || !w.write(records) && len(records) > 0 {
+	records, err := sim.coordinator.Renew(r.Report)
+	if err != nil || !sim.writeRecords(records) && len(records) > 0 {
 		return
 	}
-	if w.bug == earlyTurn {
-		for _, h := range w.c.leases.drivers {
-			h.until = min(h.until, w.now-1)
+	if sim.bug == bugSkipsSilentDrivers {
+		for _, h := range sim.coordinator.leases.drivers {
+			h.expiresAt = min(h.expiresAt, sim.now-1)
 		}
 	}
-	grant := w.c.Grant(w.now, r.Report)
-	for _, d := range w.drivers {
+	grant := sim.coordinator.Grant(sim.now, r.Report)
+	for _, d := range sim.drivers {
 		if d.name == r.Driver && d.incarnation == r.Incarnation && grant.Lease > 0 {
-			w.grants = append(w.grants, sentGrant{d, r.Incarnation, r.asked, grant})
+			sim.grants = append(sim.grants, sentGrant{d, r.Incarnation, r.requestedAt, grant})
 		}
 	}
 }
 
-// take lets a driver have a grant that was sent to it.
-func (w *walk) take() {
-	if len(w.grants) == 0 {
+// deliverGrant delivers a grant to its driver.
+func (sim *simulation) deliverGrant() {
+	if len(sim.grants) == 0 {
 		return
 	}
-	i := len(w.grants) - 1
-	if w.draw(4) == 0 {
-		i = w.draw(len(w.grants))
+	i := len(sim.grants) - 1
+	if sim.random(4) == 0 {
+		i = sim.random(len(sim.grants))
 	}
-	g := w.grants[i]
-	if w.draw(5) > 0 {
-		w.grants = slices.Delete(w.grants, i, i+1)
+	g := sim.grants[i]
+	if sim.random(5) > 0 {
+		sim.grants = slices.Delete(sim.grants, i, i+1)
 	}
-	if g.incarnation != g.to.incarnation {
+	if g.incarnation != g.driver.incarnation {
 		return
 	}
-	changed, err := g.to.gate.Granted(g.asked, g.grant)
+	changed, err := g.driver.controller.ApplyGrant(g.requestedAt, g.grant)
 	if err != nil {
-		w.broken = err.Error()
+		sim.violation = err.Error()
 	}
-	if w.bug == oldEpochs {
+	if sim.bug == bugOldEpochs {
 		for _, e := range g.grant.Entries {
-			g.to.gate.book.entries[e.Tenant] = e
+			g.driver.controller.directory.entries[e.Tenant] = e
 			changed = append(changed, e.Tenant)
 		}
 	}
 	for _, t := range changed {
-		g.to.gate.Release(t, w.now)
+		g.driver.controller.ResumeHeld(t, sim.now)
 	}
 }
 
-// ask asks a driver for a write or a read.
-func (w *walk) ask(d *walker, write bool) {
-	f := &flight{at: d, gate: d.gate, owed: maps.Clone(w.acked), until: w.now + walkLeft}
+// sendRPC sends a read or a write through a driver.
+func (sim *simulation) sendRPC(d *simulatedDriver, write bool) {
+	rpc := &simulatedRPC{driver: d, controller: d.controller, mustSee: maps.Clone(sim.acknowledged), deadline: sim.now + simRPCTimeout}
 	if write {
-		w.writes++
-		f.write = w.writes
-	}
-	let := func(v Verdict) {
-		if v.Why == WhyNot {
-			f.cell = int(v.Group) - 1
-			f.gate.CallOut(f.ticket, w.now)
-			w.flights = append(w.flights, f)
+		sim.writes++
+		rpc.writeID = sim.writes
+	}
+	onDecision := func(v Decision) {
+		if v.Reason == ReasonNone {
+			rpc.cell = int(v.Group) - 1
+			rpc.controller.AttemptStarted(rpc.ticket, sim.now)
+			sim.rpcs = append(sim.rpcs, rpc)
 		}
 	}
-	ticket, v, decided := d.gate.Admit(w.now, Ask{Tenant: "t", Key: "k", Write: write, Left: walkLeft}, let)
-	f.ticket = ticket
+	ticket, v, decided := d.controller.Admit(sim.now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: simRPCTimeout}, onDecision)
+	rpc.ticket = ticket
 	if decided {
-		let(v)
+		onDecision(v)
 	}
 }
 
-// fly takes an RPC on: its call-out runs in its cell, its answer comes or does not, its time runs out.
-func (w *walk) fly() {
-	if len(w.flights) == 0 {
+// advanceRPC executes an RPC in its cell, returns its response, or lets it time out.
+func (sim *simulation) advanceRPC() {
+	if len(sim.rpcs) == 0 {
 		return
 	}
-	i := w.draw(len(w.flights))
-	f := w.flights[i]
-	alive := f.gate == f.at.gate
+	i := sim.random(len(sim.rpcs))
+	rpc := sim.rpcs[i]
+	alive := rpc.controller == rpc.driver.controller
 	switch {
-	case !f.ran && w.now < f.until && w.draw(4) > 0:
-		f.ran = true
-		if f.write > 0 {
-			w.store[f.cell][f.write] = true
+	case !rpc.ran && sim.now < rpc.deadline && sim.random(4) > 0:
+		rpc.ran = true
+		if rpc.writeID > 0 {
+			sim.store[rpc.cell][rpc.writeID] = true
 		} else {
-			f.shows = maps.Clone(w.store[f.cell])
+			rpc.readResult = maps.Clone(sim.store[rpc.cell])
 		}
 		return
-	case f.ran && alive && w.draw(4) > 0:
-		w.answer(f)
-	case w.now < f.until:
+	case rpc.ran && alive && sim.random(4) > 0:
+		sim.deliverResponse(rpc)
+	case sim.now < rpc.deadline:
 		return
-	case alive: // it is not waited for any longer
-		f.gate.Returned(f.ticket, f.until, 0, w.now)
-		f.gate.Ended(f.ticket, false, w.now)
-		f.gate.Settle(f.ticket, w.now)
+	case alive: // timed out
+		rpc.controller.AttemptEnded(rpc.ticket, rpc.deadline, 0, sim.now)
+		rpc.controller.Finished(rpc.ticket, false, sim.now)
+		rpc.controller.Settle(rpc.ticket, sim.now)
 	}
-	w.flights = slices.Delete(w.flights, i, i+1)
+	sim.rpcs = slices.Delete(sim.rpcs, i, i+1)
 }
 
-// answer passes an answer on if the gate lets it.
-func (w *walk) answer(f *flight) {
-	f.gate.Returned(f.ticket, 0, 0, w.now)
-	if f.gate.May(f.ticket, w.now) {
-		if f.write > 0 {
-			f.gate.Committed(f.ticket, w.now)
-			w.acked[f.write] = true
+// deliverResponse returns a response if the driver may do so.
+func (sim *simulation) deliverResponse(rpc *simulatedRPC) {
+	rpc.controller.AttemptEnded(rpc.ticket, 0, 0, sim.now)
+	if rpc.controller.MayProceed(rpc.ticket, sim.now) {
+		if rpc.writeID > 0 {
+			rpc.controller.Committed(rpc.ticket, sim.now)
+			sim.acknowledged[rpc.writeID] = true
 		}
-		for id := range f.owed {
-			if f.write == 0 && !f.shows[id] {
-				w.broken = fmt.Sprintf("a read in cell %d does not show write %d", f.cell, id)
+		for id := range rpc.mustSee {
+			if rpc.writeID == 0 && !rpc.readResult[id] {
+				sim.violation = fmt.Sprintf("a read in cell %d does not return write %d", rpc.cell, id)
 			}
 		}
 	}
-	f.gate.Ended(f.ticket, true, w.now)
-	f.gate.Settle(f.ticket, w.now)
+	rpc.controller.Finished(rpc.ticket, true, sim.now)
+	rpc.controller.Settle(rpc.ticket, sim.now)
 }
 
-// note checks that the cell where the tenant is shows all that was acknowledged, and what states were met.
-func (w *walk) note() {
-	seat := w.c.book.Seat("t")
-	for id := range w.acked {
-		if !w.store[seat.Cell][id] {
-			w.broken = fmt.Sprintf("acknowledged write %d is not in cell %d, where the tenant is", id, seat.Cell)
+// checkInvariants checks that all acknowledged writes are visible in the tenant's cell, and
+// records the state visited.
+func (sim *simulation) checkInvariants() {
+	placement := sim.coordinator.directory.Placement("t")
+	for id := range sim.acknowledged {
+		if !sim.store[placement.Cell][id] {
+			sim.violation = fmt.Sprintf("acknowledged write %d is not in cell %d, the cell of the tenant", id, placement.Cell)
 		}
 	}
-	state := fmt.Sprint(seat.Stage)
-	for _, d := range w.drivers {
-		known := d.gate.book.Seat("t")
-		state += fmt.Sprint(" ", known.Stage, known.Cell == seat.Cell, known.Epoch == seat.Epoch, w.now < d.gate.lease, len(d.gate.tenants) > 0)
+	state := fmt.Sprint(placement.Stage)
+	for _, d := range sim.drivers {
+		known := d.controller.directory.Placement("t")
+		state += fmt.Sprint(" ", known.Stage, known.Cell == placement.Cell, known.Epoch == placement.Epoch, sim.now < d.controller.leaseExpiresAt, len(d.controller.tenants) > 0)
 	}
-	w.visited[state] = true
+	sim.visited[state] = true
 }
 
-const walkSteps = 900
+const simSteps = 900
 
-// Moves keep their promises whatever is drawn: nothing acknowledged is lost, no read is behind.
+// No acknowledged write is lost and no read is stale, whatever the order of events.
 func TestMovesOverInterleavings(t *testing.T) {
 	visited, moved := map[string]bool{}, 0
 	for seed := range int64(400) {
-		w := newWalk(sound, rand.New(rand.NewSource(seed)).Intn)
-		for range walkSteps {
-			w.step()
-			require.Empty(t, w.broken, "seed %d", seed)
+		sim := newSimulation(noBug, rand.New(rand.NewSource(seed)).Intn)
+		for range simSteps {
+			sim.step()
+			require.Empty(t, sim.violation, "seed %d", seed)
 		}
-		maps.Copy(visited, w.visited)
-		for _, r := range w.journal {
-			if r.Entry != nil && r.Entry.Stage == Switched {
+		maps.Copy(visited, sim.visited)
+		for _, r := range sim.journal {
+			if r.Entry != nil && r.Entry.Stage == StageSwitched {
 				moved++
 			}
 		}
 	}
 	require.Greater(t, moved, 100)
 	require.Greater(t, len(visited), 2000)
-	t.Logf("%d states, %d moves switched", len(visited), moved)
+	t.Logf("%d states, %d completed moves", len(visited), moved)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWalk(sound, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
+		sim := newSimulation(noBug, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
 		for range 150 {
-			w.step()
-			require.Empty(t, w.broken)
+			sim.step()
+			require.Empty(t, sim.violation)
 		}
 	})
 }
 
-// The walk must be able to fail: each planted bug is found.
+// Checks that the simulation detects each planted bug.
 func TestTheWalkFindsPlantedBugs(t *testing.T) {
-	names := []string{oldEpochs: "older epochs are acted on", noLease: "leases do not bind", earlyTurn: "the coordinator does not wait"}
-	for b := oldEpochs; b <= earlyTurn; b++ {
+	names := []string{bugOldEpochs: "entries with older epochs are applied", bugIgnoresLease: "expired leases are ignored", bugSkipsSilentDrivers: "the coordinator does not wait for silent drivers"}
+	for b := bugOldEpochs; b <= bugSkipsSilentDrivers; b++ {
 		name := names[b]
 		found := int64(-1)
 		for seed := int64(0); seed < 1500 && found < 0; seed++ {
-			w := newWalk(b, rand.New(rand.NewSource(seed)).Intn)
-			for i := 0; i < 2*walkSteps && w.broken == ""; i++ {
-				w.step()
+			sim := newSimulation(b, rand.New(rand.NewSource(seed)).Intn)
+			for i := 0; i < 2*simSteps && sim.violation == ""; i++ {
+				sim.step()
 			}
-			if w.broken != "" {
+			if sim.violation != "" {
 				found = seed
-				t.Logf("%s: seed %d: %s", name, seed, w.broken)
+				t.Logf("%s: seed %d: %s", name, seed, sim.violation)
 			}
 		}
 		require.GreaterOrEqual(t, found, int64(0), name)
 	}
 }
 
-// Each row of the table at Stage, and no other.
-func TestStagesFollowTheTable(t *testing.T) {
-	next := map[Stage][]Stage{Resting: {Prepared}, Prepared: {Holding, Returning}, Holding: {Catching, Returning},
-		Catching: {Closing, Returning}, Closing: {Switched, Returning}, Switched: {Resting}, Returning: {Resting}}
-	for from := Resting; from <= Returning; from++ {
-		for to := Resting; to <= Returning; to++ {
-			b := walkBook()
-			if from != Resting {
-				b.entries["t"] = Entry{Epoch: 5, Tenant: "t", Cell: "c0", Stage: from}
-				b.newest = 5
+// Checks every pair of stages against the table at Stage.
+func TestStageTransitions(t *testing.T) {
+	next := map[Stage][]Stage{StageIdle: {StagePrepared}, StagePrepared: {StageHoldingWrites, StageRollingBack}, StageHoldingWrites: {StageCatchingUp, StageRollingBack},
+		StageCatchingUp: {StageHoldingAll, StageRollingBack}, StageHoldingAll: {StageSwitched, StageRollingBack}, StageSwitched: {StageIdle}, StageRollingBack: {StageIdle}}
+	for from := StageIdle; from <= StageRollingBack; from++ {
+		for to := StageIdle; to <= StageRollingBack; to++ {
+			directory := newTestDirectory()
+			if from != StageIdle {
+				directory.entries["t"] = Entry{Epoch: 5, Tenant: "t", Cell: "c0", Stage: from}
+				directory.latestEpoch = 5
 			}
-			require.Equal(t, slices.Contains(next[from], to), b.follows(Entry{Epoch: 6, Tenant: "t", Cell: "c0", Stage: to}), "%v to %v", from, to)
-			require.False(t, b.follows(Entry{Epoch: 5, Tenant: "t", Cell: "c0", Stage: to}) && from != Resting, "an epoch that is not newer")
+			require.Equal(t, slices.Contains(next[from], to), directory.isValidTransition(Entry{Epoch: 6, Tenant: "t", Cell: "c0", Stage: to}), "%v to %v", from, to)
+			require.False(t, directory.isValidTransition(Entry{Epoch: 5, Tenant: "t", Cell: "c0", Stage: to}) && from != StageIdle, "the epoch is not newer")
 		}
 	}
 }
 
-// A move that goes right, step by step, and what each step waits for.
-func TestAMoveStepByStep(t *testing.T) {
-	b := walkBook()
-	c, err := NewCoordinator(0, b, second, 2*second, 0, true, []Record{{Driver: "a"}, {Driver: "b"}})
+// Checks the stages of a move and what each of them waits for.
+func TestMoveStages(t *testing.T) {
+	directory := newTestDirectory()
+	c, err := NewCoordinator(0, directory, second, 2*second, 0, true, []Record{{Driver: "a"}, {Driver: "b"}})
 	require.NoError(t, err)
 	now := int64(0)
-	do := func(records []Record, err error) {
+	apply := func(records []Record, err error) {
 		require.NoError(t, err)
 		for _, r := range records {
 			require.NoError(t, c.Apply(now, r))
 		}
 	}
-	stage := func() Stage { return b.entries["t"].Stage }
+	stage := func() Stage { return directory.entries["t"].Stage }
 	report := func(name string, change func(*MoveReport)) {
-		e := b.entries["t"]
+		e := directory.entries["t"]
 		m := MoveReport{Tenant: "t", Epoch: e.Epoch}
 		if change != nil {
 			change(&m)
 		}
-		c.Grant(now, Report{Driver: name, Epoch: b.newest, Moves: []MoveReport{m}})
+		c.Grant(now, Report{Driver: name, Epoch: directory.latestEpoch, Moves: []MoveReport{m}})
 	}
-	steps := func() Stage {
+	stepAll := func() Stage {
 		now += ms
 		for records := c.Step(now); len(records) > 0; records = c.Step(now) {
-			do(records, nil)
+			apply(records, nil)
 		}
 		return stage()
 	}
@@ -455,59 +457,59 @@
 	require.ErrorContains(t, err, `no cell "c9"`)
 	_, err = c.Move(now, "t", "c0", "")
 	require.ErrorContains(t, err, "already")
-	do(c.Move(now, "t", "c1", "test"))
+	apply(c.Move(now, "t", "c1", "test"))
 	_, err = c.Move(now, "t", "c2", "")
 	require.ErrorContains(t, err, "is being moved")
 	report("a", nil)
 	report("b", nil)
-	require.Equal(t, Prepared, steps(), "the store has not begun to fill")
-	c.Filled("t", b.newest)
-	require.Equal(t, Holding, steps())
+	require.Equal(t, StagePrepared, stepAll(), "the store has not begun to fill the new cell")
+	c.MarkFilled("t", directory.latestEpoch)
+	require.Equal(t, StageHoldingWrites, stepAll())
 	report("a", nil)
-	require.Equal(t, Holding, steps(), "b has not said that it holds")
+	require.Equal(t, StageHoldingWrites, stepAll(), "b has not reported that it holds writes")
 	report("b", func(m *MoveReport) { m.Writes = 1 })
-	require.Equal(t, Holding, steps(), "b has a write in flight")
-	report("b", func(m *MoveReport) { m.Commit = now + 5*ms })
-	held := now
-	require.Equal(t, Catching, steps())
-	require.Equal(t, held+5*ms, b.entries["t"].Cut, "past what b was told, though its clock is ahead")
+	require.Equal(t, StageHoldingWrites, stepAll(), "b has a write in flight")
+	report("b", func(m *MoveReport) { m.LastCommit = now + 5*ms })
+	heldAt := now
+	require.Equal(t, StageCatchingUp, stepAll())
+	require.Equal(t, heldAt+5*ms, directory.entries["t"].CutoverPosition, "after the last commit reported by b")
 	report("a", nil)
-	require.Equal(t, Catching, steps())
-	report("a", func(m *MoveReport) { m.Reached = true })
-	require.Equal(t, Closing, steps())
+	require.Equal(t, StageCatchingUp, stepAll())
+	report("a", func(m *MoveReport) { m.CaughtUp = true })
+	require.Equal(t, StageHoldingAll, stepAll())
 	report("a", nil)
-	report("b", func(m *MoveReport) { m.Open = 1 })
-	require.Equal(t, Closing, steps())
+	report("b", func(m *MoveReport) { m.OpenRPCs = 1 })
+	require.Equal(t, StageHoldingAll, stepAll())
 	now += second / 2
 	report("a", nil)
-	now += second/2 + ms // b's lease runs out
-	require.Equal(t, Switched, steps())
-	e := b.entries["t"]
-	require.Equal(t, []any{"c1", "c0", e.Cut}, []any{e.Cell, e.To, e.Floor})
+	now += second/2 + ms // the lease of b expires
+	require.Equal(t, StageSwitched, stepAll())
+	e := directory.entries["t"]
+	require.Equal(t, []any{"c1", "c0", e.CutoverPosition}, []any{e.Cell, e.To, e.MinPosition})
 	_, err = c.Abort(now, "t", "")
 	require.ErrorContains(t, err, "has been switched")
 	_, err = c.Move(now, "t", "c0", "")
-	require.ErrorContains(t, err, "is being moved", "not back before it has settled")
-	c.Filled("t", b.newest)
-	require.Equal(t, Switched, steps(), "a does not act on it yet")
+	require.ErrorContains(t, err, "is being moved", "no move before the last one is complete")
+	c.MarkFilled("t", directory.latestEpoch)
+	require.Equal(t, StageSwitched, stepAll(), "a has not reported the new epoch")
 	report("a", nil)
-	require.Equal(t, Resting, steps())
-	do(c.Move(now, "t", "c2", "test"))
-	do(c.Abort(now, "t", "test"))
-	require.Equal(t, Returning, stage())
+	require.Equal(t, StageIdle, stepAll())
+	apply(c.Move(now, "t", "c2", "test"))
+	apply(c.Abort(now, "t", "test"))
+	require.Equal(t, StageRollingBack, stage())
 	report("a", nil)
-	c.Filled("t", b.newest)
-	require.Equal(t, Resting, steps())
-	require.Equal(t, "c1", b.entries["t"].Cell)
-	require.NotZero(t, b.entries["t"].Floor, "what it must be read from stays")
+	c.MarkFilled("t", directory.latestEpoch)
+	require.Equal(t, StageIdle, stepAll())
+	require.Equal(t, "c1", directory.entries["t"].Cell)
+	require.NotZero(t, directory.entries["t"].MinPosition, "the minimum position is kept")
 	_, err = c.Abort(now, "t", "")
 	require.ErrorContains(t, err, "is not being moved")
 }
 
-// A move that holds writes too long goes back by itself.
-func TestAMoveThatTakesTooLongGoesBack(t *testing.T) {
-	b := walkBook()
-	c, err := NewCoordinator(0, b, second, second, 0, false, nil)
+// A move that holds writes for too long is rolled back.
+func TestMoveRollsBackAfterMaxHold(t *testing.T) {
+	directory := newTestDirectory()
+	c, err := NewCoordinator(0, directory, second, second, 0, false, nil)
 	require.NoError(t, err)
 	records, err := c.Move(0, "t", "c1", "")
 	require.NoError(t, err)
@@ -517,132 +519,134 @@
 			require.NoError(t, c.Apply(0, records[0]))
 		}
 	}
-	require.Equal(t, Resting, b.entries["t"].Stage)
-	require.Equal(t, "c0", b.entries["t"].Cell)
+	require.Equal(t, StageIdle, directory.entries["t"].Stage)
+	require.Equal(t, "c0", directory.entries["t"].Cell)
 }
 
-// Guards against an instance that stood still, or lost touch, while its tenant went elsewhere.
-func TestGates(t *testing.T) {
-	g := NewGate(walkBook(), NewTenancy(nil, nil, nil, OwnNobody, "t"), nil, true, 1)
-	var later []Verdict
-	admit := func(now int64, write bool) (*Ticket, Verdict, bool) {
-		return g.Admit(now, Ask{Tenant: "t", Key: "k", Write: write, Left: second}, func(v Verdict) { later = append(later, v) })
+// Guards against a driver that was paused or disconnected while its tenant moved.
+func TestAdmissionDuringMove(t *testing.T) {
+	g := NewAdmissionController(newTestDirectory(), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), nil, true, 1)
+	var decisions []Decision
+	admit := func(now int64, write bool) (*Ticket, Decision, bool) {
+		return g.Admit(now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: second}, func(v Decision) { decisions = append(decisions, v) })
 	}
 	_, v, _ := admit(0, true)
-	require.Equal(t, WhyLease, v.Why, "without a lease nothing is known")
-	grant := func(asked int64, e ...Entry) {
-		newest := g.book.newest
+	require.Equal(t, ReasonNoLease, v.Reason, "the driver has no lease")
+	grant := func(requestedAt int64, e ...Entry) {
+		newest := g.directory.latestEpoch
 		for _, n := range e {
 			newest = max(newest, n.Epoch)
 		}
-		_, err := g.Granted(asked, Grant{Lease: second, Newest: newest, Entries: e})
+		_, err := g.ApplyGrant(requestedAt, Grant{Lease: second, LatestEpoch: newest, Entries: e})
 		require.NoError(t, err)
-		g.Release("t", asked)
+		g.ResumeHeld("t", requestedAt)
 	}
 	grant(0)
-	early, v, _ := admit(ms, true)
-	require.Equal(t, WhyNot, v.Why)
+	first, v, _ := admit(ms, true)
+	require.Equal(t, ReasonNone, v.Reason)
 	require.EqualValues(t, 1, v.Group)
-	require.True(t, g.May(early, second-1))
-	require.False(t, g.May(early, second), "its lease has run out")
-	grant(second, Entry{Epoch: 4, Tenant: "t", Cell: "c0", Stage: Holding, To: "c1"})
-	require.True(t, g.May(early, second), "it goes on where it is")
+	require.True(t, g.MayProceed(first, second-1))
+	require.False(t, g.MayProceed(first, second), "the lease has expired")
+	grant(second, Entry{Epoch: 4, Tenant: "t", Cell: "c0", Stage: StageHoldingWrites, To: "c1"})
+	require.True(t, g.MayProceed(first, second), "an RPC in flight continues in the old cell")
 	r := g.Report(second, "a", 1, nil)
 	require.Equal(t, 1, r.Moves[0].Writes)
-	g.Returned(early, second+50*ms, 0, second)
-	g.Ended(early, false, second)
-	g.Settle(early, second)
-	require.Equal(t, 1, g.Report(second, "a", 1, nil).Moves[0].Writes, "it may still run")
+	g.AttemptEnded(first, second+50*ms, 0, second)
+	g.Finished(first, false, second)
+	g.Settle(first, second)
+	require.Equal(t, 1, g.Report(second, "a", 1, nil).Moves[0].Writes, "the write may still run")
 	require.Zero(t, g.Report(second+50*ms, "a", 1, nil).Moves[0].Writes)
 	_, v, decided := admit(second, false)
-	require.True(t, decided && v.Why == WhyNot, "reads go on")
+	require.True(t, decided && v.Reason == ReasonNone, "reads are admitted")
 	_, _, decided = admit(second, true)
 	require.False(t, decided)
 	_, v, _ = admit(second, true)
-	require.Equal(t, WhyMove, v.Why, "no more are held than may be")
-	_, err := g.Granted(second, Grant{Lease: 10 * second, Newest: 3, Entries: []Entry{{Epoch: 3, Tenant: "t", Cell: "c2"}}})
+	require.Equal(t, ReasonMoving, v.Reason, "the maximum number of RPCs is held")
+	_, err := g.ApplyGrant(second, Grant{Lease: 10 * second, LatestEpoch: 3, Entries: []Entry{{Epoch: 3, Tenant: "t", Cell: "c2"}}})
 	require.NoError(t, err)
-	require.Equal(t, Holding, g.book.Seat("t").Stage, "an older grant changes nothing")
-	require.Equal(t, 2*second, g.lease)
-	grant(second, Entry{Epoch: 6, Tenant: "t", Cell: "c1", Stage: Switched, To: "c0", Floor: 77})
-	require.Equal(t, []Verdict{{Group: 2, Floor: 77}}, later)
-	require.False(t, g.May(early, second), "its tenant is elsewhere")
-	grant(second, Entry{Epoch: 7, Tenant: "t", Cell: "c0", Stage: Closing, To: "c1"})
-	later = nil
-	tk, _, decided := admit(second, false)
-	require.False(t, decided, "reads wait too")
-	g.Expire(tk)
-	g.Expire(tk)
-	require.Equal(t, []Verdict{{Why: WhyMove, ComeBack: shortWait}}, later, "told once")
-	tk, _, _ = admit(second, true)
-	g.Leave(tk)
-	g.Expire(tk)
-	require.Len(t, later, 1, "its client has gone")
-	require.Zero(t, g.holding)
+	require.Equal(t, StageHoldingWrites, g.directory.Placement("t").Stage, "an older grant is ignored")
+	require.Equal(t, 2*second, g.leaseExpiresAt)
+	grant(second, Entry{Epoch: 6, Tenant: "t", Cell: "c1", Stage: StageSwitched, To: "c0", MinPosition: 77})
+	require.Equal(t, []Decision{{Group: 2, MinPosition: 77}}, decisions)
+	require.False(t, g.MayProceed(first, second), "the tenant has moved")
+	grant(second, Entry{Epoch: 7, Tenant: "t", Cell: "c0", Stage: StageHoldingAll, To: "c1"})
+	decisions = nil
+	ticket, _, decided := admit(second, false)
+	require.False(t, decided, "reads are held")
+	g.Expire(ticket)
+	g.Expire(ticket)
+	require.Equal(t, []Decision{{Reason: ReasonMoving, RetryAfter: minRetryAfter}}, decisions, "rejected once")
+	ticket, _, _ = admit(second, true)
+	g.Cancel(ticket)
+	g.Expire(ticket)
+	require.Len(t, decisions, 1, "a cancelled RPC gets no decision")
+	require.Zero(t, g.heldCount)
 }
 
-// Guards against an earlier start of a name that may still act when the later one has said that it does.
-func TestAnEarlierStartIsWaitedFor(t *testing.T) {
-	l := leases{lease: second, drivers: map[string]*holder{}}
+// Guards against an earlier start of a driver that may still act after a later one has reported.
+func TestMoveWaitsForPredecessorLease(t *testing.T) {
+	drivers := leases{duration: second, drivers: map[string]*leaseHolder{}}
 	e := Entry{Tenant: "t", Epoch: 1}
-	say := func(now int64, incarnation uint64) {
-		require.True(t, l.take(now, Report{Driver: "a", Incarnation: incarnation, Epoch: 1, Moves: []MoveReport{{Tenant: "t", Epoch: 1}}}))
-	}
-	say(1, 1)
-	require.True(t, l.all(1, e, acts))
-	say(second/2, 2)
-	require.False(t, l.all(second, e, acts))
-	say(second, 2)
-	require.True(t, l.all(second+second/100, e, acts))
+	renew := func(now int64, incarnation uint64) {
+		require.True(t, drivers.renew(now, Report{Driver: "a", Incarnation: incarnation, Epoch: 1, Moves: []MoveReport{{Tenant: "t", Epoch: 1}}}))
+	}
+	renew(1, 1)
+	require.True(t, drivers.allHolders(1, e, anyReport))
+	renew(second/2, 2)
+	require.False(t, drivers.allHolders(second, e, anyReport))
+	renew(second, 2)
+	require.True(t, drivers.allHolders(second+second/100, e, anyReport))
 }
 
-// Guards against a coordinator that takes over, hears of a name's later start alone, and does not know that the one before it
-// gave an earlier start a lease that still holds.
-func TestAnEarlierStartIsKnownToASuccessor(t *testing.T) {
-	first, err := NewCoordinator(0, walkBook(), second, second, 0, false, nil)
+// Guards against a new coordinator that does not know that an earlier start of a driver holds a
+// lease.
+func TestPredecessorLeaseSurvivesTakeover(t *testing.T) {
+	first, err := NewCoordinator(0, newTestDirectory(), second, second, 0, false, nil)
 	require.NoError(t, err)
-	next, err := NewCoordinator(0, walkBook(), second, second, 0, false, nil)
+	next, err := NewCoordinator(0, newTestDirectory(), second, second, 0, false, nil)
 	require.NoError(t, err)
 	now := second
-	ask := func(c *Coordinator, start uint64) int64 {
-		records, err := c.Renew(Report{Driver: "a", Incarnation: start})
+	renew := func(c *Coordinator, incarnation uint64) int64 {
+		records, err := c.Renew(Report{Driver: "a", Incarnation: incarnation})
 		require.NoError(t, err)
-		if len(records) > 0 { // its fellows have it first, and the earlier start asks once more
+		if len(records) > 0 { // other coordinators have the record first, and the earlier start asks again
 			require.NoError(t, next.Apply(now, records[0]))
-			if start > 1 {
-				require.Zero(t, c.Grant(now, Report{Driver: "a", Incarnation: start - 1}).Lease, "a later start is being written down")
+			if incarnation > 1 {
+				require.Zero(t, c.Grant(now, Report{Driver: "a", Incarnation: incarnation - 1}).Lease, "a later start is being persisted")
 			}
 			require.NoError(t, c.Apply(now, records[0]))
 		}
-		return c.Grant(now, Report{Driver: "a", Incarnation: start, Epoch: c.book.newest}).Lease
+		return c.Grant(now, Report{Driver: "a", Incarnation: incarnation, Epoch: c.directory.latestEpoch}).Lease
 	}
-	require.NotZero(t, ask(first, 1))
-	require.NotZero(t, ask(first, 2))
+	require.NotZero(t, renew(first, 1))
+	require.NotZero(t, renew(first, 2))
 	now += second / 4
 	next.TakeOver(now)
-	require.NotZero(t, ask(next, 2))
+	require.NotZero(t, renew(next, 2))
 	records, err := next.Move(now, "t", "c1", "")
 	require.NoError(t, err)
 	require.NoError(t, next.Apply(now, records[0]))
-	says := func() []Record {
-		next.Grant(now, Report{Driver: "a", Incarnation: 2, Epoch: next.book.newest, Moves: []MoveReport{{Tenant: "t", Epoch: next.book.newest}}})
+	reportAndStep := func() []Record {
+		next.Grant(now, Report{Driver: "a", Incarnation: 2, Epoch: next.directory.latestEpoch, Moves: []MoveReport{{Tenant: "t", Epoch: next.directory.latestEpoch}}})
 		return next.Step(now)
 	}
-	require.Empty(t, says(), "the first start may still act on the book before")
-	past := next.Past()
-	require.Equal(t, []string{"a"}, past.Shaded)
+	require.Empty(t, reportAndStep(), "the first start may still hold a lease")
+	snapshot := next.Snapshot()
+	require.Equal(t, []string{"a"}, snapshot.WithPredecessors)
 	now += second
-	later := says()
+	later := reportAndStep()
 	require.NotEmpty(t, later)
 	require.NoError(t, next.Apply(now, later[0]))
-	for records := next.passedOnly(now); len(records) > 0; records = next.passedOnly(now) {
+	for records := next.expiredPredecessors(now); len(records) > 0; records = next.expiredPredecessors(now) {
 		require.NoError(t, next.Apply(now, records[0]))
 	}
-	require.Empty(t, next.Past().Shaded, "it is written down that the first is over")
-	third, err := NewCoordinator(now, walkBook(), second, second, 0, false, nil)
+	require.Empty(t, next.Snapshot().WithPredecessors, "the expiry of the first start is persisted")
+	third, err := NewCoordinator(now, newTestDirectory(), second, second, 0, false, nil)
 	require.NoError(t, err)
-	third.Restore(now, past)
-	require.Equal(t, past.Shaded, third.Past().Shaded)
+	third.Restore(now, snapshot)
+	require.Equal(t, snapshot.WithPredecessors, third.Snapshot().WithPredecessors)
 }
 
-func (c *Coordinator) passedOnly(now int64) []Record { return c.leases.passed(now) }
+func (c *Coordinator) expiredPredecessors(now int64) []Record {
+	return c.leases.expiredPredecessors(now)
+}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,251 +1,253 @@
-// Package ledger keeps account of RPCs that others send: who was granted what, what came of it, and the one final answer.
-// It decides whether a repeat of a known id gets another grant, the former answer or an abort. It does no I/O, reads no
-// clock and starts no goroutine. What must outlast a crash is a Record, which whoever drives it writes down before a
-// grant is given.
+// Package ledger tracks RPCs sent by other processes: who was granted permission to send one, the
+// reported outcome and the final response. It decides whether a retry of a known id gets another
+// grant, the earlier response or an abort.
 //
-// Times are Unix time in nanoseconds.
+// The package does no I/O, reads no clock and starts no goroutine. A caller must persist a Record
+// before it gives out a grant. Times are Unix time in nanoseconds.
 package ledger
 
 import "sedgespread/rules"
 
 type (
-	// ID names an RPC; its repeats have the same.
+	// ID identifies an RPC and its retries.
 	ID string
-	// Grant numbers a leave to send an RPC once.
+	// Grant numbers a permission to send an RPC once.
 	Grant uint64
-	// Caller is a caller's place, from Join.
+	// Caller is the index of a caller, returned by Join.
 	Caller int32
 )
 
-// Fate is what is known of an RPC's effect.
-type Fate int
+// Outcome is what is known about the execution of an RPC.
+type Outcome int
 
 const (
-	NeverRan   Fate = iota // every grant of it was reported as never sent, or there was none
-	MayHaveRun             // a grant of it ended in the open, or was never reported
+	NeverRan   Outcome = iota // every grant was reported as never sent, or there was none
+	MayHaveRun                // a grant was reported as uncertain, or never reported
 	Ran
 )
 
-// state of an RPC:
+// state is the state of an RPC.
 //
-//	from      what has come                             to
-//	-         asked for, and there is room              granted
-//	granted   reported: never ran                       idle
-//	granted   reported: ran                             answered
-//	granted   reported: may have run; its life is over;
-//	          its caller has started anew               doubtful
-//	idle      asked for again                           granted
-//	doubtful  asked for again, and a repeat is harmless granted
-//	any       answered otherwise: aborted, pushed back  answered
-//	answered  its time is past                          -
+//	from       event                                          to
+//	-          requested, and there is capacity               granted
+//	granted    reported: never ran                            idle
+//	granted    reported: ran                                  answered
+//	granted    reported: may have run; or the RPC expired;
+//	           or the caller restarted                        uncertain
+//	idle       requested again                                granted
+//	uncertain  requested again, and a retry is safe           granted
+//	any        answered otherwise: aborted or rejected        answered
 //
-// An RPC whose time is past is forgotten in every state: nobody may ask for it any more.
+// An RPC is removed in any state once it has expired.
 type state uint8
 
 const (
 	granted state = iota
 	idle
-	doubtful
+	uncertain
 	answered
 )
 
-// Ask is a caller's request to send an RPC.
-type Ask struct {
+// Request is a caller's request to send an RPC.
+type Request struct {
 	ID       ID
 	Caller   Caller
 	Effect   rules.Effect
 	Group    rules.GroupID
-	Window   int64 // of a tokened one: repeats within it, in its group, are dropped
-	Deadline int64 // its client's; nothing is granted past it
-	Again    bool  // its caller knows it to be a repeat
+	Window   int64 // of a tokened RPC: its group drops duplicates within this time
+	Deadline int64 // of the client; no grant after it
+	IsRetry  bool  // the caller knows that this is a retry
 }
 
-// Act is what a ledger decides on an Ask.
-type Act int
+// Action is how the ledger responds to a Request.
+type Action int
 
 const (
-	Give     Act = iota // a grant
-	Former              // the answer that it had already
-	PushBack            // there is no room, and it never ran
-	Abort               // it may have run, and a repeat is not harmless
+	ActionGrant  Action = iota // send the RPC
+	ActionReplay               // return the earlier response
+	ActionReject               // no capacity; the RPC never ran
+	ActionAbort                // the RPC may have run, and a retry is not safe
 )
 
-// Decision is what becomes of an Ask.
+// Decision is the response to a Request.
 type Decision struct {
-	Act   Act
-	Grant Grant
-	Fate  Fate // of a former answer
-	Why   Why
+	Action  Action
+	Grant   Grant
+	Outcome Outcome // for ActionReplay
+	Reason  Reason
 }
 
-// Why is the reason for a decision that is no grant.
-type Why int
+// Reason is why a request got no grant.
+type Reason int
 
 const (
-	WhyNot      Why = iota
-	WhyFull         // the ledger has no room
-	WhyQuota        // the caller has used up its part
-	WhyDoubtful     // an earlier grant of a non-idempotent RPC may have run
-	WhyWindow       // a tokened one's window is over, or its group is another
-	WhyOut          // an earlier grant is still out
-	WhyBlind        // this ledger has lost its records, and can't tell
-	WhyLate         // its deadline is past
-	WhyStranger     // the caller is not known
-	WhyJournal      // its record could not be written
-	whys
+	ReasonNone             Reason = iota
+	ReasonFull                    // the ledger is at capacity
+	ReasonQuota                   // the caller is at its quota
+	ReasonMayHaveRun              // an earlier grant of a non-idempotent RPC may have run
+	ReasonOutsideWindow           // a tokened RPC is past its window or has another group
+	ReasonGrantOutstanding        // an earlier grant has not been reported
+	ReasonRecordsLost             // records were lost, so that a retry cannot be recognized
+	ReasonDeadlineExceeded
+	ReasonUnknownCaller
+	ReasonJournalFailed // the record could not be persisted
+	reasonCount
 )
 
-// entry is one RPC, in a place that is used again once it is forgotten.
+// entry is one RPC. Its slot is reused after the RPC has expired.
 type entry struct {
-	id       ID
-	caller   Caller
-	effect   rules.Effect
-	group    rules.GroupID
-	window   int64
-	deadline int64
-	risk     int64 // when the first grant was given that may have run, 0 for none
-	grant    Grant // the last one
-	state    state
-	fate     Fate
-	split    bool // grants of it that may have run were for several groups: a report that allowed that was lost in a crash
+	id             ID
+	caller         Caller
+	effect         rules.Effect
+	group          rules.GroupID
+	window         int64
+	deadline       int64
+	firstRiskAt    int64 // when the first grant that may have run was given, 0 for none
+	grant          Grant // latest grant
+	state          state
+	outcome        Outcome
+	multipleGroups bool // grants that may have run were for several groups, after a report was lost in a crash
 }
 
-// Ledger is the account. Its methods are to be called one after another.
+// Ledger tracks RPCs. It is not safe for concurrent use.
 type Ledger struct {
-	entries []entry
-	free    []int32
-	byID    map[ID]int32
-	byGrant map[Grant]int32
-	wheel   *Wheel
-	last    Grant
-	most    int
-	blind   int64 // it can't tell repeats until then
-	// callers, by place
-	names  []string
-	epochs []uint64
-	open   []int
-	quota  int
-	index  map[string]Caller
-	counts Counts
+	entries          []entry
+	free             []int32
+	byID             map[ID]int32
+	byGrant          map[Grant]int32
+	expiry           *TimingWheel
+	lastGrant        Grant
+	capacity         int
+	recordsLostUntil int64 // retries cannot be recognized until then
+	// indexed by Caller
+	callerNames  []string
+	callerEpochs []uint64
+	openByCaller []int
+	quota        int
+	callerIndex  map[string]Caller
+	counts       Counts
 }
 
-// Counts are of what came and what became of it.
+// Counts are the counters of a Ledger.
 type Counts struct {
-	Grants     int64
-	Refused    [whys]int64
-	Formers    int64
-	Twice      int64 // reports of a grant that was reported already, or is not known any more
-	Foreign    int64 // reports by another than the grant's caller, or by an earlier start of it
-	Unreported int64 // grants whose life ended without a report
+	Grants         int64
+	Rejected       [reasonCount]int64
+	Replayed       int64
+	UnknownReports int64 // reports of a grant that is already reported or unknown
+	ForeignReports int64 // reports by another caller or an earlier start of it
+	ExpiredGrants  int64 // grants that expired without a report
 }
 
 const (
-	tick  = int64(5_000_000)
-	grace = int64(50_000_000) // after its deadline an RPC may still be reported
+	expiryTick  = int64(5_000_000)
+	reportGrace = int64(50_000_000) // an RPC may still be reported this long after its deadline
 )
 
-// New makes a ledger at a time for so many RPCs, of which one caller may have so many. Its grants are numbered from the
-// time on, so that no report of a grant from before a crash is taken for one of another since.
-func New(now int64, most, quota int) *Ledger {
-	return &Ledger{byID: map[ID]int32{}, byGrant: map[Grant]int32{}, wheel: NewWheel(now, tick), most: most, quota: quota,
-		index: map[string]Caller{}, last: Grant(now)}
+// New returns a ledger for up to capacity RPCs, and up to quota per caller. Grants are numbered
+// from now on, so that reports for grants from before a crash match no new grant.
+func New(now int64, capacity, quota int) *Ledger {
+	return &Ledger{byID: map[ID]int32{}, byGrant: map[Grant]int32{}, expiry: NewTimingWheel(now, expiryTick), capacity: capacity, quota: quota,
+		callerIndex: map[string]Caller{}, lastGrant: Grant(now)}
 }
 
-// Join makes a caller known, or tells that it has started anew: what it had out then may have run.
-func (l *Ledger) Join(name string, epoch uint64) (c Caller, joined bool) {
-	c, known := l.index[name]
+// Join registers a caller. If the caller has restarted, its outstanding RPCs may have run. It
+// returns false for an earlier start.
+func (l *Ledger) Join(name string, epoch uint64) (caller Caller, joined bool) {
+	caller, known := l.callerIndex[name]
 	switch {
 	case !known:
-		c = Caller(len(l.names))
-		l.index[name] = c
-		l.names, l.epochs, l.open = append(l.names, name), append(l.epochs, epoch), append(l.open, 0)
-		return c, true
-	case epoch < l.epochs[c]:
-		return c, false
-	case epoch > l.epochs[c]:
-		l.epochs[c] = epoch
+		caller = Caller(len(l.callerNames))
+		l.callerIndex[name] = caller
+		l.callerNames, l.callerEpochs, l.openByCaller = append(l.callerNames, name), append(l.callerEpochs, epoch), append(l.openByCaller, 0)
+		return caller, true
+	case epoch < l.callerEpochs[caller]:
+		return caller, false
+	case epoch > l.callerEpochs[caller]:
+		l.callerEpochs[caller] = epoch
 		for i := range l.entries {
-			if e := &l.entries[i]; e.caller == c && e.state == granted && e.id != "" {
-				l.doubt(e)
+			if e := &l.entries[i]; e.caller == caller && e.state == granted && e.id != "" {
+				l.markUncertain(e)
 			}
 		}
 	}
-	return c, true
+	return caller, true
 }
 
-// Blind says that records were lost: until a time this ledger can't tell whether an RPC was granted before.
-func (l *Ledger) Blind(until int64) { l.blind = max(l.blind, until) }
+// MarkRecordsLost records that retries cannot be recognized before a time, since records were
+// lost.
+func (l *Ledger) MarkRecordsLost(until int64) { l.recordsLostUntil = max(l.recordsLostUntil, until) }
 
-// Decide decides on an Ask. A grant is only proposed: Give it with Granted, once its record is written down.
-func (l *Ledger) Decide(now int64, a Ask) Decision {
-	d := l.decide(now, a)
-	if d.Act == Give {
-		return d
+// Decide decides on a request. A proposed grant takes effect with Granted, once its record is
+// persisted.
+func (l *Ledger) Decide(now int64, request Request) Decision {
+	decision := l.decide(now, request)
+	if decision.Action == ActionGrant {
+		return decision
 	}
-	if d.Act == Former {
-		l.counts.Formers++
+	if decision.Action == ActionReplay {
+		l.counts.Replayed++
 	}
-	l.counts.Refused[d.Why]++
-	return d
+	l.counts.Rejected[decision.Reason]++
+	return decision
 }
 
-func (l *Ledger) decide(now int64, a Ask) Decision {
-	if a.Caller < 0 || int(a.Caller) >= len(l.names) {
-		return Decision{Act: PushBack, Why: WhyStranger}
+func (l *Ledger) decide(now int64, request Request) Decision {
+	if request.Caller < 0 || int(request.Caller) >= len(l.callerNames) {
+		return Decision{Action: ActionReject, Reason: ReasonUnknownCaller}
 	}
-	place, known := l.byID[a.ID]
+	slot, known := l.byID[request.ID]
 	if !known {
-		return l.first(now, a)
+		return l.decideNew(now, request)
 	}
-	e := &l.entries[place]
+	e := &l.entries[slot]
 	switch {
 	case e.state == answered:
-		return Decision{Act: Former, Fate: e.fate}
+		return Decision{Action: ActionReplay, Outcome: e.outcome}
 	case now >= e.deadline:
-		return l.refuse(e, WhyLate)
-	case e.effect != a.Effect || e.window != a.Window: // not what it was: the stricter account counts
-		return l.refuse(e, WhyDoubtful)
+		return l.abortOrReject(e, ReasonDeadlineExceeded)
+	case e.effect != request.Effect || e.window != request.Window: // changed by the caller; the stricter effect applies
+		return l.abortOrReject(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
-	case e.effect == rules.Tokened && e.mayHaveRun() && (e.risk+e.window <= now || e.group != a.Group || e.split):
-		return l.refuse(e, WhyWindow)
+	case e.effect == rules.Tokened && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != request.Group || e.multipleGroups):
+		return l.abortOrReject(e, ReasonOutsideWindow)
 	case e.effect == rules.NonIdempotent && e.state == granted:
-		return l.refuse(e, WhyOut)
-	case e.effect == rules.NonIdempotent && e.fate == MayHaveRun:
-		return l.refuse(e, WhyDoubtful)
+		return l.abortOrReject(e, ReasonGrantOutstanding)
+	case e.effect == rules.NonIdempotent && e.outcome == MayHaveRun:
+		return l.abortOrReject(e, ReasonMayHaveRun)
 	}
-	return Decision{Act: Give, Grant: l.last + 1}
+	return Decision{Action: ActionGrant, Grant: l.lastGrant + 1}
 }
 
-// mayHaveRun tells whether some grant of an RPC may have run, one that is out included.
-func (e *entry) mayHaveRun() bool { return e.state == granted || e.fate != NeverRan }
+// mayHaveRun reports whether any grant of an RPC may have run, including an outstanding one.
+func (e *entry) mayHaveRun() bool { return e.state == granted || e.outcome != NeverRan }
 
-// refuse aborts what may have run, and pushes back what never did.
-func (l *Ledger) refuse(e *entry, why Why) Decision {
+// abortOrReject aborts an RPC that may have run, and rejects one that has not.
+func (l *Ledger) abortOrReject(e *entry, reason Reason) Decision {
 	if e.mayHaveRun() {
-		return Decision{Act: Abort, Why: why}
+		return Decision{Action: ActionAbort, Reason: reason}
 	}
-	return Decision{Act: PushBack, Why: why}
+	return Decision{Action: ActionReject, Reason: reason}
 }
 
-// first decides on an RPC that is not known here.
-func (l *Ledger) first(now int64, a Ask) Decision {
+// decideNew decides on an unknown RPC.
+func (l *Ledger) decideNew(now int64, request Request) Decision {
 	switch {
-	case now >= a.Deadline:
-		return Decision{Act: PushBack, Why: WhyLate}
-	case now < l.blind && a.Again && a.Effect != rules.Idempotent:
-		return Decision{Act: Abort, Why: WhyBlind}
-	case len(l.byID) >= l.most:
-		return Decision{Act: PushBack, Why: WhyFull}
-	case l.open[a.Caller] >= l.quota:
-		return Decision{Act: PushBack, Why: WhyQuota}
+	case now >= request.Deadline:
+		return Decision{Action: ActionReject, Reason: ReasonDeadlineExceeded}
+	case now < l.recordsLostUntil && request.IsRetry && request.Effect != rules.Idempotent:
+		return Decision{Action: ActionAbort, Reason: ReasonRecordsLost}
+	case len(l.byID) >= l.capacity:
+		return Decision{Action: ActionReject, Reason: ReasonFull}
+	case l.openByCaller[request.Caller] >= l.quota:
+		return Decision{Action: ActionReject, Reason: ReasonQuota}
 	}
-	return Decision{Act: Give, Grant: l.last + 1}
+	return Decision{Action: ActionGrant, Grant: l.lastGrant + 1}
 }
 
-// Record is what has to outlast a crash: a grant of an RPC that is not idempotent, or what came of one.
+// Record persists the grant of a non-idempotent RPC, or the outcome of a grant.
 type Record struct {
 	Grant    Grant         `json:"grant"`
-	ID       ID            `json:"id,omitempty"` // empty where it says what came of a grant
+	ID       ID            `json:"id,omitempty"` // empty in the record of an outcome
 	Caller   string        `json:"caller,omitempty"`
 	Epoch    uint64        `json:"epoch,omitempty"`
 	Effect   rules.Effect  `json:"effect,omitempty"`
@@ -253,143 +255,146 @@
 	Window   int64         `json:"window,omitempty"`
 	Deadline int64         `json:"deadline,omitempty"`
 	At       int64         `json:"at"`
-	Fate     Fate          `json:"fate,omitempty"`
+	Outcome  Outcome       `json:"fate,omitempty"`
 }
 
-// Record is what must be written down before a grant may be given; needed is false for an idempotent RPC.
-func (l *Ledger) Record(now int64, a Ask, g Grant) (r Record, needed bool) {
-	return Record{Grant: g, ID: a.ID, Caller: l.names[a.Caller], Epoch: l.epochs[a.Caller], Effect: a.Effect, Group: a.Group,
-		Window: a.Window, Deadline: a.Deadline, At: now}, a.Effect != rules.Idempotent
+// Record returns the record to persist before a grant is given. needed is false for an idempotent
+// RPC.
+func (l *Ledger) Record(now int64, request Request, grant Grant) (record Record, needed bool) {
+	return Record{Grant: grant, ID: request.ID, Caller: l.callerNames[request.Caller], Epoch: l.callerEpochs[request.Caller], Effect: request.Effect, Group: request.Group,
+		Window: request.Window, Deadline: request.Deadline, At: now}, request.Effect != rules.Idempotent
 }
 
-// Granted gives a grant that Decide has proposed just now.
-func (l *Ledger) Granted(now int64, a Ask, g Grant) {
-	place, known := l.byID[a.ID]
+// Granted applies a grant that Decide has just proposed.
+func (l *Ledger) Granted(now int64, request Request, grant Grant) {
+	slot, known := l.byID[request.ID]
 	if !known {
-		place = l.place()
-		l.entries[place] = entry{id: a.ID, caller: a.Caller, effect: a.Effect, group: a.Group, window: a.Window, deadline: a.Deadline}
-		l.byID[a.ID] = place
-		l.open[a.Caller]++
-		l.wheel.Set(place, a.Deadline+grace+max(0, a.Window))
+		slot = l.allocate()
+		l.entries[slot] = entry{id: request.ID, caller: request.Caller, effect: request.Effect, group: request.Group, window: request.Window, deadline: request.Deadline}
+		l.byID[request.ID] = slot
+		l.openByCaller[request.Caller]++
+		l.expiry.Set(slot, request.Deadline+reportGrace+max(0, request.Window))
 	}
-	e := &l.entries[place]
-	if e.state == granted && known { // one that is out, of an RPC that may be repeated
-		l.doubt(e)
+	e := &l.entries[slot]
+	if e.state == granted && known { // an outstanding grant of an RPC that may be retried
+		l.markUncertain(e)
 	}
-	if e.risk == 0 {
-		e.risk, e.group = now, a.Group
+	if e.firstRiskAt == 0 {
+		e.firstRiskAt, e.group = now, request.Group
 	}
-	e.split = e.split || e.group != a.Group
-	if known && e.caller != a.Caller {
-		l.open[e.caller]--
-		l.open[a.Caller]++
-		e.caller = a.Caller
+	e.multipleGroups = e.multipleGroups || e.group != request.Group
+	if known && e.caller != request.Caller {
+		l.openByCaller[e.caller]--
+		l.openByCaller[request.Caller]++
+		e.caller = request.Caller
 	}
-	l.last = max(l.last, g)
-	e.grant, e.state = g, granted
-	l.byGrant[g] = place
+	l.lastGrant = max(l.lastGrant, grant)
+	e.grant, e.state = grant, granted
+	l.byGrant[grant] = slot
 	l.counts.Grants++
 }
 
-// place gives a place for an RPC.
-func (l *Ledger) place() int32 {
+// allocate returns a free slot.
+func (l *Ledger) allocate() int32 {
 	if n := len(l.free); n > 0 {
-		p := l.free[n-1]
+		slot := l.free[n-1]
 		l.free = l.free[:n-1]
-		return p
+		return slot
 	}
 	l.entries = append(l.entries, entry{})
 	return int32(len(l.entries) - 1)
 }
 
-// doubt notes that the grant that is out may have run, and will not be heard of.
-func (l *Ledger) doubt(e *entry) {
+// markUncertain records that the outstanding grant may have run and that reports of it are
+// ignored.
+func (l *Ledger) markUncertain(e *entry) {
 	delete(l.byGrant, e.grant)
-	e.state, e.fate = doubtful, MayHaveRun
+	e.state, e.outcome = uncertain, MayHaveRun
 }
 
-// Report takes what came of a grant, and tells whether it counts: reports of grants that are not out, or are another
-// caller's, don't.
-func (l *Ledger) Report(c Caller, epoch uint64, g Grant, f Fate) bool {
-	place, out := l.byGrant[g]
-	if !out {
-		l.counts.Twice++
+// Report applies the outcome of a grant. It returns false if the grant is not outstanding or
+// belongs to another caller.
+func (l *Ledger) Report(caller Caller, epoch uint64, grant Grant, outcome Outcome) bool {
+	slot, outstanding := l.byGrant[grant]
+	if !outstanding {
+		l.counts.UnknownReports++
 		return false
 	}
-	e := &l.entries[place]
-	if e.caller != c || l.epochs[c] != epoch {
-		l.counts.Foreign++
+	e := &l.entries[slot]
+	if e.caller != caller || l.callerEpochs[caller] != epoch {
+		l.counts.ForeignReports++
 		return false
 	}
-	delete(l.byGrant, g)
-	switch f {
+	delete(l.byGrant, grant)
+	switch outcome {
 	case NeverRan:
 		e.state = idle
-		if e.fate == NeverRan {
-			e.risk, e.split = 0, false
+		if e.outcome == NeverRan {
+			e.firstRiskAt, e.multipleGroups = 0, false
 		}
 	case MayHaveRun:
-		e.state, e.fate = doubtful, MayHaveRun
+		e.state, e.outcome = uncertain, MayHaveRun
 	case Ran:
-		e.state, e.fate = answered, Ran
+		e.state, e.outcome = answered, Ran
 	}
 	return true
 }
 
-// Answer notes the final answer of an RPC whose caller was told to push it back or to abort it.
+// Answer records the final response to an RPC that was rejected or aborted.
 func (l *Ledger) Answer(id ID) {
-	if place, known := l.byID[id]; known {
-		if e := &l.entries[place]; e.state != answered {
+	if slot, known := l.byID[id]; known {
+		if e := &l.entries[slot]; e.state != answered {
 			if e.state == granted {
-				l.doubt(e)
+				l.markUncertain(e)
 			}
 			e.state = answered
 		}
 	}
 }
 
-// Turn goes on to a time: what is past is forgotten. A grant that was never reported has ended in doubt by then.
-func (l *Ledger) Turn(now int64) {
-	for _, place := range l.wheel.Turn(now) {
-		e := &l.entries[place]
+// Advance removes the RPCs that have expired. Grants that were not reported by then count as
+// uncertain.
+func (l *Ledger) Advance(now int64) {
+	for _, slot := range l.expiry.Advance(now) {
+		e := &l.entries[slot]
 		if e.state == granted {
-			l.counts.Unreported++
-			l.doubt(e)
+			l.counts.ExpiredGrants++
+			l.markUncertain(e)
 		}
-		l.open[e.caller]--
+		l.openByCaller[e.caller]--
 		delete(l.byID, e.id)
 		*e = entry{}
-		l.free = append(l.free, place)
+		l.free = append(l.free, slot)
 	}
 }
 
-// Recover takes in the records of the time before, in their order. What has no outcome may have run.
+// Recover applies the persisted records in order. RPCs without an outcome may have run.
 func (l *Ledger) Recover(now int64, records []Record) {
 	for _, r := range records {
-		l.last = max(l.last, r.Grant)
+		l.lastGrant = max(l.lastGrant, r.Grant)
 		if r.ID == "" {
-			if place, out := l.byGrant[r.Grant]; out {
-				e := &l.entries[place]
-				l.Report(e.caller, l.epochs[e.caller], r.Grant, r.Fate)
+			if slot, outstanding := l.byGrant[r.Grant]; outstanding {
+				e := &l.entries[slot]
+				l.Report(e.caller, l.callerEpochs[e.caller], r.Grant, r.Outcome)
 			}
 			continue
 		}
-		if r.Deadline+grace+max(0, r.Window) <= now {
+		if r.Deadline+reportGrace+max(0, r.Window) <= now {
 			continue
 		}
 		c, _ := l.Join(r.Caller, r.Epoch)
-		l.Granted(r.At, Ask{ID: r.ID, Caller: c, Effect: r.Effect, Group: r.Group, Window: r.Window, Deadline: r.Deadline}, r.Grant)
+		l.Granted(r.At, Request{ID: r.ID, Caller: c, Effect: r.Effect, Group: r.Group, Window: r.Window, Deadline: r.Deadline}, r.Grant)
 	}
 	for i := range l.entries {
 		if e := &l.entries[i]; e.id != "" && e.state == granted {
-			l.doubt(e)
+			l.markUncertain(e)
 		}
 	}
 	l.counts = Counts{}
 }
 
-// Open is how many RPCs are known, and how many of them have a grant out.
-func (l *Ledger) Open() (known, out int) { return len(l.byID), len(l.byGrant) }
+// Open returns the number of known RPCs and of outstanding grants.
+func (l *Ledger) Open() (known, outstanding int) { return len(l.byID), len(l.byGrant) }
 
-// Counts are of what came and what became of it.
+// Counts returns the counters.
 func (l *Ledger) Counts() Counts { return l.counts }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -15,175 +15,177 @@
 
 const ms = int64(1_000_000)
 
-// Against a plain list: everything falls due once, no sooner than asked and up to a tick later, in the order of times.
-func TestWheel(t *testing.T) {
+// Compares the wheel with a map: each id expires once, in order, not early and up to one tick
+// late.
+func TestTimingWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 10
 		now := rapid.Int64Range(0, 1_000_000).Draw(t, "start")
-		w := NewWheel(now, tick)
+		wheel := NewTimingWheel(now, tick)
 		want := map[int32]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				place := rapid.Int32Range(0, 20).Draw(t, "place")
+				id := rapid.Int32Range(0, 20).Draw(t, "place")
 				span := []int64{50, 700, 50_000, 3_000_000, 400_000_000}[rapid.IntRange(0, 4).Draw(t, "scale")]
 				at := now + rapid.Int64Range(-20, span).Draw(t, "in")
-				w.Set(place, at)
-				want[place] = max(at, now) // what is past falls due with the next tick
+				wheel.Set(id, at)
+				want[id] = max(at, now) // ids in the past expire with the next tick
 			case 2:
-				place := rapid.Int32Range(0, 20).Draw(t, "clear")
-				w.Clear(place)
-				delete(want, place)
+				id := rapid.Int32Range(0, 20).Draw(t, "clear")
+				wheel.Clear(id)
+				delete(want, id)
 			case 3:
-				now += rapid.Int64Range(0, []int64{30, 1000, 100_000, 500_000_000}[rapid.IntRange(0, 3).Draw(t, "far")]).Draw(t, "passes")
+				now += rapid.Int64Range(0, []int64{30, 1000, 100_000, 500_000_000}[rapid.IntRange(0, 3).Draw(t, "far")]).Draw(t, "elapsed")
 				last := int64(0)
-				for _, place := range w.Turn(now) {
-					at, is := want[place]
-					require.True(t, is, "%d was not set", place)
+				for _, id := range wheel.Advance(now) {
+					at, scheduled := want[id]
+					require.True(t, scheduled, "%d was not set", id)
 					require.LessOrEqual(t, at, now)
-					require.GreaterOrEqual(t, w.at[place], last)
-					last = w.at[place]
-					delete(want, place)
+					require.GreaterOrEqual(t, wheel.dueTick[id], last)
+					last = wheel.dueTick[id]
+					delete(want, id)
 				}
-				for place, at := range want {
-					require.Greater(t, at, now-2*tick, "%d should have fallen due", place)
+				for id, at := range want {
+					require.Greater(t, at, now-2*tick, "%d should have expired", id)
 				}
 			}
-			require.Equal(t, len(want), w.Count())
+			require.Equal(t, len(want), wheel.Count())
 		}
 	})
 }
 
-func open(t *testing.T) (*Ledger, func(now int64, a Ask) Decision) {
+func newTestLedger(t *testing.T) (*Ledger, func(now int64, request Request) Decision) {
 	l := New(0, 100, 50)
 	for _, name := range []string{"a", "b"} {
 		_, joined := l.Join(name, 1)
 		require.True(t, joined)
 	}
-	return l, func(now int64, a Ask) Decision {
-		if a.Deadline == 0 {
-			a.Deadline = 1000 * ms
+	return l, func(now int64, request Request) Decision {
+		if request.Deadline == 0 {
+			request.Deadline = 1000 * ms
 		}
-		d := l.Decide(now, a)
-		if d.Act == Give {
-			l.Granted(now, a, d.Grant)
+		d := l.Decide(now, request)
+		if d.Action == ActionGrant {
+			l.Granted(now, request, d.Grant)
 		}
 		return d
 	}
 }
 
-// Each row of the table at state, by what an RPC's effect allows.
-func TestRepeats(t *testing.T) {
-	type try struct {
-		report Fate // of the first grant; -1 for none
-		again  Ask
+// Checks the transitions at state for each effect.
+func TestRetryDecisions(t *testing.T) {
+	type testCase struct {
+		report Outcome // for the first grant; -1 for none
+		again  Request
 		at     int64
-		want   Act
-		why    Why
+		want   Action
+		reason Reason
 	}
-	none := Fate(-1)
-	write := Ask{ID: "1", Effect: rules.NonIdempotent, Group: 1}
-	token := Ask{ID: "1", Effect: rules.Tokened, Group: 1, Window: 300 * ms}
-	read := Ask{ID: "1", Effect: rules.Idempotent, Group: 1}
+	none := Outcome(-1)
+	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
+	token := Request{ID: "1", Effect: rules.Tokened, Group: 1, Window: 300 * ms}
+	read := Request{ID: "1", Effect: rules.Idempotent, Group: 1}
 	other := token
 	other.Group = 2
-	for i, c := range []try{
-		{none, write, 10 * ms, Abort, WhyOut},
-		{NeverRan, write, 10 * ms, Give, WhyNot},
-		{MayHaveRun, write, 10 * ms, Abort, WhyDoubtful},
-		{Ran, write, 10 * ms, Former, WhyNot},
-		{NeverRan, write, 1000 * ms, PushBack, WhyLate},
-		{MayHaveRun, write, 1000 * ms, Abort, WhyLate},
-		{none, token, 10 * ms, Give, WhyNot},
-		{MayHaveRun, token, 299 * ms, Give, WhyNot},
-		{MayHaveRun, token, 300 * ms, Abort, WhyWindow},
-		{none, token, 300 * ms, Abort, WhyWindow},
-		{MayHaveRun, other, 10 * ms, Abort, WhyWindow},
-		{NeverRan, other, 10 * ms, Give, WhyNot},
-		{NeverRan, token, 400 * ms, Give, WhyNot},
-		{none, read, 10 * ms, Give, WhyNot},
-		{MayHaveRun, read, 10 * ms, Give, WhyNot},
-		{none, Ask{ID: "1", Effect: rules.Idempotent, Group: 1, Caller: 1}, 10 * ms, Give, WhyNot},
+	for i, c := range []testCase{
+		{none, write, 10 * ms, ActionAbort, ReasonGrantOutstanding},
+		{NeverRan, write, 10 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, write, 10 * ms, ActionAbort, ReasonMayHaveRun},
+		{Ran, write, 10 * ms, ActionReplay, ReasonNone},
+		{NeverRan, write, 1000 * ms, ActionReject, ReasonDeadlineExceeded},
+		{MayHaveRun, write, 1000 * ms, ActionAbort, ReasonDeadlineExceeded},
+		{none, token, 10 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, token, 299 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, token, 300 * ms, ActionAbort, ReasonOutsideWindow},
+		{none, token, 300 * ms, ActionAbort, ReasonOutsideWindow},
+		{MayHaveRun, other, 10 * ms, ActionAbort, ReasonOutsideWindow},
+		{NeverRan, other, 10 * ms, ActionGrant, ReasonNone},
+		{NeverRan, token, 400 * ms, ActionGrant, ReasonNone},
+		{none, read, 10 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, read, 10 * ms, ActionGrant, ReasonNone},
+		{none, Request{ID: "1", Effect: rules.Idempotent, Group: 1, Caller: 1}, 10 * ms, ActionGrant, ReasonNone},
 	} {
-		l, do := open(t)
+		l, do := newTestLedger(t)
 		first := c.again
 		first.Group, first.Caller = 1, 0
 		d := do(0, first)
-		require.Equal(t, Give, d.Act)
+		require.Equal(t, ActionGrant, d.Action)
 		if c.report != none {
 			require.True(t, l.Report(0, 1, d.Grant, c.report))
 		}
 		again := do(c.at, c.again)
-		require.Equal(t, []any{c.want, c.why}, []any{again.Act, again.Why}, "row %d", i)
+		require.Equal(t, []any{c.want, c.reason}, []any{again.Action, again.Reason}, "row %d", i)
 	}
-	_, do := open(t)
+	_, do := newTestLedger(t)
 	do(0, write)
-	require.Equal(t, Abort, do(ms, read).Act, "one that says now that a repeat is harmless does not make it so")
+	require.Equal(t, ActionAbort, do(ms, read).Action, "a retry cannot change the effect of an RPC")
 }
 
-// Guards against callers that report twice, for others, or after they have started anew.
+// Guards against duplicate reports and reports by another caller or an earlier start.
 func TestReports(t *testing.T) {
-	l, do := open(t)
-	write := Ask{ID: "1", Effect: rules.NonIdempotent, Group: 1}
+	l, do := newTestLedger(t)
+	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
 	g := do(0, write).Grant
-	require.False(t, l.Report(1, 1, g, NeverRan), "not its grant")
-	require.False(t, l.Report(0, 2, g, NeverRan), "not its start")
+	require.False(t, l.Report(1, 1, g, NeverRan), "the grant belongs to another caller")
+	require.False(t, l.Report(0, 2, g, NeverRan), "the caller has another epoch")
 	require.True(t, l.Report(0, 1, g, MayHaveRun))
-	require.False(t, l.Report(0, 1, g, NeverRan), "twice")
-	require.Equal(t, Abort, do(ms, write).Act)
-	late := Ask{ID: "2", Effect: rules.NonIdempotent, Group: 1}
+	require.False(t, l.Report(0, 1, g, NeverRan), "duplicate report")
+	require.Equal(t, ActionAbort, do(ms, write).Action)
+	late := Request{ID: "2", Effect: rules.NonIdempotent, Group: 1}
 	g = do(0, late).Grant
 	_, joined := l.Join("a", 2)
 	require.True(t, joined)
-	require.False(t, l.Report(0, 1, g, NeverRan), "from before it started anew")
-	require.Equal(t, Abort, do(ms, late).Act)
+	require.False(t, l.Report(0, 1, g, NeverRan), "the grant is from before the restart")
+	require.Equal(t, ActionAbort, do(ms, late).Action)
 	_, joined = l.Join("a", 1)
-	require.False(t, joined, "an older start")
-	require.Equal(t, Counts{Twice: 2, Foreign: 2, Grants: 2, Refused: l.counts.Refused}, l.Counts())
+	require.False(t, joined, "the epoch is older")
+	require.Equal(t, Counts{UnknownReports: 2, ForeignReports: 2, Grants: 2, Rejected: l.counts.Rejected}, l.Counts())
 	l.Answer("2")
-	require.Equal(t, Former, do(ms, late).Act)
+	require.Equal(t, ActionReplay, do(ms, late).Action)
 }
 
-// Guards against a caller that never reports, and against a full ledger that forgets what may have run.
-func TestRoom(t *testing.T) {
-	l, do := open(t)
+// Guards against a caller that never reports, and a full ledger that removes RPCs that may have
+// run.
+func TestCapacityAndExpiry(t *testing.T) {
+	l, do := newTestLedger(t)
 	for i := range 50 {
-		require.Equal(t, Give, do(0, Ask{ID: ID(fmt.Sprint("a", i)), Effect: rules.NonIdempotent}).Act)
+		require.Equal(t, ActionGrant, do(0, Request{ID: ID(fmt.Sprint("a", i)), Effect: rules.NonIdempotent}).Action)
 	}
-	require.Equal(t, WhyQuota, do(0, Ask{ID: "more", Effect: rules.NonIdempotent}).Why)
+	require.Equal(t, ReasonQuota, do(0, Request{ID: "more", Effect: rules.NonIdempotent}).Reason)
 	for i := range 50 {
-		require.Equal(t, Give, do(0, Ask{ID: ID(fmt.Sprint("b", i)), Caller: 1, Effect: rules.NonIdempotent}).Act)
+		require.Equal(t, ActionGrant, do(0, Request{ID: ID(fmt.Sprint("b", i)), Caller: 1, Effect: rules.NonIdempotent}).Action)
 	}
-	require.Equal(t, WhyFull, do(0, Ask{ID: "more", Caller: 1}).Why)
-	require.Equal(t, WhyStranger, do(0, Ask{ID: "more", Caller: 7}).Why)
-	l.Turn(1000 * ms)
-	require.Equal(t, Abort, do(1000*ms, Ask{ID: "a1", Effect: rules.NonIdempotent}).Act, "inside its time nothing is forgotten")
-	l.Turn(1000*ms + grace + tick)
-	known, out := l.Open()
-	require.Zero(t, known+out)
-	require.EqualValues(t, 100, l.Counts().Unreported)
-	require.Equal(t, Give, do(2000*ms, Ask{ID: "more", Effect: rules.NonIdempotent, Deadline: 3000 * ms}).Act)
-	l.Blind(2500 * ms)
-	require.Equal(t, WhyBlind, do(2000*ms, Ask{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, Again: true}).Why)
-	require.Equal(t, Give, do(2500*ms, Ask{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, Again: true}).Act)
+	require.Equal(t, ReasonFull, do(0, Request{ID: "more", Caller: 1}).Reason)
+	require.Equal(t, ReasonUnknownCaller, do(0, Request{ID: "more", Caller: 7}).Reason)
+	l.Advance(1000 * ms)
+	require.Equal(t, ActionAbort, do(1000*ms, Request{ID: "a1", Effect: rules.NonIdempotent}).Action, "RPCs are kept until they expire")
+	l.Advance(1000*ms + reportGrace + expiryTick)
+	known, outstanding := l.Open()
+	require.Zero(t, known+outstanding)
+	require.EqualValues(t, 100, l.Counts().ExpiredGrants)
+	require.Equal(t, ActionGrant, do(2000*ms, Request{ID: "more", Effect: rules.NonIdempotent, Deadline: 3000 * ms}).Action)
+	l.MarkRecordsLost(2500 * ms)
+	require.Equal(t, ReasonRecordsLost, do(2000*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Reason)
+	require.Equal(t, ActionGrant, do(2500*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Action)
 }
 
-// Whatever is asked and reported, and wherever the records are cut, a non-idempotent RPC is never granted again once it
-// may have run, and a tokened one only in its group and window.
-func TestNothingRunsTwice(t *testing.T) {
+// A non-idempotent RPC that may have run is never granted again, and a tokened one only in its
+// group and window, whatever the order of requests, reports and crashes.
+func TestNonIdempotentRPCsRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const begun = 1000 * ms
-		now := begun
+		const startTime = 1000 * ms
+		now := startTime
 		l := New(now, 40, 30)
 		var records []Record
 		type sent struct {
-			ask   Ask
-			grant Grant
-			epoch uint64
-			ran   bool
-			at    int64
+			request Request
+			grant   Grant
+			epoch   uint64
+			ran     bool
+			at      int64
 		}
-		var out []sent
+		var sentRPCs []sent
 		ran := map[ID][]sent{}
 		epochs := []uint64{1, 1}
 		join := func() {
@@ -197,60 +199,60 @@
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1, 2:
 				n := rapid.IntRange(0, 5).Draw(t, "id")
-				a := Ask{ID: ID(fmt.Sprint(n)), Effect: effects[n%3], Caller: Caller(rapid.IntRange(0, 1).Draw(t, "caller")),
-					Group: rules.GroupID(rapid.IntRange(1, 2).Draw(t, "group")), Window: 100 * ms * int64(n%3%2), Deadline: begun + 400*ms}
-				d := l.Decide(now, a)
-				if d.Act != Give {
+				request := Request{ID: ID(fmt.Sprint(n)), Effect: effects[n%3], Caller: Caller(rapid.IntRange(0, 1).Draw(t, "caller")),
+					Group: rules.GroupID(rapid.IntRange(1, 2).Draw(t, "group")), Window: 100 * ms * int64(n%3%2), Deadline: startTime + 400*ms}
+				d := l.Decide(now, request)
+				if d.Action != ActionGrant {
 					continue
 				}
-				if r, needed := l.Record(now, a, d.Grant); needed {
+				if r, needed := l.Record(now, request, d.Grant); needed {
 					records = append(records, r)
 				}
-				l.Granted(now, a, d.Grant)
-				out = append(out, sent{ask: a, grant: d.Grant, epoch: epochs[a.Caller], at: now})
-			case 3: // a member does it
-				if len(out) > 0 {
-					s := &out[rapid.IntRange(0, len(out)-1).Draw(t, "runs")]
+				l.Granted(now, request, d.Grant)
+				sentRPCs = append(sentRPCs, sent{request: request, grant: d.Grant, epoch: epochs[request.Caller], at: now})
+			case 3: // a member executes the RPC
+				if len(sentRPCs) > 0 {
+					s := &sentRPCs[rapid.IntRange(0, len(sentRPCs)-1).Draw(t, "runs")]
 					if !s.ran {
 						s.ran = true
-						ran[s.ask.ID] = append(ran[s.ask.ID], *s)
+						ran[s.request.ID] = append(ran[s.request.ID], *s)
 					}
 				}
-			case 4: // an honest report
-				if len(out) > 0 {
-					i := rapid.IntRange(0, len(out)-1).Draw(t, "reports")
-					s := out[i]
-					fate := MayHaveRun
+			case 4: // a truthful report
+				if len(sentRPCs) > 0 {
+					i := rapid.IntRange(0, len(sentRPCs)-1).Draw(t, "reports")
+					s := sentRPCs[i]
+					outcome := MayHaveRun
 					if !s.ran && rapid.Bool().Draw(t, "unsent") {
-						fate = NeverRan
-						out = slices.Delete(out, i, i+1) // and it never will be
+						outcome = NeverRan
+						sentRPCs = slices.Delete(sentRPCs, i, i+1) // it will not be sent
 					} else if s.ran {
-						fate = Ran
+						outcome = Ran
 					}
-					if l.Report(s.ask.Caller, s.epoch, s.grant, fate) && s.ask.Effect != rules.Idempotent && rapid.Bool().Draw(t, "recorded") {
-						records = append(records, Record{Grant: s.grant, Fate: fate, At: now})
+					if l.Report(s.request.Caller, s.epoch, s.grant, outcome) && s.request.Effect != rules.Idempotent && rapid.Bool().Draw(t, "recorded") {
+						records = append(records, Record{Grant: s.grant, Outcome: outcome, At: now})
 					}
 				}
 			case 5:
 				now += rapid.Int64Range(0, 60).Draw(t, "ms") * ms
-				l.Turn(now)
+				l.Advance(now)
 			case 6:
 				c := rapid.IntRange(0, 1).Draw(t, "restarts")
 				epochs[c]++
 				join()
-			case 7: // it dies, and what was written down is all there is
+			case 7: // crash and recovery from the records
 				now += ms
 				l = New(now, 40, 30)
 				l.Recover(now, records)
 				join()
 			}
-			for id, all := range ran {
-				for i, s := range all[1:] {
-					first := all[0]
-					require.NotEqual(t, rules.NonIdempotent, s.ask.Effect, "%s ran %d times", id, i+2)
-					if s.ask.Effect == rules.Tokened {
-						require.Equal(t, first.ask.Group, s.ask.Group)
-						require.Less(t, max(s.at, first.at)-min(s.at, first.at), s.ask.Window)
+			for id, executions := range ran {
+				for i, s := range executions[1:] {
+					first := executions[0]
+					require.NotEqual(t, rules.NonIdempotent, s.request.Effect, "%s ran %d times", id, i+2)
+					if s.request.Effect == rules.Tokened {
+						require.Equal(t, first.request.Group, s.request.Group)
+						require.Less(t, max(s.at, first.at)-min(s.at, first.at), s.request.Window)
 					}
 				}
 			}
@@ -258,67 +260,67 @@
 	})
 }
 
-// plain is a heap of what falls due, for comparison.
-type plain []struct {
+// expiryHeap is the binary heap that the wheel is compared with.
+type expiryHeap []struct {
 	at    int64
 	place int32
 }
 
-func (p plain) Len() int           { return len(p) }
-func (p plain) Less(i, j int) bool { return p[i].at < p[j].at }
-func (p plain) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *plain) Push(x any) {
+func (p expiryHeap) Len() int           { return len(p) }
+func (p expiryHeap) Less(i, j int) bool { return p[i].at < p[j].at }
+func (p expiryHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
+func (p *expiryHeap) Push(x any) {
 	*p = append(*p, x.(struct {
 		at    int64
 		place int32
 	}))
 }
-func (p *plain) Pop() any {
+func (p *expiryHeap) Pop() any {
 	last := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
 	return last
 }
 
-// A million open entries: one more is set and one falls due.
+// Compares setting and expiring ids with a million open entries.
 func BenchmarkExpiry(b *testing.B) {
-	const openOnes = 1_000_000
+	const entryCount = 1_000_000
 	rng := rand.New(rand.NewSource(1))
 	b.Run("wheel", func(b *testing.B) {
-		w := NewWheel(0, tick)
-		for i := range openOnes {
+		w := NewTimingWheel(0, expiryTick)
+		for i := range entryCount {
 			w.Set(int32(i), 1+rng.Int63n(2000*ms))
 		}
 		now := int64(0)
 		b.ReportAllocs()
 		b.ResetTimer()
 		for done := 0; done < b.N; {
-			now += tick
-			for _, place := range w.Turn(now) {
-				w.Set(place, now+1+rng.Int63n(2000*ms))
+			now += expiryTick
+			for _, id := range w.Advance(now) {
+				w.Set(id, now+1+rng.Int63n(2000*ms))
 				done++
 			}
 		}
 	})
 	b.Run("heap", func(b *testing.B) {
-		var h plain
-		for i := range openOnes {
-			heap.Push(&h, struct {
-				at    int64
-				place int32
+		var entries expiryHeap
+		for i := range entryCount {
+			heap.Push(&entries, struct {
+				at int64
+				id int32
 			}{1 + rng.Int63n(2000*ms), int32(i)})
 		}
 		now := int64(0)
 		b.ReportAllocs()
 		b.ResetTimer()
 		for done := 0; done < b.N; {
-			now += tick
-			for h[0].at <= now {
-				p := heap.Pop(&h).(struct {
-					at    int64
-					place int32
+			now += expiryTick
+			for entries[0].at <= now {
+				p := heap.Pop(&entries).(struct {
+					at int64
+					id int32
 				})
 				p.at = now + 1 + rng.Int63n(2000*ms)
-				heap.Push(&h, p)
+				heap.Push(&entries, p)
 				done++
 			}
 		}
