--- a/internal/ledger/wheel.go
+++ b/internal/ledger/wheel.go
@@ -2,36 +2,37 @@
 
 import "math/bits"
 
-// Wheel keeps what falls due at times, by places that its user gives out from 0. It is a hierarchical timing wheel
-// (Varghese and Lauck 1987): six levels of 64 slots, each slot a list that runs through arrays by place, so that setting,
-// moving and calling off cost the same however many wait. What is due in one tick comes in the order in which it was set.
-type Wheel struct {
-	tick  int64
-	now   int64 // in ticks
-	heads [levels][slots]int32
-	tails [levels][slots]int32
-	used  [levels]uint64 // which slots have anything
-	at    []int64        // by place, in ticks
-	next  []int32
-	prev  []int32
-	slot  []int16 // where a place hangs, off for nowhere
-	due   []int32
-	count int
+// TimingWheel schedules expiries of small integer ids chosen by the caller. It is a hierarchical
+// timing wheel (Varghese and Lauck 1987) of six levels with 64 slots each, where each slot is a
+// linked list, so that operations take constant time. Ids due in the same tick are returned in the
+// order in which they were set.
+type TimingWheel struct {
+	tick     int64
+	now      int64 // in ticks
+	heads    [levels][slots]int32
+	tails    [levels][slots]int32
+	occupied [levels]uint64 // bit set of non-empty slots
+	dueTick  []int64        // by id
+	next     []int32
+	prev     []int32
+	slotOf   []int16 // by id, notScheduled if none
+	due      []int32
+	count    int
 }
 
 const (
-	levels    = 6
-	slotBits  = 6
-	slots     = 1 << slotBits
-	none      = int32(-1)
-	off       = int16(-1)
-	horizon   = int64(1)<<(levels*slotBits) - 1
-	slotsMask = slots - 1
+	levels       = 6
+	slotBits     = 6
+	slots        = 1 << slotBits
+	none         = int32(-1)
+	notScheduled = int16(-1)
+	horizon      = int64(1)<<(levels*slotBits) - 1
+	slotsMask    = slots - 1
 )
 
-// NewWheel makes a wheel that starts at a time and tells times apart by a tick.
-func NewWheel(now, tick int64) *Wheel {
-	w := &Wheel{tick: tick, now: now / tick}
+// NewTimingWheel returns a wheel that starts at a time and has the resolution of a tick.
+func NewTimingWheel(now, tick int64) *TimingWheel {
+	w := &TimingWheel{tick: tick, now: now / tick}
 	for l := range levels {
 		for s := range slots {
 			w.heads[l][s], w.tails[l][s] = none, none
@@ -40,107 +41,109 @@
 	return w
 }
 
-// Count is how many places wait.
-func (w *Wheel) Count() int { return w.count }
+// Count returns the number of scheduled ids.
+func (w *TimingWheel) Count() int { return w.count }
 
-// Set lets a place fall due at a time, in place of when it was to before. It comes no sooner, and up to a tick later.
-func (w *Wheel) Set(place int32, at int64) {
-	for int(place) >= len(w.at) {
-		w.at, w.next, w.prev = append(w.at, 0), append(w.next, none), append(w.prev, none)
-		w.slot = append(w.slot, off)
+// Set schedules an id, replacing an earlier schedule. It expires up to one tick late, never early.
+func (w *TimingWheel) Set(id int32, at int64) {
+	for int(id) >= len(w.dueTick) {
+		w.dueTick, w.next, w.prev = append(w.dueTick, 0), append(w.next, none), append(w.prev, none)
+		w.slotOf = append(w.slotOf, notScheduled)
 	}
-	w.Clear(place)
+	w.Clear(id)
 	ticks := (at + w.tick - 1) / w.tick
-	w.at[place] = min(max(ticks, w.now+1), w.now+horizon)
+	w.dueTick[id] = min(max(ticks, w.now+1), w.now+horizon)
 	w.count++
-	w.hang(place)
+	w.insert(id)
 }
 
-// Clear calls off what a place waits for, if it waits.
-func (w *Wheel) Clear(place int32) {
-	if int(place) >= len(w.slot) || w.slot[place] == off {
+// Clear cancels an id if it is scheduled.
+func (w *TimingWheel) Clear(id int32) {
+	if int(id) >= len(w.slotOf) || w.slotOf[id] == notScheduled {
 		return
 	}
-	w.unhang(place)
+	w.remove(id)
 	w.count--
 }
 
-// hang puts a place into the slot of its time: the level is that of the highest bits in which it differs from now.
-func (w *Wheel) hang(place int32) {
+// insert adds an id to the slot of its due tick. The level is that of the highest bits in which it
+// differs from now.
+func (w *TimingWheel) insert(id int32) {
 	level := 0
-	if differ := uint64(w.at[place] ^ w.now); differ > 0 {
-		level = min((63-bits.LeadingZeros64(differ))/slotBits, levels-1)
+	if difference := uint64(w.dueTick[id] ^ w.now); difference > 0 {
+		level = min((63-bits.LeadingZeros64(difference))/slotBits, levels-1)
 	}
-	s := int(w.at[place]>>(level*slotBits)) & slotsMask
-	w.slot[place] = int16(level*slots + s)
-	w.next[place], w.prev[place] = none, w.tails[level][s]
-	if w.tails[level][s] == none {
-		w.heads[level][s] = place
+	slot := int(w.dueTick[id]>>(level*slotBits)) & slotsMask
+	w.slotOf[id] = int16(level*slots + slot)
+	w.next[id], w.prev[id] = none, w.tails[level][slot]
+	if w.tails[level][slot] == none {
+		w.heads[level][slot] = id
 	} else {
-		w.next[w.tails[level][s]] = place
+		w.next[w.tails[level][slot]] = id
 	}
-	w.tails[level][s] = place
-	w.used[level] |= 1 << s
+	w.tails[level][slot] = id
+	w.occupied[level] |= 1 << slot
 }
 
-func (w *Wheel) unhang(place int32) {
-	level, s := int(w.slot[place])/slots, int(w.slot[place])%slots
-	before, after := w.prev[place], w.next[place]
+func (w *TimingWheel) remove(id int32) {
+	level, slot := int(w.slotOf[id])/slots, int(w.slotOf[id])%slots
+	before, after := w.prev[id], w.next[id]
 	if before == none {
-		w.heads[level][s] = after
+		w.heads[level][slot] = after
 	} else {
 		w.next[before] = after
 	}
 	if after == none {
-		w.tails[level][s] = before
+		w.tails[level][slot] = before
 	} else {
 		w.prev[after] = before
 	}
-	if w.heads[level][s] == none {
-		w.used[level] &^= 1 << s
+	if w.heads[level][slot] == none {
+		w.occupied[level] &^= 1 << slot
 	}
-	w.slot[place] = off
+	w.slotOf[id] = notScheduled
 }
 
-// Turn goes on to a time and gives the places that have fallen due, until the next call.
-func (w *Wheel) Turn(now int64) []int32 {
+// Advance moves the time forward and returns the ids that are due. The result is valid until the
+// next call.
+func (w *TimingWheel) Advance(now int64) []int32 {
 	w.due = w.due[:0]
 	for to := now / w.tick; w.now < to; {
-		w.now = w.skip(to)
-		for level := levels - 1; level > 0; level-- { // what has come near moves down
+		w.now = w.nextTick(to)
+		for level := levels - 1; level > 0; level-- { // move ids that are now near to a lower level
 			if w.now&(1<<(level*slotBits)-1) == 0 {
-				w.spill(level, int(w.now>>(level*slotBits))&slotsMask)
+				w.cascade(level, int(w.now>>(level*slotBits))&slotsMask)
 			}
 		}
-		s := int(w.now) & slotsMask
-		for place := w.heads[0][s]; place != none; place = w.heads[0][s] {
-			w.unhang(place)
+		slot := int(w.now) & slotsMask
+		for id := w.heads[0][slot]; id != none; id = w.heads[0][slot] {
+			w.remove(id)
 			w.count--
-			w.due = append(w.due, place)
+			w.due = append(w.due, id)
 		}
 	}
 	return w.due
 }
 
-// skip is the next tick at which anything may have to be done, or the last one asked for.
-func (w *Wheel) skip(to int64) int64 {
+// nextTick returns the next tick that may need work, at most to.
+func (w *TimingWheel) nextTick(to int64) int64 {
 	if w.count == 0 {
 		return to
 	}
-	if later := w.used[0] >> (uint(w.now) & slotsMask) >> 1; later != 0 {
-		return min(to, w.now+1+int64(bits.TrailingZeros64(later)))
+	if laterSlots := w.occupied[0] >> (uint(w.now) & slotsMask) >> 1; laterSlots != 0 {
+		return min(to, w.now+1+int64(bits.TrailingZeros64(laterSlots)))
 	}
 	return min(to, (w.now|slotsMask)+1)
 }
 
-// spill hangs what a slot has anew, lower down.
-func (w *Wheel) spill(level, s int) {
-	place := w.heads[level][s]
-	w.heads[level][s], w.tails[level][s] = none, none
-	w.used[level] &^= 1 << s
-	for place != none {
-		next := w.next[place]
-		w.hang(place)
-		place = next
+// cascade moves the ids of a slot to lower levels.
+func (w *TimingWheel) cascade(level, slot int) {
+	id := w.heads[level][slot]
+	w.heads[level][slot], w.tails[level][slot] = none, none
+	w.occupied[level] &^= 1 << slot
+	for id != none {
+		next := w.next[id]
+		w.insert(id)
+		id = next
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,5 +1,6 @@
-// Package planner decides which tenants should be in which cells: the least worst load that it finds, and of plans that
-// come close to it one with few moves. It does no I/O and reads no clock; the same input gives the same plan.
+// Package planner computes an assignment of tenants to cells that minimizes the highest relative
+// load. Of plans within a tolerance of the lowest load found it prefers those with few moves. It
+// does no I/O and reads no clock; the same input gives the same plan.
 package planner
 
 import (
@@ -10,405 +11,410 @@
 
 // Tenant is a tenant to be placed.
 type Tenant struct {
-	Name string
-	Load float64 // RPCs a second
-	At   int     // place of its cell now, Nowhere for none
-	Stay bool    // it may not be moved
-	Hall string  // its cell must stand there, empty for anywhere
+	Name        string
+	Load        float64 // RPCs per second
+	CurrentCell int     // index of its cell, NoCell for none
+	Pinned      bool    // must stay in its current cell
+	Hall        string  // required hall of its cell, empty for any
 }
 
-// Cell is a cell to place tenants in.
+// Cell is a cell that tenants can be assigned to.
 type Cell struct {
-	Name string
-	Able float64 // RPCs a second that it can bear, above 0
-	Hall string
+	Name     string
+	Capacity float64 // RPCs per second, above 0
+	Hall     string
 }
 
-// Nowhere is where a tenant is that has no cell yet.
-const Nowhere = -1
+// NoCell means that a tenant has no cell yet.
+const NoCell = -1
 
-// Plan is where tenants should be.
+// Plan is an assignment of tenants to cells.
 type Plan struct {
-	Place []int     // by tenant
-	Moves []int     // tenants that are elsewhere now, the heaviest first
-	Loads []float64 // by cell, over what it can bear
-	Worst float64   // of Loads
-	Mean  float64   // of all load over all that cells can bear
-	Bound float64   // no plan has a lower worst
-	Exact bool      // some plan reaches the bound; this one comes within a hundredth of it, for fewer moves
+	Placement    []int     // cell of each tenant
+	Moves        []int     // tenants that change their cell, heaviest first
+	Loads        []float64 // of each cell, relative to its capacity
+	MaxLoad      float64   // highest of Loads
+	MeanLoad     float64   // total load relative to the total capacity
+	LowerBound   float64   // no plan has a lower MaxLoad
+	IsBoundTight bool      // LowerBound is attainable, and MaxLoad is within loadTolerance of it
 }
 
 const (
-	tolerance  = 0.01  // a worst load within this of the best found is as good, if it needs fewer moves
-	worthwhile = 0.001 // a step of polishing lowers the worst load by this part at least
-	targets    = 48    // worst loads tried between the bound and what there is
-	fewTenants = 18    // so many can be placed by branch and bound
-	mostNodes  = 1 << 20
+	loadTolerance    = 0.01  // loads that differ by less than this part count as equal
+	minImprovement   = 0.001 // by which a step of polish must lower the highest load
+	targetCount      = 48    // loads tried between the lower bound and the current load
+	maxBranchTenants = 18    // above this, branch and bound is not tried
+	maxBranchNodes   = 1 << 20
 )
 
-// Make makes a plan with at most so many moves, below 0 for any number.
-func Make(tenants []Tenant, cells []Cell, most int) Plan {
-	w := newWork(tenants, cells)
-	if most < 0 {
-		most = len(tenants)
-	}
-	bound := w.bound()
-	best, first := w.present(), 0.0 // the lowest target that could be met
-	for i := 0; i < targets; i++ {
-		t := bound * math.Pow(max(1, w.worst(best)/bound), float64(i)/targets)
-		if first > 0 && t > first*(1+tolerance) {
+// NewPlan computes a plan with up to maxMoves moves, any number if negative.
+func NewPlan(tenants []Tenant, cells []Cell, maxMoves int) Plan {
+	s := newSolver(tenants, cells)
+	if maxMoves < 0 {
+		maxMoves = len(tenants)
+	}
+	bound := s.lowerBound()
+	best, firstMet := s.currentPlacement(), 0.0 // lowest target that could be met
+	for i := 0; i < targetCount; i++ {
+		target := bound * math.Pow(max(1, s.maxLoad(best)/bound), float64(i)/targetCount)
+		if firstMet > 0 && target > firstMet*(1+loadTolerance) {
 			break
 		}
-		if place := w.within(t, most); place != nil {
-			best = w.better(best, place)
-			first = cmp.Or(first, t)
+		if placement := s.placeWithin(target, maxMoves); placement != nil {
+			best = s.betterPlacement(best, placement)
+			firstMet = cmp.Or(firstMet, target)
 		}
 	}
-	best = w.polish(best, most)
-	exact := false
-	if len(tenants) <= fewTenants && most >= len(tenants) {
+	best = s.polish(best, maxMoves)
+	isTight := false
+	if len(tenants) <= maxBranchTenants && maxMoves >= len(tenants) {
 		var found []int
-		if found, exact = w.branch(best); found == nil {
+		if found, isTight = s.branchAndBound(best); found == nil {
 			found = best
 		}
-		if exact {
-			bound = w.worst(found)
+		if isTight {
+			bound = s.maxLoad(found)
 		}
-		best = w.better(best, found)
+		best = s.betterPlacement(best, found)
 	}
-	return w.plan(w.settle(best), bound, exact)
+	return s.plan(s.dropNeedlessMoves(best), bound, isTight)
 }
 
-// Measure tells what a placement is worth, such as one that there is.
-func Measure(tenants []Tenant, cells []Cell, place []int) Plan {
-	w := newWork(tenants, cells)
-	return w.plan(place, w.bound(), false)
+// Evaluate computes the loads and moves of a given placement.
+func Evaluate(tenants []Tenant, cells []Cell, placement []int) Plan {
+	s := newSolver(tenants, cells)
+	return s.plan(placement, s.lowerBound(), false)
 }
 
-// work is a task with what is looked up often.
-type work struct {
-	tenants []Tenant
-	cells   []Cell
-	order   []int // tenants, the heaviest first
-	able    float64
-	stays   bool // some tenant may not be moved: cells that look alike are not
+// solver holds the input and values derived from it.
+type solver struct {
+	tenants       []Tenant
+	cells         []Cell
+	order         []int // tenants, heaviest first
+	totalCapacity float64
+	hasPinned     bool // some tenants are pinned, so that cells with equal loads are not interchangeable
 }
 
-func newWork(tenants []Tenant, cells []Cell) *work {
-	w := &work{tenants: tenants, cells: cells, order: make([]int, len(tenants))}
-	for i := range w.order {
-		w.order[i] = i
+func newSolver(tenants []Tenant, cells []Cell) *solver {
+	s := &solver{tenants: tenants, cells: cells, order: make([]int, len(tenants))}
+	for i := range s.order {
+		s.order[i] = i
 	}
-	slices.SortStableFunc(w.order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
+	slices.SortStableFunc(s.order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
 	for _, c := range cells {
-		w.able += c.Able
+		s.totalCapacity += c.Capacity
 	}
-	w.stays = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Stay })
-	return w
+	s.hasPinned = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Pinned })
+	return s
 }
 
-// may tells whether a tenant may be in a cell.
-func (w *work) may(t, c int) bool {
-	tenant := &w.tenants[t]
-	if tenant.Stay && tenant.At != Nowhere {
-		return tenant.At == c
+// isAllowed reports whether a tenant may be placed in a cell.
+func (s *solver) isAllowed(t, c int) bool {
+	tenant := &s.tenants[t]
+	if tenant.Pinned && tenant.CurrentCell != NoCell {
+		return tenant.CurrentCell == c
 	}
-	return tenant.Hall == "" || tenant.Hall == w.cells[c].Hall
+	return tenant.Hall == "" || tenant.Hall == s.cells[c].Hall
 }
 
-func (w *work) loads(place []int) []float64 {
-	loads := make([]float64, len(w.cells))
-	for t, c := range place {
-		if c != Nowhere {
-			loads[c] += w.tenants[t].Load
+func (s *solver) loads(placement []int) []float64 {
+	loads := make([]float64, len(s.cells))
+	for t, c := range placement {
+		if c != NoCell {
+			loads[c] += s.tenants[t].Load
 		}
 	}
 	return loads
 }
 
-func (w *work) worst(place []int) (worst float64) {
-	for c, load := range w.loads(place) {
-		worst = max(worst, load/w.cells[c].Able)
+func (s *solver) maxLoad(placement []int) (highest float64) {
+	for c, load := range s.loads(placement) {
+		highest = max(highest, load/s.cells[c].Capacity)
 	}
-	return worst
+	return highest
 }
 
-func (w *work) moves(place []int) (n int) {
-	for t, c := range place {
-		if at := w.tenants[t].At; at != Nowhere && at != c {
+func (s *solver) moveCount(placement []int) (n int) {
+	for t, c := range placement {
+		if at := s.tenants[t].CurrentCell; at != NoCell && at != c {
 			n++
 		}
 	}
 	return n
 }
 
-// bound is a worst load that no plan can go below: all load over all cells, the load of a hall over its cells, a tenant
-// in the largest cell that it may have, what must stay over its cell, and, where there are more tenants than cells, two
-// of the heaviest in one.
-func (w *work) bound() float64 {
+// lowerBound returns a load that no plan can be below. It is the highest of: total load over total
+// capacity, load over capacity of each hall, pinned load of each cell, each tenant in its largest
+// allowed cell, and, if there are more tenants than cells, two of the heaviest tenants sharing a
+// cell.
+func (s *solver) lowerBound() float64 {
 	var sum, largest float64
-	halls, stays := map[string]float64{}, make([]float64, len(w.cells))
-	able := map[string]float64{}
-	for _, c := range w.cells {
-		largest = max(largest, c.Able)
-		able[c.Hall] += c.Able
+	hallLoads, pinnedLoads := map[string]float64{}, make([]float64, len(s.cells))
+	hallCapacity := map[string]float64{}
+	for _, c := range s.cells {
+		largest = max(largest, c.Capacity)
+		hallCapacity[c.Hall] += c.Capacity
 	}
 	bound := 0.0
-	for t, tenant := range w.tenants {
+	for t, tenant := range s.tenants {
 		sum += tenant.Load
-		if tenant.Stay && tenant.At != Nowhere {
-			stays[tenant.At] += tenant.Load
+		if tenant.Pinned && tenant.CurrentCell != NoCell {
+			pinnedLoads[tenant.CurrentCell] += tenant.Load
 		} else if tenant.Hall != "" {
-			halls[tenant.Hall] += tenant.Load
+			hallLoads[tenant.Hall] += tenant.Load
 		}
 		best := 0.0
-		for c := range w.cells {
-			if w.may(t, c) {
-				best = max(best, w.cells[c].Able)
+		for c := range s.cells {
+			if s.isAllowed(t, c) {
+				best = max(best, s.cells[c].Capacity)
 			}
 		}
 		if best > 0 {
 			bound = max(bound, tenant.Load/best)
 		}
 	}
-	bound = max(bound, sum/w.able)
-	for hall, load := range halls {
-		if able[hall] > 0 {
-			bound = max(bound, load/able[hall])
+	bound = max(bound, sum/s.totalCapacity)
+	for hall, load := range hallLoads {
+		if hallCapacity[hall] > 0 {
+			bound = max(bound, load/hallCapacity[hall])
 		}
 	}
-	for c, load := range stays {
-		bound = max(bound, load/w.cells[c].Able)
+	for c, load := range pinnedLoads {
+		bound = max(bound, load/s.cells[c].Capacity)
 	}
-	if n := len(w.cells); len(w.order) > n {
-		bound = max(bound, (w.tenants[w.order[n-1]].Load+w.tenants[w.order[n]].Load)/largest)
+	if n := len(s.cells); len(s.order) > n {
+		bound = max(bound, (s.tenants[s.order[n-1]].Load+s.tenants[s.order[n]].Load)/largest)
 	}
 	return bound
 }
 
-// present is the placement that there is, with those that have no cell, or may not be in theirs, put where most is free.
-func (w *work) present() []int {
-	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
-	var loose []int
-	for _, t := range w.order {
-		at := w.tenants[t].At
-		if at != Nowhere && w.may(t, at) {
-			place[t] = at
-			loads[at] += w.tenants[t].Load
+// currentPlacement returns the current placement, with tenants that have no allowed cell placed in
+// the least loaded one.
+func (s *solver) currentPlacement() []int {
+	placement, loads := make([]int, len(s.tenants)), make([]float64, len(s.cells))
+	var unplaced []int
+	for _, t := range s.order {
+		at := s.tenants[t].CurrentCell
+		if at != NoCell && s.isAllowed(t, at) {
+			placement[t] = at
+			loads[at] += s.tenants[t].Load
 		} else {
-			loose = append(loose, t)
+			unplaced = append(unplaced, t)
 		}
 	}
-	for _, t := range loose {
-		place[t] = w.freest(t, loads)
-		if place[t] != Nowhere {
-			loads[place[t]] += w.tenants[t].Load
+	for _, t := range unplaced {
+		placement[t] = s.leastLoaded(t, loads)
+		if placement[t] != NoCell {
+			loads[placement[t]] += s.tenants[t].Load
 		}
 	}
-	return place
+	return placement
 }
 
-// freest is the cell whose load would be least with a tenant, Nowhere where none may have it.
-func (w *work) freest(t int, loads []float64) int {
-	best, least := Nowhere, math.Inf(1)
-	for c := range w.cells {
-		if load := (loads[c] + w.tenants[t].Load) / w.cells[c].Able; w.may(t, c) && load < least {
+// leastLoaded returns the cell with the lowest load after adding a tenant, NoCell if none is
+// allowed.
+func (s *solver) leastLoaded(t int, loads []float64) int {
+	best, least := NoCell, math.Inf(1)
+	for c := range s.cells {
+		if load := (loads[c] + s.tenants[t].Load) / s.cells[c].Capacity; s.isAllowed(t, c) && load < least {
 			best, least = c, load
 		}
 	}
 	return best
 }
 
-// within looks for a placement in which no load is above a target, with few moves: cells that are above it give up the
-// fewest tenants that bring them below, and those go where they fit best, if need be in place of lighter ones. It gives
-// nil where it finds none.
-func (w *work) within(target float64, most int) []int {
-	place := w.present()
-	loads := w.loads(place)
-	limit := func(c int) float64 { return target*w.cells[c].Able*(1+1e-12) + 1e-12 }
-	members := make([][]int, len(w.cells)) // the heaviest first
-	for _, t := range w.order {
-		if place[t] == Nowhere {
+// placeWithin searches for a placement with all loads within a target and few moves. Overloaded
+// cells give up the fewest tenants needed, which go to the cells where they fit best or displace
+// lighter ones. It returns nil if it finds none.
+func (s *solver) placeWithin(target float64, maxMoves int) []int {
+	placement := s.currentPlacement()
+	loads := s.loads(placement)
+	limit := func(c int) float64 { return target*s.cells[c].Capacity*(1+1e-12) + 1e-12 }
+	members := make([][]int, len(s.cells)) // heaviest first
+	for _, t := range s.order {
+		if placement[t] == NoCell {
 			return nil
 		}
-		members[place[t]] = append(members[place[t]], t)
+		members[placement[t]] = append(members[placement[t]], t)
 	}
-	var loose []int
-	for c := range w.cells {
-		loose = append(loose, w.shed(members[c], loads[c]-limit(c))...)
+	var unplaced []int
+	for c := range s.cells {
+		unplaced = append(unplaced, s.selectToRemove(members[c], loads[c]-limit(c))...)
 	}
 	heaviestFirst := func(ts []int) {
-		slices.SortStableFunc(ts, func(a, b int) int { return cmp.Compare(w.tenants[b].Load, w.tenants[a].Load) })
-	}
-	heaviestFirst(loose)
-	for _, t := range loose {
-		loads[place[t]] -= w.tenants[t].Load
-		place[t] = Nowhere
-	}
-	for len(loose) > 0 {
-		t := loose[0]
-		loose = loose[1:]
-		c := w.tightest(t, loads, limit)
-		if c == Nowhere {
-			var out []int
-			if out, c = w.displace(t, place, loads, limit, members); c == Nowhere {
+		slices.SortStableFunc(ts, func(a, b int) int { return cmp.Compare(s.tenants[b].Load, s.tenants[a].Load) })
+	}
+	heaviestFirst(unplaced)
+	for _, t := range unplaced {
+		loads[placement[t]] -= s.tenants[t].Load
+		placement[t] = NoCell
+	}
+	for len(unplaced) > 0 {
+		t := unplaced[0]
+		unplaced = unplaced[1:]
+		c := s.bestFit(t, loads, limit)
+		if c == NoCell {
+			var displaced []int
+			if displaced, c = s.displace(t, placement, loads, limit, members); c == NoCell {
 				return nil
 			}
-			for _, o := range out {
-				loads[c] -= w.tenants[o].Load
-				place[o] = Nowhere
+			for _, other := range displaced {
+				loads[c] -= s.tenants[other].Load
+				placement[other] = NoCell
 			}
-			loose = append(loose, out...)
-			heaviestFirst(loose)
+			unplaced = append(unplaced, displaced...)
+			heaviestFirst(unplaced)
 		}
-		place[t] = c
-		loads[c] += w.tenants[t].Load
+		placement[t] = c
+		loads[c] += s.tenants[t].Load
 		members[c] = append(members[c], t)
 	}
-	if w.moves(place) > most {
+	if s.moveCount(placement) > maxMoves {
 		return nil
 	}
-	return place
+	return placement
 }
 
-// shed names the fewest tenants of a cell that bring it down by an excess; of the last one the lightest that will do.
-func (w *work) shed(members []int, excess float64) (out []int) {
+// selectToRemove returns the fewest tenants whose removal lowers a cell's load by excess. The last
+// one is the lightest that suffices.
+func (s *solver) selectToRemove(members []int, excess float64) (removed []int) {
 	for i, t := range members {
 		if excess <= 0 {
-			return out
+			return removed
 		}
-		if w.tenants[t].Stay {
+		if s.tenants[t].Pinned {
 			continue
 		}
-		if load := w.tenants[t].Load; load >= excess {
+		if load := s.tenants[t].Load; load >= excess {
 			last := t
 			for _, lighter := range members[i:] {
-				if w.tenants[lighter].Load >= excess && !w.tenants[lighter].Stay {
+				if s.tenants[lighter].Load >= excess && !s.tenants[lighter].Pinned {
 					last = lighter
 				}
 			}
-			return append(out, last)
+			return append(removed, last)
 		}
-		out = append(out, t)
-		excess -= w.tenants[t].Load
+		removed = append(removed, t)
+		excess -= s.tenants[t].Load
 	}
-	return out
+	return removed
 }
 
-// tightest is the cell that has least room left with a tenant, Nowhere where it fits in none.
-func (w *work) tightest(t int, loads []float64, limit func(int) float64) int {
-	best, least := Nowhere, math.Inf(1)
-	for c := range w.cells {
-		if left := limit(c) - loads[c] - w.tenants[t].Load; left >= 0 && left < least && w.may(t, c) {
+// bestFit returns the cell with the least remaining capacity after adding a tenant, NoCell if it
+// fits in none.
+func (s *solver) bestFit(t int, loads []float64, limit func(int) float64) int {
+	best, least := NoCell, math.Inf(1)
+	for c := range s.cells {
+		if left := limit(c) - loads[c] - s.tenants[t].Load; left >= 0 && left < least && s.isAllowed(t, c) {
 			best, least = c, left
 		}
 	}
 	return best
 }
 
-// displace finds the cell where the fewest lighter tenants make room for one, and names them. Each that is placed so is
-// heavier than what it displaces, so that this comes to an end.
-func (w *work) displace(t int, place []int, loads []float64, limit func(int) float64, members [][]int) (out []int, in int) {
-	load := w.tenants[t].Load
-	in = Nowhere
-	for c := range w.cells {
-		if !w.may(t, c) || load > limit(c) {
+// displace returns the cell where the fewest lighter tenants need to be removed to place a tenant,
+// and those tenants. Displaced tenants are always lighter, so that the search terminates.
+func (s *solver) displace(t int, placement []int, loads []float64, limit func(int) float64, members [][]int) (displaced []int, target int) {
+	load := s.tenants[t].Load
+	target = NoCell
+	for c := range s.cells {
+		if !s.isAllowed(t, c) || load > limit(c) {
 			continue
 		}
-		short, some := loads[c]+load-limit(c), []int(nil)
-		for _, o := range members[c] {
-			if short <= 0 || in != Nowhere && len(some) >= len(out) {
+		shortage, candidates := loads[c]+load-limit(c), []int(nil)
+		for _, candidate := range members[c] {
+			if shortage <= 0 || target != NoCell && len(candidates) >= len(displaced) {
 				break
 			}
-			if other := &w.tenants[o]; place[o] == c && !other.Stay && other.Load < load {
-				some = append(some, o)
-				short -= other.Load
+			if other := &s.tenants[candidate]; placement[candidate] == c && !other.Pinned && other.Load < load {
+				candidates = append(candidates, candidate)
+				shortage -= other.Load
 			}
 		}
-		if short <= 0 && (in == Nowhere || len(some) < len(out)) {
-			out, in = some, c
+		if shortage <= 0 && (target == NoCell || len(candidates) < len(displaced)) {
+			displaced, target = candidates, c
 		}
 	}
-	return out, in
+	return displaced, target
 }
 
-// better is of two placements the one with the lower worst load, or with fewer moves where both are as good.
-func (w *work) better(a, b []int) []int {
-	x, y := w.worst(a), w.worst(b)
+// betterPlacement returns the placement with the lower maximum load, or with fewer moves if the
+// loads are within loadTolerance.
+func (s *solver) betterPlacement(a, b []int) []int {
+	maxA, maxB := s.maxLoad(a), s.maxLoad(b)
 	switch {
-	case y < x*(1-tolerance):
+	case maxB < maxA*(1-loadTolerance):
 		return b
-	case x < y*(1-tolerance):
+	case maxA < maxB*(1-loadTolerance):
 		return a
-	case w.moves(b) < w.moves(a):
+	case s.moveCount(b) < s.moveCount(a):
 		return b
 	}
 	return a
 }
 
-// mostPolish is how many steps polish makes at the most.
-const mostPolish = 400
+const maxPolishSteps = 400
 
-// polish lowers the worst load step by step: a tenant leaves the worst cell, or changes places with a lighter one of
-// another, whichever leaves the higher of the two lowest.
-func (w *work) polish(place []int, most int) []int {
-	place = slices.Clone(place)
-	loads := w.loads(place)
-	for range mostPolish {
+// polish lowers the maximum load by local search: each step moves a tenant out of the most loaded
+// cell, or swaps it with a lighter one of another cell.
+func (s *solver) polish(placement []int, maxMoves int) []int {
+	placement = slices.Clone(placement)
+	loads := s.loads(placement)
+	for range maxPolishSteps {
 		from := 0
 		for c := range loads {
-			if loads[c]/w.cells[c].Able > loads[from]/w.cells[from].Able {
+			if loads[c]/s.cells[c].Capacity > loads[from]/s.cells[from].Capacity {
 				from = c
 			}
 		}
-		s := w.bestStep(from, place, loads)
-		if s.out == Nowhere {
+		step := s.bestSwap(from, placement, loads)
+		if step.outgoing == NoCell {
 			break
 		}
-		next := slices.Clone(place)
-		next[s.out] = s.to
-		if s.back != Nowhere {
-			next[s.back] = from
+		next := slices.Clone(placement)
+		next[step.outgoing] = step.to
+		if step.incoming != NoCell {
+			next[step.incoming] = from
 		}
-		if w.moves(next) > most {
+		if s.moveCount(next) > maxMoves {
 			break
 		}
-		place = next
-		loads = w.loads(place)
+		placement = next
+		loads = s.loads(placement)
 	}
-	return place
+	return placement
 }
 
-// step takes a tenant out of a cell to another, in exchange for one or Nowhere.
-type step struct{ out, to, back int }
+// swap moves a tenant to another cell, in exchange for one of its tenants or NoCell.
+type swap struct{ outgoing, to, incoming int }
 
-const widest = 64 // tenants of a cell that are looked at for a step
+const maxSwapCandidates = 64 // per cell
 
-func (w *work) bestStep(from int, place []int, loads []float64) step {
-	worst := loads[from] / w.cells[from].Able
-	best, least := step{Nowhere, Nowhere, Nowhere}, worst*(1-worthwhile)
-	members := make([][]int, len(w.cells))
-	for _, t := range w.order {
-		if c := place[t]; c != Nowhere && len(members[c]) < widest && !w.tenants[t].Stay {
+func (s *solver) bestSwap(from int, placement []int, loads []float64) swap {
+	maxLoad := loads[from] / s.cells[from].Capacity
+	best, lowest := swap{NoCell, NoCell, NoCell}, maxLoad*(1-minImprovement)
+	members := make([][]int, len(s.cells))
+	for _, t := range s.order {
+		if c := placement[t]; c != NoCell && len(members[c]) < maxSwapCandidates && !s.tenants[t].Pinned {
 			members[c] = append(members[c], t)
 		}
 	}
-	for _, out := range members[from] {
-		for to := range w.cells {
-			if to == from || !w.may(out, to) {
+	for _, outgoing := range members[from] {
+		for to := range s.cells {
+			if to == from || !s.isAllowed(outgoing, to) {
 				continue
 			}
-			try := func(back int, load float64) {
-				shift := w.tenants[out].Load - load
-				higher := max((loads[from]-shift)/w.cells[from].Able, (loads[to]+shift)/w.cells[to].Able)
-				if shift > 0 && higher < least {
-					best, least = step{out, to, back}, higher
+			try := func(incoming int, load float64) {
+				shift := s.tenants[outgoing].Load - load
+				higher := max((loads[from]-shift)/s.cells[from].Capacity, (loads[to]+shift)/s.cells[to].Capacity)
+				if shift > 0 && higher < lowest {
+					best, lowest = swap{outgoing, to, incoming}, higher
 				}
 			}
-			try(Nowhere, 0)
-			for _, back := range members[to] {
-				if w.may(back, from) {
-					try(back, w.tenants[back].Load)
+			try(NoCell, 0)
+			for _, incoming := range members[to] {
+				if s.isAllowed(incoming, from) {
+					try(incoming, s.tenants[incoming].Load)
 				}
 			}
 		}
@@ -416,77 +422,77 @@
 	return best
 }
 
-// settle takes moves back that bring nothing: a tenant stays where it is if the worst load stays as low without.
-func (w *work) settle(place []int) []int {
-	place = slices.Clone(place)
-	loads := w.loads(place)
-	worst := w.worst(place)
-	for i := len(w.order) - 1; i >= 0; i-- {
-		t := w.order[i]
-		at, load := w.tenants[t].At, w.tenants[t].Load
-		if at == Nowhere || at == place[t] || !w.may(t, at) || (loads[at]+load)/w.cells[at].Able > worst {
+// dropNeedlessMoves undoes moves that are not needed to keep the maximum load.
+func (s *solver) dropNeedlessMoves(placement []int) []int {
+	placement = slices.Clone(placement)
+	loads := s.loads(placement)
+	maxLoad := s.maxLoad(placement)
+	for i := len(s.order) - 1; i >= 0; i-- {
+		t := s.order[i]
+		at, load := s.tenants[t].CurrentCell, s.tenants[t].Load
+		if at == NoCell || at == placement[t] || !s.isAllowed(t, at) || (loads[at]+load)/s.cells[at].Capacity > maxLoad {
 			continue
 		}
-		loads[place[t]] -= load
+		loads[placement[t]] -= load
 		loads[at] += load
-		place[t] = at
+		placement[t] = at
 	}
-	return place
+	return placement
 }
 
-// branch looks for the least worst load by branch and bound, the heaviest tenants first. It gives nil where nothing
-// better than a placement was found, and tells whether all that could be better was looked at.
-func (w *work) branch(best []int) (found []int, all bool) {
-	least := w.worst(best)
-	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
+// branchAndBound searches for a placement with a lower maximum load than best, placing the
+// heaviest tenants first. It returns nil if it finds none, and whether the search was complete.
+func (s *solver) branchAndBound(best []int) (found []int, complete bool) {
+	least := s.maxLoad(best)
+	placement, loads := make([]int, len(s.tenants)), make([]float64, len(s.cells))
 	nodes := 0
-	var down func(i int)
-	down = func(i int) {
-		if nodes++; nodes > mostNodes {
+	var descend func(i int)
+	descend = func(i int) {
+		if nodes++; nodes > maxBranchNodes {
 			return
 		}
-		if i == len(w.order) {
-			least, found = w.worst(place), slices.Clone(place)
+		if i == len(s.order) {
+			least, found = s.maxLoad(placement), slices.Clone(placement)
 			return
 		}
-		t := w.order[i]
-		type seen struct {
-			load, able float64
-			hall       string
+		t := s.order[i]
+		type cellState struct {
+			load, capacity float64
+			hall           string
 		}
-		tried := map[seen]bool{}
-		for c := range w.cells {
-			alike := seen{loads[c], w.cells[c].Able, w.cells[c].Hall}
-			if !w.may(t, c) || tried[alike] && !w.stays {
+		tried := map[cellState]bool{}
+		for c := range s.cells {
+			state := cellState{loads[c], s.cells[c].Capacity, s.cells[c].Hall}
+			if !s.isAllowed(t, c) || tried[state] && !s.hasPinned {
 				continue
 			}
-			tried[alike] = true
-			load := loads[c] + w.tenants[t].Load
-			if load/w.cells[c].Able >= least*(1-1e-9) {
+			tried[state] = true
+			load := loads[c] + s.tenants[t].Load
+			if load/s.cells[c].Capacity >= least*(1-1e-9) {
 				continue
 			}
-			was := loads[c]
-			loads[c], place[t] = load, c
-			down(i + 1)
-			loads[c] = was
+			previous := loads[c]
+			loads[c], placement[t] = load, c
+			descend(i + 1)
+			loads[c] = previous
 		}
 	}
-	down(0)
-	return found, nodes <= mostNodes
+	descend(0)
+	return found, nodes <= maxBranchNodes
 }
 
-func (w *work) plan(place []int, bound float64, exact bool) Plan {
-	p := Plan{Place: place, Loads: w.loads(place), Worst: w.worst(place), Bound: bound, Exact: exact}
+func (s *solver) plan(placement []int, bound float64, isTight bool) Plan {
+	plan := Plan{Placement: placement, Loads: s.loads(placement), MaxLoad: s.maxLoad(placement), LowerBound: bound, IsBoundTight: isTight}
 	sum := 0.0
-	for c, load := range p.Loads {
+	for c, load := range plan.Loads {
 		sum += load
-		p.Loads[c] = load / w.cells[c].Able
+		plan.Loads[c] = load / s.cells[c].Capacity
 	}
-	p.Mean = sum / w.able
-	for _, t := range w.order {
-		if at := w.tenants[t].At; at != Nowhere && at != place[t] {
-			p.Moves = append(p.Moves, t)
+	plan.MeanLoad = sum / s.totalCapacity
+	for _, t := range s.order {
+		if at := s.tenants[t].CurrentCell; at != NoCell && at != placement[t] {
+			plan.Moves = append(plan.Moves, t)
 		}
 	}
-	return p
+	return plan
 }
