--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -9,16 +9,16 @@
 
 // States that this driver tells its clients or is told by members.
 const (
-	StateTooMany        = "53300" // turned away
-	StateNotNow         = "57P03" // turned away for now
-	StateReadOnly       = "25006" // a write, and this is no primary
-	StateTooOld         = "72000" // the data is too far behind
-	StateProtocol       = "08P01"
-	StateSyntax         = "42601"
-	StateCanceled       = "57014"
-	StateUnknownOutcome = "08007"
-	StateNotSupported   = "0A000"
-	StateFenced         = "VF001" // of ours: its version is over
+	StateTooManyConnections = "53300" // turned away
+	StateCannotConnectNow   = "57P03" // turned away for now
+	StateReadOnly           = "25006" // a write, and this is no primary
+	StateSnapshotTooOld     = "72000" // the data is too far behind
+	StateProtocolViolation  = "08P01"
+	StateSyntaxError        = "42601"
+	StateQueryCanceled      = "57014"
+	StateUnknownOutcome     = "08007"
+	StateNotSupported       = "0A000"
+	StateFenced             = "VF001" // of ours: its version is over
 )
 
 // Failure is what an ErrorResponse says.
@@ -63,9 +63,9 @@
 	return f, body == "\x00" && len(f.State) == 5
 }
 
-// PushBack says that trying again is harmless, and when, if that is known.
-func PushBack(comeBackMillis int64) Failure {
-	f := Failure{State: StateTooMany, Message: "pushed back, trying again is harmless"}
+// Pushback says that trying again is harmless, and when, if that is known.
+func Pushback(comeBackMillis int64) Failure {
+	f := Failure{State: StateTooManyConnections, Message: "pushed back, trying again is harmless"}
 	if comeBackMillis > 0 {
 		f.Detail = strconv.FormatInt(comeBackMillis, 10)
 	}
@@ -74,10 +74,10 @@
 
 // Canceled says that an RPC was given up because its client asked for that, and that its effect is not known.
 func Canceled() Failure {
-	return Failure{State: StateCanceled, Message: "canceled, it may or may not have run"}
+	return Failure{State: StateQueryCanceled, Message: "canceled, it may or may not have run"}
 }
 
-// Abort says that an RPC failed, and that its effect is not known.
-func Abort() Failure {
+// Aborted says that an RPC failed, and that its effect is not known.
+func Aborted() Failure {
 	return Failure{State: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
 }
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -118,7 +118,7 @@
 		t.pass.until = max(t.pass.until, until)
 	}
 	if o.Answer != nil {
-		bytes = o.Answer.Bytes()
+		bytes = o.Answer.Size()
 		r.gate.Committed(t.pass.ticket, o.Answer.Position*milli)
 	}
 	r.gate.Returned(t.pass.ticket, until, bytes, r.now())
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -35,7 +35,7 @@
 
 // observeList notes the list as it is after what was told. The lock is held.
 func (r *Router) observeList(t protocol.Targets) {
-	if r.whole.entries == nil || t.Whole {
+	if r.whole.entries == nil || t.IsFull {
 		r.whole = wholeList{entries: map[string]uint64{}}
 	}
 	l := &r.whole
