--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -12,19 +12,19 @@
 
 // Clock counts from when it was made.
 type Clock struct {
-	wall  int64
-	begun time.Time
+	startNanos int64
+	start      time.Time
 }
 
 // New makes a clock that is right now, or off as trials want it.
 func New() Clock {
-	off, _ := time.ParseDuration(os.Getenv(OffsetEnv))
+	offset, _ := time.ParseDuration(os.Getenv(OffsetEnv))
 	now := time.Now()
-	return Clock{wall: now.UnixNano() + int64(off), begun: now}
+	return Clock{startNanos: now.UnixNano() + int64(offset), start: now}
 }
 
 // Now is Unix time in nanoseconds.
 func (c Clock) Now() int64 { return c.At(time.Now()) }
 
 // At is what the clock showed at a moment of this process.
-func (c Clock) At(t time.Time) int64 { return c.wall + int64(t.Sub(c.begun)) }
+func (c Clock) At(t time.Time) int64 { return c.startNanos + int64(t.Sub(c.start)) }
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	mostBytes  = 64 << 20 // of a request or an answer
-	mostLine   = 4 << 10  // of a refusal
-	headWithin = 2 * time.Second
+	maxBodyBytes      = 64 << 20 // of a request or an answer
+	maxErrorBytes     = 4 << 10  // of a refusal
+	readHeaderTimeout = 2 * time.Second
 )
 
 // Serve answers requests until the context ends.
 func Serve(ctx context.Context, l net.Listener, handler http.Handler) error {
-	s := &http.Server{Handler: handler, ReadHeaderTimeout: headWithin, BaseContext: func(net.Listener) context.Context { return ctx }}
+	s := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, BaseContext: func(net.Listener) context.Context { return ctx }}
 	defer context.AfterFunc(ctx, func() { s.Close() })()
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -31,18 +31,18 @@
 
 // Handler reads what was asked and answers it. What can't be read is a 400, and what can't be done a 409, if the error says
 // no other status.
-func Handler[T, R any](do func(ctx context.Context, asked T) (R, error)) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		var asked T
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBytes)).Decode(&asked); err != nil {
+func Handler[T, R any](handle func(ctx context.Context, request T) (R, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, httpRequest *http.Request) {
+		var request T
+		if err := json.NewDecoder(http.MaxBytesReader(w, httpRequest.Body, maxBodyBytes)).Decode(&request); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		result, err := do(r.Context(), asked)
+		result, err := handle(httpRequest.Context(), request)
 		if err != nil {
 			status := http.StatusConflict
-			if told := StatusCoder(nil); errors.As(err, &told) {
-				status = told.Status()
+			if coder := StatusCoder(nil); errors.As(err, &coder) {
+				status = coder.Status()
 			}
 			http.Error(w, err.Error(), status)
 			return
@@ -53,13 +53,13 @@
 }
 
 // ActionHandler is Answers where there is nothing to tell but that it was done.
-func ActionHandler[T any](do func(ctx context.Context, asked T) error) http.HandlerFunc {
-	return Handler(func(ctx context.Context, asked T) (any, error) { return nil, do(ctx, asked) })
+func ActionHandler[T any](handle func(ctx context.Context, request T) error) http.HandlerFunc {
+	return Handler(func(ctx context.Context, request T) (any, error) { return nil, handle(ctx, request) })
 }
 
 // QueryHandler is Answers where nothing more is asked.
-func QueryHandler[R any](do func(ctx context.Context) (R, error)) http.HandlerFunc {
-	return Handler(func(ctx context.Context, _ struct{}) (R, error) { return do(ctx) })
+func QueryHandler[R any](handle func(ctx context.Context) (R, error)) http.HandlerFunc {
+	return Handler(func(ctx context.Context, _ struct{}) (R, error) { return handle(ctx) })
 }
 
 // StatusError is an answer that is none.
@@ -73,16 +73,16 @@
 // ShouldTryAnother tells whether an error leaves open that another instance does what this one did not: it could not be reached,
 // or it is not the one to ask.
 func ShouldTryAnother(err error) bool {
-	var r *StatusError
-	return err != nil && (!errors.As(err, &r) || r.Status == http.StatusServiceUnavailable)
+	var statusErr *StatusError
+	return err != nil && (!errors.As(err, &statusErr) || statusErr.Status == http.StatusServiceUnavailable)
 }
 
 // StatusCoder is an error that says with which status of HTTP Answer tells it.
 type StatusCoder interface{ Status() int }
 
 // Post sends what is asked and reads the answer, into nil for none. A refusal is an error of its one line.
-func Post(ctx context.Context, client *http.Client, url string, asked, into any) error {
-	text, err := json.Marshal(asked)
+func Post(ctx context.Context, client *http.Client, url string, body, result any) error {
+	text, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
@@ -97,14 +97,14 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		line, _ := io.ReadAll(io.LimitReader(response.Body, mostLine))
-		return &StatusError{Status: response.StatusCode, Message: strings.TrimSpace(string(line))}
+		message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+		return &StatusError{Status: response.StatusCode, Message: strings.TrimSpace(string(message))}
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, mostBytes)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes)).Decode(result)
 }
 
 // WriteJSON writes an answer. A far side that has gone does not matter.
-func WriteJSON(w http.ResponseWriter, answer any) { json.NewEncoder(w).Encode(answer) }
+func WriteJSON(w http.ResponseWriter, value any) { json.NewEncoder(w).Encode(value) }
--- a/internal/protocol/descriptors_test.go
+++ b/internal/protocol/descriptors_test.go
@@ -13,31 +13,31 @@
 
 // Guards against connections to members that take the last descriptor, without which discovery can't be asked for the list that says where members
 // are. The last one that is free is left to it.
-func TestTheLastDescriptorIsForDiscovery(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestLastDescriptorIsReservedForDiscovery(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	defer listener.Close()
 	asked := make(chan struct{}, 1)
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
 			asked <- struct{}{}
-			c.Close()
+			conn.Close()
 		}
 	}()
-	d := transport.NewDescriptors(1024)
-	for d.Free() > 1 {
-		require.True(t, d.Acquire(0))
+	descriptors := transport.NewDescriptors(1024)
+	for descriptors.Free() > 1 {
+		require.True(t, descriptors.Acquire(0))
 	}
-	by, stop := context.WithTimeout(context.Background(), 5*time.Second)
+	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	_, end := Connect(context.Background(), by, d, l.Addr().String(), 1000, nil)
-	require.Equal(t, transport.NoDescriptor, end)
-	require.Equal(t, 1, d.Free())
-	_, err = NewDiscovery(d, l.Addr().String()).FetchAll(context.Background(), by)
+	_, reason := Connect(context.Background(), ctx, descriptors, listener.Addr().String(), 1000, nil)
+	require.Equal(t, transport.NoDescriptor, reason)
+	require.Equal(t, 1, descriptors.Free())
+	_, err = NewDiscovery(descriptors, listener.Addr().String()).FetchAll(context.Background(), ctx)
 	require.Error(t, err, "it closes without an answer")
 	select {
 	case <-asked:
-	case <-by.Done():
+	case <-ctx.Done():
 		require.Fail(t, "discovery was not asked")
 	}
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -20,7 +20,7 @@
 	Deleted
 )
 
-var lifecycles = map[string]Lifecycle{"SERVING": Serving, "DRAINING": Draining, "DELETED": Deleted}
+var lifecyclesByName = map[string]Lifecycle{"SERVING": Serving, "DRAINING": Draining, "DELETED": Deleted}
 
 // Target is one entry of discovery's list.
 type Target struct {
@@ -46,25 +46,25 @@
 	if err := json.Unmarshal(text, &t); err != nil {
 		return t, err
 	}
-	return t, t.check()
+	return t, t.validate()
 }
 
-func (t *Targets) check() error {
+func (t *Targets) validate() error {
 	for i := range t.Entries {
-		e := &t.Entries[i]
-		life, ok := lifecycles[e.State]
-		e.Lifecycle = life
+		entry := &t.Entries[i]
+		lifecycle, ok := lifecyclesByName[entry.State]
+		entry.Lifecycle = lifecycle
 		switch {
 		case !ok:
-			return fmt.Errorf("instances.%d.lifecycle=%q is not known", i, e.State)
-		case e.ID == "":
+			return fmt.Errorf("instances.%d.lifecycle=%q is not known", i, entry.State)
+		case entry.ID == "":
 			return fmt.Errorf("instances.%d.instanceId is missing", i)
-		case e.Address == "" && life != Deleted:
+		case entry.Address == "" && lifecycle != Deleted:
 			return fmt.Errorf("instances.%d.hostPort is missing", i)
-		case e.Weight < 0:
-			return fmt.Errorf("instances.%d.weight=%v is less than nothing", i, e.Weight)
-		case e.Started < 0 || e.Started > mostMillis:
-			return fmt.Errorf("instances.%d.startedAtMs=%v is out of range", i, e.Started)
+		case entry.Weight < 0:
+			return fmt.Errorf("instances.%d.weight=%v is less than nothing", i, entry.Weight)
+		case entry.Started < 0 || entry.Started > maxMillis:
+			return fmt.Errorf("instances.%d.startedAtMs=%v is out of range", i, entry.Started)
 		}
 	}
 	return nil
@@ -72,65 +72,65 @@
 
 // Discovery asks discovery for the list, over one connection that is kept while it lasts.
 type Discovery struct {
-	d       *transport.Descriptors
-	address string
-	c       *transport.Conn
+	descriptors *transport.Descriptors
+	address     string
+	conn        *transport.Conn
 }
 
 // NewDiscovery connects when first asked.
-func NewDiscovery(d *transport.Descriptors, address string) *Discovery {
-	return &Discovery{d: d, address: address}
+func NewDiscovery(descriptors *transport.Descriptors, address string) *Discovery {
+	return &Discovery{descriptors: descriptors, address: address}
 }
 
 // FetchAll asks for the whole list.
-func (d *Discovery) FetchAll(life, by context.Context) (Targets, error) {
-	return d.get(life, by, "/api/targets")
+func (d *Discovery) FetchAll(connCtx, ctx context.Context) (Targets, error) {
+	return d.fetch(connCtx, ctx, "/api/targets")
 }
 
 // FetchChanges waits up to wait milliseconds for what is newer than a generation.
-func (d *Discovery) FetchChanges(life, by context.Context, generation, wait int64) (Targets, error) {
-	q := url.Values{"index": {strconv.FormatInt(generation, 10)}, "wait": {strconv.FormatInt(wait, 10)}}
-	return d.get(life, by, "/api/targets?"+q.Encode())
+func (d *Discovery) FetchChanges(connCtx, ctx context.Context, generation, waitMillis int64) (Targets, error) {
+	query := url.Values{"index": {strconv.FormatInt(generation, 10)}, "wait": {strconv.FormatInt(waitMillis, 10)}}
+	return d.fetch(connCtx, ctx, "/api/targets?"+query.Encode())
 }
 
-func (d *Discovery) get(life, by context.Context, path string) (t Targets, err error) {
-	if d.c == nil || !d.c.HasNoPendingInput() { // what came unasked would be taken for the answer
+func (d *Discovery) fetch(connCtx, ctx context.Context, path string) (t Targets, err error) {
+	if d.conn == nil || !d.conn.HasNoPendingInput() { // what came unasked would be taken for the answer
 		d.Close(transport.Evicted)
-		c, end := transport.Dial(life, by, d.d, 0, d.address, RingBytes)
-		if end != transport.Open {
-			return t, end
+		conn, reason := transport.Dial(connCtx, ctx, d.descriptors, 0, d.address, RingBytes)
+		if reason != transport.Open {
+			return t, reason
 		}
-		d.c = c
+		d.conn = conn
 	}
-	r, end := d.exchange(by, path)
-	if end != transport.Open {
-		d.Close(end)
-		return t, end
+	resp, reason := d.roundTrip(ctx, path)
+	if reason != transport.Open {
+		d.Close(reason)
+		return t, reason
 	}
-	if r.last {
+	if resp.mustClose {
 		d.Close(transport.ClosedByPeer)
 	}
-	if r.status != http.StatusOK {
-		return t, fmt.Errorf("status %d", r.status)
+	if resp.status != http.StatusOK {
+		return t, fmt.Errorf("status %d", resp.status)
 	}
-	return ParseTargets(r.body)
+	return ParseTargets(resp.body)
 }
 
-func (d *Discovery) exchange(by context.Context, path string) (response, transport.CloseReason) {
-	c := d.c
-	stop := context.AfterFunc(by, func() { c.Close(transport.CloseReasonOf(by)) })
+func (d *Discovery) roundTrip(ctx context.Context, path string) (response, transport.CloseReason) {
+	conn := d.conn
+	stop := context.AfterFunc(ctx, func() { conn.Close(transport.CloseReasonOf(ctx)) })
 	defer stop()
-	c.Write(get(d.address, path))
-	if end := c.Flush(); end != transport.Open {
-		return response{}, end
+	conn.Write(formatGet(d.address, path))
+	if reason := conn.Flush(); reason != transport.Open {
+		return response{}, reason
 	}
-	return readResponse(c)
+	return readResponse(conn)
 }
 
 // Close ends the connection, if there is one.
-func (d *Discovery) Close(end transport.CloseReason) {
-	if d.c != nil {
-		d.c.Close(end)
-		d.c = nil
+func (d *Discovery) Close(reason transport.CloseReason) {
+	if d.conn != nil {
+		d.conn.Close(reason)
+		d.conn = nil
 	}
 }
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -29,16 +29,16 @@
 	Detail  string
 }
 
-func putFailure(c *transport.Conn, f Failure) {
+func writeFailure(c *transport.Conn, f Failure) {
 	severity := "ERROR"
 	if f.Fatal {
 		severity = "FATAL"
 	}
-	pieces := []string{"S", severity, "\x00V", severity, "\x00C", f.State, "\x00M", f.Message, "\x00"}
+	fields := []string{"S", severity, "\x00V", severity, "\x00C", f.State, "\x00M", f.Message, "\x00"}
 	if f.Detail != "" {
-		pieces = append(pieces, "D", f.Detail, "\x00")
+		fields = append(fields, "D", f.Detail, "\x00")
 	}
-	put(c, kindError, append(pieces, "\x00")...)
+	writeMessage(c, kindError, append(fields, "\x00")...)
 }
 
 // parseFailure reads an ErrorResponse; ok is false when it can't be followed or names no state.
@@ -64,10 +64,10 @@
 }
 
 // Pushback says that trying again is harmless, and when, if that is known.
-func Pushback(comeBackMillis int64) Failure {
+func Pushback(retryAfterMillis int64) Failure {
 	f := Failure{State: StateTooManyConnections, Message: "pushed back, trying again is harmless"}
-	if comeBackMillis > 0 {
-		f.Detail = strconv.FormatInt(comeBackMillis, 10)
+	if retryAfterMillis > 0 {
+		f.Detail = strconv.FormatInt(retryAfterMillis, 10)
 	}
 	return f
 }
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	mostHead = 16 << 10
-	mostBody = 2 << 20
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes   = 2 << 20
 )
 
 // response is an HTTP/1.1 response.
 type response struct {
-	status int
-	body   []byte
-	last   bool // the connection can't be used again
+	status    int
+	body      []byte
+	mustClose bool // the connection can't be used again
 }
 
-func get(host, path string) string {
+func formatGet(host, path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n"
 }
 
 // readResponse waits for a whole response.
-func readResponse(c *transport.Conn) (r response, end transport.CloseReason) {
-	line, end := readLine(c)
-	if end != transport.Open {
-		return r, end
+func readResponse(c *transport.Conn) (r response, reason transport.CloseReason) {
+	line, reason := readLine(c)
+	if reason != transport.Open {
+		return r, reason
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -36,30 +36,30 @@
 	if err != nil || len(code) != 3 || version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return r, transport.Malformed
 	}
-	r.status, r.last = status, version == "HTTP/1.0"
-	length, chunked, end := r.head(c)
+	r.status, r.mustClose = status, version == "HTTP/1.0"
+	length, chunked, reason := r.readHeader(c)
 	switch {
-	case end != transport.Open:
+	case reason != transport.Open:
 	case chunked:
-		end = r.chunks(c)
+		reason = r.readChunks(c)
 	case length >= 0:
-		end = r.more(c, length)
+		reason = r.readBody(c, length)
 	case status == 204 || status == 304:
 	default:
-		end = r.untilEnd(c)
+		reason = r.readToEOF(c)
 	}
-	return r, end
+	return r, reason
 }
 
-// head reads the header fields; length is -1 where none is given.
-func (r *response) head(c *transport.Conn) (length int, chunked bool, end transport.CloseReason) {
+// readHeader reads the header fields; length is -1 where none is given.
+func (r *response) readHeader(c *transport.Conn) (length int, chunked bool, reason transport.CloseReason) {
 	length = -1
-	for left := mostHead; left > 0; {
-		line, end := readLine(c)
-		if end != transport.Open || line == "" {
-			return length, chunked, end
+	for remaining := maxHeaderBytes; remaining > 0; {
+		line, reason := readLine(c)
+		if reason != transport.Open || line == "" {
+			return length, chunked, reason
 		}
-		left -= len(line) + 2
+		remaining -= len(line) + 2
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
 			return 0, false, transport.Malformed
@@ -74,20 +74,20 @@
 		case "transfer-encoding":
 			chunked = value == "chunked"
 		case "connection":
-			r.last = r.last && value != "keep-alive" || value == "close"
+			r.mustClose = r.mustClose && value != "keep-alive" || value == "close"
 		}
 	}
 	return 0, false, transport.TooLong
 }
 
-// more reads n more bytes of the body.
-func (r *response) more(c *transport.Conn, n int) transport.CloseReason {
-	if len(r.body)+n > mostBody {
+// readBody reads n more bytes of the body.
+func (r *response) readBody(c *transport.Conn, n int) transport.CloseReason {
+	if len(r.body)+n > maxBodyBytes {
 		return transport.TooLong
 	}
 	for n > 0 {
-		if end := c.Await(1); end != transport.Open {
-			return cutShort(end)
+		if reason := c.Await(1); reason != transport.Open {
+			return closedToTruncated(reason)
 		}
 		part := make([]byte, min(n, c.Buffered()))
 		c.Read(part)
@@ -97,25 +97,25 @@
 	return transport.Open
 }
 
-func (r *response) chunks(c *transport.Conn) transport.CloseReason {
+func (r *response) readChunks(c *transport.Conn) transport.CloseReason {
 	for {
-		line, end := readLine(c)
-		if end != transport.Open {
-			return cutShort(end)
+		line, reason := readLine(c)
+		if reason != transport.Open {
+			return closedToTruncated(reason)
 		}
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
 			return transport.Malformed
 		}
-		if end := r.more(c, int(n)); end != transport.Open {
-			return end
+		if reason := r.readBody(c, int(n)); reason != transport.Open {
+			return reason
 		}
-		for trailer := true; trailer; { // one empty line after a chunk, any others only after the last
-			if line, end = readLine(c); end != transport.Open {
-				return cutShort(end)
+		for inTrailer := true; inTrailer; { // one empty line after a chunk, any others only after the last
+			if line, reason = readLine(c); reason != transport.Open {
+				return closedToTruncated(reason)
 			}
-			if trailer = line != ""; trailer && n > 0 {
+			if inTrailer = line != ""; inTrailer && n > 0 {
 				return transport.Malformed
 			}
 		}
@@ -125,15 +125,15 @@
 	}
 }
 
-func (r *response) untilEnd(c *transport.Conn) transport.CloseReason {
-	r.last = true
-	for len(r.body) < mostBody {
-		switch end := c.Await(1); end {
+func (r *response) readToEOF(c *transport.Conn) transport.CloseReason {
+	r.mustClose = true
+	for len(r.body) < maxBodyBytes {
+		switch reason := c.Await(1); reason {
 		case transport.Open:
 		case transport.ClosedByPeer:
 			return transport.Open
 		default:
-			return end
+			return reason
 		}
 		part := make([]byte, c.Buffered())
 		c.Read(part)
@@ -142,26 +142,26 @@
 	return transport.TooLong
 }
 
-func cutShort(end transport.CloseReason) transport.CloseReason {
-	if end == transport.ClosedByPeer {
+func closedToTruncated(reason transport.CloseReason) transport.CloseReason {
+	if reason == transport.ClosedByPeer {
 		return transport.Truncated
 	}
-	return end
+	return reason
 }
 
 // readLine waits for a line, and gives it without its end.
 func readLine(c *transport.Conn) (string, transport.CloseReason) {
-	for n := 1; n <= mostHead; {
-		if end := c.Await(n); end != transport.Open {
-			return "", end
+	for n := 1; n <= maxHeaderBytes; {
+		if reason := c.Await(n); reason != transport.Open {
+			return "", reason
 		}
-		held := make([]byte, min(c.Buffered(), mostHead))
-		c.Peek(held)
-		if i := bytes.IndexByte(held, '\n'); i >= 0 {
-			c.Read(held[:i+1])
-			return strings.TrimSuffix(string(held[:i]), "\r"), transport.Open
+		buffered := make([]byte, min(c.Buffered(), maxHeaderBytes))
+		c.Peek(buffered)
+		if i := bytes.IndexByte(buffered, '\n'); i >= 0 {
+			c.Read(buffered[:i+1])
+			return strings.TrimSuffix(string(buffered[:i]), "\r"), transport.Open
 		}
-		n = len(held) + 1
+		n = len(buffered) + 1
 	}
 	return "", transport.TooLong
 }
--- a/internal/protocol/member.go
+++ b/internal/protocol/member.go
@@ -12,8 +12,8 @@
 // Member is a connection to a member. It carries one statement at a time.
 type Member struct {
 	*transport.Conn
-	most   int    // bytes of one message
-	denied func() // called as soon as it says that it is no primary, whatever becomes of what it says that in
+	maxMessageBytes int    // bytes of one message
+	onNotPrimary    func() // called as soon as it says that it is no primary, whatever becomes of what it says that in
 }
 
 // Answer is what a member made of a statement, and what it told of itself.
@@ -25,45 +25,45 @@
 	messages []message // the row as it came
 }
 
-// startup is the startup message: its length, the version, and who asks for what.
-const startup = "\x00\x00\x00\x25\x00\x03\x00\x00user\x00backend\x00database\x00store\x00\x00"
+// startupMessage is the startup message: its length, the version, and who asks for what.
+const startupMessage = "\x00\x00\x00\x25\x00\x03\x00\x00user\x00backend\x00database\x00store\x00\x00"
 
 // Connect opens a connection to a member, which may answer with up to most bytes, and waits until it is ready, until
 // by ends. Whenever it says that it is no primary denied is called at once, if it is not nil.
-func Connect(life, by context.Context, d *transport.Descriptors, address string, most int, denied func()) (Member, transport.CloseReason) {
-	c, end := transport.Dial(life, by, d, keptForDiscovery, address, RingBytes)
-	if end != transport.Open {
-		return Member{}, end
+func Connect(connCtx, ctx context.Context, descriptors *transport.Descriptors, address string, maxMessageBytes int, onNotPrimary func()) (Member, transport.CloseReason) {
+	conn, reason := transport.Dial(connCtx, ctx, descriptors, reservedForDiscovery, address, RingBytes)
+	if reason != transport.Open {
+		return Member{}, reason
 	}
-	m := Member{c, most, denied}
-	defer m.endBy(by)()
-	m.Write(startup)
-	if end = m.Flush(); end == transport.Open {
-		end = m.greeted()
+	member := Member{conn, maxMessageBytes, onNotPrimary}
+	defer member.closeOnDone(ctx)()
+	member.Write(startupMessage)
+	if reason = member.Flush(); reason == transport.Open {
+		reason = member.awaitReady()
 	}
-	if end != transport.Open {
-		m.Close(end)
-		return Member{}, end
+	if reason != transport.Open {
+		member.Close(reason)
+		return Member{}, reason
 	}
-	return m, transport.Open
+	return member, transport.Open
 }
 
-// keptForDiscovery is the descriptor that connections to members leave to the one to discovery: without a list to go by they
+// reservedForDiscovery is the descriptor that connections to members leave to the one to discovery: without a list to go by they
 // would be of less and less use.
-const keptForDiscovery = 1
+const reservedForDiscovery = 1
 
-// endBy ends the connection when a context ends first; the function it gives calls that off.
-func (m Member) endBy(by context.Context) func() {
-	stop := context.AfterFunc(by, func() { m.Close(transport.CloseReasonOf(by)) })
+// closeOnDone ends the connection when a context ends first; the function it gives calls that off.
+func (m Member) closeOnDone(ctx context.Context) func() {
+	stop := context.AfterFunc(ctx, func() { m.Close(transport.CloseReasonOf(ctx)) })
 	return func() { stop() }
 }
 
-// greeted reads what a member says before it is ready.
-func (m Member) greeted() transport.CloseReason {
+// awaitReady reads what a member says before it is ready.
+func (m Member) awaitReady() transport.CloseReason {
 	for {
-		msg, end := readMessage(m.Conn, m.most)
-		if end != transport.Open {
-			return end
+		msg, reason := readMessage(m.Conn, m.maxMessageBytes)
+		if reason != transport.Open {
+			return reason
 		}
 		switch msg.kind {
 		case kindReady:
@@ -75,7 +75,7 @@
 				return transport.Malformed
 			}
 		case kindParameter:
-			m.hear(msg.body)
+			m.checkRole(msg.body)
 		case kindNotice, kindBackendKey, kindVersion:
 		default:
 			return transport.Malformed
@@ -83,93 +83,93 @@
 	}
 }
 
-// hear passes on at once that a ParameterStatus says that the member is no primary.
-func (m Member) hear(body string) {
-	name, value, _ := parameter(body)
-	if m.denied != nil && name == roleParameter && value == replicaRole {
-		m.denied()
+// checkRole passes on at once that a ParameterStatus says that the member is no primary.
+func (m Member) checkRole(body string) {
+	name, value, _ := parseParameter(body)
+	if m.onNotPrimary != nil && name == roleParameter && value == replicaRole {
+		m.onNotPrimary()
 	}
 }
 
 // Query sends a statement, given in pieces, and waits for its answer until by ends. Sent tells whether its last byte
 // was written. The connection is still good when end is Open; an answer may be whole even where it is not.
-func (m Member) Query(by context.Context, statement ...string) (a *Answer, sent bool, end transport.CloseReason) {
-	defer m.endBy(by)()
-	put(m.Conn, kindQuery, append(statement, "\x00")...)
-	if end = m.Flush(); end != transport.Open {
-		return nil, false, end
+func (m Member) Query(ctx context.Context, statement ...string) (answer *Answer, sent bool, reason transport.CloseReason) {
+	defer m.closeOnDone(ctx)()
+	writeMessage(m.Conn, kindQuery, append(statement, "\x00")...)
+	if reason = m.Flush(); reason != transport.Open {
+		return nil, false, reason
 	}
-	a = &Answer{}
-	whole := false
-	if end = m.Await(1); end == transport.Open { // an answer that has begun comes whole or not at all
-		m.SetReadTimeout(restWithin)
-		whole, end = a.read(m)
+	answer = &Answer{}
+	complete := false
+	if reason = m.Await(1); reason == transport.Open { // an answer that has begun comes whole or not at all
+		m.SetReadTimeout(answerReadTimeout)
+		complete, reason = answer.read(m)
 		m.SetReadTimeout(0)
 	}
-	if end != transport.Open {
-		m.Close(end)
+	if reason != transport.Open {
+		m.Close(reason)
 	}
-	if !whole {
-		a = nil
+	if !complete {
+		answer = nil
 	}
-	return a, true, m.CloseReason()
+	return answer, true, m.CloseReason()
 }
 
-const restWithin = 250 * time.Millisecond // a member may pause within an answer
+const answerReadTimeout = 250 * time.Millisecond // a member may pause within an answer
 
 // read reads an answer up to ReadyForQuery, and tells whether a whole one came. One that breaks off behind its last
 // own message is whole; one that goes on with what can't be read is not.
-func (a *Answer) read(from Member) (whole bool, end transport.CloseReason) {
+func (a *Answer) read(member Member) (complete bool, reason transport.CloseReason) {
 	for {
-		m, end := readMessage(from.Conn, from.most)
-		if end != transport.Open {
-			return whole && end != transport.Malformed && end != transport.TooLong, end
+		msg, reason := readMessage(member.Conn, member.maxMessageBytes)
+		if reason != transport.Open {
+			return complete && reason != transport.Malformed && reason != transport.TooLong, reason
 		}
-		switch m.kind {
+		switch msg.kind {
 		case kindReady:
-			if !whole || m.body != "I" {
+			if !complete || msg.body != "I" {
 				return false, transport.Malformed
 			}
 			return true, transport.Open
 		case kindNotice:
 			continue
 		case kindParameter:
-			a.parameter(m.body)
-			from.hear(m.body)
+			a.applyParameter(msg.body)
+			member.checkRole(msg.body)
 			continue
 		}
-		if whole || !a.take(m) {
+		if complete || !a.addMessage(msg) {
 			return false, transport.Malformed
 		}
-		whole = m.kind == kindCommandComplete || m.kind == kindError
+		complete = msg.kind == kindCommandComplete || msg.kind == kindError
 		if a.Failure != nil && a.Failure.Fatal {
 			return true, transport.ClosedByPeer
 		}
 	}
 }
 
-// take takes in a message of the answer itself, and tells whether it fits.
-func (a *Answer) take(m message) bool {
-	if m.kind == kindError {
-		f, ok := parseFailure(m.body)
-		a.Failure = &f
-		return ok && len(a.messages) < len(rowKinds)
+// addMessage takes in a message of the answer itself, and tells whether it fits.
+func (a *Answer) addMessage(msg message) bool {
+	if msg.kind == kindError {
+		failure, ok := parseFailure(msg.body)
+		a.Failure = &failure
+		return ok && len(a.messages) < len(rowMessageKinds)
 	}
-	a.messages = append(a.messages, m)
+	a.messages = append(a.messages, msg)
 	n := len(a.messages)
-	return n <= len(rowKinds) && m.kind == rowKinds[n-1] && rowChecks[n-1](m.body)
+	return n <= len(rowMessageKinds) && msg.kind == rowMessageKinds[n-1] && rowMessageChecks[n-1](msg.body)
 }
 
-// rowKinds are the messages of an answer with one row of one column, and rowChecks what must be so in each.
-const rowKinds = "TDC"
+// rowMessageKinds are the messages of an answer with one row of one column, and rowChecks what must be so in each.
+const rowMessageKinds = "TDC"
 
-var rowChecks = [len(rowKinds)]func(body string) bool{
+var rowMessageChecks = [len(rowMessageKinds)]func(body string) bool{
 	func(body string) bool { // one name, and the 18 bytes that describe the column
-		rest, one := strings.CutPrefix(body, oneColumn)
+		rest, one := strings.CutPrefix(body, singleColumn)
 		return one && strings.IndexByte(rest, 0) == len(rest)-1-18
 	},
 	func(body string) bool { // one value that fills the row
-		rest, one := strings.CutPrefix(body, oneColumn)
+		rest, one := strings.CutPrefix(body, singleColumn)
 		return one && len(rest) >= 4 && uint64(binary.BigEndian.Uint32([]byte(rest[:4]))) == uint64(len(rest)-4)
 	},
 	func(body string) bool { // one row
@@ -178,7 +178,7 @@
 	},
 }
 
-const oneColumn = "\x00\x01"
+const singleColumn = "\x00\x01"
 
 // The parameters by which a member tells of itself, and the roles that it may have.
 const (
@@ -188,34 +188,34 @@
 	replicaRole       = "follower"
 )
 
-// parameter reads a ParameterStatus.
-func parameter(body string) (name, value string, whole bool) {
+// parseParameter reads a ParameterStatus.
+func parseParameter(body string) (name, value string, complete bool) {
 	name, rest, _ := strings.Cut(body, "\x00")
-	value, rest, whole = strings.Cut(rest, "\x00")
-	return name, value, whole && rest == ""
+	value, rest, complete = strings.Cut(rest, "\x00")
+	return name, value, complete && rest == ""
 }
 
-// parameter takes in a ParameterStatus. What it tells that can't be read is not told.
-func (a *Answer) parameter(body string) {
-	name, value, whole := parameter(body)
-	if !whole {
+// applyParameter takes in a ParameterStatus. What it tells that can't be read is not told.
+func (a *Answer) applyParameter(body string) {
+	name, value, complete := parseParameter(body)
+	if !complete {
 		return
 	}
 	switch name {
 	case roleParameter:
 		a.Primary, a.Replica = value == primaryRole, value == replicaRole
 	case positionParameter:
-		a.Position, _ = millis(value, nil)
+		a.Position, _ = parseMillis(value, nil)
 	}
 }
 
 // Value is the row's one value.
 func (a *Answer) Value() string {
-	const before = 6 // the number of columns and the value's length
-	if len(a.messages) != len(rowKinds) {
+	const headerBytes = 6 // the number of columns and the value's length
+	if len(a.messages) != len(rowMessageKinds) {
 		return ""
 	}
-	return a.messages[1].body[before:]
+	return a.messages[1].body[headerBytes:]
 }
 
 // LoadQuery is the probe that brings a load report.
@@ -223,8 +223,8 @@
 
 // Size is how long the answer's messages are.
 func (a *Answer) Size() (n int) {
-	for _, m := range a.messages {
-		n += len(m.whole)
+	for _, msg := range a.messages {
+		n += len(msg.raw)
 	}
 	return n
 }
--- a/internal/protocol/statement.go
+++ b/internal/protocol/statement.go
@@ -17,49 +17,49 @@
 	Group             int64
 	MinPositionMillis int64 // position that the read must see, in milliseconds, 0 for none
 	IsRetry           bool
-	before            string // the text up to the value of d
-	behind            string // the text after it
-	entries           uint   // of the comment's names, those that came
+	beforeTimeout     string // the text up to the value of d
+	afterTimeout      string // the text after it
+	seenNames         uint   // of the comment's names, those that came
 }
 
 var (
-	errForm    = errors.New("the statement is neither of the two that are taken")
-	errKey     = errors.New("the statement quotes no usable key")
-	errContent = errors.New("the statement's content is not a value of at most 64 KiB")
-	errComment = errors.New("the statement ends in no usable comment")
-	errTwice   = errors.New("the comment has a name twice")
-	errID      = errors.New("the comment has no usable id")
-	errMethod  = errors.New("the comment has no usable c")
-	errLeft    = errors.New("the comment has no usable d")
-	errRepeat  = errors.New("the comment has no usable r")
-	errGroup   = errors.New("the comment has no usable cluster")
-	errAfter   = errors.New("the comment has no usable after")
+	errUnsupportedForm = errors.New("the statement is neither of the two that are taken")
+	errInvalidKey      = errors.New("the statement quotes no usable key")
+	errInvalidContent  = errors.New("the statement's content is not a value of at most 64 KiB")
+	errInvalidComment  = errors.New("the statement ends in no usable comment")
+	errDuplicateName   = errors.New("the comment has a name twice")
+	errInvalidID       = errors.New("the comment has no usable id")
+	errInvalidMethod   = errors.New("the comment has no usable c")
+	errInvalidTimeout  = errors.New("the comment has no usable d")
+	errInvalidRetry    = errors.New("the comment has no usable r")
+	errInvalidGroup    = errors.New("the comment has no usable cluster")
+	errInvalidPosition = errors.New("the comment has no usable after")
 )
 
 const (
-	mostMillis  = math.MaxInt64 / 4_000_000 // so that nanoseconds fit, and sums of them
-	mostContent = 64 << 10
-	mostName    = 256 // bytes of a key, an id or a method's name
-
-	readHead  = "SELECT content FROM kv WHERE name = "
-	writeHead = "INSERT INTO kv (name, content) VALUES ("
-	writeTail = ") RETURNING content"
-	hexDigits = "0123456789abcdefABCDEF"
+	maxMillis       = math.MaxInt64 / 4_000_000 // so that nanoseconds fit, and sums of them
+	maxContentBytes = 64 << 10
+	maxNameBytes    = 256 // bytes of a key, an id or a method's name
+
+	selectPrefix = "SELECT content FROM kv WHERE name = "
+	insertPrefix = "INSERT INTO kv (name, content) VALUES ("
+	insertSuffix = ") RETURNING content"
+	hexDigits    = "0123456789abcdefABCDEF"
 )
 
 // The names of the comment that must be there.
 const (
 	hasID uint = 1 << iota
 	hasMethod
-	hasLeft
+	hasTimeout
 	hasGroup
-	hasRepeat
-	hasAfter
+	hasRetry
+	hasPosition
 )
 
 // ParseStatement reads a statement, all of it: members must get none of another form.
 func ParseStatement(text string) (s Statement, err error) {
-	rest, err := s.command(text)
+	rest, err := s.parseCommand(text)
 	if err != nil {
 		return s, err
 	}
@@ -68,56 +68,56 @@
 		comment, ok = strings.CutSuffix(comment, " */")
 	}
 	if !ok || strings.ContainsAny(comment, "*/'\\\x00") {
-		return s, errComment
+		return s, errInvalidComment
 	}
-	for at, stop := len(text)-len(" */")-len(comment), len(text)-len(" */"); at < stop; {
-		pair, _, _ := strings.Cut(text[at:stop], ",")
-		if err := s.take(text, at, pair); err != nil {
+	for offset, end := len(text)-len(" */")-len(comment), len(text)-len(" */"); offset < end; {
+		pair, _, _ := strings.Cut(text[offset:end], ",")
+		if err := s.parsePair(text, offset, pair); err != nil {
 			return s, err
 		}
-		at += len(pair) + 1
+		offset += len(pair) + 1
 	}
-	for _, need := range []struct {
+	for _, required := range []struct {
 		entry uint
 		err   error
-	}{{hasID, errID}, {hasMethod, errMethod}, {hasLeft, errLeft}, {hasGroup, errGroup}} {
-		if s.entries&need.entry == 0 {
-			return s, need.err
+	}{{hasID, errInvalidID}, {hasMethod, errInvalidMethod}, {hasTimeout, errInvalidTimeout}, {hasGroup, errInvalidGroup}} {
+		if s.seenNames&required.entry == 0 {
+			return s, required.err
 		}
 	}
 	return s, nil
 }
 
-// command reads what comes before the comment, and gives the rest.
-func (s *Statement) command(text string) (rest string, err error) {
-	if rest, s.Write = strings.CutPrefix(text, writeHead); !s.Write {
-		var read bool
-		if rest, read = strings.CutPrefix(text, readHead); !read {
-			return "", errForm
+// parseCommand reads what comes before the comment, and gives the rest.
+func (s *Statement) parseCommand(text string) (rest string, err error) {
+	if rest, s.Write = strings.CutPrefix(text, insertPrefix); !s.Write {
+		var isRead bool
+		if rest, isRead = strings.CutPrefix(text, selectPrefix); !isRead {
+			return "", errUnsupportedForm
 		}
 	}
 	var ok bool
-	if s.Key, rest, ok = quoted(rest); !ok || s.Key == "" || len(s.Key) > mostName {
-		return "", errKey
+	if s.Key, rest, ok = parseQuoted(rest); !ok || s.Key == "" || len(s.Key) > maxNameBytes {
+		return "", errInvalidKey
 	}
 	if !s.Write {
 		return rest, nil
 	}
 	if rest, ok = strings.CutPrefix(rest, ", '\\x"); !ok {
-		return "", errContent
+		return "", errInvalidContent
 	}
 	content, rest, ok := strings.Cut(rest, "'")
-	if !ok || len(content)%2 != 0 || len(content) > 2*mostContent || strings.Trim(content, hexDigits) != "" {
-		return "", errContent
+	if !ok || len(content)%2 != 0 || len(content) > 2*maxContentBytes || strings.Trim(content, hexDigits) != "" {
+		return "", errInvalidContent
 	}
-	if rest, ok = strings.CutPrefix(rest, writeTail); !ok {
-		return "", errForm
+	if rest, ok = strings.CutPrefix(rest, insertSuffix); !ok {
+		return "", errUnsupportedForm
 	}
 	return rest, nil
 }
 
-// quoted takes a quoted string off the front of a text; a doubled quote stands for one.
-func quoted(text string) (value, rest string, ok bool) {
+// parseQuoted takes a quoted string off the front of a text; a doubled quote stands for one.
+func parseQuoted(text string) (value, rest string, ok bool) {
 	rest, ok = strings.CutPrefix(text, "'")
 	var parts strings.Builder
 	for ok {
@@ -133,68 +133,68 @@
 	return parts.String(), rest, ok && strings.IndexByte(parts.String(), 0) < 0
 }
 
-// take takes in one name=value of the comment, which lies at an offset of the text. Unknown names pass.
-func (s *Statement) take(text string, at int, pair string) (err error) {
+// parsePair takes in one name=value of the comment, which lies at an offset of the text. Unknown names pass.
+func (s *Statement) parsePair(text string, offset int, pair string) (err error) {
 	name, value, ok := strings.Cut(pair, "=")
 	if !ok || name == "" || strings.ContainsAny(pair, " \t\r\n") {
-		return errComment
+		return errInvalidComment
 	}
-	var entry uint
+	var flag uint
 	switch name {
 	case "id":
-		entry, s.ID, err = hasID, value, named(value, errID)
+		flag, s.ID, err = hasID, value, checkName(value, errInvalidID)
 	case "c":
-		entry, s.Method, err = hasMethod, value, named(value, errMethod)
+		flag, s.Method, err = hasMethod, value, checkName(value, errInvalidMethod)
 	case "r":
-		entry, s.IsRetry = hasRepeat, value == "1"
+		flag, s.IsRetry = hasRetry, value == "1"
 		if value != "0" && value != "1" {
-			err = errRepeat
+			err = errInvalidRetry
 		}
 	case "d":
-		entry = hasLeft
-		s.TimeoutMillis, err = millis(value, errLeft)
-		from := at + len("d=")
-		s.before, s.behind = text[:from], text[from+len(value):]
+		flag = hasTimeout
+		s.TimeoutMillis, err = parseMillis(value, errInvalidTimeout)
+		valueOffset := offset + len("d=")
+		s.beforeTimeout, s.afterTimeout = text[:valueOffset], text[valueOffset+len(value):]
 	case "cluster":
-		entry = hasGroup
-		s.Group, err = millis(value, errGroup)
+		flag = hasGroup
+		s.Group, err = parseMillis(value, errInvalidGroup)
 	case "after":
-		entry = hasAfter
-		s.MinPositionMillis, err = millis(value, errAfter)
+		flag = hasPosition
+		s.MinPositionMillis, err = parseMillis(value, errInvalidPosition)
 	}
-	if err == nil && s.entries&entry != 0 {
-		err = errTwice
+	if err == nil && s.seenNames&flag != 0 {
+		err = errDuplicateName
 	}
-	s.entries |= entry
+	s.seenNames |= flag
 	return err
 }
 
-// named checks a name.
-func named(text string, wrong error) error {
-	if text == "" || len(text) > mostName {
-		return wrong
+// checkName checks a name.
+func checkName(text string, invalid error) error {
+	if text == "" || len(text) > maxNameBytes {
+		return invalid
 	}
 	return nil
 }
 
-// millis reads a number made of digits alone.
-func millis(text string, wrong error) (int64, error) {
+// parseMillis reads a number made of digits alone.
+func parseMillis(text string, invalid error) (int64, error) {
 	n, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || n > mostMillis || strings.Trim(text, "0123456789") != "" {
-		return 0, wrong
+	if err != nil || n > maxMillis || strings.Trim(text, "0123456789") != "" {
+		return 0, invalid
 	}
 	return n, nil
 }
 
 // WithTimeout is the statement as it came, in pieces, but for how long its sender waits, and with a fence if there is one.
 func (s *Statement) WithTimeout(millis int64, fence Fence) []string {
-	parts := []string{s.before, strconv.FormatInt(millis, 10), s.behind}
+	parts := []string{s.beforeTimeout, strconv.FormatInt(millis, 10), s.afterTimeout}
 	if fence.Version == 0 {
 		return parts
 	}
-	text, _ := strings.CutSuffix(s.behind, " */")
+	text, _ := strings.CutSuffix(s.afterTimeout, " */")
 	parts[2] = text
-	return append(parts, fenceHead, fence.text(), " */")
+	return append(parts, fencePrefix, fence.encode(), " */")
 }
 
 // Fence says under which version a driver made an attempt, and which are valid at the epoch that it knows of. The zero
@@ -205,10 +205,10 @@
 	Valid   []uint64
 }
 
-const fenceHead = ",fence="
+const fencePrefix = ",fence="
 
-// text is a fence in a statement's comment: version@epoch:valid+valid.
-func (f Fence) text() string {
+// encode is a fence in a statement's comment: version@epoch:valid+valid.
+func (f Fence) encode() string {
 	text := strconv.AppendUint(nil, f.Version, 10)
 	text = strconv.AppendUint(append(text, '@'), f.Epoch, 10)
 	for i, n := range f.Valid {
@@ -217,27 +217,27 @@
 	return string(text)
 }
 
-// mostValid is how many versions may be valid at once.
-const mostValid = 8
+// maxValidVersions is how many versions may be valid at once.
+const maxValidVersions = 8
 
 // ParseFence reads a statement's fence: the last in its comment, which no client can put behind it. What can't be read is
 // none.
 func ParseFence(text string) (f Fence) {
-	at := strings.LastIndex(text, fenceHead)
-	if at < 0 {
+	start := strings.LastIndex(text, fencePrefix)
+	if start < 0 {
 		return Fence{}
 	}
-	text, _, _ = strings.Cut(text[at+len(fenceHead):], " ")
+	text, _, _ = strings.Cut(text[start+len(fencePrefix):], " ")
 	version, rest, _ := strings.Cut(text, "@")
 	epoch, valid, _ := strings.Cut(rest, ":")
 	numbers := []string{version, epoch}
 	if valid != "" {
-		numbers = append(numbers, strings.SplitN(valid, "+", mostValid+1)...)
+		numbers = append(numbers, strings.SplitN(valid, "+", maxValidVersions+1)...)
 	}
 	for i, digits := range numbers {
 		n, err := strconv.ParseUint(digits, 10, 64)
 		switch {
-		case err != nil || i > mostValid+1:
+		case err != nil || i > maxValidVersions+1:
 			return Fence{}
 		case i == 0:
 			f.Version = n
--- a/internal/protocol/stream_test.go
+++ b/internal/protocol/stream_test.go
@@ -11,149 +11,149 @@
 	"sedgespread/internal/transport"
 )
 
-// script is a connection on which a text comes, then its end. What is written is kept.
-type script struct {
+// scriptedConn is a connection on which a text comes, then its end. What is written is kept.
+type scriptedConn struct {
 	net.Conn
-	in    *strings.Reader
-	heard strings.Builder
+	input   *strings.Reader
+	written strings.Builder
 }
 
-func (s *script) Read(p []byte) (int, error)  { return s.in.Read(p) }
-func (s *script) Write(p []byte) (int, error) { return s.heard.Write(p) }
-func (s *script) Close() error                { return nil }
+func (c *scriptedConn) Read(buf []byte) (int, error)   { return c.input.Read(buf) }
+func (c *scriptedConn) Write(data []byte) (int, error) { return c.written.Write(data) }
+func (c *scriptedConn) Close() error                   { return nil }
 
-func feed(text string) (*transport.Conn, *script) {
-	s := &script{in: strings.NewReader(text)}
-	return transport.NewConn(context.Background(), s, RingBytes, func() {}), s
+func newScriptedConn(text string) (*transport.Conn, *scriptedConn) {
+	conn := &scriptedConn{input: strings.NewReader(text)}
+	return transport.NewConn(context.Background(), conn, RingBytes, func() {}), conn
 }
 
-// said is a message as it is on the wire.
-func said(kind byte, body string) string {
-	n := len(body) + 4
-	return string([]byte{kind, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}) + body
+// encodeMessage is a message as it is on the wire.
+func encodeMessage(kind byte, body string) string {
+	length := len(body) + 4
+	return string([]byte{kind, byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length)}) + body
 }
 
 const (
-	mostValue = 1 << 20
+	maxAnswerBytes = 1 << 20
 
-	hello = "\x00\x00\x00\x08\x00\x03\x00\x00"
-	about = "T\x00\x00\x00\x1a\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
-	value = "D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01x"
-	row   = about + value + "C\x00\x00\x00\x0dSELECT 1\x00"
-	ready = "Z\x00\x00\x00\x05I"
-	told  = "S\x00\x00\x00\x15node_role\x00leader\x00" + "S\x00\x00\x00\x16replay_position\x007\x00"
+	startupRequest   = "\x00\x00\x00\x08\x00\x03\x00\x00"
+	rowDescription   = "T\x00\x00\x00\x1a\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
+	dataRow          = "D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01x"
+	completeRow      = rowDescription + dataRow + "C\x00\x00\x00\x0dSELECT 1\x00"
+	readyForQuery    = "Z\x00\x00\x00\x05I"
+	statusParameters = "S\x00\x00\x00\x15node_role\x00leader\x00" + "S\x00\x00\x00\x16replay_position\x007\x00"
 )
 
 // Guards against clients whose messages can't be followed, and against losing those that can be.
 func TestClientStreams(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text, query, answer string
 		end                 transport.CloseReason
 	}{
-		{hello + said('Q', "one\x00"), "one", "", transport.Open},
-		{"\x00\x00\x00\x08\x04\xd2\x16\x2f" + hello + said('Q', "one\x00"), "one", "N", transport.Open},
-		{hello + said('P', "x") + said('B', "") + said('S', "") + said('Q', "two\x00"), "two", StateNotSupported, transport.Open},
-		{hello + said('X', ""), "", "", transport.ClosedByPeer},
-		{hello + said('Q', "one"), "", StateProtocolViolation, transport.Malformed},
-		{hello + said('Q', "o\x00ne\x00"), "", StateProtocolViolation, transport.Malformed},
-		{hello + said('y', ""), "", StateProtocolViolation, transport.Malformed},
-		{hello + "Q\x00\x00\x00\x03", "", StateProtocolViolation, transport.Malformed},
-		{hello + "Q\x7f\x00\x00\x00", "", StateProtocolViolation, transport.TooLong},
-		{hello + "Q\x00\x00\x00\x09one", "", "", transport.Truncated},
+		{startupRequest + encodeMessage('Q', "one\x00"), "one", "", transport.Open},
+		{"\x00\x00\x00\x08\x04\xd2\x16\x2f" + startupRequest + encodeMessage('Q', "one\x00"), "one", "N", transport.Open},
+		{startupRequest + encodeMessage('P', "x") + encodeMessage('B', "") + encodeMessage('S', "") + encodeMessage('Q', "two\x00"), "two", StateNotSupported, transport.Open},
+		{startupRequest + encodeMessage('X', ""), "", "", transport.ClosedByPeer},
+		{startupRequest + encodeMessage('Q', "one"), "", StateProtocolViolation, transport.Malformed},
+		{startupRequest + encodeMessage('Q', "o\x00ne\x00"), "", StateProtocolViolation, transport.Malformed},
+		{startupRequest + encodeMessage('y', ""), "", StateProtocolViolation, transport.Malformed},
+		{startupRequest + "Q\x00\x00\x00\x03", "", StateProtocolViolation, transport.Malformed},
+		{startupRequest + "Q\x7f\x00\x00\x00", "", StateProtocolViolation, transport.TooLong},
+		{startupRequest + "Q\x00\x00\x00\x09one", "", "", transport.Truncated},
 		{"\x00\x00\x00\x07", "", "", transport.Truncated},
 		{"\x00\x00\x00\x07\x00\x03\x00\x00", "", StateProtocolViolation, transport.Malformed},
 		{"\x00\x00\x00\x08\x00\x02\x00\x00", "", StateNotSupported, transport.Malformed},
 	} {
-		conn, s := feed(c.text)
+		conn, script := newScriptedConn(test.text)
 		client := Client{conn}
 		query := ""
 		_, end := client.Handshake(CancelKey{}, func(CancelKey) {})
 		if end == transport.Open {
 			query, _, end = client.ReadQuery()
 		}
-		require.Equal(t, c.end, end, "%q", c.text)
-		require.Equal(t, c.query, query)
-		require.Contains(t, s.heard.String(), c.answer)
+		require.Equal(t, test.end, end, "%q", test.text)
+		require.Equal(t, test.query, query)
+		require.Contains(t, script.written.String(), test.answer)
 	}
 }
 
 // Guards against replies of members taken for whole that are not, and the other way round.
 func TestAnswers(t *testing.T) {
-	refused := said('E', "SERROR\x00C25006\x00Mno\x00\x00")
+	errorResponse := encodeMessage('E', "SERROR\x00C25006\x00Mno\x00\x00")
 	for text, want := range map[string]struct {
-		whole bool
-		state string
-		end   transport.CloseReason
+		complete bool
+		state    string
+		reason   transport.CloseReason
 	}{
-		row + told + ready:                      {true, "", transport.Open},
-		row:                                     {true, "", transport.ClosedByPeer},
-		row + row + ready:                       {false, "", transport.Malformed},
-		row + "noise" + ready:                   {false, "", transport.TooLong},
-		row + said('Z', "?"):                    {false, "", transport.Malformed},
-		row[:len(row)-1]:                        {false, "", transport.Truncated},
-		about + ready:                           {false, "", transport.Malformed},
-		ready:                                   {false, "", transport.Malformed},
-		said('N', "x") + refused + told + ready: {true, "25006", transport.Open},
-		said('E', "SFATAL\x00C53300\x00\x00"):   {true, "53300", transport.ClosedByPeer},
-		said('E', "SERROR\x00"):                 {false, "", transport.Malformed},
-		row + said('S', "replay_position\x00-7\x00") + said('S', "no") + ready: {true, "", transport.Open},
-		"D\xff\xff\xff\xff":                                       {false, "", transport.TooLong},
-		said('T', "\x00\x02") + ready:                             {false, "", transport.Malformed},
-		strings.Replace(row, "v\x00", "vv", 1) + ready:            {false, "", transport.Malformed},
-		strings.Replace(row, "\x00\x01x", "\x00\x02x", 1) + ready: {false, "", transport.Malformed},
-		strings.Replace(row, "\x00\x01x", "\x00\x00x", 1) + ready: {false, "", transport.Malformed},
-		about + said('D', "\x00\x01\xff\xff\xff\xff") + ready:     {false, "", transport.Malformed},
-		about + said('D', "\x00\x01\x00") + ready:                 {false, "", transport.Malformed},
-		strings.Replace(row, "SELECT 1", "SELECT 2", 1) + ready:   {false, "", transport.Malformed},
-		about + value + said('C', "SELECT 1") + ready:             {false, "", transport.Malformed},
+		completeRow + statusParameters + readyForQuery: {true, "", transport.Open},
+		completeRow: {true, "", transport.ClosedByPeer},
+		completeRow + completeRow + readyForQuery:                                  {false, "", transport.Malformed},
+		completeRow + "noise" + readyForQuery:                                      {false, "", transport.TooLong},
+		completeRow + encodeMessage('Z', "?"):                                      {false, "", transport.Malformed},
+		completeRow[:len(completeRow)-1]:                                           {false, "", transport.Truncated},
+		rowDescription + readyForQuery:                                             {false, "", transport.Malformed},
+		readyForQuery:                                                              {false, "", transport.Malformed},
+		encodeMessage('N', "x") + errorResponse + statusParameters + readyForQuery: {true, "25006", transport.Open},
+		encodeMessage('E', "SFATAL\x00C53300\x00\x00"):                             {true, "53300", transport.ClosedByPeer},
+		encodeMessage('E', "SERROR\x00"):                                           {false, "", transport.Malformed},
+		completeRow + encodeMessage('S', "replay_position\x00-7\x00") + encodeMessage('S', "no") + readyForQuery: {true, "", transport.Open},
+		"D\xff\xff\xff\xff":                                                             {false, "", transport.TooLong},
+		encodeMessage('T', "\x00\x02") + readyForQuery:                                  {false, "", transport.Malformed},
+		strings.Replace(completeRow, "v\x00", "vv", 1) + readyForQuery:                  {false, "", transport.Malformed},
+		strings.Replace(completeRow, "\x00\x01x", "\x00\x02x", 1) + readyForQuery:       {false, "", transport.Malformed},
+		strings.Replace(completeRow, "\x00\x01x", "\x00\x00x", 1) + readyForQuery:       {false, "", transport.Malformed},
+		rowDescription + encodeMessage('D', "\x00\x01\xff\xff\xff\xff") + readyForQuery: {false, "", transport.Malformed},
+		rowDescription + encodeMessage('D', "\x00\x01\x00") + readyForQuery:             {false, "", transport.Malformed},
+		strings.Replace(completeRow, "SELECT 1", "SELECT 2", 1) + readyForQuery:         {false, "", transport.Malformed},
+		rowDescription + dataRow + encodeMessage('C', "SELECT 1") + readyForQuery:       {false, "", transport.Malformed},
 		"": {false, "", transport.ClosedByPeer},
 	} {
-		conn, _ := feed(text)
-		a := &Answer{}
-		whole, end := a.read(Member{Conn: conn, most: mostValue})
-		require.Equal(t, want.whole, whole, "%q", text)
-		require.Equal(t, want.end, end, "%q", text)
-		if want.whole && want.state == "" {
-			require.Nil(t, a.Failure)
-			require.Equal(t, "x", a.Value())
-		} else if want.whole {
-			require.Equal(t, want.state, a.Failure.State)
+		conn, _ := newScriptedConn(text)
+		answer := &Answer{}
+		complete, reason := answer.read(Member{Conn: conn, maxMessageBytes: maxAnswerBytes})
+		require.Equal(t, want.complete, complete, "%q", text)
+		require.Equal(t, want.reason, reason, "%q", text)
+		if want.complete && want.state == "" {
+			require.Nil(t, answer.Failure)
+			require.Equal(t, "x", answer.Value())
+		} else if want.complete {
+			require.Equal(t, want.state, answer.Failure.State)
 		}
 		conn.Close(transport.ShutDown)
 	}
 }
 
 // Guards against answers that are changed on their way, also those larger than any ring.
-func TestAnswersPassUnaltered(t *testing.T) {
-	large := about + said('D', "\x00\x01\x00\x08\x00\x00"+strings.Repeat("0123456789abcdef", 1<<15)) + said('C', "SELECT 1\x00")
-	from, _ := feed(large + ready)
-	whole := &Answer{}
-	_, end := whole.read(Member{Conn: from, most: mostValue})
-	require.Equal(t, transport.Open, end)
-	to, far := feed("")
-	require.Equal(t, transport.Open, Client{to}.Forward(whole))
-	require.Equal(t, large+ready, far.heard.String())
-	from, _ = feed(large + ready)
-	_, end = new(Answer).read(Member{Conn: from, most: 1 << 18})
-	require.Equal(t, transport.TooLong, end)
+func TestForwardKeepsAnswers(t *testing.T) {
+	large := rowDescription + encodeMessage('D', "\x00\x01\x00\x08\x00\x00"+strings.Repeat("0123456789abcdef", 1<<15)) + encodeMessage('C', "SELECT 1\x00")
+	memberConn, _ := newScriptedConn(large + readyForQuery)
+	answer := &Answer{}
+	_, reason := answer.read(Member{Conn: memberConn, maxMessageBytes: maxAnswerBytes})
+	require.Equal(t, transport.Open, reason)
+	clientConn, script := newScriptedConn("")
+	require.Equal(t, transport.Open, Client{clientConn}.Forward(answer))
+	require.Equal(t, large+readyForQuery, script.written.String())
+	memberConn, _ = newScriptedConn(large + readyForQuery)
+	_, reason = new(Answer).read(Member{Conn: memberConn, maxMessageBytes: 1 << 18})
+	require.Equal(t, transport.TooLong, reason)
 
-	conn, _ := feed(row + told + ready)
-	a := &Answer{}
-	_, end = a.read(Member{Conn: conn, most: mostValue})
-	require.Equal(t, transport.Open, end)
-	require.True(t, a.Primary)
-	require.EqualValues(t, 7, a.Position)
-	conn, client := feed("")
-	require.Equal(t, transport.Open, Client{conn}.Forward(a))
-	require.Equal(t, row+ready, client.heard.String())
+	conn, _ := newScriptedConn(completeRow + statusParameters + readyForQuery)
+	small := &Answer{}
+	_, reason = small.read(Member{Conn: conn, maxMessageBytes: maxAnswerBytes})
+	require.Equal(t, transport.Open, reason)
+	require.True(t, small.Primary)
+	require.EqualValues(t, 7, small.Position)
+	conn, clientScript := newScriptedConn("")
+	require.Equal(t, transport.Open, Client{conn}.Forward(small))
+	require.Equal(t, completeRow+readyForQuery, clientScript.written.String())
 }
 
 // Guards against discovery's replies in any of HTTP's framings, and against broken ones.
 func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for text, want := range map[string]struct {
-		body string
-		end  transport.CloseReason
+		body   string
+		reason transport.CloseReason
 	}{
 		ok + "Content-Length: 2\r\n\r\n{}":                                       {"{}", transport.Open},
 		ok + "Transfer-Encoding: chunked\r\n\r\n1;x\r\n{\r\n1\r\n}\r\n0\r\n\r\n": {"{}", transport.Open},
@@ -165,19 +165,19 @@
 		ok + "nothing\r\n\r\n":                                                   {"", transport.Malformed},
 		"HTTP/1.1 two hundred\r\n\r\n":                                           {"", transport.Malformed},
 		"SSH-2.0\r\n":                                                            {"", transport.Malformed},
-		strings.Repeat("x", mostHead+1):                                          {"", transport.TooLong},
+		strings.Repeat("x", maxHeaderBytes+1):                                    {"", transport.TooLong},
 		"":                                                                       {"", transport.ClosedByPeer},
 	} {
-		conn, _ := feed(text)
-		r, end := readResponse(conn)
-		require.Equal(t, want.end, end, "%.80q", text)
-		require.Equal(t, want.body, string(r.body), "%.80q", text)
+		conn, _ := newScriptedConn(text)
+		resp, reason := readResponse(conn)
+		require.Equal(t, want.reason, reason, "%.80q", text)
+		require.Equal(t, want.body, string(resp.body), "%.80q", text)
 		conn.Close(transport.ShutDown)
 	}
 }
 
 // Guards against a list that is taken in though it can't be right.
-func TestTargetsRefused(t *testing.T) {
+func TestParseTargetsErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"instances":[{"hostPort":"h:1","lifecycle":"SERVING"}]}`:                                   "instanceId is missing",
 		`{"instances":[{"instanceId":"a","lifecycle":"SERVING"}]}`:                                   "hostPort is missing",
@@ -192,28 +192,28 @@
 }
 
 func FuzzClient(f *testing.F) {
-	f.Add(hello + said('Q', "one\x00") + said('P', "") + said('S', "") + said('X', ""))
-	f.Add("\x00\x00\x00\x08\x04\xd2\x16\x2f" + hello + "Q\x00\x00\x00\x03")
+	f.Add(startupRequest + encodeMessage('Q', "one\x00") + encodeMessage('P', "") + encodeMessage('S', "") + encodeMessage('X', ""))
+	f.Add("\x00\x00\x00\x08\x04\xd2\x16\x2f" + startupRequest + "Q\x00\x00\x00\x03")
 	f.Fuzz(func(t *testing.T, text string) {
-		conn, _ := feed(text)
+		conn, _ := newScriptedConn(text)
 		client := Client{conn}
-		for _, end := client.Handshake(CancelKey{}, func(CancelKey) {}); end == transport.Open; {
-			_, _, end = client.ReadQuery()
+		for _, reason := client.Handshake(CancelKey{}, func(CancelKey) {}); reason == transport.Open; {
+			_, _, reason = client.ReadQuery()
 		}
 	})
 }
 
 func FuzzMember(f *testing.F) {
-	f.Add(row + told + ready)
-	f.Add(said('E', "SFATAL\x00C53300\x00Mno\x00Dx\x00\x00"))
+	f.Add(completeRow + statusParameters + readyForQuery)
+	f.Add(encodeMessage('E', "SFATAL\x00C53300\x00Mno\x00Dx\x00\x00"))
 	f.Fuzz(func(t *testing.T, text string) {
-		conn, _ := feed(text)
-		a := &Answer{}
-		if whole, _ := a.read(Member{Conn: conn, most: mostValue}); whole && a.Failure == nil {
-			require.Len(t, a.messages, len(rowKinds))
-			a.Value()
+		conn, _ := newScriptedConn(text)
+		answer := &Answer{}
+		if complete, _ := answer.read(Member{Conn: conn, maxMessageBytes: maxAnswerBytes}); complete && answer.Failure == nil {
+			require.Len(t, answer.messages, len(rowMessageKinds))
+			answer.Value()
 		}
-		Member{Conn: conn, most: mostValue}.greeted()
+		Member{Conn: conn, maxMessageBytes: maxAnswerBytes}.awaitReady()
 	})
 }
 
@@ -221,46 +221,46 @@
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n")
 	f.Add("HTTP/1.0 200 OK\r\n\r\n" + `{"generation":4,"reset":true,"instances":[{"instanceId":"a","hostPort":"b:1","lifecycle":"SERVING"}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		conn, _ := feed(text)
-		r, _ := readResponse(conn)
-		ParseTargets(r.body)
+		conn, _ := newScriptedConn(text)
+		resp, _ := readResponse(conn)
+		ParseTargets(resp.body)
 	})
 }
 
 // Guards against news that mean something else at the driver that hears them.
 func FuzzNews(f *testing.F) {
 	const now = 1767225600123
-	one := Observation{Member: 1<<32 - 1, Role: 2, PositionMillis: now - 4711, LatencyMillis: 88, MinUptimeSeconds: 17}
-	f.Add(string(AppendObservation(nil, one, now)))
-	f.Add(string(AppendObservation(AppendObservation(nil, Observation{PositionMillis: now + 20}, now), one, now)))
+	observation := Observation{Member: 1<<32 - 1, Role: 2, PositionMillis: now - 4711, LatencyMillis: 88, MinUptimeSeconds: 17}
+	f.Add(string(AppendObservation(nil, observation, now)))
+	f.Add(string(AppendObservation(AppendObservation(nil, Observation{PositionMillis: now + 20}, now), observation, now)))
 	f.Add("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff")
-	told, ok := ParseObservations(AppendObservation(AppendObservation(nil, Observation{PositionMillis: now - MaxPositionAgeMillis - 1}, now), one, now), now+1500)
+	observations, ok := ParseObservations(AppendObservation(AppendObservation(nil, Observation{PositionMillis: now - MaxPositionAgeMillis - 1}, now), observation, now), now+1500)
 	require.True(f, ok)
-	require.Equal(f, []Observation{one}, told, "what is too old is left out, and what was told means the same a little later")
+	require.Equal(f, []Observation{observation}, observations, "what is too old is left out, and what was told means the same a little later")
 	f.Fuzz(func(t *testing.T, text string) {
-		news, ok := ParseObservations([]byte(text), now)
+		observations, ok := ParseObservations([]byte(text), now)
 		if !ok {
 			return
 		}
-		var again []byte
-		for _, n := range news {
-			before := len(again)
-			again = AppendObservation(again, n, now)
-			if len(again) == before { // too far from now to be told
+		var encoded []byte
+		for _, o := range observations {
+			before := len(encoded)
+			encoded = AppendObservation(encoded, o, now)
+			if len(encoded) == before { // too far from now to be told
 				return
 			}
-			require.LessOrEqual(t, len(again)-before, newsBytes)
+			require.LessOrEqual(t, len(encoded)-before, observationBytes)
 		}
-		same, ok := ParseObservations(again, now)
-		require.True(t, ok || len(again) > MaxMessageBytes)
+		decoded, ok := ParseObservations(encoded, now)
+		require.True(t, ok || len(encoded) > MaxMessageBytes)
 		if ok {
-			require.Equal(t, news, same)
+			require.Equal(t, observations, decoded)
 		}
 	})
 }
 
 // Guards against a message of another version's form that is taken for one of this.
-func TestMessagesOfAnotherLength(t *testing.T) {
+func TestParseObservationsRejectsWrongLength(t *testing.T) {
 	for _, length := range []int{1, 7, 9, 257, 264} {
 		_, ok := ParseObservations([]byte(strings.Repeat("\x01", length)), 1767225600123)
 		require.False(t, ok, length)
--- a/internal/transport/arrivals.go
+++ b/internal/transport/arrivals.go
@@ -12,32 +12,32 @@
 
 // arrival is when the bytes up to a number came.
 type arrival struct {
-	upTo int64
-	at   time.Time
+	endOffset  int64
+	receivedAt time.Time
 }
 
-// arrivalGrain is within how long what comes is taken for come together, so that a peer that sends byte by byte needs no more
+// arrivalResolution is within how long what comes is taken for come together, so that a peer that sends byte by byte needs no more
 // memory for arrivals than for a few of them: times on the protocols are in milliseconds.
-const arrivalGrain = time.Millisecond
+const arrivalResolution = time.Millisecond
 
-// note notes that the bytes up to a number have come.
-func (a *arrivals) note(upTo int64, at time.Time) {
-	if last := len(*a) - 1; last >= 0 && at.Sub((*a)[last].at) < arrivalGrain {
-		(*a)[last].upTo = upTo
+// record notes that the bytes up to a number have come.
+func (a *arrivals) record(endOffset int64, receivedAt time.Time) {
+	if last := len(*a) - 1; last >= 0 && receivedAt.Sub((*a)[last].receivedAt) < arrivalResolution {
+		(*a)[last].endOffset = endOffset
 		return
 	}
-	*a = append(*a, arrival{upTo, at})
+	*a = append(*a, arrival{endOffset, receivedAt})
 }
 
-// of is when the byte of a number came, which must be held.
-func (a arrivals) of(number int64) time.Time {
-	i, _ := slices.BinarySearchFunc(a, number, func(x arrival, n int64) int { return cmp.Compare(x.upTo, n) })
-	return a[i].at
+// timeOf is when the byte of a number came, which must be held.
+func (a arrivals) timeOf(offset int64) time.Time {
+	i, _ := slices.BinarySearchFunc(a, offset, func(entry arrival, target int64) int { return cmp.Compare(entry.endOffset, target) })
+	return a[i].receivedAt
 }
 
-// forget forgets the bytes up to a number.
-func (a *arrivals) forget(upTo int64) {
-	for len(*a) > 0 && (*a)[0].upTo <= upTo {
+// discard forgets the bytes up to a number.
+func (a *arrivals) discard(endOffset int64) {
+	for len(*a) > 0 && (*a)[0].endOffset <= endOffset {
 		*a = (*a)[1:]
 	}
 	if len(*a) == 0 {
@@ -45,12 +45,12 @@
 	}
 }
 
-// cut forgets the bytes behind a number, which must be one that is held.
-func (a *arrivals) cut(upTo int64) {
-	for len(*a) > 1 && (*a)[len(*a)-2].upTo >= upTo {
+// truncate forgets the bytes behind a number, which must be one that is held.
+func (a *arrivals) truncate(endOffset int64) {
+	for len(*a) > 1 && (*a)[len(*a)-2].endOffset >= endOffset {
 		*a = (*a)[:len(*a)-1]
 	}
 	if last := len(*a) - 1; last >= 0 {
-		(*a)[last].upTo = min((*a)[last].upTo, upTo)
+		(*a)[last].endOffset = min((*a)[last].endOffset, endOffset)
 	}
 }
--- a/internal/transport/end.go
+++ b/internal/transport/end.go
@@ -33,40 +33,40 @@
 	Withheld                 // open, and not used: what it was opened for may not be sent any more
 )
 
-var endNames = [...]string{"open", "dial refused", "dial timed out", "dial failed", "no descriptor", "turned away",
+var closeReasonTexts = [...]string{"open", "dial refused", "dial timed out", "dial failed", "no descriptor", "turned away",
 	"closed by peer", "cut short", "reset by peer", "malformed", "too long", "write stalled", "timed out", "cancelled",
 	"evicted", "stalled", "shut down", "withheld"}
 
-func (e CloseReason) String() string { return endNames[e] }
+func (r CloseReason) String() string { return closeReasonTexts[r] }
 
 // Error lets an End be the cause of a context's end.
-func (e CloseReason) Error() string { return endNames[e] }
+func (r CloseReason) Error() string { return closeReasonTexts[r] }
 
 // CloseReasonOf tells why a context ended: the End it was cancelled with, or its deadline.
 func CloseReasonOf(ctx context.Context) CloseReason {
-	var end CloseReason
+	var reason CloseReason
 	switch cause := context.Cause(ctx); {
 	case cause == nil:
 		return Open
-	case errors.As(cause, &end):
-		return end
+	case errors.As(cause, &reason):
+		return reason
 	case errors.Is(cause, context.DeadlineExceeded):
 		return TimedOut
 	}
 	return Cancelled
 }
 
-// endOfDial tells why no connection came up by the end of a context.
-func endOfDial(by context.Context, err error) CloseReason {
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() {
-		if _, bounded := by.Deadline(); bounded {
-			<-by.Done() // the dialer keeps the same deadline and may see it first
+// dialFailureReason tells why no connection came up by the end of a context.
+func dialFailureReason(ctx context.Context, err error) CloseReason {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		if _, hasDeadline := ctx.Deadline(); hasDeadline {
+			<-ctx.Done() // the dialer keeps the same deadline and may see it first
 		}
 	}
 	switch {
-	case by.Err() != nil:
-		return CloseReasonOf(by)
+	case ctx.Err() != nil:
+		return CloseReasonOf(ctx)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return DialRefused
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
@@ -75,14 +75,14 @@
 	return DialFailed
 }
 
-func endOfRead(err error) CloseReason {
+func readFailureReason(err error) CloseReason {
 	if errors.Is(err, io.EOF) {
 		return ClosedByPeer
 	}
 	return ResetByPeer
 }
 
-func endOfWrite(err error) CloseReason {
+func writeFailureReason(err error) CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return WriteStalled
 	}
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -6,48 +6,48 @@
 	buf   []byte
 	head  int
 	used  int
-	bound int
+	limit int
 }
 
 const (
-	firstSize = 512
-	keptSize  = 8 << 10 // a larger ring is given back once it is empty
+	initialSize = 512
+	maxIdleSize = 8 << 10 // a larger ring is given back once it is empty
 )
 
 // NewRingBuffer makes an empty ring that grows to bound bytes at most.
-func NewRingBuffer(bound int) RingBuffer { return RingBuffer{bound: bound} }
+func NewRingBuffer(limit int) RingBuffer { return RingBuffer{limit: limit} }
 
 // Len is the number of bytes held.
 func (r *RingBuffer) Len() int { return r.used }
 
 // Available is the number of bytes that may still be written.
-func (r *RingBuffer) Available() int { return r.bound - r.used }
+func (r *RingBuffer) Available() int { return r.limit - r.used }
 
 // grow makes space for n more bytes, as far as the bound allows.
 func (r *RingBuffer) grow(n int) {
-	size := max(len(r.buf), min(firstSize, r.bound))
-	for size < min(r.used+n, r.bound) {
-		size = min(2*size, r.bound)
+	size := max(len(r.buf), min(initialSize, r.limit))
+	for size < min(r.used+n, r.limit) {
+		size = min(2*size, r.limit)
 	}
 	if size != len(r.buf) {
-		r.move(size)
+		r.resize(size)
 	}
 }
 
-// move moves what is held to a buffer of another size, which must do for it.
-func (r *RingBuffer) move(size int) {
-	other := make([]byte, size)
-	r.peek(other[:r.used])
-	r.buf, r.head = other, 0
+// resize moves what is held to a buffer of another size, which must do for it.
+func (r *RingBuffer) resize(size int) {
+	buf := make([]byte, size)
+	r.peek(buf[:r.used])
+	r.buf, r.head = buf, 0
 }
 
-// relax starts an empty ring afresh, and gives a large one back.
-func (r *RingBuffer) relax() {
+// reset starts an empty ring afresh, and gives a large one back.
+func (r *RingBuffer) reset() {
 	if r.used > 0 {
 		return
 	}
 	r.head = 0
-	if len(r.buf) > keptSize {
+	if len(r.buf) > maxIdleSize {
 		r.buf = nil
 	}
 }
@@ -85,18 +85,18 @@
 }
 
 // peek copies the oldest bytes without taking them; they must be held.
-func (r *RingBuffer) peek(into []byte) {
-	n := copy(into, r.buf[r.head:])
-	copy(into[n:], r.buf)
+func (r *RingBuffer) peek(dst []byte) {
+	n := copy(dst, r.buf[r.head:])
+	copy(dst[n:], r.buf)
 }
 
 // peekAt copies bytes from an offset on without taking them, and tells whether so many are held.
-func (r *RingBuffer) peekAt(at int, into []byte) bool {
-	if at+len(into) > r.used {
+func (r *RingBuffer) peekAt(offset int, dst []byte) bool {
+	if offset+len(dst) > r.used {
 		return false
 	}
-	for i := range into {
-		into[i] = r.buf[(r.head+at+i)%len(r.buf)]
+	for i := range dst {
+		dst[i] = r.buf[(r.head+offset+i)%len(r.buf)]
 	}
 	return true
 }
--- a/internal/transport/ring_test.go
+++ b/internal/transport/ring_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against bytes lost, doubled or out of order where the ring wraps around or grows.
-func TestRingKeepsOrder(t *testing.T) {
+func TestRingBufferKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	r, model := NewRingBuffer(3000), ""
 	for i := range 20_000 {
@@ -31,14 +31,14 @@
 }
 
 // Guards against memory that idle connections hold on to.
-func TestRingIsSmallUntilNeeded(t *testing.T) {
+func TestRingBufferReleasesMemory(t *testing.T) {
 	r := NewRingBuffer(100 << 10)
 	require.Zero(t, cap(r.buf))
 	r.Write("a")
-	require.Len(t, r.buf, firstSize)
+	require.Len(t, r.buf, initialSize)
 	r.Write(strings.Repeat("b", 50<<10))
 	require.Less(t, len(r.buf), 100<<10)
 	r.discard(r.Len())
-	r.relax()
+	r.reset()
 	require.Zero(t, cap(r.buf))
 }
--- a/internal/transport/spare.go
+++ b/internal/transport/spare.go
@@ -5,26 +5,28 @@
 // OverflowBudget is what all connections together may hold beyond their usual bounds, for peers that send on while they are not read
 // from. It guards against many of them at once taking the memory of all.
 type OverflowBudget struct {
-	mu   sync.Mutex
-	left int
-	each int // bytes that one connection may hold in all
+	mu           sync.Mutex
+	available    int
+	perConnLimit int // bytes that one connection may hold in all
 }
 
 // NewOverflowBudget allows for so many bytes beyond the usual for all, and for so many in all for each.
-func NewOverflowBudget(all, each int) *OverflowBudget { return &OverflowBudget{left: all, each: each} }
+func NewOverflowBudget(total, perConnLimit int) *OverflowBudget {
+	return &OverflowBudget{available: total, perConnLimit: perConnLimit}
+}
 
-func (s *OverflowBudget) take(n int) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.left < n {
+func (b *OverflowBudget) reserve(n int) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.available < n {
 		return false
 	}
-	s.left -= n
+	b.available -= n
 	return true
 }
 
-func (s *OverflowBudget) give(n int) {
-	s.mu.Lock()
-	s.left += n
-	s.mu.Unlock()
+func (b *OverflowBudget) release(n int) {
+	b.mu.Lock()
+	b.available += n
+	b.mu.Unlock()
 }
