--- a/internal/transport/arrivals.go
+++ b/internal/transport/arrivals.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// arrivals tells when bytes came that are held, each told by its number on the connection. It guards against messages that
-// are taken for new when their turn comes, after those that stood before them.
+// arrivals records when buffered bytes were received, by their offset in the connection's stream, so
+// that a message queued behind others is timed from its arrival and not from when it is read.
 type arrivals []arrival
 
-// arrival is when the bytes up to a number came.
+// arrival is the time at which the bytes before endOffset, since the previous arrival, were received.
 type arrival struct {
-	endOffset  int64
+	endOffset  int64 // exclusive
 	receivedAt time.Time
 }
 
-// arrivalResolution is within how long what comes is taken for come together, so that a peer that sends byte by byte needs no more
-// memory for arrivals than for a few of them: times on the protocols are in milliseconds.
+// arrivalResolution is the period within which reads are merged into one arrival, which bounds the
+// memory used for a peer that sends byte by byte.
 const arrivalResolution = time.Millisecond
 
-// record notes that the bytes up to a number have come.
+// record adds the bytes before endOffset.
 func (a *arrivals) record(endOffset int64, receivedAt time.Time) {
 	if last := len(*a) - 1; last >= 0 && receivedAt.Sub((*a)[last].receivedAt) < arrivalResolution {
 		(*a)[last].endOffset = endOffset
@@ -29,13 +29,13 @@
 	*a = append(*a, arrival{endOffset, receivedAt})
 }
 
-// timeOf is when the byte of a number came, which must be held.
+// timeOf returns when the buffered data up to offset was received. Offset must lie within that data.
 func (a arrivals) timeOf(offset int64) time.Time {
 	i, _ := slices.BinarySearchFunc(a, offset, func(entry arrival, target int64) int { return cmp.Compare(entry.endOffset, target) })
 	return a[i].receivedAt
 }
 
-// discard forgets the bytes up to a number.
+// discard removes the bytes before endOffset.
 func (a *arrivals) discard(endOffset int64) {
 	for len(*a) > 0 && (*a)[0].endOffset <= endOffset {
 		*a = (*a)[1:]
@@ -45,7 +45,7 @@
 	}
 }
 
-// truncate forgets the bytes behind a number, which must be one that is held.
+// truncate removes the bytes from endOffset on. endOffset must lie within the buffered data.
 func (a *arrivals) truncate(endOffset int64) {
 	for len(*a) > 1 && (*a)[len(*a)-2].endOffset >= endOffset {
 		*a = (*a)[:len(*a)-1]
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport holds the connections: each has one ring buffer a direction, a reader of its own that sees at
-// once when the far side ends it, and one End that says how it ended.
+// Package transport implements buffered connections. Each has a ring buffer per direction, a goroutine
+// that reads continuously and so notices at once when the peer closes, and a CloseReason.
 package transport
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Conn is one connection. One goroutine at a time may read from it, and one may write to it.
+// Conn is a buffered connection. It supports one reading and one writing goroutine at a time.
 type Conn struct {
 	netConn net.Conn
 	ctx     context.Context
@@ -20,32 +20,33 @@
 	release func()
 
 	mu                sync.Mutex
-	changed           *sync.Cond // the in ring or the end has changed
+	changed           *sync.Cond // signals changes of the fields below
 	readBuffer        RingBuffer
-	consumedBytes     int64                                     // bytes that were read and taken, or thrown away
-	arrivals          arrivals                                  // of those that are held
-	wantedBytes       int                                       // bytes that the reading goroutine waits for
-	stopReason        CloseReason                               // asked to end between messages
-	ignoreSocketInput bool                                      // whatever may wait unread
-	readStopped       bool                                      // and nothing came before reading stopped
-	discardLimit      int                                       // bytes that may still be read to be thrown away
-	inspect           func(held PeekFunc) (gone bool, keep int) // looks at what is held while nobody takes it; nil else
-	overflowBudget    *OverflowBudget                           // that the in ring may have beyond its usual bound
-	overflowBytes     int                                       // and has
+	consumedBytes     int64                                                // bytes consumed or discarded so far
+	arrivals          arrivals                                             // of the bytes in readBuffer
+	wantedBytes       int                                                  // bytes that Await is waiting for
+	stopReason        CloseReason                                          // what Await returns once reading has stopped
+	ignoreSocketInput bool                                                 // stop even if the socket holds unread data
+	readStopped       bool                                                 // readLoop is paused by StopIfIdle or Interrupt
+	discardLimit      int                                                  // bytes of input that Linger still discards
+	inspect           func(peekAt PeekFunc) (peerGone bool, keepBytes int) // see WatchForClose; nil if not watching
+	overflowBudget    *OverflowBudget                                      // memory beyond the normal limit of readBuffer
+	overflowBytes     int                                                  // reserved from overflowBudget
 	readTimeout       time.Duration
-	readTimer         *time.Timer // ends the connection once nothing has come for as long as hurry
+	readTimer         *time.Timer // closes the connection after readTimeout without input
 	closeReason       CloseReason
-	closed            chan struct{} // closed once the socket is
+	closed            chan struct{} // closed after the socket has been closed
 
 	writeBuffer  RingBuffer
 	writeTimeout time.Duration
 }
 
-// PeekFunc copies bytes that were read and not taken, from an offset on, and tells whether so many are there.
-type PeekFunc func(at int, into []byte) bool
+// PeekFunc copies buffered bytes, starting at an offset, without consuming them. It returns false and
+// copies nothing if too few are buffered to fill dst.
+type PeekFunc func(offset int, dst []byte) bool
 
-// NewConn starts reading into rings that hold up to bound bytes each. The connection ends with its context, and
-// calls give once it has.
+// NewConn wraps netConn with buffers of up to bufferLimit bytes per direction and starts reading. The
+// connection closes when ctx ends; release is called once after it has closed.
 func NewConn(ctx context.Context, netConn net.Conn, bufferLimit int, release func()) *Conn {
 	c := &Conn{netConn: netConn, release: release, readBuffer: NewRingBuffer(bufferLimit), writeBuffer: NewRingBuffer(bufferLimit), closed: make(chan struct{})}
 	c.changed = sync.NewCond(&c.mu)
@@ -55,18 +56,19 @@
 	return c
 }
 
-// Context ends when the connection has, with its End as the cause.
+// Context returns a context that ends when the connection closes, with the CloseReason as its cause.
 func (c *Conn) Context() context.Context { return c.ctx }
 
-// CloseReason tells how the connection ended, or Open.
+// CloseReason returns why the connection was closed, or Open.
 func (c *Conn) CloseReason() CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeReason
 }
 
-// Close ends the connection, once. It returns when the socket is closed, whoever closed it: what comes after, such as
-// another attempt, must not cross what is still out on an open connection.
+// Close closes the connection unless it is closed already; only the first reason is kept. It returns
+// after the socket is closed, also when another goroutine closes it, so that a following attempt cannot
+// overlap with one still in progress on this connection.
 func (c *Conn) Close(reason CloseReason) {
 	if c.markClosed(reason) {
 		c.netConn.Close()
@@ -76,6 +78,7 @@
 	<-c.closed
 }
 
+// markClosed records the reason of the first close and reports whether this call was the first.
 func (c *Conn) markClosed(reason CloseReason) bool {
 	c.mu.Lock()
 	first := c.closeReason == Open
@@ -89,7 +92,7 @@
 	return first
 }
 
-// readLoop reads what comes into the in ring until the connection ends.
+// readLoop reads from the socket into readBuffer until the connection closes.
 func (c *Conn) readLoop() {
 	for {
 		space := c.nextReadSpace()
@@ -121,7 +124,7 @@
 	}
 }
 
-// recordRead takes in that so many bytes came. The lock is held.
+// recordRead accounts for n bytes read into readBuffer. The caller holds c.mu.
 func (c *Conn) recordRead(n int, receivedAt time.Time) {
 	c.readBuffer.used += n
 	c.arrivals.record(c.consumedBytes+int64(c.readBuffer.used), receivedAt)
@@ -130,8 +133,9 @@
 	}
 }
 
-// confirmStop settles a parting once reading was interrupted: what came first calls it off, also what waits unread, unless the parting is final. The lock is
-// held.
+// confirmStop completes or cancels a requested stop after a read. Input that arrived before the read was
+// interrupted cancels it, also input still in the socket unless ignoreSocketInput is set. It reports
+// whether reading has stopped. The caller holds c.mu.
 func (c *Conn) confirmStop(err error) bool {
 	if c.stopReason == Open || c.readStopped {
 		return c.readStopped
@@ -146,8 +150,8 @@
 	return c.readStopped
 }
 
-// waitForResume waits, after reading has stopped, until what comes is to be read again, and tells whether it is: else the
-// connection has ended.
+// waitForResume waits until a stopped connection is to be read again. It returns false if the
+// connection closed instead.
 func (c *Conn) waitForResume() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,8 +161,8 @@
 	return c.closeReason == Open
 }
 
-// nextReadSpace waits for room in the in ring, and gives nil when the connection has ended. Only the pump changes where
-// the ring's bytes lie, so that it may fill the space without the lock.
+// nextReadSpace waits for free space in readBuffer and returns nil once the connection is closed. Only
+// readLoop moves the buffer's contents, so it may fill the space without holding the lock.
 func (c *Conn) nextReadSpace() []byte {
 	free, overLimit := c.waitForReadSpace()
 	if overLimit {
@@ -167,7 +171,8 @@
 	return free
 }
 
-// waitForReadSpace is space, and tells whether nothing more may be held though the peer must be read from.
+// waitForReadSpace implements nextReadSpace. overLimit reports that WatchForClose needs to read on but
+// the memory limit has been reached.
 func (c *Conn) waitForReadSpace() (free []byte, overLimit bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +194,7 @@
 	}
 }
 
-// extendReadBuffer lets the ring hold more than usual, as far as that is allowed and the others have left of it. The lock is held.
+// extendReadBuffer raises the limit of readBuffer if the overflow budget allows it. The caller holds c.mu.
 func (c *Conn) extendReadBuffer() bool {
 	extra := min(c.readBuffer.limit, c.overflowBudget.perConnLimit-c.readBuffer.limit)
 	if extra <= 0 || !c.overflowBudget.reserve(extra) {
@@ -200,7 +205,8 @@
 	return true
 }
 
-// shrinkReadBuffer starts an empty ring afresh, and gives back what it held beyond the usual once the usual will do. The lock is held.
+// shrinkReadBuffer resets readBuffer if it is empty, and releases overflow memory that is no longer
+// needed. The caller holds c.mu.
 func (c *Conn) shrinkReadBuffer() {
 	c.readBuffer.reset()
 	if normalLimit := c.readBuffer.limit - c.overflowBytes; c.overflowBytes > 0 && c.readBuffer.Len() <= normalLimit/2 {
@@ -209,7 +215,7 @@
 	}
 }
 
-// releaseOverflow gives back what was held beyond the usual. The lock is held.
+// releaseOverflow returns overflow memory to the budget. The caller holds c.mu.
 func (c *Conn) releaseOverflow() {
 	if c.overflowBytes > 0 {
 		c.readBuffer.limit -= c.overflowBytes
@@ -218,14 +224,15 @@
 	}
 }
 
-// discardUnwanted throws away what came while that is wanted. The lock is held.
+// discardUnwanted drops buffered input up to discardLimit. The caller holds c.mu.
 func (c *Conn) discardUnwanted() {
 	n := min(c.readBuffer.Len(), c.discardLimit)
 	c.consume(n)
 	c.discardLimit -= n
 }
 
-// Await waits until n bytes can be read. What came before the connection ended can still be read.
+// Await waits until n bytes are buffered and returns Open. Input that arrived before the connection
+// closed can still be read.
 func (c *Conn) Await(n int) CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,20 +249,21 @@
 		if c.closeReason != Open {
 			return c.closeReason
 		}
-		c.changed.Broadcast() // the pump may wait to hear how much is wanted
+		c.changed.Broadcast() // wakes readLoop, which grows readBuffer to wantedBytes
 	}
 	c.wantedBytes = 0
 	return Open
 }
 
-// Peek copies the next bytes without taking them. They must have been awaited.
+// Peek copies the next len(dst) bytes without consuming them. They must have been awaited.
 func (c *Conn) Peek(dst []byte) {
 	c.mu.Lock()
 	c.readBuffer.peek(dst)
 	c.mu.Unlock()
 }
 
-// Read takes the next bytes, of which there must be some, and tells when the last of them came. They must have been awaited.
+// Read consumes the next len(dst) bytes, at least one, and returns when the last of them was received.
+// They must have been awaited.
 func (c *Conn) Read(dst []byte) (receivedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,37 +274,39 @@
 	return receivedAt
 }
 
-// consume takes the next bytes. The lock is held.
+// consume removes the next n bytes from readBuffer. The caller holds c.mu.
 func (c *Conn) consume(n int) {
 	c.readBuffer.discard(n)
 	c.consumedBytes += int64(n)
 	c.arrivals.discard(c.consumedBytes)
 }
 
-// Buffered is the number of bytes that can be read without waiting.
+// Buffered returns the number of bytes that can be read without waiting.
 func (c *Conn) Buffered() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readBuffer.Len()
 }
 
-// Idle tells whether the connection is open and holds nothing that was not read.
+// Idle reports whether the connection is open and no input is buffered.
 func (c *Conn) Idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeReason == Open && c.readBuffer.Len() == 0
 }
 
-// HasNoPendingInput tells whether it is idle and nothing waits to be read either, be it the peer's end.
+// HasNoPendingInput reports whether the connection is idle and its socket holds neither unread input nor
+// the end of the stream.
 func (c *Conn) HasNoPendingInput() bool {
-	return c.Idle() && c.socketInputEmpty() && c.Idle() // what the reader had taken by then is in the ring now
+	return c.Idle() && c.socketInputEmpty() && c.Idle() // input that readLoop took from the socket meanwhile is buffered now
 }
 
-// socketInputEmpty tells whether the system holds nothing that came, be it the peer's end. What can't be asked is taken for more.
+// socketInputEmpty reports whether the socket holds neither unread input nor the end of the stream. It
+// returns false if the socket cannot be checked.
 func (c *Conn) socketInputEmpty() bool {
 	socket, ok := c.netConn.(syscall.Conn)
 	if !ok {
-		return true // there is no system between
+		return true // not a socket, so nothing is buffered by the kernel
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -311,11 +321,11 @@
 	return err == nil && empty
 }
 
-// WatchForClose reads on from the peer while nobody takes what it sends, up to what spare allows, until the function it gives is
-// called. What is held is shown to heard, now and as more comes: once that tells that the peer has gone the connection ends,
-// and what stands behind keep is thrown away, if keep is not negative. It guards against work for a peer whose end stands
-// behind what it sent before. One that sends more than may be held is let go.
-func (c *Conn) WatchForClose(budget *OverflowBudget, inspect func(held PeekFunc) (peerGone bool, keep int)) (stop func()) {
+// WatchForClose keeps reading while a request is processed, so that a peer that has closed is noticed
+// behind input it sent earlier. It calls inspect on the buffered input now and after each read, closes
+// the connection once peerGone is set, and truncates the input to keepBytes unless that is negative.
+// A peer that sends more than the budget allows is disconnected. Stop ends the watch.
+func (c *Conn) WatchForClose(budget *OverflowBudget, inspect func(peekAt PeekFunc) (peerGone bool, keepBytes int)) (stop func()) {
 	c.mu.Lock()
 	c.inspect, c.overflowBudget = inspect, budget
 	peerGone := c.inspectBuffered()
@@ -331,7 +341,7 @@
 	}
 }
 
-// inspectBuffered shows what is held, and tells whether the peer has gone by that. The lock is held.
+// inspectBuffered calls inspect, if set, and reports whether the peer has gone. The caller holds c.mu.
 func (c *Conn) inspectBuffered() bool {
 	if c.inspect == nil {
 		return false
@@ -346,12 +356,13 @@
 
 func (c *Conn) peekAt(offset int, dst []byte) bool { return c.readBuffer.peekAt(offset, dst) }
 
-// StopIfIdle asks whoever reads from an idle connection to end it: reading stops, and Await gives the End. What comes
-// later stays unread, so that the peer can tell; what came before, be it that nobody has read it yet, calls that off. It tells whether the connection
-// was idle.
+// StopIfIdle stops reading from an idle connection, so that Await returns reason, and reports whether it
+// was idle. Input that arrived before the stop cancels it, also if still in the socket; later input stays
+// unread, so that the close resets the connection and the peer can tell that it was not processed.
 func (c *Conn) StopIfIdle(reason CloseReason) bool { return c.stopIfIdle(reason, false) }
 
-// ForceStopIfIdle is Part that nothing calls off but what was read: it is for a peer that has had its last answer and was told so.
+// ForceStopIfIdle is like StopIfIdle, but input still in the socket does not cancel the stop. It is for a
+// peer that was told that it had received its last answer.
 func (c *Conn) ForceStopIfIdle(reason CloseReason) bool { return c.stopIfIdle(reason, true) }
 
 func (c *Conn) stopIfIdle(reason CloseReason, ignoreSocketInput bool) bool {
@@ -365,7 +376,7 @@
 	return idle
 }
 
-// Interrupt makes whoever waits for the rest of a message give up: reading stops, and Await gives the End.
+// Interrupt stops reading, also within a message, so that Await returns reason.
 func (c *Conn) Interrupt(reason CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -376,7 +387,8 @@
 	}
 }
 
-// SetReadTimeout ends the connection as Stalled once the peer has sent nothing for a while, from now on; 0 calls that off.
+// SetReadTimeout closes the connection as Stalled once the peer has sent nothing for timeout, starting
+// now. 0 disables the timeout.
 func (c *Conn) SetReadTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -388,8 +400,9 @@
 	}
 }
 
-// Linger ends this side's sending and gives the peer a while to read what was sent, and to end its own. Up to waste
-// bytes that still come are thrown away: what is unread at the close would make it a reset, which may overtake them.
+// Linger closes the sending side and waits up to timeout for the peer to close its own. It discards up
+// to discardLimit bytes of input, because closing with unread input sends a reset, which may destroy
+// data that the peer has not read yet.
 func (c *Conn) Linger(timeout time.Duration, discardLimit int) {
 	halfCloser, ok := c.netConn.(interface{ CloseWrite() error })
 	if !ok || halfCloser.CloseWrite() != nil {
@@ -409,7 +422,7 @@
 	}
 }
 
-// Write puts a text into the out ring, sending what does not fit. What goes wrong shows at the flush.
+// Write appends text to writeBuffer and flushes whenever that is full. Errors are reported by Flush.
 func (c *Conn) Write(text string) {
 	for {
 		text = text[c.writeBuffer.Write(text):]
@@ -419,10 +432,10 @@
 	}
 }
 
-// SetWriteTimeout is how long the peer may take to take what is flushed before that ends the connection.
+// SetWriteTimeout limits how long a flush may take before the connection is closed as WriteStalled.
 func (c *Conn) SetWriteTimeout(timeout time.Duration) { c.writeTimeout = timeout }
 
-// Flush sends what the out ring holds. Open means that its last byte was written.
+// Flush sends the contents of writeBuffer. It returns Open if all of it was written.
 func (c *Conn) Flush() CloseReason {
 	if c.writeTimeout > 0 && c.writeBuffer.Len() > 0 {
 		c.netConn.SetWriteDeadline(time.Now().Add(c.writeTimeout))
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -2,29 +2,30 @@
 
 import "sync"
 
-// Descriptors counts the sockets that this process holds against what it may hold.
+// Descriptors limits the number of sockets that this process has open.
 type Descriptors struct {
 	mu    sync.Mutex
 	limit int
 	inUse int
 }
 
-// kept for what is not counted: standard streams, the poller, the listener, the datagram socket and their like.
+// reservedDescriptors are left for files that are not counted, such as the standard streams, the poller,
+// the listeners and the UDP socket.
 const reservedDescriptors = 24
 
-// NewDescriptors allows for a process that may hold limit descriptors in all.
+// NewDescriptors returns Descriptors for a process with the given limit on open files.
 func NewDescriptors(limit int) *Descriptors {
 	return &Descriptors{limit: max(1, limit-reservedDescriptors)}
 }
 
-// Resize allows for limit descriptors in all from here on. Sockets held beyond that stay until they are given back.
+// Resize changes the process's limit on open files. Sockets open beyond it stay open until released.
 func (d *Descriptors) Resize(limit int) {
 	d.mu.Lock()
 	d.limit = max(1, limit-reservedDescriptors)
 	d.mu.Unlock()
 }
 
-// Acquire counts one more socket if that leaves at least spare ones free.
+// Acquire counts one more socket if at least reserve others stay free after it.
 func (d *Descriptors) Acquire(reserve int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,21 +36,21 @@
 	return true
 }
 
-// Release counts one socket less.
+// Release counts one socket as closed.
 func (d *Descriptors) Release() {
 	d.mu.Lock()
 	d.inUse--
 	d.mu.Unlock()
 }
 
-// Free is how many more may be held.
+// Free returns how many more sockets may be opened.
 func (d *Descriptors) Free() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limit - d.inUse
 }
 
-// Limit is how many may be held at once.
+// Limit returns how many sockets may be open at once.
 func (d *Descriptors) Limit() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Dial connects to an address until by ends, if that leaves at least spare descriptors free; the connection itself lives as
-// long as life.
+// Dial connects to an address if at least reserve descriptors stay free. dialCtx bounds the dial, connCtx
+// the life of the connection.
 func Dial(connCtx, dialCtx context.Context, descriptors *Descriptors, reserve int, address string, bufferLimit int) (*Conn, CloseReason) {
 	if !descriptors.Acquire(reserve) {
 		return nil, NoDescriptor
@@ -22,14 +22,14 @@
 	return NewConn(connCtx, netConn, bufferLimit, descriptors.Release), Open
 }
 
-// Listener accepts connections within the descriptors allowed.
+// Listener accepts connections within the limit on descriptors.
 type Listener struct {
 	netListener net.Listener
 	descriptors *Descriptors
 	bufferLimit int
 }
 
-// Listen opens a listener.
+// Listen listens on a TCP address.
 func Listen(address string, descriptors *Descriptors, bufferLimit int) (*Listener, error) {
 	netListener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -38,11 +38,13 @@
 	return &Listener{netListener: netListener, descriptors: descriptors, bufferLimit: bufferLimit}, nil
 }
 
-const acceptRetryDelay = 10 * time.Millisecond // after an accept that failed, or while no descriptor is free
+// acceptRetryDelay is the pause after a failed accept, or while no descriptor is free.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Accept waits for a connection, and calls short when no more than spare descriptors are free. One that would take
-// the last quarter of these waits, since what its client sent can't be given back, and calls short as a must.
-func (l *Listener) Accept(connCtx context.Context, reserve int, onShortage func(must bool)) (*Conn, error) {
+// Accept waits for a connection. It calls onShortage(false) if at most reserve descriptors are free. While
+// fewer than a quarter of reserve would stay free, it holds back the accepted connection and repeatedly
+// calls onShortage(true), which must release descriptors.
+func (l *Listener) Accept(connCtx context.Context, reserve int, onShortage func(isUrgent bool)) (*Conn, error) {
 	for {
 		netConn, err := l.netListener.Accept()
 		switch {
@@ -68,8 +70,8 @@
 	}
 }
 
-// Close ends the listener.
+// Close closes the listener.
 func (l *Listener) Close() { l.netListener.Close() }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (l *Listener) Addr() string { return l.netListener.Addr().String() }
--- a/internal/transport/end.go
+++ b/internal/transport/end.go
@@ -9,28 +9,29 @@
 	"syscall"
 )
 
-// CloseReason is the way in which a connection ended, or that it is open still.
+// CloseReason is why a connection closed or could not be opened, or Open.
 type CloseReason int
 
+// The reasons for which a connection closes, or why it is not used.
 const (
 	Open         CloseReason = iota
-	DialRefused              // nobody listens there
-	DialTimedOut             // it never came up
-	DialFailed               // any other reason for which it did not come up
-	NoDescriptor             // this driver may hold no more
-	Rejected                 // the peer took the connection, but not the session
-	ClosedByPeer             // an orderly end between messages
-	Truncated                // the peer ended it inside a message
-	ResetByPeer              // the peer, or its machine, broke it
-	Malformed                // the peer sent what can't be followed
-	TooLong                  // the peer sent more than may be held
-	WriteStalled             // the peer did not take what was sent in time
-	TimedOut                 // this driver stopped waiting
-	Cancelled                // this driver no longer wanted the reply
-	Evicted                  // let go of between messages
+	DialRefused              // no listener at the address
+	DialTimedOut             // not connected in time
+	DialFailed               // any other failure to connect
+	NoDescriptor             // the limit on open sockets was reached
+	Rejected                 // the peer accepted the connection but refused the session
+	ClosedByPeer             // closed in an orderly way between messages
+	Truncated                // closed by the peer within a message
+	ResetByPeer              // the connection broke, usually by a reset
+	Malformed                // the peer violated the protocol
+	TooLong                  // the peer sent more than the size limit
+	WriteStalled             // the peer did not read in time
+	TimedOut                 // a deadline of this process passed
+	Cancelled                // the reply was no longer needed
+	Evicted                  // closed between messages to free resources
 	Stalled                  // the peer did not finish a message in time
-	ShutDown                 // this driver is going
-	Withheld                 // open, and not used: what it was opened for may not be sent any more
+	ShutDown                 // this process is shutting down
+	Withheld                 // not used: the request it was opened for may no longer be sent
 )
 
 var closeReasonTexts = [...]string{"open", "dial refused", "dial timed out", "dial failed", "no descriptor", "turned away",
@@ -39,10 +40,11 @@
 
 func (r CloseReason) String() string { return closeReasonTexts[r] }
 
-// Error lets an End be the cause of a context's end.
+// Error lets a CloseReason be the cause of a context's cancellation.
 func (r CloseReason) Error() string { return closeReasonTexts[r] }
 
-// CloseReasonOf tells why a context ended: the End it was cancelled with, or its deadline.
+// CloseReasonOf maps the cause of a context's end to a CloseReason: the one it was cancelled with,
+// TimedOut after its deadline, else Cancelled. It is Open for a context that has not ended.
 func CloseReasonOf(ctx context.Context) CloseReason {
 	var reason CloseReason
 	switch cause := context.Cause(ctx); {
@@ -56,12 +58,12 @@
 	return Cancelled
 }
 
-// dialFailureReason tells why no connection came up by the end of a context.
+// dialFailureReason maps the error of a dial under ctx to a CloseReason.
 func dialFailureReason(ctx context.Context, err error) CloseReason {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
 		if _, hasDeadline := ctx.Deadline(); hasDeadline {
-			<-ctx.Done() // the dialer keeps the same deadline and may see it first
+			<-ctx.Done() // the dialer may notice the same deadline first
 		}
 	}
 	switch {
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -1,7 +1,7 @@
 package transport
 
-// RingBuffer is a first-in first-out buffer of bytes. It holds no memory until it is written to, doubles as needed up
-// to its bound, and is let go of when a large one has run empty.
+// RingBuffer is a FIFO buffer of bytes. It allocates on the first write and doubles up to its limit; a
+// large one is freed when it is reset.
 type RingBuffer struct {
 	buf   []byte
 	head  int
@@ -11,19 +11,19 @@
 
 const (
 	initialSize = 512
-	maxIdleSize = 8 << 10 // a larger ring is given back once it is empty
+	maxIdleSize = 8 << 10 // larger buffers are freed when empty
 )
 
-// NewRingBuffer makes an empty ring that grows to bound bytes at most.
+// NewRingBuffer returns an empty buffer that grows up to limit bytes.
 func NewRingBuffer(limit int) RingBuffer { return RingBuffer{limit: limit} }
 
-// Len is the number of bytes held.
+// Len returns the number of buffered bytes.
 func (r *RingBuffer) Len() int { return r.used }
 
-// Available is the number of bytes that may still be written.
+// Available returns the number of bytes that can still be written.
 func (r *RingBuffer) Available() int { return r.limit - r.used }
 
-// grow makes space for n more bytes, as far as the bound allows.
+// grow makes space for n more bytes, up to the limit.
 func (r *RingBuffer) grow(n int) {
 	size := max(len(r.buf), min(initialSize, r.limit))
 	for size < min(r.used+n, r.limit) {
@@ -34,14 +34,14 @@
 	}
 }
 
-// resize moves what is held to a buffer of another size, which must do for it.
+// resize moves the contents to a buffer of the given size, which must hold them.
 func (r *RingBuffer) resize(size int) {
 	buf := make([]byte, size)
 	r.peek(buf[:r.used])
 	r.buf, r.head = buf, 0
 }
 
-// reset starts an empty ring afresh, and gives a large one back.
+// reset moves an empty buffer to its start and frees a large one. It does nothing if data is buffered.
 func (r *RingBuffer) reset() {
 	if r.used > 0 {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// Write appends as much of a text as there is room for, and tells how much.
+// Write appends as much of text as fits and returns the number of bytes written.
 func (r *RingBuffer) Write(text string) int {
 	text = text[:min(len(text), r.Available())]
 	r.grow(len(text))
@@ -64,7 +64,7 @@
 	return len(text)
 }
 
-// free is the longest unused stretch behind what is held.
+// free returns the contiguous unused space behind the data.
 func (r *RingBuffer) free() []byte {
 	if len(r.buf) == 0 || r.used == len(r.buf) {
 		return nil
@@ -76,7 +76,7 @@
 	return r.buf[tail:]
 }
 
-// front is the longest stretch that is held, from the oldest byte on.
+// front returns the contiguous data from the oldest byte on.
 func (r *RingBuffer) front() []byte {
 	if r.used == 0 {
 		return nil
@@ -84,13 +84,13 @@
 	return r.buf[r.head:min(r.head+r.used, len(r.buf))]
 }
 
-// peek copies the oldest bytes without taking them; they must be held.
+// peek copies the oldest len(dst) bytes, which must be buffered, without consuming them.
 func (r *RingBuffer) peek(dst []byte) {
 	n := copy(dst, r.buf[r.head:])
 	copy(dst[n:], r.buf)
 }
 
-// peekAt copies bytes from an offset on without taking them, and tells whether so many are held.
+// peekAt copies bytes from offset on without consuming them. It returns false if too few are buffered.
 func (r *RingBuffer) peekAt(offset int, dst []byte) bool {
 	if offset+len(dst) > r.used {
 		return false
@@ -101,7 +101,7 @@
 	return true
 }
 
-// discard drops the n oldest bytes. It leaves the free stretch where it is: somebody may be filling it.
+// discard drops the n oldest bytes. It does not move the free space, which readLoop may be filling.
 func (r *RingBuffer) discard(n int) {
 	if n > 0 {
 		r.head = (r.head + n) % len(r.buf)
--- a/internal/transport/spare.go
+++ b/internal/transport/spare.go
@@ -2,15 +2,16 @@
 
 import "sync"
 
-// OverflowBudget is what all connections together may hold beyond their usual bounds, for peers that send on while they are not read
-// from. It guards against many of them at once taking the memory of all.
+// OverflowBudget limits the memory that all connections together use beyond their normal buffers, for
+// peers that keep sending while a request is processed.
 type OverflowBudget struct {
 	mu           sync.Mutex
 	available    int
-	perConnLimit int // bytes that one connection may hold in all
+	perConnLimit int // bytes per connection, including the normal buffer
 }
 
-// NewOverflowBudget allows for so many bytes beyond the usual for all, and for so many in all for each.
+// NewOverflowBudget returns a budget of total bytes. One connection's read buffer may grow to
+// perConnLimit bytes.
 func NewOverflowBudget(total, perConnLimit int) *OverflowBudget {
 	return &OverflowBudget{available: total, perConnLimit: perConnLimit}
 }
