--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -103,7 +103,7 @@
 	switch {
 	case a != nil && a.Failure == nil:
 		return Served
-	case a != nil && (a.Failure.State == protocol.StateTooManyConnections || a.Failure.State == protocol.StateCannotConnectNow):
+	case a != nil && (a.Failure.SQLState == protocol.StateTooManyConnections || a.Failure.SQLState == protocol.StateCannotConnectNow):
 		return PushedBack
 	case a != nil:
 		return Aborted
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -162,7 +162,7 @@
 	}
 	s, err := protocol.ParseStatement(text)
 	if err != nil {
-		return c.SendMemberFailure(protocol.Failure{State: protocol.StateProtocolViolation, Message: err.Error()})
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateProtocolViolation, Message: err.Error()})
 	}
 	order := emulator.Statement{ID: s.ID, Key: s.Key, Write: s.Write, Within: s.TimeoutMillis * int64(time.Millisecond), Fence: fenceOf(text)}
 	var done int64
@@ -176,11 +176,11 @@
 	})
 	switch refused {
 	case emulator.Full:
-		return c.SendMemberFailure(protocol.Failure{State: protocol.StateTooManyConnections, Message: "the queue is full"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateTooManyConnections, Message: "the queue is full"}, told(state)...)
 	case emulator.ReadOnly:
-		return c.SendMemberFailure(protocol.Failure{State: protocol.StateReadOnly, Message: "this is no primary"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateReadOnly, Message: "this is no primary"}, told(state)...)
 	case emulator.Fenced:
-		return c.SendMemberFailure(protocol.Failure{State: protocol.StateFenced, Message: "its version is over"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateFenced, Message: "its version is over"}, told(state)...)
 	}
 	time.Sleep(time.Duration(done - f.Now())) // what a member has begun it finishes, whoever left meanwhile
 	f.Model(func(now int64, model *emulator.Fleet) {
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -85,7 +85,7 @@
 		trip, err = p.router.Admit(&asked)
 	}
 	if err != nil {
-		return nil, c.SendFailure(protocol.Failure{State: protocol.StateSyntaxError, Message: err.Error()})
+		return nil, c.SendFailure(protocol.Failure{SQLState: protocol.StateSyntaxError, Message: err.Error()})
 	}
 	return trip, p.rpc(c, h, &s, trip)
 }
--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -163,7 +163,7 @@
 
 // rejectExtended answers a query of the extended kind, and passes over what belongs to it.
 func (c Client) rejectExtended(kind byte) transport.CloseReason {
-	writeFailure(c.Conn, Failure{State: StateNotSupported, Message: "only simple queries are taken"})
+	writeFailure(c.Conn, Failure{SQLState: StateNotSupported, Message: "only simple queries are taken"})
 	for kind != kindSync && kind != kindFunctionCall {
 		msg, reason := readMessage(c.Conn, maxStatementBytes)
 		if reason != transport.Open {
@@ -182,7 +182,7 @@
 
 // sendFatal answers what can't be followed; nothing comes after it.
 func (c Client) sendFatal(state, text string, reason transport.CloseReason) transport.CloseReason {
-	writeFailure(c.Conn, Failure{Fatal: true, State: state, Message: text})
+	writeFailure(c.Conn, Failure{Fatal: true, SQLState: state, Message: text})
 	c.Flush()
 	return reason
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -24,14 +24,14 @@
 
 // Target is one entry of discovery's list.
 type Target struct {
-	ID        string    `json:"instanceId"`
-	Address   string    `json:"hostPort"`
-	Zone      string    `json:"zone"`
-	Group     int64     `json:"cell"`
-	State     string    `json:"lifecycle"`
-	Started   float64   `json:"startedAtMs"`
-	Weight    float64   `json:"weight"` // its size, 0 where the list does not say
-	Lifecycle Lifecycle `json:"-"`
+	ID              string    `json:"instanceId"`
+	Address         string    `json:"hostPort"`
+	Zone            string    `json:"zone"`
+	Group           int64     `json:"cell"`
+	State           string    `json:"lifecycle"`
+	StartedAtMillis float64   `json:"startedAtMs"`
+	Weight          float64   `json:"weight"` // its size, 0 where the list does not say
+	Lifecycle       Lifecycle `json:"-"`
 }
 
 // Targets is discovery's list or, when Whole is false, what changed in it.
@@ -63,8 +63,8 @@
 			return fmt.Errorf("instances.%d.hostPort is missing", i)
 		case entry.Weight < 0:
 			return fmt.Errorf("instances.%d.weight=%v is less than nothing", i, entry.Weight)
-		case entry.Started < 0 || entry.Started > maxMillis:
-			return fmt.Errorf("instances.%d.startedAtMs=%v is out of range", i, entry.Started)
+		case entry.StartedAtMillis < 0 || entry.StartedAtMillis > maxMillis:
+			return fmt.Errorf("instances.%d.startedAtMs=%v is out of range", i, entry.StartedAtMillis)
 		}
 	}
 	return nil
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -23,10 +23,10 @@
 
 // Failure is what an ErrorResponse says.
 type Failure struct {
-	Fatal   bool
-	State   string
-	Message string
-	Detail  string
+	Fatal    bool
+	SQLState string
+	Message  string
+	Detail   string
 }
 
 func writeFailure(c *transport.Conn, f Failure) {
@@ -34,7 +34,7 @@
 	if f.Fatal {
 		severity = "FATAL"
 	}
-	fields := []string{"S", severity, "\x00V", severity, "\x00C", f.State, "\x00M", f.Message, "\x00"}
+	fields := []string{"S", severity, "\x00V", severity, "\x00C", f.SQLState, "\x00M", f.Message, "\x00"}
 	if f.Detail != "" {
 		fields = append(fields, "D", f.Detail, "\x00")
 	}
@@ -53,19 +53,19 @@
 		case 'S':
 			f.Fatal = text == "FATAL" || text == "PANIC"
 		case 'C':
-			f.State = text
+			f.SQLState = text
 		case 'M':
 			f.Message = text
 		case 'D':
 			f.Detail = text
 		}
 	}
-	return f, body == "\x00" && len(f.State) == 5
+	return f, body == "\x00" && len(f.SQLState) == 5
 }
 
 // Pushback says that trying again is harmless, and when, if that is known.
 func Pushback(retryAfterMillis int64) Failure {
-	f := Failure{State: StateTooManyConnections, Message: "pushed back, trying again is harmless"}
+	f := Failure{SQLState: StateTooManyConnections, Message: "pushed back, trying again is harmless"}
 	if retryAfterMillis > 0 {
 		f.Detail = strconv.FormatInt(retryAfterMillis, 10)
 	}
@@ -74,10 +74,10 @@
 
 // Canceled says that an RPC was given up because its client asked for that, and that its effect is not known.
 func Canceled() Failure {
-	return Failure{State: StateQueryCanceled, Message: "canceled, it may or may not have run"}
+	return Failure{SQLState: StateQueryCanceled, Message: "canceled, it may or may not have run"}
 }
 
 // Aborted says that an RPC failed, and that its effect is not known.
 func Aborted() Failure {
-	return Failure{State: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
+	return Failure{SQLState: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
 }
--- a/internal/protocol/member.go
+++ b/internal/protocol/member.go
@@ -18,11 +18,11 @@
 
 // Answer is what a member made of a statement, and what it told of itself.
 type Answer struct {
-	Failure  *Failure // nil for a whole row
-	Primary  bool
-	Replica  bool
-	Position int64     // milliseconds, 0 when not told
-	messages []message // the row as it came
+	Failure        *Failure // nil for a whole row
+	IsPrimary      bool
+	IsReplica      bool
+	PositionMillis int64     // milliseconds, 0 when not told
+	messages       []message // the row as it came
 }
 
 // startupMessage is the startup message: its length, the version, and who asks for what.
@@ -203,9 +203,9 @@
 	}
 	switch name {
 	case roleParameter:
-		a.Primary, a.Replica = value == primaryRole, value == replicaRole
+		a.IsPrimary, a.IsReplica = value == primaryRole, value == replicaRole
 	case positionParameter:
-		a.Position, _ = parseMillis(value, nil)
+		a.PositionMillis, _ = parseMillis(value, nil)
 	}
 }
 
--- a/internal/protocol/stream_test.go
+++ b/internal/protocol/stream_test.go
@@ -117,7 +117,7 @@
 			require.Nil(t, answer.Failure)
 			require.Equal(t, "x", answer.Value())
 		} else if want.complete {
-			require.Equal(t, want.state, answer.Failure.State)
+			require.Equal(t, want.state, answer.Failure.SQLState)
 		}
 		conn.Close(transport.ShutDown)
 	}
@@ -141,8 +141,8 @@
 	small := &Answer{}
 	_, reason = small.read(Member{Conn: conn, maxMessageBytes: maxAnswerBytes})
 	require.Equal(t, transport.Open, reason)
-	require.True(t, small.Primary)
-	require.EqualValues(t, 7, small.Position)
+	require.True(t, small.IsPrimary)
+	require.EqualValues(t, 7, small.PositionMillis)
 	conn, clientScript := newScriptedConn("")
 	require.Equal(t, transport.Open, Client{conn}.Forward(small))
 	require.Equal(t, completeRow+readyForQuery, clientScript.written.String())
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -119,7 +119,7 @@
 	}
 	if o.Answer != nil {
 		bytes = o.Answer.Size()
-		r.gate.Committed(t.pass.ticket, o.Answer.Position*milli)
+		r.gate.Committed(t.pass.ticket, o.Answer.PositionMillis*milli)
 	}
 	r.gate.Returned(t.pass.ticket, until, bytes, r.now())
 	if v.proof == rules.OK && !t.ended && !t.may() {
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -45,7 +45,7 @@
 		if e.Lifecycle == protocol.Deleted {
 			continue
 		}
-		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", e.ID, e.Address, e.Zone, e.Group, e.Lifecycle, e.Started, e.Weight))
+		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", e.ID, e.Address, e.Zone, e.Group, e.Lifecycle, e.StartedAtMillis, e.Weight))
 		l.entries[e.ID] = sum
 		l.sum ^= sum
 	}
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -58,7 +58,7 @@
 	if a := o.Answer; a != nil && a.Failure == nil {
 		return verdict{rules.OK, rules.NoCause}
 	} else if a != nil {
-		if v, known := states[a.Failure.State]; known {
+		if v, known := states[a.Failure.SQLState]; known {
 			return v
 		}
 		return verdict{rules.MayHaveRun, rules.Errored}
@@ -80,7 +80,7 @@
 func (o Outcome) fenced() bool { return o.refusedAs(protocol.StateFenced) }
 
 func (o Outcome) refusedAs(state string) bool {
-	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.State == state
+	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.SQLState == state
 }
 
 // found is what a probe found. A member that has no session to spare lives; of one for which this driver has no descriptor
@@ -114,14 +114,14 @@
 		return s
 	}
 	switch {
-	case o.Answer.Primary:
+	case o.Answer.IsPrimary:
 		s.Role = rules.RolePrimary
-	case o.Answer.Replica:
+	case o.Answer.IsReplica:
 		s.Role = rules.RoleReplica
 	}
 	if o.refusedAs(protocol.StateReadOnly) { // it took the statement for a write, and is no primary
 		s.Role = rules.RoleReplica
 	}
-	s.Position = o.Answer.Position * milli
+	s.Position = o.Answer.PositionMillis * milli
 	return s
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -21,7 +21,7 @@
 // members blamed for what they did not do.
 func TestVerdicts(t *testing.T) {
 	failed := func(state string) Outcome {
-		return Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{State: state}}}
+		return Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: state}}}
 	}
 	for _, c := range []struct {
 		o     Outcome
@@ -91,7 +91,7 @@
 }
 
 func ok(position int64, primary bool) Outcome {
-	return Outcome{Sent: true, Answer: &protocol.Answer{Primary: primary, Replica: !primary, Position: position}}
+	return Outcome{Sent: true, Answer: &protocol.Answer{IsPrimary: primary, IsReplica: !primary, PositionMillis: position}}
 }
 
 func take(r *Router, rpc rules.RPC) *Trip {
