--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is a process's clock: Unix time that never goes back while the process runs, whatever is done to the
-// machine's.
+// Package clock provides Unix time that never goes back while the process runs, even if the system clock
+// is adjusted.
 package clock
 
 import (
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// OffsetEnv names the variable by which trials let a process's clock be off, as a duration such as -2m.
+// OffsetEnv names the environment variable with which tests shift the clock by a duration such as -2m.
 const OffsetEnv = "SEDGESPREAD_CLOCK_OFF"
 
-// Clock counts from when it was made.
+// Clock adds monotonic elapsed time to the Unix time at its creation.
 type Clock struct {
 	startNanos int64
 	start      time.Time
 }
 
-// New makes a clock that is right now, or off as trials want it.
+// New returns a clock set to the system time, shifted by OffsetEnv if set.
 func New() Clock {
 	offset, _ := time.ParseDuration(os.Getenv(OffsetEnv))
 	now := time.Now()
 	return Clock{startNanos: now.UnixNano() + int64(offset), start: now}
 }
 
-// Now is Unix time in nanoseconds.
+// Now returns Unix time in nanoseconds.
 func (c Clock) Now() int64 { return c.At(time.Now()) }
 
-// At is what the clock showed at a moment of this process.
+// At returns the clock's Unix time in nanoseconds at t.
 func (c Clock) At(t time.Time) int64 { return c.startNanos + int64(t.Sub(c.start)) }
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,4 +1,5 @@
-// Package jsonhttp asks and answers in JSON over HTTP, between instances and with operators. A refusal is one line.
+// Package jsonhttp sends and serves JSON requests over HTTP, between drivers and for operators. Errors are
+// sent as one line of text.
 package jsonhttp
 
 import (
@@ -14,23 +15,23 @@
 )
 
 const (
-	maxBodyBytes      = 64 << 20 // of a request or an answer
-	maxErrorBytes     = 4 << 10  // of a refusal
+	maxBodyBytes      = 64 << 20 // of a request or a response
+	maxErrorBytes     = 4 << 10  // of an error's text
 	readHeaderTimeout = 2 * time.Second
 )
 
-// Serve answers requests until the context ends.
-func Serve(ctx context.Context, l net.Listener, handler http.Handler) error {
-	s := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, BaseContext: func(net.Listener) context.Context { return ctx }}
-	defer context.AfterFunc(ctx, func() { s.Close() })()
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+// Serve serves HTTP requests until ctx ends.
+func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, BaseContext: func(net.Listener) context.Context { return ctx }}
+	defer context.AfterFunc(ctx, func() { server.Close() })()
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Handler reads what was asked and answers it. What can't be read is a 400, and what can't be done a 409, if the error says
-// no other status.
+// Handler decodes a request, calls handle and encodes its result. A malformed request gets status 400. An
+// error of handle gets the status of its StatusCoder, or 409.
 func Handler[T, R any](handle func(ctx context.Context, request T) (R, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, httpRequest *http.Request) {
 		var request T
@@ -52,35 +53,36 @@
 	}
 }
 
-// ActionHandler is Answers where there is nothing to tell but that it was done.
+// ActionHandler is a Handler without a result.
 func ActionHandler[T any](handle func(ctx context.Context, request T) error) http.HandlerFunc {
 	return Handler(func(ctx context.Context, request T) (any, error) { return nil, handle(ctx, request) })
 }
 
-// QueryHandler is Answers where nothing more is asked.
+// QueryHandler is a Handler without request parameters.
 func QueryHandler[R any](handle func(ctx context.Context) (R, error)) http.HandlerFunc {
 	return Handler(func(ctx context.Context, _ struct{}) (R, error) { return handle(ctx) })
 }
 
-// StatusError is an answer that is none.
+// StatusError is an error response.
 type StatusError struct {
-	Status  int // of HTTP
+	Status  int // HTTP status code
 	Message string
 }
 
-func (r *StatusError) Error() string { return r.Message }
+func (e *StatusError) Error() string { return e.Message }
 
-// ShouldTryAnother tells whether an error leaves open that another instance does what this one did not: it could not be reached,
-// or it is not the one to ask.
+// ShouldTryAnother reports whether another driver may succeed where this one failed, because this one
+// could not be reached or is not responsible.
 func ShouldTryAnother(err error) bool {
 	var statusErr *StatusError
 	return err != nil && (!errors.As(err, &statusErr) || statusErr.Status == http.StatusServiceUnavailable)
 }
 
-// StatusCoder is an error that says with which status of HTTP Answer tells it.
+// StatusCoder is an error with the HTTP status that Handler responds with.
 type StatusCoder interface{ Status() int }
 
-// Post sends what is asked and reads the answer, into nil for none. A refusal is an error of its one line.
+// Post sends body and decodes the response into result, unless that is nil. A response other than 200 is
+// returned as a *StatusError.
 func Post(ctx context.Context, client *http.Client, url string, body, result any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -106,5 +108,5 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes)).Decode(result)
 }
 
-// WriteJSON writes an answer. A far side that has gone does not matter.
+// WriteJSON writes value as JSON. Write errors are ignored: the peer has gone.
 func WriteJSON(w http.ResponseWriter, value any) { json.NewEncoder(w).Encode(value) }
--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -8,25 +8,26 @@
 	"sedgespread/internal/transport"
 )
 
+// Codes of startup packets, as in PostgreSQL.
 const (
 	protocolVersion3  = 3 << 16
 	cancelRequestCode = 80877102
 	sslRequestCode    = 80877103
 	gssEncRequestCode = 80877104
-	maxStartupBytes   = 10_000 // bytes of a startup message, as in PostgreSQL itself
+	maxStartupBytes   = 10_000 // PostgreSQL's own limit
 )
 
-// Client is a client's connection, seen from the driver.
+// Client is the server side of a client's connection.
 type Client struct{ *transport.Conn }
 
-// Identity is who a client said that it is.
+// Identity is the user and database named in a client's startup message.
 type Identity struct{ User, Database string }
 
-// CancelKey is what a client is told at its start, and may name on another connection to cancel what is open on this one.
+// CancelKey identifies a session. A client sends it on another connection to cancel the session's query.
 type CancelKey struct{ Process, Secret uint32 }
 
-// Handshake reads the startup message and answers it. Encryption is declined. The client is told its key, and cancel is
-// called with the one that a connection names which only cancels.
+// Handshake performs the startup handshake: it declines encryption and sends the client its key. For a
+// cancel request it calls cancel with the requested key and returns ClosedByPeer.
 func (c Client) Handshake(key CancelKey, cancel func(CancelKey)) (Identity, transport.CloseReason) {
 	for {
 		code, body, reason := c.readStartup()
@@ -53,8 +54,8 @@
 	}
 }
 
-// parseIdentity reads the names and values of a startup message as far as they can be followed. As in PostgreSQL the
-// database is the user's where none is named.
+// parseIdentity reads the parameters of a startup message up to the first malformed one. As in
+// PostgreSQL, the database defaults to the user's name.
 func parseIdentity(text string) (id Identity) {
 	for text != "" && text[0] != 0 {
 		name, rest, hasName := strings.Cut(text, "\x00")
@@ -75,7 +76,7 @@
 	return id
 }
 
-// readStartup reads one message of those that have no kind: its code and what follows that.
+// readStartup reads a startup packet, which has no kind, and returns its code and body.
 func (c Client) readStartup() (code uint32, body string, reason transport.CloseReason) {
 	if reason := c.Await(8); reason != transport.Open {
 		return 0, "", reason
@@ -97,9 +98,9 @@
 	return binary.BigEndian.Uint32(header[4:]), string(packet[8:]), transport.Open
 }
 
-// finishHandshake says that the session may begin.
+// finishHandshake sends the messages that complete the startup.
 func (c Client) finishHandshake(code uint32, key CancelKey) transport.CloseReason {
-	if code > protocolVersion3 { // a later minor version: 3.0 is what is spoken
+	if code > protocolVersion3 { // a later minor version: negotiate 3.0
 		writeMessage(c.Conn, kindVersion, "\x00\x03\x00\x00", "\x00\x00\x00\x00")
 	}
 	writeMessage(c.Conn, kindAuthentication, "\x00\x00\x00\x00")
@@ -112,8 +113,8 @@
 	return c.sendReady()
 }
 
-// ReadQuery waits for the next query, and tells when its last byte came: it may have stood behind others since. Queries of the
-// extended kind are answered with an error each.
+// ReadQuery waits for the next simple query. receivedAt is when its last byte arrived, which may be long
+// before the call if it was pipelined. Extended queries are answered with an error.
 func (c Client) ReadQuery() (text string, receivedAt time.Time, reason transport.CloseReason) {
 	for {
 		msg, reason := readMessage(c.Conn, maxStatementBytes)
@@ -138,14 +139,14 @@
 	}
 }
 
-// WatchForClose ends the connection as soon as the client has gone, while its query is worked on, until the function it gives is
-// called. A client that says so has gone, as has one that closes, also behind further queries.
+// WatchForClose closes the connection as soon as the client closes it or sends Terminate while its query
+// is processed, also behind pipelined queries. Stop ends the watch.
 func (c Client) WatchForClose(budget *transport.OverflowBudget) (stop func()) {
 	return c.Conn.WatchForClose(budget, inspectPipelined)
 }
 
-// inspectPipelined looks at what a client sent behind its query: whether a Terminate is among it, and how much of it can be followed.
-// Of what can't be, the head is kept, to be answered when its turn comes; what stands behind it is nothing.
+// inspectPipelined looks for a Terminate in the messages sent behind a query. At a malformed message it
+// keeps the input up to and including that header, so that ReadQuery reports the error in its turn.
 func inspectPipelined(peekAt transport.PeekFunc) (peerGone bool, keepBytes int) {
 	var header [headerBytes]byte
 	for offset := 0; peekAt(offset, header[:]); {
@@ -161,7 +162,7 @@
 	return false, -1
 }
 
-// rejectExtended answers a query of the extended kind, and passes over what belongs to it.
+// rejectExtended answers an extended query with an error and skips the rest of its messages.
 func (c Client) rejectExtended(kind byte) transport.CloseReason {
 	writeFailure(c.Conn, Failure{SQLState: StateNotSupported, Message: "only simple queries are taken"})
 	for kind != kindSync && kind != kindFunctionCall {
@@ -174,26 +175,26 @@
 	return c.sendReady()
 }
 
-// sendReady says that the next query may come.
+// sendReady sends ReadyForQuery.
 func (c Client) sendReady() transport.CloseReason {
 	writeMessage(c.Conn, kindReady, "I")
 	return c.Flush()
 }
 
-// sendFatal answers what can't be followed; nothing comes after it.
+// sendFatal reports a protocol error before the caller closes the connection.
 func (c Client) sendFatal(state, text string, reason transport.CloseReason) transport.CloseReason {
 	writeFailure(c.Conn, Failure{Fatal: true, SQLState: state, Message: text})
 	c.Flush()
 	return reason
 }
 
-// SendEmpty answers an empty query.
+// SendEmpty answers a query that contains no statement.
 func (c Client) SendEmpty() transport.CloseReason {
 	writeMessage(c.Conn, kindEmptyQuery)
 	return c.sendReady()
 }
 
-// Forward passes a member's answer on, as it came.
+// Forward sends a member's answer to the client unchanged.
 func (c Client) Forward(answer *Answer) transport.CloseReason {
 	for _, msg := range answer.messages {
 		c.Write(msg.raw)
@@ -201,7 +202,7 @@
 	return c.sendReady()
 }
 
-// SendFailure answers a query with an error.
+// SendFailure answers a query with an ErrorResponse.
 func (c Client) SendFailure(f Failure) transport.CloseReason {
 	writeFailure(c.Conn, f)
 	return c.sendReady()
--- a/internal/protocol/descriptors_test.go
+++ b/internal/protocol/descriptors_test.go
@@ -11,16 +11,15 @@
 	"sedgespread/internal/transport"
 )
 
-// Guards against connections to members that take the last descriptor, without which discovery can't be asked for the list that says where members
-// are. The last one that is free is left to it.
+// Guards against connections to members that take the last descriptor, which discovery needs.
 func TestLastDescriptorIsReservedForDiscovery(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	asked := make(chan struct{}, 1)
+	accepted := make(chan struct{}, 1)
 	go func() {
 		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
-			asked <- struct{}{}
+			accepted <- struct{}{}
 			conn.Close()
 		}
 	}()
@@ -34,10 +33,10 @@
 	require.Equal(t, transport.NoDescriptor, reason)
 	require.Equal(t, 1, descriptors.Free())
 	_, err = NewDiscovery(descriptors, listener.Addr().String()).FetchAll(context.Background(), ctx)
-	require.Error(t, err, "it closes without an answer")
+	require.Error(t, err, "the server closes without a response")
 	select {
-	case <-asked:
+	case <-accepted:
 	case <-ctx.Done():
-		require.Fail(t, "discovery was not asked")
+		require.Fail(t, "discovery was not contacted")
 	}
 }
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -7,21 +7,21 @@
 	"sedgespread/internal/transport"
 )
 
-// States that this driver tells its clients or is told by members.
+// SQLSTATE codes that this driver sends to clients or receives from members.
 const (
-	StateTooManyConnections = "53300" // turned away
-	StateCannotConnectNow   = "57P03" // turned away for now
-	StateReadOnly           = "25006" // a write, and this is no primary
-	StateSnapshotTooOld     = "72000" // the data is too far behind
+	StateTooManyConnections = "53300" // too many connections or requests
+	StateCannotConnectNow   = "57P03" // not accepting sessions yet
+	StateReadOnly           = "25006" // a write sent to a member that is not primary
+	StateSnapshotTooOld     = "72000" // the replica is too far behind
 	StateProtocolViolation  = "08P01"
 	StateSyntaxError        = "42601"
 	StateQueryCanceled      = "57014"
 	StateUnknownOutcome     = "08007"
 	StateNotSupported       = "0A000"
-	StateFenced             = "VF001" // of ours: its version is over
+	StateFenced             = "VF001" // not of PostgreSQL: the version of the attempt is closed
 )
 
-// Failure is what an ErrorResponse says.
+// Failure is the content of an ErrorResponse.
 type Failure struct {
 	Fatal    bool
 	SQLState string
@@ -29,6 +29,7 @@
 	Detail   string
 }
 
+// writeFailure writes an ErrorResponse.
 func writeFailure(c *transport.Conn, f Failure) {
 	severity := "ERROR"
 	if f.Fatal {
@@ -41,7 +42,7 @@
 	writeMessage(c, kindError, append(fields, "\x00")...)
 }
 
-// parseFailure reads an ErrorResponse; ok is false when it can't be followed or names no state.
+// parseFailure reads an ErrorResponse. ok is false if it is malformed or has no SQLSTATE.
 func parseFailure(body string) (f Failure, ok bool) {
 	for body != "" && body[0] != 0 {
 		kind := body[0]
@@ -63,7 +64,7 @@
 	return f, body == "\x00" && len(f.SQLState) == 5
 }
 
-// Pushback says that trying again is harmless, and when, if that is known.
+// Pushback tells a client that it may safely retry, after retryAfterMillis if that is positive.
 func Pushback(retryAfterMillis int64) Failure {
 	f := Failure{SQLState: StateTooManyConnections, Message: "pushed back, trying again is harmless"}
 	if retryAfterMillis > 0 {
@@ -72,12 +73,12 @@
 	return f
 }
 
-// Canceled says that an RPC was given up because its client asked for that, and that its effect is not known.
+// Canceled reports an RPC that its client cancelled. Its outcome is unknown.
 func Canceled() Failure {
 	return Failure{SQLState: StateQueryCanceled, Message: "canceled, it may or may not have run"}
 }
 
-// Aborted says that an RPC failed, and that its effect is not known.
+// Aborted reports an RPC that failed with an unknown outcome.
 func Aborted() Failure {
 	return Failure{SQLState: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
 }
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -8,6 +8,7 @@
 	"sedgespread/internal/transport"
 )
 
+// Size limits of an HTTP response.
 const (
 	maxHeaderBytes = 16 << 10
 	maxBodyBytes   = 2 << 20
@@ -17,14 +18,15 @@
 type response struct {
 	status    int
 	body      []byte
-	mustClose bool // the connection can't be used again
+	mustClose bool // the connection cannot be reused
 }
 
+// formatGet returns a GET request.
 func formatGet(host, path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n"
 }
 
-// readResponse waits for a whole response.
+// readResponse reads a complete response.
 func readResponse(c *transport.Conn) (r response, reason transport.CloseReason) {
 	line, reason := readLine(c)
 	if reason != transport.Open {
@@ -51,7 +53,7 @@
 	return r, reason
 }
 
-// readHeader reads the header fields; length is -1 where none is given.
+// readHeader reads the header fields. length is -1 if no Content-Length is given.
 func (r *response) readHeader(c *transport.Conn) (length int, chunked bool, reason transport.CloseReason) {
 	length = -1
 	for remaining := maxHeaderBytes; remaining > 0; {
@@ -80,7 +82,7 @@
 	return 0, false, transport.TooLong
 }
 
-// readBody reads n more bytes of the body.
+// readBody reads n more bytes into the body.
 func (r *response) readBody(c *transport.Conn, n int) transport.CloseReason {
 	if len(r.body)+n > maxBodyBytes {
 		return transport.TooLong
@@ -97,6 +99,7 @@
 	return transport.Open
 }
 
+// readChunks reads a chunked body and its trailer.
 func (r *response) readChunks(c *transport.Conn) transport.CloseReason {
 	for {
 		line, reason := readLine(c)
@@ -111,7 +114,7 @@
 		if reason := r.readBody(c, int(n)); reason != transport.Open {
 			return reason
 		}
-		for inTrailer := true; inTrailer; { // one empty line after a chunk, any others only after the last
+		for inTrailer := true; inTrailer; { // a chunk ends with an empty line; only the last may have trailer fields
 			if line, reason = readLine(c); reason != transport.Open {
 				return closedToTruncated(reason)
 			}
@@ -125,6 +128,7 @@
 	}
 }
 
+// readToEOF reads the body up to the end of the connection.
 func (r *response) readToEOF(c *transport.Conn) transport.CloseReason {
 	r.mustClose = true
 	for len(r.body) < maxBodyBytes {
@@ -142,6 +146,7 @@
 	return transport.TooLong
 }
 
+// closedToTruncated maps ClosedByPeer within a message to Truncated.
 func closedToTruncated(reason transport.CloseReason) transport.CloseReason {
 	if reason == transport.ClosedByPeer {
 		return transport.Truncated
@@ -149,7 +154,7 @@
 	return reason
 }
 
-// readLine waits for a line, and gives it without its end.
+// readLine reads a line and returns it without the line ending.
 func readLine(c *transport.Conn) (string, transport.CloseReason) {
 	for n := 1; n <= maxHeaderBytes; {
 		if reason := c.Await(n); reason != transport.Open {
--- a/internal/protocol/member.go
+++ b/internal/protocol/member.go
@@ -9,27 +9,28 @@
 	"sedgespread/internal/transport"
 )
 
-// Member is a connection to a member. It carries one statement at a time.
+// Member is a connection to a member. It processes one statement at a time.
 type Member struct {
 	*transport.Conn
-	maxMessageBytes int    // bytes of one message
-	onNotPrimary    func() // called as soon as it says that it is no primary, whatever becomes of what it says that in
+	maxMessageBytes int
+	onNotPrimary    func() // called when the member reports that it is a replica, also if the answer then fails; may be nil
 }
 
-// Answer is what a member made of a statement, and what it told of itself.
+// Answer is a member's answer to a statement, with the state that the member reported alongside.
 type Answer struct {
-	Failure        *Failure // nil for a whole row
+	Failure        *Failure // nil if the answer is a row
 	IsPrimary      bool
 	IsReplica      bool
-	PositionMillis int64     // milliseconds, 0 when not told
-	messages       []message // the row as it came
+	PositionMillis int64     // 0 if not reported
+	messages       []message // the row's messages, unchanged
 }
 
-// startupMessage is the startup message: its length, the version, and who asks for what.
+// startupMessage consists of its length, the protocol version, the user and the database.
 const startupMessage = "\x00\x00\x00\x25\x00\x03\x00\x00user\x00backend\x00database\x00store\x00\x00"
 
-// Connect opens a connection to a member, which may answer with up to most bytes, and waits until it is ready, until
-// by ends. Whenever it says that it is no primary denied is called at once, if it is not nil.
+// Connect opens a connection to a member and waits until it is ready. ctx bounds the handshake, connCtx
+// the life of the connection, and maxMessageBytes the size of a message from the member. onNotPrimary,
+// if not nil, is called whenever the member reports that it is a replica.
 func Connect(connCtx, ctx context.Context, descriptors *transport.Descriptors, address string, maxMessageBytes int, onNotPrimary func()) (Member, transport.CloseReason) {
 	conn, reason := transport.Dial(connCtx, ctx, descriptors, reservedForDiscovery, address, RingBytes)
 	if reason != transport.Open {
@@ -48,17 +49,17 @@
 	return member, transport.Open
 }
 
-// reservedForDiscovery is the descriptor that connections to members leave to the one to discovery: without a list to go by they
-// would be of less and less use.
+// reservedForDiscovery is the number of descriptors that connections to members leave free, so that
+// discovery can always be reached.
 const reservedForDiscovery = 1
 
-// closeOnDone ends the connection when a context ends first; the function it gives calls that off.
+// closeOnDone closes the connection when ctx ends, unless the returned function is called first.
 func (m Member) closeOnDone(ctx context.Context) func() {
 	stop := context.AfterFunc(ctx, func() { m.Close(transport.CloseReasonOf(ctx)) })
 	return func() { stop() }
 }
 
-// awaitReady reads what a member says before it is ready.
+// awaitReady reads the member's startup messages up to ReadyForQuery.
 func (m Member) awaitReady() transport.CloseReason {
 	for {
 		msg, reason := readMessage(m.Conn, m.maxMessageBytes)
@@ -83,7 +84,7 @@
 	}
 }
 
-// checkRole passes on at once that a ParameterStatus says that the member is no primary.
+// checkRole calls onNotPrimary if a ParameterStatus reports that the member is a replica.
 func (m Member) checkRole(body string) {
 	name, value, _ := parseParameter(body)
 	if m.onNotPrimary != nil && name == roleParameter && value == replicaRole {
@@ -91,8 +92,8 @@
 	}
 }
 
-// Query sends a statement, given in pieces, and waits for its answer until by ends. Sent tells whether its last byte
-// was written. The connection is still good when end is Open; an answer may be whole even where it is not.
+// Query sends a statement, given in pieces, and waits for its answer. sent reports whether all of it was
+// written. The connection can be reused if reason is Open; a complete answer may come with another reason.
 func (m Member) Query(ctx context.Context, statement ...string) (answer *Answer, sent bool, reason transport.CloseReason) {
 	defer m.closeOnDone(ctx)()
 	writeMessage(m.Conn, kindQuery, append(statement, "\x00")...)
@@ -101,7 +102,7 @@
 	}
 	answer = &Answer{}
 	complete := false
-	if reason = m.Await(1); reason == transport.Open { // an answer that has begun comes whole or not at all
+	if reason = m.Await(1); reason == transport.Open { // from here on the member must not stall
 		m.SetReadTimeout(answerReadTimeout)
 		complete, reason = answer.read(m)
 		m.SetReadTimeout(0)
@@ -115,10 +116,11 @@
 	return answer, true, m.CloseReason()
 }
 
-const answerReadTimeout = 250 * time.Millisecond // a member may pause within an answer
+// answerReadTimeout limits a member's pauses within an answer.
+const answerReadTimeout = 250 * time.Millisecond
 
-// read reads an answer up to ReadyForQuery, and tells whether a whole one came. One that breaks off behind its last
-// own message is whole; one that goes on with what can't be read is not.
+// read reads an answer up to ReadyForQuery and reports whether it is complete. It is complete if the
+// connection breaks after the answer's last message, but not if malformed input follows.
 func (a *Answer) read(member Member) (complete bool, reason transport.CloseReason) {
 	for {
 		msg, reason := readMessage(member.Conn, member.maxMessageBytes)
@@ -148,7 +150,7 @@
 	}
 }
 
-// addMessage takes in a message of the answer itself, and tells whether it fits.
+// addMessage adds a message of the answer and reports whether it is the expected one.
 func (a *Answer) addMessage(msg message) bool {
 	if msg.kind == kindError {
 		failure, ok := parseFailure(msg.body)
@@ -160,11 +162,12 @@
 	return n <= len(rowMessageKinds) && msg.kind == rowMessageKinds[n-1] && rowMessageChecks[n-1](msg.body)
 }
 
-// rowMessageKinds are the messages of an answer with one row of one column, and rowChecks what must be so in each.
+// rowMessageKinds are the messages of an answer with one row of one column.
 const rowMessageKinds = "TDC"
 
+// rowMessageChecks validate the bodies of rowMessageKinds.
 var rowMessageChecks = [len(rowMessageKinds)]func(body string) bool{
-	func(body string) bool { // one name, and the 18 bytes that describe the column
+	func(body string) bool { // one column: its name and 18 bytes of description
 		rest, one := strings.CutPrefix(body, singleColumn)
 		return one && strings.IndexByte(rest, 0) == len(rest)-1-18
 	},
@@ -172,15 +175,16 @@
 		rest, one := strings.CutPrefix(body, singleColumn)
 		return one && len(rest) >= 4 && uint64(binary.BigEndian.Uint32([]byte(rest[:4]))) == uint64(len(rest)-4)
 	},
-	func(body string) bool { // one row
+	func(body string) bool { // a tag for one row
 		tag, whole := strings.CutSuffix(body, "\x00")
 		return whole && (tag == "SELECT 1" || tag == "INSERT 0 1" || tag == "SHOW")
 	},
 }
 
+// singleColumn is the column count of a message with one column.
 const singleColumn = "\x00\x01"
 
-// The parameters by which a member tells of itself, and the roles that it may have.
+// Parameters in which a member reports its state, and the values of its role.
 const (
 	roleParameter     = "node_role"
 	positionParameter = "replay_position"
@@ -188,14 +192,14 @@
 	replicaRole       = "follower"
 )
 
-// parseParameter reads a ParameterStatus.
+// parseParameter parses a ParameterStatus.
 func parseParameter(body string) (name, value string, complete bool) {
 	name, rest, _ := strings.Cut(body, "\x00")
 	value, rest, complete = strings.Cut(rest, "\x00")
 	return name, value, complete && rest == ""
 }
 
-// applyParameter takes in a ParameterStatus. What it tells that can't be read is not told.
+// applyParameter records the state in a ParameterStatus. A malformed one is ignored.
 func (a *Answer) applyParameter(body string) {
 	name, value, complete := parseParameter(body)
 	if !complete {
@@ -209,19 +213,19 @@
 	}
 }
 
-// Value is the row's one value.
+// Value returns the row's single value.
 func (a *Answer) Value() string {
-	const headerBytes = 6 // the number of columns and the value's length
+	const headerBytes = 6 // column count and length of the value
 	if len(a.messages) != len(rowMessageKinds) {
 		return ""
 	}
 	return a.messages[1].body[headerBytes:]
 }
 
-// LoadQuery is the probe that brings a load report.
+// LoadQuery requests a member's load report.
 const LoadQuery = "SHOW server_load"
 
-// Size is how long the answer's messages are.
+// Size returns the length of the answer's messages in bytes.
 func (a *Answer) Size() (n int) {
 	for _, msg := range a.messages {
 		n += len(msg.raw)
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -1,5 +1,5 @@
-// Package protocol speaks PostgreSQL's version 3 with clients and members, HTTP with discovery, and the drivers'
-// own messages. It stands on package transport alone.
+// Package protocol implements PostgreSQL's protocol 3.0 for clients and members, HTTP/1.1 for discovery,
+// and the format of the observations that drivers exchange.
 package protocol
 
 import (
@@ -12,14 +12,14 @@
 )
 
 const (
-	// RingBytes bounds a connection's ring, through which longer messages come and go in pieces.
+	// RingBytes limits a connection's buffers. Longer messages pass through them in pieces.
 	RingBytes = 64 << 10
-	// maxStatementBytes bounds what a client sends: a value of 64 KiB written as hexadecimal digits, and its statement.
+	// maxStatementBytes limits a client's message. A value of 64 KiB takes 128 KiB of hexadecimal digits.
 	maxStatementBytes = 192 << 10
 	readChunkBytes    = RingBytes / 2
 )
 
-// Kinds of messages, as PostgreSQL names them.
+// Message types of PostgreSQL.
 const (
 	kindAuthentication  = 'R'
 	kindBackendKey      = 'K'
@@ -34,22 +34,23 @@
 	kindRowDescription  = 'T'
 	kindTerminate       = 'X'
 	kindVersion         = 'v'
-	kindSync            = 'S' // of a client
+	kindSync            = 'S' // sent by a client
 	kindFunctionCall    = 'F'
 	extendedKinds       = "PBEDCHF"
 )
 
-const headerBytes = 5
+const headerBytes = 5 // message type and length
 
-// message is one message: its kind, what follows the length, and all of it as it came.
+// message is a protocol message. raw includes the header, body does not.
 type message struct {
 	kind       byte
 	body       string
 	raw        string
-	receivedAt time.Time // its last byte
+	receivedAt time.Time // when the last byte arrived
 }
 
-// readMessage waits for the next message, of most bytes at the most. Memory is taken as it comes, not as announced.
+// readMessage reads a message of at most maxBytes. It allocates as data arrives, so that an announced
+// length alone costs no memory.
 func readMessage(c *transport.Conn, maxBytes int) (message, transport.CloseReason) {
 	if reason := c.Await(headerBytes); reason != transport.Open {
 		return message{}, reason
@@ -74,11 +75,11 @@
 		raw = slices.Grow(raw, n)[:len(raw)+n]
 		receivedAt = c.Read(raw[len(raw)-n:])
 	}
-	text := unsafe.String(&raw[0], len(raw)) // nobody writes to it from here on
+	text := unsafe.String(&raw[0], len(raw)) // raw is not modified after this
 	return message{kind: header[0], body: text[headerBytes:], raw: text, receivedAt: receivedAt}, transport.Open
 }
 
-// writeMessage writes a message whose body is the pieces one after another.
+// writeMessage writes a message whose body is the concatenated pieces.
 func writeMessage(c *transport.Conn, kind byte, pieces ...string) {
 	length := 4
 	for _, p := range pieces {
--- a/internal/protocol/news.go
+++ b/internal/protocol/news.go
@@ -2,42 +2,43 @@
 
 import "encoding/binary"
 
-// Observation is what one driver tells its fellows of a member: its role (0 unknown, 1 primary, 2 replica), its position
-// and a recent answer time, both in milliseconds, or that its last answer was an error; and for how long the member
-// has run at least, in seconds, as a connection that worked lately shows, 0 where none does.
+// Observation is what a driver tells its peers about a member.
 type Observation struct {
 	Member           uint32
-	Role             uint8
+	Role             uint8 // 0 unknown, 1 primary, 2 replica
 	PositionMillis   int64
-	LatencyMillis    int64
-	Failed           bool
-	MinUptimeSeconds int64
+	LatencyMillis    int64 // of a recent answer
+	Failed           bool  // the last answer was an error
+	MinUptimeSeconds int64 // from the age of a connection that still works, 0 if there is none
 }
 
+// The format of a message between drivers, all integers little-endian.
 const (
-	MaxMessageBytes        = 256 // of a message between drivers, at most
-	observationBytes       = 8   // of one of the news
+	// MaxMessageBytes is the maximum size of a message between drivers.
+	MaxMessageBytes  = 256
+	observationBytes = 8
+	// ObservationsPerMessage is the number of observations that fit into a message.
 	ObservationsPerMessage = MaxMessageBytes / observationBytes
 
-	// MaxPositionAgeMillis is how many milliseconds may lie between a position that is told and now: of the position 16 bits are sent, which mean another one
-	// to whoever hears it over 32 s later, and 65 s later one that looks new.
+	// MaxPositionAgeMillis limits the distance of a sent position from the sender's clock. Only the low
+	// 16 bits are sent, which a receiver misreads if the position is over 32 s from its own clock.
 	MaxPositionAgeMillis = 30_000
 
-	memberOffset   = 0 // bytes 0 to 3: the member
-	positionOffset = 4 // bytes 4 and 5: the position's low bits
-	packedOffset   = 6 // bytes 6 and 7: role, answer time and seconds, from the low bits up
+	memberOffset   = 0 // bytes 0 to 3: member
+	positionOffset = 4 // bytes 4 and 5: low bits of the position
+	packedOffset   = 6 // bytes 6 and 7: role (2 bits), latency (9 bits) and uptime (5 bits), from the low bits up
 
 	roleValues        = 1 << 2
 	latencyValues     = 1 << 9
-	latencyStepMillis = 8                 // milliseconds
-	failedLatency     = latencyValues - 1 // in place of the answer time
-	maxUptimeSeconds  = 1<<5 - 1          // seconds
+	latencyStepMillis = 8
+	failedLatency     = latencyValues - 1 // sent instead of a latency
+	maxUptimeSeconds  = 1<<5 - 1
 )
 
-// AppendObservation adds one of the news, told at a time in milliseconds. What is too far from then can't be told and is
-// left out.
-func AppendObservation(dst []byte, o Observation, now int64) []byte {
-	if age := now - o.PositionMillis; age > MaxPositionAgeMillis || age < -MaxPositionAgeMillis {
+// AppendObservation appends an encoded observation to dst, unless its position is too far from nowMillis
+// to be sent.
+func AppendObservation(dst []byte, o Observation, nowMillis int64) []byte {
+	if age := nowMillis - o.PositionMillis; age > MaxPositionAgeMillis || age < -MaxPositionAgeMillis {
 		return dst
 	}
 	latency := (min(max(o.LatencyMillis, 0), (failedLatency-1)*latencyStepMillis) + latencyStepMillis - 1) / latencyStepMillis
@@ -50,9 +51,9 @@
 	return binary.LittleEndian.AppendUint16(dst, uint16((uptime*latencyValues+latency)*roleValues+int64(o.Role%roleValues)))
 }
 
-// ParseObservations reads a message heard at a time in milliseconds, and tells whether it is one of ours. Positions are the
-// nearest to that time.
-func ParseObservations(content []byte, now int64) (observations []Observation, ok bool) {
+// ParseObservations parses a message received at nowMillis. Positions are decoded to the value nearest to
+// that time. ok is false if the message is malformed.
+func ParseObservations(content []byte, nowMillis int64) (observations []Observation, ok bool) {
 	if len(content) > MaxMessageBytes || len(content)%observationBytes != 0 {
 		return nil, false
 	}
@@ -64,7 +65,7 @@
 		if !o.Failed {
 			o.LatencyMillis = latency * latencyStepMillis
 		}
-		o.PositionMillis = now - int64(int16(uint16(now)-binary.LittleEndian.Uint16(content[positionOffset:])))
+		o.PositionMillis = nowMillis - int64(int16(uint16(nowMillis)-binary.LittleEndian.Uint16(content[positionOffset:])))
 		if o.Role == roleValues-1 {
 			return nil, false
 		}
--- a/internal/protocol/serve.go
+++ b/internal/protocol/serve.go
@@ -7,10 +7,10 @@
 	"sedgespread/internal/transport"
 )
 
-// ParameterStatus is what a member says of itself with an answer.
+// ParameterStatus is a parameter that a member sends with an answer.
 type ParameterStatus struct{ Name, Value string }
 
-// SendRow answers a query as a member does: with a row of one value and what it tells of itself.
+// SendRow answers a query as a member does, with a single value and parameters.
 func (c Client) SendRow(value string, parameters ...ParameterStatus) transport.CloseReason {
 	writeMessage(c.Conn, kindRowDescription, singleColumn, "content\x00", "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00")
 	writeMessage(c.Conn, kindDataRow, singleColumn, string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))), value)
@@ -18,7 +18,7 @@
 	return c.sendParameters(parameters)
 }
 
-// SendMemberFailure answers a query as a member does that does not follow it.
+// SendMemberFailure answers a query as a member does, with an error and parameters.
 func (c Client) SendMemberFailure(f Failure, parameters ...ParameterStatus) transport.CloseReason {
 	writeFailure(c.Conn, f)
 	return c.sendParameters(parameters)
@@ -31,7 +31,7 @@
 	return c.sendReady()
 }
 
-// Ping asks a driver whether it is ready, as an empty query, and waits for that until by ends.
+// Ping sends an empty query and waits until the driver answers that it is ready.
 func (m Member) Ping(ctx context.Context) transport.CloseReason {
 	defer m.closeOnDone(ctx)()
 	writeMessage(m.Conn, kindQuery, "\x00")
--- a/internal/protocol/statement.go
+++ b/internal/protocol/statement.go
@@ -7,21 +7,22 @@
 	"strings"
 )
 
-// Statement is what a client asks, with what its comment says.
+// Statement is a client's statement with the fields of its trailing comment.
 type Statement struct {
 	ID                string
 	Method            string
 	Key               string
 	Write             bool
-	TimeoutMillis     int64 // milliseconds that the client waits
+	TimeoutMillis     int64 // how long the client waits
 	Group             int64
-	MinPositionMillis int64 // position that the read must see, in milliseconds, 0 for none
+	MinPositionMillis int64 // position that a read must have reached, 0 for none
 	IsRetry           bool
-	beforeTimeout     string // the text up to the value of d
-	afterTimeout      string // the text after it
-	seenNames         uint   // of the comment's names, those that came
+	beforeTimeout     string // text before the value of d
+	afterTimeout      string // text after it
+	seenNames         uint   // flags of the names found in the comment
 }
 
+// Errors of ParseStatement. Their texts are sent to clients.
 var (
 	errUnsupportedForm = errors.New("the statement is neither of the two that are taken")
 	errInvalidKey      = errors.New("the statement quotes no usable key")
@@ -37,9 +38,9 @@
 )
 
 const (
-	maxMillis       = math.MaxInt64 / 4_000_000 // so that nanoseconds fit, and sums of them
+	maxMillis       = math.MaxInt64 / 4_000_000 // so that sums of nanoseconds fit into 64 bits
 	maxContentBytes = 64 << 10
-	maxNameBytes    = 256 // bytes of a key, an id or a method's name
+	maxNameBytes    = 256 // of a key, an id or a method
 
 	selectPrefix = "SELECT content FROM kv WHERE name = "
 	insertPrefix = "INSERT INTO kv (name, content) VALUES ("
@@ -47,7 +48,7 @@
 	hexDigits    = "0123456789abcdefABCDEF"
 )
 
-// The names of the comment that must be there.
+// Flags of the names that a comment may contain.
 const (
 	hasID uint = 1 << iota
 	hasMethod
@@ -57,7 +58,7 @@
 	hasPosition
 )
 
-// ParseStatement reads a statement, all of it: members must get none of another form.
+// ParseStatement parses a complete statement and rejects any that members do not support.
 func ParseStatement(text string) (s Statement, err error) {
 	rest, err := s.parseCommand(text)
 	if err != nil {
@@ -78,17 +79,17 @@
 		offset += len(pair) + 1
 	}
 	for _, required := range []struct {
-		entry uint
-		err   error
+		flag uint
+		err  error
 	}{{hasID, errInvalidID}, {hasMethod, errInvalidMethod}, {hasTimeout, errInvalidTimeout}, {hasGroup, errInvalidGroup}} {
-		if s.seenNames&required.entry == 0 {
+		if s.seenNames&required.flag == 0 {
 			return s, required.err
 		}
 	}
 	return s, nil
 }
 
-// parseCommand reads what comes before the comment, and gives the rest.
+// parseCommand parses the SQL before the comment and returns the rest.
 func (s *Statement) parseCommand(text string) (rest string, err error) {
 	if rest, s.Write = strings.CutPrefix(text, insertPrefix); !s.Write {
 		var isRead bool
@@ -116,7 +117,7 @@
 	return rest, nil
 }
 
-// parseQuoted takes a quoted string off the front of a text; a doubled quote stands for one.
+// parseQuoted parses a quoted string, in which a doubled quote stands for one, and returns the rest.
 func parseQuoted(text string) (value, rest string, ok bool) {
 	rest, ok = strings.CutPrefix(text, "'")
 	var parts strings.Builder
@@ -133,7 +134,7 @@
 	return parts.String(), rest, ok && strings.IndexByte(parts.String(), 0) < 0
 }
 
-// parsePair takes in one name=value of the comment, which lies at an offset of the text. Unknown names pass.
+// parsePair parses a name=value pair of the comment at an offset of text. Unknown names are ignored.
 func (s *Statement) parsePair(text string, offset int, pair string) (err error) {
 	name, value, ok := strings.Cut(pair, "=")
 	if !ok || name == "" || strings.ContainsAny(pair, " \t\r\n") {
@@ -169,7 +170,7 @@
 	return err
 }
 
-// checkName checks a name.
+// checkName returns invalid if a name is empty or too long.
 func checkName(text string, invalid error) error {
 	if text == "" || len(text) > maxNameBytes {
 		return invalid
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// parseMillis reads a number made of digits alone.
+// parseMillis parses a number without sign, or returns invalid.
 func parseMillis(text string, invalid error) (int64, error) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n > maxMillis || strings.Trim(text, "0123456789") != "" {
@@ -186,7 +187,7 @@
 	return n, nil
 }
 
-// WithTimeout is the statement as it came, in pieces, but for how long its sender waits, and with a fence if there is one.
+// WithTimeout returns the statement in pieces, with its timeout replaced and the fence, if any, appended.
 func (s *Statement) WithTimeout(millis int64, fence Fence) []string {
 	parts := []string{s.beforeTimeout, strconv.FormatInt(millis, 10), s.afterTimeout}
 	if fence.Version == 0 {
@@ -197,8 +198,8 @@
 	return append(parts, fencePrefix, fence.encode(), " */")
 }
 
-// Fence says under which version a driver made an attempt, and which are valid at the epoch that it knows of. The zero
-// Fence is none.
+// Fence is the version under which a driver made an attempt, and the versions valid at the epoch it
+// knows. The zero Fence means none.
 type Fence struct {
 	Version uint64
 	Epoch   uint64
@@ -207,7 +208,7 @@
 
 const fencePrefix = ",fence="
 
-// encode is a fence in a statement's comment: version@epoch:valid+valid.
+// encode returns the fence as in a statement's comment: version@epoch:valid+valid.
 func (f Fence) encode() string {
 	text := strconv.AppendUint(nil, f.Version, 10)
 	text = strconv.AppendUint(append(text, '@'), f.Epoch, 10)
@@ -217,11 +218,11 @@
 	return string(text)
 }
 
-// maxValidVersions is how many versions may be valid at once.
+// maxValidVersions limits the number of versions that are valid at once.
 const maxValidVersions = 8
 
-// ParseFence reads a statement's fence: the last in its comment, which no client can put behind it. What can't be read is
-// none.
+// ParseFence parses the last fence of a statement's comment, which is the driver's, as it is appended
+// behind any that a client sent. It returns the zero Fence if there is none or it is malformed.
 func ParseFence(text string) (f Fence) {
 	start := strings.LastIndex(text, fencePrefix)
 	if start < 0 {
--- a/internal/protocol/statement_test.go
+++ b/internal/protocol/statement_test.go
@@ -12,7 +12,7 @@
 	writeStatement = `INSERT INTO kv (name, content) VALUES ('k', '\x9f03') RETURNING content /* id=7f,c=order,d=480,cluster=2 */`
 )
 
-// Guards against a statement that reaches a member other than as it came, but for d.
+// Guards against changing anything but d in a statement sent to a member.
 func TestStatement(t *testing.T) {
 	s, err := ParseStatement(readStatement)
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 	require.Equal(t, strings.Replace(writeStatement, "d=480", "d=31", 1), strings.Join(s.WithTimeout(31, Fence{}), ""))
 }
 
-// Guards against statements that a member would not take reaching one: in each a single piece is not as it must be.
+// Guards against forwarding unsupported statements. Each differs from a valid one in one place.
 func TestParseStatementErrors(t *testing.T) {
 	for _, c := range []struct {
 		from, old, new string
@@ -85,13 +85,13 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseStatement(strings.Join(s.WithTimeout(s.TimeoutMillis, Fence{}), ""))
+		reparsed, err := ParseStatement(strings.Join(s.WithTimeout(s.TimeoutMillis, Fence{}), ""))
 		require.NoError(t, err)
-		require.Equal(t, s, again)
+		require.Equal(t, s, reparsed)
 	})
 }
 
-// Guards against a store that does not learn under which version an attempt was made, or takes a client's word for it.
+// Guards against a fence that is lost on the way to a member, or taken from a client's comment.
 func TestFences(t *testing.T) {
 	s, err := ParseStatement(strings.Replace(readStatement, "d=480", "d=480,fence=9", 1))
 	require.NoError(t, err)
@@ -100,7 +100,7 @@
 	require.Contains(t, sent, ",fence=7@19:6+7 */")
 	require.Equal(t, f, ParseFence(sent))
 	_, err = ParseStatement(sent)
-	require.NoError(t, err, "a member can read it")
+	require.NoError(t, err, "a member can parse it")
 	for _, text := range []string{readStatement, ",fence=x */", ",fence=1 */", ",fence=1@ */", ",fence=1@2:3+ */", ",fence=1@2:3+x */",
 		",fence=1@2:1+1+1+1+1+1+1+1+1 */"} {
 		require.Zero(t, ParseFence(text), text)
--- a/internal/protocol/stream_test.go
+++ b/internal/protocol/stream_test.go
@@ -11,7 +11,7 @@
 	"sedgespread/internal/transport"
 )
 
-// scriptedConn is a connection on which a text comes, then its end. What is written is kept.
+// scriptedConn is a connection that delivers a text and then EOF, and records what is written.
 type scriptedConn struct {
 	net.Conn
 	input   *strings.Reader
@@ -27,7 +27,7 @@
 	return transport.NewConn(context.Background(), conn, RingBytes, func() {}), conn
 }
 
-// encodeMessage is a message as it is on the wire.
+// encodeMessage returns a message as it is on the wire.
 func encodeMessage(kind byte, body string) string {
 	length := len(body) + 4
 	return string([]byte{kind, byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length)}) + body
@@ -44,11 +44,11 @@
 	statusParameters = "S\x00\x00\x00\x15node_role\x00leader\x00" + "S\x00\x00\x00\x16replay_position\x007\x00"
 )
 
-// Guards against clients whose messages can't be followed, and against losing those that can be.
+// Guards against accepting malformed client messages and against losing valid ones.
 func TestClientStreams(t *testing.T) {
 	for _, test := range []struct {
 		text, query, answer string
-		end                 transport.CloseReason
+		reason              transport.CloseReason
 	}{
 		{startupRequest + encodeMessage('Q', "one\x00"), "one", "", transport.Open},
 		{"\x00\x00\x00\x08\x04\xd2\x16\x2f" + startupRequest + encodeMessage('Q', "one\x00"), "one", "N", transport.Open},
@@ -67,17 +67,17 @@
 		conn, script := newScriptedConn(test.text)
 		client := Client{conn}
 		query := ""
-		_, end := client.Handshake(CancelKey{}, func(CancelKey) {})
-		if end == transport.Open {
-			query, _, end = client.ReadQuery()
+		_, reason := client.Handshake(CancelKey{}, func(CancelKey) {})
+		if reason == transport.Open {
+			query, _, reason = client.ReadQuery()
 		}
-		require.Equal(t, test.end, end, "%q", test.text)
+		require.Equal(t, test.reason, reason, "%q", test.text)
 		require.Equal(t, test.query, query)
 		require.Contains(t, script.written.String(), test.answer)
 	}
 }
 
-// Guards against replies of members taken for whole that are not, and the other way round.
+// Guards against taking incomplete answers of members for complete, and the reverse.
 func TestAnswers(t *testing.T) {
 	errorResponse := encodeMessage('E', "SERROR\x00C25006\x00Mno\x00\x00")
 	for text, want := range map[string]struct {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Guards against answers that are changed on their way, also those larger than any ring.
+// Guards against answers that are altered when forwarded, also those larger than the buffers.
 func TestForwardKeepsAnswers(t *testing.T) {
 	large := rowDescription + encodeMessage('D', "\x00\x01\x00\x08\x00\x00"+strings.Repeat("0123456789abcdef", 1<<15)) + encodeMessage('C', "SELECT 1\x00")
 	memberConn, _ := newScriptedConn(large + readyForQuery)
@@ -148,7 +148,7 @@
 	require.Equal(t, completeRow+readyForQuery, clientScript.written.String())
 }
 
-// Guards against discovery's replies in any of HTTP's framings, and against broken ones.
+// Guards against misreading any framing of HTTP responses, and against accepting malformed ones.
 func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for text, want := range map[string]struct {
@@ -176,7 +176,7 @@
 	}
 }
 
-// Guards against a list that is taken in though it can't be right.
+// Guards against accepting an invalid list.
 func TestParseTargetsErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"instances":[{"hostPort":"h:1","lifecycle":"SERVING"}]}`:                                   "instanceId is missing",
@@ -227,7 +227,7 @@
 	})
 }
 
-// Guards against news that mean something else at the driver that hears them.
+// Guards against observations that are decoded to other values than were sent.
 func FuzzNews(f *testing.F) {
 	const now = 1767225600123
 	observation := Observation{Member: 1<<32 - 1, Role: 2, PositionMillis: now - 4711, LatencyMillis: 88, MinUptimeSeconds: 17}
@@ -236,7 +236,7 @@
 	f.Add("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff")
 	observations, ok := ParseObservations(AppendObservation(AppendObservation(nil, Observation{PositionMillis: now - MaxPositionAgeMillis - 1}, now), observation, now), now+1500)
 	require.True(f, ok)
-	require.Equal(f, []Observation{observation}, observations, "what is too old is left out, and what was told means the same a little later")
+	require.Equal(f, []Observation{observation}, observations, "old observations are omitted, and others decode to the same values a little later")
 	f.Fuzz(func(t *testing.T, text string) {
 		observations, ok := ParseObservations([]byte(text), now)
 		if !ok {
@@ -246,7 +246,7 @@
 		for _, o := range observations {
 			before := len(encoded)
 			encoded = AppendObservation(encoded, o, now)
-			if len(encoded) == before { // too far from now to be told
+			if len(encoded) == before { // position too far from now
 				return
 			}
 			require.LessOrEqual(t, len(encoded)-before, observationBytes)
@@ -259,7 +259,7 @@
 	})
 }
 
-// Guards against a message of another version's form that is taken for one of this.
+// Guards against accepting messages in another version's format.
 func TestParseObservationsRejectsWrongLength(t *testing.T) {
 	for _, length := range []int{1, 7, 9, 257, 264} {
 		_, ok := ParseObservations([]byte(strings.Repeat("\x01", length)), 1767225600123)
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,4 +1,4 @@
-// Package seeded runs the tests of packages that draw their cases: the same ones each time.
+// Package seeded runs property-based tests with a fixed seed.
 package seeded
 
 import (
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Main runs a package's tests with seed 1 for what rapid draws, unless one is given: -rapid.seed N.
+// Main runs a package's tests with rapid's seed set to 1, unless -rapid.seed is given.
 func Main(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/transport/arrivals_test.go
+++ b/internal/transport/arrivals_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against bytes that are taken for new when they are read: each counts from when it came.
+// Guards against timing bytes from when they are read and not from when they arrived.
 func TestReadReportsArrivalTimes(t *testing.T) {
 	c, peer, _ := newConnPair(t, 64)
 	start := time.Now()
@@ -18,15 +18,15 @@
 	require.Equal(t, Open, c.Await(6))
 	readAge := func(n int) time.Duration { return c.Read(make([]byte, n)).Sub(start) }
 	require.Less(t, readAge(1), 15*time.Millisecond)
-	secondRead := readAge(2) // the last of which came in the second part
+	secondRead := readAge(2) // ends within the second part
 	require.Greater(t, secondRead, 15*time.Millisecond)
 	require.Less(t, secondRead, 35*time.Millisecond)
-	require.Equal(t, secondRead, readAge(1), "the rest of that part")
+	require.Equal(t, secondRead, readAge(1), "the rest of the second part")
 	require.Greater(t, readAge(2), 35*time.Millisecond)
-	require.Empty(t, c.arrivals, "nothing is kept of what was taken")
+	require.Empty(t, c.arrivals, "no arrivals are kept of consumed bytes")
 }
 
-// Guards against memory for arrivals that grows by the byte, and against times that move where bytes are thrown away.
+// Guards against one arrival per byte, and against times that change when bytes are truncated.
 func TestArrivalsMergeAndTruncate(t *testing.T) {
 	var a arrivals
 	start := time.Now()
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newConnPair gives a connection under test and its far side.
+// newConnPair returns a connection under test and its peer.
 func newConnPair(t *testing.T, bound int) (*Conn, *net.TCPConn, *Descriptors) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -30,7 +30,7 @@
 	return c, peer.(*net.TCPConn), descriptors
 }
 
-// Guards against ends that are taken for one another: what an attempt proves hangs on them.
+// Guards against confused close reasons, from which the outcome of an attempt is derived.
 func TestCloseReasons(t *testing.T) {
 	for want, act := range map[CloseReason]func(c *Conn, peer *net.TCPConn) CloseReason{
 		ClosedByPeer: func(c *Conn, peer *net.TCPConn) CloseReason { peer.Close(); return c.Await(1) },
@@ -64,7 +64,7 @@
 	}
 }
 
-// Guards against connections that never come up, or are refused, being taken for ones that carried something.
+// Guards against failed dials taken for connections that may have carried a request.
 func TestDialFailureReasons(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -86,13 +86,13 @@
 	cancel(Cancelled)
 	require.Equal(t, Cancelled, dial(cancelled))
 	_, reason := Dial(context.Background(), context.Background(), descriptors, 1, address, 1000)
-	require.Equal(t, NoDescriptor, reason, "the last is kept for another")
-	require.True(t, descriptors.Acquire(0), "a dial that failed holds no descriptor")
+	require.Equal(t, NoDescriptor, reason, "the last descriptor is reserved")
+	require.True(t, descriptors.Acquire(0), "a failed dial releases its descriptor")
 	require.Equal(t, NoDescriptor, dial(context.Background()))
 }
 
-// Guards against a reader that waits for ever for a message larger than the ring was, and for bytes lost when
-// the connection ends behind them.
+// Guards against waiting forever for a message larger than the current buffer, and against losing
+// bytes that arrived before the connection closed.
 func TestAwaitGrowsReadBuffer(t *testing.T) {
 	c, peer, descriptors := newConnPair(t, 100<<10)
 	text := strings.Repeat("0123456789", 8<<10)
@@ -113,19 +113,19 @@
 	require.Eventually(t, func() bool { return descriptors.Free() == 1 }, time.Second, time.Millisecond)
 }
 
-// Guards against a connection taken for one that carries nothing while something waits that was not read yet.
+// Guards against overlooking input that is still in the socket.
 func TestHasNoPendingInput(t *testing.T) {
 	c, peer, _ := newConnPair(t, 1000)
 	require.True(t, c.HasNoPendingInput())
-	require.True(t, c.StopIfIdle(Evicted), "nothing is read from here on")
+	require.True(t, c.StopIfIdle(Evicted), "stops reading")
 	require.Equal(t, Evicted, c.Await(1))
 	peer.Write([]byte("q"))
 	require.Eventually(t, func() bool { return !c.HasNoPendingInput() }, time.Second, time.Millisecond)
 	require.True(t, c.Idle())
 }
 
-// Guards against a peer that never finishes what it has begun, and against what it still sends turning the close
-// into a reset that overtakes the last answer.
+// Guards against a peer that never finishes a message, and against late input that turns the close into
+// a reset, which destroys the last answer.
 func TestInterruptAndLinger(t *testing.T) {
 	c, peer, _ := newConnPair(t, 1000)
 	peer.Write([]byte("ab"))
@@ -135,7 +135,7 @@
 
 	c, peer, _ = newConnPair(t, 1000)
 	c.SetReadTimeout(200 * time.Millisecond)
-	for range 10 { // in pieces, but never as long without any
+	for range 10 { // pauses stay below the timeout
 		time.Sleep(30 * time.Millisecond)
 		peer.Write([]byte("a"))
 	}
@@ -157,7 +157,7 @@
 	require.Equal(t, "error", string(got))
 }
 
-// Guards against letting a connection go whose query has come already.
+// Guards against closing a connection whose query is already buffered.
 func TestStopIfIdleKeepsBufferedInput(t *testing.T) {
 	c, peer, _ := newConnPair(t, 1000)
 	peer.Write([]byte("q"))
@@ -170,11 +170,10 @@
 	peer.Write([]byte("q"))
 	c.Close(Evicted)
 	_, err := peer.Read(make([]byte, 1))
-	require.ErrorIs(t, err, syscall.ECONNRESET, "what was not read shows as such to the peer")
+	require.ErrorIs(t, err, syscall.ECONNRESET, "the peer can tell that its input was not read")
 }
 
-// Guards against another attempt that is sent while the one given up is still out on an open connection: whoever closes a
-// connection that another is closing waits until it is closed.
+// Guards against a retry that overlaps with the abandoned attempt: Close waits for a concurrent Close.
 func TestCloseWaitsForConcurrentClose(t *testing.T) {
 	local, peer := net.Pipe()
 	defer peer.Close()
@@ -182,7 +181,7 @@
 	c := NewConn(context.Background(), slowConn, 1000, func() {})
 	go c.Close(TimedOut)
 	<-slowConn.closing
-	require.Equal(t, TimedOut, c.Await(1), "this is known at once")
+	require.Equal(t, TimedOut, c.Await(1), "the reason is set before the socket is closed")
 	secondClosed := make(chan struct{})
 	go func() { c.Close(Cancelled); close(secondClosed) }()
 	select {
@@ -195,6 +194,7 @@
 	require.Equal(t, TimedOut, c.CloseReason())
 }
 
+// slowCloseConn blocks in Close until proceed is closed.
 type slowCloseConn struct {
 	net.Conn
 	closing, proceed chan struct{}
@@ -206,8 +206,8 @@
 	return s.Conn.Close()
 }
 
-// Guards against a reset that takes the last answer with it, since something came in the moment in which this side shut the
-// connection, and against taking that: it comes after reading has stopped, and the peer finds the answer and then the end.
+// Guards against a reset that destroys the last answer when input arrives during the shutdown, and
+// against processing that input.
 func TestInputDuringShutdown(t *testing.T) {
 	c, peer, descriptors := newConnPair(t, 1000)
 	require.True(t, c.StopIfIdle(ShutDown))
@@ -217,10 +217,10 @@
 	peer.Write([]byte(strings.Repeat("query", 30_000)))
 	c.Linger(200*time.Millisecond, 1<<20)
 	c.Close(ShutDown)
-	require.Equal(t, 0, c.Buffered(), "nothing of it can be taken")
+	require.Equal(t, 0, c.Buffered(), "late input is not buffered")
 	require.Equal(t, 1, descriptors.Free())
 	got, err := io.ReadAll(peer)
-	require.NoError(t, err, "an end, and no reset")
+	require.NoError(t, err, "an orderly close and no reset")
 	require.Equal(t, "answer", string(got))
 
 	c, peer, _ = newConnPair(t, 1000)
@@ -230,21 +230,20 @@
 	peer.Close()
 	start := time.Now()
 	c.Linger(lingerTimeout, 1<<20)
-	require.Less(t, time.Since(start), lingerTimeout, "it ends as the peer has ended")
+	require.Less(t, time.Since(start), lingerTimeout, "returns once the peer has closed")
 }
 
 const lingerTimeout = 2 * time.Second
 
-// Guards against a query that is lost since it came just as its connection was let go, to make room or since its driver leaves: after reading was
-// interrupted, and before that is settled. A driver that had stood still for 130 ms as it let go of clients closed connections over queries that had
-// waited for as long: 18 requests beside 10,288 that were answered, on three of sixteen seeds of TestSignalsSoak. After the last answer nothing more is taken.
+// Guards against losing a query that arrives while its connection is being stopped, after the read was
+// interrupted. ForceStopIfIdle ignores such a query.
 func TestStopIfIdleKeepsSocketInput(t *testing.T) {
 	require.Equal(t, Open, reasonWhenQueryFollowsStop(t, func(c *Conn) bool { return c.StopIfIdle(Evicted) }))
 	require.Equal(t, Open, reasonWhenQueryFollowsStop(t, func(c *Conn) bool { return c.StopIfIdle(ShutDown) }))
 	require.Equal(t, ShutDown, reasonWhenQueryFollowsStop(t, func(c *Conn) bool { return c.ForceStopIfIdle(ShutDown) }))
 }
 
-// reasonWhenQueryFollowsStop lets a connection go just before a query comes, and gives how that ends.
+// reasonWhenQueryFollowsStop stops a connection just before a query arrives and returns Await's result.
 func reasonWhenQueryFollowsStop(t *testing.T, stop func(c *Conn) bool) CloseReason {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -265,7 +264,7 @@
 	return c.Await(1)
 }
 
-// delayedReadConn tells late that reading was interrupted.
+// delayedReadConn delays the return of an interrupted Read until proceed is closed.
 type delayedReadConn struct {
 	*net.TCPConn
 	interrupted, proceed chan struct{}
@@ -283,7 +282,7 @@
 	return n, err
 }
 
-// Guards against the spare being lost with connections that end, or kept by those that were read from.
+// Guards against overflow memory that is not returned when a connection closes or its input is read.
 func TestOverflowIsReleased(t *testing.T) {
 	budget := NewOverflowBudget(6000, 4000)
 	var conns []*Conn
@@ -299,24 +298,24 @@
 		defer budget.mu.Unlock()
 		return budget.available
 	}
-	countConns := func() (countConns, tooLong int) {
+	fullConns := func() (fullConns, tooLong int) {
 		for _, c := range conns {
 			if c.CloseReason() == TooLong {
 				tooLong++
 			} else if c.Buffered() == 3500 {
-				countConns++
+				fullConns++
 			}
 		}
-		return countConns, tooLong
+		return fullConns, tooLong
 	}
-	require.Eventually(t, func() bool { full, closed := countConns(); return full == 2 && closed == 1 }, time.Second, time.Millisecond, "there is enough for two")
+	require.Eventually(t, func() bool { fullConns, closed := fullConns(); return fullConns == 2 && closed == 1 }, time.Second, time.Millisecond, "the budget suffices for two")
 	for i, c := range conns {
 		if c.CloseReason() != Open {
 			continue
 		}
 		c.Read(make([]byte, 3500))
 		if available() == 0 {
-			peers[i].Write([]byte("q")) // the ring is taken into use again
+			peers[i].Write([]byte("q")) // makes the connection shrink its buffer
 		} else {
 			peers[i].Close()
 		}
@@ -325,7 +324,7 @@
 	require.Eventually(t, func() bool { return available() == 6000 }, time.Second, time.Millisecond)
 }
 
-// Guards against a connection whose socket can't be asked being taken for one on which nothing waits.
+// Guards against taking a socket that cannot be checked for an empty one.
 func TestUnreadableSocketMayHoldInput(t *testing.T) {
 	c, _, _ := newConnPair(t, 1000)
 	require.True(t, c.socketInputEmpty())
--- a/internal/transport/ring_test.go
+++ b/internal/transport/ring_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against bytes lost, doubled or out of order where the ring wraps around or grows.
+// Guards against lost, duplicated or reordered bytes when the buffer wraps around or grows.
 func TestRingBufferKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	r, model := NewRingBuffer(3000), ""
@@ -30,7 +30,7 @@
 	}
 }
 
-// Guards against memory that idle connections hold on to.
+// Guards against idle connections that keep memory.
 func TestRingBufferReleasesMemory(t *testing.T) {
 	r := NewRingBuffer(100 << 10)
 	require.Zero(t, cap(r.buf))
