--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,5 +1,5 @@
-// Package jsonhttp sends and serves JSON requests over HTTP, between drivers and for operators. Errors are
-// sent as one line of text.
+// Package jsonhttp sends and serves JSON requests over HTTP, between drivers and for operators. Errors
+// are sent as one line of text.
 package jsonhttp
 
 import (
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// Handler decodes a request, calls handle and encodes its result. A malformed request gets status 400. An
-// error of handle gets the status of its StatusCoder, or 409.
+// Handler decodes a request, calls handle and encodes its result. A malformed request gets status 400.
+// An error of handle gets the status of its StatusCoder, or 409.
 func Handler[T, R any](handle func(ctx context.Context, request T) (R, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, httpRequest *http.Request) {
 		var request T
@@ -69,6 +69,7 @@
 	Message string
 }
 
+// Error returns the message sent with the response.
 func (e *StatusError) Error() string { return e.Message }
 
 // ShouldTryAnother reports whether another driver may succeed where this one failed, because this one
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -114,7 +114,8 @@
 		if reason := r.readBody(c, int(n)); reason != transport.Open {
 			return reason
 		}
-		for inTrailer := true; inTrailer; { // a chunk ends with an empty line; only the last may have trailer fields
+		// A chunk ends with an empty line; only the last may have trailer fields.
+		for inTrailer := true; inTrailer; {
 			if line, reason = readLine(c); reason != transport.Open {
 				return closedToTruncated(reason)
 			}
--- a/internal/protocol/member.go
+++ b/internal/protocol/member.go
@@ -13,7 +13,9 @@
 type Member struct {
 	*transport.Conn
 	maxMessageBytes int
-	onNotPrimary    func() // called when the member reports that it is a replica, also if the answer then fails; may be nil
+	// onNotPrimary, if not nil, is called when the member reports that it is a replica, also if the
+	// answer then fails.
+	onNotPrimary func()
 }
 
 // Answer is a member's answer to a statement, with the state that the member reported alongside.
@@ -92,8 +94,9 @@
 	}
 }
 
-// Query sends a statement, given in pieces, and waits for its answer. sent reports whether all of it was
-// written. The connection can be reused if reason is Open; a complete answer may come with another reason.
+// Query sends a statement, given in pieces, and waits for its answer. sent reports whether all of it
+// was written. The connection can be reused if reason is Open; any other may come with a complete
+// answer as well.
 func (m Member) Query(ctx context.Context, statement ...string) (answer *Answer, sent bool, reason transport.CloseReason) {
 	defer m.closeOnDone(ctx)()
 	writeMessage(m.Conn, kindQuery, append(statement, "\x00")...)
@@ -168,16 +171,16 @@
 // rowMessageChecks validate the bodies of rowMessageKinds.
 var rowMessageChecks = [len(rowMessageKinds)]func(body string) bool{
 	func(body string) bool { // one column: its name and 18 bytes of description
-		rest, one := strings.CutPrefix(body, singleColumn)
-		return one && strings.IndexByte(rest, 0) == len(rest)-1-18
+		rest, isSingle := strings.CutPrefix(body, singleColumn)
+		return isSingle && strings.IndexByte(rest, 0) == len(rest)-1-18
 	},
 	func(body string) bool { // one value that fills the row
-		rest, one := strings.CutPrefix(body, singleColumn)
-		return one && len(rest) >= 4 && uint64(binary.BigEndian.Uint32([]byte(rest[:4]))) == uint64(len(rest)-4)
+		rest, isSingle := strings.CutPrefix(body, singleColumn)
+		return isSingle && len(rest) >= 4 && uint64(binary.BigEndian.Uint32([]byte(rest[:4]))) == uint64(len(rest)-4)
 	},
 	func(body string) bool { // a tag for one row
-		tag, whole := strings.CutSuffix(body, "\x00")
-		return whole && (tag == "SELECT 1" || tag == "INSERT 0 1" || tag == "SHOW")
+		tag, isTerminated := strings.CutSuffix(body, "\x00")
+		return isTerminated && (tag == "SELECT 1" || tag == "INSERT 0 1" || tag == "SHOW")
 	},
 }
 
--- a/internal/protocol/news.go
+++ b/internal/protocol/news.go
@@ -26,7 +26,7 @@
 
 	memberOffset   = 0 // bytes 0 to 3: member
 	positionOffset = 4 // bytes 4 and 5: low bits of the position
-	packedOffset   = 6 // bytes 6 and 7: role (2 bits), latency (9 bits) and uptime (5 bits), from the low bits up
+	packedOffset   = 6 // bytes 6 and 7, from the low bits up: role (2), latency (9), uptime (5)
 
 	roleValues        = 1 << 2
 	latencyValues     = 1 << 9
@@ -51,8 +51,8 @@
 	return binary.LittleEndian.AppendUint16(dst, uint16((uptime*latencyValues+latency)*roleValues+int64(o.Role%roleValues)))
 }
 
-// ParseObservations parses a message received at nowMillis. Positions are decoded to the value nearest to
-// that time. ok is false if the message is malformed.
+// ParseObservations parses a message received at nowMillis. Positions are decoded to the value nearest
+// to that time. ok is false if the message is malformed.
 func ParseObservations(content []byte, nowMillis int64) (observations []Observation, ok bool) {
 	if len(content) > MaxMessageBytes || len(content)%observationBytes != 0 {
 		return nil, false
--- a/internal/protocol/statement.go
+++ b/internal/protocol/statement.go
@@ -187,7 +187,8 @@
 	return n, nil
 }
 
-// WithTimeout returns the statement in pieces, with its timeout replaced and the fence, if any, appended.
+// WithTimeout returns the statement in pieces, with its timeout replaced and the fence, if any,
+// appended to its comment.
 func (s *Statement) WithTimeout(millis int64, fence Fence) []string {
 	parts := []string{s.beforeTimeout, strconv.FormatInt(millis, 10), s.afterTimeout}
 	if fence.Version == 0 {
--- a/internal/protocol/stream_test.go
+++ b/internal/protocol/stream_test.go
@@ -22,6 +22,7 @@
 func (c *scriptedConn) Write(data []byte) (int, error) { return c.written.Write(data) }
 func (c *scriptedConn) Close() error                   { return nil }
 
+// newScriptedConn returns a transport connection over a scriptedConn.
 func newScriptedConn(text string) (*transport.Conn, *scriptedConn) {
 	conn := &scriptedConn{input: strings.NewReader(text)}
 	return transport.NewConn(context.Background(), conn, RingBytes, func() {}), conn
@@ -33,6 +34,7 @@
 	return string([]byte{kind, byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length)}) + body
 }
 
+// Messages that the tests combine.
 const (
 	maxAnswerBytes = 1 << 20
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -22,20 +22,21 @@
 	mu                sync.Mutex
 	changed           *sync.Cond // signals changes of the fields below
 	readBuffer        RingBuffer
-	consumedBytes     int64                                                // bytes consumed or discarded so far
-	arrivals          arrivals                                             // of the bytes in readBuffer
-	wantedBytes       int                                                  // bytes that Await is waiting for
-	stopReason        CloseReason                                          // what Await returns once reading has stopped
-	ignoreSocketInput bool                                                 // stop even if the socket holds unread data
-	readStopped       bool                                                 // readLoop is paused by StopIfIdle or Interrupt
-	discardLimit      int                                                  // bytes of input that Linger still discards
-	inspect           func(peekAt PeekFunc) (peerGone bool, keepBytes int) // see WatchForClose; nil if not watching
-	overflowBudget    *OverflowBudget                                      // memory beyond the normal limit of readBuffer
-	overflowBytes     int                                                  // reserved from overflowBudget
-	readTimeout       time.Duration
-	readTimer         *time.Timer // closes the connection after readTimeout without input
-	closeReason       CloseReason
-	closed            chan struct{} // closed after the socket has been closed
+	consumedBytes     int64       // bytes consumed or discarded so far
+	arrivals          arrivals    // of the bytes in readBuffer
+	wantedBytes       int         // bytes that Await is waiting for
+	stopReason        CloseReason // what Await returns once reading has stopped
+	ignoreSocketInput bool        // stop even if the socket holds unread data
+	readStopped       bool        // readLoop is paused by StopIfIdle or Interrupt
+	discardLimit      int         // bytes of input that Linger still discards
+	// inspect is the function passed to WatchForClose, nil while not watching.
+	inspect        func(peekAt PeekFunc) (peerGone bool, keepBytes int)
+	overflowBudget *OverflowBudget // memory beyond the normal limit of readBuffer
+	overflowBytes  int             // reserved from overflowBudget
+	readTimeout    time.Duration
+	readTimer      *time.Timer // closes the connection after readTimeout without input
+	closeReason    CloseReason
+	closed         chan struct{} // closed after the socket has been closed
 
 	writeBuffer  RingBuffer
 	writeTimeout time.Duration
@@ -194,7 +195,8 @@
 	}
 }
 
-// extendReadBuffer raises the limit of readBuffer if the overflow budget allows it. The caller holds c.mu.
+// extendReadBuffer raises the limit of readBuffer if the overflow budget allows it. The caller holds
+// c.mu.
 func (c *Conn) extendReadBuffer() bool {
 	extra := min(c.readBuffer.limit, c.overflowBudget.perConnLimit-c.readBuffer.limit)
 	if extra <= 0 || !c.overflowBudget.reserve(extra) {
@@ -298,7 +300,8 @@
 // HasNoPendingInput reports whether the connection is idle and its socket holds neither unread input nor
 // the end of the stream.
 func (c *Conn) HasNoPendingInput() bool {
-	return c.Idle() && c.socketInputEmpty() && c.Idle() // input that readLoop took from the socket meanwhile is buffered now
+	// Idle is checked again because readLoop may have moved input from the socket to readBuffer.
+	return c.Idle() && c.socketInputEmpty() && c.Idle()
 }
 
 // socketInputEmpty reports whether the socket holds neither unread input nor the end of the stream. It
@@ -354,17 +357,19 @@
 	return peerGone
 }
 
+// peekAt is the PeekFunc passed to inspect. The caller holds c.mu.
 func (c *Conn) peekAt(offset int, dst []byte) bool { return c.readBuffer.peekAt(offset, dst) }
 
-// StopIfIdle stops reading from an idle connection, so that Await returns reason, and reports whether it
-// was idle. Input that arrived before the stop cancels it, also if still in the socket; later input stays
-// unread, so that the close resets the connection and the peer can tell that it was not processed.
+// StopIfIdle stops reading from an idle connection, so that Await returns reason, and reports whether
+// it was idle. Input that arrived before the stop cancels it, also if still in the socket; later input
+// stays unread, so that closing resets the connection, which tells the peer that it was not processed.
 func (c *Conn) StopIfIdle(reason CloseReason) bool { return c.stopIfIdle(reason, false) }
 
-// ForceStopIfIdle is like StopIfIdle, but input still in the socket does not cancel the stop. It is for a
-// peer that was told that it had received its last answer.
+// ForceStopIfIdle is like StopIfIdle, but input still in the socket does not cancel the stop. It is
+// for a peer that was told that it has received its last answer.
 func (c *Conn) ForceStopIfIdle(reason CloseReason) bool { return c.stopIfIdle(reason, true) }
 
+// stopIfIdle implements StopIfIdle and ForceStopIfIdle.
 func (c *Conn) stopIfIdle(reason CloseReason, ignoreSocketInput bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -298,17 +298,17 @@
 		defer budget.mu.Unlock()
 		return budget.available
 	}
-	fullConns := func() (fullConns, tooLong int) {
+	countConns := func() (full, tooLong int) {
 		for _, c := range conns {
 			if c.CloseReason() == TooLong {
 				tooLong++
 			} else if c.Buffered() == 3500 {
-				fullConns++
+				full++
 			}
 		}
-		return fullConns, tooLong
+		return full, tooLong
 	}
-	require.Eventually(t, func() bool { fullConns, closed := fullConns(); return fullConns == 2 && closed == 1 }, time.Second, time.Millisecond, "the budget suffices for two")
+	require.Eventually(t, func() bool { full, closed := countConns(); return full == 2 && closed == 1 }, time.Second, time.Millisecond, "the budget suffices for two")
 	for i, c := range conns {
 		if c.CloseReason() != Open {
 			continue
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Dial connects to an address if at least reserve descriptors stay free. dialCtx bounds the dial, connCtx
-// the life of the connection.
+// Dial connects to an address if at least reserve descriptors stay free. dialCtx bounds the dial,
+// connCtx the life of the connection.
 func Dial(connCtx, dialCtx context.Context, descriptors *Descriptors, reserve int, address string, bufferLimit int) (*Conn, CloseReason) {
 	if !descriptors.Acquire(reserve) {
 		return nil, NoDescriptor
@@ -41,9 +41,9 @@
 // acceptRetryDelay is the pause after a failed accept, or while no descriptor is free.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Accept waits for a connection. It calls onShortage(false) if at most reserve descriptors are free. While
-// fewer than a quarter of reserve would stay free, it holds back the accepted connection and repeatedly
-// calls onShortage(true), which must release descriptors.
+// Accept waits for a connection. It calls onShortage(false) if at most reserve descriptors are free.
+// While fewer than a quarter of reserve would stay free, it delays the accepted connection, whose
+// input cannot be handed back, and repeatedly calls onShortage(true) to have descriptors released.
 func (l *Listener) Accept(connCtx context.Context, reserve int, onShortage func(isUrgent bool)) (*Conn, error) {
 	for {
 		netConn, err := l.netListener.Accept()
--- a/internal/transport/end.go
+++ b/internal/transport/end.go
@@ -38,6 +38,7 @@
 	"closed by peer", "cut short", "reset by peer", "malformed", "too long", "write stalled", "timed out", "cancelled",
 	"evicted", "stalled", "shut down", "withheld"}
 
+// String returns the reason as text, as in logs and traces.
 func (r CloseReason) String() string { return closeReasonTexts[r] }
 
 // Error lets a CloseReason be the cause of a context's cancellation.
@@ -77,6 +78,7 @@
 	return DialFailed
 }
 
+// readFailureReason maps the error of a read to a CloseReason.
 func readFailureReason(err error) CloseReason {
 	if errors.Is(err, io.EOF) {
 		return ClosedByPeer
@@ -84,6 +86,7 @@
 	return ResetByPeer
 }
 
+// writeFailureReason maps the error of a write to a CloseReason.
 func writeFailureReason(err error) CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return WriteStalled
--- a/internal/transport/spare.go
+++ b/internal/transport/spare.go
@@ -16,6 +16,7 @@
 	return &OverflowBudget{available: total, perConnLimit: perConnLimit}
 }
 
+// reserve takes n bytes from the budget if they are available.
 func (b *OverflowBudget) reserve(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -26,6 +27,7 @@
 	return true
 }
 
+// release returns n bytes to the budget.
 func (b *OverflowBudget) release(n int) {
 	b.mu.Lock()
 	b.available += n
