--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,4 +1,5 @@
-// Package jsonhttp asks and answers in JSON over HTTP, between instances and with operators. A refusal is one line.
+// Package jsonhttp sends and serves JSON requests over HTTP, between drivers and for operators. Errors
+// are sent as one line of text.
 package jsonhttp
 
 import (
@@ -14,75 +15,77 @@
 )
 
 const (
-	mostBytes  = 64 << 20 // of a request or an answer
-	mostLine   = 4 << 10  // of a refusal
-	headWithin = 2 * time.Second
+	maxBodyBytes      = 64 << 20 // of a request or a response
+	maxErrorBytes     = 4 << 10  // of an error's text
+	readHeaderTimeout = 2 * time.Second
 )
 
-// Serve answers requests until the context ends.
-func Serve(ctx context.Context, l net.Listener, handler http.Handler) error {
-	s := &http.Server{Handler: handler, ReadHeaderTimeout: headWithin, BaseContext: func(net.Listener) context.Context { return ctx }}
-	defer context.AfterFunc(ctx, func() { s.Close() })()
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+// Serve serves HTTP requests until ctx ends.
+func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, BaseContext: func(net.Listener) context.Context { return ctx }}
+	defer context.AfterFunc(ctx, func() { server.Close() })()
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Answers reads what was asked and answers it. What can't be read is a 400, and what can't be done a 409, if the error says
-// no other status.
-func Answers[T, R any](do func(ctx context.Context, asked T) (R, error)) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		var asked T
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBytes)).Decode(&asked); err != nil {
+// Handler decodes a request, calls handle and encodes its result. A malformed request gets status 400.
+// An error of handle gets the status of its StatusCoder, or 409.
+func Handler[T, R any](handle func(ctx context.Context, request T) (R, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, httpRequest *http.Request) {
+		var request T
+		if err := json.NewDecoder(http.MaxBytesReader(w, httpRequest.Body, maxBodyBytes)).Decode(&request); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		result, err := do(r.Context(), asked)
+		result, err := handle(httpRequest.Context(), request)
 		if err != nil {
 			status := http.StatusConflict
-			if told := Told(nil); errors.As(err, &told) {
-				status = told.Status()
+			if coder := StatusCoder(nil); errors.As(err, &coder) {
+				status = coder.Status()
 			}
 			http.Error(w, err.Error(), status)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		Write(w, result)
+		WriteJSON(w, result)
 	}
 }
 
-// Does is Answers where there is nothing to tell but that it was done.
-func Does[T any](do func(ctx context.Context, asked T) error) http.HandlerFunc {
-	return Answers(func(ctx context.Context, asked T) (any, error) { return nil, do(ctx, asked) })
+// ActionHandler is a Handler without a result.
+func ActionHandler[T any](handle func(ctx context.Context, request T) error) http.HandlerFunc {
+	return Handler(func(ctx context.Context, request T) (any, error) { return nil, handle(ctx, request) })
 }
 
-// Tells is Answers where nothing more is asked.
-func Tells[R any](do func(ctx context.Context) (R, error)) http.HandlerFunc {
-	return Answers(func(ctx context.Context, _ struct{}) (R, error) { return do(ctx) })
+// QueryHandler is a Handler without request parameters.
+func QueryHandler[R any](handle func(ctx context.Context) (R, error)) http.HandlerFunc {
+	return Handler(func(ctx context.Context, _ struct{}) (R, error) { return handle(ctx) })
 }
 
-// Refusal is an answer that is none.
-type Refusal struct {
-	Status int // of HTTP
-	Line   string
+// StatusError is an error response.
+type StatusError struct {
+	Status  int // HTTP status code
+	Message string
 }
 
-func (r *Refusal) Error() string { return r.Line }
+// Error returns the message sent with the response.
+func (e *StatusError) Error() string { return e.Message }
 
-// Elsewhere tells whether an error leaves open that another instance does what this one did not: it could not be reached,
-// or it is not the one to ask.
-func Elsewhere(err error) bool {
-	var r *Refusal
-	return err != nil && (!errors.As(err, &r) || r.Status == http.StatusServiceUnavailable)
+// ShouldTryAnother reports whether another driver may succeed where this one failed, because this one
+// could not be reached or is not responsible.
+func ShouldTryAnother(err error) bool {
+	var statusErr *StatusError
+	return err != nil && (!errors.As(err, &statusErr) || statusErr.Status == http.StatusServiceUnavailable)
 }
 
-// Told is an error that says with which status of HTTP Answer tells it.
-type Told interface{ Status() int }
+// StatusCoder is an error with the HTTP status that Handler responds with.
+type StatusCoder interface{ Status() int }
 
-// Post sends what is asked and reads the answer, into nil for none. A refusal is an error of its one line.
-func Post(ctx context.Context, client *http.Client, url string, asked, into any) error {
-	text, err := json.Marshal(asked)
+// Post sends body and decodes the response into result, unless that is nil. A response other than 200 is
+// returned as a *StatusError.
+func Post(ctx context.Context, client *http.Client, url string, body, result any) error {
+	text, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
@@ -97,14 +100,14 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		line, _ := io.ReadAll(io.LimitReader(response.Body, mostLine))
-		return &Refusal{Status: response.StatusCode, Line: strings.TrimSpace(string(line))}
+		message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+		return &StatusError{Status: response.StatusCode, Message: strings.TrimSpace(string(message))}
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, mostBytes)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes)).Decode(result)
 }
 
-// Write writes an answer. A far side that has gone does not matter.
-func Write(w http.ResponseWriter, answer any) { json.NewEncoder(w).Encode(answer) }
+// WriteJSON writes value as JSON. Write errors are ignored: the peer has gone.
+func WriteJSON(w http.ResponseWriter, value any) { json.NewEncoder(w).Encode(value) }
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -7,41 +7,42 @@
 	"sedgespread/internal/transport"
 )
 
-// States that this driver tells its clients or is told by members.
+// SQLSTATE codes that this driver sends to clients or receives from members.
 const (
-	StateTooMany        = "53300" // turned away
-	StateNotNow         = "57P03" // turned away for now
-	StateReadOnly       = "25006" // a write, and this is no primary
-	StateTooOld         = "72000" // the data is too far behind
-	StateProtocol       = "08P01"
-	StateSyntax         = "42601"
-	StateCanceled       = "57014"
-	StateUnknownOutcome = "08007"
-	StateNotSupported   = "0A000"
-	StateFenced         = "VF001" // of ours: its version is over
+	StateTooManyConnections = "53300" // too many connections or requests
+	StateCannotConnectNow   = "57P03" // not accepting sessions yet
+	StateReadOnly           = "25006" // a write sent to a member that is not primary
+	StateSnapshotTooOld     = "72000" // the replica is too far behind
+	StateProtocolViolation  = "08P01"
+	StateSyntaxError        = "42601"
+	StateQueryCanceled      = "57014"
+	StateUnknownOutcome     = "08007"
+	StateNotSupported       = "0A000"
+	StateFenced             = "VF001" // not of PostgreSQL: the version of the attempt is closed
 )
 
-// Failure is what an ErrorResponse says.
+// Failure is the content of an ErrorResponse.
 type Failure struct {
-	Fatal   bool
-	State   string
-	Message string
-	Detail  string
+	Fatal    bool
+	SQLState string
+	Message  string
+	Detail   string
 }
 
-func putFailure(c *transport.Conn, f Failure) {
+// writeFailure writes an ErrorResponse.
+func writeFailure(c *transport.Conn, f Failure) {
 	severity := "ERROR"
 	if f.Fatal {
 		severity = "FATAL"
 	}
-	pieces := []string{"S", severity, "\x00V", severity, "\x00C", f.State, "\x00M", f.Message, "\x00"}
+	fields := []string{"S", severity, "\x00V", severity, "\x00C", f.SQLState, "\x00M", f.Message, "\x00"}
 	if f.Detail != "" {
-		pieces = append(pieces, "D", f.Detail, "\x00")
+		fields = append(fields, "D", f.Detail, "\x00")
 	}
-	put(c, kindError, append(pieces, "\x00")...)
+	writeMessage(c, kindError, append(fields, "\x00")...)
 }
 
-// parseFailure reads an ErrorResponse; ok is false when it can't be followed or names no state.
+// parseFailure reads an ErrorResponse. ok is false if it is malformed or has no SQLSTATE.
 func parseFailure(body string) (f Failure, ok bool) {
 	for body != "" && body[0] != 0 {
 		kind := body[0]
@@ -53,31 +54,31 @@
 		case 'S':
 			f.Fatal = text == "FATAL" || text == "PANIC"
 		case 'C':
-			f.State = text
+			f.SQLState = text
 		case 'M':
 			f.Message = text
 		case 'D':
 			f.Detail = text
 		}
 	}
-	return f, body == "\x00" && len(f.State) == 5
+	return f, body == "\x00" && len(f.SQLState) == 5
 }
 
-// PushBack says that trying again is harmless, and when, if that is known.
-func PushBack(comeBackMillis int64) Failure {
-	f := Failure{State: StateTooMany, Message: "pushed back, trying again is harmless"}
-	if comeBackMillis > 0 {
-		f.Detail = strconv.FormatInt(comeBackMillis, 10)
+// Pushback tells a client that it may safely retry, after retryAfterMillis if that is positive.
+func Pushback(retryAfterMillis int64) Failure {
+	f := Failure{SQLState: StateTooManyConnections, Message: "pushed back, trying again is harmless"}
+	if retryAfterMillis > 0 {
+		f.Detail = strconv.FormatInt(retryAfterMillis, 10)
 	}
 	return f
 }
 
-// Canceled says that an RPC was given up because its client asked for that, and that its effect is not known.
+// Canceled reports an RPC that its client cancelled. Its outcome is unknown.
 func Canceled() Failure {
-	return Failure{State: StateCanceled, Message: "canceled, it may or may not have run"}
+	return Failure{SQLState: StateQueryCanceled, Message: "canceled, it may or may not have run"}
 }
 
-// Abort says that an RPC failed, and that its effect is not known.
-func Abort() Failure {
-	return Failure{State: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
+// Aborted reports an RPC that failed with an unknown outcome.
+func Aborted() Failure {
+	return Failure{SQLState: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
 }
--- a/internal/protocol/member.go
+++ b/internal/protocol/member.go
@@ -9,73 +9,76 @@
 	"sedgespread/internal/transport"
 )
 
-// Member is a connection to a member. It carries one statement at a time.
+// Member is a connection to a member. It processes one statement at a time.
 type Member struct {
 	*transport.Conn
-	most   int    // bytes of one message
-	denied func() // called as soon as it says that it is no primary, whatever becomes of what it says that in
+	maxMessageBytes int
+	// onNotPrimary, if not nil, is called when the member reports that it is a replica, also if the
+	// answer then fails.
+	onNotPrimary func()
 }
 
-// Answer is what a member made of a statement, and what it told of itself.
+// Answer is a member's answer to a statement, with the state that the member reported alongside.
 type Answer struct {
-	Failure  *Failure // nil for a whole row
-	Primary  bool
-	Replica  bool
-	Position int64     // milliseconds, 0 when not told
-	messages []message // the row as it came
+	Failure        *Failure // nil if the answer is a row
+	IsPrimary      bool
+	IsReplica      bool
+	PositionMillis int64     // 0 if not reported
+	messages       []message // the row's messages, unchanged
 }
 
-// startup is the startup message: its length, the version, and who asks for what.
-const startup = "\x00\x00\x00\x25\x00\x03\x00\x00user\x00backend\x00database\x00store\x00\x00"
+// startupMessage consists of its length, the protocol version, the user and the database.
+const startupMessage = "\x00\x00\x00\x25\x00\x03\x00\x00user\x00backend\x00database\x00store\x00\x00"
 
-// Connect opens a connection to a member, which may answer with up to most bytes, and waits until it is ready, until
-// by ends. Whenever it says that it is no primary denied is called at once, if it is not nil.
-func Connect(life, by context.Context, d *transport.Descriptors, address string, most int, denied func()) (Member, transport.End) {
-	c, end := transport.Dial(life, by, d, keptForDiscovery, address, RingBytes)
-	if end != transport.Open {
-		return Member{}, end
+// Connect opens a connection to a member and waits until it is ready. ctx bounds the handshake, connCtx
+// the life of the connection, and maxMessageBytes the size of a message from the member. onNotPrimary,
+// if not nil, is called whenever the member reports that it is a replica.
+func Connect(connCtx, ctx context.Context, descriptors *transport.Descriptors, address string, maxMessageBytes int, onNotPrimary func()) (Member, transport.CloseReason) {
+	conn, reason := transport.Dial(connCtx, ctx, descriptors, reservedForDiscovery, address, RingBytes)
+	if reason != transport.Open {
+		return Member{}, reason
 	}
-	m := Member{c, most, denied}
-	defer m.endBy(by)()
-	m.Write(startup)
-	if end = m.Flush(); end == transport.Open {
-		end = m.greeted()
+	member := Member{conn, maxMessageBytes, onNotPrimary}
+	defer member.closeOnDone(ctx)()
+	member.Write(startupMessage)
+	if reason = member.Flush(); reason == transport.Open {
+		reason = member.awaitReady()
 	}
-	if end != transport.Open {
-		m.Close(end)
-		return Member{}, end
+	if reason != transport.Open {
+		member.Close(reason)
+		return Member{}, reason
 	}
-	return m, transport.Open
+	return member, transport.Open
 }
 
-// keptForDiscovery is the descriptor that connections to members leave to the one to discovery: without a list to go by they
-// would be of less and less use.
-const keptForDiscovery = 1
+// reservedForDiscovery is the number of descriptors that connections to members leave free, so that
+// discovery can always be reached.
+const reservedForDiscovery = 1
 
-// endBy ends the connection when a context ends first; the function it gives calls that off.
-func (m Member) endBy(by context.Context) func() {
-	stop := context.AfterFunc(by, func() { m.Close(transport.EndOf(by)) })
+// closeOnDone closes the connection when ctx ends, unless the returned function is called first.
+func (m Member) closeOnDone(ctx context.Context) func() {
+	stop := context.AfterFunc(ctx, func() { m.Close(transport.CloseReasonOf(ctx)) })
 	return func() { stop() }
 }
 
-// greeted reads what a member says before it is ready.
-func (m Member) greeted() transport.End {
+// awaitReady reads the member's startup messages up to ReadyForQuery.
+func (m Member) awaitReady() transport.CloseReason {
 	for {
-		msg, end := readMessage(m.Conn, m.most)
-		if end != transport.Open {
-			return end
+		msg, reason := readMessage(m.Conn, m.maxMessageBytes)
+		if reason != transport.Open {
+			return reason
 		}
 		switch msg.kind {
 		case kindReady:
 			return transport.Open
 		case kindError:
-			return transport.TurnedAway
+			return transport.Rejected
 		case kindAuthentication:
 			if msg.body != "\x00\x00\x00\x00" {
 				return transport.Malformed
 			}
 		case kindParameter:
-			m.hear(msg.body)
+			m.checkRole(msg.body)
 		case kindNotice, kindBackendKey, kindVersion:
 		default:
 			return transport.Malformed
@@ -83,104 +86,108 @@
 	}
 }
 
-// hear passes on at once that a ParameterStatus says that the member is no primary.
-func (m Member) hear(body string) {
-	name, value, _ := parameter(body)
-	if m.denied != nil && name == roleParameter && value == replicaRole {
-		m.denied()
+// checkRole calls onNotPrimary if a ParameterStatus reports that the member is a replica.
+func (m Member) checkRole(body string) {
+	name, value, _ := parseParameter(body)
+	if m.onNotPrimary != nil && name == roleParameter && value == replicaRole {
+		m.onNotPrimary()
 	}
 }
 
-// Ask sends a statement, given in pieces, and waits for its answer until by ends. Sent tells whether its last byte
-// was written. The connection is still good when end is Open; an answer may be whole even where it is not.
-func (m Member) Ask(by context.Context, statement ...string) (a *Answer, sent bool, end transport.End) {
-	defer m.endBy(by)()
-	put(m.Conn, kindQuery, append(statement, "\x00")...)
-	if end = m.Flush(); end != transport.Open {
-		return nil, false, end
+// Query sends a statement, given in pieces, and waits for its answer. sent reports whether all of it
+// was written. The connection can be reused if reason is Open; any other may come with a complete
+// answer as well.
+func (m Member) Query(ctx context.Context, statement ...string) (answer *Answer, sent bool, reason transport.CloseReason) {
+	defer m.closeOnDone(ctx)()
+	writeMessage(m.Conn, kindQuery, append(statement, "\x00")...)
+	if reason = m.Flush(); reason != transport.Open {
+		return nil, false, reason
 	}
-	a = &Answer{}
-	whole := false
-	if end = m.Await(1); end == transport.Open { // an answer that has begun comes whole or not at all
-		m.Hurry(restWithin)
-		whole, end = a.read(m)
-		m.Hurry(0)
+	answer = &Answer{}
+	complete := false
+	if reason = m.Await(1); reason == transport.Open { // from here on the member must not stall
+		m.SetReadTimeout(answerReadTimeout)
+		complete, reason = answer.read(m)
+		m.SetReadTimeout(0)
 	}
-	if end != transport.Open {
-		m.Close(end)
+	if reason != transport.Open {
+		m.Close(reason)
 	}
-	if !whole {
-		a = nil
+	if !complete {
+		answer = nil
 	}
-	return a, true, m.End()
+	return answer, true, m.CloseReason()
 }
 
-const restWithin = 250 * time.Millisecond // a member may pause within an answer
+// answerReadTimeout limits a member's pauses within an answer.
+const answerReadTimeout = 250 * time.Millisecond
 
-// read reads an answer up to ReadyForQuery, and tells whether a whole one came. One that breaks off behind its last
-// own message is whole; one that goes on with what can't be read is not.
-func (a *Answer) read(from Member) (whole bool, end transport.End) {
+// read reads an answer up to ReadyForQuery and reports whether it is complete. It is complete if the
+// connection breaks after the answer's last message, but not if malformed input follows.
+func (a *Answer) read(member Member) (complete bool, reason transport.CloseReason) {
 	for {
-		m, end := readMessage(from.Conn, from.most)
-		if end != transport.Open {
-			return whole && end != transport.Malformed && end != transport.TooLong, end
+		msg, reason := readMessage(member.Conn, member.maxMessageBytes)
+		if reason != transport.Open {
+			return complete && reason != transport.Malformed && reason != transport.TooLong, reason
 		}
-		switch m.kind {
+		switch msg.kind {
 		case kindReady:
-			if !whole || m.body != "I" {
+			if !complete || msg.body != "I" {
 				return false, transport.Malformed
 			}
 			return true, transport.Open
 		case kindNotice:
 			continue
 		case kindParameter:
-			a.parameter(m.body)
-			from.hear(m.body)
+			a.applyParameter(msg.body)
+			member.checkRole(msg.body)
 			continue
 		}
-		if whole || !a.take(m) {
+		if complete || !a.addMessage(msg) {
 			return false, transport.Malformed
 		}
-		whole = m.kind == kindCommandComplete || m.kind == kindError
+		complete = msg.kind == kindCommandComplete || msg.kind == kindError
 		if a.Failure != nil && a.Failure.Fatal {
 			return true, transport.ClosedByPeer
 		}
 	}
 }
 
-// take takes in a message of the answer itself, and tells whether it fits.
-func (a *Answer) take(m message) bool {
-	if m.kind == kindError {
-		f, ok := parseFailure(m.body)
-		a.Failure = &f
-		return ok && len(a.messages) < len(rowKinds)
+// addMessage adds a message of the answer and reports whether it is the expected one.
+func (a *Answer) addMessage(msg message) bool {
+	if msg.kind == kindError {
+		failure, ok := parseFailure(msg.body)
+		a.Failure = &failure
+		return ok && len(a.messages) < len(rowMessageKinds)
 	}
-	a.messages = append(a.messages, m)
+	a.messages = append(a.messages, msg)
 	n := len(a.messages)
-	return n <= len(rowKinds) && m.kind == rowKinds[n-1] && rowChecks[n-1](m.body)
+	return n <= len(rowMessageKinds) && msg.kind == rowMessageKinds[n-1] && rowMessageChecks[n-1](msg.body)
 }
 
-// rowKinds are the messages of an answer with one row of one column, and rowChecks what must be so in each.
-const rowKinds = "TDC"
+// rowMessageKinds are the messages of an answer with one row of one column.
+const rowMessageKinds = "TDC"
 
-var rowChecks = [len(rowKinds)]func(body string) bool{
-	func(body string) bool { // one name, and the 18 bytes that describe the column
-		rest, one := strings.CutPrefix(body, oneColumn)
-		return one && strings.IndexByte(rest, 0) == len(rest)-1-18
+// rowMessageChecks validate the bodies of rowMessageKinds.
+var rowMessageChecks = [len(rowMessageKinds)]func(body string) bool{
+	func(body string) bool { // one column: its name and 18 bytes of description
+		rest, isSingle := strings.CutPrefix(body, singleColumn)
+		return isSingle && strings.IndexByte(rest, 0) == len(rest)-1-18
 	},
 	func(body string) bool { // one value that fills the row
-		rest, one := strings.CutPrefix(body, oneColumn)
-		return one && len(rest) >= 4 && uint64(binary.BigEndian.Uint32([]byte(rest[:4]))) == uint64(len(rest)-4)
+		rest, isSingle := strings.CutPrefix(body, singleColumn)
+		return isSingle && len(rest) >= 4 && uint64(binary.BigEndian.Uint32([]byte(rest[:4]))) == uint64(len(rest)-4)
 	},
-	func(body string) bool { // one row
-		tag, whole := strings.CutSuffix(body, "\x00")
-		return whole && (tag == "SELECT 1" || tag == "INSERT 0 1" || tag == "SHOW")
+	func(body string) bool { // a tag for one row
+		tag, isTerminated := strings.CutSuffix(body, "\x00")
+		return isTerminated && (tag == "SELECT 1" || tag == "INSERT 0 1" || tag == "SHOW")
 	},
 }
 
-const oneColumn = "\x00\x01"
+// singleColumn is the column count of a message with one column.
+const singleColumn = "\x00\x01"
 
-// The parameters by which a member tells of itself, and the roles that it may have.
+// Parameters in which a member reports its state, and the values of its role.
 const (
 	roleParameter     = "node_role"
 	positionParameter = "replay_position"
@@ -188,43 +195,43 @@
 	replicaRole       = "follower"
 )
 
-// parameter reads a ParameterStatus.
-func parameter(body string) (name, value string, whole bool) {
+// parseParameter parses a ParameterStatus.
+func parseParameter(body string) (name, value string, complete bool) {
 	name, rest, _ := strings.Cut(body, "\x00")
-	value, rest, whole = strings.Cut(rest, "\x00")
-	return name, value, whole && rest == ""
+	value, rest, complete = strings.Cut(rest, "\x00")
+	return name, value, complete && rest == ""
 }
 
-// parameter takes in a ParameterStatus. What it tells that can't be read is not told.
-func (a *Answer) parameter(body string) {
-	name, value, whole := parameter(body)
-	if !whole {
+// applyParameter records the state in a ParameterStatus. A malformed one is ignored.
+func (a *Answer) applyParameter(body string) {
+	name, value, complete := parseParameter(body)
+	if !complete {
 		return
 	}
 	switch name {
 	case roleParameter:
-		a.Primary, a.Replica = value == primaryRole, value == replicaRole
+		a.IsPrimary, a.IsReplica = value == primaryRole, value == replicaRole
 	case positionParameter:
-		a.Position, _ = millis(value, nil)
+		a.PositionMillis, _ = parseMillis(value, nil)
 	}
 }
 
-// Text is the row's one value.
-func (a *Answer) Text() string {
-	const before = 6 // the number of columns and the value's length
-	if len(a.messages) != len(rowKinds) {
+// Value returns the row's single value.
+func (a *Answer) Value() string {
+	const headerBytes = 6 // column count and length of the value
+	if len(a.messages) != len(rowMessageKinds) {
 		return ""
 	}
-	return a.messages[1].body[before:]
+	return a.messages[1].body[headerBytes:]
 }
 
-// LoadQuery is the probe that brings a load report.
+// LoadQuery requests a member's load report.
 const LoadQuery = "SHOW server_load"
 
-// Bytes is how long the answer's messages are.
-func (a *Answer) Bytes() (n int) {
-	for _, m := range a.messages {
-		n += len(m.whole)
+// Size returns the length of the answer's messages in bytes.
+func (a *Answer) Size() (n int) {
+	for _, msg := range a.messages {
+		n += len(msg.raw)
 	}
 	return n
 }
--- a/internal/protocol/news.go
+++ b/internal/protocol/news.go
@@ -2,73 +2,74 @@
 
 import "encoding/binary"
 
-// News is what one driver tells its fellows of a member: its role (0 unknown, 1 primary, 2 replica), its position
-// and a recent answer time, both in milliseconds, or that its last answer was an error; and for how long the member
-// has run at least, in seconds, as a connection that worked lately shows, 0 where none does.
-type News struct {
-	Member   uint32
-	Role     uint8
-	Position int64
-	Took     int64
-	Failed   bool
-	Ran      int64
+// Observation is what a driver tells its peers about a member.
+type Observation struct {
+	Member           uint32
+	Role             uint8 // 0 unknown, 1 primary, 2 replica
+	PositionMillis   int64
+	LatencyMillis    int64 // of a recent answer
+	Failed           bool  // the last answer was an error
+	MinUptimeSeconds int64 // from the age of a connection that still works, 0 if there is none
 }
 
+// The format of a message between drivers, all integers little-endian.
 const (
-	MessageBytes   = 256 // of a message between drivers, at most
-	newsBytes      = 8   // of one of the news
-	NewsPerMessage = MessageBytes / newsBytes
+	// MaxMessageBytes is the maximum size of a message between drivers.
+	MaxMessageBytes  = 256
+	observationBytes = 8
+	// ObservationsPerMessage is the number of observations that fit into a message.
+	ObservationsPerMessage = MaxMessageBytes / observationBytes
 
-	// LongestNews is how many milliseconds may lie between a position that is told and now: of the position 16 bits are sent, which mean another one
-	// to whoever hears it over 32 s later, and 65 s later one that looks new.
-	LongestNews = 30_000
+	// MaxPositionAgeMillis limits the distance of a sent position from the sender's clock. Only the low
+	// 16 bits are sent, which a receiver misreads if the position is over 32 s from its own clock.
+	MaxPositionAgeMillis = 30_000
 
-	keyAt   = 0 // bytes 0 to 3: the member
-	placeAt = 4 // bytes 4 and 5: the position's low bits
-	restAt  = 6 // bytes 6 and 7: role, answer time and seconds, from the low bits up
+	memberOffset   = 0 // bytes 0 to 3: member
+	positionOffset = 4 // bytes 4 and 5: low bits of the position
+	packedOffset   = 6 // bytes 6 and 7, from the low bits up: role (2), latency (9), uptime (5)
 
-	roles    = 1 << 2
-	tooks    = 1 << 9
-	tookStep = 8         // milliseconds
-	failed   = tooks - 1 // in place of the answer time
-	mostRan  = 1<<5 - 1  // seconds
+	roleValues        = 1 << 2
+	latencyValues     = 1 << 9
+	latencyStepMillis = 8
+	failedLatency     = latencyValues - 1 // sent instead of a latency
+	maxUptimeSeconds  = 1<<5 - 1
 )
 
-// AppendNews adds one of the news, told at a time in milliseconds. What is too far from then can't be told and is
-// left out.
-func AppendNews(to []byte, n News, now int64) []byte {
-	if age := now - n.Position; age > LongestNews || age < -LongestNews {
-		return to
+// AppendObservation appends an encoded observation to dst, unless its position is too far from nowMillis
+// to be sent.
+func AppendObservation(dst []byte, o Observation, nowMillis int64) []byte {
+	if age := nowMillis - o.PositionMillis; age > MaxPositionAgeMillis || age < -MaxPositionAgeMillis {
+		return dst
 	}
-	took := (min(max(n.Took, 0), (failed-1)*tookStep) + tookStep - 1) / tookStep
-	if n.Failed {
-		took = failed
+	latency := (min(max(o.LatencyMillis, 0), (failedLatency-1)*latencyStepMillis) + latencyStepMillis - 1) / latencyStepMillis
+	if o.Failed {
+		latency = failedLatency
 	}
-	to = binary.LittleEndian.AppendUint32(to, n.Member)
-	to = binary.LittleEndian.AppendUint16(to, uint16(n.Position))
-	ran := min(max(n.Ran, 0), mostRan)
-	return binary.LittleEndian.AppendUint16(to, uint16((ran*tooks+took)*roles+int64(n.Role%roles)))
+	dst = binary.LittleEndian.AppendUint32(dst, o.Member)
+	dst = binary.LittleEndian.AppendUint16(dst, uint16(o.PositionMillis))
+	uptime := min(max(o.MinUptimeSeconds, 0), maxUptimeSeconds)
+	return binary.LittleEndian.AppendUint16(dst, uint16((uptime*latencyValues+latency)*roleValues+int64(o.Role%roleValues)))
 }
 
-// ParseNews reads a message heard at a time in milliseconds, and tells whether it is one of ours. Positions are the
-// nearest to that time.
-func ParseNews(content []byte, now int64) (news []News, ok bool) {
-	if len(content) > MessageBytes || len(content)%newsBytes != 0 {
+// ParseObservations parses a message received at nowMillis. Positions are decoded to the value nearest
+// to that time. ok is false if the message is malformed.
+func ParseObservations(content []byte, nowMillis int64) (observations []Observation, ok bool) {
+	if len(content) > MaxMessageBytes || len(content)%observationBytes != 0 {
 		return nil, false
 	}
-	for ; len(content) > 0; content = content[newsBytes:] {
-		rest := int64(binary.LittleEndian.Uint16(content[restAt:]))
-		took := rest / roles % tooks
-		n := News{Member: binary.LittleEndian.Uint32(content[keyAt:]), Role: uint8(rest % roles), Failed: took == failed,
-			Ran: rest / roles / tooks}
-		if !n.Failed {
-			n.Took = took * tookStep
+	for ; len(content) > 0; content = content[observationBytes:] {
+		packed := int64(binary.LittleEndian.Uint16(content[packedOffset:]))
+		latency := packed / roleValues % latencyValues
+		o := Observation{Member: binary.LittleEndian.Uint32(content[memberOffset:]), Role: uint8(packed % roleValues), Failed: latency == failedLatency,
+			MinUptimeSeconds: packed / roleValues / latencyValues}
+		if !o.Failed {
+			o.LatencyMillis = latency * latencyStepMillis
 		}
-		n.Position = now - int64(int16(uint16(now)-binary.LittleEndian.Uint16(content[placeAt:])))
-		if n.Role == roles-1 {
+		o.PositionMillis = nowMillis - int64(int16(uint16(nowMillis)-binary.LittleEndian.Uint16(content[positionOffset:])))
+		if o.Role == roleValues-1 {
 			return nil, false
 		}
-		news = append(news, n)
+		observations = append(observations, o)
 	}
-	return news, true
+	return observations, true
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -7,69 +7,71 @@
 	"time"
 )
 
-// Dial connects to an address until by ends, if that leaves at least spare descriptors free; the connection itself lives as
-// long as life.
-func Dial(life, by context.Context, d *Descriptors, spare int, address string, bound int) (*Conn, End) {
-	if !d.Take(spare) {
+// Dial connects to an address if at least reserve descriptors stay free. dialCtx bounds the dial,
+// connCtx the life of the connection.
+func Dial(connCtx, dialCtx context.Context, descriptors *Descriptors, reserve int, address string, bufferLimit int) (*Conn, CloseReason) {
+	if !descriptors.Acquire(reserve) {
 		return nil, NoDescriptor
 	}
 	var dialer net.Dialer
-	nc, err := dialer.DialContext(by, "tcp", address)
+	netConn, err := dialer.DialContext(dialCtx, "tcp", address)
 	if err != nil {
-		d.Give()
-		return nil, endOfDial(by, err)
+		descriptors.Release()
+		return nil, dialFailureReason(dialCtx, err)
 	}
-	return NewConn(life, nc, bound, d.Give), Open
+	return NewConn(connCtx, netConn, bufferLimit, descriptors.Release), Open
 }
 
-// Listener accepts connections within the descriptors allowed.
+// Listener accepts connections within the limit on descriptors.
 type Listener struct {
-	nl    net.Listener
-	d     *Descriptors
-	bound int
+	netListener net.Listener
+	descriptors *Descriptors
+	bufferLimit int
 }
 
-// Listen opens a listener.
-func Listen(address string, d *Descriptors, bound int) (*Listener, error) {
-	nl, err := net.Listen("tcp", address)
+// Listen listens on a TCP address.
+func Listen(address string, descriptors *Descriptors, bufferLimit int) (*Listener, error) {
+	netListener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &Listener{nl: nl, d: d, bound: bound}, nil
+	return &Listener{netListener: netListener, descriptors: descriptors, bufferLimit: bufferLimit}, nil
 }
 
-const acceptRest = 10 * time.Millisecond // after an accept that failed, or while no descriptor is free
+// acceptRetryDelay is the pause after a failed accept, or while no descriptor is free.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Accept waits for a connection, and calls short when no more than spare descriptors are free. One that would take
-// the last quarter of these waits, since what its client sent can't be given back, and calls short as a must.
-func (l *Listener) Accept(life context.Context, spare int, short func(must bool)) (*Conn, error) {
+// Accept waits for a connection. It calls onShortage(false) if at most reserve descriptors are free.
+// While fewer than a quarter of reserve would stay free, it delays the accepted connection, whose
+// input cannot be handed back, and repeatedly calls onShortage(true) to have descriptors released.
+func (l *Listener) Accept(connCtx context.Context, reserve int, onShortage func(isUrgent bool)) (*Conn, error) {
 	for {
-		nc, err := l.nl.Accept()
+		netConn, err := l.netListener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case err != nil:
-			short(true)
-			time.Sleep(acceptRest)
+			onShortage(true)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if l.d.Free() <= spare {
-			short(false)
+		if l.descriptors.Free() <= reserve {
+			onShortage(false)
 		}
-		for !l.d.Take(spare / 4) {
-			if life.Err() != nil {
-				nc.Close()
-				return nil, life.Err()
+		for !l.descriptors.Acquire(reserve / 4) {
+			if connCtx.Err() != nil {
+				netConn.Close()
+				return nil, connCtx.Err()
 			}
-			short(true)
-			time.Sleep(acceptRest)
+			onShortage(true)
+			time.Sleep(acceptRetryDelay)
 		}
-		return NewConn(life, nc, l.bound, l.d.Give), nil
+		return NewConn(connCtx, netConn, l.bufferLimit, l.descriptors.Release), nil
 	}
 }
 
-// Close ends the listener.
-func (l *Listener) Close() { l.nl.Close() }
+// Close closes the listener.
+func (l *Listener) Close() { l.netListener.Close() }
 
-// Addr is where clients connect.
-func (l *Listener) Addr() string { return l.nl.Addr().String() }
+// Addr returns the address that clients connect to.
+func (l *Listener) Addr() string { return l.netListener.Addr().String() }
--- a/internal/transport/end.go
+++ b/internal/transport/end.go
@@ -9,64 +9,67 @@
 	"syscall"
 )
 
-// End is the way in which a connection ended, or that it is open still.
-type End int
+// CloseReason is why a connection closed or could not be opened, or Open.
+type CloseReason int
 
+// The reasons for which a connection closes, or why it is not used.
 const (
-	Open         End = iota
-	DialRefused      // nobody listens there
-	DialTimedOut     // it never came up
-	DialFailed       // any other reason for which it did not come up
-	NoDescriptor     // this driver may hold no more
-	TurnedAway       // the peer took the connection, but not the session
-	ClosedByPeer     // an orderly end between messages
-	CutShort         // the peer ended it inside a message
-	ResetByPeer      // the peer, or its machine, broke it
-	Malformed        // the peer sent what can't be followed
-	TooLong          // the peer sent more than may be held
-	WriteStalled     // the peer did not take what was sent in time
-	TimedOut         // this driver stopped waiting
-	Cancelled        // this driver no longer wanted the reply
-	Evicted          // let go of between messages
-	Stalled          // the peer did not finish a message in time
-	ShutDown         // this driver is going
-	Withheld         // open, and not used: what it was opened for may not be sent any more
+	Open         CloseReason = iota
+	DialRefused              // no listener at the address
+	DialTimedOut             // not connected in time
+	DialFailed               // any other failure to connect
+	NoDescriptor             // the limit on open sockets was reached
+	Rejected                 // the peer accepted the connection but refused the session
+	ClosedByPeer             // closed in an orderly way between messages
+	Truncated                // closed by the peer within a message
+	ResetByPeer              // the connection broke, usually by a reset
+	Malformed                // the peer violated the protocol
+	TooLong                  // the peer sent more than the size limit
+	WriteStalled             // the peer did not read in time
+	TimedOut                 // a deadline of this process passed
+	Cancelled                // the reply was no longer needed
+	Evicted                  // closed between messages to free resources
+	Stalled                  // the peer did not finish a message in time
+	ShutDown                 // this process is shutting down
+	Withheld                 // not used: the request it was opened for may no longer be sent
 )
 
-var endNames = [...]string{"open", "dial refused", "dial timed out", "dial failed", "no descriptor", "turned away",
+var closeReasonTexts = [...]string{"open", "dial refused", "dial timed out", "dial failed", "no descriptor", "turned away",
 	"closed by peer", "cut short", "reset by peer", "malformed", "too long", "write stalled", "timed out", "cancelled",
 	"evicted", "stalled", "shut down", "withheld"}
 
-func (e End) String() string { return endNames[e] }
+// String returns the reason as text, as in logs and traces.
+func (r CloseReason) String() string { return closeReasonTexts[r] }
 
-// Error lets an End be the cause of a context's end.
-func (e End) Error() string { return endNames[e] }
+// Error lets a CloseReason be the cause of a context's cancellation.
+func (r CloseReason) Error() string { return closeReasonTexts[r] }
 
-// EndOf tells why a context ended: the End it was cancelled with, or its deadline.
-func EndOf(ctx context.Context) End {
-	var end End
+// CloseReasonOf maps the cause of a context's end to a CloseReason: the one it was cancelled with,
+// TimedOut after its deadline, else Cancelled. It is Open for a context that has not ended.
+func CloseReasonOf(ctx context.Context) CloseReason {
+	var reason CloseReason
 	switch cause := context.Cause(ctx); {
 	case cause == nil:
 		return Open
-	case errors.As(cause, &end):
-		return end
+	case errors.As(cause, &reason):
+		return reason
 	case errors.Is(cause, context.DeadlineExceeded):
 		return TimedOut
 	}
 	return Cancelled
 }
 
-// endOfDial tells why no connection came up by the end of a context.
-func endOfDial(by context.Context, err error) End {
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() {
-		if _, bounded := by.Deadline(); bounded {
-			<-by.Done() // the dialer keeps the same deadline and may see it first
+// dialFailureReason maps the error of a dial under ctx to a CloseReason.
+func dialFailureReason(ctx context.Context, err error) CloseReason {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		if _, hasDeadline := ctx.Deadline(); hasDeadline {
+			<-ctx.Done() // the dialer may notice the same deadline first
 		}
 	}
 	switch {
-	case by.Err() != nil:
-		return EndOf(by)
+	case ctx.Err() != nil:
+		return CloseReasonOf(ctx)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return DialRefused
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
@@ -75,14 +78,16 @@
 	return DialFailed
 }
 
-func endOfRead(err error) End {
+// readFailureReason maps the error of a read to a CloseReason.
+func readFailureReason(err error) CloseReason {
 	if errors.Is(err, io.EOF) {
 		return ClosedByPeer
 	}
 	return ResetByPeer
 }
 
-func endOfWrite(err error) End {
+// writeFailureReason maps the error of a write to a CloseReason.
+func writeFailureReason(err error) CloseReason {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return WriteStalled
 	}
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -1,60 +1,60 @@
 package transport
 
-// Ring is a first-in first-out buffer of bytes. It holds no memory until it is written to, doubles as needed up
-// to its bound, and is let go of when a large one has run empty.
-type Ring struct {
+// RingBuffer is a FIFO buffer of bytes. It allocates on the first write and doubles up to its limit; a
+// large one is freed when it is reset.
+type RingBuffer struct {
 	buf   []byte
 	head  int
 	used  int
-	bound int
+	limit int
 }
 
 const (
-	firstSize = 512
-	keptSize  = 8 << 10 // a larger ring is given back once it is empty
+	initialSize = 512
+	maxIdleSize = 8 << 10 // larger buffers are freed when empty
 )
 
-// NewRing makes an empty ring that grows to bound bytes at most.
-func NewRing(bound int) Ring { return Ring{bound: bound} }
+// NewRingBuffer returns an empty buffer that grows up to limit bytes.
+func NewRingBuffer(limit int) RingBuffer { return RingBuffer{limit: limit} }
 
-// Len is the number of bytes held.
-func (r *Ring) Len() int { return r.used }
+// Len returns the number of buffered bytes.
+func (r *RingBuffer) Len() int { return r.used }
 
-// Room is the number of bytes that may still be written.
-func (r *Ring) Room() int { return r.bound - r.used }
+// Available returns the number of bytes that can still be written.
+func (r *RingBuffer) Available() int { return r.limit - r.used }
 
-// grow makes space for n more bytes, as far as the bound allows.
-func (r *Ring) grow(n int) {
-	size := max(len(r.buf), min(firstSize, r.bound))
-	for size < min(r.used+n, r.bound) {
-		size = min(2*size, r.bound)
+// grow makes space for n more bytes, up to the limit.
+func (r *RingBuffer) grow(n int) {
+	size := max(len(r.buf), min(initialSize, r.limit))
+	for size < min(r.used+n, r.limit) {
+		size = min(2*size, r.limit)
 	}
 	if size != len(r.buf) {
-		r.move(size)
+		r.resize(size)
 	}
 }
 
-// move moves what is held to a buffer of another size, which must do for it.
-func (r *Ring) move(size int) {
-	other := make([]byte, size)
-	r.peek(other[:r.used])
-	r.buf, r.head = other, 0
+// resize moves the contents to a buffer of the given size, which must hold them.
+func (r *RingBuffer) resize(size int) {
+	buf := make([]byte, size)
+	r.peek(buf[:r.used])
+	r.buf, r.head = buf, 0
 }
 
-// relax starts an empty ring afresh, and gives a large one back.
-func (r *Ring) relax() {
+// reset moves an empty buffer to its start and frees a large one. It does nothing if data is buffered.
+func (r *RingBuffer) reset() {
 	if r.used > 0 {
 		return
 	}
 	r.head = 0
-	if len(r.buf) > keptSize {
+	if len(r.buf) > maxIdleSize {
 		r.buf = nil
 	}
 }
 
-// Write appends as much of a text as there is room for, and tells how much.
-func (r *Ring) Write(text string) int {
-	text = text[:min(len(text), r.Room())]
+// Write appends as much of text as fits and returns the number of bytes written.
+func (r *RingBuffer) Write(text string) int {
+	text = text[:min(len(text), r.Available())]
 	r.grow(len(text))
 	for rest := text; len(rest) > 0; {
 		n := copy(r.free(), rest)
@@ -64,8 +64,8 @@
 	return len(text)
 }
 
-// free is the longest unused stretch behind what is held.
-func (r *Ring) free() []byte {
+// free returns the contiguous unused space behind the data.
+func (r *RingBuffer) free() []byte {
 	if len(r.buf) == 0 || r.used == len(r.buf) {
 		return nil
 	}
@@ -76,33 +76,33 @@
 	return r.buf[tail:]
 }
 
-// front is the longest stretch that is held, from the oldest byte on.
-func (r *Ring) front() []byte {
+// front returns the contiguous data from the oldest byte on.
+func (r *RingBuffer) front() []byte {
 	if r.used == 0 {
 		return nil
 	}
 	return r.buf[r.head:min(r.head+r.used, len(r.buf))]
 }
 
-// peek copies the oldest bytes without taking them; they must be held.
-func (r *Ring) peek(into []byte) {
-	n := copy(into, r.buf[r.head:])
-	copy(into[n:], r.buf)
+// peek copies the oldest len(dst) bytes, which must be buffered, without consuming them.
+func (r *RingBuffer) peek(dst []byte) {
+	n := copy(dst, r.buf[r.head:])
+	copy(dst[n:], r.buf)
 }
 
-// peekAt copies bytes from an offset on without taking them, and tells whether so many are held.
-func (r *Ring) peekAt(at int, into []byte) bool {
-	if at+len(into) > r.used {
+// peekAt copies bytes from offset on without consuming them. It returns false if too few are buffered.
+func (r *RingBuffer) peekAt(offset int, dst []byte) bool {
+	if offset+len(dst) > r.used {
 		return false
 	}
-	for i := range into {
-		into[i] = r.buf[(r.head+at+i)%len(r.buf)]
+	for i := range dst {
+		dst[i] = r.buf[(r.head+offset+i)%len(r.buf)]
 	}
 	return true
 }
 
-// discard drops the n oldest bytes. It leaves the free stretch where it is: somebody may be filling it.
-func (r *Ring) discard(n int) {
+// discard drops the n oldest bytes. It does not move the free space, which readLoop may be filling.
+func (r *RingBuffer) discard(n int) {
 	if n > 0 {
 		r.head = (r.head + n) % len(r.buf)
 		r.used -= n
--- a/internal/transport/ring_test.go
+++ b/internal/transport/ring_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against bytes lost, doubled or out of order where the ring wraps around or grows.
-func TestRingKeepsOrder(t *testing.T) {
+// Guards against lost, duplicated or reordered bytes when the buffer wraps around or grows.
+func TestRingBufferKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	r, model := NewRing(3000), ""
+	r, model := NewRingBuffer(3000), ""
 	for i := range 20_000 {
 		if rng.Intn(2) == 0 {
 			text := strings.Repeat(string(rune('a'+i%26)), rng.Intn(700))
@@ -30,15 +30,15 @@
 	}
 }
 
-// Guards against memory that idle connections hold on to.
-func TestRingIsSmallUntilNeeded(t *testing.T) {
-	r := NewRing(100 << 10)
+// Guards against idle connections that keep memory.
+func TestRingBufferReleasesMemory(t *testing.T) {
+	r := NewRingBuffer(100 << 10)
 	require.Zero(t, cap(r.buf))
 	r.Write("a")
-	require.Len(t, r.buf, firstSize)
+	require.Len(t, r.buf, initialSize)
 	r.Write(strings.Repeat("b", 50<<10))
 	require.Less(t, len(r.buf), 100<<10)
 	r.discard(r.Len())
-	r.relax()
+	r.reset()
 	require.Zero(t, cap(r.buf))
 }
--- a/internal/transport/spare.go
+++ b/internal/transport/spare.go
@@ -2,29 +2,34 @@
 
 import "sync"
 
-// Spare is what all connections together may hold beyond their usual bounds, for peers that send on while they are not read
-// from. It guards against many of them at once taking the memory of all.
-type Spare struct {
-	mu   sync.Mutex
-	left int
-	each int // bytes that one connection may hold in all
+// OverflowBudget limits the memory that all connections together use beyond their normal buffers, for
+// peers that keep sending while a request is processed.
+type OverflowBudget struct {
+	mu           sync.Mutex
+	available    int
+	perConnLimit int // bytes per connection, including the normal buffer
 }
 
-// NewSpare allows for so many bytes beyond the usual for all, and for so many in all for each.
-func NewSpare(all, each int) *Spare { return &Spare{left: all, each: each} }
+// NewOverflowBudget returns a budget of total bytes. One connection's read buffer may grow to
+// perConnLimit bytes.
+func NewOverflowBudget(total, perConnLimit int) *OverflowBudget {
+	return &OverflowBudget{available: total, perConnLimit: perConnLimit}
+}
 
-func (s *Spare) take(n int) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.left < n {
+// reserve takes n bytes from the budget if they are available.
+func (b *OverflowBudget) reserve(n int) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.available < n {
 		return false
 	}
-	s.left -= n
+	b.available -= n
 	return true
 }
 
-func (s *Spare) give(n int) {
-	s.mu.Lock()
-	s.left += n
-	s.mu.Unlock()
+// release returns n bytes to the budget.
+func (b *OverflowBudget) release(n int) {
+	b.mu.Lock()
+	b.available += n
+	b.mu.Unlock()
 }
