--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -52,10 +52,10 @@
 	require.ErrorContains(t, err, "content is not base64")
 	var out strings.Builder
 	d := &driver{w: &wire{out: bufio.NewWriter(&out), now: int64(100 * time.Second)}}
-	d.Tell([]rules.News{{Member: 9, Observation: rules.Observation{Role: rules.RoleReplica, Position: int64(60 * time.Second)}}})
+	d.SendReports([]rules.PeerReport{{Member: 9, Observation: rules.Observation{Role: rules.RoleReplica, Position: int64(60 * time.Second)}}})
 	require.NoError(t, d.w.out.Flush())
 	require.Empty(t, out.String())
-	d.Tell([]rules.News{{Member: 9, Observation: rules.Observation{Role: rules.RoleReplica, Position: int64(99 * time.Second)}}})
+	d.SendReports([]rules.PeerReport{{Member: 9, Observation: rules.Observation{Role: rules.RoleReplica, Position: int64(99 * time.Second)}}})
 	require.NoError(t, d.w.out.Flush())
 	require.Contains(t, out.String(), "SIGNAL")
 }
--- a/rules/cold_fleet_test.go
+++ b/rules/cold_fleet_test.go
@@ -86,15 +86,15 @@
 	part float64 // of the traffic
 }
 
-func (h *inFleet) Now() int64                       { return h.now }
-func (h *inFleet) After(wait int64, next func())    { h.after(wait, next) }
-func (h *inFleet) Cancel(rules.RPCID, int)          {}
-func (h *inFleet) CloseIdle(rules.MemberID)         {}
-func (h *inFleet) Forget(rules.MemberID)            {}
-func (h *inFleet) Watch()                           {}
-func (h *inFleet) Log(string)                       {}
-func (h *inFleet) PushBack(id rules.RPCID, _ int64) { delete(h.open, id) }
-func (h *inFleet) Abort(id rules.RPCID)             { delete(h.open, id) }
+func (h *inFleet) Now() int64                                   { return h.now }
+func (h *inFleet) After(wait int64, next func())                { h.after(wait, next) }
+func (h *inFleet) Cancel(rules.RPCID, int)                      {}
+func (h *inFleet) CloseIdle(rules.MemberID)                     {}
+func (h *inFleet) Forget(rules.MemberID)                        {}
+func (h *inFleet) Watch()                                       {}
+func (h *inFleet) Log(string)                                   {}
+func (h *inFleet) RejectWithRetryAfter(id rules.RPCID, _ int64) { delete(h.open, id) }
+func (h *inFleet) Abort(id rules.RPCID)                         { delete(h.open, id) }
 
 func (h *inFleet) observation(m rules.MemberID) rules.Observation {
 	if m == 1 {
@@ -108,10 +108,10 @@
 	h.after(int64(time.Millisecond), func() { next(rules.ProbeResult{Report: h.observation(to)}) })
 }
 
-func (h *inFleet) Tell(news []rules.News) {
+func (h *inFleet) SendReports(news []rules.PeerReport) {
 	for _, other := range h.drivers {
 		if other != h && !(h.lossy && h.rng.Float64() < 0.5) {
-			h.after(int64(10*time.Millisecond), func() { other.d.Told(news) })
+			h.after(int64(10*time.Millisecond), func() { other.d.ReceiveReports(news) })
 		}
 	}
 }
@@ -120,21 +120,21 @@
 	if h.told && slices.Contains(h.cold, to) {
 		h.got[to] = append(h.got[to], h.now)
 	}
-	r := rules.Result{Proof: rules.OK, Final: true, Took: h.took, Observation: h.observation(to)}
+	r := rules.Result{Outcome: rules.OK, Final: true, Latency: h.took, Observation: h.observation(to)}
 	took := h.took
 	if h.rng.Float64() < h.failing {
-		r.Proof, r.Cause, r.Final = rules.MayHaveRun, rules.Errored, false
+		r.Outcome, r.Cause, r.Final = rules.MayHaveExecuted, rules.ServerError, false
 	}
 	if h.limited && !h.accepts(to) {
 		took = int64(2 * time.Millisecond)
-		r = rules.Result{Proof: rules.NeverRan, Cause: rules.Full, Took: took}
+		r = rules.Result{Outcome: rules.NotExecuted, Cause: rules.Overloaded, Latency: took}
 	}
 	h.after(took, func() {
-		if r.Cause != rules.Full {
+		if r.Cause != rules.Overloaded {
 			r.Observation = h.observation(to)
 		}
 		r.Final = r.Final || !h.open[id]
-		if r.Proof == rules.OK {
+		if r.Outcome == rules.OK {
 			h.answered++
 			delete(h.open, id)
 		}
@@ -208,27 +208,27 @@
 func (h *inFleet) start() {
 	methods := []rules.Method{
 		{Name: "read", SoftDeadline: int64(400 * time.Millisecond), Deadline: int64(2 * time.Second), Utility: 1, LateUtility: 0.2},
-		{Name: "write", Need: rules.NeedPrimary, Effect: rules.NonIdempotent, SoftDeadline: int64(600 * time.Millisecond),
+		{Name: "write", Consistency: rules.ConsistencyWrite, Effect: rules.NonIdempotent, SoftDeadline: int64(600 * time.Millisecond),
 			Deadline: int64(2 * time.Second), Utility: 5, LateUtility: 0.5},
 	}
 	h.open = map[rules.RPCID]bool{}
-	h.d = rules.New(h, h.rng.Int63(), methods, rules.Fleet{Drivers: h.crew, News: 31}, rules.Store{},
-		rules.Allowed{Attempts: 10, Cancel: true, Probes: true}, rules.SlowStart{Share: share, WarmAfter: int64(warm), Multiple: multiple}, rules.Notice{})
+	h.d = rules.New(h, h.rng.Int63(), methods, rules.Fleet{Drivers: h.crew, ReportsPerMessage: 31}, rules.Store{},
+		rules.Policy{MaxAttempts: 10, Cancellation: true, Probing: true}, rules.SlowStart{InitialShare: share, WarmUpTime: int64(warm), OverloadFactor: multiple}, rules.Discovery{})
 	h.list(true)
 }
 
 // list tells a driver the list as it is.
 func (h *inFleet) list(whole bool) {
-	var lines []rules.Listing
+	var lines []rules.MemberEntry
 	for m := rules.MemberID(1); m <= members; m++ {
-		l := rules.Listing{Member: m, Group: 1, Size: h.size(m)}
+		l := rules.MemberEntry{Member: m, Group: 1, Weight: h.size(m)}
 		if slices.Contains(h.cold, m) {
 			l.Started = h.restart
 		}
 		lines = append(lines, l)
 	}
 	h.told = h.restart != 0
-	h.d.List(lines, whole)
+	h.d.UpdateMembers(lines, whole)
 }
 
 // comes takes RPCs, one in five a write.
@@ -236,11 +236,11 @@
 	h.after(int64(h.rng.ExpFloat64()/(h.rate*h.part)*float64(time.Second)), func() {
 		h.last++
 		h.open[h.last] = true
-		rpc := rules.RPC{ID: h.last, Group: 1, Left: int64(2 * time.Second)}
+		rpc := rules.RPC{ID: h.last, Group: 1, TimeLeft: int64(2 * time.Second)}
 		if h.rng.Intn(5) == 0 {
 			rpc.Method = 1
 		}
-		h.d.Take(rpc)
+		h.d.Submit(rpc)
 		h.comes()
 	})
 }
