--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -3,145 +3,145 @@
 import "fmt"
 
 const (
-	// soonestElection is how soon after it was certainly primary a member may have a successor that has acted. No setting tells what a store
+	// minElectionTime is how soon after it was certainly primary a member may have a successor that has acted. No setting tells what a store
 	// promises of its elections: this is an assumption, on which session and fresh reads at primaries rest.
-	soonestElection = 500 * ms
+	minElectionTime = 500 * ms
 
-	soonestLook = 50 * ms // between two rounds of a member's own probes
-	looksApart  = 90 * ms // between two probes by which a primary is asked whether it still is one
-	mostAsks    = 4       // such probes for one read, over 0.3 s, by which reports may lag
+	minProbeInterval     = 50 * ms // between two rounds of a member's own probes
+	primaryProbeInterval = 90 * ms // between two probes by which a primary is asked whether it still is one
+	maxPrimaryProbes     = 4       // such probes for one read, over 0.3 s, by which reports may lag
 )
 
-// basis says why a member may answer a read, or that it may not.
-type basis int
+// eligibility says why a member may answer a read, or that it may not.
+type eligibility int
 
 const (
-	noBasis     basis = iota
-	asPrimary         // it is the primary, and was heard to be lately
-	asClaimed         // it is the primary by the last word that could be had of it
-	asAnyMember       // any data will do
-	asFresh           // its position is known to be within the bound, or at the token or past it
-	asChecking        // it is likely to be within the bound, and turns the read away if it is not
+	notEligible              eligibility = iota
+	eligibleAsPrimary                    // it is the primary, and was heard to be lately
+	eligibleAsClaimedPrimary             // it is the primary by the last word that could be had of it
+	eligibleAsAnyMember                  // any data will do
+	eligibleByPosition                   // its position is known to be within the bound, or at the token or past it
+	eligibleBySelfCheck                  // it is likely to be within the bound, and turns the read away if it is not
 )
 
-var basisNames = [...]string{"none", "primary", "claimed primary", "any member", "position", "checks itself"}
+var eligibilityNames = [...]string{"none", "primary", "claimed primary", "any member", "position", "checks itself"}
 
-// basis tells on what ground a member may answer an RPC at this moment. It is asked when the member is chosen and again just before the first
+// eligibility tells on what ground a member may answer an RPC at this moment. It is asked when the member is chosen and again just before the first
 // byte of the attempt, for every attempt alike.
-func (d *Driver) basis(m member, c *call) basis {
-	k := &d.known[m]
+func (d *Driver) eligibility(m member, c *call) eligibility {
+	k := &d.replicas[m]
 	if k.position < c.MinPosition {
-		return noBasis
+		return notEligible
 	}
 	primary := c.group.primary == m
 	switch {
 	case c.method.Consistency == ConsistencyWrite && primary:
-		return asPrimary
+		return eligibleAsPrimary
 	case !c.isRead() && !primary:
-		return noBasis
+		return notEligible
 	case c.method.Consistency == ConsistencyAny:
-		return asAnyMember
-	case c.isRead() && d.reaches(m, c):
-		return asFresh
+		return eligibleAsAnyMember
+	case c.isRead() && d.isPositionSufficient(m, c):
+		return eligibleByPosition
 	case primary:
-		return d.primaryBasis(m, c)
-	case c.method.Consistency == ConsistencyBounded && d.likelyFresh(m, c):
-		return asChecking
+		return d.primaryEligibility(m, c)
+	case c.method.Consistency == ConsistencyBounded && d.isLikelyFresh(m, c):
+		return eligibleBySelfCheck
 	}
-	return noBasis
+	return notEligible
 }
 
-// primaryBasis tells whether a primary may answer a read by its role. One whose word is too old, or with a word of which may have been lost,
+// primaryEligibility tells whether a primary may answer a read by its role. One whose word is too old, or with a word of which may have been lost,
 // is asked first. Guards against a former primary that says so in an answer that breaks off, or that nobody hears, and against one that was cut
 // off and goes on believing in itself: it answers from data that grows older, and its position stands still. One that can't be asked, or whose
 // probes tell nothing of its role, is taken at its last word: the read itself is the question then. So is one whose position moves, but whose
 // reports lag too far to show more.
-func (d *Driver) primaryBasis(m member, c *call) basis {
-	k := &d.known[m]
-	asked := c.asks >= mostAsks
+func (d *Driver) primaryEligibility(m member, c *call) eligibility {
+	k := &d.replicas[m]
+	isProbedOut := c.primaryProbes >= maxPrimaryProbes
 	switch {
-	case d.confirmed(m, c.method):
-		return asPrimary
-	case !d.allowed.Probing, asked && k.mute, asked && k.confirmed >= c.askedAt && !k.lostWord():
-		return asClaimed
+	case d.hasRecentPrimary(m, c.method):
+		return eligibleAsPrimary
+	case !d.policy.Probing, isProbedOut && k.omitsRole, isProbedOut && k.primaryHeardAt >= c.primaryProbedAt && !k.mayHaveLostStatement():
+		return eligibleAsClaimedPrimary
 	}
-	return noBasis
+	return notEligible
 }
 
-// confirmed tells whether a member's word that it is primary is recent enough for a read.
-func (d *Driver) confirmed(m member, method *Method) bool {
-	k := &d.known[m]
-	return k.made != 0 && !k.lostWord() && d.host.Now()-k.made <= d.roleTrusted(method)
+// hasRecentPrimary tells whether a member's word that it is primary is recent enough for a read.
+func (d *Driver) hasRecentPrimary(m member, method *Method) bool {
+	k := &d.replicas[m]
+	return k.primaryStatedAt != 0 && !k.mayHaveLostStatement() && d.host.Now()-k.primaryStatedAt <= d.maxRoleAge(method)
 }
 
-// roleTrusted is how old a primary's word may be for a read. For a bounded one it follows from the bound: when it gave its word it had all data,
+// maxRoleAge is how old a primary's word may be for a read. For a bounded one it follows from the bound: when it gave its word it had all data,
 // which can't have grown older than that since, whoever was elected meanwhile. Where that leaves less time than it takes to ask, reads rest on
 // what is assumed of elections, as session and fresh ones do.
-func (d *Driver) roleTrusted(method *Method) int64 {
-	if usable := d.usableAge(method); method.Consistency == ConsistencyBounded && usable >= looksApart {
-		return usable
+func (d *Driver) maxRoleAge(method *Method) int64 {
+	if positionAge := d.maxPositionAge(method); method.Consistency == ConsistencyBounded && positionAge >= primaryProbeInterval {
+		return positionAge
 	}
-	return soonestElection
+	return minElectionTime
 }
 
-// reaches tells whether a member's known position by itself is enough for a read, whatever its role.
-func (d *Driver) reaches(m member, c *call) bool {
-	k := &d.known[m]
+// isPositionSufficient tells whether a member's known position by itself is enough for a read, whatever its role.
+func (d *Driver) isPositionSufficient(m member, c *call) bool {
+	k := &d.replicas[m]
 	switch {
-	case k.position == 0 || !d.plausible(k.position):
+	case k.position == 0 || !d.isPlausible(k.position):
 		return false
 	case c.method.Consistency == ConsistencySession:
-		return k.position >= max(c.SessionToken, d.floor)
-	case c.method.Consistency == ConsistencyBounded && (c.group.primary == m || !d.trustsCheck(m)):
+		return k.position >= max(c.SessionToken, d.droppedCommitMax)
+	case c.method.Consistency == ConsistencyBounded && (c.group.primary == m || !d.trustsSelfCheck(m)):
 		ahead, known := d.clock.offset()
-		return known && k.position >= d.host.Now()+ahead-d.usableAge(c.method) && d.fresher(m, c)
+		return known && k.position >= d.host.Now()+ahead-d.maxPositionAge(c.method) && d.isWithinBound(m, c)
 	}
 	return false
 }
 
-// usableAge is how old a position may be for a bounded read: the bound, less the time that may pass before the last byte is sent.
-func (d *Driver) usableAge(method *Method) int64 {
+// maxPositionAge is how old a position may be for a bounded read: the bound, less the time that may pass before the last byte is sent.
+func (d *Driver) maxPositionAge(method *Method) int64 {
 	return method.MaxStaleness - d.store.MaxSendDelay - ms
 }
 
-// likelyFresh tells whether a replica that checks the age of its data itself is expected to be within the bound.
-func (d *Driver) likelyFresh(m member, c *call) bool {
-	return d.trustsCheck(m) && d.known[m].position != 0 && d.fresher(m, c)
+// isLikelyFresh tells whether a replica that checks the age of its data itself is expected to be within the bound.
+func (d *Driver) isLikelyFresh(m member, c *call) bool {
+	return d.trustsSelfCheck(m) && d.replicas[m].position != 0 && d.isWithinBound(m, c)
 }
 
-// trustsCheck tells whether a member is left to turn away a read for which it lags too far: not where none does, not after it just turned one
+// trustsSelfCheck tells whether a member is left to turn away a read for which it lags too far: not where none does, not after it just turned one
 // away, and not while it has been primary and was not seen to follow another since.
-func (d *Driver) trustsCheck(m member) bool {
-	k := &d.known[m]
-	return d.store.RejectsStaleReads && !k.missed && k.formerAt == 0
+func (d *Driver) trustsSelfCheck(m member) bool {
+	k := &d.replicas[m]
+	return d.store.RejectsStaleReads && !k.rejectedRead && k.ceasedPrimaryAt == 0
 }
 
-// fresher tells whether the source's estimate of a replica's staleness is within the bound.
-func (d *Driver) fresher(m member, c *call) bool {
+// isWithinBound tells whether the source's estimate of a replica's staleness is within the bound.
+func (d *Driver) isWithinBound(m member, c *call) bool {
 	return c.group.primary == m || d.staleness(m) <= c.method.MaxStaleness
 }
 
 // staleness is the source's estimate, but for the primary's term, the least of its office, lest its slow
 // answer make replicas look fresher, and for an overdue replica, which grows staler.
 func (d *Driver) staleness(m member) int64 {
-	g, k := d.of[m], &d.known[m]
-	unheard := max(d.interval, d.host.Now()-k.learned)
-	if p := g.primary; p != nobody && d.known[p].leastLead != 0 {
-		return k.learned - k.position - d.known[p].leastLead + unheard
+	g, k := d.groupOf[m], &d.replicas[m]
+	sinceHeard := max(d.gossipInterval, d.host.Now()-k.heardAt)
+	if p := g.primary; p != noMember && d.replicas[p].minLead != 0 {
+		return k.heardAt - k.position - d.replicas[p].minLead + sinceHeard
 	}
-	return g.newest - k.position + unheard
+	return g.newestPosition - k.position + sinceHeard
 }
 
-// confirm asks a primary whether it still is one, for a read that waits for that.
-func (d *Driver) confirm(m member, c *call) {
+// confirmPrimary asks a primary whether it still is one, for a read that waits for that.
+func (d *Driver) confirmPrimary(m member, c *call) {
 	now := d.host.Now()
-	if d.asking[m] != 0 || now-d.lookedAt[m] < looksApart || c.asks >= mostAsks {
+	if d.probeStarted[m] != 0 || now-d.lastProbeEnd[m] < primaryProbeInterval || c.primaryProbes >= maxPrimaryProbes {
 		return
 	}
-	if c.asks == 0 {
-		c.askedAt = now
+	if c.primaryProbes == 0 {
+		c.primaryProbedAt = now
 	}
-	c.asks++
+	c.primaryProbes++
 	d.probe(m)
 }
 
@@ -157,7 +157,7 @@
 	case ConsistencyLinearizable:
 		return s.Role == RoleReplica
 	case ConsistencySession:
-		return s.Position != 0 && s.Position+rounding < c.SessionToken
+		return s.Position != 0 && s.Position+positionRounding < c.SessionToken
 	case ConsistencyBounded:
 		return s.Position != 0 && known && s.Position+clockTolerance < made+ahead-c.method.MaxStaleness
 	}
@@ -169,14 +169,14 @@
 	c := d.calls[id]
 	m, known := d.index[to]
 	if c == nil || !known {
-		return basisNames[noBasis]
+		return eligibilityNames[notEligible]
 	}
-	k, now := &d.known[m], d.host.Now()
-	return fmt.Sprintf("%s age_ms=%d confirmed_ms=%d", basisNames[d.basis(m, c)], (d.clock.at(now)-k.position)/ms, (now-k.confirmed)/ms)
+	k, now := &d.replicas[m], d.host.Now()
+	return fmt.Sprintf("%s age_ms=%d confirmed_ms=%d", eligibilityNames[d.eligibility(m, c)], (d.clock.toStore(now)-k.position)/ms, (now-k.primaryHeardAt)/ms)
 }
 
-// probeWithin is how old a position may grow before a probe for a bounded method's sake: half of what is usable.
-func (d *Driver) probeWithin(m Method) int64 {
+// boundedRefreshInterval is how old a position may grow before a probe for a bounded method's sake: half of what is usable.
+func (d *Driver) boundedRefreshInterval(m Method) int64 {
 	if d.store.RejectsStaleReads {
 		return m.MaxStaleness / 2
 	}
--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -1,75 +1,75 @@
 package rules
 
 const (
-	newsApart = 3 * ms // a driver hears no more than one message of its fellows in this time
-	newsRare  = 8 * ms // nor need they be rarer than this
-	newsFor   = 12.0   // else a driver sends one for so many RPCs that it takes
+	minMessageSpacing = 3 * ms // a driver hears no more than one message of its fellows in this time
+	maxMessageSpacing = 8 * ms // nor need they be rarer than this
+	rpcsPerMessage    = 12.0   // else a driver sends one for so many RPCs that it takes
 )
 
-// tell passes on to the fellow drivers what was learned first-hand and they are likely not to know, at once
+// scheduleReport passes on to the fellow drivers what was learned first-hand and they are likely not to know, at once
 // or when their number allows.
-func (d *Driver) tell(m member) {
-	d.untold[m] = d.fleet.ReportsPerMessage > 0
-	if d.telling || !d.untold[m] {
+func (d *Driver) scheduleReport(m member) {
+	d.hasUnsentReport[m] = d.fleet.ReportsPerMessage > 0
+	if d.gossipPending || !d.hasUnsentReport[m] {
 		return
 	}
-	d.telling = true
+	d.gossipPending = true
 	fleet := int64(d.fleet.Drivers)
-	apart := min(newsRare*fleet, max(newsApart*fleet, int64(newsFor*d.gap)))
-	d.host.After(d.told+max(d.interval, apart)-d.host.Now(), func() {
-		d.telling = false
-		var news []PeerReport
-		for m, untold := range d.untold {
-			d.untold[m] = false
-			if untold && len(news) < d.fleet.ReportsPerMessage && d.host.Now()-d.known[m].learned < d.due {
-				ran := int64(0)
-				if d.opened[m] != 0 {
-					ran = d.heard[m] - d.opened[m]
+	spacing := min(maxMessageSpacing*fleet, max(minMessageSpacing*fleet, int64(rpcsPerMessage*d.rpcInterval)))
+	d.host.After(d.lastGossip+max(d.gossipInterval, spacing)-d.host.Now(), func() {
+		d.gossipPending = false
+		var reports []PeerReport
+		for m, isUnsent := range d.hasUnsentReport {
+			d.hasUnsentReport[m] = false
+			if isUnsent && len(reports) < d.fleet.ReportsPerMessage && d.host.Now()-d.replicas[m].heardAt < d.maxAge {
+				uptime := int64(0)
+				if d.connectedAt[m] != 0 {
+					uptime = d.lastHeard[m] - d.connectedAt[m]
 				}
-				news = append(news, PeerReport{d.ids[m], Observation{Role: d.known[m].role, Position: d.known[m].position}, d.answered[m],
-					d.erred[m], ran})
-				d.answered[m], d.erred[m] = 0, false
+				reports = append(reports, PeerReport{d.ids[m], Observation{Role: d.replicas[m].role, Position: d.replicas[m].position}, d.unsentLatency[m],
+					d.lastAnswerFailed[m], uptime})
+				d.unsentLatency[m], d.lastAnswerFailed[m] = 0, false
 			}
 		}
-		if len(news) > 0 {
-			d.told = d.host.Now()
-			d.host.SendReports(news)
+		if len(reports) > 0 {
+			d.lastGossip = d.host.Now()
+			d.host.SendReports(reports)
 		}
 	})
 }
 
 // ReceiveReports takes in a fellow driver's news. A position once true stays true, whoever saw it.
-func (d *Driver) ReceiveReports(news []PeerReport) {
-	for _, n := range news {
-		if m, known := d.index[n.Member]; known && d.isNew(m, n.Observation) {
-			d.observe(m, n.Observation, byGossip, 0)
-			d.untold[m] = false
-			if n.Latency > 0 {
-				d.learn(m, float64(n.Latency), d.soft)
+func (d *Driver) ReceiveReports(reports []PeerReport) {
+	for _, report := range reports {
+		if m, known := d.index[report.Member]; known && d.isNew(m, report.Observation) {
+			d.observe(m, report.Observation, fromGossip, 0)
+			d.hasUnsentReport[m] = false
+			if report.Latency > 0 {
+				d.recordLatency(m, float64(report.Latency), d.meanSoftDeadline)
 			}
-			if n.Latency > 0 || n.Failed {
-				d.fares(m, n.Failed)
+			if report.Latency > 0 || report.Failed {
+				d.recordErrorRate(m, report.Failed)
 			}
-			d.ranOn(m, n.Uptime)
-			if d.silent[m] { // it has moved on: look for ourselves, not all at once
-				d.host.After(d.upTo(hush), func() { d.probe(m) })
+			d.recordUptime(m, report.Uptime)
+			if d.isUnresponsive[m] { // it has moved on: look for ourselves, not all at once
+				d.host.After(d.randomBelow(probeTimeout), func() { d.probe(m) })
 			}
-			d.wake(d.of[m])
+			d.retryHeld(d.groupOf[m])
 		}
 	}
 }
 
 // isNew tells whether a peer's word of a member says more than is known: a higher position, or another role at the same one.
 func (d *Driver) isNew(m member, s Observation) bool {
-	k := &d.known[m]
-	return s.Position > k.position || s.Role != k.role && s.Position+rounding >= k.position
+	k := &d.replicas[m]
+	return s.Position > k.position || s.Role != k.role && s.Position+positionRounding >= k.position
 }
 
-// ranOn hears from a fellow driver for how long a member has run. Guards against links that were cut: a
+// recordUptime hears from a fellow driver for how long a member has run. Guards against links that were cut: a
 // member that only some drivers could not reach is not cold. A restart that the list tells of stays one.
-func (d *Driver) ranOn(m member, ran int64) {
-	if d.guessed[m] != 0 && !d.silent[m] && d.host.Now()-ran < d.guessed[m] {
-		d.logf("ran on member=%d for_ms=%d", d.ids[m], ran/ms)
-		d.restarted[m], d.guessed[m] = 0, 0
+func (d *Driver) recordUptime(m member, uptime int64) {
+	if d.inferredOutageStart[m] != 0 && !d.isUnresponsive[m] && d.host.Now()-uptime < d.inferredOutageStart[m] {
+		d.logf("ran on member=%d for_ms=%d", d.ids[m], uptime/ms)
+		d.inferredStart[m], d.inferredOutageStart[m] = 0, 0
 	}
 }
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -4,18 +4,18 @@
 type source int
 
 const (
-	byAnswer source = iota // the member's own answer to what it was asked: true of a moment between the two
-	byReport               // its load report, which it may hand out long after it was made, also while it hangs
-	byGossip               // a peer's word of some time before
+	fromAnswer     source = iota // the member's own answer to what it was asked: true of a moment between the two
+	fromLoadReport               // its load report, which it may hand out long after it was made, also while it hangs
+	fromGossip                   // a peer's word of some time before
 )
 
 var sourceNames = [...]string{"answer", "report", "gossip"}
 
-// rounding is by how much two positions of one moment may differ: the commit of a write is rounded up, what is applied is rounded down.
-const rounding = 2 * ms
+// positionRounding is by how much two positions of one moment may differ: the commit of a write is rounded up, what is applied is rounded down.
+const positionRounding = 2 * ms
 
-// handover is how long a member that turned a write away, or said that it is none, is not believed to be primary again.
-const handover = 200 * ms
+// handoverTime is how long a member that turned a write away, or said that it is none, is not believed to be primary again.
+const handoverTime = 200 * ms
 
 // replicaState is what is known of one member's role and log position.
 //
@@ -27,24 +27,26 @@
 type replicaState struct {
 	role     Role
 	position int64 // up to which it has applied the log, by the store's clock; 0 where not known
-	learned  int64 // when that was heard, by the driver's clock, as all times below
+	heardAt  int64 // when that was heard, by the driver's clock, as all times below
 	lag      int64 // by how much it was behind then
 
-	claimed   int64 // the position beside its last claim to be primary, which is the time of that claim by the store's clock
-	deniedTo  int64 // claims made up to then are not believed
-	formerAt  int64 // when it was heard to be primary no longer, by the store's clock, until its position is past that; else 0
-	leastLead int64 // the least time between its position and now in this term as primary
+	claimPosition      int64 // the position beside its last claim to be primary, which is the time of that claim by the store's clock
+	claimsIgnoredUntil int64 // claims made up to then are not believed
+	ceasedPrimaryAt    int64 // when it was heard to be primary no longer, by the store's clock, until its position is past that; else 0
+	minLead            int64 // the least time between its position and now in this term as primary
 
-	confirmed  int64 // when it last was heard to be primary
-	made       int64 // and when that was said, at the earliest
-	unanswered int64 // when something sent to it last ended without an answer, with which a word of its role may have been lost
+	primaryHeardAt  int64 // when it last was heard to be primary
+	primaryStatedAt int64 // and when that was said, at the earliest
+	unansweredAt    int64 // when something sent to it last ended without an answer, with which a word of its role may have been lost
 
-	missed bool // it turned its last read away
-	mute   bool // it answered its last probe and said nothing of its role
+	rejectedRead bool // it turned its last read away
+	omitsRole    bool // it answered its last probe and said nothing of its role
 }
 
-// lostWord tells whether a word of its role may have been lost since it last said that it is primary.
-func (k *replicaState) lostWord() bool { return k.unanswered != 0 && k.made < k.unanswered }
+// mayHaveLostStatement tells whether a word of its role may have been lost since it last said that it is primary.
+func (k *replicaState) mayHaveLostStatement() bool {
+	return k.unansweredAt != 0 && k.primaryStatedAt < k.unansweredAt
+}
 
 // observe takes in what was stated of a member's role and position. Asked is when the member was asked for it, where it was.
 func (d *Driver) observe(m member, s Observation, by source, asked int64) {
@@ -62,18 +64,18 @@
 
 // observeClock relates the store's clock to the driver's by a position, but not by a peer's word, which is put into this driver's terms.
 func (d *Driver) observeClock(s Observation, by source, asked int64) {
-	if s.Position == 0 || by == byGossip {
+	if s.Position == 0 || by == fromGossip {
 		return
 	}
 	now := d.host.Now()
-	right := d.clock.right()
-	d.clock.note(s.Position, now)
-	if by == byAnswer && s.Role == RolePrimary {
-		d.clock.notePrimary(s.Position, asked, now)
+	wasInSync := d.clock.isInSync()
+	d.clock.observePosition(s.Position, now)
+	if by == fromAnswer && s.Role == RolePrimary {
+		d.clock.observePrimary(s.Position, asked, now)
 	}
-	if right != d.clock.right() {
+	if wasInSync != d.clock.isInSync() {
 		ahead, known := d.clock.offset()
-		d.logf("clock right=%t store_ahead_ms=%d known=%t", d.clock.right(), ahead/ms, known)
+		d.logf("clock right=%t store_ahead_ms=%d known=%t", d.clock.isInSync(), ahead/ms, known)
 	}
 }
 
@@ -81,109 +83,109 @@
 // comes with an answer that was asked for after the known one was heard. Then the known one was wrong. Guards against positions that were
 // spoilt or put into the future, which would else stand for ever.
 func (d *Driver) observePosition(m member, s Observation, by source, asked int64) {
-	now, k, g := d.host.Now(), &d.known[m], d.of[m]
-	if s.Position == 0 || !d.plausible(s.Position) {
+	now, k, g := d.host.Now(), &d.replicas[m], d.groupOf[m]
+	if s.Position == 0 || !d.isPlausible(s.Position) {
 		return
 	}
-	later := by == byAnswer && asked > k.learned || !d.plausible(k.position)
-	if s.Position < k.position && !later {
+	isNewer := by == fromAnswer && asked > k.heardAt || !d.isPlausible(k.position)
+	if s.Position < k.position && !isNewer {
 		return
 	}
-	age := now - k.learned
-	if s.Role != k.role || age >= 2*d.due || age >= d.interval && s.Role == RoleReplica {
-		d.tell(m)
+	age := now - k.heardAt
+	if s.Role != k.role || age >= 2*d.maxAge || age >= d.gossipInterval && s.Role == RoleReplica {
+		d.scheduleReport(m)
 	}
-	lowered := s.Position < k.position
-	k.position, k.learned, k.lag = s.Position, now, max(0, d.clock.at(now)-s.Position)
-	if lowered {
-		g.newest = d.newest(g)
+	isLowered := s.Position < k.position
+	k.position, k.heardAt, k.lag = s.Position, now, max(0, d.clock.toStore(now)-s.Position)
+	if isLowered {
+		g.newestPosition = d.newestPosition(g)
 	}
-	g.newest = max(g.newest, s.Position)
+	g.newestPosition = max(g.newestPosition, s.Position)
 }
 
-// plausible tells whether a position is not from the future, as far as can be told.
-func (d *Driver) plausible(position int64) bool {
+// isPlausible tells whether a position is not from the future, as far as can be told.
+func (d *Driver) isPlausible(position int64) bool {
 	ahead, known := d.clock.offset()
 	return !known || position <= d.host.Now()+ahead+clockTolerance
 }
 
 // observeReplica takes in that a member is no primary.
 func (d *Driver) observeReplica(m member, position int64, by source) {
-	k, g, now := &d.known[m], d.of[m], d.host.Now()
+	k, g, now := &d.replicas[m], d.groupOf[m], d.host.Now()
 	// It was made before the member's last claim, as far as positions tell.
-	before := position != 0 && position+rounding < k.claimed && d.plausible(k.claimed)
+	isOutdated := position != 0 && position+positionRounding < k.claimPosition && d.isPlausible(k.claimPosition)
 	switch {
-	case by != byAnswer && before:
+	case by != fromAnswer && isOutdated:
 		return
-	case by == byReport, before:
-		k.deniedTo = max(k.deniedTo, now)
-	case by == byAnswer: // it may still claim to be primary while it hands over
-		k.deniedTo = now + handover
+	case by == fromLoadReport, isOutdated:
+		k.claimsIgnoredUntil = max(k.claimsIgnoredUntil, now)
+	case by == fromAnswer: // it may still claim to be primary while it hands over
+		k.claimsIgnoredUntil = now + handoverTime
 	}
 	if k.role == RolePrimary {
-		k.formerAt = d.clock.at(now)
-	} else if position > k.formerAt+rounding {
-		k.formerAt = 0
+		k.ceasedPrimaryAt = d.clock.toStore(now)
+	} else if position > k.ceasedPrimaryAt+positionRounding {
+		k.ceasedPrimaryAt = 0
 	}
 	k.role = RoleReplica
 	if g.primary == m {
-		g.primary = nobody
-		d.logf("primary lost group=%d member=%d by=%s confirmed_ms=%d", g.id, d.ids[m], sourceNames[by], (now-k.confirmed)/ms)
+		g.primary = noMember
+		d.logf("primary lost group=%d member=%d by=%s confirmed_ms=%d", g.id, d.ids[m], sourceNames[by], (now-k.primaryHeardAt)/ms)
 	}
 }
 
 // observePrimary takes in a claim to be primary.
 func (d *Driver) observePrimary(m member, position int64, by source, asked int64) {
-	k, g, now := &d.known[m], d.of[m], d.host.Now()
-	dated := now // a primary stands at the present
+	k, g, now := &d.replicas[m], d.groupOf[m], d.host.Now()
+	evidenceTime := now // a primary stands at the present
 	if position != 0 {
-		dated = min(now, d.clock.from(position))
+		evidenceTime = min(now, d.clock.toDriver(position))
 	}
-	made := int64(0) // at the earliest
-	if by == byAnswer {
-		made = asked
+	statedAt := int64(0) // at the earliest
+	if by == fromAnswer {
+		statedAt = asked
 	}
 	if position != 0 {
-		made = max(made, dated)
+		statedAt = max(statedAt, evidenceTime)
 	}
-	if k.deniedTo != 0 && made <= k.deniedTo {
+	if k.claimsIgnoredUntil != 0 && statedAt <= k.claimsIgnoredUntil {
 		return // from before the word that it is none, or from a member about to hand over
 	}
 	// A primary stands at the present: one whose position has not moved since its last claim was heard hangs, or was cut off and does not know.
-	asWhenHeard := by != byAnswer || position != 0 && asked > k.confirmed+rounding
-	standsStill := asWhenHeard && position <= k.claimed && d.plausible(k.claimed)
-	if lead := now - position; position != 0 && (k.role != RolePrimary || lead < k.leastLead) {
-		k.leastLead = lead
+	isComparable := by != fromAnswer || position != 0 && asked > k.primaryHeardAt+positionRounding
+	isStuck := isComparable && position <= k.claimPosition && d.isPlausible(k.claimPosition)
+	if lead := now - position; position != 0 && (k.role != RolePrimary || lead < k.minLead) {
+		k.minLead = lead
 	}
-	k.role, k.formerAt = RolePrimary, 0
-	if d.plausible(position) && (position > k.claimed || !d.plausible(k.claimed)) {
-		k.claimed = position
+	k.role, k.ceasedPrimaryAt = RolePrimary, 0
+	if d.isPlausible(position) && (position > k.claimPosition || !d.isPlausible(k.claimPosition)) {
+		k.claimPosition = position
 	}
-	if !standsStill {
-		k.confirmed, k.made = now, made
+	if !isStuck {
+		k.primaryHeardAt, k.primaryStatedAt = now, statedAt
 	}
-	if g.primary != m && dated >= g.since {
+	if g.primary != m && evidenceTime >= g.primarySince {
 		d.setPrimary(g, m)
-		d.logf("primary group=%d member=%d by=%s evidence_ms=%d", g.id, d.ids[m], sourceNames[by], (now-dated)/ms)
+		d.logf("primary group=%d member=%d by=%s evidence_ms=%d", g.id, d.ids[m], sourceNames[by], (now-evidenceTime)/ms)
 	}
-	g.since = max(g.since, dated)
+	g.primarySince = max(g.primarySince, evidenceTime)
 }
 
-// newest is the position of the most advanced member of a group.
-func (d *Driver) newest(g *group) (position int64) {
+// newestPosition is the position of the most advanced member of a group.
+func (d *Driver) newestPosition(g *group) (position int64) {
 	for _, m := range g.members {
-		position = max(position, d.known[m].position)
+		position = max(position, d.replicas[m].position)
 	}
 	return position
 }
 
 // StoreNow is the time by the clock that positions count by, more or less.
-func (d *Driver) StoreNow() int64 { return d.clock.around(d.host.Now()) }
+func (d *Driver) StoreNow() int64 { return d.clock.estimate(d.host.Now()) }
 
 // NotPrimary hears that a member has said that it is no primary where nothing else of what it said may be relied on: before an answer that may yet
 // break off, or at the start of a connection. It counts from then on.
 func (d *Driver) NotPrimary(id MemberID) {
 	if m, known := d.index[id]; known {
-		d.observeReplica(m, 0, byAnswer)
+		d.observeReplica(m, 0, fromAnswer)
 	}
 }
--- a/rules/state.go
+++ b/rules/state.go
@@ -8,145 +8,145 @@
 
 type member int // dense index of a member in the parallel arrays of the parts below
 
-const nobody member = -1
-
-// roster is what the list tells, and how it is kept up.
-type roster struct {
-	notice  Discovery
-	asked   bool
-	pausing bool  // before it is asked for again
-	looking int64 // when the last new member is looked at for the first time
-	ids     []MemberID
-	of      []*group
-	zone    []string
-	state   []MemberState
-	size    []float64
-	kept    []bool   // member of its group, looked at by a probe loop where probes are allowed
-	keeping int      // members that are
-	free    []member // places of members that were dropped
+const noMember member = -1
+
+// membership is what the list tells, and how it is kept up.
+type membership struct {
+	discovery      Discovery
+	isWatching     bool
+	retryPending   bool  // before it is asked for again
+	nextFirstProbe int64 // when the last new member is looked at for the first time
+	ids            []MemberID
+	groupOf        []*group
+	zone           []string
+	state          []MemberState
+	weight         []float64
+	isInGroup      []bool   // member of its group, looked at by a probe loop where probes are allowed
+	groupedCount   int      // members that are
+	freeSlots      []member // places of members that were dropped
 }
 
 // observations are the positions and roles observed. Times are 0 for never, here and below.
 type observations struct {
-	store                 Store
-	clock                 storeClock
-	interval, due, rarest int64          // the estimate's; when positions are old; most between own probes
-	known                 []replicaState // of each member
-	fleet                 Fleet
-	told                  int64 // when the last news went to the fellow drivers
-	telling               bool
-	untold                []bool
-	answered              []int64 // answer time not yet told
-	erred                 []bool  // and whether the last answer was an error
+	store                                    Store
+	clock                                    storeClock
+	gossipInterval, maxAge, maxProbeInterval int64          // the estimate's; when positions are old; most between own probes
+	replicas                                 []replicaState // of each member
+	fleet                                    Fleet
+	lastGossip                               int64 // when the last news went to the fellow drivers
+	gossipPending                            bool
+	hasUnsentReport                          []bool
+	unsentLatency                            []int64 // answer time not yet told
+	lastAnswerFailed                         []bool  // and whether the last answer was an error
 }
 
 // health is how members answer this driver.
 type health struct {
-	heard, asking, aside []int64   // last answer; the unanswered probe's time; set aside until
-	lookedAt             []int64   // when its last probe ended
-	silent, back         []bool    // does not answer; on a trickle that doubles
-	out, lost, refused   []int     // attempts out, and those lost and refused in a row
-	first                float64   // room before answers teach better
-	room, took, strain   []float64 // attempts it may hold; smoothed answer time, and over soft deadline
-	errors               []float64 // smoothed share of answers that were errors
-	wrong                []int64   // when the last of them came
-	since                []int64   // when it fell silent
-	timed                []int64   // when its answer time was last learned
-	scarce               int64     // until when connections are
+	lastHeard, probeStarted, ejectedUntil              []int64   // last answer; the unanswered probe's time; set aside until
+	lastProbeEnd                                       []int64   // when its last probe ended
+	isUnresponsive, isRecovering                       []bool    // does not answer; on a trickle that doubles
+	inFlight, consecutiveLosses, consecutiveRejections []int     // attempts out, and those lost and refused in a row
+	initialLimit                                       float64   // room before answers teach better
+	limit, latency, latencyRatio                       []float64 // attempts it may hold; smoothed answer time, and over soft deadline
+	errorRate                                          []float64 // smoothed share of answers that were errors
+	lastError                                          []int64   // when the last of them came
+	unresponsiveSince                                  []int64   // when it fell silent
+	latencyUpdated                                     []int64   // when its answer time was last learned
+	connectionsScarceUntil                             int64     // until when connections are
 }
 
-// warming is the budget of members that have just started.
-type warming struct {
+// slowStartState is the budget of members that have just started.
+type slowStartState struct {
 	SlowStart
-	lastLot   []int64 // when the last lot was drawn for it
-	served    []int64 // requests that it answered ok
-	listing   []int64 // start by the list, on the store's clock
-	restarted []int64 // start by a silence that is taken for a restart, on the driver's clock
-	guessed   []int64 // when that silence began
-	opened    []int64 // when the connection was that its last answer came on
+	lastDraw            []int64 // when the last lot was drawn for it
+	answered            []int64 // requests that it answered ok
+	listedStart         []int64 // start by the list, on the store's clock
+	inferredStart       []int64 // start by a silence that is taken for a restart, on the driver's clock
+	inferredOutageStart []int64 // when that silence began
+	connectedAt         []int64 // when the connection was that its last answer came on
 }
 
 type group struct {
-	id        GroupID
-	members   []member
-	primary   member
-	newest    int64 // position of its members
-	since     int64 // date of the evidence that named the primary
-	held      []*call
-	last      int64
-	gap, took float64 // smoothed: between this driver's requests; answer time
-	load      groupLoad
+	id                       GroupID
+	members                  []member
+	primary                  member
+	newestPosition           int64 // position of its members
+	primarySince             int64 // date of the evidence that named the primary
+	held                     []*call
+	lastRequest              int64
+	requestInterval, latency float64 // smoothed: between this driver's requests; answer time
+	throughput               groupThroughput
 }
 
 // call is an RPC being worked on.
 type call struct {
 	RPC
-	method               *Method
-	group                *group
-	deadline, soft       int64
-	tries                int
-	out                  []int // numbers of the attempts still out
-	tried                []member
-	risk                 int64 // when the first attempt that may have run was sent, 0 for none
-	riskZone             string
-	held, started, ended bool   // started: its answer has begun to stream
-	reached              bool   // a member got an attempt for it
-	looked               member // the replica probed for it last
-	looks                int
-	asks                 int     // probes by which the primary was asked for it whether it still is one
-	askedAt              int64   // when the first of them was made
-	lot                  float64 // drawn once, for whether it may go to a strained primary
+	method                        *Method
+	group                         *group
+	deadline, softDeadline        int64
+	attempts                      int
+	inFlight                      []int // numbers of the attempts still out
+	tried                         []member
+	mayHaveExecutedAt             int64 // when the first attempt that may have run was sent, 0 for none
+	mayHaveExecutedZone           string
+	isHeld, isStreaming, hasEnded bool   // started: its answer has begun to stream
+	hasReachedMember              bool   // a member got an attempt for it
+	probedReplica                 member // the replica probed for it last
+	replicaProbes                 int
+	primaryProbes                 int     // probes by which the primary was asked for it whether it still is one
+	primaryProbedAt               int64   // when the first of them was made
+	latencyDraw                   float64 // drawn once, for whether it may go to a strained primary
 }
 
-// picking is the memory that picks use one after another.
-type picking struct {
-	passers, unknown []member
-	costs, lots      []float64
+// pickScratch is the memory that picks use one after another.
+type pickScratch struct {
+	eligible, outdated       []member
+	costs, cumulativeWeights []float64
 }
 
 // Driver decides for one instance.
 type Driver struct {
-	roster
+	membership
 	observations
 	health
-	warming
-	picking       picking
-	spare         float64 // further attempts that may be made now
-	success       float64 // share of recent further attempts that were ok
-	host          Host
-	rng           *rand.Rand
-	methods       []Method
-	allowed       Policy
-	index         map[MemberID]member
-	groups        map[GroupID]*group
-	calls         map[RPCID]*call
-	tokens, older map[string]int64 // last commits of sessions by answers; those of the time before
-	swept, floor  int64            // when the oldest were dropped; the newest of them, which all must see
-	soft          int64            // mean soft deadline of the methods
-	begun, taken  int64            // when this driver began, and when its last RPC came
-	gap           float64          // smoothed time between RPCs
+	slowStartState
+	scratch                             pickScratch
+	retryTokens                         float64 // further attempts that may be made now
+	retrySuccessRate                    float64 // share of recent further attempts that were ok
+	host                                Host
+	rng                                 *rand.Rand
+	methods                             []Method
+	policy                              Policy
+	index                               map[MemberID]member
+	groups                              map[GroupID]*group
+	calls                               map[RPCID]*call
+	sessionCommits, olderSessionCommits map[string]int64 // last commits of sessions by answers; those of the time before
+	lastCommitSweep, droppedCommitMax   int64            // when the oldest were dropped; the newest of them, which all must see
+	meanSoftDeadline                    int64            // mean soft deadline of the methods
+	startedAt, lastRPC                  int64            // when this driver began, and when its last RPC came
+	rpcInterval                         float64          // smoothed time between RPCs
 }
 
-// place gives a place in the arrays, with nothing of whoever had it before.
-func (d *Driver) place() member {
+// allocateSlot gives a place in the arrays, with nothing of whoever had it before.
+func (d *Driver) allocateSlot() member {
 	m := member(len(d.ids))
-	if last := len(d.free) - 1; last >= 0 {
-		m, d.free = d.free[last], d.free[:last]
+	if last := len(d.freeSlots) - 1; last >= 0 {
+		m, d.freeSlots = d.freeSlots[last], d.freeSlots[:last]
 	}
-	blank(m, &d.ids)
-	blank(m, &d.of)
-	blank(m, &d.zone)
-	blank(m, &d.state)
-	blank(m, &d.known)
-	blank(m, &d.heard, &d.asking, &d.lookedAt, &d.aside, &d.lastLot, &d.answered, &d.timed, &d.served, &d.since, &d.wrong,
-		&d.listing, &d.restarted, &d.guessed, &d.opened)
-	blank(m, &d.silent, &d.back, &d.untold, &d.kept, &d.erred)
-	blank(m, &d.out, &d.lost, &d.refused)
-	blank(m, &d.room, &d.took, &d.strain, &d.size, &d.errors)
+	resetSlot(m, &d.ids)
+	resetSlot(m, &d.groupOf)
+	resetSlot(m, &d.zone)
+	resetSlot(m, &d.state)
+	resetSlot(m, &d.replicas)
+	resetSlot(m, &d.lastHeard, &d.probeStarted, &d.lastProbeEnd, &d.ejectedUntil, &d.lastDraw, &d.unsentLatency, &d.latencyUpdated, &d.answered, &d.unresponsiveSince, &d.lastError,
+		&d.listedStart, &d.inferredStart, &d.inferredOutageStart, &d.connectedAt)
+	resetSlot(m, &d.isUnresponsive, &d.isRecovering, &d.hasUnsentReport, &d.isInGroup, &d.lastAnswerFailed)
+	resetSlot(m, &d.inFlight, &d.consecutiveLosses, &d.consecutiveRejections)
+	resetSlot(m, &d.limit, &d.latency, &d.latencyRatio, &d.weight, &d.errorRate)
 	return m
 }
 
-func blank[T any](m member, arrays ...*[]T) {
+func resetSlot[T any](m member, arrays ...*[]T) {
 	for _, a := range arrays {
 		if int(m) == len(*a) {
 			*a = append(*a, *new(T))
@@ -155,41 +155,41 @@
 	}
 }
 
-// keep makes a member one of its group.
-func (d *Driver) keep(m member) {
-	d.kept[m] = true
-	d.keeping++
-	d.of[m].members = append(d.of[m].members, m)
+// addToGroup makes a member one of its group.
+func (d *Driver) addToGroup(m member) {
+	d.isInGroup[m] = true
+	d.groupedCount++
+	d.groupOf[m].members = append(d.groupOf[m].members, m)
 }
 
 // Known tells whether anything was heard of a member, from itself or from a fellow driver.
 func (d *Driver) Known(id MemberID) bool {
 	m, known := d.index[id]
-	return known && d.met(m)
+	return known && d.isKnown(m)
 }
 
-func (d *Driver) met(m member) bool { return d.heard[m] != 0 || d.known[m].learned != 0 }
+func (d *Driver) isKnown(m member) bool { return d.lastHeard[m] != 0 || d.replicas[m].heardAt != 0 }
 
-// many tells whether this is one of so many drivers that it sees little of a member by itself.
-func (d *Driver) many() bool { return d.first <= 1 }
+// isInLargeFleet tells whether this is one of so many drivers that it sees little of a member by itself.
+func (d *Driver) isInLargeFleet() bool { return d.initialLimit <= 1 }
 
-// fewOrMany gives what holds for a driver of few, or else for one of many.
-func fewOrMany[T any](d *Driver, few, many T) T {
-	if d.many() {
-		return many
+// byFleetSize gives what holds for a driver of few, or else for one of many.
+func byFleetSize[T any](d *Driver, small, large T) T {
+	if d.isInLargeFleet() {
+		return large
 	}
-	return few
+	return small
 }
 
 // CaughtUp tells whether all of a group's members that answer and are to serve, its primary among them, were seen at a
 // position or past it.
 func (d *Driver) CaughtUp(id GroupID, position int64) bool {
 	g := d.groups[id]
-	if g == nil || g.primary == nobody || d.silent[g.primary] || d.known[g.primary].position < position {
+	if g == nil || g.primary == noMember || d.isUnresponsive[g.primary] || d.replicas[g.primary].position < position {
 		return false
 	}
 	for _, m := range g.members {
-		if d.state[m] == Healthy && !d.silent[m] && d.known[m].position < position {
+		if d.state[m] == Healthy && !d.isUnresponsive[m] && d.replicas[m].position < position {
 			return false
 		}
 	}
@@ -198,7 +198,7 @@
 
 // ProbeGroup probes a group's members, for somebody who waits until they are Reached.
 func (d *Driver) ProbeGroup(id GroupID) {
-	if g := d.groups[id]; g != nil && d.allowed.Probing {
+	if g := d.groups[id]; g != nil && d.policy.Probing {
 		for _, m := range g.members {
 			if d.state[m] == Healthy {
 				d.probe(m)
@@ -207,38 +207,38 @@
 	}
 }
 
-// drop gives a member's place back. Nothing may be out for it.
-func (d *Driver) drop(m member) {
-	g := d.of[m]
+// removeMember gives a member's place back. Nothing may be out for it.
+func (d *Driver) removeMember(m member) {
+	g := d.groupOf[m]
 	g.members = slices.DeleteFunc(g.members, func(o member) bool { return o == m })
 	if g.primary == m {
-		g.primary = nobody
+		g.primary = noMember
 	}
-	g.newest = d.newest(g)
-	d.kept[m] = false
-	d.keeping--
+	g.newestPosition = d.newestPosition(g)
+	d.isInGroup[m] = false
+	d.groupedCount--
 	delete(d.index, d.ids[m])
-	d.free = append(d.free, m)
+	d.freeSlots = append(d.freeSlots, m)
 	d.host.Forget(d.ids[m])
 }
 
-// add makes room for a member in the arrays; took, gap and room are what to expect at first.
-func (d *Driver) add(l MemberEntry, took, gap, room float64) member {
-	m := d.place()
-	g := d.groups[l.Group]
+// addMember makes room for a member in the arrays; took, gap and room are what to expect at first.
+func (d *Driver) addMember(entry MemberEntry, latency, requestInterval, limit float64) member {
+	m := d.allocateSlot()
+	g := d.groups[entry.Group]
 	if g == nil {
-		g = newGroup(l.Group, d.host.Now(), took, gap)
-		d.groups[l.Group] = g
+		g = newGroup(entry.Group, d.host.Now(), latency, requestInterval)
+		d.groups[entry.Group] = g
 	}
-	d.index[l.Member] = m
-	d.ids[m], d.of[m], d.zone[m], d.state[m] = l.Member, g, l.Zone, l.State
-	d.room[m], d.took[m], d.size[m] = room, g.took, 1
+	d.index[entry.Member] = m
+	d.ids[m], d.groupOf[m], d.zone[m], d.state[m] = entry.Member, g, entry.Zone, entry.State
+	d.limit[m], d.latency[m], d.weight[m] = limit, g.latency, 1
 	return m
 }
 
-func newGroup(id GroupID, now int64, took, gap float64) *group {
-	begins := warmLoad{at: now}
-	return &group{id: id, primary: nobody, took: took, gap: gap, load: groupLoad{begins, begins}}
+func newGroup(id GroupID, now int64, latency, requestInterval float64) *group {
+	initial := warmThroughput{updatedAt: now}
+	return &group{id: id, primary: noMember, latency: latency, requestInterval: requestInterval, throughput: groupThroughput{initial, initial}}
 }
 
 // isRead tells whether a replica may answer.
@@ -246,16 +246,16 @@
 	return c.method.Consistency != ConsistencyWrite && c.method.Consistency != ConsistencyLinearizable
 }
 
-// last is when an answer is of use at the latest.
-func (c *call) last() int64 {
+// usefulUntil is when an answer is of use at the latest.
+func (c *call) usefulUntil() int64 {
 	if c.method.LateUtility == 0 {
-		return min(c.deadline, c.soft)
+		return min(c.deadline, c.softDeadline)
 	}
 	return c.deadline
 }
 
-func (c *call) worth(now int64) float64 {
-	if now > c.soft {
+func (c *call) utility(now int64) float64 {
+	if now > c.softDeadline {
 		return c.method.Utility * c.method.LateUtility
 	}
 	return c.method.Utility
@@ -264,44 +264,44 @@
 // ClientLeft hears that the client of an RPC has gone.
 func (d *Driver) ClientLeft(id RPCID) {
 	if c := d.calls[id]; c != nil {
-		d.end(c)
+		d.endCall(c)
 	}
 }
 
-func (d *Driver) end(c *call) {
-	c.ended = true
+func (d *Driver) endCall(c *call) {
+	c.hasEnded = true
 	delete(d.calls, c.ID)
-	d.cancelOut(c, -1)
+	d.cancelInFlight(c, -1)
 }
 
-// cancelOut calls off what is out for an RPC, but for one attempt.
-func (d *Driver) cancelOut(c *call, but int) {
-	for _, n := range c.out {
-		if d.allowed.Cancellation && n != but {
+// cancelInFlight calls off what is out for an RPC, but for one attempt.
+func (d *Driver) cancelInFlight(c *call, except int) {
+	for _, n := range c.inFlight {
+		if d.policy.Cancellation && n != except {
 			d.host.Cancel(c.ID, n)
 		}
 	}
 }
 
-// remember keeps a session's last commit for one to two spans; of those dropped the newest holds for all sessions.
-func (d *Driver) remember(c *call, commit, span int64) {
+// recordCommit keeps a session's last commit for one to two spans; of those dropped the newest holds for all sessions.
+func (d *Driver) recordCommit(c *call, commit, retention int64) {
 	if c.method.Consistency == ConsistencyWrite && !d.store.CarriesSessionToken {
-		d.tokens[c.Session] = max(d.tokens[c.Session], commit)
+		d.sessionCommits[c.Session] = max(d.sessionCommits[c.Session], commit)
 	}
-	if now := d.host.Now(); now > d.swept+span {
-		for _, t := range d.older {
-			d.floor = max(d.floor, t)
+	if now := d.host.Now(); now > d.lastCommitSweep+retention {
+		for _, t := range d.olderSessionCommits {
+			d.droppedCommitMax = max(d.droppedCommitMax, t)
 		}
-		d.older, d.tokens, d.swept = d.tokens, map[string]int64{}, now
+		d.olderSessionCommits, d.sessionCommits, d.lastCommitSweep = d.sessionCommits, map[string]int64{}, now
 	}
 }
 
-// upTo draws a span below another, 0 where that is none.
-func (d *Driver) upTo(span int64) int64 {
-	if span <= 0 {
+// randomBelow draws a span below another, 0 where that is none.
+func (d *Driver) randomBelow(limit int64) int64 {
+	if limit <= 0 {
 		return 0
 	}
-	return d.rng.Int63n(span)
+	return d.rng.Int63n(limit)
 }
 
 func (d *Driver) logf(format string, args ...any) { d.host.Log(fmt.Sprintf(format, args...)) }
