--- a/rules/api.go
+++ b/rules/api.go
@@ -192,13 +192,13 @@
 	Now() int64
 	Attempt(id RPCID, to MemberID, within int64, next func(Result)) (number int)
 	Cancel(id RPCID, number int)
-	RejectWithRetryAfter(id RPCID, comeBack int64)
+	RejectWithRetryAfter(id RPCID, retryAfter int64)
 	Abort(id RPCID)
 	CloseIdle(to MemberID) // the connections to it that carry nothing
 	Forget(id MemberID)    // nothing is asked of it any more, unless the list names it again
 	Probe(to MemberID, next func(ProbeResult))
 	After(wait int64, next func())
 	Watch()
-	SendReports(news []PeerReport)
+	SendReports(reports []PeerReport)
 	Log(line string)
 }
--- a/rules/choice.go
+++ b/rules/choice.go
@@ -38,7 +38,7 @@
 		share, primaryUntried = primaryReadShare, !slices.Contains(c.tried, primary)
 	}
 	costFactor := byFleetSize(d, primaryCostFactor, largeFleetPrimaryCostFactor)
-	primaryEligible := primary != noMember && primaryUntried && d.replicas[primary].position >= c.MinPosition && d.hasLatencyHeadroom(primary, c) && d.canTake(primary, c, share)
+	primaryEligible := primary != noMember && primaryUntried && d.replication[primary].position >= c.MinPosition && d.hasLatencyHeadroom(primary, c) && d.canTake(primary, c, share)
 	if primaryEligible && d.eligibility(primary, c) == notEligible {
 		primaryEligible = false
 		if len(eligible) == 0 {
@@ -100,7 +100,7 @@
 	}
 	d.scratch.costs, d.scratch.cumulativeWeights = costs, cumulativeWeights
 	draw := sum * (1 - d.rng.Float64()) // more than 0, so that none outside the window is drawn
-	return eligible[slices.IndexFunc(cumulativeWeights, func(upTo float64) bool { return draw <= upTo })]
+	return eligible[slices.IndexFunc(cumulativeWeights, func(cumulative float64) bool { return draw <= cumulative })]
 }
 
 // expectedTime is the time to expect until a member has served: what fails has to be sent again.
@@ -111,8 +111,8 @@
 
 // isUsable tells whether a member may get anything at all.
 func (d *Driver) isUsable(m member) bool {
-	met := d.isKnown(m) || !d.policy.Probing // guards against strangers in the list
-	return met && d.acceptsNewWork(m) && !d.isUnresponsive[m] && d.host.Now() >= d.ejectedUntil[m]
+	isKnown := d.isKnown(m) || !d.policy.Probing // guards against strangers in the list
+	return isKnown && d.acceptsNewWork(m) && !d.isUnresponsive[m] && d.host.Now() >= d.ejectedUntil[m]
 }
 
 // AttemptAllowed tells whether an attempt that was made may still begin: it is asked just before its first byte is
--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -29,8 +29,8 @@
 // eligibility tells on what ground a member may answer an RPC at this moment. It is asked when the member is chosen and again just before the first
 // byte of the attempt, for every attempt alike.
 func (d *Driver) eligibility(m member, c *call) eligibility {
-	k := &d.replicas[m]
-	if k.position < c.MinPosition {
+	state := &d.replication[m]
+	if state.position < c.MinPosition {
 		return notEligible
 	}
 	primary := c.group.primary == m
@@ -57,21 +57,21 @@
 // probes tell nothing of its role, is taken at its last word: the read itself is the question then. So is one whose position moves, but whose
 // reports lag too far to show more.
 func (d *Driver) primaryEligibility(m member, c *call) eligibility {
-	k := &d.replicas[m]
+	state := &d.replication[m]
 	isProbedOut := c.primaryProbes >= maxPrimaryProbes
 	switch {
-	case d.hasRecentPrimary(m, c.method):
+	case d.hasRecentPrimaryClaim(m, c.method):
 		return eligibleAsPrimary
-	case !d.policy.Probing, isProbedOut && k.omitsRole, isProbedOut && k.primaryHeardAt >= c.primaryProbedAt && !k.mayHaveLostStatement():
+	case !d.policy.Probing, isProbedOut && state.omitsRole, isProbedOut && state.primaryHeardAt >= c.primaryProbedAt && !state.mayHaveLostStatement():
 		return eligibleAsClaimedPrimary
 	}
 	return notEligible
 }
 
-// hasRecentPrimary tells whether a member's word that it is primary is recent enough for a read.
-func (d *Driver) hasRecentPrimary(m member, method *Method) bool {
-	k := &d.replicas[m]
-	return k.primaryStatedAt != 0 && !k.mayHaveLostStatement() && d.host.Now()-k.primaryStatedAt <= d.maxRoleAge(method)
+// hasRecentPrimaryClaim tells whether a member's word that it is primary is recent enough for a read.
+func (d *Driver) hasRecentPrimaryClaim(m member, method *Method) bool {
+	state := &d.replication[m]
+	return state.primaryStatedAt != 0 && !state.mayHaveLostStatement() && d.host.Now()-state.primaryStatedAt <= d.maxRoleAge(method)
 }
 
 // maxRoleAge is how old a primary's word may be for a read. For a bounded one it follows from the bound: when it gave its word it had all data,
@@ -86,15 +86,15 @@
 
 // isPositionSufficient tells whether a member's known position by itself is enough for a read, whatever its role.
 func (d *Driver) isPositionSufficient(m member, c *call) bool {
-	k := &d.replicas[m]
+	state := &d.replication[m]
 	switch {
-	case k.position == 0 || !d.isPlausible(k.position):
+	case state.position == 0 || !d.isPlausible(state.position):
 		return false
 	case c.method.Consistency == ConsistencySession:
-		return k.position >= max(c.SessionToken, d.droppedCommitMax)
+		return state.position >= max(c.SessionToken, d.droppedCommitMax)
 	case c.method.Consistency == ConsistencyBounded && (c.group.primary == m || !d.trustsSelfCheck(m)):
 		ahead, known := d.clock.offset()
-		return known && k.position >= d.host.Now()+ahead-d.maxPositionAge(c.method) && d.isWithinBound(m, c)
+		return known && state.position >= d.host.Now()+ahead-d.maxPositionAge(c.method) && d.isWithinBound(m, c)
 	}
 	return false
 }
@@ -106,14 +106,14 @@
 
 // isLikelyFresh tells whether a replica that checks the age of its data itself is expected to be within the bound.
 func (d *Driver) isLikelyFresh(m member, c *call) bool {
-	return d.trustsSelfCheck(m) && d.replicas[m].position != 0 && d.isWithinBound(m, c)
+	return d.trustsSelfCheck(m) && d.replication[m].position != 0 && d.isWithinBound(m, c)
 }
 
 // trustsSelfCheck tells whether a member is left to turn away a read for which it lags too far: not where none does, not after it just turned one
 // away, and not while it has been primary and was not seen to follow another since.
 func (d *Driver) trustsSelfCheck(m member) bool {
-	k := &d.replicas[m]
-	return d.store.RejectsStaleReads && !k.rejectedRead && k.ceasedPrimaryAt == 0
+	state := &d.replication[m]
+	return d.store.RejectsStaleReads && !state.rejectedRead && state.ceasedPrimaryAt == 0
 }
 
 // isWithinBound tells whether the source's estimate of a replica's staleness is within the bound.
@@ -124,12 +124,12 @@
 // staleness is the source's estimate, but for the primary's term, the least of its office, lest its slow
 // answer make replicas look fresher, and for an overdue replica, which grows staler.
 func (d *Driver) staleness(m member) int64 {
-	g, k := d.groupOf[m], &d.replicas[m]
-	sinceHeard := max(d.gossipInterval, d.host.Now()-k.heardAt)
-	if p := g.primary; p != noMember && d.replicas[p].minLead != 0 {
-		return k.heardAt - k.position - d.replicas[p].minLead + sinceHeard
+	g, state := d.groupOf[m], &d.replication[m]
+	sinceHeard := max(d.heartbeatInterval, d.host.Now()-state.heardAt)
+	if primary := g.primary; primary != noMember && d.replication[primary].minLead != 0 {
+		return state.heardAt - state.position - d.replication[primary].minLead + sinceHeard
 	}
-	return g.newestPosition - k.position + sinceHeard
+	return g.newestPosition - state.position + sinceHeard
 }
 
 // confirmPrimary asks a primary whether it still is one, for a read that waits for that.
@@ -148,7 +148,7 @@
 // IsStale tells whether an answer to a read shows by what it states of its member that its data was too old for the read when the attempt was made.
 // Guards against a former primary that got the read on its last word, or on one that crossed the read: what it answers earns nothing, and another
 // member may serve. Positions are rounded, and clocks differ a little: only what is certain counts.
-func (d *Driver) IsStale(id RPCID, s Observation, made int64) bool {
+func (d *Driver) IsStale(id RPCID, s Observation, attemptedAt int64) bool {
 	c := d.calls[id]
 	if c == nil {
 		return false
@@ -159,7 +159,7 @@
 	case ConsistencySession:
 		return s.Position != 0 && s.Position+positionRounding < c.SessionToken
 	case ConsistencyBounded:
-		return s.Position != 0 && known && s.Position+clockTolerance < made+ahead-c.method.MaxStaleness
+		return s.Position != 0 && known && s.Position+clockTolerance < attemptedAt+ahead-c.method.MaxStaleness
 	}
 	return false
 }
@@ -171,8 +171,8 @@
 	if c == nil || !known {
 		return eligibilityNames[notEligible]
 	}
-	k, now := &d.replicas[m], d.host.Now()
-	return fmt.Sprintf("%s age_ms=%d confirmed_ms=%d", eligibilityNames[d.eligibility(m, c)], (d.clock.toStore(now)-k.position)/ms, (now-k.primaryHeardAt)/ms)
+	state, now := &d.replication[m], d.host.Now()
+	return fmt.Sprintf("%s age_ms=%d confirmed_ms=%d", eligibilityNames[d.eligibility(m, c)], (d.clock.toStore(now)-state.position)/ms, (now-state.primaryHeardAt)/ms)
 }
 
 // boundedRefreshInterval is how old a position may grow before a probe for a bounded method's sake: half of what is usable.
--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -16,17 +16,17 @@
 	d.gossipPending = true
 	fleet := int64(d.fleet.Drivers)
 	spacing := min(maxMessageSpacing*fleet, max(minMessageSpacing*fleet, int64(rpcsPerMessage*d.rpcInterval)))
-	d.host.After(d.lastGossip+max(d.gossipInterval, spacing)-d.host.Now(), func() {
+	d.host.After(d.lastGossip+max(d.heartbeatInterval, spacing)-d.host.Now(), func() {
 		d.gossipPending = false
 		var reports []PeerReport
 		for m, isUnsent := range d.hasUnsentReport {
 			d.hasUnsentReport[m] = false
-			if isUnsent && len(reports) < d.fleet.ReportsPerMessage && d.host.Now()-d.replicas[m].heardAt < d.maxAge {
+			if isUnsent && len(reports) < d.fleet.ReportsPerMessage && d.host.Now()-d.replication[m].heardAt < d.positionMaxAge {
 				uptime := int64(0)
 				if d.connectedAt[m] != 0 {
 					uptime = d.lastHeard[m] - d.connectedAt[m]
 				}
-				reports = append(reports, PeerReport{d.ids[m], Observation{Role: d.replicas[m].role, Position: d.replicas[m].position}, d.unsentLatency[m],
+				reports = append(reports, PeerReport{d.ids[m], Observation{Role: d.replication[m].role, Position: d.replication[m].position}, d.unsentLatency[m],
 					d.lastAnswerFailed[m], uptime})
 				d.unsentLatency[m], d.lastAnswerFailed[m] = 0, false
 			}
@@ -61,8 +61,8 @@
 
 // isNew tells whether a peer's word of a member says more than is known: a higher position, or another role at the same one.
 func (d *Driver) isNew(m member, s Observation) bool {
-	k := &d.replicas[m]
-	return s.Position > k.position || s.Role != k.role && s.Position+positionRounding >= k.position
+	state := &d.replication[m]
+	return s.Position > state.position || s.Role != state.role && s.Position+positionRounding >= state.position
 }
 
 // recordUptime hears from a fellow driver for how long a member has run. Guards against links that were cut: a
--- a/rules/health.go
+++ b/rules/health.go
@@ -11,17 +11,17 @@
 )
 
 // recordResult learns from a result how its member fares, but not where its client had little time to wait for it.
-func (d *Driver) recordResult(c *call, m member, sent int64, r Result, isSlow bool) {
+func (d *Driver) recordResult(c *call, m member, sentAt int64, r Result, isSlow bool) {
 	now := d.host.Now()
 	switch cause := r.Cause; {
 	case cause == ConnectFailed:
 		d.handleConnectFailure(m, now)
-	case cause == TimedOut && now-d.lastHeard[m] >= d.maxAge && (!d.isInLargeFleet() || d.latencyRatio[m] <= lowLatencyRatio || d.consecutiveLosses[m] > 0):
+	case cause == TimedOut && now-d.lastHeard[m] >= d.positionMaxAge && (!d.isInLargeFleet() || d.latencyRatio[m] <= lowLatencyRatio || d.consecutiveLosses[m] > 0):
 		d.probe(m)
 	case cause == NoCause || cause == ServerError || cause == Ineligible || cause == Overloaded:
 		d.markResponsive(m, r.ConnectedAt)
 	}
-	d.observeResult(c, m, r, sent)
+	d.observeResult(c, m, r, sentAt)
 	if r.Outcome == OK || r.Cause == ServerError {
 		d.recordErrorRate(m, r.Cause == ServerError)
 		d.lastAnswerFailed[m] = r.Cause == ServerError
@@ -36,11 +36,11 @@
 	case r.Outcome == OK:
 		d.recordThroughput(m)
 		d.consecutiveLosses[m], d.consecutiveRejections[m], d.unsentLatency[m] = 0, 0, r.Latency
-		d.replicas[m].rejectedRead = d.replicas[m].rejectedRead && c.method.Consistency == ConsistencyAny
+		d.replication[m].rejectedRead = d.replication[m].rejectedRead && c.method.Consistency == ConsistencyAny
 		c.group.latency += 0.03 * (float64(r.Latency) - c.group.latency)
 		d.adjustLimit(m, float64(r.Latency), c.method.latencyTarget(), true)
 	case r.Cause == Ineligible && c.isRead():
-		d.replicas[m].rejectedRead = true
+		d.replication[m].rejectedRead = true
 	case r.Cause == Overloaded:
 		d.backOff(m)
 		d.limit[m] = max(1, min(d.limit[m], float64(d.inFlight[m]+1))*0.8)
@@ -49,14 +49,14 @@
 
 // observeResult takes in what the end of an attempt tells of its member's role: what it stated, that it turned away what only a primary takes,
 // or that its word may have been lost.
-func (d *Driver) observeResult(c *call, m member, r Result, sent int64) {
+func (d *Driver) observeResult(c *call, m member, r Result, sentAt int64) {
 	s := r.Observation
 	if r.Cause == Ineligible && !c.isRead() {
 		s.Role = RoleReplica
 	}
-	d.observe(m, s, fromAnswer, sent)
+	d.observe(m, s, fromAnswer, sentAt)
 	if r.Outcome == MayHaveExecuted && s.Role == RoleUnknown {
-		d.replicas[m].unansweredAt = d.host.Now()
+		d.replication[m].unansweredAt = d.host.Now()
 	}
 }
 
--- a/rules/list.go
+++ b/rules/list.go
@@ -23,7 +23,7 @@
 			d.weight[m] = entry.Weight
 		}
 		d.listedStart[m] = max(d.listedStart[m], entry.Started)
-		if g := d.groupOf[m]; entry.Primary && g.primary == noMember && d.replicas[m].role == RoleUnknown {
+		if g := d.groupOf[m]; entry.Primary && g.primary == noMember && d.replication[m].role == RoleUnknown {
 			d.setPrimary(g, m)
 		}
 	}
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -17,14 +17,14 @@
 // handoverTime is how long a member that turned a write away, or said that it is none, is not believed to be primary again.
 const handoverTime = 200 * ms
 
-// replicaState is what is known of one member's role and log position.
+// replicationState is what is known of one member's role and log position.
 //
 // Which statement supersedes which is decided by when they were made, never by the position beside a role: while a group has no primary no
 // position in it moves, and that is just when roles change. Of a statement two times are certain: it was made before it was heard, and after
 // the member was asked (byAnswer) or after the moment that its position names (all). So a member's own word that it is no primary always
 // counts, and a claim to be primary counts only if it was certainly made after the last such word was heard. A lagging report that it is no
 // primary is older than a claim whose position is higher.
-type replicaState struct {
+type replicationState struct {
 	role     Role
 	position int64 // up to which it has applied the log, by the store's clock; 0 where not known
 	heardAt  int64 // when that was heard, by the driver's clock, as all times below
@@ -44,34 +44,34 @@
 }
 
 // mayHaveLostStatement tells whether a word of its role may have been lost since it last said that it is primary.
-func (k *replicaState) mayHaveLostStatement() bool {
-	return k.unansweredAt != 0 && k.primaryStatedAt < k.unansweredAt
+func (s *replicationState) mayHaveLostStatement() bool {
+	return s.unansweredAt != 0 && s.primaryStatedAt < s.unansweredAt
 }
 
 // observe takes in what was stated of a member's role and position. Asked is when the member was asked for it, where it was.
-func (d *Driver) observe(m member, s Observation, by source, asked int64) {
+func (d *Driver) observe(m member, s Observation, from source, askedAt int64) {
 	if s.Role == RoleUnknown {
 		return
 	}
-	d.observeClock(s, by, asked)
-	d.observePosition(m, s, by, asked)
+	d.observeClock(s, from, askedAt)
+	d.observePosition(m, s, from, askedAt)
 	if s.Role == RoleReplica {
-		d.observeReplica(m, s.Position, by)
+		d.observeReplica(m, s.Position, from)
 	} else {
-		d.observePrimary(m, s.Position, by, asked)
+		d.observePrimary(m, s.Position, from, askedAt)
 	}
 }
 
 // observeClock relates the store's clock to the driver's by a position, but not by a peer's word, which is put into this driver's terms.
-func (d *Driver) observeClock(s Observation, by source, asked int64) {
-	if s.Position == 0 || by == fromGossip {
+func (d *Driver) observeClock(s Observation, from source, askedAt int64) {
+	if s.Position == 0 || from == fromGossip {
 		return
 	}
 	now := d.host.Now()
 	wasInSync := d.clock.isInSync()
 	d.clock.observePosition(s.Position, now)
-	if by == fromAnswer && s.Role == RolePrimary {
-		d.clock.observePrimary(s.Position, asked, now)
+	if from == fromAnswer && s.Role == RolePrimary {
+		d.clock.observePrimary(s.Position, askedAt, now)
 	}
 	if wasInSync != d.clock.isInSync() {
 		ahead, known := d.clock.offset()
@@ -82,21 +82,21 @@
 // observePosition takes in a position. A member's log only grows: a lower position is an older one, or one up to rounding the same, unless it
 // comes with an answer that was asked for after the known one was heard. Then the known one was wrong. Guards against positions that were
 // spoilt or put into the future, which would else stand for ever.
-func (d *Driver) observePosition(m member, s Observation, by source, asked int64) {
-	now, k, g := d.host.Now(), &d.replicas[m], d.groupOf[m]
+func (d *Driver) observePosition(m member, s Observation, from source, askedAt int64) {
+	now, state, g := d.host.Now(), &d.replication[m], d.groupOf[m]
 	if s.Position == 0 || !d.isPlausible(s.Position) {
 		return
 	}
-	isNewer := by == fromAnswer && asked > k.heardAt || !d.isPlausible(k.position)
-	if s.Position < k.position && !isNewer {
+	isNewer := from == fromAnswer && askedAt > state.heardAt || !d.isPlausible(state.position)
+	if s.Position < state.position && !isNewer {
 		return
 	}
-	age := now - k.heardAt
-	if s.Role != k.role || age >= 2*d.maxAge || age >= d.gossipInterval && s.Role == RoleReplica {
+	age := now - state.heardAt
+	if s.Role != state.role || age >= 2*d.positionMaxAge || age >= d.heartbeatInterval && s.Role == RoleReplica {
 		d.scheduleReport(m)
 	}
-	isLowered := s.Position < k.position
-	k.position, k.heardAt, k.lag = s.Position, now, max(0, d.clock.toStore(now)-s.Position)
+	isLowered := s.Position < state.position
+	state.position, state.heardAt, state.lag = s.Position, now, max(0, d.clock.toStore(now)-s.Position)
 	if isLowered {
 		g.newestPosition = d.newestPosition(g)
 	}
@@ -110,63 +110,63 @@
 }
 
 // observeReplica takes in that a member is no primary.
-func (d *Driver) observeReplica(m member, position int64, by source) {
-	k, g, now := &d.replicas[m], d.groupOf[m], d.host.Now()
+func (d *Driver) observeReplica(m member, position int64, from source) {
+	state, g, now := &d.replication[m], d.groupOf[m], d.host.Now()
 	// It was made before the member's last claim, as far as positions tell.
-	isOutdated := position != 0 && position+positionRounding < k.claimPosition && d.isPlausible(k.claimPosition)
+	isOutdated := position != 0 && position+positionRounding < state.claimPosition && d.isPlausible(state.claimPosition)
 	switch {
-	case by != fromAnswer && isOutdated:
+	case from != fromAnswer && isOutdated:
 		return
-	case by == fromLoadReport, isOutdated:
-		k.claimsIgnoredUntil = max(k.claimsIgnoredUntil, now)
-	case by == fromAnswer: // it may still claim to be primary while it hands over
-		k.claimsIgnoredUntil = now + handoverTime
+	case from == fromLoadReport, isOutdated:
+		state.claimsIgnoredUntil = max(state.claimsIgnoredUntil, now)
+	case from == fromAnswer: // it may still claim to be primary while it hands over
+		state.claimsIgnoredUntil = now + handoverTime
 	}
-	if k.role == RolePrimary {
-		k.ceasedPrimaryAt = d.clock.toStore(now)
-	} else if position > k.ceasedPrimaryAt+positionRounding {
-		k.ceasedPrimaryAt = 0
+	if state.role == RolePrimary {
+		state.ceasedPrimaryAt = d.clock.toStore(now)
+	} else if position > state.ceasedPrimaryAt+positionRounding {
+		state.ceasedPrimaryAt = 0
 	}
-	k.role = RoleReplica
+	state.role = RoleReplica
 	if g.primary == m {
 		g.primary = noMember
-		d.logf("primary lost group=%d member=%d by=%s confirmed_ms=%d", g.id, d.ids[m], sourceNames[by], (now-k.primaryHeardAt)/ms)
+		d.logf("primary lost group=%d member=%d by=%s confirmed_ms=%d", g.id, d.ids[m], sourceNames[from], (now-state.primaryHeardAt)/ms)
 	}
 }
 
 // observePrimary takes in a claim to be primary.
-func (d *Driver) observePrimary(m member, position int64, by source, asked int64) {
-	k, g, now := &d.replicas[m], d.groupOf[m], d.host.Now()
+func (d *Driver) observePrimary(m member, position int64, from source, askedAt int64) {
+	state, g, now := &d.replication[m], d.groupOf[m], d.host.Now()
 	evidenceTime := now // a primary stands at the present
 	if position != 0 {
 		evidenceTime = min(now, d.clock.toDriver(position))
 	}
 	statedAt := int64(0) // at the earliest
-	if by == fromAnswer {
-		statedAt = asked
+	if from == fromAnswer {
+		statedAt = askedAt
 	}
 	if position != 0 {
 		statedAt = max(statedAt, evidenceTime)
 	}
-	if k.claimsIgnoredUntil != 0 && statedAt <= k.claimsIgnoredUntil {
+	if state.claimsIgnoredUntil != 0 && statedAt <= state.claimsIgnoredUntil {
 		return // from before the word that it is none, or from a member about to hand over
 	}
 	// A primary stands at the present: one whose position has not moved since its last claim was heard hangs, or was cut off and does not know.
-	isComparable := by != fromAnswer || position != 0 && asked > k.primaryHeardAt+positionRounding
-	isStuck := isComparable && position <= k.claimPosition && d.isPlausible(k.claimPosition)
-	if lead := now - position; position != 0 && (k.role != RolePrimary || lead < k.minLead) {
-		k.minLead = lead
+	isComparable := from != fromAnswer || position != 0 && askedAt > state.primaryHeardAt+positionRounding
+	isStuck := isComparable && position <= state.claimPosition && d.isPlausible(state.claimPosition)
+	if lead := now - position; position != 0 && (state.role != RolePrimary || lead < state.minLead) {
+		state.minLead = lead
 	}
-	k.role, k.ceasedPrimaryAt = RolePrimary, 0
-	if d.isPlausible(position) && (position > k.claimPosition || !d.isPlausible(k.claimPosition)) {
-		k.claimPosition = position
+	state.role, state.ceasedPrimaryAt = RolePrimary, 0
+	if d.isPlausible(position) && (position > state.claimPosition || !d.isPlausible(state.claimPosition)) {
+		state.claimPosition = position
 	}
 	if !isStuck {
-		k.primaryHeardAt, k.primaryStatedAt = now, statedAt
+		state.primaryHeardAt, state.primaryStatedAt = now, statedAt
 	}
 	if g.primary != m && evidenceTime >= g.primarySince {
 		d.setPrimary(g, m)
-		d.logf("primary group=%d member=%d by=%s evidence_ms=%d", g.id, d.ids[m], sourceNames[by], (now-evidenceTime)/ms)
+		d.logf("primary group=%d member=%d by=%s evidence_ms=%d", g.id, d.ids[m], sourceNames[from], (now-evidenceTime)/ms)
 	}
 	g.primarySince = max(g.primarySince, evidenceTime)
 }
@@ -174,7 +174,7 @@
 // newestPosition is the position of the most advanced member of a group.
 func (d *Driver) newestPosition(g *group) (position int64) {
 	for _, m := range g.members {
-		position = max(position, d.replicas[m].position)
+		position = max(position, d.replication[m].position)
 	}
 	return position
 }
--- a/rules/probing.go
+++ b/rules/probing.go
@@ -12,20 +12,20 @@
 // brought a position since stands in for the probe. In the mean it makes no more probes than it takes RPCs.
 func (d *Driver) probeLoop(m member) {
 	now := d.host.Now()
-	idle := d.inFlight[m] == 0 && d.probeStarted[m] == 0
-	if idle && d.state[m] != Healthy && now-max(d.lastHeard[m], d.replicas[m].heardAt) > retentionTime {
+	isIdle := d.inFlight[m] == 0 && d.probeStarted[m] == 0
+	if isIdle && d.state[m] != Healthy && now-max(d.lastHeard[m], d.replication[m].heardAt) > retentionTime {
 		d.removeMember(m)
 		return
 	}
-	learned := d.replicas[m].heardAt
-	wait, age := min(d.maxProbeInterval, max(2*d.maxAge, int64(d.rpcInterval*float64(d.groupedCount)))), now-learned
+	heardAt := d.replication[m].heardAt
+	wait, age := min(d.maxProbeInterval, max(2*d.positionMaxAge, int64(d.rpcInterval*float64(d.groupedCount)))), now-heardAt
 	maxUnprobedAge := wait
 	if d.fleet.ReportsPerMessage == 0 || !d.isInLargeFleet() {
-		maxUnprobedAge = min(wait, 2*d.maxAge)
+		maxUnprobedAge = min(wait, 2*d.positionMaxAge)
 	}
-	if d.acceptsNewWork(m) && (d.isUnresponsive[m] || learned == 0 || d.needsRefresh(m) && age >= maxUnprobedAge) {
+	if d.acceptsNewWork(m) && (d.isUnresponsive[m] || heardAt == 0 || d.needsRefresh(m) && age >= maxUnprobedAge) {
 		d.probe(m)
-	} else if age < d.maxAge {
+	} else if age < d.positionMaxAge {
 		wait -= age
 	}
 	wait = max(wait, minProbeInterval)
@@ -34,8 +34,8 @@
 
 // needsRefresh tells whether a probe could bring a better position: who was far behind needs half of that to catch up.
 func (d *Driver) needsRefresh(m member) bool {
-	k := &d.replicas[m]
-	return k.heardAt == 0 || d.host.Now()-k.heardAt >= max(d.maxAge, min(k.lag, 4*sec)/2)
+	state := &d.replication[m]
+	return state.heardAt == 0 || d.host.Now()-state.heardAt >= max(d.positionMaxAge, min(state.lag, 4*sec)/2)
 }
 
 func (d *Driver) probe(m member) {
@@ -53,7 +53,7 @@
 }
 
 func (d *Driver) handleProbeResult(m member, r ProbeResult) {
-	asked := d.probeStarted[m]
+	askedAt := d.probeStarted[m]
 	d.probeStarted[m] = 0
 	if r.Cause == NotSent { // it was never sent
 		return
@@ -61,13 +61,13 @@
 	d.lastProbeEnd[m] = d.host.Now()
 	if r.Cause == NoCause || r.Cause == Overloaded || r.Cause == ServerError { // whatever it answers it is alive
 		d.markResponsive(m, r.ConnectedAt)
-		d.replicas[m].omitsRole = r.Report.Role == RoleUnknown && r.Role == RoleUnknown
-		d.observe(m, r.Report, fromLoadReport, asked)
-		d.observe(m, r.Observation, fromAnswer, asked)
+		d.replication[m].omitsRole = r.Report.Role == RoleUnknown && r.Role == RoleUnknown
+		d.observe(m, r.Report, fromLoadReport, askedAt)
+		d.observe(m, r.Observation, fromAnswer, askedAt)
 	} else if d.host.Now()-d.lastHeard[m] >= probeTimeout { // else it lives, and only the probe's connection broke
 		d.markUnresponsive(m)
 		if d.fleet.ReportsPerMessage == 0 { // look again soon: it may have stood still for a moment
-			d.host.After(max(d.maxAge, d.host.Now()-d.unresponsiveSince[m]), func() { d.probe(m) })
+			d.host.After(max(d.positionMaxAge, d.host.Now()-d.unresponsiveSince[m]), func() { d.probe(m) })
 		}
 	}
 	d.retryHeld(d.groupOf[m])
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -41,12 +41,12 @@
 		}
 	}
 	refreshInterval = max(refreshInterval, minPositionRefresh/2)
-	d.maxAge = min(maxPositionRefresh, max(minPositionRefresh, refreshInterval))
-	d.maxProbeInterval = min(maxMemberProbeInterval, d.maxAge*int64(max(1, fleet.Drivers/2)))
+	d.positionMaxAge = min(maxPositionRefresh, max(minPositionRefresh, refreshInterval))
+	d.maxProbeInterval = min(maxMemberProbeInterval, d.positionMaxAge*int64(max(1, fleet.Drivers/2)))
 	if fleet.ReportsPerMessage == 0 { // else the fellow drivers' probes serve as well
 		d.maxProbeInterval = min(d.maxProbeInterval, refreshInterval)
 	}
-	d.gossipInterval, d.startedAt, d.lastRPC, d.rpcInterval = d.maxAge/2, host.Now(), host.Now(), float64(defaultRequestInterval)
+	d.heartbeatInterval, d.startedAt, d.lastRPC, d.rpcInterval = d.positionMaxAge/2, host.Now(), host.Now(), float64(defaultRequestInterval)
 	return d
 }
 
@@ -212,7 +212,7 @@
 }
 
 // handleResult takes the result of an attempt and decides what follows.
-func (d *Driver) handleResult(c *call, m member, sent int64, number int, r Result) {
+func (d *Driver) handleResult(c *call, m member, sentAt int64, number int, r Result) {
 	if r.Outcome == Started { // the attempt is the client's now; what it ends with ends the RPC
 		c.isStreaming = true
 		d.cancelInFlight(c, number)
@@ -227,19 +227,19 @@
 		d.retrySuccessRate += 0.1 * (map[Outcome]float64{OK: 1}[r.Outcome] - d.retrySuccessRate)
 	}
 	if !c.hasEnded {
-		d.handleFailure(c, m, sent, r)
+		d.finishOrRetry(c, m, sentAt, r)
 	}
 	d.retryHeld(c.group)
 }
 
-func (d *Driver) handleFailure(c *call, m member, sent int64, r Result) {
+func (d *Driver) finishOrRetry(c *call, m member, sentAt int64, r Result) {
 	if r.Final || r.Outcome == OK {
 		d.recordCommit(c, r.Position, retentionTime)
 		d.endCall(c)
 		return
 	}
 	if r.Outcome == MayHaveExecuted && c.mayHaveExecutedAt == 0 {
-		c.mayHaveExecutedAt, c.mayHaveExecutedZone = sent, d.zone[m]
+		c.mayHaveExecutedAt, c.mayHaveExecutedZone = sentAt, d.zone[m]
 	}
 	isExhausted := c.isStreaming || c.attempts >= d.policy.MaxAttempts || d.host.Now() >= c.deadline
 	switch {
--- a/rules/slow_start.go
+++ b/rules/slow_start.go
@@ -17,17 +17,17 @@
 }
 
 // recordAnswer notes an answer of a warm member; all that are warm have a size of so much.
-func (l *warmThroughput) recordAnswer(now int64, weight float64) {
-	l.answers += 1 - answerWeight*l.answers
-	l.memberTime += float64(now-l.updatedAt)*weight - answerWeight*l.memberTime
-	l.updatedAt = now
+func (t *warmThroughput) recordAnswer(now int64, weight float64) {
+	t.answers += 1 - answerWeight*t.answers
+	t.memberTime += float64(now-t.updatedAt)*weight - answerWeight*t.memberTime
+	t.updatedAt = now
 }
 
 // rate is the number of answers that a warm member gives in a nanosecond, if those that are warm now have a size of so much. What is expected weighs
 // the less the more answers were seen.
-func (l *warmThroughput) rate(now int64, weight, expected float64) float64 {
-	prior := priorAnswers * (1 - answerWeight*l.answers)
-	return (l.answers + prior) / (l.memberTime + float64(now-l.updatedAt)*weight + prior/expected)
+func (t *warmThroughput) rate(now int64, weight, expected float64) float64 {
+	prior := priorAnswers * (1 - answerWeight*t.answers)
+	return (t.answers + prior) / (t.memberTime + float64(now-t.updatedAt)*weight + prior/expected)
 }
 
 // groupThroughput is what a group's warm members serve, in the mean, and what its primary does while it is warm, which may be more: each member can do
--- a/rules/state.go
+++ b/rules/state.go
@@ -28,16 +28,16 @@
 
 // observations are the positions and roles observed. Times are 0 for never, here and below.
 type observations struct {
-	store                                    Store
-	clock                                    storeClock
-	gossipInterval, maxAge, maxProbeInterval int64          // the estimate's; when positions are old; most between own probes
-	replicas                                 []replicaState // of each member
-	fleet                                    Fleet
-	lastGossip                               int64 // when the last news went to the fellow drivers
-	gossipPending                            bool
-	hasUnsentReport                          []bool
-	unsentLatency                            []int64 // answer time not yet told
-	lastAnswerFailed                         []bool  // and whether the last answer was an error
+	store                                               Store
+	clock                                               storeClock
+	heartbeatInterval, positionMaxAge, maxProbeInterval int64              // the estimate's; when positions are old; most between own probes
+	replication                                         []replicationState // of each member
+	fleet                                               Fleet
+	lastGossip                                          int64 // when the last news went to the fellow drivers
+	gossipPending                                       bool
+	hasUnsentReport                                     []bool
+	unsentLatency                                       []int64 // answer time not yet told
+	lastAnswerFailed                                    []bool  // and whether the last answer was an error
 }
 
 // health is how members answer this driver.
@@ -137,7 +137,7 @@
 	resetSlot(m, &d.groupOf)
 	resetSlot(m, &d.zone)
 	resetSlot(m, &d.state)
-	resetSlot(m, &d.replicas)
+	resetSlot(m, &d.replication)
 	resetSlot(m, &d.lastHeard, &d.probeStarted, &d.lastProbeEnd, &d.ejectedUntil, &d.lastDraw, &d.unsentLatency, &d.latencyUpdated, &d.answered, &d.unresponsiveSince, &d.lastError,
 		&d.listedStart, &d.inferredStart, &d.inferredOutageStart, &d.connectedAt)
 	resetSlot(m, &d.isUnresponsive, &d.isRecovering, &d.hasUnsentReport, &d.isInGroup, &d.lastAnswerFailed)
@@ -168,7 +168,7 @@
 	return known && d.isKnown(m)
 }
 
-func (d *Driver) isKnown(m member) bool { return d.lastHeard[m] != 0 || d.replicas[m].heardAt != 0 }
+func (d *Driver) isKnown(m member) bool { return d.lastHeard[m] != 0 || d.replication[m].heardAt != 0 }
 
 // isInLargeFleet tells whether this is one of so many drivers that it sees little of a member by itself.
 func (d *Driver) isInLargeFleet() bool { return d.initialLimit <= 1 }
@@ -185,11 +185,11 @@
 // position or past it.
 func (d *Driver) CaughtUp(id GroupID, position int64) bool {
 	g := d.groups[id]
-	if g == nil || g.primary == noMember || d.isUnresponsive[g.primary] || d.replicas[g.primary].position < position {
+	if g == nil || g.primary == noMember || d.isUnresponsive[g.primary] || d.replication[g.primary].position < position {
 		return false
 	}
 	for _, m := range g.members {
-		if d.state[m] == Healthy && !d.isUnresponsive[m] && d.replicas[m].position < position {
+		if d.state[m] == Healthy && !d.isUnresponsive[m] && d.replication[m].position < position {
 			return false
 		}
 	}
--- a/rules/store_clock.go
+++ b/rules/store_clock.go
@@ -26,8 +26,8 @@
 }
 
 // observePosition takes in a position that was heard at a time.
-func (c *storeClock) observePosition(position, heard int64) {
-	lead := position - heard
+func (c *storeClock) observePosition(position, heardAt int64) {
+	lead := position - heardAt
 	if lead <= c.ahead+clockTolerance {
 		c.outliers = 0
 	} else if c.outliers++; c.outliers < outliersToReset {
@@ -35,9 +35,9 @@
 	}
 	switch {
 	case c.windowStart == 0:
-		c.minAhead, c.recentMinAhead, c.windowStart = lead, lead, heard
-	case heard-c.windowStart > offsetWindow: // what was set back since is forgotten
-		c.minAhead, c.recentMinAhead, c.windowStart = max(lead, c.recentMinAhead), lead, heard
+		c.minAhead, c.recentMinAhead, c.windowStart = lead, lead, heardAt
+	case heardAt-c.windowStart > offsetWindow: // what was set back since is forgotten
+		c.minAhead, c.recentMinAhead, c.windowStart = max(lead, c.recentMinAhead), lead, heardAt
 	default:
 		c.minAhead, c.recentMinAhead = max(c.minAhead, lead), max(c.recentMinAhead, lead)
 	}
@@ -49,10 +49,10 @@
 
 // observePrimary takes in the position of a primary that answered, between the time when it was asked and the time when that was heard. What it
 // contradicts was a lie, or from before the members' clock was set back.
-func (c *storeClock) observePrimary(position, asked, heard int64) {
-	bound := position + ms - asked
+func (c *storeClock) observePrimary(position, askedAt, heardAt int64) {
+	bound := position + ms - askedAt
 	if c.windowStart != 0 && bound < c.minAhead {
-		c.minAhead, c.recentMinAhead = position-heard, position-heard
+		c.minAhead, c.recentMinAhead = position-heardAt, position-heardAt
 	}
 	if len(c.upperBounds) < maxUpperBounds {
 		c.upperBounds = append(c.upperBounds, bound)
