--- a/rules/choice.go
+++ b/rules/choice.go
@@ -3,18 +3,18 @@
 import "slices"
 
 const (
-	latencyWindow               = 15 * ms // width of the latency window above the fastest
-	latencyWindowShare          = 0.25    // and this share of the fastest on top
-	largeFleetWindowShare       = 1.0     // or this, of many drivers, each of which knows answer times by few
+	latencyWindow               = 15 * ms // width of the latency window above the fastest member
+	latencyWindowShare          = 0.25    // added width, as a share of the fastest time
+	largeFleetWindowShare       = 1.0     // the same in a large fleet, where each driver has few latency samples
 	maxReplicaProbes            = 2       // replicas probed for one read
-	primaryReadShare            = 0.6     // of the primary's room that reads may fill
-	primaryCostFactor           = 2.0     // the primary helps out when it would answer so many times sooner
-	largeFleetPrimaryCostFactor = 1.3     // or so many times, of many drivers
+	primaryReadShare            = 0.6     // share of the primary's concurrency limit open to reads
+	primaryCostFactor           = 2.0     // a read goes to the primary if that is faster by this factor
+	largeFleetPrimaryCostFactor = 1.3     // the same in a large fleet
 )
 
-// pickMember names the member for the next attempt of an RPC, or nobody if it has to wait. Where none passes, one
-// of many drivers may choose a replica whose position is old: it is probed first. Guards the primary against
-// reads of drivers that see little. Could harm where probes are dear.
+// pickMember returns the member for the next attempt of an RPC, or noMember if it has to wait. In
+// a large fleet, if no member is eligible, it may pick a replica with an outdated position and
+// probe it first, which keeps reads of drivers with few samples off the primary.
 func (d *Driver) pickMember(c *call) member {
 	g, primary := c.group, c.group.primary
 	eligible, outdated := d.scratch.eligible[:0], d.scratch.outdated[:0]
@@ -63,23 +63,25 @@
 	return noMember
 }
 
-// hasLatencyHeadroom tells whether a member has time for a read. One of many drivers cannot tell by its room: the more it
-// is strained the fewer reads go, by lot, lest all drivers turn at once; strain not seen for long fades.
-// Guards the primary, and replicas that answer whatever they hold, which fall behind when they are crowded.
+// hasLatencyHeadroom reports whether a member's latency leaves room for a read. It applies in a
+// large fleet, where the concurrency limit of one driver says little. The threshold is drawn per
+// RPC so that not all drivers switch at once, and rises as the latency sample ages.
 func (d *Driver) hasLatencyHeadroom(m member, c *call) bool {
 	age := float64(d.host.Now()-d.latencyUpdated[m]) / float64(sec)
 	return !d.isInLargeFleet() || !c.isRead() || d.latencyRatio[m] < (lowLatencyRatio+c.latencyDraw*(2*highLatencyRatio-lowLatencyRatio))*(1+age)
 }
 
-// canTake tells whether a member may get an attempt of an RPC: it has room, and is expected to answer while that
-// is of use. Guards against work in vain for clients of little patience, which would keep a busy member busy.
+// canTake reports whether a member may get an attempt: it is below its concurrency limit and
+// expected to answer in time. Guards against load from requests whose clients would not wait for
+// the answer.
 func (d *Driver) canTake(m member, c *call, share float64) bool {
 	inTime := d.host.Now()+int64(d.latency[m]) <= c.usefulUntil()
 	return inTime && float64(d.inFlight[m]+1) <= max(1, d.limit[m]*share) && d.isUsable(m) && d.mayRetry(c, m)
 }
 
-// pickInLatencyWindow picks at random among passers in the latency window, by what each can do; one that was looked at
-// is the pick already. Guards small members beside large ones, and whoever looked fastest to all at once.
+// pickInLatencyWindow picks at random among the eligible members in the latency window, weighted
+// by capacity and inverse squared latency, so that drivers do not all choose the same member. A
+// member already probed for the RPC is picked directly.
 func (d *Driver) pickInLatencyWindow(eligible []member, probed member) member {
 	if len(eligible) == 0 {
 		return noMember
@@ -99,25 +101,26 @@
 		cumulativeWeights = append(cumulativeWeights, sum)
 	}
 	d.scratch.costs, d.scratch.cumulativeWeights = costs, cumulativeWeights
-	draw := sum * (1 - d.rng.Float64()) // more than 0, so that none outside the window is drawn
+	draw := sum * (1 - d.rng.Float64()) // above 0, so that no member outside the window is drawn
 	return eligible[slices.IndexFunc(cumulativeWeights, func(cumulative float64) bool { return draw <= cumulative })]
 }
 
-// expectedTime is the time to expect until a member has served: what fails has to be sent again.
+// expectedTime returns the expected time until a member has served an attempt, retries after
+// errors included.
 func (d *Driver) expectedTime(m member) float64 {
 	errorFade := max(0, 1-float64(d.host.Now()-d.lastError[m])/float64(errorMemory))
 	return d.latency[m] * (1 + float64(d.inFlight[m])) / (1.01 - d.errorRate[m]*errorFade)
 }
 
-// isUsable tells whether a member may get anything at all.
+// isUsable reports whether a member may get any attempts now.
 func (d *Driver) isUsable(m member) bool {
-	isKnown := d.isKnown(m) || !d.policy.Probing // guards against strangers in the list
+	isKnown := d.isKnown(m) || !d.policy.Probing // guards against unreachable members in the list
 	return isKnown && d.acceptsNewWork(m) && !d.isUnresponsive[m] && d.host.Now() >= d.ejectedUntil[m]
 }
 
-// AttemptAllowed tells whether an attempt that was made may still begin: it is asked just before its first byte is
-// written. Guards against whatever changed since the decision, while a connection was waited for: the list,
-// the primary, positions, the window for repeats, the deadline, a client that left.
+// AttemptAllowed reports whether a pending attempt may still begin; it is checked just before the
+// first byte is sent. Guards against changes while the attempt waited for a connection:
+// membership, primary, positions, deduplication window, deadline, a client that disconnected.
 func (d *Driver) AttemptAllowed(id RPCID, to MemberID) bool {
 	c := d.calls[id]
 	m, known := d.index[to]
@@ -127,7 +130,7 @@
 	return d.eligibility(m, c) != notEligible
 }
 
-// mayRetry keeps the rule on effects for an attempt that would follow others.
+// mayRetry reports whether the method's effect allows an attempt after one that may have executed.
 func (d *Driver) mayRetry(c *call, m member) bool {
 	inScope := c.method.DedupScope != DedupInZone || d.zone[m] == c.mayHaveExecutedZone
 	isDeduplicated := c.method.Effect == IdempotentByToken && d.host.Now()-c.mayHaveExecutedAt < c.method.DedupWindow && inScope
--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -3,31 +3,32 @@
 import "fmt"
 
 const (
-	// minElectionTime is how soon after it was certainly primary a member may have a successor that has acted. No setting tells what a store
-	// promises of its elections: this is an assumption, on which session and fresh reads at primaries rest.
+	// minElectionTime is the shortest assumed time after which a confirmed primary may have been
+	// succeeded by another that accepts writes. Session and linearizable reads at primaries rely
+	// on it, because no setting states the store's election time-out.
 	minElectionTime = 500 * ms
 
-	minProbeInterval     = 50 * ms // between two rounds of a member's own probes
-	primaryProbeInterval = 90 * ms // between two probes by which a primary is asked whether it still is one
-	maxPrimaryProbes     = 4       // such probes for one read, over 0.3 s, by which reports may lag
+	minProbeInterval     = 50 * ms // between two periodic probes of a member
+	primaryProbeInterval = 90 * ms // between two probes that ask a primary whether it still is one
+	maxPrimaryProbes     = 4       // such probes for one read; together they outlast the lag of load reports
 )
 
-// eligibility says why a member may answer a read, or that it may not.
+// eligibility says on what grounds a member may serve an RPC, if any.
 type eligibility int
 
 const (
 	notEligible              eligibility = iota
-	eligibleAsPrimary                    // it is the primary, and was heard to be lately
-	eligibleAsClaimedPrimary             // it is the primary by the last word that could be had of it
-	eligibleAsAnyMember                  // any data will do
-	eligibleByPosition                   // its position is known to be within the bound, or at the token or past it
-	eligibleBySelfCheck                  // it is likely to be within the bound, and turns the read away if it is not
+	eligibleAsPrimary                    // it is the primary, confirmed recently
+	eligibleAsClaimedPrimary             // it is the primary by its latest statement, which cannot be confirmed
+	eligibleAsAnyMember                  // the read accepts data of any age
+	eligibleByPosition                   // its known position satisfies the staleness bound or the session token
+	eligibleBySelfCheck                  // it is likely within the bound and rejects the read itself otherwise
 )
 
 var eligibilityNames = [...]string{"none", "primary", "claimed primary", "any member", "position", "checks itself"}
 
-// eligibility tells on what ground a member may answer an RPC at this moment. It is asked when the member is chosen and again just before the first
-// byte of the attempt, for every attempt alike.
+// eligibility returns on what grounds a member may serve an RPC now. It is checked when the member
+// is picked and again just before the first byte of each attempt.
 func (d *Driver) eligibility(m member, c *call) eligibility {
 	state := &d.replication[m]
 	if state.position < c.MinPosition {
@@ -51,11 +52,11 @@
 	return notEligible
 }
 
-// primaryEligibility tells whether a primary may answer a read by its role. One whose word is too old, or with a word of which may have been lost,
-// is asked first. Guards against a former primary that says so in an answer that breaks off, or that nobody hears, and against one that was cut
-// off and goes on believing in itself: it answers from data that grows older, and its position stands still. One that can't be asked, or whose
-// probes tell nothing of its role, is taken at its last word: the read itself is the question then. So is one whose position moves, but whose
-// reports lag too far to show more.
+// primaryEligibility returns whether a primary may serve a read by its role. A primary whose last
+// statement is too old, or may have been followed by a lost one, is probed first. This guards
+// against a former primary whose denial was lost, and against an isolated one that still believes
+// it is primary. A primary whose probes don't state its role, or whose reports lag too far, is
+// taken at its last statement.
 func (d *Driver) primaryEligibility(m member, c *call) eligibility {
 	state := &d.replication[m]
 	isProbedOut := c.primaryProbes >= maxPrimaryProbes
@@ -68,15 +69,16 @@
 	return notEligible
 }
 
-// hasRecentPrimaryClaim tells whether a member's word that it is primary is recent enough for a read.
+// hasRecentPrimaryClaim reports whether a member's claim to be primary is recent enough for a
+// read.
 func (d *Driver) hasRecentPrimaryClaim(m member, method *Method) bool {
 	state := &d.replication[m]
 	return state.primaryStatedAt != 0 && !state.mayHaveLostStatement() && d.host.Now()-state.primaryStatedAt <= d.maxRoleAge(method)
 }
 
-// maxRoleAge is how old a primary's word may be for a read. For a bounded one it follows from the bound: when it gave its word it had all data,
-// which can't have grown older than that since, whoever was elected meanwhile. Where that leaves less time than it takes to ask, reads rest on
-// what is assumed of elections, as session and fresh ones do.
+// maxRoleAge returns how old a primary's claim may be for a read. For a bounded read it follows
+// from the staleness bound: the primary had all data when it made the claim. Where the bound
+// leaves too little time to probe, the assumed election time applies.
 func (d *Driver) maxRoleAge(method *Method) int64 {
 	if positionAge := d.maxPositionAge(method); method.Consistency == ConsistencyBounded && positionAge >= primaryProbeInterval {
 		return positionAge
@@ -84,7 +86,8 @@
 	return minElectionTime
 }
 
-// isPositionSufficient tells whether a member's known position by itself is enough for a read, whatever its role.
+// isPositionSufficient reports whether a member's known position alone qualifies it for a read,
+// whatever its role.
 func (d *Driver) isPositionSufficient(m member, c *call) bool {
 	state := &d.replication[m]
 	switch {
@@ -99,30 +102,35 @@
 	return false
 }
 
-// maxPositionAge is how old a position may be for a bounded read: the bound, less the time that may pass before the last byte is sent.
+// maxPositionAge returns how old a position may be for a bounded read: the bound less the time
+// that may pass before the last byte is sent.
 func (d *Driver) maxPositionAge(method *Method) int64 {
 	return method.MaxStaleness - d.store.MaxSendDelay - ms
 }
 
-// isLikelyFresh tells whether a replica that checks the age of its data itself is expected to be within the bound.
+// isLikelyFresh reports whether a replica that checks its own staleness is expected to be within
+// the bound.
 func (d *Driver) isLikelyFresh(m member, c *call) bool {
 	return d.trustsSelfCheck(m) && d.replication[m].position != 0 && d.isWithinBound(m, c)
 }
 
-// trustsSelfCheck tells whether a member is left to turn away a read for which it lags too far: not where none does, not after it just turned one
-// away, and not while it has been primary and was not seen to follow another since.
+// trustsSelfCheck reports whether a member can be relied on to reject reads for which it is too
+// stale: not if the store lacks the check, not if it rejected its last read, and not if it was
+// primary and has not been seen to follow another since.
 func (d *Driver) trustsSelfCheck(m member) bool {
 	state := &d.replication[m]
 	return d.store.RejectsStaleReads && !state.rejectedRead && state.ceasedPrimaryAt == 0
 }
 
-// isWithinBound tells whether the source's estimate of a replica's staleness is within the bound.
+// isWithinBound reports whether a member's estimated staleness is within the bound of the read.
 func (d *Driver) isWithinBound(m member, c *call) bool {
 	return c.group.primary == m || d.staleness(m) <= c.method.MaxStaleness
 }
 
-// staleness is the source's estimate, but for the primary's term, the least of its office, lest its slow
-// answer make replicas look fresher, and for an overdue replica, which grows staler.
+// staleness estimates a replica's staleness by the max-staleness formula of the MongoDB drivers,
+// with two changes: it uses the primary's smallest lead in its term, because a slow answer of the
+// primary would make replicas look fresher, and it counts the time since the replica was last
+// heard if that exceeds the heartbeat interval.
 func (d *Driver) staleness(m member) int64 {
 	g, state := d.groupOf[m], &d.replication[m]
 	sinceHeard := max(d.heartbeatInterval, d.host.Now()-state.heardAt)
@@ -132,7 +140,7 @@
 	return g.newestPosition - state.position + sinceHeard
 }
 
-// confirmPrimary asks a primary whether it still is one, for a read that waits for that.
+// confirmPrimary probes a primary for a read that waits for confirmation of its role.
 func (d *Driver) confirmPrimary(m member, c *call) {
 	now := d.host.Now()
 	if d.probeStarted[m] != 0 || now-d.lastProbeEnd[m] < primaryProbeInterval || c.primaryProbes >= maxPrimaryProbes {
@@ -145,9 +153,9 @@
 	d.probe(m)
 }
 
-// IsStale tells whether an answer to a read shows by what it states of its member that its data was too old for the read when the attempt was made.
-// Guards against a former primary that got the read on its last word, or on one that crossed the read: what it answers earns nothing, and another
-// member may serve. Positions are rounded, and clocks differ a little: only what is certain counts.
+// IsStale reports whether the state that an answer carries proves that its data was too old for
+// the read when the attempt was made. This guards against a former primary that served the read.
+// Rounding and clock differences count in favour of the answer.
 func (d *Driver) IsStale(id RPCID, s Observation, attemptedAt int64) bool {
 	c := d.calls[id]
 	if c == nil {
@@ -164,7 +172,7 @@
 	return false
 }
 
-// Eligibility tells for the log why an attempt at a member may begin.
+// Eligibility describes for the log on what grounds a member may serve an RPC.
 func (d *Driver) Eligibility(id RPCID, to MemberID) string {
 	c := d.calls[id]
 	m, known := d.index[to]
@@ -175,7 +183,8 @@
 	return fmt.Sprintf("%s age_ms=%d confirmed_ms=%d", eligibilityNames[d.eligibility(m, c)], (d.clock.toStore(now)-state.position)/ms, (now-state.primaryHeardAt)/ms)
 }
 
-// boundedRefreshInterval is how old a position may grow before a probe for a bounded method's sake: half of what is usable.
+// boundedRefreshInterval returns the age at which a position is refreshed for a bounded method:
+// half of the usable staleness.
 func (d *Driver) boundedRefreshInterval(m Method) int64 {
 	if d.store.RejectsStaleReads {
 		return m.MaxStaleness / 2
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,10 +1,11 @@
-// Package rules decides where a driver sends each RPC of a replicated store. Build a Driver with New, hand it
-// every change of the list, every RPC taken and each whose client left. It acts through its Host (api.go),
-// which keeps the closures left behind and hands them their results. Calls must come one after another.
+// Package rules decides to which member of a replicated store a driver sends each RPC. Create a
+// Driver with New and pass it every membership update, every RPC and every client disconnect. It
+// acts through its Host, which keeps the callbacks and calls them with results. A Driver is not
+// safe for concurrent use.
 //
-// The way of a request stands in this file, what a Driver knows in state.go, and what it decides by in the others: list.go, probing.go,
-// gossip.go, observations.go and store_clock.go for what it learns; choice.go, freshness.go, slow_start.go and health.go for which member
-// gets what. docs/design.md tells what comes from the source.
+// This file holds the lifecycle of an RPC and state.go the state of a Driver. The inputs are
+// handled in list.go, probing.go, gossip.go, observations.go and store_clock.go; members are
+// chosen in choice.go, freshness.go, slow_start.go and health.go.
 package rules
 
 import (
@@ -16,16 +17,16 @@
 const (
 	ms, sec = int64(1_000_000), int64(1_000_000_000)
 
-	retentionTime          = 60 * sec // members that left and commits of sessions are kept so long
-	holdPollInterval       = 100 * ms // an RPC held looks again this often
-	unreachedHoldShare     = 0.45     // share of its client's time for which an RPC that no member got is held
-	defaultLatency         = 100 * ms // answer time to expect before any was seen
-	defaultRequestInterval = 2 * sec  // time between attempts of a group to expect
-	defaultFleetLimit      = 9.0      // attempts of all drivers that a member may hold, before its answers teach better
-	overtakingAnswers      = 2        // answers out of turn that show an attempt lost or heavy, and its member sound
+	retentionTime          = 60 * sec // how long departed members and commits of sessions are kept
+	holdPollInterval       = 100 * ms // time between two checks of a held RPC
+	unreachedHoldShare     = 0.45     // share of the client's time for which an RPC that reached no member is held
+	defaultLatency         = 100 * ms // latency assumed before any answer
+	defaultRequestInterval = 2 * sec  // time between requests assumed before any
+	defaultFleetLimit      = 9.0      // initial concurrency limit of a member, shared by all drivers
+	overtakingAnswers      = 2        // later attempts answered first that show a slow attempt is lost, not queued
 )
 
-// New makes a driver that knows nothing yet; the first List follows at once.
+// New creates a driver without any state; the caller passes it the members next.
 func New(host Host, seed int64, methods []Method, fleet Fleet, store Store, policy Policy, slowStart SlowStart,
 	discovery Discovery) *Driver {
 	d := &Driver{host: host, rng: rand.New(rand.NewSource(seed)), methods: methods, policy: policy,
@@ -33,7 +34,7 @@
 		health:         health{initialLimit: max(1, defaultFleetLimit/float64(max(1, fleet.Drivers)))},
 		slowStartState: slowStartState{SlowStart: slowStart}, retryTokens: 5, retrySuccessRate: 0.5, index: map[MemberID]member{},
 		groups: map[GroupID]*group{}, calls: map[RPCID]*call{}, sessionCommits: map[string]int64{}}
-	refreshInterval := maxMemberProbeInterval // of the smallest bound
+	refreshInterval := maxMemberProbeInterval // of the tightest bound
 	for _, m := range methods {
 		d.meanSoftDeadline += m.SoftDeadline / int64(len(methods))
 		if m.Consistency == ConsistencyBounded {
@@ -43,19 +44,19 @@
 	refreshInterval = max(refreshInterval, minPositionRefresh/2)
 	d.positionMaxAge = min(maxPositionRefresh, max(minPositionRefresh, refreshInterval))
 	d.maxProbeInterval = min(maxMemberProbeInterval, d.positionMaxAge*int64(max(1, fleet.Drivers/2)))
-	if fleet.ReportsPerMessage == 0 { // else the fellow drivers' probes serve as well
+	if fleet.ReportsPerMessage == 0 { // otherwise the probes of peers serve as well
 		d.maxProbeInterval = min(d.maxProbeInterval, refreshInterval)
 	}
 	d.heartbeatInterval, d.startedAt, d.lastRPC, d.rpcInterval = d.positionMaxAge/2, host.Now(), host.Now(), float64(defaultRequestInterval)
 	return d
 }
 
-// Submit accepts an RPC; it gets exactly one final answer.
+// Submit accepts an RPC, which gets exactly one final answer.
 func (d *Driver) Submit(rpc RPC) {
 	now := d.host.Now()
 	d.rpcInterval, d.lastRPC = d.rpcInterval+0.02*(float64(now-d.lastRPC)-d.rpcInterval), now
 	method, g := &d.methods[rpc.Method], d.groups[rpc.Group]
-	if g == nil { // the list names no member of it
+	if g == nil { // the group has no known members
 		d.host.RejectWithRetryAfter(rpc.ID, d.policy.MaxRetryAfter)
 		return
 	}
@@ -64,11 +65,11 @@
 	if method.Consistency == ConsistencySession && !d.store.CarriesSessionToken {
 		c.SessionToken = max(d.sessionCommits[rpc.Session], d.olderSessionCommits[rpc.Session])
 	}
-	if rpc.IsRetry { // its client counts from its first try, and has Left of the whole time now
+	if rpc.IsRetry { // the soft deadline counts from the client's first try
 		c.softDeadline -= max(0, method.Deadline-rpc.TimeLeft-rpc.Waited)
 	}
 	d.calls[rpc.ID] = c
-	if c.usefulUntil() < now+int64(g.latency/2) { // no answer could still be of use: guards against storms of repeats
+	if c.usefulUntil() < now+int64(g.latency/2) { // no answer could arrive in time; guards against retry storms
 		d.giveUp(c)
 		return
 	}
@@ -76,13 +77,13 @@
 	d.startNextAttempt(c)
 }
 
-// startNextAttempt makes the next attempt of an RPC, or holds it.
+// startNextAttempt starts the next attempt of an RPC, or holds the RPC if no member may take it.
 func (d *Driver) startNextAttempt(c *call) {
 	if m := d.pickMember(c); m != noMember {
 		d.startAttempt(c, m)
 		return
 	}
-	for _, m := range c.group.members { // nobody told of it yet
+	for _, m := range c.group.members { // members that no peer has reported yet
 		if d.policy.Probing && d.isInLargeFleet() && !d.isKnown(m) {
 			d.probe(m)
 		}
@@ -92,9 +93,9 @@
 	d.pollHeld(c)
 }
 
-// pollHeld looks at a held RPC now and then, until it goes out or no answer could be of use any more. One that
-// no member got yet is given up sooner, with time left to ask again. Guards against clients kept waiting in
-// vain while a primary is away; could harm where one that is away comes back within moments.
+// pollHeld rechecks a held RPC until it is sent or no answer could arrive in time. One that has
+// reached no member is given up earlier, so that its client has time to retry elsewhere while a
+// primary is unavailable.
 func (d *Driver) pollHeld(c *call) {
 	now := d.host.Now()
 	remaining := c.usefulUntil() - int64(c.group.latency) - now
@@ -114,7 +115,7 @@
 	}
 }
 
-// retryHeld looks again at the RPCs held for a group, those of most utility first.
+// retryHeld tries again to send the RPCs held for a group, in order of utility.
 func (d *Driver) retryHeld(g *group) {
 	if g == nil || len(g.held) == 0 {
 		return
@@ -138,6 +139,7 @@
 	}
 }
 
+// startAttempt sends an attempt of an RPC to a member.
 func (d *Driver) startAttempt(c *call, m member) {
 	now := d.host.Now()
 	c.attempts++
@@ -149,7 +151,7 @@
 	}
 	c.isHeld = false
 	number, holdsSlot, slowAfter := 0, true, d.slowThreshold(c, m)
-	answersBefore := d.answered[m] + int64(d.inFlight[m]) // answers to come first where none overtakes another
+	answersBefore := d.answered[m] + int64(d.inFlight[m]) // answers due first if none overtakes another
 	number = d.host.Attempt(c.ID, d.ids[m], d.attemptTimeout(c, m), func(r Result) {
 		if r.Outcome != Started && holdsSlot {
 			d.inFlight[m]--
@@ -166,8 +168,8 @@
 	})
 }
 
-// observeRequest notes that a request has gone out for the first time. Those that come while others are held back show too little of the traffic,
-// unless they come sooner than is known.
+// observeRequest updates the request interval at the first attempt of an RPC. While RPCs are held
+// the intervals understate the traffic, so that only shorter ones count.
 func (g *group) observeRequest(now int64, isUnheld bool) {
 	interval := min(float64(max(now-g.lastRequest, ms/10)), 4*g.requestInterval)
 	if isUnheld || interval < g.requestInterval {
@@ -176,8 +178,8 @@
 	g.lastRequest = now
 }
 
-// attemptTimeout is the time-out of an attempt. Where copies are not allowed an idempotent read leaves a member
-// that keeps it waiting too long while there is time for another; else it waits to the deadline.
+// attemptTimeout returns the time-out of an attempt: the client's deadline, or sooner for an
+// idempotent read that may be retried and not hedged.
 func (d *Driver) attemptTimeout(c *call, m member) int64 {
 	if wait := d.slowThreshold(c, m) * 2; !d.policy.Hedging && d.canRetryRead(c, wait) {
 		return wait
@@ -185,25 +187,27 @@
 	return c.deadline - d.host.Now()
 }
 
+// slowThreshold returns the time after which an attempt counts as slow.
 func (d *Driver) slowThreshold(c *call, m member) int64 {
 	return max(int64(4*d.latency[m]), c.method.SoftDeadline*6/10)
 }
 
-// canRetryRead tells whether a further attempt of an idempotent read may be made after a wait, and be in time.
+// canRetryRead reports whether an idempotent read may be attempted again after a wait and still
+// meet its deadline.
 func (d *Driver) canRetryRead(c *call, wait int64) bool {
 	isAllowed := c.method.Effect == Idempotent && c.isRead() && c.attempts < d.policy.MaxAttempts && d.retryTokens >= 1
 	return isAllowed && d.host.Now()+wait+int64(c.group.latency) <= c.deadline
 }
 
-// handleSlowAttempt deals with an attempt that has taken too long, and tells whether it still holds room of its member.
-// On a member that answers others quickly it is lost, not slow: guards against members and links that lose a
-// part of what they are sent. Could harm where a few RPCs take far longer than all others, by crowding.
+// handleSlowAttempt hedges a slow attempt where allowed, and reports whether it still counts
+// against its member's concurrency limit. On a member that answers others quickly the attempt is
+// taken for lost: guards against members and links that drop requests.
 func (d *Driver) handleSlowAttempt(c *call, m member, number int) (holdsSlot bool) {
 	if c.isStreaming || !slices.Contains(c.inFlight, number) {
 		return true
 	}
 	if !c.hasEnded && d.policy.Hedging && len(c.inFlight) == 1 && d.canRetryRead(c, 0) {
-		if to := d.pickMember(c); to != noMember { // a second copy
+		if to := d.pickMember(c); to != noMember { // hedged attempt
 			d.retryTokens--
 			d.startAttempt(c, to)
 		}
@@ -211,9 +215,9 @@
 	return d.latencyRatio[m] > lowLatencyRatio
 }
 
-// handleResult takes the result of an attempt and decides what follows.
+// handleResult processes the result of an attempt.
 func (d *Driver) handleResult(c *call, m member, sentAt int64, number int, r Result) {
-	if r.Outcome == Started { // the attempt is the client's now; what it ends with ends the RPC
+	if r.Outcome == Started { // the response is streaming to the client; its end ends the RPC
 		c.isStreaming = true
 		d.cancelInFlight(c, number)
 		return
@@ -232,6 +236,8 @@
 	d.retryHeld(c.group)
 }
 
+// finishOrRetry ends an RPC, waits for its other attempts, or retries it, according to the result
+// of one attempt.
 func (d *Driver) finishOrRetry(c *call, m member, sentAt int64, r Result) {
 	if r.Final || r.Outcome == OK {
 		d.recordCommit(c, r.Position, retentionTime)
@@ -254,7 +260,8 @@
 	}
 }
 
-// giveUp gives up on an RPC: pushed back where a further try of the client does no harm, aborted otherwise.
+// giveUp ends an RPC without success: rejected with a retry delay if a retry by the client is
+// safe, aborted otherwise.
 func (d *Driver) giveUp(c *call) {
 	isRetrySafe := c.mayHaveExecutedAt == 0 && len(c.inFlight) == 0 || c.method.Effect == Idempotent ||
 		c.method.Effect == IdempotentByToken && c.method.DedupScope == DedupEverywhere
