--- a/rules/api.go
+++ b/rules/api.go
@@ -1,34 +1,37 @@
 package rules
 
-// The ids of the trade, each a type of its own.
 type (
-	RPCID    uint32
+	// RPCID identifies an RPC of one driver.
+	RPCID uint32
+	// MemberID identifies a member.
 	MemberID uint32
-	GroupID  int64
-	MethodID int // place in the list of methods given to New
+	// GroupID identifies a group of members that replicate the same data.
+	GroupID int64
+	// MethodID is an index into the methods passed to New.
+	MethodID int
 )
 
-// Consistency says what data a method needs.
+// Consistency says what data a method requires.
 type Consistency int
 
 const (
-	ConsistencyAny          Consistency = iota // any member will do
-	ConsistencyBounded                         // data no older than the method's bound
+	ConsistencyAny          Consistency = iota // data of any age
+	ConsistencyBounded                         // data no older than the method's maximum staleness
 	ConsistencySession                         // all that the session has written
-	ConsistencyLinearizable                    // all written before the RPC came
-	ConsistencyWrite                           // a write
+	ConsistencyLinearizable                    // all that was written before the RPC arrived
+	ConsistencyWrite                           // served by the primary only
 )
 
-// Effect says what a repeat of an RPC would do.
+// Effect says whether an RPC may be executed more than once.
 type Effect int
 
 const (
-	Idempotent Effect = iota
-	IdempotentByToken
+	Idempotent        Effect = iota
+	IdempotentByToken        // members drop duplicates by a token, within DedupScope and DedupWindow
 	NonIdempotent
 )
 
-// DedupScope names the members that drop repeats of a tokened RPC between them.
+// DedupScope says which members recognize each other's duplicates by token.
 type DedupScope int
 
 const (
@@ -37,80 +40,80 @@
 	DedupEverywhere
 )
 
-// Method is what a driver is told of one method. Times are nanoseconds.
+// Method describes one method. Times are in nanoseconds.
 type Method struct {
 	Name         string
 	Consistency  Consistency
 	MaxStaleness int64
 	Effect       Effect
 	DedupScope   DedupScope
-	DedupWindow  int64 // how long a tokened RPC's repeats are dropped
+	DedupWindow  int64 // how long duplicates are recognized
 	SoftDeadline int64
-	Deadline     int64 // all that a client waits, over all its tries
+	Deadline     int64 // the client's total time, retries included
 	Utility      float64
-	LateUtility  float64 // share of Utility after the soft deadline
+	LateUtility  float64 // share of Utility that remains after the soft deadline
 }
 
-// Fleet is this driver among its peers.
+// Fleet describes the drivers of the deployment.
 type Fleet struct {
 	Drivers           int
-	ReportsPerMessage int // observations that one message to them holds, 0 where they cannot be told anything
+	ReportsPerMessage int // most reports in one message to peers, 0 without messages
 }
 
-// PeerReport is what one driver tells its fellows of a member.
+// PeerReport is what a driver tells its peers about a member.
 type PeerReport struct {
 	Member MemberID
 	Observation
-	Latency int64 // a recent answer time, 0 for none
+	Latency int64 // a recent latency, 0 if none
 	Failed  bool  // the last answer was an error
-	Uptime  int64 // it has run for so long at least, by a connection that answered, 0 where not known
+	Uptime  int64 // shortest time it must have run, by the age of its connection; 0 if unknown
 }
 
-// Store says how the members replicate and what they check.
+// Store describes how the members replicate and what they check.
 type Store struct {
-	RejectsStaleReads   bool  // a member turns away a read for which it lags too far
+	RejectsStaleReads   bool  // members reject reads for which they are too stale
 	CarriesSessionToken bool  // session reads carry their token
-	MaxSendDelay        int64 // at most between the moment an attempt is allowed and its last byte, beyond what the rule on the age of data forgives
+	MaxSendDelay        int64 // longest time from AttemptAllowed to the last byte sent, beyond the tolerance of the staleness rule
 }
 
-// Policy is what the deployment lets a driver do.
+// Policy is what the deployment permits a driver to do.
 type Policy struct {
-	MaxAttempts   int   // most attempts for one RPC
-	Hedging       bool  // two attempts of an RPC may be out at once
+	MaxAttempts   int   // per RPC
+	Hedging       bool  // two attempts of an RPC may be in flight at once
 	Cancellation  bool  // attempts may be cancelled
 	Probing       bool  // members may be probed
-	MaxRetryAfter int64 // longest time to come back that clients heed, 0 for none
+	MaxRetryAfter int64 // longest retry delay that clients honour, 0 if none
 }
 
-// SlowStart says how members warm up, and when a cold one falls over.
+// SlowStart describes how members warm up after a start.
 type SlowStart struct {
-	InitialShare   float64 // of its capacity at its start, at least
+	InitialShare   float64 // least share of its capacity that a member has at its start
 	WarmUpTime     int64
-	OverloadFactor float64 // sent more than this times what it can do for a while, it falls
+	OverloadFactor float64 // a cold member fails under a sustained load above this multiple of its capacity
 }
 
-// Discovery says how the list reaches a driver and what it binds.
+// Discovery describes how membership reaches a driver and which of its states are binding.
 type Discovery struct {
-	OnRequest      bool  // the list comes only when asked for
-	ViaAgent       bool  // of an agent beside the driver, which counts as told once the agent has it
-	DrainGrace     int64 // until when something new may go to a member once told that it drains
-	OnlyDrainBinds bool  // gone alone does not bind, only draining
+	OnRequest      bool  // membership is delivered only to a watch
+	ViaAgent       bool  // discovery counts the driver as informed once its local agent is
+	DrainGrace     int64 // time after the notice of a drain during which a member may still get new attempts
+	OnlyDrainBinds bool  // deregistered members may still get attempts
 }
 
-// RPC is one client call. Left is the client's time for this try.
+// RPC is one client call.
 type RPC struct {
 	ID           RPCID
 	Method       MethodID
 	Group        GroupID
 	Session      string
-	TimeLeft     int64 // its client still waits so long
-	Waited       int64 // and has waited so long before it was taken
+	TimeLeft     int64 // remaining time of the client for this try
+	Waited       int64 // time that the client has waited before Submit
 	IsRetry      bool  // the client has tried before
-	SessionToken int64 // commit that a session read must see, 0 for none
-	MinPosition  int64 // position that any member must have reached to get it, 0 for none
+	SessionToken int64 // commit that a session read must see, 0 if none
+	MinPosition  int64 // position that a member must have reached, 0 if none
 }
 
-// MemberState is a member's standing in the list.
+// MemberState is a member's lifecycle state in discovery.
 type MemberState int
 
 const (
@@ -119,18 +122,18 @@
 	Deregistered
 )
 
-// MemberEntry is one line of the list.
+// MemberEntry is what discovery says of one member.
 type MemberEntry struct {
 	Member  MemberID
 	Group   GroupID
 	Zone    string
 	State   MemberState
-	Started int64 // on the driver's clock, 0 for long ago
+	Started int64 // when the member started, 0 if long ago
 	Primary bool
-	Weight  float64 // how much it can do beside others, more or less; 0 where the list does not say
+	Weight  float64 // capacity relative to other members, 0 if unknown
 }
 
-// Role of a member in its group.
+// Role is the role of a member in its group.
 type Role int
 
 const (
@@ -142,11 +145,11 @@
 // Observation is what an answer shows of its member.
 type Observation struct {
 	Role        Role
-	Position    int64 // on the driver's clock, 0 when not told
-	ConnectedAt int64 // when the connection that it came on was opened, 0 when not known
+	Position    int64 // log position as a time, 0 if not stated
+	ConnectedAt int64 // when the connection of the answer was opened, 0 if unknown
 }
 
-// Outcome says what a result proves about the effect of an attempt.
+// Outcome says whether an attempt was executed.
 type Outcome int
 
 const (
@@ -156,14 +159,14 @@
 	MayHaveExecuted
 )
 
-// Cause says why an attempt was not ok.
+// Cause says why an attempt failed.
 type Cause int
 
 const (
 	NoCause Cause = iota
 	Overloaded
 	ConnectFailed
-	Ineligible // not the primary, or too far behind
+	Ineligible // not the primary, or too stale
 	NotSent
 	TimedOut
 	Reset
@@ -171,7 +174,8 @@
 	Cancelled
 )
 
-// Result is how an attempt ended, or that its stream started. Final: the RPC itself has ended.
+// Result is how an attempt ended, or that its response started to stream. Final says that the RPC
+// itself has ended.
 type Result struct {
 	Outcome Outcome
 	Cause   Cause
@@ -180,22 +184,23 @@
 	Observation
 }
 
-// ProbeResult is what a probe found. Cause is NoCause when it was answered.
+// ProbeResult is the result of a probe. Cause is NoCause if it was answered.
 type ProbeResult struct {
 	Cause       Cause
-	Report      Observation // what its load report says, made at an unknown time before
-	Observation             // what the answer itself states
+	Report      Observation // from the load report, generated at an unknown earlier time
+	Observation             // from the answer itself
 }
 
-// Host is what the module asks of whatever drives it. It keeps each closure and hands it the result.
+// Host performs the actions that a Driver decides on. It keeps each callback and calls it with the
+// result.
 type Host interface {
 	Now() int64
 	Attempt(id RPCID, to MemberID, within int64, next func(Result)) (number int)
 	Cancel(id RPCID, number int)
 	RejectWithRetryAfter(id RPCID, retryAfter int64)
 	Abort(id RPCID)
-	CloseIdle(to MemberID) // the connections to it that carry nothing
-	Forget(id MemberID)    // nothing is asked of it any more, unless the list names it again
+	CloseIdle(to MemberID) // closes the idle connections to the member
+	Forget(id MemberID)    // the member is not used any more, unless discovery lists it again
 	Probe(to MemberID, next func(ProbeResult))
 	After(wait int64, next func())
 	Watch()
--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -1,13 +1,13 @@
 package rules
 
 const (
-	minMessageSpacing = 3 * ms // a driver hears no more than one message of its fellows in this time
-	maxMessageSpacing = 8 * ms // nor need they be rarer than this
-	rpcsPerMessage    = 12.0   // else a driver sends one for so many RPCs that it takes
+	minMessageSpacing = 3 * ms // per driver of the fleet, so that none receives more than one message in this time
+	maxMessageSpacing = 8 * ms // per driver of the fleet
+	rpcsPerMessage    = 12.0   // a driver sends one message per this number of its RPCs, within the spacings above
 )
 
-// scheduleReport passes on to the fellow drivers what was learned first-hand and they are likely not to know, at once
-// or when their number allows.
+// scheduleReport schedules a report on a member to peers, which probably lack what this driver
+// observed itself. Messages are spaced by the size of the fleet and this driver's traffic.
 func (d *Driver) scheduleReport(m member) {
 	d.hasUnsentReport[m] = d.fleet.ReportsPerMessage > 0
 	if d.gossipPending || !d.hasUnsentReport[m] {
@@ -38,7 +38,8 @@
 	})
 }
 
-// ReceiveReports takes in a fellow driver's news. A position once true stays true, whoever saw it.
+// ReceiveReports applies the reports of a peer. Positions only grow, so a reported one stays
+// valid.
 func (d *Driver) ReceiveReports(reports []PeerReport) {
 	for _, report := range reports {
 		if m, known := d.index[report.Member]; known && d.isNew(m, report.Observation) {
@@ -51,7 +52,7 @@
 				d.recordErrorRate(m, report.Failed)
 			}
 			d.recordUptime(m, report.Uptime)
-			if d.isUnresponsive[m] { // it has moved on: look for ourselves, not all at once
+			if d.isUnresponsive[m] { // it has progressed: probe it, at a random time so that drivers do not all probe at once
 				d.host.After(d.randomBelow(probeTimeout), func() { d.probe(m) })
 			}
 			d.retryHeld(d.groupOf[m])
@@ -59,14 +60,16 @@
 	}
 }
 
-// isNew tells whether a peer's word of a member says more than is known: a higher position, or another role at the same one.
+// isNew reports whether a peer's observation adds to what is known: a higher position, or another
+// role at the same position.
 func (d *Driver) isNew(m member, s Observation) bool {
 	state := &d.replication[m]
 	return s.Position > state.position || s.Role != state.role && s.Position+positionRounding >= state.position
 }
 
-// recordUptime hears from a fellow driver for how long a member has run. Guards against links that were cut: a
-// member that only some drivers could not reach is not cold. A restart that the list tells of stays one.
+// recordUptime cancels an inferred restart if a peer's connection to the member outlived the
+// outage. Guards against treating a member as cold after a network partition. Starts stated by
+// discovery are not affected.
 func (d *Driver) recordUptime(m member, uptime int64) {
 	if d.inferredOutageStart[m] != 0 && !d.isUnresponsive[m] && d.host.Now()-uptime < d.inferredOutageStart[m] {
 		d.logf("ran on member=%d for_ms=%d", d.ids[m], uptime/ms)
--- a/rules/health.go
+++ b/rules/health.go
@@ -1,16 +1,17 @@
 package rules
 
 const (
-	overloadBackoff       = 40 * ms  // a member that turned work away is left alone so long
-	connectionsScarceTime = 2 * sec  // connections are scarce so long after a live member refused one
-	highLatencyRatio      = 0.33     // smoothed share of the soft deadline that answers may take
-	lowLatencyRatio       = 0.2      // strain below which what is overdue was lost, not slow
-	ejectAfterLosses      = 3        // attempts lost in a row that set a member aside
-	errorWeight           = 0.2      // of an answer in the smoothed share of errors
-	errorMemory           = 10 * sec // errors count ever less, and no more after this time
+	overloadBackoff       = 40 * ms  // base delay before a member that rejected an attempt gets another
+	connectionsScarceTime = 2 * sec  // how long idle connections are closed after a refused connection
+	highLatencyRatio      = 0.33     // ratio of latency to soft deadline above which the limit shrinks
+	lowLatencyRatio       = 0.2      // ratio below which a slow attempt is taken for lost
+	ejectAfterLosses      = 3        // consecutive lost attempts that eject a member
+	errorWeight           = 0.2      // weight of one answer in the smoothed error rate
+	errorMemory           = 10 * sec // time over which the error rate fades without new errors
 )
 
-// recordResult learns from a result how its member fares, but not where its client had little time to wait for it.
+// recordResult updates a member's health from the result of an attempt. Losses count only if the
+// client allowed the member enough time.
 func (d *Driver) recordResult(c *call, m member, sentAt int64, r Result, isSlow bool) {
 	now := d.host.Now()
 	switch cause := r.Cause; {
@@ -27,7 +28,7 @@
 		d.lastAnswerFailed[m] = r.Cause == ServerError
 	}
 	switch {
-	case !isSlow && now-d.latencyUpdated[m] < probeTimeout && (r.Cause == ServerError || r.Cause == Reset): // it finishes others
+	case !isSlow && now-d.latencyUpdated[m] < probeTimeout && (r.Cause == ServerError || r.Cause == Reset): // the member completes other attempts
 	case r.Cause == ServerError || r.Cause == Reset || isSlow && (r.Cause == TimedOut || r.Cause == Cancelled):
 		d.recordLoss(m, now)
 		if isSlow {
@@ -47,8 +48,8 @@
 	}
 }
 
-// observeResult takes in what the end of an attempt tells of its member's role: what it stated, that it turned away what only a primary takes,
-// or that its word may have been lost.
+// observeResult records what a result shows of its member's role: a stated role, the rejection of
+// a write, or that a statement may have been lost with the answer.
 func (d *Driver) observeResult(c *call, m member, r Result, sentAt int64) {
 	s := r.Observation
 	if r.Cause == Ineligible && !c.isRead() {
@@ -60,9 +61,8 @@
 	}
 }
 
-// recordErrorRate learns how often a member answers with errors, by its own answers and by what fellows tell. Guards
-// against members that fail fast, which look the fastest of all; one that has not failed for a while is tried
-// again.
+// recordErrorRate updates a member's error rate from its own answers and from peers. Guards
+// against members that fail fast, which would otherwise look like the fastest.
 func (d *Driver) recordErrorRate(m member, failed bool) {
 	d.errorRate[m] *= 1 - errorWeight
 	if failed {
@@ -71,18 +71,17 @@
 	}
 }
 
-// latencyTarget is how long an answer may take without losing much: past the soft deadline by what late ones are
-// worth.
+// latencyTarget returns the latency up to which an answer keeps most of its utility.
 func (m *Method) latencyTarget() int64 {
 	return m.SoftDeadline + int64(m.LateUtility*float64(max(0, m.Deadline-m.SoftDeadline)))
 }
 
-// adjustLimit learns how long a member takes, also from an attempt waited for in vain: guards against members so
-// crowded that none of their answers counts. Its room grows while answers come well in time, doubling on a
-// trickle, and shrinks while they strain the soft deadline: such work is better held than done in vain.
+// adjustLimit adapts a member's concurrency limit to its latency. Attempts that ended without an
+// answer count too, because an overloaded member may complete none. The limit grows while answers
+// are fast, doubling during recovery, and shrinks while they approach the soft deadline.
 func (d *Driver) adjustLimit(m member, latency float64, target int64, ok bool) {
 	d.recordLatency(m, latency, target)
-	minLimit := max(1, min(d.limit[m], d.initialLimit/2)) // so few do not queue: what is slow then is slow by itself
+	minLimit := max(1, min(d.limit[m], d.initialLimit/2)) // at this concurrency attempts do not queue; latency has another cause
 	switch {
 	case !ok && d.latencyRatio[m] > lowLatencyRatio:
 		d.limit[m] = max(minLimit, d.limit[m]*0.85)
@@ -100,9 +99,9 @@
 	}
 }
 
-// handleConnectFailure deals with a connection refused. A member that answers probes has too few for all drivers: it
-// is left alone for a moment, and idle connections are given up to the others while that lasts. Guards
-// against any shortage of connections; one that is down shows in the probe. Could harm where they are dear.
+// handleConnectFailure handles a refused connection. The member may be out of connections, so the
+// driver backs off and closes idle ones for a while; a member that is down is detected by the
+// probe.
 func (d *Driver) handleConnectFailure(m member, now int64) {
 	d.probe(m)
 	if now >= d.connectionsScarceUntil {
@@ -112,7 +111,8 @@
 	d.backOff(m)
 }
 
-// backOff leaves a member alone that refused work, longer each time: many drivers would come back at once.
+// backOff pauses attempts to a member that rejected one, with exponential, randomized delays so
+// that drivers do not return all at once.
 func (d *Driver) backOff(m member) {
 	d.consecutiveRejections[m] = min(d.consecutiveRejections[m]+1, 5)
 	wait := overloadBackoff/2<<d.consecutiveRejections[m]/2 + d.randomBelow(overloadBackoff/2<<d.consecutiveRejections[m])
@@ -120,7 +120,8 @@
 	d.host.After(wait, func() { d.retryHeld(d.groupOf[m]) })
 }
 
-// recordLatency smooths a member's answer time and strain; what comes after a long time weighs more.
+// recordLatency updates a member's smoothed latency and latency ratio. Samples weigh more after a
+// long gap.
 func (d *Driver) recordLatency(m member, latency float64, target int64) {
 	now := d.host.Now()
 	weight := min(0.5, max(0.1, float64(now-d.latencyUpdated[m])/float64(4*sec)))
@@ -129,7 +130,8 @@
 	d.latencyRatio[m] += weight * (latency/float64(target) - d.latencyRatio[m])
 }
 
-// recordLoss counts attempts lost in a row. Guards against members that answer probes but finish nothing.
+// recordLoss counts consecutive lost attempts and ejects a member after too many. Guards against
+// members that answer probes but complete no requests.
 func (d *Driver) recordLoss(m member, now int64) {
 	d.consecutiveLosses[m]++
 	if d.consecutiveLosses[m] >= ejectAfterLosses && now >= d.ejectedUntil[m] {
--- a/rules/list.go
+++ b/rules/list.go
@@ -1,11 +1,11 @@
 package rules
 
 const (
-	firstProbeSpacing      = ms     // as many new members are looked at at once as follow in a hush so far apart
-	largeFleetProbeSpacing = 8 * ms // of many drivers that start one looks at a member for the first time in this time
+	firstProbeSpacing      = ms     // between first probes of new members where drivers send no reports
+	largeFleetProbeSpacing = 8 * ms // per driver, between first probes of one member by a large fleet
 )
 
-// UpdateMembers takes the list or, when whole is false, what changed in it.
+// UpdateMembers applies the full membership or, if isComplete is false, a change to it.
 func (d *Driver) UpdateMembers(entries []MemberEntry, isComplete bool) {
 	for m := 0; isComplete && m < len(d.state); m++ {
 		d.setState(member(m), Deregistered) // unless it is listed below
@@ -33,7 +33,8 @@
 	}
 }
 
-// setState notes a member's state. One that drained and then left still drains, where only draining binds.
+// setState sets a member's state. A draining member that is deregistered stays draining, because
+// deregistration alone may not be binding.
 func (d *Driver) setState(m member, s MemberState) {
 	if s != Deregistered || d.state[m] != Draining {
 		d.state[m] = s
@@ -46,8 +47,9 @@
 	}
 }
 
-// scheduleFirstProbe begins to probe a new member: the first driver to look tells the others. Where drivers tell
-// nothing each looks at once, but not at more than it may have connections: who is kept waiting seems silent.
+// scheduleFirstProbe starts the probe loop of a new member. Where drivers send reports, the start
+// is random and the first driver to probe informs the others. Otherwise first probes are spaced,
+// because a probe that waits for a connection would look unanswered.
 func (d *Driver) scheduleFirstProbe(m member) {
 	if d.fleet.ReportsPerMessage > 0 {
 		spacing := byFleetSize(d, ms, largeFleetProbeSpacing)
@@ -62,9 +64,9 @@
 	d.probeLoop(m)
 }
 
-// WatchFailed hears that asking for the list failed, or that the watch broke off: it is asked for again. An
-// agent has no other callers, and what it has when it is back counts at once: it is asked within the grace.
-// One pause at a time, lest calls that fail while another is awaited multiply.
+// WatchFailed schedules a new watch after one failed or broke off. An agent is asked again within
+// the drain grace, because its updates bind at once. Only one retry is pending at a time, so that
+// failures do not multiply calls.
 func (d *Driver) WatchFailed() {
 	d.isWatching = false
 	if d.retryPending {
@@ -88,7 +90,7 @@
 	}
 }
 
-// acceptsNewWork tells whether the list lets a member have anything new.
+// acceptsNewWork reports whether discovery permits new attempts to a member.
 func (d *Driver) acceptsNewWork(m member) bool {
 	return d.state[m] == Healthy || d.state[m] == Deregistered && d.discovery.OnlyDrainBinds
 }
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -1,54 +1,59 @@
 package rules
 
-// source says on whose word a role and a position are known.
+// source says where an observation of a role and position comes from.
 type source int
 
 const (
-	fromAnswer     source = iota // the member's own answer to what it was asked: true of a moment between the two
-	fromLoadReport               // its load report, which it may hand out long after it was made, also while it hangs
-	fromGossip                   // a peer's word of some time before
+	fromAnswer     source = iota // the member's own answer, true at some time between request and answer
+	fromLoadReport               // the member's load report, which may be much older than the answer that carries it
+	fromGossip                   // a report of a peer
 )
 
 var sourceNames = [...]string{"answer", "report", "gossip"}
 
-// positionRounding is by how much two positions of one moment may differ: the commit of a write is rounded up, what is applied is rounded down.
+// positionRounding is the largest difference between two positions of the same time: commits are
+// rounded up, applied positions down.
 const positionRounding = 2 * ms
 
-// handoverTime is how long a member that turned a write away, or said that it is none, is not believed to be primary again.
+// handoverTime is how long a member's claims to be primary are ignored after it denied the role or
+// rejected a write.
 const handoverTime = 200 * ms
 
 // replicationState is what is known of one member's role and log position.
 //
-// Which statement supersedes which is decided by when they were made, never by the position beside a role: while a group has no primary no
-// position in it moves, and that is just when roles change. Of a statement two times are certain: it was made before it was heard, and after
-// the member was asked (byAnswer) or after the moment that its position names (all). So a member's own word that it is no primary always
-// counts, and a claim to be primary counts only if it was certainly made after the last such word was heard. A lagging report that it is no
-// primary is older than a claim whose position is higher.
+// Statements of a role are ordered by when they were made, not by the position they carry, because
+// positions stand still while a group has no primary. A statement was made before it was received,
+// and after the request (fromAnswer) and after the time that its position names. A denial by the
+// member itself therefore always counts; a claim counts only if it was certainly made after the
+// last denial was received. A denial in a load report is older than a claim with a higher
+// position.
 type replicationState struct {
 	role     Role
-	position int64 // up to which it has applied the log, by the store's clock; 0 where not known
-	heardAt  int64 // when that was heard, by the driver's clock, as all times below
+	position int64 // up to which it has applied the log, on the store's clock; 0 if unknown
+	heardAt  int64 // when that was received, on the driver's clock, as all times below
 	lag      int64 // by how much it was behind then
 
-	claimPosition      int64 // the position beside its last claim to be primary, which is the time of that claim by the store's clock
-	claimsIgnoredUntil int64 // claims made up to then are not believed
-	ceasedPrimaryAt    int64 // when it was heard to be primary no longer, by the store's clock, until its position is past that; else 0
-	minLead            int64 // the least time between its position and now in this term as primary
+	claimPosition      int64 // position with its last claim to be primary, which is the time of the claim on the store's clock
+	claimsIgnoredUntil int64 // claims made up to then are ignored
+	ceasedPrimaryAt    int64 // when it was last seen to lose the role, on the store's clock; 0 once its position has passed that
+	minLead            int64 // smallest difference between the current time and its position in this term as primary
 
-	primaryHeardAt  int64 // when it last was heard to be primary
-	primaryStatedAt int64 // and when that was said, at the earliest
-	unansweredAt    int64 // when something sent to it last ended without an answer, with which a word of its role may have been lost
+	primaryHeardAt  int64 // when its last claim to be primary was received
+	primaryStatedAt int64 // earliest time at which that claim was made
+	unansweredAt    int64 // when an attempt last ended without an answer, which may have carried a statement of its role
 
-	rejectedRead bool // it turned its last read away
-	omitsRole    bool // it answered its last probe and said nothing of its role
+	rejectedRead bool // it rejected its last read
+	omitsRole    bool // its last probe answer did not state its role
 }
 
-// mayHaveLostStatement tells whether a word of its role may have been lost since it last said that it is primary.
+// mayHaveLostStatement reports whether a statement of its role may have been lost since its last
+// claim to be primary.
 func (s *replicationState) mayHaveLostStatement() bool {
 	return s.unansweredAt != 0 && s.primaryStatedAt < s.unansweredAt
 }
 
-// observe takes in what was stated of a member's role and position. Asked is when the member was asked for it, where it was.
+// observe applies an observation of a member. askedAt is when the member was asked for it, if it
+// was.
 func (d *Driver) observe(m member, s Observation, from source, askedAt int64) {
 	if s.Role == RoleUnknown {
 		return
@@ -62,7 +67,8 @@
 	}
 }
 
-// observeClock relates the store's clock to the driver's by a position, but not by a peer's word, which is put into this driver's terms.
+// observeClock relates the store's clock to the driver's by a position. Positions from peers are
+// already converted and don't count.
 func (d *Driver) observeClock(s Observation, from source, askedAt int64) {
 	if s.Position == 0 || from == fromGossip {
 		return
@@ -79,9 +85,9 @@
 	}
 }
 
-// observePosition takes in a position. A member's log only grows: a lower position is an older one, or one up to rounding the same, unless it
-// comes with an answer that was asked for after the known one was heard. Then the known one was wrong. Guards against positions that were
-// spoilt or put into the future, which would else stand for ever.
+// observePosition applies a position. A lower position than the known one is outdated, as logs
+// only grow, unless it answers a request made after the known one was received. This replaces
+// corrupted positions and positions in the future, which would otherwise persist.
 func (d *Driver) observePosition(m member, s Observation, from source, askedAt int64) {
 	now, state, g := d.host.Now(), &d.replication[m], d.groupOf[m]
 	if s.Position == 0 || !d.isPlausible(s.Position) {
@@ -103,23 +109,23 @@
 	g.newestPosition = max(g.newestPosition, s.Position)
 }
 
-// isPlausible tells whether a position is not from the future, as far as can be told.
+// isPlausible reports whether a position is not in the future, as far as is known.
 func (d *Driver) isPlausible(position int64) bool {
 	ahead, known := d.clock.offset()
 	return !known || position <= d.host.Now()+ahead+clockTolerance
 }
 
-// observeReplica takes in that a member is no primary.
+// observeReplica applies a statement that a member is not primary.
 func (d *Driver) observeReplica(m member, position int64, from source) {
 	state, g, now := &d.replication[m], d.groupOf[m], d.host.Now()
-	// It was made before the member's last claim, as far as positions tell.
+	// Positions show that it was made before the member's last claim.
 	isOutdated := position != 0 && position+positionRounding < state.claimPosition && d.isPlausible(state.claimPosition)
 	switch {
 	case from != fromAnswer && isOutdated:
 		return
 	case from == fromLoadReport, isOutdated:
 		state.claimsIgnoredUntil = max(state.claimsIgnoredUntil, now)
-	case from == fromAnswer: // it may still claim to be primary while it hands over
+	case from == fromAnswer: // it may still claim to be primary during the handover
 		state.claimsIgnoredUntil = now + handoverTime
 	}
 	if state.role == RolePrimary {
@@ -134,14 +140,14 @@
 	}
 }
 
-// observePrimary takes in a claim to be primary.
+// observePrimary applies a claim to be primary.
 func (d *Driver) observePrimary(m member, position int64, from source, askedAt int64) {
 	state, g, now := &d.replication[m], d.groupOf[m], d.host.Now()
-	evidenceTime := now // a primary stands at the present
+	evidenceTime := now // a primary's position is the current time
 	if position != 0 {
 		evidenceTime = min(now, d.clock.toDriver(position))
 	}
-	statedAt := int64(0) // at the earliest
+	statedAt := int64(0) // earliest time of the claim
 	if from == fromAnswer {
 		statedAt = askedAt
 	}
@@ -149,9 +155,9 @@
 		statedAt = max(statedAt, evidenceTime)
 	}
 	if state.claimsIgnoredUntil != 0 && statedAt <= state.claimsIgnoredUntil {
-		return // from before the word that it is none, or from a member about to hand over
+		return // made before the last denial, or during a handover
 	}
-	// A primary stands at the present: one whose position has not moved since its last claim was heard hangs, or was cut off and does not know.
+	// A primary's position follows the clock: one that has not moved since the last claim shows a hung or isolated member.
 	isComparable := from != fromAnswer || position != 0 && askedAt > state.primaryHeardAt+positionRounding
 	isStuck := isComparable && position <= state.claimPosition && d.isPlausible(state.claimPosition)
 	if lead := now - position; position != 0 && (state.role != RolePrimary || lead < state.minLead) {
@@ -171,7 +177,7 @@
 	g.primarySince = max(g.primarySince, evidenceTime)
 }
 
-// newestPosition is the position of the most advanced member of a group.
+// newestPosition returns the highest position of a group.
 func (d *Driver) newestPosition(g *group) (position int64) {
 	for _, m := range g.members {
 		position = max(position, d.replication[m].position)
@@ -179,11 +185,11 @@
 	return position
 }
 
-// StoreNow is the time by the clock that positions count by, more or less.
+// StoreNow returns the approximate time on the store's clock.
 func (d *Driver) StoreNow() int64 { return d.clock.estimate(d.host.Now()) }
 
-// NotPrimary hears that a member has said that it is no primary where nothing else of what it said may be relied on: before an answer that may yet
-// break off, or at the start of a connection. It counts from then on.
+// NotPrimary records that a member denied being primary outside a complete answer: before an
+// answer that may still break off, or at the start of a connection.
 func (d *Driver) NotPrimary(id MemberID) {
 	if m, known := d.index[id]; known {
 		d.observeReplica(m, 0, fromAnswer)
--- a/rules/probing.go
+++ b/rules/probing.go
@@ -1,15 +1,15 @@
 package rules
 
 const (
-	minPositionRefresh     = 100 * ms // a position is old after half of the smallest bound, kept within these
+	minPositionRefresh     = 100 * ms // bounds on the age at which positions are refreshed
 	maxPositionRefresh     = 250 * ms
-	maxMemberProbeInterval = 10 * sec // most time between own probes of a member
-	probeTimeout           = 150 * ms // a probe unanswered for so long makes its member silent
-	restartOutage          = sec      // after so long a silence a member may have restarted
+	maxMemberProbeInterval = 10 * sec // longest time between own probes of a member
+	probeTimeout           = 150 * ms // a member is unresponsive if a probe is unanswered for this long
+	restartOutage          = sec      // a longer outage may have been a restart
 )
 
-// probeLoop probes a member for as long as the list has it. An answer, or a fellow driver's news, that
-// brought a position since stands in for the probe. In the mean it makes no more probes than it takes RPCs.
+// probeLoop probes a member until it is removed. A position learned meanwhile from an answer or a
+// peer replaces a probe. On average a driver makes no more probes than it takes RPCs.
 func (d *Driver) probeLoop(m member) {
 	now := d.host.Now()
 	isIdle := d.inFlight[m] == 0 && d.probeStarted[m] == 0
@@ -32,16 +32,18 @@
 	d.host.After(wait+d.randomBelow(wait/4), func() { d.probeLoop(m) })
 }
 
-// needsRefresh tells whether a probe could bring a better position: who was far behind needs half of that to catch up.
+// needsRefresh reports whether a probe may bring a better position. A replica that lags far behind
+// is given time to catch up.
 func (d *Driver) needsRefresh(m member) bool {
 	state := &d.replication[m]
 	return state.heardAt == 0 || d.host.Now()-state.heardAt >= max(d.positionMaxAge, min(state.lag, 4*sec)/2)
 }
 
+// probe sends a probe unless one is pending or the member accepts no new work.
 func (d *Driver) probe(m member) {
 	now := d.host.Now()
 	if d.probeStarted[m] != 0 || !d.isInGroup[m] || !d.acceptsNewWork(m) {
-		return // one is on its way, or the member was dropped, or is to get nothing new
+		return
 	}
 	d.probeStarted[m] = now
 	d.host.Probe(d.ids[m], func(r ProbeResult) { d.handleProbeResult(m, r) })
@@ -52,35 +54,36 @@
 	})
 }
 
+// handleProbeResult applies the result of a probe.
 func (d *Driver) handleProbeResult(m member, r ProbeResult) {
 	askedAt := d.probeStarted[m]
 	d.probeStarted[m] = 0
-	if r.Cause == NotSent { // it was never sent
+	if r.Cause == NotSent {
 		return
 	}
 	d.lastProbeEnd[m] = d.host.Now()
-	if r.Cause == NoCause || r.Cause == Overloaded || r.Cause == ServerError { // whatever it answers it is alive
+	if r.Cause == NoCause || r.Cause == Overloaded || r.Cause == ServerError { // any answer shows that it is alive
 		d.markResponsive(m, r.ConnectedAt)
 		d.replication[m].omitsRole = r.Report.Role == RoleUnknown && r.Role == RoleUnknown
 		d.observe(m, r.Report, fromLoadReport, askedAt)
 		d.observe(m, r.Observation, fromAnswer, askedAt)
-	} else if d.host.Now()-d.lastHeard[m] >= probeTimeout { // else it lives, and only the probe's connection broke
+	} else if d.host.Now()-d.lastHeard[m] >= probeTimeout { // otherwise only the probe's connection failed
 		d.markUnresponsive(m)
-		if d.fleet.ReportsPerMessage == 0 { // look again soon: it may have stood still for a moment
+		if d.fleet.ReportsPerMessage == 0 { // probe again soon: the outage may be short
 			d.host.After(max(d.positionMaxAge, d.host.Now()-d.unresponsiveSince[m]), func() { d.probe(m) })
 		}
 	}
 	d.retryHeld(d.groupOf[m])
 }
 
-// ProbeAllowed tells whether a probe that was made may still begin.
+// ProbeAllowed reports whether a pending probe may still begin.
 func (d *Driver) ProbeAllowed(to MemberID) bool {
 	m, known := d.index[to]
 	return known && d.acceptsNewWork(m)
 }
 
-// markUnresponsive marks a member that does not answer. Guards against crashed, cut off and hung members: nothing is
-// lost on it before it answers again. Could harm where only probes get lost.
+// markUnresponsive stops attempts to a member that does not answer until it answers again. Guards
+// against crashed, partitioned and hung members.
 func (d *Driver) markUnresponsive(m member) {
 	if !d.isUnresponsive[m] {
 		d.isUnresponsive[m], d.unresponsiveSince[m] = true, d.host.Now()-probeTimeout
@@ -88,7 +91,8 @@
 	}
 }
 
-// markResponsive hears from a member. After a long silence it may have restarted, unless a connection outlived that.
+// markResponsive records an answer. After a long outage the member is assumed to have restarted,
+// unless the connection is older than the outage.
 func (d *Driver) markResponsive(m member, connectedAt int64) {
 	now := d.host.Now()
 	if d.isUnresponsive[m] {
--- a/rules/state.go
+++ b/rules/state.go
@@ -6,113 +6,115 @@
 	"slices"
 )
 
-type member int // dense index of a member in the parallel arrays of the parts below
+// member is a dense index into the per-member slices below.
+type member int
 
 const noMember member = -1
 
-// membership is what the list tells, and how it is kept up.
+// membership is the state known from discovery, and of the watch that delivers it.
 type membership struct {
 	discovery      Discovery
 	isWatching     bool
-	retryPending   bool  // before it is asked for again
-	nextFirstProbe int64 // when the last new member is looked at for the first time
+	retryPending   bool  // a failed watch is about to be retried
+	nextFirstProbe int64 // time of the latest first probe scheduled for a new member
 	ids            []MemberID
 	groupOf        []*group
 	zone           []string
 	state          []MemberState
 	weight         []float64
-	isInGroup      []bool   // member of its group, looked at by a probe loop where probes are allowed
-	groupedCount   int      // members that are
-	freeSlots      []member // places of members that were dropped
+	isInGroup      []bool   // the member belongs to its group and is probed periodically, where probing is allowed
+	groupedCount   int      // number of members with isInGroup set
+	freeSlots      []member // slots of removed members
 }
 
-// observations are the positions and roles observed. Times are 0 for never, here and below.
+// observations are the observed positions and roles. A time of 0 means never, here and below.
 type observations struct {
 	store                                               Store
 	clock                                               storeClock
-	heartbeatInterval, positionMaxAge, maxProbeInterval int64              // the estimate's; when positions are old; most between own probes
-	replication                                         []replicationState // of each member
+	heartbeatInterval, positionMaxAge, maxProbeInterval int64 // of the staleness estimate; age at which positions are refreshed; limit between own probes
+	replication                                         []replicationState
 	fleet                                               Fleet
-	lastGossip                                          int64 // when the last news went to the fellow drivers
+	lastGossip                                          int64 // when reports were last sent to peers
 	gossipPending                                       bool
 	hasUnsentReport                                     []bool
-	unsentLatency                                       []int64 // answer time not yet told
-	lastAnswerFailed                                    []bool  // and whether the last answer was an error
+	unsentLatency                                       []int64 // latency not yet reported to peers
+	lastAnswerFailed                                    []bool
 }
 
-// health is how members answer this driver.
+// health is how members respond to this driver.
 type health struct {
-	lastHeard, probeStarted, ejectedUntil              []int64   // last answer; the unanswered probe's time; set aside until
-	lastProbeEnd                                       []int64   // when its last probe ended
-	isUnresponsive, isRecovering                       []bool    // does not answer; on a trickle that doubles
-	inFlight, consecutiveLosses, consecutiveRejections []int     // attempts out, and those lost and refused in a row
-	initialLimit                                       float64   // room before answers teach better
-	limit, latency, latencyRatio                       []float64 // attempts it may hold; smoothed answer time, and over soft deadline
+	lastHeard, probeStarted, ejectedUntil              []int64 // last answer; start of the pending probe; end of ejection or backoff
+	lastProbeEnd                                       []int64
+	isUnresponsive, isRecovering                       []bool    // does not answer; limit doubles with each answer
+	inFlight, consecutiveLosses, consecutiveRejections []int     // attempts in flight, and those lost and rejected in a row
+	initialLimit                                       float64   // concurrency limit before any answer
+	limit, latency, latencyRatio                       []float64 // concurrency limit; smoothed latency, and its ratio to the soft deadline
 	errorRate                                          []float64 // smoothed share of answers that were errors
-	lastError                                          []int64   // when the last of them came
-	unresponsiveSince                                  []int64   // when it fell silent
-	latencyUpdated                                     []int64   // when its answer time was last learned
-	connectionsScarceUntil                             int64     // until when connections are
+	lastError                                          []int64
+	unresponsiveSince                                  []int64
+	latencyUpdated                                     []int64
+	connectionsScarceUntil                             int64 // idle connections are closed until then
 }
 
-// slowStartState is the budget of members that have just started.
+// slowStartState holds the budgets of members that started recently.
 type slowStartState struct {
 	SlowStart
-	lastDraw            []int64 // when the last lot was drawn for it
-	answered            []int64 // requests that it answered ok
-	listedStart         []int64 // start by the list, on the store's clock
-	inferredStart       []int64 // start by a silence that is taken for a restart, on the driver's clock
-	inferredOutageStart []int64 // when that silence began
-	connectedAt         []int64 // when the connection was that its last answer came on
+	lastDraw            []int64 // last random admission draw
+	answered            []int64 // attempts answered successfully
+	listedStart         []int64 // start time by discovery, on the store's clock
+	inferredStart       []int64 // start time inferred from an outage, on the driver's clock
+	inferredOutageStart []int64 // when that outage began
+	connectedAt         []int64 // when the connection of the last answer was opened
 }
 
+// group is the state of one group of members.
 type group struct {
 	id                       GroupID
 	members                  []member
 	primary                  member
-	newestPosition           int64 // position of its members
-	primarySince             int64 // date of the evidence that named the primary
+	newestPosition           int64 // highest position of the group's members
+	primarySince             int64 // time of the evidence that named the primary
 	held                     []*call
 	lastRequest              int64
-	requestInterval, latency float64 // smoothed: between this driver's requests; answer time
+	requestInterval, latency float64 // smoothed: time between this driver's requests; latency
 	throughput               groupThroughput
 }
 
-// call is an RPC being worked on.
+// call is an RPC in progress.
 type call struct {
 	RPC
 	method                        *Method
 	group                         *group
 	deadline, softDeadline        int64
 	attempts                      int
-	inFlight                      []int // numbers of the attempts still out
+	inFlight                      []int // numbers of the attempts in flight
 	tried                         []member
-	mayHaveExecutedAt             int64 // when the first attempt that may have run was sent, 0 for none
+	mayHaveExecutedAt             int64 // when the first attempt that may have executed was sent, 0 if none
 	mayHaveExecutedZone           string
-	isHeld, isStreaming, hasEnded bool   // started: its answer has begun to stream
-	hasReachedMember              bool   // a member got an attempt for it
-	probedReplica                 member // the replica probed for it last
+	isHeld, isStreaming, hasEnded bool // isStreaming: its response has begun to stream
+	hasReachedMember              bool
+	probedReplica                 member // replica last probed for it
 	replicaProbes                 int
-	primaryProbes                 int     // probes by which the primary was asked for it whether it still is one
-	primaryProbedAt               int64   // when the first of them was made
-	latencyDraw                   float64 // drawn once, for whether it may go to a strained primary
+	primaryProbes                 int     // probes that asked the primary for this RPC whether it still is one
+	primaryProbedAt               int64   // when the first of them was sent
+	latencyDraw                   float64 // random draw that sets the latency threshold of hasLatencyHeadroom
 }
 
-// pickScratch is the memory that picks use one after another.
+// pickScratch holds slices that pickMember reuses.
 type pickScratch struct {
 	eligible, outdated       []member
 	costs, cumulativeWeights []float64
 }
 
-// Driver decides for one instance.
+// Driver makes the routing decisions of one driver instance.
 type Driver struct {
 	membership
 	observations
 	health
 	slowStartState
 	scratch                             pickScratch
-	retryTokens                         float64 // further attempts that may be made now
-	retrySuccessRate                    float64 // share of recent further attempts that were ok
+	retryTokens                         float64 // retry budget
+	retrySuccessRate                    float64 // smoothed share of retries that succeeded
 	host                                Host
 	rng                                 *rand.Rand
 	methods                             []Method
@@ -120,14 +122,14 @@
 	index                               map[MemberID]member
 	groups                              map[GroupID]*group
 	calls                               map[RPCID]*call
-	sessionCommits, olderSessionCommits map[string]int64 // last commits of sessions by answers; those of the time before
-	lastCommitSweep, droppedCommitMax   int64            // when the oldest were dropped; the newest of them, which all must see
-	meanSoftDeadline                    int64            // mean soft deadline of the methods
-	startedAt, lastRPC                  int64            // when this driver began, and when its last RPC came
+	sessionCommits, olderSessionCommits map[string]int64 // last commits by session; those of the previous retention period
+	lastCommitSweep, droppedCommitMax   int64            // last start of a period; newest dropped commit, which all session reads must see
+	meanSoftDeadline                    int64            // over all methods
+	startedAt, lastRPC                  int64            // when this driver started, and when its last RPC arrived
 	rpcInterval                         float64          // smoothed time between RPCs
 }
 
-// allocateSlot gives a place in the arrays, with nothing of whoever had it before.
+// allocateSlot returns a zeroed slot in the per-member slices.
 func (d *Driver) allocateSlot() member {
 	m := member(len(d.ids))
 	if last := len(d.freeSlots) - 1; last >= 0 {
@@ -155,14 +157,14 @@
 	}
 }
 
-// addToGroup makes a member one of its group.
+// addToGroup adds a member to its group.
 func (d *Driver) addToGroup(m member) {
 	d.isInGroup[m] = true
 	d.groupedCount++
 	d.groupOf[m].members = append(d.groupOf[m].members, m)
 }
 
-// Known tells whether anything was heard of a member, from itself or from a fellow driver.
+// Known reports whether a member was heard of, from itself or from a peer.
 func (d *Driver) Known(id MemberID) bool {
 	m, known := d.index[id]
 	return known && d.isKnown(m)
@@ -170,10 +172,10 @@
 
 func (d *Driver) isKnown(m member) bool { return d.lastHeard[m] != 0 || d.replication[m].heardAt != 0 }
 
-// isInLargeFleet tells whether this is one of so many drivers that it sees little of a member by itself.
+// isInLargeFleet reports whether there are so many drivers that each has few samples of a member.
 func (d *Driver) isInLargeFleet() bool { return d.initialLimit <= 1 }
 
-// byFleetSize gives what holds for a driver of few, or else for one of many.
+// byFleetSize returns the value that applies to the size of the fleet.
 func byFleetSize[T any](d *Driver, small, large T) T {
 	if d.isInLargeFleet() {
 		return large
@@ -181,8 +183,8 @@
 	return small
 }
 
-// CaughtUp tells whether all of a group's members that answer and are to serve, its primary among them, were seen at a
-// position or past it.
+// CaughtUp reports whether all responsive healthy members of a group, its primary included, have
+// reached a position.
 func (d *Driver) CaughtUp(id GroupID, position int64) bool {
 	g := d.groups[id]
 	if g == nil || g.primary == noMember || d.isUnresponsive[g.primary] || d.replication[g.primary].position < position {
@@ -196,7 +198,7 @@
 	return true
 }
 
-// ProbeGroup probes a group's members, for somebody who waits until they are Reached.
+// ProbeGroup probes a group's members, for a caller that waits for CaughtUp.
 func (d *Driver) ProbeGroup(id GroupID) {
 	if g := d.groups[id]; g != nil && d.policy.Probing {
 		for _, m := range g.members {
@@ -207,7 +209,7 @@
 	}
 }
 
-// removeMember gives a member's place back. Nothing may be out for it.
+// removeMember frees a member's slot. It must have no attempts or probes in flight.
 func (d *Driver) removeMember(m member) {
 	g := d.groupOf[m]
 	g.members = slices.DeleteFunc(g.members, func(o member) bool { return o == m })
@@ -222,7 +224,8 @@
 	d.host.Forget(d.ids[m])
 }
 
-// addMember makes room for a member in the arrays; took, gap and room are what to expect at first.
+// addMember allocates a slot for a member, with initial values for its limit and a new group's
+// estimates.
 func (d *Driver) addMember(entry MemberEntry, latency, requestInterval, limit float64) member {
 	m := d.allocateSlot()
 	g := d.groups[entry.Group]
@@ -241,12 +244,12 @@
 	return &group{id: id, primary: noMember, latency: latency, requestInterval: requestInterval, throughput: groupThroughput{initial, initial}}
 }
 
-// isRead tells whether a replica may answer.
+// isRead reports whether a replica may serve the RPC.
 func (c *call) isRead() bool {
 	return c.method.Consistency != ConsistencyWrite && c.method.Consistency != ConsistencyLinearizable
 }
 
-// usefulUntil is when an answer is of use at the latest.
+// usefulUntil returns the latest time at which an answer is of use.
 func (c *call) usefulUntil() int64 {
 	if c.method.LateUtility == 0 {
 		return min(c.deadline, c.softDeadline)
@@ -261,7 +264,7 @@
 	return c.method.Utility
 }
 
-// ClientLeft hears that the client of an RPC has gone.
+// ClientLeft ends an RPC whose client has disconnected.
 func (d *Driver) ClientLeft(id RPCID) {
 	if c := d.calls[id]; c != nil {
 		d.endCall(c)
@@ -274,7 +277,7 @@
 	d.cancelInFlight(c, -1)
 }
 
-// cancelInFlight calls off what is out for an RPC, but for one attempt.
+// cancelInFlight cancels the attempts of an RPC that are in flight, except one.
 func (d *Driver) cancelInFlight(c *call, except int) {
 	for _, n := range c.inFlight {
 		if d.policy.Cancellation && n != except {
@@ -283,7 +286,8 @@
 	}
 }
 
-// recordCommit keeps a session's last commit for one to two spans; of those dropped the newest holds for all sessions.
+// recordCommit records a session's last commit, which is kept for one to two retention periods.
+// The newest dropped commit then applies to all sessions.
 func (d *Driver) recordCommit(c *call, commit, retention int64) {
 	if c.method.Consistency == ConsistencyWrite && !d.store.CarriesSessionToken {
 		d.sessionCommits[c.Session] = max(d.sessionCommits[c.Session], commit)
@@ -296,7 +300,7 @@
 	}
 }
 
-// randomBelow draws a span below another, 0 where that is none.
+// randomBelow returns a random duration in [0, limit), or 0 if limit is not positive.
 func (d *Driver) randomBelow(limit int64) int64 {
 	if limit <= 0 {
 		return 0
--- a/rules/store_clock.go
+++ b/rules/store_clock.go
@@ -3,29 +3,30 @@
 import "slices"
 
 const (
-	clockTolerance  = 10 * ms // positions are whole milliseconds, rounded either way, and answers come at once
-	maxClockAhead   = sec     // a driver's clock that is less ahead of the store's than this is taken for right
-	maxUpperBounds  = 8       // statements of primaries that the bound is taken from
+	clockTolerance  = 10 * ms // positions are whole milliseconds, rounded either way
+	maxClockAhead   = sec     // driver's clocks less ahead of the store's than this are taken to be in sync
+	maxUpperBounds  = 8       // statements of primaries that bound the offset
 	offsetWindow    = 30 * sec
-	outliersToReset = 3 // positions from the future in a row that put the clock in doubt; fewer are taken for spoilt
+	outliersToReset = 3 // consecutive positions in the future that reset the estimate; fewer are taken to be corrupted
 )
 
-// storeClock relates the clock that members' positions count by to this driver's own, which never steps but may have been wrong when the
-// driver started, and which the members' may step away from. All machines are meant to read one clock: the two are taken for the same until
-// a position from the future, or nothing but positions from long ago, show otherwise. Then the offset is bounded by what is certain: no
-// position is later than now by the store's clock, and a primary that answers stands at it.
+// storeClock estimates the offset between the store's clock, which positions refer to, and this
+// driver's. The driver's never steps but may have been wrong at its start; the store's may step.
+// They are taken to be in sync until a position in the future, or only positions from long ago,
+// show otherwise. The offset is then bounded by two facts: no position is later than the store's
+// time, and an answering primary's position equals it.
 type storeClock struct {
-	minAhead       int64 // the store's clock is ahead of the driver's by so much at the least, by the positions of this window and the last
-	recentMinAhead int64 // the same by those of this window
-	windowStart    int64 // when it began, 0 before any position was heard
-	outliers       int   // positions in a row that were later than what was known allows
-	upperBounds    []int64
-	oldestBound    int   // of bounds, the newest of the upper bounds on the same
-	ahead          int64 // by how much the store's clock is ahead of the driver's at the most, as far as can be told
-	isUnbounded    bool  // nothing bounds that
+	minAhead       int64   // lower bound on the store's clock minus the driver's, by the positions of this window and the last
+	recentMinAhead int64   // the same by those of this window
+	windowStart    int64   // 0 before the first position
+	outliers       int     // consecutive positions later than the known offset allows
+	upperBounds    []int64 // latest upper bounds on the offset
+	oldestBound    int     // index of the oldest upper bound
+	ahead          int64   // largest possible offset of the store's clock, as far as is known
+	isUnbounded    bool    // no upper bound is known
 }
 
-// observePosition takes in a position that was heard at a time.
+// observePosition records a position received at a time.
 func (c *storeClock) observePosition(position, heardAt int64) {
 	lead := position - heardAt
 	if lead <= c.ahead+clockTolerance {
@@ -36,19 +37,19 @@
 	switch {
 	case c.windowStart == 0:
 		c.minAhead, c.recentMinAhead, c.windowStart = lead, lead, heardAt
-	case heardAt-c.windowStart > offsetWindow: // what was set back since is forgotten
+	case heardAt-c.windowStart > offsetWindow: // forgets bounds from before the store's clock was set back
 		c.minAhead, c.recentMinAhead, c.windowStart = max(lead, c.recentMinAhead), lead, heardAt
 	default:
 		c.minAhead, c.recentMinAhead = max(c.minAhead, lead), max(c.recentMinAhead, lead)
 	}
-	if c.outliers > 0 { // what was bounded before does not hold any more
+	if c.outliers > 0 { // earlier bounds are invalid
 		c.upperBounds, c.oldestBound = c.upperBounds[:0], 0
 	}
 	c.updateOffset()
 }
 
-// observePrimary takes in the position of a primary that answered, between the time when it was asked and the time when that was heard. What it
-// contradicts was a lie, or from before the members' clock was set back.
+// observePrimary records the position of a primary that answered a request. Lower bounds that it
+// contradicts were wrong, or from before the store's clock was set back.
 func (c *storeClock) observePrimary(position, askedAt, heardAt int64) {
 	bound := position + ms - askedAt
 	if c.windowStart != 0 && bound < c.minAhead {
@@ -63,10 +64,10 @@
 	c.updateOffset()
 }
 
-// isInSync tells whether the driver's clock can be taken for the store's.
+// isInSync reports whether the driver's clock can be used as the store's.
 func (c *storeClock) isInSync() bool { return c.minAhead <= clockTolerance }
 
-// updateOffset makes the offset of what is known.
+// updateOffset derives the offset from the bounds.
 func (c *storeClock) updateOffset() {
 	c.ahead, c.isUnbounded = 0, false
 	switch {
@@ -77,11 +78,12 @@
 	}
 }
 
-// offset is by how much the store's clock is ahead of the driver's at the most, and whether that is known.
+// offset returns the largest possible lead of the store's clock over the driver's, and whether it
+// is known.
 func (c *storeClock) offset() (ahead int64, known bool) { return c.ahead, !c.isUnbounded }
 
-// estimate is the time by the store's clock more or less, also where the driver's is ahead and primaries are yet to bear that out. Where no
-// position moves it falls behind.
+// estimate returns the approximate time on the store's clock, also while the driver's is ahead and
+// no primary has confirmed that. It falls behind while no position moves.
 func (c *storeClock) estimate(now int64) int64 {
 	if c.ahead != 0 || c.windowStart == 0 || c.minAhead > -maxClockAhead {
 		return c.toStore(now)
@@ -89,7 +91,7 @@
 	return now + c.minAhead
 }
 
-// toStore converts a time of the driver's clock to the store's, as late as it may be there.
+// toStore converts a time of the driver's clock to the latest possible time of the store's.
 func (c *storeClock) toStore(now int64) int64 { return now + c.ahead }
 
 // toDriver converts a time of the store's clock to the driver's.
