--- a/rules/scenario_test.go
+++ b/rules/scenario_test.go
@@ -15,7 +15,7 @@
 	"sedgespread/rules"
 )
 
-// TestScenarios plays testdata/*.txt on the module alone; testdata/README.md tells the notation.
+// TestScenarios runs the scenarios in testdata, whose notation testdata/README.md describes.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -24,13 +24,13 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			p := &player{t: t, now: int64(time.Hour), acts: map[int]string{}, rpcs: map[rules.RPCID]*seen{},
-				sent: map[int]int{}, fleet: rules.Fleet{Drivers: 3}, allowed: rules.Policy{MaxAttempts: 6, Cancellation: true, Probing: true}}
+			p := &scenarioRunner{t: t, now: int64(time.Hour), probeBehavior: map[int]string{}, rpcs: map[rules.RPCID]*rpcState{},
+				attemptCounts: map[int]int{}, fleet: rules.Fleet{Drivers: 3}, policy: rules.Policy{MaxAttempts: 6, Cancellation: true, Probing: true}}
 			for i, line := range strings.Split(string(text), "\n") {
-				p.at = fmt.Sprintf("%s:%d: %s", file, i+1, line)
+				p.location = fmt.Sprintf("%s:%d: %s", file, i+1, line)
 				for _, step := range strings.Split(line, ";") {
 					if words := strings.Fields(step); len(words) > 0 && !strings.HasPrefix(line, "#") {
-						p.play(words)
+						p.runStep(words)
 					}
 				}
 			}
@@ -38,85 +38,87 @@
 	}
 }
 
-// seen is what became of one RPC.
-type seen struct {
-	to     []int
-	next   []func(rules.Result)
-	sentAt []int64
-	within int64
-	answer string
+// rpcState is the progress of one RPC.
+type rpcState struct {
+	targets   []int
+	callbacks []func(rules.Result)
+	sentAt    []int64
+	timeout   int64
+	answer    string
 }
 
 type timer struct {
-	at int64
-	do func()
+	at       int64
+	callback func()
 }
 
-// player is the host of one driver and plays the lines of one scenario.
-type player struct {
-	t         *testing.T
-	at        string
-	now       int64
-	d         *rules.Driver
-	timers    []timer
-	acts      map[int]string // what a member does with probes
-	rpcs      map[rules.RPCID]*seen
-	sent      map[int]int
-	probes    int
-	watches   int
-	closes    int
-	forgot    int
-	told      []rules.PeerReport
-	tells     int
-	methods   []rules.Method
-	fleet     rules.Fleet
-	store     rules.Store
-	allowed   rules.Policy
-	slowStart rules.SlowStart
-	notice    rules.Discovery
+// scenarioRunner is the host of one driver and runs the steps of a scenario.
+type scenarioRunner struct {
+	t             *testing.T
+	location      string
+	now           int64
+	driver        *rules.Driver
+	timers        []timer
+	probeBehavior map[int]string // how members answer probes
+	rpcs          map[rules.RPCID]*rpcState
+	attemptCounts map[int]int
+	probes        int
+	watches       int
+	idleCloses    int
+	forgotten     int
+	reports       []rules.PeerReport
+	messages      int
+	methods       []rules.Method
+	fleet         rules.Fleet
+	store         rules.Store
+	policy        rules.Policy
+	slowStart     rules.SlowStart
+	discovery     rules.Discovery
 }
 
-func (p *player) Now() int64 { return p.now }
+func (p *scenarioRunner) Now() int64 { return p.now }
 
-func (p *player) After(wait int64, do func()) {
-	p.timers = append(p.timers, timer{p.now + max(wait, 0), do})
+func (p *scenarioRunner) After(wait int64, callback func()) {
+	p.timers = append(p.timers, timer{p.now + max(wait, 0), callback})
 }
 
-func (p *player) Attempt(id rules.RPCID, to rules.MemberID, within int64, next func(rules.Result)) int {
+func (p *scenarioRunner) Attempt(id rules.RPCID, to rules.MemberID, within int64, next func(rules.Result)) int {
 	r := p.rpcs[id]
-	require.Empty(p.t, r.answer, "%s: attempt after the answer", p.at)
-	r.to, r.next, r.within = append(r.to, int(to)), append(r.next, next), within
+	require.Empty(p.t, r.answer, "%s: attempt after the answer", p.location)
+	r.targets, r.callbacks, r.timeout = append(r.targets, int(to)), append(r.callbacks, next), within
 	r.sentAt = append(r.sentAt, p.now)
-	p.sent[int(to)]++
-	return len(r.to) - 1
+	p.attemptCounts[int(to)]++
+	return len(r.targets) - 1
 }
 
-func (p *player) Cancel(rules.RPCID, int)  {}
-func (p *player) CloseIdle(rules.MemberID) { p.closes++ }
-func (p *player) Forget(rules.MemberID)    { p.forgot++ }
-func (p *player) Watch()                   { p.watches++ }
-func (p *player) Log(string)               {}
+func (p *scenarioRunner) Cancel(rules.RPCID, int)  {}
+func (p *scenarioRunner) CloseIdle(rules.MemberID) { p.idleCloses++ }
+func (p *scenarioRunner) Forget(rules.MemberID)    { p.forgotten++ }
+func (p *scenarioRunner) Watch()                   { p.watches++ }
+func (p *scenarioRunner) Log(string)               {}
 
-func (p *player) SendReports(news []rules.PeerReport) {
-	p.told = append(p.told, news...)
-	p.tells++
+func (p *scenarioRunner) SendReports(reports []rules.PeerReport) {
+	p.reports = append(p.reports, reports...)
+	p.messages++
 }
 
-func (p *player) RejectWithRetryAfter(id rules.RPCID, _ int64) { p.final(id, "pushed-back") }
-func (p *player) Abort(id rules.RPCID)                         { p.final(id, "aborted") }
+func (p *scenarioRunner) RejectWithRetryAfter(id rules.RPCID, _ int64) {
+	p.recordAnswer(id, "pushed-back")
+}
+func (p *scenarioRunner) Abort(id rules.RPCID) { p.recordAnswer(id, "aborted") }
 
-func (p *player) final(id rules.RPCID, answer string) {
-	require.Empty(p.t, p.rpcs[id].answer, "%s: a second final answer", p.at)
+func (p *scenarioRunner) recordAnswer(id rules.RPCID, answer string) {
+	require.Empty(p.t, p.rpcs[id].answer, "%s: a second final answer", p.location)
 	p.rpcs[id].answer = answer
 }
 
-func (p *player) Probe(to rules.MemberID, next func(rules.ProbeResult)) {
+func (p *scenarioRunner) Probe(to rules.MemberID, next func(rules.ProbeResult)) {
 	p.probes++
-	words := strings.Fields(p.acts[int(to)])
-	r, takes := rules.ProbeResult{}, int64(time.Millisecond)
+	words := strings.Fields(p.probeBehavior[int(to)])
+	r, latency := rules.ProbeResult{}, int64(time.Millisecond)
 	switch words[0] {
 	case "silent":
-		takes, r.Cause = int64(250*time.Millisecond), rules.TimedOut
+		latency, r.Cause = int64(250*time.Millisecond), rules.TimedOut
 	case "busy":
 		r.Cause = rules.Overloaded
 	case "faulty":
@@ -127,15 +129,15 @@
 		r.Report = p.observation(words)
 		r.ConnectedAt = r.Report.ConnectedAt
 	}
-	p.After(takes, func() { next(r) })
+	p.After(latency, func() { next(r) })
 }
 
-// observation reads a role and how old the position is.
-func (p *player) observation(words []string) rules.Observation {
+// observation parses a role and the age of a position.
+func (p *scenarioRunner) observation(words []string) rules.Observation {
 	s := rules.Observation{Role: map[string]rules.Role{"primary": rules.RolePrimary, "replica": rules.RoleReplica}[words[0]]}
-	require.NotZero(p.t, s.Role, p.at)
+	require.NotZero(p.t, s.Role, p.location)
 	if len(words) > 1 {
-		s.Position = p.now - p.span(words[1])
+		s.Position = p.now - p.duration(words[1])
 	}
 	if slices.Contains(words, "unbroken") {
 		s.ConnectedAt = 1
@@ -143,20 +145,20 @@
 	return s
 }
 
-func (p *player) span(text string) int64 {
+func (p *scenarioRunner) duration(text string) int64 {
 	span, err := time.ParseDuration(text)
-	require.NoError(p.t, err, p.at)
+	require.NoError(p.t, err, p.location)
 	return int64(span)
 }
 
-func (p *player) number(text string) int {
+func (p *scenarioRunner) number(text string) int {
 	n, err := strconv.Atoi(text)
-	require.NoError(p.t, err, p.at)
+	require.NoError(p.t, err, p.location)
 	return n
 }
 
-// wait lets time pass, running what falls due.
-func (p *player) wait(span int64) {
+// advance moves the clock forward and runs the timers that expire.
+func (p *scenarioRunner) advance(span int64) {
 	for end := p.now + span; ; {
 		due := -1
 		for i, t := range p.timers {
@@ -171,11 +173,11 @@
 		t := p.timers[due]
 		p.timers = slices.Delete(p.timers, due, due+1)
 		p.now = max(p.now, t.at)
-		t.do()
+		t.callback()
 	}
 }
 
-func (p *player) play(w []string) {
+func (p *scenarioRunner) runStep(w []string) {
 	switch w[0] {
 	case "method":
 		p.method(w[1:])
@@ -184,9 +186,9 @@
 	case "list":
 		p.list(w[1:])
 	case "member":
-		p.acts[p.number(w[1])] = strings.Join(w[2:], " ")
+		p.probeBehavior[p.number(w[1])] = strings.Join(w[2:], " ")
 	case "wait":
-		p.wait(p.span(w[1]))
+		p.advance(p.duration(w[1]))
 	case "rpc":
 		p.rpc(w[1:])
 	case "result":
@@ -194,30 +196,30 @@
 	case "flow":
 		p.flow(w[1:])
 	case "told":
-		n := rules.PeerReport{Member: rules.MemberID(p.number(w[1])), Observation: p.observation(w[2:])}
+		report := rules.PeerReport{Member: rules.MemberID(p.number(w[1])), Observation: p.observation(w[2:])}
 		if _, took, slow := strings.Cut(w[len(w)-1], "took="); slow {
-			n.Latency = p.span(took)
+			report.Latency = p.duration(took)
 		}
-		n.Failed = w[len(w)-1] == "failed"
+		report.Failed = w[len(w)-1] == "failed"
 		if ran, known := strings.CutPrefix(w[len(w)-1], "ran="); known {
-			n.Uptime = p.span(ran)
+			report.Uptime = p.duration(ran)
 		}
-		p.d.ReceiveReports([]rules.PeerReport{n})
+		p.driver.ReceiveReports([]rules.PeerReport{report})
 	case "unlisted":
-		p.d.WatchFailed()
+		p.driver.WatchFailed()
 	default:
 		p.expect(w)
 	}
 }
 
-func (p *player) method(w []string) {
+func (p *scenarioRunner) method(w []string) {
 	m := rules.Method{Name: w[0], SoftDeadline: int64(500 * time.Millisecond), Utility: 1}
 	for _, word := range w[1:] {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "any":
 		case "bounded":
-			m.Consistency, m.MaxStaleness = rules.ConsistencyBounded, p.span(value)
+			m.Consistency, m.MaxStaleness = rules.ConsistencyBounded, p.duration(value)
 		case "session":
 			m.Consistency = rules.ConsistencySession
 		case "fresh":
@@ -227,77 +229,77 @@
 		case "once":
 			m.Effect = rules.NonIdempotent
 		case "tokened":
-			m.Effect, m.DedupWindow = rules.IdempotentByToken, p.span(value)
+			m.Effect, m.DedupWindow = rules.IdempotentByToken, p.duration(value)
 		case "deadline":
-			m.Deadline = p.span(value)
+			m.Deadline = p.duration(value)
 		case "late":
 			m.LateUtility = 0.5
 		case "utility":
 			m.Utility = float64(p.number(value))
 		default:
-			require.Fail(p.t, p.at)
+			require.Fail(p.t, p.location)
 		}
 	}
 	p.methods = append(p.methods, m)
 }
 
-func (p *player) allow(w []string) {
+func (p *scenarioRunner) allow(w []string) {
 	for _, word := range w {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "copies":
-			p.allowed.Hedging = true
+			p.policy.Hedging = true
 		case "guarded":
 			p.store.RejectsStaleReads = true
 		case "send-delay":
-			p.store.MaxSendDelay = p.span(value)
+			p.store.MaxSendDelay = p.duration(value)
 		case "asked":
-			p.notice.OnRequest = true
+			p.discovery.OnRequest = true
 		case "drain-only":
-			p.notice.OnlyDrainBinds = true
+			p.discovery.OnlyDrainBinds = true
 		case "news":
 			p.fleet.ReportsPerMessage = p.number(value)
 		case "crew":
 			p.fleet.Drivers = p.number(value)
 		case "cold":
-			p.slowStart = rules.SlowStart{InitialShare: 0.2, WarmUpTime: p.span(value), OverloadFactor: 2}
+			p.slowStart = rules.SlowStart{InitialShare: 0.2, WarmUpTime: p.duration(value), OverloadFactor: 2}
 		default:
-			require.Fail(p.t, p.at)
+			require.Fail(p.t, p.location)
 		}
 	}
 }
 
-func (p *player) list(w []string) {
-	var lines []rules.MemberEntry
+func (p *scenarioRunner) list(w []string) {
+	var entries []rules.MemberEntry
 	for _, word := range w[1:] {
 		parts := strings.Split(word, ":")
-		l := rules.MemberEntry{Member: rules.MemberID(p.number(parts[0])), Group: 1}
+		entry := rules.MemberEntry{Member: rules.MemberID(p.number(parts[0])), Group: 1}
 		for _, part := range parts[1:] {
 			switch part {
 			case "draining":
-				l.State = rules.Draining
+				entry.State = rules.Draining
 			case "gone":
-				l.State = rules.Deregistered
+				entry.State = rules.Deregistered
 			case "primary":
-				l.Primary = true
+				entry.Primary = true
 			case "cold":
-				l.Started = p.now
+				entry.Started = p.now
 			default:
 				size, sized := strings.CutPrefix(part, "size=")
-				require.True(p.t, sized, p.at)
-				l.Weight = float64(p.number(size))
+				require.True(p.t, sized, p.location)
+				entry.Weight = float64(p.number(size))
 			}
 		}
-		lines = append(lines, l)
+		entries = append(entries, entry)
 	}
-	if p.d == nil {
-		p.d = rules.New(p, 1, p.methods, p.fleet, p.store, p.allowed, p.slowStart, p.notice)
+	if p.driver == nil {
+		p.driver = rules.New(p, 1, p.methods, p.fleet, p.store, p.policy, p.slowStart, p.discovery)
 	}
-	p.d.UpdateMembers(lines, w[0] == "whole")
+	p.driver.UpdateMembers(entries, w[0] == "whole")
 }
 
-// rpc takes one RPC, or a run of them: "rpc 1-20 read".
-func (p *player) rpc(w []string) {
+// rpc submits one RPC, or a range of them: "rpc 1-20 read".
+func (p *scenarioRunner) rpc(w []string) {
 	first, last, run := strings.Cut(w[0], "-")
 	if !run {
 		last = first
@@ -308,49 +310,49 @@
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "left":
-			r.TimeLeft = p.span(value)
+			r.TimeLeft = p.duration(value)
 		case "waited":
-			r.Waited = p.span(value)
+			r.Waited = p.duration(value)
 		case "session":
 			r.Session = value
 		case "repeat":
 			r.IsRetry = true
 		default:
-			require.Fail(p.t, p.at)
+			require.Fail(p.t, p.location)
 		}
 	}
 	for id := p.number(first); id <= p.number(last); id++ {
 		r.ID = rules.RPCID(id)
-		p.rpcs[r.ID] = &seen{}
-		p.d.Submit(r)
+		p.rpcs[r.ID] = &rpcState{}
+		p.driver.Submit(r)
 	}
 }
 
-// flow takes RPCs one after another, "flow 1-99 read 10ms"; what goes out is ok before the next comes.
-func (p *player) flow(w []string) {
+// flow submits RPCs one by one, "flow 1-99 read 10ms"; attempts succeed before the next RPC.
+func (p *scenarioRunner) flow(w []string) {
 	first, last, _ := strings.Cut(w[0], "-")
 	for id := p.number(first); id <= p.number(last); id++ {
 		p.rpc([]string{strconv.Itoa(id), w[1]})
-		p.wait(p.span(w[2]))
+		p.advance(p.duration(w[2]))
 		for _, r := range p.rpcs {
-			if n := len(r.next) - 1; n >= 0 && r.next[n] != nil && p.now-r.sentAt[n] < int64(100*time.Millisecond) {
-				next := r.next[n]
-				r.next[n], r.answer = nil, "ok"
+			if n := len(r.callbacks) - 1; n >= 0 && r.callbacks[n] != nil && p.now-r.sentAt[n] < int64(100*time.Millisecond) {
+				next := r.callbacks[n]
+				r.callbacks[n], r.answer = nil, "ok"
 				next(rules.Result{Outcome: rules.OK, Final: true, Latency: p.now - r.sentAt[n]})
 			}
 		}
 	}
 }
 
-// result ends the last attempt of an RPC that is still out.
-func (p *player) result(w []string) {
+// result ends the last attempt of an RPC that is in flight.
+func (p *scenarioRunner) result(w []string) {
 	rpc := p.rpcs[rules.RPCID(p.number(w[0]))]
-	n := len(rpc.next) - 1
-	for n >= 0 && rpc.next[n] == nil {
+	n := len(rpc.callbacks) - 1
+	for n >= 0 && rpc.callbacks[n] == nil {
 		n--
 	}
-	require.GreaterOrEqual(p.t, n, 0, "%s: nothing is out", p.at)
-	ends := map[string]rules.Result{
+	require.GreaterOrEqual(p.t, n, 0, "%s: no attempt in flight", p.location)
+	results := map[string]rules.Result{
 		"ok":            {Outcome: rules.OK, Final: true},
 		"miss":          {Outcome: rules.NotExecuted, Cause: rules.Ineligible},
 		"error":         {Outcome: rules.MayHaveExecuted, Cause: rules.ServerError},
@@ -361,15 +363,15 @@
 		"withheld":      {Outcome: rules.NotExecuted, Cause: rules.NotSent},
 		"begun":         {Outcome: rules.Started},
 	}
-	r, known := ends[w[1]]
-	require.True(p.t, known, p.at)
+	r, known := results[w[1]]
+	require.True(p.t, known, p.location)
 	r.Latency = p.now - rpc.sentAt[n]
 	if len(w) > 2 {
 		r.Observation = p.observation(w[2:])
 	}
-	next := rpc.next[n]
+	next := rpc.callbacks[n]
 	if r.Outcome != rules.Started {
-		rpc.next[n] = nil
+		rpc.callbacks[n] = nil
 	}
 	if r.Outcome == rules.OK && rpc.answer == "" {
 		rpc.answer = "ok"
@@ -377,44 +379,44 @@
 	next(r)
 }
 
-func (p *player) expect(w []string) {
+func (p *scenarioRunner) expect(w []string) {
 	switch w[0] {
-	case "out": // the RPC's attempts so far went to these members; | parts those allowed
+	case "out": // members that the attempts of an RPC went to; | separates alternatives
 		rpc := p.rpcs[rules.RPCID(p.number(w[1]))]
-		require.Len(p.t, rpc.to, len(w)-2, p.at)
+		require.Len(p.t, rpc.targets, len(w)-2, p.location)
 		for i, allowed := range w[2:] {
-			require.Contains(p.t, strings.Split(allowed, "|"), strconv.Itoa(rpc.to[i]), p.at)
+			require.Contains(p.t, strings.Split(allowed, "|"), strconv.Itoa(rpc.targets[i]), p.location)
 		}
 	case "answer":
 		got := p.rpcs[rules.RPCID(p.number(w[1]))].answer
-		require.Equal(p.t, strings.TrimPrefix(w[2], "none"), got, p.at)
-	case "sent": // so many attempts went to a member so far: "sent 3 0..2"
+		require.Equal(p.t, strings.TrimPrefix(w[2], "none"), got, p.location)
+	case "sent": // number of attempts sent to a member: "sent 3 0..2"
 		low, high, _ := strings.Cut(w[2], "..")
-		require.GreaterOrEqual(p.t, p.sent[p.number(w[1])], p.number(low), p.at)
-		require.LessOrEqual(p.t, p.sent[p.number(w[1])], p.number(high), p.at)
-	case "watches", "probes", "closes", "forgets", "messages": // so many so far
-		counts := map[string]int{"watches": p.watches, "probes": p.probes, "closes": p.closes, "forgets": p.forgot,
-			"messages": p.tells}
-		require.Equal(p.t, p.number(w[1]), counts[w[0]], p.at)
-	case "may": // an attempt may begin, or a probe where no RPC is named: "may 3 2 no", "may probe 2 yes"
+		require.GreaterOrEqual(p.t, p.attemptCounts[p.number(w[1])], p.number(low), p.location)
+		require.LessOrEqual(p.t, p.attemptCounts[p.number(w[1])], p.number(high), p.location)
+	case "watches", "probes", "closes", "forgets", "messages": // number so far
+		counts := map[string]int{"watches": p.watches, "probes": p.probes, "closes": p.idleCloses, "forgets": p.forgotten,
+			"messages": p.messages}
+		require.Equal(p.t, p.number(w[1]), counts[w[0]], p.location)
+	case "may": // whether an attempt or a probe may begin: "may 3 2 no", "may probe 2 yes"
 		may, to := false, rules.MemberID(p.number(w[2]))
 		if w[1] == "probe" {
-			may = p.d.ProbeAllowed(to)
+			may = p.driver.ProbeAllowed(to)
 		} else {
-			may = p.d.AttemptAllowed(rules.RPCID(p.number(w[1])), to)
+			may = p.driver.AttemptAllowed(rules.RPCID(p.number(w[1])), to)
 		}
-		require.Equal(p.t, w[3] == "yes", may, p.at)
-	case "too-old": // whether what an answer to an RPC's last attempt states shows that it is: "too-old 1 replica 2s yes"
+		require.Equal(p.t, w[3] == "yes", may, p.location)
+	case "too-old": // whether a stated observation proves an RPC's last attempt stale: "too-old 1 replica 2s yes"
 		id := rules.RPCID(p.number(w[1]))
 		sent := p.rpcs[id].sentAt
-		require.Equal(p.t, w[4] == "yes", p.d.IsStale(id, p.observation(w[2:4]), sent[len(sent)-1]), p.at)
-	case "denied": // a member says outside a whole answer that it is no primary
-		p.d.NotPrimary(rules.MemberID(p.number(w[1])))
+		require.Equal(p.t, w[4] == "yes", p.driver.IsStale(id, p.observation(w[2:4]), sent[len(sent)-1]), p.location)
+	case "denied": // a member denies being primary outside a complete answer
+		p.driver.NotPrimary(rules.MemberID(p.number(w[1])))
 	case "leaves":
-		p.d.ClientLeft(rules.RPCID(p.number(w[1])))
+		p.driver.ClientLeft(rules.RPCID(p.number(w[1])))
 	case "tells":
-		require.True(p.t, slices.ContainsFunc(p.told, func(n rules.PeerReport) bool { return int(n.Member) == p.number(w[1]) && n.Failed == (len(w) > 2) }), p.at)
+		require.True(p.t, slices.ContainsFunc(p.reports, func(n rules.PeerReport) bool { return int(n.Member) == p.number(w[1]) && n.Failed == (len(w) > 2) }), p.location)
 	default:
-		require.Fail(p.t, p.at)
+		require.Fail(p.t, p.location)
 	}
 }
--- a/rules/sizes_test.go
+++ b/rules/sizes_test.go
@@ -10,80 +10,79 @@
 	"sedgespread/rules"
 )
 
-// still is a host on which time stands still and attempts stay out.
-type still struct {
-	timers   int
-	pushed   int
-	attempts int
+// frozenHost is a host whose clock stands still and whose attempts never end.
+type frozenHost struct {
+	timers     int
+	rejections int
+	attempts   int
 }
 
-func (h *still) Now() int64                                    { return int64(time.Hour) }
-func (h *still) After(int64, func())                           { h.timers++ }
-func (h *still) Cancel(rules.RPCID, int)                       {}
-func (h *still) CloseIdle(rules.MemberID)                      {}
-func (h *still) Forget(rules.MemberID)                         {}
-func (h *still) Watch()                                        {}
-func (h *still) Log(string)                                    {}
-func (h *still) RejectWithRetryAfter(rules.RPCID, int64)       { h.pushed++ }
-func (h *still) Abort(rules.RPCID)                             {}
-func (h *still) SendReports([]rules.PeerReport)                {}
-func (h *still) Probe(rules.MemberID, func(rules.ProbeResult)) {}
-func (h *still) Attempt(rules.RPCID, rules.MemberID, int64, func(rules.Result)) int {
+func (h *frozenHost) Now() int64                                    { return int64(time.Hour) }
+func (h *frozenHost) After(int64, func())                           { h.timers++ }
+func (h *frozenHost) Cancel(rules.RPCID, int)                       {}
+func (h *frozenHost) CloseIdle(rules.MemberID)                      {}
+func (h *frozenHost) Forget(rules.MemberID)                         {}
+func (h *frozenHost) Watch()                                        {}
+func (h *frozenHost) Log(string)                                    {}
+func (h *frozenHost) RejectWithRetryAfter(rules.RPCID, int64)       { h.rejections++ }
+func (h *frozenHost) Abort(rules.RPCID)                             {}
+func (h *frozenHost) SendReports([]rules.PeerReport)                {}
+func (h *frozenHost) Probe(rules.MemberID, func(rules.ProbeResult)) {}
+func (h *frozenHost) Attempt(rules.RPCID, rules.MemberID, int64, func(rules.Result)) int {
 	h.attempts++
 	return h.attempts
 }
 
-// sized is a driver with so many members in groups of so many, of which the positions are known but no primary.
-func sized(members, group int) (d *rules.Driver, lines []rules.MemberEntry) {
+// newSizedDriver returns a driver that knows the positions of its members but no primary.
+func newSizedDriver(members, group int) (d *rules.Driver, entries []rules.MemberEntry) {
 	sec := int64(time.Second)
 	methods := []rules.Method{{Name: "read", Consistency: rules.ConsistencyBounded, MaxStaleness: sec, SoftDeadline: sec, Deadline: 2 * sec, Effect: rules.Idempotent, Utility: 1, LateUtility: 0.5},
 		{Name: "write", Consistency: rules.ConsistencyWrite, SoftDeadline: sec, Deadline: 2 * sec, Utility: 1, LateUtility: 0.5}}
-	h := &still{}
+	h := &frozenHost{}
 	d = rules.New(h, 1, methods, rules.Fleet{Drivers: 300, ReportsPerMessage: 20}, rules.Store{RejectsStaleReads: true}, rules.Policy{Probing: true, MaxAttempts: 4, MaxRetryAfter: 1}, rules.SlowStart{}, rules.Discovery{})
-	var news []rules.PeerReport
+	var reports []rules.PeerReport
 	for m := range members {
-		lines = append(lines, rules.MemberEntry{Member: rules.MemberID(m + 1), Group: rules.GroupID(m / group), State: rules.Healthy, Weight: 1})
-		news = append(news, rules.PeerReport{Member: rules.MemberID(m + 1), Observation: rules.Observation{Role: rules.RoleReplica, Position: h.Now() - 1000 - int64(m)}, Latency: 1_000_000})
+		entries = append(entries, rules.MemberEntry{Member: rules.MemberID(m + 1), Group: rules.GroupID(m / group), State: rules.Healthy, Weight: 1})
+		reports = append(reports, rules.PeerReport{Member: rules.MemberID(m + 1), Observation: rules.Observation{Role: rules.RoleReplica, Position: h.Now() - 1000 - int64(m)}, Latency: 1_000_000})
 	}
-	d.UpdateMembers(lines, true)
-	d.ReceiveReports(news)
-	return d, lines
+	d.UpdateMembers(entries, true)
+	d.ReceiveReports(reports)
+	return d, entries
 }
 
-// layouts is how many times each thing is built: where its arrays come to lie in memory makes it up to twice as slow (seen: a pick among 300
-// takes 86 or 168 us, each steadily in one process).
-const layouts = 6
+// rebuilds is how often each structure is built; its memory layout changes the timing.
+const rebuilds = 6
 
-// least are the times that the quickest of some rounds of each of several things take, in the best of some layouts, which other work on the
-// machine changes least. They take turns, since the machine itself may run at another speed for a while.
-func least(rounds int, things []func() (do func())) (took []float64) {
-	for range things {
-		took = append(took, math.MaxFloat64)
+// fastestTimes returns the shortest duration of each operation over all builds and rounds. The
+// operations alternate so that a change in machine speed affects all of them.
+func fastestTimes(rounds int, builders []func() (operation func())) (times []float64) {
+	for range builders {
+		times = append(times, math.MaxFloat64)
 	}
-	for range layouts {
-		var laid []func()
-		for _, build := range things {
-			laid = append(laid, build())
+	for range rebuilds {
+		var operations []func()
+		for _, build := range builders {
+			operations = append(operations, build())
 		}
 		for range rounds {
-			for i, do := range laid {
+			for i, operation := range operations {
 				begun := time.Now()
-				do()
-				took[i] = min(took[i], float64(time.Since(begun)))
+				operation()
+				times[i] = min(times[i], float64(time.Since(begun)))
 			}
 		}
 	}
-	return took
+	return times
 }
 
-// Guards against work that grows faster than what it is about: a pick with the members of its group, a list with its lines,
-// also while RPCs are held.
+// Guards against picks and membership updates whose cost grows much faster than the number of
+// members, also while RPCs are held.
 func TestCostsGrowWithMembers(t *testing.T) {
 	sizes := []int{100, 300, 1000}
 	var picking, listing []func() (do func())
 	for _, n := range sizes {
 		picking = append(picking, func() func() {
-			d, _ := sized(n, n)
+			d, _ := newSizedDriver(n, n)
 			last := rules.RPCID(0)
 			return func() {
 				for range 20 {
@@ -94,18 +93,18 @@
 			}
 		})
 		listing = append(listing, func() func() {
-			d, lines := sized(n, 20)
-			for i := range 500 { // writes, for which there is no primary
+			d, lines := newSizedDriver(n, 20)
+			for i := range 500 { // writes, which are held without a primary
 				d.Submit(rules.RPC{ID: rules.RPCID(i + 1), Method: 1, Group: rules.GroupID(i % (n / 20)), TimeLeft: int64(time.Second)})
 			}
 			return func() { d.UpdateMembers(lines, true) }
 		})
 	}
-	picks, lists := least(41, picking), least(21, listing)
+	picks, lists := fastestTimes(41, picking), fastestTimes(21, listing)
 	t.Logf("members %v: picks %.0f ns, lists %.0f ns", sizes, picks, lists)
 	for i, n := range sizes[1:] {
-		most := math.Pow(float64(n)/float64(sizes[0]), 1.5) // halfway between in step and with the square
-		require.Less(t, picks[i+1]/picks[0], most, "a pick among %d", n)
-		require.Less(t, lists[i+1]/lists[0], most, "a list of %d", n)
+		maxGrowth := math.Pow(float64(n)/float64(sizes[0]), 1.5) // halfway between linear and quadratic
+		require.Less(t, picks[i+1]/picks[0], maxGrowth, "a pick among %d", n)
+		require.Less(t, lists[i+1]/lists[0], maxGrowth, "a list of %d", n)
 	}
 }
