--- a/rules/scenario_test.go
+++ b/rules/scenario_test.go
@@ -103,7 +103,7 @@
 }
 
 func (p *scenarioRunner) RejectWithRetryAfter(id rules.RPCID, _ int64) {
-	p.recordAnswer(id, "pushed-back")
+	p.recordAnswer(id, "rejected")
 }
 func (p *scenarioRunner) Abort(id rules.RPCID) { p.recordAnswer(id, "aborted") }
 
@@ -195,17 +195,17 @@
 		p.result(w[1:])
 	case "flow":
 		p.flow(w[1:])
-	case "told":
+	case "report":
 		report := rules.PeerReport{Member: rules.MemberID(p.number(w[1])), Observation: p.observation(w[2:])}
-		if _, took, slow := strings.Cut(w[len(w)-1], "took="); slow {
+		if _, took, slow := strings.Cut(w[len(w)-1], "latency="); slow {
 			report.Latency = p.duration(took)
 		}
 		report.Failed = w[len(w)-1] == "failed"
-		if ran, known := strings.CutPrefix(w[len(w)-1], "ran="); known {
+		if ran, known := strings.CutPrefix(w[len(w)-1], "uptime="); known {
 			report.Uptime = p.duration(ran)
 		}
 		p.driver.ReceiveReports([]rules.PeerReport{report})
-	case "unlisted":
+	case "watch-failed":
 		p.driver.WatchFailed()
 	default:
 		p.expect(w)
@@ -218,17 +218,17 @@
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "any":
-		case "bounded":
+		case "max-staleness":
 			m.Consistency, m.MaxStaleness = rules.ConsistencyBounded, p.duration(value)
 		case "session":
 			m.Consistency = rules.ConsistencySession
-		case "fresh":
+		case "linearizable":
 			m.Consistency = rules.ConsistencyLinearizable
 		case "write":
 			m.Consistency = rules.ConsistencyWrite
-		case "once":
+		case "non-idempotent":
 			m.Effect = rules.NonIdempotent
-		case "tokened":
+		case "idempotent-by-token":
 			m.Effect, m.DedupWindow = rules.IdempotentByToken, p.duration(value)
 		case "deadline":
 			m.Deadline = p.duration(value)
@@ -247,21 +247,21 @@
 	for _, word := range w {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
-		case "copies":
+		case "hedging":
 			p.policy.Hedging = true
-		case "guarded":
+		case "rejects-stale-reads":
 			p.store.RejectsStaleReads = true
 		case "send-delay":
 			p.store.MaxSendDelay = p.duration(value)
-		case "asked":
+		case "on-request":
 			p.discovery.OnRequest = true
-		case "drain-only":
+		case "only-drain-binds":
 			p.discovery.OnlyDrainBinds = true
-		case "news":
+		case "reports":
 			p.fleet.ReportsPerMessage = p.number(value)
-		case "crew":
+		case "drivers":
 			p.fleet.Drivers = p.number(value)
-		case "cold":
+		case "warm-up":
 			p.slowStart = rules.SlowStart{InitialShare: 0.2, WarmUpTime: p.duration(value), OverloadFactor: 2}
 		default:
 			require.Fail(p.t, p.location)
@@ -278,14 +278,14 @@
 			switch part {
 			case "draining":
 				entry.State = rules.Draining
-			case "gone":
+			case "deregistered":
 				entry.State = rules.Deregistered
 			case "primary":
 				entry.Primary = true
 			case "cold":
 				entry.Started = p.now
 			default:
-				size, sized := strings.CutPrefix(part, "size=")
+				size, sized := strings.CutPrefix(part, "weight=")
 				require.True(p.t, sized, p.location)
 				entry.Weight = float64(p.number(size))
 			}
@@ -295,7 +295,7 @@
 	if p.driver == nil {
 		p.driver = rules.New(p, 1, p.methods, p.fleet, p.store, p.policy, p.slowStart, p.discovery)
 	}
-	p.driver.UpdateMembers(entries, w[0] == "whole")
+	p.driver.UpdateMembers(entries, w[0] == "complete")
 }
 
 // rpc submits one RPC, or a range of them: "rpc 1-20 read".
@@ -315,7 +315,7 @@
 			r.Waited = p.duration(value)
 		case "session":
 			r.Session = value
-		case "repeat":
+		case "retry":
 			r.IsRetry = true
 		default:
 			require.Fail(p.t, p.location)
@@ -353,15 +353,15 @@
 	}
 	require.GreaterOrEqual(p.t, n, 0, "%s: no attempt in flight", p.location)
 	results := map[string]rules.Result{
-		"ok":            {Outcome: rules.OK, Final: true},
-		"miss":          {Outcome: rules.NotExecuted, Cause: rules.Ineligible},
-		"error":         {Outcome: rules.MayHaveExecuted, Cause: rules.ServerError},
-		"full":          {Outcome: rules.NotExecuted, Cause: rules.Overloaded},
-		"timeout":       {Outcome: rules.MayHaveExecuted, Cause: rules.TimedOut},
-		"no-connection": {Outcome: rules.NotExecuted, Cause: rules.ConnectFailed},
-		"reset":         {Outcome: rules.MayHaveExecuted, Cause: rules.Reset},
-		"withheld":      {Outcome: rules.NotExecuted, Cause: rules.NotSent},
-		"begun":         {Outcome: rules.Started},
+		"ok":             {Outcome: rules.OK, Final: true},
+		"ineligible":     {Outcome: rules.NotExecuted, Cause: rules.Ineligible},
+		"server-error":   {Outcome: rules.MayHaveExecuted, Cause: rules.ServerError},
+		"overloaded":     {Outcome: rules.NotExecuted, Cause: rules.Overloaded},
+		"timeout":        {Outcome: rules.MayHaveExecuted, Cause: rules.TimedOut},
+		"connect-failed": {Outcome: rules.NotExecuted, Cause: rules.ConnectFailed},
+		"reset":          {Outcome: rules.MayHaveExecuted, Cause: rules.Reset},
+		"not-sent":       {Outcome: rules.NotExecuted, Cause: rules.NotSent},
+		"started":        {Outcome: rules.Started},
 	}
 	r, known := results[w[1]]
 	require.True(p.t, known, p.location)
@@ -381,7 +381,7 @@
 
 func (p *scenarioRunner) expect(w []string) {
 	switch w[0] {
-	case "out": // members that the attempts of an RPC went to; | separates alternatives
+	case "attempts": // members that the attempts of an RPC went to; | separates alternatives
 		rpc := p.rpcs[rules.RPCID(p.number(w[1]))]
 		require.Len(p.t, rpc.targets, len(w)-2, p.location)
 		for i, allowed := range w[2:] {
@@ -394,8 +394,8 @@
 		low, high, _ := strings.Cut(w[2], "..")
 		require.GreaterOrEqual(p.t, p.attemptCounts[p.number(w[1])], p.number(low), p.location)
 		require.LessOrEqual(p.t, p.attemptCounts[p.number(w[1])], p.number(high), p.location)
-	case "watches", "probes", "closes", "forgets", "messages": // number so far
-		counts := map[string]int{"watches": p.watches, "probes": p.probes, "closes": p.idleCloses, "forgets": p.forgotten,
+	case "watches", "probes", "idle-closes", "forgotten", "messages": // number so far
+		counts := map[string]int{"watches": p.watches, "probes": p.probes, "idle-closes": p.idleCloses, "forgotten": p.forgotten,
 			"messages": p.messages}
 		require.Equal(p.t, p.number(w[1]), counts[w[0]], p.location)
 	case "may": // whether an attempt or a probe may begin: "may 3 2 no", "may probe 2 yes"
@@ -406,15 +406,15 @@
 			may = p.driver.AttemptAllowed(rules.RPCID(p.number(w[1])), to)
 		}
 		require.Equal(p.t, w[3] == "yes", may, p.location)
-	case "too-old": // whether a stated observation proves an RPC's last attempt stale: "too-old 1 replica 2s yes"
+	case "stale": // whether a stated observation proves an RPC's last attempt stale: "stale 1 replica 2s yes"
 		id := rules.RPCID(p.number(w[1]))
 		sent := p.rpcs[id].sentAt
 		require.Equal(p.t, w[4] == "yes", p.driver.IsStale(id, p.observation(w[2:4]), sent[len(sent)-1]), p.location)
-	case "denied": // a member denies being primary outside a complete answer
+	case "not-primary": // a member denies being primary outside a complete answer
 		p.driver.NotPrimary(rules.MemberID(p.number(w[1])))
-	case "leaves":
+	case "client-left":
 		p.driver.ClientLeft(rules.RPCID(p.number(w[1])))
-	case "tells":
+	case "reported":
 		require.True(p.t, slices.ContainsFunc(p.reports, func(n rules.PeerReport) bool { return int(n.Member) == p.number(w[1]) && n.Failed == (len(w) > 2) }), p.location)
 	default:
 		require.Fail(p.t, p.location)
