--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Command drill runs the decisions of package rules on the simulator's wire.
+// Command drill connects package rules to the simulator over standard input and output.
 package main
 
 import (
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -5,20 +5,20 @@
 	"sedgespread/rules"
 )
 
-const micro = int64(1000)
+const microsecond = int64(1000)
 
 var (
 	states = map[string]rules.MemberState{"healthy": rules.Healthy, "cordoned": rules.Draining, "deregistered": rules.Deregistered}
 	modes  = map[string]bool{"INCREMENTAL": false, "FULL": true, "SAVED": true}
 )
 
-// ending is what an outcome number proves, and why.
-type ending struct {
-	proof rules.Outcome
-	cause rules.Cause
+// attemptOutcome is the meaning of an outcome code on the wire.
+type attemptOutcome struct {
+	outcome rules.Outcome
+	cause   rules.Cause
 }
 
-var endings = map[string]ending{
+var outcomes = map[string]attemptOutcome{
 	"200": {rules.OK, rules.NoCause},
 	"404": {rules.NotExecuted, rules.Ineligible},
 	"410": {rules.NotExecuted, rules.NotSent},
@@ -30,40 +30,40 @@
 	"598": {rules.MayHaveExecuted, rules.Reset},
 }
 
-func listing(f *briefing.Parts) rules.MemberEntry {
+func parseMember(fields *briefing.Parts) rules.MemberEntry {
 	return rules.MemberEntry{
-		Member:  rules.MemberID(f.ID("member")),
-		Group:   rules.GroupID(f.IntegerOr("group", 0)),
-		Zone:    f.At("hall"),
-		State:   briefing.Choice(f, "stageState", f.Text("stageState"), states),
-		Started: f.Time("bootTimeUs"),
-		Primary: f.NumberOr("head", 0) == 1,
-		Weight:  f.NumberOr("size", 0),
+		Member:  rules.MemberID(fields.ID("member")),
+		Group:   rules.GroupID(fields.IntegerOr("group", 0)),
+		Zone:    fields.At("hall"),
+		State:   briefing.Choice(fields, "stageState", fields.Text("stageState"), states),
+		Started: fields.Time("bootTimeUs"),
+		Primary: fields.NumberOr("head", 0) == 1,
+		Weight:  fields.NumberOr("size", 0),
 	}
 }
 
-func result(f *briefing.Parts, epoch int64) rules.Result {
-	end := briefing.Choice(f, "outcome", f.Text("outcome"), endings)
-	r := rules.Result{Outcome: end.proof, Cause: end.cause, Latency: f.Time("waitTimeUs"), Final: f.BoolOr("final", false)}
-	note := f.IntegerOr("posRole", 0)
-	if note < 0 || note%4 == 3 {
-		f.Wrong("posRole=%d is not a position and role", note)
+func parseResult(fields *briefing.Parts, epoch int64) rules.Result {
+	outcome := briefing.Choice(fields, "outcome", fields.Text("outcome"), outcomes)
+	r := rules.Result{Outcome: outcome.outcome, Cause: outcome.cause, Latency: fields.Time("waitTimeUs"), Final: fields.BoolOr("final", false)}
+	positionRole := fields.IntegerOr("posRole", 0)
+	if positionRole < 0 || positionRole%4 == 3 {
+		fields.Wrong("posRole=%d is not a position and role", positionRole)
 	}
-	r.Role = rules.Role(note % 4)
-	if note >= 4 {
-		r.Position = epoch + note/4*int64(1_000_000)
+	r.Role = rules.Role(positionRole % 4)
+	if positionRole >= 4 {
+		r.Position = epoch + positionRole/4*int64(1_000_000)
 	}
 	return r
 }
 
-func probeResult(f *briefing.Parts, epoch int64) rules.ProbeResult {
-	end := briefing.Choice(f, "outcome", f.Text("outcome"), endings)
-	r := rules.ProbeResult{Cause: end.cause}
-	var load briefing.Parts
-	load.Parse("report,"+f.At("report"), ",", ":")
-	r.Report = load.Observation(epoch)
-	if load.Err != nil && f.Err == nil {
-		f.Err = load.Err
+func parseProbeResult(fields *briefing.Parts, epoch int64) rules.ProbeResult {
+	outcome := briefing.Choice(fields, "outcome", fields.Text("outcome"), outcomes)
+	r := rules.ProbeResult{Cause: outcome.cause}
+	var report briefing.Parts
+	report.Parse("report,"+fields.At("report"), ",", ":")
+	r.Report = report.Observation(epoch)
+	if report.Err != nil && fields.Err == nil {
+		fields.Err = report.Err
 	}
 	return r
 }
--- a/internal/simwire/news.go
+++ b/internal/simwire/news.go
@@ -7,33 +7,33 @@
 	"sedgespread/rules"
 )
 
-// SendReports sends the news to all fellow drivers, if there are any that can be told.
-func (d *driver) SendReports(news []rules.PeerReport) {
-	message := briefing.Message(news, func(m rules.MemberID) uint32 { return uint32(m) }, d.epoch, d.w.now)
+// SendReports sends reports to all peers, unless there is nothing that can be sent.
+func (d *driver) SendReports(reports []rules.PeerReport) {
+	message := briefing.Message(reports, func(m rules.MemberID) uint32 { return uint32(m) }, d.epoch, d.conn.now)
 	if len(message) == 0 {
 		return
 	}
-	d.begin("SIGNAL").words("addressee", "all").words("content", base64.StdEncoding.EncodeToString(message)).send()
+	d.beginMessage("SIGNAL").textField("addressee", "all").textField("content", base64.StdEncoding.EncodeToString(message)).send()
 }
 
-// nothing stands on the wire for no bytes.
-const nothing = "-"
+// emptyContent represents an empty message on the wire.
+const emptyContent = "-"
 
-// whisper reads what a fellow driver told. A message that is not of our making is passed over.
-func (d *driver) whisper(f *briefing.Parts) {
-	content := f.Text("content")
-	if content == nothing {
+// handlePeerMessage applies the reports of a peer. Messages of an unknown format are ignored.
+func (d *driver) handlePeerMessage(fields *briefing.Parts) {
+	content := fields.Text("content")
+	if content == emptyContent {
 		content = ""
 	}
 	message, err := base64.StdEncoding.DecodeString(content)
 	if err != nil {
-		f.Wrong("content is not base64")
+		fields.Wrong("content is not base64")
 	}
-	if f.Err != nil {
+	if fields.Err != nil {
 		return
 	}
-	everyone := func(key uint32) (rules.MemberID, bool) { return rules.MemberID(key), true }
-	if news, ok := briefing.News(message, everyone, d.epoch, d.w.now); ok {
-		d.ReceiveReports(news)
+	anyMember := func(key uint32) (rules.MemberID, bool) { return rules.MemberID(key), true }
+	if reports, ok := briefing.News(message, anyMember, d.epoch, d.conn.now); ok {
+		d.ReceiveReports(reports)
 	}
 }
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -1,5 +1,6 @@
-// Package simwire speaks the simulator's wire: it turns each line read into a call on the module and each
-// answer of the module into a line, and keeps the closures that the module leaves with its host.
+// Package simwire adapts package rules to the simulator's line protocol. It turns each input line
+// into a call of a rules.Driver and each action of the driver into an output line, and keeps the
+// callbacks that the driver passes to its host.
 package simwire
 
 import (
@@ -14,361 +15,364 @@
 	"sedgespread/rules"
 )
 
-const repeatFlag = 2 // of a request's flags
+const retryFlag = 2 // bit of a request's flags
 
-// wire is one process's end of the conversation.
-type wire struct {
+// connection is the connection to the simulator.
+type connection struct {
 	in             *bufio.Reader
 	out            *bufio.Writer
-	line           int
-	briefing.Parts        // of the line read last
-	text           []byte // of the line being written
+	lineNumber     int
+	briefing.Parts        // fields of the last line read
+	output         []byte // line being written
 	now            int64
-	pages          map[int64][]rules.MemberEntry
+	memberLists    map[int64][]rules.MemberEntry
 	drivers        map[int64]*driver
 }
 
-// driver is one instance: its module and what that has left pending.
+// driver is one driver instance and the callbacks that it waits for.
 type driver struct {
 	*rules.Driver
-	w       *wire
-	who     int64
-	epoch   int64
-	methods map[string]rules.MethodID
-	rpcs    map[rules.RPCID]*pending
-	probes  map[rules.MemberID][]func(rules.ProbeResult)
-	timers  []func() // by handle
-	free    []int64  // handles that have fired
+	conn          *connection
+	id            int64
+	epoch         int64
+	methods       map[string]rules.MethodID
+	rpcs          map[rules.RPCID]*pendingRPC
+	pendingProbes map[rules.MemberID][]func(rules.ProbeResult)
+	timers        []func() // by handle
+	freeTimers    []int64  // handles of expired timers
 }
 
-// pending are the attempts of one RPC. It is dropped once the RPC has ended and all its results are in.
-type pending struct {
-	out   int
-	ended bool
-	next  []func(rules.Result) // nil once the result is in
+// pendingRPC holds the attempts of one RPC. It is removed once the RPC has ended and all results
+// are in.
+type pendingRPC struct {
+	inFlight  int
+	hasEnded  bool
+	callbacks []func(rules.Result) // nil once the result is in
 }
 
-// Serve answers batches until the input ends. An error says what was wrong, and in which line.
+// Serve handles batches until the input ends. An error names the line that caused it.
 func Serve(in io.Reader, out io.Writer) error {
-	w := &wire{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<16),
-		pages: map[int64][]rules.MemberEntry{}, drivers: map[int64]*driver{}}
+	conn := &connection{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<16),
+		memberLists: map[int64][]rules.MemberEntry{}, drivers: map[int64]*driver{}}
 	for {
-		err := w.batch()
+		err := conn.handleBatch()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", w.line, err)
+			return fmt.Errorf("line %d: %w", conn.lineNumber, err)
 		}
 	}
 }
 
-// read gives the next line that is not empty.
-func (w *wire) read() (*briefing.Parts, error) {
+// readMessage returns the next line that is not empty.
+func (c *connection) readMessage() (*briefing.Parts, error) {
 	for {
-		text, err := w.in.ReadString('\n')
+		text, err := c.in.ReadString('\n')
 		if err == io.EOF && text != "" {
-			w.line++
-			return nil, fmt.Errorf("the last line is cut short")
+			c.lineNumber++
+			return nil, fmt.Errorf("last line has no newline")
 		}
 		if err != nil {
 			return nil, err
 		}
-		w.line++
+		c.lineNumber++
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
-			w.Parse(text, "\t", "=")
-			return &w.Parts, w.Err
+			c.Parse(text, "\t", "=")
+			return &c.Parts, c.Err
 		}
 	}
 }
 
-// inside reads a line where the input must not end.
-func (w *wire) inside(what string) (*briefing.Parts, error) {
-	f, err := w.read()
+// readRequired reads a message where the input must not end.
+func (c *connection) readRequired(container string) (*briefing.Parts, error) {
+	fields, err := c.readMessage()
 	if errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("the input ends inside a %s", what)
+		return nil, fmt.Errorf("unexpected end of input in a %s", container)
 	}
-	return f, err
+	return fields, err
 }
 
-func (w *wire) batch() error {
-	f, err := w.read()
+func (c *connection) handleBatch() error {
+	fields, err := c.readMessage()
 	if err != nil {
 		return err
 	}
-	if f.Name != "BEGIN_BATCH" {
-		return fmt.Errorf("%q where a batch should begin", f.Name)
+	if fields.Name != "BEGIN_BATCH" {
+		return fmt.Errorf("expected BEGIN_BATCH, got %q", fields.Name)
 	}
-	w.now = f.Time("simTimeUs")
-	n := f.Integer("n")
-	if f.Text("simTimeUs"); f.Err != nil {
-		return f.Err
+	c.now = fields.Time("simTimeUs")
+	n := fields.Integer("n")
+	if fields.Text("simTimeUs"); fields.Err != nil {
+		return fields.Err
 	}
 	for {
-		f, err := w.inside("batch")
+		fields, err := c.readRequired("batch")
 		if err != nil {
 			return err
 		}
-		if f.Name == "EOB" {
-			w.begin("YIELD").number("n", n).send()
-			return w.out.Flush()
+		if fields.Name == "EOB" {
+			c.beginMessage("YIELD").intField("n", n).send()
+			return c.out.Flush()
 		}
-		if err := w.event(f); err != nil {
+		if err := c.handleEvent(fields); err != nil {
 			return err
 		}
 	}
 }
 
-func (w *wire) event(f *briefing.Parts) error {
-	switch f.Name {
+func (c *connection) handleEvent(fields *briefing.Parts) error {
+	switch fields.Name {
 	case "PAGE":
-		return w.page(f)
+		return c.handlePage(fields)
 	case "NEW_INSTANCE":
-		return w.newInstance(f)
+		return c.handleNewInstance(fields)
 	}
-	d := w.drivers[f.Integer("who")]
-	if f.Err != nil {
-		return f.Err
+	d := c.drivers[fields.Integer("who")]
+	if fields.Err != nil {
+		return fields.Err
 	}
 	if d == nil {
-		return fmt.Errorf("%s: who=%s is not running", f.Name, f.At("who"))
+		return fmt.Errorf("%s: who=%s is not running", fields.Name, fields.At("who"))
 	}
-	switch f.Name {
+	switch fields.Name {
 	case "STOP":
-		delete(w.drivers, d.who)
+		delete(c.drivers, d.id)
 	case "VIEW":
-		d.view(f)
+		d.handleView(fields)
 	case "REQUEST":
-		d.request(f)
+		d.handleRequest(fields)
 	case "FIRST":
-		d.resolved(f, false, rules.Result{Outcome: rules.Started, Latency: f.Time("waitTimeUs")})
+		d.handleResult(fields, false, rules.Result{Outcome: rules.Started, Latency: fields.Time("waitTimeUs")})
 	case "RESOLVED":
-		d.resolved(f, true, result(f, d.epoch))
+		d.handleResult(fields, true, parseResult(fields, d.epoch))
 	case "VANISHED":
-		id := rules.RPCID(f.ID("xid"))
-		d.ended(id)
-		if f.Err == nil {
+		id := rules.RPCID(fields.ID("xid"))
+		d.markEnded(id)
+		if fields.Err == nil {
 			d.ClientLeft(id)
 		}
 	case "TIMEOUT_FIRED":
-		d.fired(f)
+		d.handleTimer(fields)
 	case "PROBE_DONE":
-		d.probed(f)
+		d.handleProbe(fields)
 	case "WHISPER":
-		d.whisper(f)
+		d.handlePeerMessage(fields)
 	default:
-		return fmt.Errorf("unknown message %q", f.Name)
+		return fmt.Errorf("unknown message %q", fields.Name)
 	}
-	return f.Err
+	return fields.Err
 }
 
-func (w *wire) page(f *briefing.Parts) error {
-	slot, count := f.Integer("slot"), f.Integer("elements")
-	if f.Err != nil {
-		return f.Err
+func (c *connection) handlePage(fields *briefing.Parts) error {
+	slot, count := fields.Integer("slot"), fields.Integer("elements")
+	if fields.Err != nil {
+		return fields.Err
 	}
-	var lines []rules.MemberEntry
+	var entries []rules.MemberEntry
 	for range count {
-		e, err := w.inside("list")
+		element, err := c.readRequired("list")
 		if err != nil {
 			return err
 		}
-		if e.Name != "M" {
-			return fmt.Errorf("%q where a list's entry should be", e.Name)
+		if element.Name != "M" {
+			return fmt.Errorf("expected list entry M, got %q", element.Name)
 		}
-		lines = append(lines, listing(e))
-		if e.Err != nil {
-			return e.Err
+		entries = append(entries, parseMember(element))
+		if element.Err != nil {
+			return element.Err
 		}
 	}
-	w.pages[slot] = lines
+	c.memberLists[slot] = entries
 	return nil
 }
 
-func (w *wire) newInstance(f *briefing.Parts) error {
-	d := &driver{w: w, who: f.Integer("who"), epoch: f.Time("extra.countedFromUs"), methods: map[string]rules.MethodID{},
-		rpcs: map[rules.RPCID]*pending{}, probes: map[rules.MemberID][]func(rules.ProbeResult){}}
-	methods := f.Methods()
+func (c *connection) handleNewInstance(fields *briefing.Parts) error {
+	d := &driver{conn: c, id: fields.Integer("who"), epoch: fields.Time("extra.countedFromUs"), methods: map[string]rules.MethodID{},
+		rpcs: map[rules.RPCID]*pendingRPC{}, pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){}}
+	methods := fields.Methods()
 	for i, m := range methods {
 		d.methods[m.Name] = rules.MethodID(i)
 	}
-	seed := f.Integer("salt")
-	fleet, store, allowed, slowStart, notice := f.Fleet(), f.Store(), f.Allowed(), f.SlowStart(), f.Notice()
-	if f.Err != nil {
-		return f.Err
+	seed := fields.Integer("salt")
+	fleet, store, policy, slowStart, discovery := fields.Fleet(), fields.Store(), fields.Allowed(), fields.SlowStart(), fields.Notice()
+	if fields.Err != nil {
+		return fields.Err
 	}
-	d.Driver = rules.New(d, seed, methods, fleet, store, allowed, slowStart, notice)
-	w.drivers[d.who] = d
+	d.Driver = rules.New(d, seed, methods, fleet, store, policy, slowStart, discovery)
+	c.drivers[d.id] = d
 	return nil
 }
 
-func (d *driver) view(f *briefing.Parts) {
-	mode := f.Text("mode")
+func (d *driver) handleView(fields *briefing.Parts) {
+	mode := fields.Text("mode")
 	if mode == "FAILED" {
 		d.WatchFailed()
 		return
 	}
-	whole := briefing.Choice(f, "mode", mode, modes)
-	lines, ok := d.w.pages[f.Integer("slot")]
+	isComplete := briefing.Choice(fields, "mode", mode, modes)
+	entries, ok := d.conn.memberLists[fields.Integer("slot")]
 	if !ok {
-		f.Wrong("slot=%s holds no list", f.At("slot"))
+		fields.Wrong("slot=%s holds no member list", fields.At("slot"))
 	}
-	if f.Err == nil {
-		d.UpdateMembers(lines, whole)
+	if fields.Err == nil {
+		d.UpdateMembers(entries, isComplete)
 	}
 }
 
-func (d *driver) request(f *briefing.Parts) {
-	method := briefing.Choice(f, "tierClass", f.Text("tierClass"), d.methods)
-	rpc := rules.RPC{ID: rules.RPCID(f.ID("xid")), Method: method, Group: rules.GroupID(f.IntegerOr("cluster", 0)),
-		Session: f.At("key"), TimeLeft: f.Integer("graceUs") * micro, IsRetry: f.IntegerOr("flags", 0)&repeatFlag != 0}
-	if ago := f.NumberOr("lastWriteMs", 0); ago > 0 {
-		rpc.SessionToken = d.w.now - int64(ago*1e6)
+func (d *driver) handleRequest(fields *briefing.Parts) {
+	method := briefing.Choice(fields, "tierClass", fields.Text("tierClass"), d.methods)
+	rpc := rules.RPC{ID: rules.RPCID(fields.ID("xid")), Method: method, Group: rules.GroupID(fields.IntegerOr("cluster", 0)),
+		Session: fields.At("key"), TimeLeft: fields.Integer("graceUs") * microsecond, IsRetry: fields.IntegerOr("flags", 0)&retryFlag != 0}
+	if writeAge := fields.NumberOr("lastWriteMs", 0); writeAge > 0 {
+		rpc.SessionToken = d.conn.now - int64(writeAge*1e6)
 	}
-	if f.Err == nil {
-		d.rpcs[rpc.ID] = &pending{}
+	if fields.Err == nil {
+		d.rpcs[rpc.ID] = &pendingRPC{}
 		d.Submit(rpc)
 	}
 }
 
-func (d *driver) resolved(f *briefing.Parts, last bool, r rules.Result) {
-	id, n := rules.RPCID(f.ID("xid")), int(f.Integer("n"))
-	if f.Err != nil {
+func (d *driver) handleResult(fields *briefing.Parts, isLast bool, r rules.Result) {
+	id, n := rules.RPCID(fields.ID("xid")), int(fields.Integer("n"))
+	if fields.Err != nil {
 		return
 	}
-	p := d.rpcs[id]
-	if p == nil || n < 0 || n >= len(p.next) || p.next[n] == nil {
-		f.Wrong("xid=%d n=%d is not out", id, n)
+	rpc := d.rpcs[id]
+	if rpc == nil || n < 0 || n >= len(rpc.callbacks) || rpc.callbacks[n] == nil {
+		fields.Wrong("xid=%d n=%d is not in flight", id, n)
 		return
 	}
-	next := p.next[n]
-	if last {
-		p.next[n] = nil
-		p.out--
+	next := rpc.callbacks[n]
+	if isLast {
+		rpc.callbacks[n] = nil
+		rpc.inFlight--
 	}
 	if r.Final || r.Outcome == rules.OK {
-		d.ended(id)
+		d.markEnded(id)
 	}
 	next(r)
-	d.drop(id)
+	d.releaseIfDone(id)
 }
 
-// ended notes that an RPC has its final answer.
-func (d *driver) ended(id rules.RPCID) {
+// markEnded records that an RPC has its final answer.
+func (d *driver) markEnded(id rules.RPCID) {
 	if p := d.rpcs[id]; p != nil {
-		p.ended = true
-		d.drop(id)
+		p.hasEnded = true
+		d.releaseIfDone(id)
 	}
 }
 
-func (d *driver) drop(id rules.RPCID) {
-	if p := d.rpcs[id]; p != nil && p.ended && p.out == 0 {
+func (d *driver) releaseIfDone(id rules.RPCID) {
+	if p := d.rpcs[id]; p != nil && p.hasEnded && p.inFlight == 0 {
 		delete(d.rpcs, id)
 	}
 }
 
-func (d *driver) fired(f *briefing.Parts) {
-	handle := f.Integer("handle")
+func (d *driver) handleTimer(fields *briefing.Parts) {
+	handle := fields.Integer("handle")
 	if handle < 0 || handle >= int64(len(d.timers)) || d.timers[handle] == nil {
-		f.Wrong("handle=%d is not set", handle)
+		fields.Wrong("handle=%d is not set", handle)
 		return
 	}
 	next := d.timers[handle]
 	d.timers[handle] = nil
-	d.free = append(d.free, handle)
+	d.freeTimers = append(d.freeTimers, handle)
 	next()
 }
 
-func (d *driver) probed(f *briefing.Parts) {
-	to, r := rules.MemberID(f.ID("member")), probeResult(f, d.epoch)
-	waiting := d.probes[to]
-	if len(waiting) == 0 {
-		f.Wrong("member=%d is not being probed", to)
+func (d *driver) handleProbe(fields *briefing.Parts) {
+	to, r := rules.MemberID(fields.ID("member")), parseProbeResult(fields, d.epoch)
+	callbacks := d.pendingProbes[to]
+	if len(callbacks) == 0 {
+		fields.Wrong("member=%d is not being probed", to)
 	}
-	if f.Err == nil {
-		d.probes[to] = waiting[1:]
-		waiting[0](r)
+	if fields.Err == nil {
+		d.pendingProbes[to] = callbacks[1:]
+		callbacks[0](r)
 	}
 }
 
-// begin starts a line to be written.
-func (w *wire) begin(name string) *wire {
-	w.text = append(w.text[:0], name...)
-	return w
+// beginMessage starts an output line.
+func (c *connection) beginMessage(name string) *connection {
+	c.output = append(c.output[:0], name...)
+	return c
 }
 
-func (w *wire) number(name string, value int64) *wire {
-	w.words(name, "")
-	w.text = strconv.AppendInt(w.text, value, 10)
-	return w
+func (c *connection) intField(name string, value int64) *connection {
+	c.textField(name, "")
+	c.output = strconv.AppendInt(c.output, value, 10)
+	return c
 }
 
-func (w *wire) words(name, value string) *wire {
-	w.text = append(append(append(w.text, '\t'), name...), '=')
-	w.text = append(w.text, value...)
-	return w
+func (c *connection) textField(name, value string) *connection {
+	c.output = append(append(append(c.output, '\t'), name...), '=')
+	c.output = append(c.output, value...)
+	return c
 }
 
-func (w *wire) send() {
-	w.out.Write(append(w.text, '\n')) // what goes wrong shows at the flush
+func (c *connection) send() {
+	c.out.Write(append(c.output, '\n')) // errors are sticky and returned by Flush
 }
 
-// begin starts a line of this instance.
-func (d *driver) begin(name string) *wire { return d.w.begin(name).number("who", d.who) }
+// beginMessage starts an output line of this instance.
+func (d *driver) beginMessage(name string) *connection {
+	return d.conn.beginMessage(name).intField("who", d.id)
+}
 
-// up turns a span into whole microseconds, rounded up.
-func up(span int64) int64 { return (span + micro - 1) / micro }
+// toMicroseconds converts a duration to whole microseconds, rounded up.
+func toMicroseconds(duration int64) int64 { return (duration + microsecond - 1) / microsecond }
 
-func (d *driver) Now() int64 { return d.w.now }
+func (d *driver) Now() int64 { return d.conn.now }
 
 func (d *driver) Attempt(id rules.RPCID, to rules.MemberID, within int64, next func(rules.Result)) int {
 	p := d.rpcs[id]
-	n := len(p.next)
-	p.next = append(p.next, next)
-	p.out++
-	d.begin("ATTEMPT").number("xid", int64(id)).number("member", int64(to)).number("withinUs", up(within)).send()
+	n := len(p.callbacks)
+	p.callbacks = append(p.callbacks, next)
+	p.inFlight++
+	d.beginMessage("ATTEMPT").intField("xid", int64(id)).intField("member", int64(to)).intField("withinUs", toMicroseconds(within)).send()
 	return n
 }
 
 func (d *driver) Cancel(id rules.RPCID, number int) {
-	d.begin("RETRACT").number("xid", int64(id)).number("n", int64(number)).send()
+	d.beginMessage("RETRACT").intField("xid", int64(id)).intField("n", int64(number)).send()
 }
 
-func (d *driver) RejectWithRetryAfter(id rules.RPCID, comeBack int64) {
-	d.begin("BUSY").number("xid", int64(id)).number("retryAfterUs", up(comeBack)).send()
-	d.ended(id)
+func (d *driver) RejectWithRetryAfter(id rules.RPCID, retryAfter int64) {
+	d.beginMessage("BUSY").intField("xid", int64(id)).intField("retryAfterUs", toMicroseconds(retryAfter)).send()
+	d.markEnded(id)
 }
 
 func (d *driver) Abort(id rules.RPCID) {
-	d.begin("LOSE").number("xid", int64(id)).send()
-	d.ended(id)
+	d.beginMessage("LOSE").intField("xid", int64(id)).send()
+	d.markEnded(id)
 }
 
-// Forget has nothing to do: the wire's own numbers are used.
+// Forget does nothing: member ids are those of the simulator.
 func (d *driver) Forget(rules.MemberID) {}
 
 func (d *driver) CloseIdle(to rules.MemberID) {
-	d.begin("CLOSE_IDLE").number("member", int64(to)).send()
+	d.beginMessage("CLOSE_IDLE").intField("member", int64(to)).send()
 }
 
 func (d *driver) Probe(to rules.MemberID, next func(rules.ProbeResult)) {
-	d.probes[to] = append(d.probes[to], next)
-	d.begin("CHECK").number("member", int64(to)).send()
+	d.pendingProbes[to] = append(d.pendingProbes[to], next)
+	d.beginMessage("CHECK").intField("member", int64(to)).send()
 }
 
 func (d *driver) After(wait int64, next func()) {
 	handle := int64(len(d.timers))
-	if last := len(d.free) - 1; last >= 0 {
-		handle, d.free = d.free[last], d.free[:last]
+	if last := len(d.freeTimers) - 1; last >= 0 {
+		handle, d.freeTimers = d.freeTimers[last], d.freeTimers[:last]
 		d.timers[handle] = next
 	} else {
 		d.timers = append(d.timers, next)
 	}
-	d.begin("AFTER").number("afterUs", up(max(wait, 0))).number("handle", handle).send()
+	d.beginMessage("AFTER").intField("afterUs", toMicroseconds(max(wait, 0))).intField("handle", handle).send()
 }
 
-func (d *driver) Watch() { d.begin("SUBSCRIBE").number("on", 1).send() }
+func (d *driver) Watch() { d.beginMessage("SUBSCRIBE").intField("on", 1).send() }
 
 func (d *driver) Log(line string) {
-	d.begin("NOTE_DOWN").words("msg", line).send()
+	d.beginMessage("NOTE_DOWN").textField("msg", line).send()
 }
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -11,7 +11,7 @@
 	"sedgespread/rules"
 )
 
-const start = "BEGIN_BATCH\tsimTimeUs=1000\tn=1\n" +
+const startText = "BEGIN_BATCH\tsimTimeUs=1000\tn=1\n" +
 	"NEW_INSTANCE\twho=3\tsalt=5\tclasses.count=1\tclasses.0.name=read\tclasses.0.effect=repeatable\t" +
 	"classes.0.aimUs=500000\textra.readLevel=loose\textra.countedFromUs=0\tlimits.probing=true\tlimits.mostTries=3\tnew.key=7\n" +
 	"PAGE\tslot=0\telements=1\nM\tmember=9\tgroup=4\tstageState=healthy\n" +
@@ -24,7 +24,7 @@
 }
 
 func TestConversation(t *testing.T) {
-	text := start + "EOB\n\n" +
+	text := startText + "EOB\n\n" +
 		"BEGIN_BATCH\tsimTimeUs=5000\tn=2\n" +
 		"PROBE_DONE\twho=3\tmember=9\twaitTimeUs=900\toutcome=200\treport=x0:0.004,x1:0\n" +
 		"REQUEST\twho=3\txid=77\ttierClass=read\tgraceUs=200000\tcluster=4\tflags=0\nEOB\n" +
@@ -40,10 +40,10 @@
 	require.Equal(t, out, again)
 }
 
-// Guards against an adapter that ends on a message with nothing in it, and against sending such: a replica whose position is over
-// 30 s old has nothing that can be told.
-func TestMessagesWithNothingInThem(t *testing.T) {
-	text := strings.Replace(start, "limits.probing=true", "limits.probing=true\tlimits.peerMessages=true\tfleetSize=2", 1) + "EOB\n"
+// Guards against failing on an empty peer message, and against sending one: a replica whose
+// position is over 30 s old has nothing to report.
+func TestEmptyPeerMessages(t *testing.T) {
+	text := strings.Replace(startText, "limits.probing=true", "limits.probing=true\tlimits.peerMessages=true\tfleetSize=2", 1) + "EOB\n"
 	for _, content := range []string{"-", "AA=="} {
 		_, err := serve(text + "BEGIN_BATCH\tsimTimeUs=5000\tn=2\nWHISPER\twho=3\toriginPeer=1\tcontent=" + content + "\nEOB\n")
 		require.NoError(t, err)
@@ -51,27 +51,27 @@
 	_, err := serve(text + "BEGIN_BATCH\tsimTimeUs=5000\tn=2\nWHISPER\twho=3\toriginPeer=1\tcontent=?\nEOB\n")
 	require.ErrorContains(t, err, "content is not base64")
 	var out strings.Builder
-	d := &driver{w: &wire{out: bufio.NewWriter(&out), now: int64(100 * time.Second)}}
+	d := &driver{conn: &connection{out: bufio.NewWriter(&out), now: int64(100 * time.Second)}}
 	d.SendReports([]rules.PeerReport{{Member: 9, Observation: rules.Observation{Role: rules.RoleReplica, Position: int64(60 * time.Second)}}})
-	require.NoError(t, d.w.out.Flush())
+	require.NoError(t, d.conn.out.Flush())
 	require.Empty(t, out.String())
 	d.SendReports([]rules.PeerReport{{Member: 9, Observation: rules.Observation{Role: rules.RoleReplica, Position: int64(99 * time.Second)}}})
-	require.NoError(t, d.w.out.Flush())
+	require.NoError(t, d.conn.out.Flush())
 	require.Contains(t, out.String(), "SIGNAL")
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	for text, want := range map[string]string{
-		start:                              "the input ends inside a batch",
-		start + "EOB":                      "line 6: the last line is cut short",
-		"HELLO\tn=1\n":                     `line 1: "HELLO" where a batch should begin`,
-		start + "HELLO\twho=3\n":           `line 6: unknown message "HELLO"`,
-		start + "REQUEST\twho=4\n":         "line 6: REQUEST: who=4 is not running",
-		start + "REQUEST\twho=3\txid=-1\n": "line 6: REQUEST: tierClass is missing",
-		start + "TIMEOUT_FIRED\twho=3\thandle=x\n":                                                   `line 6: TIMEOUT_FIRED: handle="x" is not a whole number`,
-		start + "RESOLVED\twho=3\txid=1\tn=0\toutcome=600\n":                                         `line 6: RESOLVED: outcome="600" is not known`,
-		start + "VIEW\twho=3\tmode=FULL\tslot=5\n":                                                   "line 6: VIEW: slot=5 holds no list",
-		"BEGIN_BATCH\tsimTimeUs=1\tn=1\nNEW_INSTANCE\twho=1\tsalt=1\n":                               "line 2: NEW_INSTANCE: classes.count is missing",
+		startText:                                                      "unexpected end of input in a batch",
+		startText + "EOB":                                              "line 6: last line has no newline",
+		"HELLO\tn=1\n":                                                 `line 1: expected BEGIN_BATCH, got "HELLO"`,
+		startText + "HELLO\twho=3\n":                                   `line 6: unknown message "HELLO"`,
+		startText + "REQUEST\twho=4\n":                                 "line 6: REQUEST: who=4 is not running",
+		startText + "REQUEST\twho=3\txid=-1\n":                         "line 6: REQUEST: tierClass is missing",
+		startText + "TIMEOUT_FIRED\twho=3\thandle=x\n":                 `line 6: TIMEOUT_FIRED: handle="x" is not a whole number`,
+		startText + "RESOLVED\twho=3\txid=1\tn=0\toutcome=600\n":       `line 6: RESOLVED: outcome="600" is not known`,
+		startText + "VIEW\twho=3\tmode=FULL\tslot=5\n":                 "line 6: VIEW: slot=5 holds no member list",
+		"BEGIN_BATCH\tsimTimeUs=1\tn=1\nNEW_INSTANCE\twho=1\tsalt=1\n": "line 2: NEW_INSTANCE: classes.count is missing",
 		"BEGIN_BATCH\tsimTimeUs=1\tn=1\nPAGE\tslot=0\telements=2\nM\tmember=1\nEOB\n":                "line 3: M: stageState is missing",
 		"BEGIN_BATCH\tsimTimeUs=1\tn=1\nNEW_INSTANCE\twho=1\tsalt=1\tclasses.count=-2\n":             "line 2: NEW_INSTANCE: classes.count=-2 is out of range",
 		"BEGIN_BATCH\tsimTimeUs=1\tn=1\nNEW_INSTANCE\twho=1\tsalt=1\tclasses.count=0\tfleetSize=0\n": "line 2: NEW_INSTANCE: fleetSize=0 is out of range",
--- a/rules/cold_fleet_test.go
+++ b/rules/cold_fleet_test.go
@@ -316,10 +316,10 @@
 // rejected and retried, so that a cold member got several times its capacity.
 func TestSlowStartUnderOverload(t *testing.T) {
 	for _, drivers := range []int{4, 30, 135, 300} {
-		for _, excess := range []float64{1.5, 3} {
-			t.Run(fmt.Sprintf("%d drivers, %.1f times the load", drivers, excess), func(t *testing.T) {
+		for _, overload := range []float64{1.5, 3} {
+			t.Run(fmt.Sprintf("%d drivers, %.1f times the load", drivers, overload), func(t *testing.T) {
 				t.Parallel()
-				runOverload(t, drivers, excess, nil)
+				runOverload(t, drivers, overload, nil)
 			})
 		}
 	}
@@ -337,10 +337,10 @@
 }
 
 // runOverload restarts a member of a fleet whose load exceeds its capacity.
-func runOverload(t *testing.T, drivers int, excess float64, weights map[rules.MemberID]float64) {
+func runOverload(t *testing.T, drivers int, overload float64, weights map[rules.MemberID]float64) {
 	for seed, rate := range []float64{40, 150} {
 		f := newWeightedFleet(drivers, rate, int64(seed+1), weights)
-		f.rate, f.rejectsOverload = f.rate*excess, true
+		f.rate, f.rejectsOverload = f.rate*overload, true
 		f.run(f.now + int64(20*time.Second))
 		f.coldMembers = []rules.MemberID{3}
 		f.restartAndCheck(t, rate)
--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -59,11 +59,11 @@
 // taken at its last statement.
 func (d *Driver) primaryEligibility(m member, c *call) eligibility {
 	state := &d.replication[m]
-	isProbedOut := c.primaryProbes >= maxPrimaryProbes
+	probesExhausted := c.primaryProbes >= maxPrimaryProbes
 	switch {
 	case d.hasRecentPrimaryClaim(m, c.method):
 		return eligibleAsPrimary
-	case !d.policy.Probing, isProbedOut && state.omitsRole, isProbedOut && state.primaryHeardAt >= c.primaryProbedAt && !state.mayHaveLostStatement():
+	case !d.policy.Probing, probesExhausted && state.omitsRole, probesExhausted && state.primaryHeardAt >= c.primaryProbedAt && !state.mayHaveLostStatement():
 		return eligibleAsClaimedPrimary
 	}
 	return notEligible
--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -46,10 +46,10 @@
 			d.observe(m, report.Observation, fromGossip, 0)
 			d.hasUnsentReport[m] = false
 			if report.Latency > 0 {
-				d.recordLatency(m, float64(report.Latency), d.meanSoftDeadline)
+				d.updateLatency(m, float64(report.Latency), d.meanSoftDeadline)
 			}
 			if report.Latency > 0 || report.Failed {
-				d.recordErrorRate(m, report.Failed)
+				d.updateErrorRate(m, report.Failed)
 			}
 			d.recordUptime(m, report.Uptime)
 			if d.isUnresponsive[m] { // it has progressed: probe it, at a random time so that drivers do not all probe at once
--- a/rules/health.go
+++ b/rules/health.go
@@ -24,7 +24,7 @@
 	}
 	d.observeResult(c, m, r, sentAt)
 	if r.Outcome == OK || r.Cause == ServerError {
-		d.recordErrorRate(m, r.Cause == ServerError)
+		d.updateErrorRate(m, r.Cause == ServerError)
 		d.lastAnswerFailed[m] = r.Cause == ServerError
 	}
 	switch {
@@ -61,9 +61,9 @@
 	}
 }
 
-// recordErrorRate updates a member's error rate from its own answers and from peers. Guards
+// updateErrorRate updates a member's error rate from its own answers and from peers. Guards
 // against members that fail fast, which would otherwise look like the fastest.
-func (d *Driver) recordErrorRate(m member, failed bool) {
+func (d *Driver) updateErrorRate(m member, failed bool) {
 	d.errorRate[m] *= 1 - errorWeight
 	if failed {
 		d.errorRate[m] += errorWeight
@@ -80,7 +80,7 @@
 // answer count too, because an overloaded member may complete none. The limit grows while answers
 // are fast, doubling during recovery, and shrinks while they approach the soft deadline.
 func (d *Driver) adjustLimit(m member, latency float64, target int64, ok bool) {
-	d.recordLatency(m, latency, target)
+	d.updateLatency(m, latency, target)
 	minLimit := max(1, min(d.limit[m], d.initialLimit/2)) // at this concurrency attempts do not queue; latency has another cause
 	switch {
 	case !ok && d.latencyRatio[m] > lowLatencyRatio:
@@ -120,9 +120,9 @@
 	d.host.After(wait, func() { d.retryHeld(d.groupOf[m]) })
 }
 
-// recordLatency updates a member's smoothed latency and latency ratio. Samples weigh more after a
+// updateLatency updates a member's smoothed latency and latency ratio. Samples weigh more after a
 // long gap.
-func (d *Driver) recordLatency(m member, latency float64, target int64) {
+func (d *Driver) updateLatency(m member, latency float64, target int64) {
 	now := d.host.Now()
 	weight := min(0.5, max(0.1, float64(now-d.latencyUpdated[m])/float64(4*sec)))
 	d.latencyUpdated[m] = now
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -170,9 +170,9 @@
 
 // observeRequest updates the request interval at the first attempt of an RPC. While RPCs are held
 // the intervals understate the traffic, so that only shorter ones count.
-func (g *group) observeRequest(now int64, isUnheld bool) {
+func (g *group) observeRequest(now int64, nothingHeld bool) {
 	interval := min(float64(max(now-g.lastRequest, ms/10)), 4*g.requestInterval)
-	if isUnheld || interval < g.requestInterval {
+	if nothingHeld || interval < g.requestInterval {
 		g.requestInterval += 0.05 * (interval - g.requestInterval)
 	}
 	g.lastRequest = now
--- a/rules/scenario_test.go
+++ b/rules/scenario_test.go
@@ -197,12 +197,12 @@
 		p.flow(w[1:])
 	case "report":
 		report := rules.PeerReport{Member: rules.MemberID(p.number(w[1])), Observation: p.observation(w[2:])}
-		if _, took, slow := strings.Cut(w[len(w)-1], "latency="); slow {
-			report.Latency = p.duration(took)
+		if _, latency, hasLatency := strings.Cut(w[len(w)-1], "latency="); hasLatency {
+			report.Latency = p.duration(latency)
 		}
 		report.Failed = w[len(w)-1] == "failed"
-		if ran, known := strings.CutPrefix(w[len(w)-1], "uptime="); known {
-			report.Uptime = p.duration(ran)
+		if uptime, hasUptime := strings.CutPrefix(w[len(w)-1], "uptime="); hasUptime {
+			report.Uptime = p.duration(uptime)
 		}
 		p.driver.ReceiveReports([]rules.PeerReport{report})
 	case "watch-failed":
@@ -285,9 +285,9 @@
 			case "cold":
 				entry.Started = p.now
 			default:
-				size, sized := strings.CutPrefix(part, "weight=")
-				require.True(p.t, sized, p.location)
-				entry.Weight = float64(p.number(size))
+				weight, hasWeight := strings.CutPrefix(part, "weight=")
+				require.True(p.t, hasWeight, p.location)
+				entry.Weight = float64(p.number(weight))
 			}
 		}
 		entries = append(entries, entry)
@@ -300,8 +300,8 @@
 
 // rpc submits one RPC, or a range of them: "rpc 1-20 read".
 func (p *scenarioRunner) rpc(w []string) {
-	first, last, run := strings.Cut(w[0], "-")
-	if !run {
+	first, last, isRange := strings.Cut(w[0], "-")
+	if !isRange {
 		last = first
 	}
 	r := rules.RPC{Group: 1, TimeLeft: int64(2 * time.Second)}
--- a/rules/sizes_test.go
+++ b/rules/sizes_test.go
@@ -79,9 +79,9 @@
 // members, also while RPCs are held.
 func TestCostsGrowWithMembers(t *testing.T) {
 	sizes := []int{100, 300, 1000}
-	var picking, listing []func() (do func())
+	var pickBuilders, listBuilders []func() (do func())
 	for _, n := range sizes {
-		picking = append(picking, func() func() {
+		pickBuilders = append(pickBuilders, func() func() {
 			d, _ := newSizedDriver(n, n)
 			last := rules.RPCID(0)
 			return func() {
@@ -92,7 +92,7 @@
 				}
 			}
 		})
-		listing = append(listing, func() func() {
+		listBuilders = append(listBuilders, func() func() {
 			d, lines := newSizedDriver(n, 20)
 			for i := range 500 { // writes, which are held without a primary
 				d.Submit(rules.RPC{ID: rules.RPCID(i + 1), Method: 1, Group: rules.GroupID(i % (n / 20)), TimeLeft: int64(time.Second)})
@@ -100,7 +100,7 @@
 			return func() { d.UpdateMembers(lines, true) }
 		})
 	}
-	picks, lists := fastestTimes(41, picking), fastestTimes(21, listing)
+	picks, lists := fastestTimes(41, pickBuilders), fastestTimes(21, listBuilders)
 	t.Logf("members %v: picks %.0f ns, lists %.0f ns", sizes, picks, lists)
 	for i, n := range sizes[1:] {
 		maxGrowth := math.Pow(float64(n)/float64(sizes[0]), 1.5) // halfway between linear and quadratic
