--- a/rules/api.go
+++ b/rules/api.go
@@ -73,7 +73,7 @@
 type Store struct {
 	RejectsStaleReads   bool  // members reject reads for which they are too stale
 	CarriesSessionToken bool  // session reads carry their token
-	MaxSendDelay        int64 // longest time from AttemptAllowed to the last byte sent, beyond the tolerance of the staleness rule
+	MaxSendDelay        int64 // longest time from AttemptAllowed to the last byte, beyond a tolerance
 }
 
 // Policy is what the deployment permits a driver to do.
--- a/rules/choice.go
+++ b/rules/choice.go
@@ -5,7 +5,7 @@
 const (
 	latencyWindow               = 15 * ms // width of the latency window above the fastest member
 	latencyWindowShare          = 0.25    // added width, as a share of the fastest time
-	largeFleetWindowShare       = 1.0     // the same in a large fleet, where each driver has few latency samples
+	largeFleetWindowShare       = 1.0     // the same in a large fleet, where latency samples are few
 	maxReplicaProbes            = 2       // replicas probed for one read
 	primaryReadShare            = 0.6     // share of the primary's concurrency limit open to reads
 	primaryCostFactor           = 2.0     // a read goes to the primary if that is faster by this factor
--- a/rules/cold_fleet_test.go
+++ b/rules/cold_fleet_test.go
@@ -63,7 +63,7 @@
 	drivers         []*simulatedHost
 	coldMembers     []rules.MemberID
 	restartedAt     int64
-	attemptTimes    map[rules.MemberID][]int64 // when cold members got attempts from drivers that know of the restart
+	attemptTimes    map[rules.MemberID][]int64 // of cold members, from drivers that know of the restart
 	errorShare      float64                    // share of attempts that end in an error
 	losesReports    bool                       // half of the reports among drivers are lost
 	rejectsOverload bool                       // members reject attempts above their capacity
--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -21,7 +21,7 @@
 	eligibleAsPrimary                    // it is the primary, confirmed recently
 	eligibleAsClaimedPrimary             // it is the primary by its latest statement, which cannot be confirmed
 	eligibleAsAnyMember                  // the read accepts data of any age
-	eligibleByPosition                   // its known position satisfies the staleness bound or the session token
+	eligibleByPosition                   // its position satisfies the bound or the session token
 	eligibleBySelfCheck                  // it is likely within the bound and rejects the read itself otherwise
 )
 
@@ -52,11 +52,9 @@
 	return notEligible
 }
 
-// primaryEligibility returns whether a primary may serve a read by its role. A primary whose last
-// statement is too old, or may have been followed by a lost one, is probed first. This guards
-// against a former primary whose denial was lost, and against an isolated one that still believes
-// it is primary. A primary whose probes don't state its role, or whose reports lag too far, is
-// taken at its last statement.
+// primaryEligibility returns whether a primary may serve a read by its role. It is probed first if
+// its last claim is too old or a later denial may have been lost: it may be a former or isolated
+// primary. If probes cannot settle its role, its last claim counts.
 func (d *Driver) primaryEligibility(m member, c *call) eligibility {
 	state := &d.replication[m]
 	probesExhausted := c.primaryProbes >= maxPrimaryProbes
--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -1,9 +1,9 @@
 package rules
 
 const (
-	minMessageSpacing = 3 * ms // per driver of the fleet, so that none receives more than one message in this time
-	maxMessageSpacing = 8 * ms // per driver of the fleet
-	rpcsPerMessage    = 12.0   // a driver sends one message per this number of its RPCs, within the spacings above
+	minMessageSpacing = 3 * ms // times the fleet size: least time between messages of a driver
+	maxMessageSpacing = 8 * ms // times the fleet size: most time between messages of a driver
+	rpcsPerMessage    = 12.0   // RPCs per message, within these spacings
 )
 
 // scheduleReport schedules a report on a member to peers, which probably lack what this driver
@@ -52,7 +52,8 @@
 				d.updateErrorRate(m, report.Failed)
 			}
 			d.recordUptime(m, report.Uptime)
-			if d.isUnresponsive[m] { // it has progressed: probe it, at a random time so that drivers do not all probe at once
+			// It answers a peer: probe it, at a random time so that drivers do not probe all at once.
+			if d.isUnresponsive[m] {
 				d.host.After(d.randomBelow(probeTimeout), func() { d.probe(m) })
 			}
 			d.retryHeld(d.groupOf[m])
--- a/rules/health.go
+++ b/rules/health.go
@@ -81,7 +81,8 @@
 // are fast, doubling during recovery, and shrinks while they approach the soft deadline.
 func (d *Driver) adjustLimit(m member, latency float64, target int64, ok bool) {
 	d.updateLatency(m, latency, target)
-	minLimit := max(1, min(d.limit[m], d.initialLimit/2)) // at this concurrency attempts do not queue; latency has another cause
+	// At this concurrency attempts do not queue; latency has another cause.
+	minLimit := max(1, min(d.limit[m], d.initialLimit/2))
 	switch {
 	case !ok && d.latencyRatio[m] > lowLatencyRatio:
 		d.limit[m] = max(minLimit, d.limit[m]*0.85)
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -4,8 +4,8 @@
 type source int
 
 const (
-	fromAnswer     source = iota // the member's own answer, true at some time between request and answer
-	fromLoadReport               // the member's load report, which may be much older than the answer that carries it
+	fromAnswer     source = iota // the member's own answer, true at some time since the request
+	fromLoadReport               // its load report, which may be much older than the answer
 	fromGossip                   // a report of a peer
 )
 
@@ -21,26 +21,25 @@
 
 // replicationState is what is known of one member's role and log position.
 //
-// Statements of a role are ordered by when they were made, not by the position they carry, because
-// positions stand still while a group has no primary. A statement was made before it was received,
-// and after the request (fromAnswer) and after the time that its position names. A denial by the
-// member itself therefore always counts; a claim counts only if it was certainly made after the
-// last denial was received. A denial in a load report is older than a claim with a higher
-// position.
+// Statements of a role are ordered by when they were made, not by position, as positions stand
+// still while a group has no primary. A denial by the member always counts. A claim counts only if
+// it was certainly made after the last denial was received: after the request (fromAnswer) or
+// after the time that its position names. A denial in a load report is older than a claim with a
+// higher position.
 type replicationState struct {
 	role     Role
 	position int64 // up to which it has applied the log, on the store's clock; 0 if unknown
 	heardAt  int64 // when that was received, on the driver's clock, as all times below
 	lag      int64 // by how much it was behind then
 
-	claimPosition      int64 // position with its last claim to be primary, which is the time of the claim on the store's clock
+	claimPosition      int64 // position of its last claim to be primary
 	claimsIgnoredUntil int64 // claims made up to then are ignored
-	ceasedPrimaryAt    int64 // when it was last seen to lose the role, on the store's clock; 0 once its position has passed that
-	minLead            int64 // smallest difference between the current time and its position in this term as primary
+	ceasedPrimaryAt    int64 // when it lost the role, on the store's clock; 0 once its position has passed that
+	minLead            int64 // smallest lag of its position behind the clock in this term as primary
 
 	primaryHeardAt  int64 // when its last claim to be primary was received
 	primaryStatedAt int64 // earliest time at which that claim was made
-	unansweredAt    int64 // when an attempt last ended without an answer, which may have carried a statement of its role
+	unansweredAt    int64 // when an attempt last ended without an answer, which may have stated its role
 
 	rejectedRead bool // it rejected its last read
 	omitsRole    bool // its last probe answer did not state its role
--- a/rules/probing.go
+++ b/rules/probing.go
@@ -62,7 +62,8 @@
 		return
 	}
 	d.lastProbeEnd[m] = d.host.Now()
-	if r.Cause == NoCause || r.Cause == Overloaded || r.Cause == ServerError { // any answer shows that it is alive
+	// Any answer shows that it is alive.
+	if r.Cause == NoCause || r.Cause == Overloaded || r.Cause == ServerError {
 		d.markResponsive(m, r.ConnectedAt)
 		d.replication[m].omitsRole = r.Report.Role == RoleUnknown && r.Role == RoleUnknown
 		d.observe(m, r.Report, fromLoadReport, askedAt)
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,11 +1,6 @@
 // Package rules decides to which member of a replicated store a driver sends each RPC. Create a
-// Driver with New and pass it every membership update, every RPC and every client disconnect. It
-// acts through its Host, which keeps the callbacks and calls them with results. A Driver is not
-// safe for concurrent use.
-//
-// This file holds the lifecycle of an RPC and state.go the state of a Driver. The inputs are
-// handled in list.go, probing.go, gossip.go, observations.go and store_clock.go; members are
-// chosen in choice.go, freshness.go, slow_start.go and health.go.
+// Driver with New and pass it all membership updates, RPCs and client disconnects. It acts through
+// its Host and is not safe for concurrent use.
 package rules
 
 import (
@@ -17,13 +12,20 @@
 const (
 	ms, sec = int64(1_000_000), int64(1_000_000_000)
 
-	retentionTime          = 60 * sec // how long departed members and commits of sessions are kept
-	holdPollInterval       = 100 * ms // time between two checks of a held RPC
-	unreachedHoldShare     = 0.45     // share of the client's time for which an RPC that reached no member is held
+	retentionTime    = 60 * sec // how long departed members and commits of sessions are kept
+	holdPollInterval = 100 * ms // time between two checks of a held RPC
+	// Share of the client's time for which an RPC that reached no member is held.
+	unreachedHoldShare     = 0.45
 	defaultLatency         = 100 * ms // latency assumed before any answer
 	defaultRequestInterval = 2 * sec  // time between requests assumed before any
 	defaultFleetLimit      = 9.0      // initial concurrency limit of a member, shared by all drivers
-	overtakingAnswers      = 2        // later attempts answered first that show a slow attempt is lost, not queued
+	// Later attempts answered first that show a slow attempt is lost, not queued.
+	overtakingAnswers = 2
+
+	initialRetryTokens         = 5.0
+	maxRetryTokens             = 10.0
+	retryTokensPerRPC          = 0.02
+	retryTokensPerRPCAtSuccess = 0.15 // added per RPC, times the success rate of retries
 )
 
 // New creates a driver without any state; the caller passes it the members next.
@@ -32,7 +34,7 @@
 	d := &Driver{host: host, rng: rand.New(rand.NewSource(seed)), methods: methods, policy: policy,
 		membership: membership{discovery: discovery}, observations: observations{store: store, fleet: fleet},
 		health:         health{initialLimit: max(1, defaultFleetLimit/float64(max(1, fleet.Drivers)))},
-		slowStartState: slowStartState{SlowStart: slowStart}, retryTokens: 5, retrySuccessRate: 0.5, index: map[MemberID]member{},
+		slowStartState: slowStartState{SlowStart: slowStart}, retryTokens: initialRetryTokens, retrySuccessRate: 0.5, index: map[MemberID]member{},
 		groups: map[GroupID]*group{}, calls: map[RPCID]*call{}, sessionCommits: map[string]int64{}}
 	refreshInterval := maxMemberProbeInterval // of the tightest bound
 	for _, m := range methods {
@@ -73,7 +75,7 @@
 		d.giveUp(c)
 		return
 	}
-	d.retryTokens = min(10, d.retryTokens+0.02+0.15*d.retrySuccessRate)
+	d.retryTokens = min(maxRetryTokens, d.retryTokens+retryTokensPerRPC+retryTokensPerRPCAtSuccess*d.retrySuccessRate)
 	d.startNextAttempt(c)
 }
 
--- a/rules/slow_start.go
+++ b/rules/slow_start.go
@@ -4,6 +4,9 @@
 	maxAccruedAttempts = 2.0  // most request intervals for which a cold member accrues budget
 	answerWeight       = 0.05 // weight of the latest answer in the smoothed throughput
 
+	budgetShare           = 0.8 // share of the load that a cold member tolerates
+	largeFleetBudgetShare = 0.7 // the same in a large fleet
+
 	priorAnswers = 10.0 // weight of the expected throughput before any answer, in answers
 )
 
@@ -84,22 +87,23 @@
 	return started == 0 || d.host.Now()-started >= d.WarmUpTime
 }
 
-// admittedBySlowStart reports whether a cold member's budget admits an attempt. The budget is a
-// fraction, with a safety margin, of the load under which the member would fail, applied to the
-// rate at which a warm member serves this driver. The sum over all drivers therefore stays within
-// bounds without coordination. Admission is random, because rounding up many small budgets would
-// exceed the total.
+// admittedBySlowStart reports whether a cold member's budget admits an attempt. The budget stays
+// below the load that would overload the member, as a share of what warm members serve this
+// driver, so that the sum over all drivers is bounded without coordination. Admission is random,
+// because rounding up many small budgets would exceed that sum.
 func (d *Driver) admittedBySlowStart(m member) bool {
 	if d.isWarm(m) {
 		return true
 	}
 	now, g, started := d.host.Now(), d.groupOf[m], d.startTime(m)
 	capacityShare := d.InitialShare + (1-d.InitialShare)*float64(now-started)/float64(d.WarmUpTime)
-	elapsed := min(maxAccruedAttempts*g.requestInterval, float64(now-max(d.lastDraw[m], started))) // since the last draw
+	// The budget accrues since the last draw.
+	elapsed := min(maxAccruedAttempts*g.requestInterval, float64(now-max(d.lastDraw[m], started)))
 	d.lastDraw[m] = now
-	ownRate := float64(d.answered[m]) / float64(max(10*sec, now-d.startedAt)) // the mean rate at which the member itself has answered
+	// The mean rate at which the member itself has answered this driver.
+	ownRate := float64(d.answered[m]) / float64(max(10*sec, now-d.startedAt))
 	rate := max(ownRate, d.throughputPerWeight(g)*d.weight[m])
-	return d.rng.Float64() < elapsed*rate*min(2, capacityShare*d.OverloadFactor*min(0.8, 0.7*d.initialLimit))
+	return d.rng.Float64() < elapsed*rate*min(2, capacityShare*d.OverloadFactor*min(budgetShare, largeFleetBudgetShare*d.initialLimit))
 }
 
 // startTime returns when a member last started, by discovery or inferred from an outage, on the
--- a/rules/store_clock.go
+++ b/rules/store_clock.go
@@ -3,20 +3,22 @@
 import "slices"
 
 const (
-	clockTolerance  = 10 * ms // positions are whole milliseconds, rounded either way
-	maxClockAhead   = sec     // driver's clocks less ahead of the store's than this are taken to be in sync
-	maxUpperBounds  = 8       // statements of primaries that bound the offset
-	offsetWindow    = 30 * sec
-	outliersToReset = 3 // consecutive positions in the future that reset the estimate; fewer are taken to be corrupted
+	clockTolerance = 10 * ms // positions are whole milliseconds, rounded either way
+	maxClockAhead  = sec     // a driver's clock ahead of the store's by less counts as in sync
+	maxUpperBounds = 8       // statements of primaries that bound the offset
+	offsetWindow   = 30 * sec
+	// Consecutive positions in the future that reset the estimate; fewer are taken to be corrupted.
+	outliersToReset = 3
 )
 
 // storeClock estimates the offset between the store's clock, which positions refer to, and this
-// driver's. The driver's never steps but may have been wrong at its start; the store's may step.
-// They are taken to be in sync until a position in the future, or only positions from long ago,
-// show otherwise. The offset is then bounded by two facts: no position is later than the store's
-// time, and an answering primary's position equals it.
+// driver's. They are taken to be in sync until a position in the future, or only positions from
+// long ago, show otherwise. The offset is then bounded by two facts: no position is later than the
+// store's time, and an answering primary's position equals it.
 type storeClock struct {
-	minAhead       int64   // lower bound on the store's clock minus the driver's, by the positions of this window and the last
+	// Lower bound on the store's clock minus the driver's, by the positions of this window and the
+	// last.
+	minAhead       int64
 	recentMinAhead int64   // the same by those of this window
 	windowStart    int64   // 0 before the first position
 	outliers       int     // consecutive positions later than the known offset allows
