--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -11,9 +11,9 @@
 // positions count from epoch.
 func Message(news []rules.PeerReport, key func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
 	for _, n := range news {
-		message = protocol.AppendNews(message, protocol.News{Member: key(n.Member), Role: uint8(n.Role),
-			Position: millis(n.Position - epoch), Took: millis(n.Latency), Failed: n.Failed,
-			Ran: n.Uptime / int64(time.Second)}, millis(now-epoch))
+		message = protocol.AppendObservation(message, protocol.Observation{Member: key(n.Member), Role: uint8(n.Role),
+			PositionMillis: millis(n.Position - epoch), LatencyMillis: millis(n.Latency), Failed: n.Failed,
+			MinUptimeSeconds: n.Uptime / int64(time.Second)}, millis(now-epoch))
 	}
 	return message
 }
@@ -21,11 +21,11 @@
 // News reads what a fellow driver sent, heard at a time, and tells whether it is a driver's. What it says of members
 // that are not known here is left out.
 func News(message []byte, member func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (news []rules.PeerReport, ok bool) {
-	told, ok := protocol.ParseNews(message, millis(now-epoch))
+	told, ok := protocol.ParseObservations(message, millis(now-epoch))
 	for _, n := range told {
 		if id, known := member(n.Member); known {
-			news = append(news, rules.PeerReport{Member: id, Latency: nanos(n.Took), Failed: n.Failed, Uptime: n.Ran * int64(time.Second),
-				Observation: rules.Observation{Role: rules.Role(n.Role), Position: epoch + nanos(n.Position)}})
+			news = append(news, rules.PeerReport{Member: id, Latency: nanos(n.LatencyMillis), Failed: n.Failed, Uptime: n.MinUptimeSeconds * int64(time.Second),
+				Observation: rules.Observation{Role: rules.Role(n.Role), Position: epoch + nanos(n.PositionMillis)}})
 		}
 	}
 	return news, ok
