--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -3,180 +3,189 @@
 import "fmt"
 
 const (
-	// soonestElection is how soon after it was certainly primary a member may have a successor that has acted. No setting tells what a store
-	// promises of its elections: this is an assumption, on which session and fresh reads at primaries rest.
-	soonestElection = 500 * ms
-
-	soonestLook = 50 * ms // between two rounds of a member's own probes
-	looksApart  = 90 * ms // between two probes by which a primary is asked whether it still is one
-	mostAsks    = 4       // such probes for one read, over 0.3 s, by which reports may lag
+	// minElectionTime is the shortest assumed time after which a confirmed primary may have been
+	// succeeded by another that accepts writes. Session and linearizable reads at primaries rely
+	// on it, because no setting states the store's election time-out.
+	minElectionTime = 500 * ms
+
+	minProbeInterval     = 50 * ms // between two periodic probes of a member
+	primaryProbeInterval = 90 * ms // between two probes that ask a primary whether it still is one
+	maxPrimaryProbes     = 4       // such probes for one read; together they outlast the lag of load reports
 )
 
-// basis says why a member may answer a read, or that it may not.
-type basis int
+// eligibility says on what grounds a member may serve an RPC, if any.
+type eligibility int
 
 const (
-	noBasis     basis = iota
-	asPrimary         // it is the primary, and was heard to be lately
-	asClaimed         // it is the primary by the last word that could be had of it
-	asAnyMember       // any data will do
-	asFresh           // its position is known to be within the bound, or at the token or past it
-	asChecking        // it is likely to be within the bound, and turns the read away if it is not
+	notEligible              eligibility = iota
+	eligibleAsPrimary                    // it is the primary, confirmed recently
+	eligibleAsClaimedPrimary             // it is the primary by its latest statement, which cannot be confirmed
+	eligibleAsAnyMember                  // the read accepts data of any age
+	eligibleByPosition                   // its position satisfies the bound or the session token
+	eligibleBySelfCheck                  // it is likely within the bound and rejects the read itself otherwise
 )
 
-var basisNames = [...]string{"none", "primary", "claimed primary", "any member", "position", "checks itself"}
+var eligibilityNames = [...]string{"none", "primary", "claimed primary", "any member", "position", "checks itself"}
 
-// basis tells on what ground a member may answer an RPC at this moment. It is asked when the member is chosen and again just before the first
-// byte of the attempt, for every attempt alike.
-func (d *Driver) basis(m member, c *call) basis {
-	k := &d.known[m]
-	if k.position < c.Floor {
-		return noBasis
+// eligibility returns on what grounds a member may serve an RPC now. It is checked when the member
+// is picked and again just before the first byte of each attempt.
+func (d *Driver) eligibility(m member, c *call) eligibility {
+	state := &d.replication[m]
+	if state.position < c.MinPosition {
+		return notEligible
 	}
 	primary := c.group.primary == m
 	switch {
-	case c.method.Need == NeedPrimary && primary:
-		return asPrimary
+	case c.method.Consistency == ConsistencyWrite && primary:
+		return eligibleAsPrimary
 	case !c.isRead() && !primary:
-		return noBasis
-	case c.method.Need == NeedAny:
-		return asAnyMember
-	case c.isRead() && d.reaches(m, c):
-		return asFresh
+		return notEligible
+	case c.method.Consistency == ConsistencyAny:
+		return eligibleAsAnyMember
+	case c.isRead() && d.isPositionSufficient(m, c):
+		return eligibleByPosition
 	case primary:
-		return d.primaryBasis(m, c)
-	case c.method.Need == NeedBounded && d.likelyFresh(m, c):
-		return asChecking
+		return d.primaryEligibility(m, c)
+	case c.method.Consistency == ConsistencyBounded && d.isLikelyFresh(m, c):
+		return eligibleBySelfCheck
 	}
-	return noBasis
+	return notEligible
 }
 
-// primaryBasis tells whether a primary may answer a read by its role. One whose word is too old, or with a word of which may have been lost,
-// is asked first. Guards against a former primary that says so in an answer that breaks off, or that nobody hears, and against one that was cut
-// off and goes on believing in itself: it answers from data that grows older, and its position stands still. One that can't be asked, or whose
-// probes tell nothing of its role, is taken at its last word: the read itself is the question then. So is one whose position moves, but whose
-// reports lag too far to show more.
-func (d *Driver) primaryBasis(m member, c *call) basis {
-	k := &d.known[m]
-	asked := c.asks >= mostAsks
+// primaryEligibility returns whether a primary may serve a read by its role. It is probed first if
+// its last claim is too old or a later denial may have been lost: it may be a former or isolated
+// primary. If probes cannot settle its role, its last claim counts.
+func (d *Driver) primaryEligibility(m member, c *call) eligibility {
+	state := &d.replication[m]
+	probesExhausted := c.primaryProbes >= maxPrimaryProbes
 	switch {
-	case d.confirmed(m, c.method):
-		return asPrimary
-	case !d.allowed.Probes, asked && k.mute, asked && k.confirmed >= c.askedAt && !k.lostWord():
-		return asClaimed
+	case d.hasRecentPrimaryClaim(m, c.method):
+		return eligibleAsPrimary
+	case !d.policy.Probing, probesExhausted && state.omitsRole, probesExhausted && state.primaryHeardAt >= c.primaryProbedAt && !state.mayHaveLostStatement():
+		return eligibleAsClaimedPrimary
 	}
-	return noBasis
+	return notEligible
 }
 
-// confirmed tells whether a member's word that it is primary is recent enough for a read.
-func (d *Driver) confirmed(m member, method *Method) bool {
-	k := &d.known[m]
-	return k.made != 0 && !k.lostWord() && d.host.Now()-k.made <= d.roleTrusted(method)
+// hasRecentPrimaryClaim reports whether a member's claim to be primary is recent enough for a
+// read.
+func (d *Driver) hasRecentPrimaryClaim(m member, method *Method) bool {
+	state := &d.replication[m]
+	return state.primaryStatedAt != 0 && !state.mayHaveLostStatement() && d.host.Now()-state.primaryStatedAt <= d.maxRoleAge(method)
 }
 
-// roleTrusted is how old a primary's word may be for a read. For a bounded one it follows from the bound: when it gave its word it had all data,
-// which can't have grown older than that since, whoever was elected meanwhile. Where that leaves less time than it takes to ask, reads rest on
-// what is assumed of elections, as session and fresh ones do.
-func (d *Driver) roleTrusted(method *Method) int64 {
-	if usable := d.usableAge(method); method.Need == NeedBounded && usable >= looksApart {
-		return usable
+// maxRoleAge returns how old a primary's claim may be for a read. For a bounded read it follows
+// from the staleness bound: the primary had all data when it made the claim. Where the bound
+// leaves too little time to probe, the assumed election time applies.
+func (d *Driver) maxRoleAge(method *Method) int64 {
+	if positionAge := d.maxPositionAge(method); method.Consistency == ConsistencyBounded && positionAge >= primaryProbeInterval {
+		return positionAge
 	}
-	return soonestElection
+	return minElectionTime
 }
 
-// reaches tells whether a member's known position by itself is enough for a read, whatever its role.
-func (d *Driver) reaches(m member, c *call) bool {
-	k := &d.known[m]
+// isPositionSufficient reports whether a member's known position alone qualifies it for a read,
+// whatever its role.
+func (d *Driver) isPositionSufficient(m member, c *call) bool {
+	state := &d.replication[m]
 	switch {
-	case k.position == 0 || !d.plausible(k.position):
+	case state.position == 0 || !d.isPlausible(state.position):
 		return false
-	case c.method.Need == NeedSession:
-		return k.position >= max(c.Token, d.floor)
-	case c.method.Need == NeedBounded && (c.group.primary == m || !d.trustsCheck(m)):
+	case c.method.Consistency == ConsistencySession:
+		return state.position >= max(c.SessionToken, d.droppedCommitMax)
+	case c.method.Consistency == ConsistencyBounded && (c.group.primary == m || !d.trustsSelfCheck(m)):
 		ahead, known := d.clock.offset()
-		return known && k.position >= d.host.Now()+ahead-d.usableAge(c.method) && d.fresher(m, c)
+		return known && state.position >= d.host.Now()+ahead-d.maxPositionAge(c.method) && d.isWithinBound(m, c)
 	}
 	return false
 }
 
-// usableAge is how old a position may be for a bounded read: the bound, less the time that may pass before the last byte is sent.
-func (d *Driver) usableAge(method *Method) int64 { return method.Bound - d.store.SendDelay - ms }
+// maxPositionAge returns how old a position may be for a bounded read: the bound less the time
+// that may pass before the last byte is sent.
+func (d *Driver) maxPositionAge(method *Method) int64 {
+	return method.MaxStaleness - d.store.MaxSendDelay - ms
+}
 
-// likelyFresh tells whether a replica that checks the age of its data itself is expected to be within the bound.
-func (d *Driver) likelyFresh(m member, c *call) bool {
-	return d.trustsCheck(m) && d.known[m].position != 0 && d.fresher(m, c)
+// isLikelyFresh reports whether a replica that checks its own staleness is expected to be within
+// the bound.
+func (d *Driver) isLikelyFresh(m member, c *call) bool {
+	return d.trustsSelfCheck(m) && d.replication[m].position != 0 && d.isWithinBound(m, c)
 }
 
-// trustsCheck tells whether a member is left to turn away a read for which it lags too far: not where none does, not after it just turned one
-// away, and not while it has been primary and was not seen to follow another since.
-func (d *Driver) trustsCheck(m member) bool {
-	k := &d.known[m]
-	return d.store.Guarded && !k.missed && k.formerAt == 0
+// trustsSelfCheck reports whether a member can be relied on to reject reads for which it is too
+// stale: not if the store lacks the check, not if it rejected its last read, and not if it was
+// primary and has not been seen to follow another since.
+func (d *Driver) trustsSelfCheck(m member) bool {
+	state := &d.replication[m]
+	return d.store.RejectsStaleReads && !state.rejectedRead && state.ceasedPrimaryAt == 0
 }
 
-// fresher tells whether the source's estimate of a replica's staleness is within the bound.
-func (d *Driver) fresher(m member, c *call) bool {
-	return c.group.primary == m || d.staleness(m) <= c.method.Bound
+// isWithinBound reports whether a member's estimated staleness is within the bound of the read.
+func (d *Driver) isWithinBound(m member, c *call) bool {
+	return c.group.primary == m || d.staleness(m) <= c.method.MaxStaleness
 }
 
-// staleness is the source's estimate, but for the primary's term, the least of its office, lest its slow
-// answer make replicas look fresher, and for an overdue replica, which grows staler.
+// staleness estimates a replica's staleness by the max-staleness formula of the MongoDB drivers,
+// with two changes: it uses the primary's smallest lead in its term, because a slow answer of the
+// primary would make replicas look fresher, and it counts the time since the replica was last
+// heard if that exceeds the heartbeat interval.
 func (d *Driver) staleness(m member) int64 {
-	g, k := d.of[m], &d.known[m]
-	unheard := max(d.interval, d.host.Now()-k.learned)
-	if p := g.primary; p != nobody && d.known[p].leastLead != 0 {
-		return k.learned - k.position - d.known[p].leastLead + unheard
+	g, state := d.groupOf[m], &d.replication[m]
+	sinceHeard := max(d.heartbeatInterval, d.host.Now()-state.heardAt)
+	if primary := g.primary; primary != noMember && d.replication[primary].minLead != 0 {
+		return state.heardAt - state.position - d.replication[primary].minLead + sinceHeard
 	}
-	return g.newest - k.position + unheard
+	return g.newestPosition - state.position + sinceHeard
 }
 
-// confirm asks a primary whether it still is one, for a read that waits for that.
-func (d *Driver) confirm(m member, c *call) {
+// confirmPrimary probes a primary for a read that waits for confirmation of its role.
+func (d *Driver) confirmPrimary(m member, c *call) {
 	now := d.host.Now()
-	if d.asking[m] != 0 || now-d.lookedAt[m] < looksApart || c.asks >= mostAsks {
+	if d.probeStarted[m] != 0 || now-d.lastProbeEnd[m] < primaryProbeInterval || c.primaryProbes >= maxPrimaryProbes {
 		return
 	}
-	if c.asks == 0 {
-		c.askedAt = now
+	if c.primaryProbes == 0 {
+		c.primaryProbedAt = now
 	}
-	c.asks++
+	c.primaryProbes++
 	d.probe(m)
 }
 
-// TooOld tells whether an answer to a read shows by what it states of its member that its data was too old for the read when the attempt was made.
-// Guards against a former primary that got the read on its last word, or on one that crossed the read: what it answers earns nothing, and another
-// member may serve. Positions are rounded, and clocks differ a little: only what is certain counts.
-func (d *Driver) TooOld(id RPCID, s Observation, made int64) bool {
+// IsStale reports whether the state that an answer carries proves that its data was too old for
+// the read when the attempt was made. This guards against a former primary that served the read.
+// Rounding and clock differences count in favour of the answer.
+func (d *Driver) IsStale(id RPCID, s Observation, attemptedAt int64) bool {
 	c := d.calls[id]
 	if c == nil {
 		return false
 	}
-	switch ahead, known := d.clock.offset(); c.method.Need {
-	case NeedFresh:
+	switch ahead, known := d.clock.offset(); c.method.Consistency {
+	case ConsistencyLinearizable:
 		return s.Role == RoleReplica
-	case NeedSession:
-		return s.Position != 0 && s.Position+rounding < c.Token
-	case NeedBounded:
-		return s.Position != 0 && known && s.Position+clockTolerance < made+ahead-c.method.Bound
+	case ConsistencySession:
+		return s.Position != 0 && s.Position+positionRounding < c.SessionToken
+	case ConsistencyBounded:
+		return s.Position != 0 && known && s.Position+clockTolerance < attemptedAt+ahead-c.method.MaxStaleness
 	}
 	return false
 }
 
-// Basis tells for the log why an attempt at a member may begin.
-func (d *Driver) Basis(id RPCID, to MemberID) string {
+// Eligibility describes for the log on what grounds a member may serve an RPC.
+func (d *Driver) Eligibility(id RPCID, to MemberID) string {
 	c := d.calls[id]
 	m, known := d.index[to]
 	if c == nil || !known {
-		return basisNames[noBasis]
+		return eligibilityNames[notEligible]
 	}
-	k, now := &d.known[m], d.host.Now()
-	return fmt.Sprintf("%s age_ms=%d confirmed_ms=%d", basisNames[d.basis(m, c)], (d.clock.at(now)-k.position)/ms, (now-k.confirmed)/ms)
+	state, now := &d.replication[m], d.host.Now()
+	return fmt.Sprintf("%s age_ms=%d confirmed_ms=%d", eligibilityNames[d.eligibility(m, c)], (d.clock.toStore(now)-state.position)/ms, (now-state.primaryHeardAt)/ms)
 }
 
-// probeWithin is how old a position may grow before a probe for a bounded method's sake: half of what is usable.
-func (d *Driver) probeWithin(m Method) int64 {
-	if d.store.Guarded {
-		return m.Bound / 2
+// boundedRefreshInterval returns the age at which a position is refreshed for a bounded method:
+// half of the usable staleness.
+func (d *Driver) boundedRefreshInterval(m Method) int64 {
+	if d.store.RejectsStaleReads {
+		return m.MaxStaleness / 2
 	}
-	return (m.Bound - d.store.SendDelay) / 2
+	return (m.MaxStaleness - d.store.MaxSendDelay) / 2
 }
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -1,189 +1,196 @@
 package rules
 
-// source says on whose word a role and a position are known.
+// source says where an observation of a role and position comes from.
 type source int
 
 const (
-	byAnswer source = iota // the member's own answer to what it was asked: true of a moment between the two
-	byReport               // its load report, which it may hand out long after it was made, also while it hangs
-	byGossip               // a peer's word of some time before
+	fromAnswer     source = iota // the member's own answer, true at some time since the request
+	fromLoadReport               // its load report, which may be much older than the answer
+	fromGossip                   // a report of a peer
 )
 
 var sourceNames = [...]string{"answer", "report", "gossip"}
 
-// rounding is by how much two positions of one moment may differ: the commit of a write is rounded up, what is applied is rounded down.
-const rounding = 2 * ms
+// positionRounding is the largest difference between two positions of the same time: commits are
+// rounded up, applied positions down.
+const positionRounding = 2 * ms
 
-// handover is how long a member that turned a write away, or said that it is none, is not believed to be primary again.
-const handover = 200 * ms
+// handoverTime is how long a member's claims to be primary are ignored after it denied the role or
+// rejected a write.
+const handoverTime = 200 * ms
 
-// replicaState is what is known of one member's role and log position.
+// replicationState is what is known of one member's role and log position.
 //
-// Which statement supersedes which is decided by when they were made, never by the position beside a role: while a group has no primary no
-// position in it moves, and that is just when roles change. Of a statement two times are certain: it was made before it was heard, and after
-// the member was asked (byAnswer) or after the moment that its position names (all). So a member's own word that it is no primary always
-// counts, and a claim to be primary counts only if it was certainly made after the last such word was heard. A lagging report that it is no
-// primary is older than a claim whose position is higher.
-type replicaState struct {
+// Statements of a role are ordered by when they were made, not by position, as positions stand
+// still while a group has no primary. A denial by the member always counts. A claim counts only if
+// it was certainly made after the last denial was received: after the request (fromAnswer) or
+// after the time that its position names. A denial in a load report is older than a claim with a
+// higher position.
+type replicationState struct {
 	role     Role
-	position int64 // up to which it has applied the log, by the store's clock; 0 where not known
-	learned  int64 // when that was heard, by the driver's clock, as all times below
+	position int64 // up to which it has applied the log, on the store's clock; 0 if unknown
+	heardAt  int64 // when that was received, on the driver's clock, as all times below
 	lag      int64 // by how much it was behind then
 
-	claimed   int64 // the position beside its last claim to be primary, which is the time of that claim by the store's clock
-	deniedTo  int64 // claims made up to then are not believed
-	formerAt  int64 // when it was heard to be primary no longer, by the store's clock, until its position is past that; else 0
-	leastLead int64 // the least time between its position and now in this term as primary
+	claimPosition      int64 // position of its last claim to be primary
+	claimsIgnoredUntil int64 // claims made up to then are ignored
+	ceasedPrimaryAt    int64 // when it lost the role, on the store's clock; 0 once its position has passed that
+	minLead            int64 // smallest lag of its position behind the clock in this term as primary
 
-	confirmed  int64 // when it last was heard to be primary
-	made       int64 // and when that was said, at the earliest
-	unanswered int64 // when something sent to it last ended without an answer, with which a word of its role may have been lost
+	primaryHeardAt  int64 // when its last claim to be primary was received
+	primaryStatedAt int64 // earliest time at which that claim was made
+	unansweredAt    int64 // when an attempt last ended without an answer, which may have stated its role
 
-	missed bool // it turned its last read away
-	mute   bool // it answered its last probe and said nothing of its role
+	rejectedRead bool // it rejected its last read
+	omitsRole    bool // its last probe answer did not state its role
 }
 
-// lostWord tells whether a word of its role may have been lost since it last said that it is primary.
-func (k *replicaState) lostWord() bool { return k.unanswered != 0 && k.made < k.unanswered }
+// mayHaveLostStatement reports whether a statement of its role may have been lost since its last
+// claim to be primary.
+func (s *replicationState) mayHaveLostStatement() bool {
+	return s.unansweredAt != 0 && s.primaryStatedAt < s.unansweredAt
+}
 
-// observe takes in what was stated of a member's role and position. Asked is when the member was asked for it, where it was.
-func (d *Driver) observe(m member, s Observation, by source, asked int64) {
+// observe applies an observation of a member. askedAt is when the member was asked for it, if it
+// was.
+func (d *Driver) observe(m member, s Observation, from source, askedAt int64) {
 	if s.Role == RoleUnknown {
 		return
 	}
-	d.observeClock(s, by, asked)
-	d.observePosition(m, s, by, asked)
+	d.observeClock(s, from, askedAt)
+	d.observePosition(m, s, from, askedAt)
 	if s.Role == RoleReplica {
-		d.observeReplica(m, s.Position, by)
+		d.observeReplica(m, s.Position, from)
 	} else {
-		d.observePrimary(m, s.Position, by, asked)
+		d.observePrimary(m, s.Position, from, askedAt)
 	}
 }
 
-// observeClock relates the store's clock to the driver's by a position, but not by a peer's word, which is put into this driver's terms.
-func (d *Driver) observeClock(s Observation, by source, asked int64) {
-	if s.Position == 0 || by == byGossip {
+// observeClock relates the store's clock to the driver's by a position. Positions from peers are
+// already converted and don't count.
+func (d *Driver) observeClock(s Observation, from source, askedAt int64) {
+	if s.Position == 0 || from == fromGossip {
 		return
 	}
 	now := d.host.Now()
-	right := d.clock.right()
-	d.clock.note(s.Position, now)
-	if by == byAnswer && s.Role == RolePrimary {
-		d.clock.notePrimary(s.Position, asked, now)
+	wasInSync := d.clock.isInSync()
+	d.clock.observePosition(s.Position, now)
+	if from == fromAnswer && s.Role == RolePrimary {
+		d.clock.observePrimary(s.Position, askedAt, now)
 	}
-	if right != d.clock.right() {
+	if wasInSync != d.clock.isInSync() {
 		ahead, known := d.clock.offset()
-		d.logf("clock right=%t store_ahead_ms=%d known=%t", d.clock.right(), ahead/ms, known)
+		d.logf("clock right=%t store_ahead_ms=%d known=%t", d.clock.isInSync(), ahead/ms, known)
 	}
 }
 
-// observePosition takes in a position. A member's log only grows: a lower position is an older one, or one up to rounding the same, unless it
-// comes with an answer that was asked for after the known one was heard. Then the known one was wrong. Guards against positions that were
-// spoilt or put into the future, which would else stand for ever.
-func (d *Driver) observePosition(m member, s Observation, by source, asked int64) {
-	now, k, g := d.host.Now(), &d.known[m], d.of[m]
-	if s.Position == 0 || !d.plausible(s.Position) {
+// observePosition applies a position. A lower position than the known one is outdated, as logs
+// only grow, unless it answers a request made after the known one was received. This replaces
+// corrupted positions and positions in the future, which would otherwise persist.
+func (d *Driver) observePosition(m member, s Observation, from source, askedAt int64) {
+	now, state, g := d.host.Now(), &d.replication[m], d.groupOf[m]
+	if s.Position == 0 || !d.isPlausible(s.Position) {
 		return
 	}
-	later := by == byAnswer && asked > k.learned || !d.plausible(k.position)
-	if s.Position < k.position && !later {
+	isNewer := from == fromAnswer && askedAt > state.heardAt || !d.isPlausible(state.position)
+	if s.Position < state.position && !isNewer {
 		return
 	}
-	age := now - k.learned
-	if s.Role != k.role || age >= 2*d.due || age >= d.interval && s.Role == RoleReplica {
-		d.tell(m)
+	age := now - state.heardAt
+	if s.Role != state.role || age >= 2*d.positionMaxAge || age >= d.heartbeatInterval && s.Role == RoleReplica {
+		d.scheduleReport(m)
 	}
-	lowered := s.Position < k.position
-	k.position, k.learned, k.lag = s.Position, now, max(0, d.clock.at(now)-s.Position)
-	if lowered {
-		g.newest = d.newest(g)
+	isLowered := s.Position < state.position
+	state.position, state.heardAt, state.lag = s.Position, now, max(0, d.clock.toStore(now)-s.Position)
+	if isLowered {
+		g.newestPosition = d.newestPosition(g)
 	}
-	g.newest = max(g.newest, s.Position)
+	g.newestPosition = max(g.newestPosition, s.Position)
 }
 
-// plausible tells whether a position is not from the future, as far as can be told.
-func (d *Driver) plausible(position int64) bool {
+// isPlausible reports whether a position is not in the future, as far as is known.
+func (d *Driver) isPlausible(position int64) bool {
 	ahead, known := d.clock.offset()
 	return !known || position <= d.host.Now()+ahead+clockTolerance
 }
 
-// observeReplica takes in that a member is no primary.
-func (d *Driver) observeReplica(m member, position int64, by source) {
-	k, g, now := &d.known[m], d.of[m], d.host.Now()
-	// It was made before the member's last claim, as far as positions tell.
-	before := position != 0 && position+rounding < k.claimed && d.plausible(k.claimed)
+// observeReplica applies a statement that a member is not primary.
+func (d *Driver) observeReplica(m member, position int64, from source) {
+	state, g, now := &d.replication[m], d.groupOf[m], d.host.Now()
+	// Positions show that it was made before the member's last claim.
+	isOutdated := position != 0 && position+positionRounding < state.claimPosition && d.isPlausible(state.claimPosition)
 	switch {
-	case by != byAnswer && before:
+	case from != fromAnswer && isOutdated:
 		return
-	case by == byReport, before:
-		k.deniedTo = max(k.deniedTo, now)
-	case by == byAnswer: // it may still claim to be primary while it hands over
-		k.deniedTo = now + handover
+	case from == fromLoadReport, isOutdated:
+		state.claimsIgnoredUntil = max(state.claimsIgnoredUntil, now)
+	case from == fromAnswer: // it may still claim to be primary during the handover
+		state.claimsIgnoredUntil = now + handoverTime
 	}
-	if k.role == RolePrimary {
-		k.formerAt = d.clock.at(now)
-	} else if position > k.formerAt+rounding {
-		k.formerAt = 0
+	if state.role == RolePrimary {
+		state.ceasedPrimaryAt = d.clock.toStore(now)
+	} else if position > state.ceasedPrimaryAt+positionRounding {
+		state.ceasedPrimaryAt = 0
 	}
-	k.role = RoleReplica
+	state.role = RoleReplica
 	if g.primary == m {
-		g.primary = nobody
-		d.logf("primary lost group=%d member=%d by=%s confirmed_ms=%d", g.id, d.ids[m], sourceNames[by], (now-k.confirmed)/ms)
+		g.primary = noMember
+		d.logf("primary lost group=%d member=%d by=%s confirmed_ms=%d", g.id, d.ids[m], sourceNames[from], (now-state.primaryHeardAt)/ms)
 	}
 }
 
-// observePrimary takes in a claim to be primary.
-func (d *Driver) observePrimary(m member, position int64, by source, asked int64) {
-	k, g, now := &d.known[m], d.of[m], d.host.Now()
-	dated := now // a primary stands at the present
+// observePrimary applies a claim to be primary.
+func (d *Driver) observePrimary(m member, position int64, from source, askedAt int64) {
+	state, g, now := &d.replication[m], d.groupOf[m], d.host.Now()
+	evidenceTime := now // a primary's position is the current time
 	if position != 0 {
-		dated = min(now, d.clock.from(position))
+		evidenceTime = min(now, d.clock.toDriver(position))
 	}
-	made := int64(0) // at the earliest
-	if by == byAnswer {
-		made = asked
+	statedAt := int64(0) // earliest time of the claim
+	if from == fromAnswer {
+		statedAt = askedAt
 	}
 	if position != 0 {
-		made = max(made, dated)
+		statedAt = max(statedAt, evidenceTime)
 	}
-	if k.deniedTo != 0 && made <= k.deniedTo {
-		return // from before the word that it is none, or from a member about to hand over
+	if state.claimsIgnoredUntil != 0 && statedAt <= state.claimsIgnoredUntil {
+		return // made before the last denial, or during a handover
 	}
-	// A primary stands at the present: one whose position has not moved since its last claim was heard hangs, or was cut off and does not know.
-	asWhenHeard := by != byAnswer || position != 0 && asked > k.confirmed+rounding
-	standsStill := asWhenHeard && position <= k.claimed && d.plausible(k.claimed)
-	if lead := now - position; position != 0 && (k.role != RolePrimary || lead < k.leastLead) {
-		k.leastLead = lead
+	// A primary's position follows the clock: one that has not moved since the last claim shows a hung or isolated member.
+	isComparable := from != fromAnswer || position != 0 && askedAt > state.primaryHeardAt+positionRounding
+	isStuck := isComparable && position <= state.claimPosition && d.isPlausible(state.claimPosition)
+	if lead := now - position; position != 0 && (state.role != RolePrimary || lead < state.minLead) {
+		state.minLead = lead
 	}
-	k.role, k.formerAt = RolePrimary, 0
-	if d.plausible(position) && (position > k.claimed || !d.plausible(k.claimed)) {
-		k.claimed = position
+	state.role, state.ceasedPrimaryAt = RolePrimary, 0
+	if d.isPlausible(position) && (position > state.claimPosition || !d.isPlausible(state.claimPosition)) {
+		state.claimPosition = position
 	}
-	if !standsStill {
-		k.confirmed, k.made = now, made
+	if !isStuck {
+		state.primaryHeardAt, state.primaryStatedAt = now, statedAt
 	}
-	if g.primary != m && dated >= g.since {
+	if g.primary != m && evidenceTime >= g.primarySince {
 		d.setPrimary(g, m)
-		d.logf("primary group=%d member=%d by=%s evidence_ms=%d", g.id, d.ids[m], sourceNames[by], (now-dated)/ms)
+		d.logf("primary group=%d member=%d by=%s evidence_ms=%d", g.id, d.ids[m], sourceNames[from], (now-evidenceTime)/ms)
 	}
-	g.since = max(g.since, dated)
+	g.primarySince = max(g.primarySince, evidenceTime)
 }
 
-// newest is the position of the most advanced member of a group.
-func (d *Driver) newest(g *group) (position int64) {
+// newestPosition returns the highest position of a group.
+func (d *Driver) newestPosition(g *group) (position int64) {
 	for _, m := range g.members {
-		position = max(position, d.known[m].position)
+		position = max(position, d.replication[m].position)
 	}
 	return position
 }
 
-// StoreNow is the time by the clock that positions count by, more or less.
-func (d *Driver) StoreNow() int64 { return d.clock.around(d.host.Now()) }
+// StoreNow returns the approximate time on the store's clock.
+func (d *Driver) StoreNow() int64 { return d.clock.estimate(d.host.Now()) }
 
-// Denied hears that a member has said that it is no primary where nothing else of what it said may be relied on: before an answer that may yet
-// break off, or at the start of a connection. It counts from then on.
-func (d *Driver) Denied(id MemberID) {
+// NotPrimary records that a member denied being primary outside a complete answer: before an
+// answer that may still break off, or at the start of a connection.
+func (d *Driver) NotPrimary(id MemberID) {
 	if m, known := d.index[id]; known {
-		d.observeReplica(m, 0, byAnswer)
+		d.observeReplica(m, 0, fromAnswer)
 	}
 }
--- a/rules/state.go
+++ b/rules/state.go
@@ -6,147 +6,149 @@
 	"slices"
 )
 
-type member int // dense index of a member in the parallel arrays of the parts below
-
-const nobody member = -1
-
-// roster is what the list tells, and how it is kept up.
-type roster struct {
-	notice  Notice
-	asked   bool
-	pausing bool  // before it is asked for again
-	looking int64 // when the last new member is looked at for the first time
-	ids     []MemberID
-	of      []*group
-	zone    []string
-	state   []State
-	size    []float64
-	kept    []bool   // member of its group, looked at by a probe loop where probes are allowed
-	keeping int      // members that are
-	free    []member // places of members that were dropped
+// member is a dense index into the per-member slices below.
+type member int
+
+const noMember member = -1
+
+// membership is the state known from discovery, and of the watch that delivers it.
+type membership struct {
+	discovery      Discovery
+	isWatching     bool
+	retryPending   bool  // a failed watch is about to be retried
+	nextFirstProbe int64 // time of the latest first probe scheduled for a new member
+	ids            []MemberID
+	groupOf        []*group
+	zone           []string
+	state          []MemberState
+	weight         []float64
+	isInGroup      []bool   // the member belongs to its group and is probed periodically, where probing is allowed
+	groupedCount   int      // number of members with isInGroup set
+	freeSlots      []member // slots of removed members
 }
 
-// observations are the positions and roles observed. Times are 0 for never, here and below.
+// observations are the observed positions and roles. A time of 0 means never, here and below.
 type observations struct {
-	store                 Store
-	clock                 storeClock
-	interval, due, rarest int64          // the estimate's; when positions are old; most between own probes
-	known                 []replicaState // of each member
-	fleet                 Fleet
-	told                  int64 // when the last news went to the fellow drivers
-	telling               bool
-	untold                []bool
-	answered              []int64 // answer time not yet told
-	erred                 []bool  // and whether the last answer was an error
+	store                                               Store
+	clock                                               storeClock
+	heartbeatInterval, positionMaxAge, maxProbeInterval int64 // of the staleness estimate; age at which positions are refreshed; limit between own probes
+	replication                                         []replicationState
+	fleet                                               Fleet
+	lastGossip                                          int64 // when reports were last sent to peers
+	gossipPending                                       bool
+	hasUnsentReport                                     []bool
+	unsentLatency                                       []int64 // latency not yet reported to peers
+	lastAnswerFailed                                    []bool
 }
 
-// health is how members answer this driver.
+// health is how members respond to this driver.
 type health struct {
-	heard, asking, aside []int64   // last answer; the unanswered probe's time; set aside until
-	lookedAt             []int64   // when its last probe ended
-	silent, back         []bool    // does not answer; on a trickle that doubles
-	out, lost, refused   []int     // attempts out, and those lost and refused in a row
-	first                float64   // room before answers teach better
-	room, took, strain   []float64 // attempts it may hold; smoothed answer time, and over soft deadline
-	errors               []float64 // smoothed share of answers that were errors
-	wrong                []int64   // when the last of them came
-	since                []int64   // when it fell silent
-	timed                []int64   // when its answer time was last learned
-	scarce               int64     // until when connections are
+	lastHeard, probeStarted, ejectedUntil              []int64 // last answer; start of the pending probe; end of ejection or backoff
+	lastProbeEnd                                       []int64
+	isUnresponsive, isRecovering                       []bool    // does not answer; limit doubles with each answer
+	inFlight, consecutiveLosses, consecutiveRejections []int     // attempts in flight, and those lost and rejected in a row
+	initialLimit                                       float64   // concurrency limit before any answer
+	limit, latency, latencyRatio                       []float64 // concurrency limit; smoothed latency, and its ratio to the soft deadline
+	errorRate                                          []float64 // smoothed share of answers that were errors
+	lastError                                          []int64
+	unresponsiveSince                                  []int64
+	latencyUpdated                                     []int64
+	connectionsScarceUntil                             int64 // idle connections are closed until then
 }
 
-// warming is the budget of members that have just started.
-type warming struct {
+// slowStartState holds the budgets of members that started recently.
+type slowStartState struct {
 	SlowStart
-	lastLot   []int64 // when the last lot was drawn for it
-	served    []int64 // requests that it answered ok
-	listing   []int64 // start by the list, on the store's clock
-	restarted []int64 // start by a silence that is taken for a restart, on the driver's clock
-	guessed   []int64 // when that silence began
-	opened    []int64 // when the connection was that its last answer came on
+	lastDraw            []int64 // last random admission draw
+	answered            []int64 // attempts answered successfully
+	listedStart         []int64 // start time by discovery, on the store's clock
+	inferredStart       []int64 // start time inferred from an outage, on the driver's clock
+	inferredOutageStart []int64 // when that outage began
+	connectedAt         []int64 // when the connection of the last answer was opened
 }
 
+// group is the state of one group of members.
 type group struct {
-	id        GroupID
-	members   []member
-	primary   member
-	newest    int64 // position of its members
-	since     int64 // date of the evidence that named the primary
-	held      []*call
-	last      int64
-	gap, took float64 // smoothed: between this driver's requests; answer time
-	load      groupLoad
+	id                       GroupID
+	members                  []member
+	primary                  member
+	newestPosition           int64 // highest position of the group's members
+	primarySince             int64 // time of the evidence that named the primary
+	held                     []*call
+	lastRequest              int64
+	requestInterval, latency float64 // smoothed: time between this driver's requests; latency
+	throughput               groupThroughput
 }
 
-// call is an RPC being worked on.
+// call is an RPC in progress.
 type call struct {
 	RPC
-	method               *Method
-	group                *group
-	deadline, soft       int64
-	tries                int
-	out                  []int // numbers of the attempts still out
-	tried                []member
-	risk                 int64 // when the first attempt that may have run was sent, 0 for none
-	riskZone             string
-	held, started, ended bool   // started: its answer has begun to stream
-	reached              bool   // a member got an attempt for it
-	looked               member // the replica probed for it last
-	looks                int
-	asks                 int     // probes by which the primary was asked for it whether it still is one
-	askedAt              int64   // when the first of them was made
-	lot                  float64 // drawn once, for whether it may go to a strained primary
+	method                        *Method
+	group                         *group
+	deadline, softDeadline        int64
+	attempts                      int
+	inFlight                      []int // numbers of the attempts in flight
+	tried                         []member
+	mayHaveExecutedAt             int64 // when the first attempt that may have executed was sent, 0 if none
+	mayHaveExecutedZone           string
+	isHeld, isStreaming, hasEnded bool // isStreaming: its response has begun to stream
+	hasReachedMember              bool
+	probedReplica                 member // replica last probed for it
+	replicaProbes                 int
+	primaryProbes                 int     // probes that asked the primary for this RPC whether it still is one
+	primaryProbedAt               int64   // when the first of them was sent
+	latencyDraw                   float64 // random draw that sets the latency threshold of hasLatencyHeadroom
 }
 
-// picking is the memory that picks use one after another.
-type picking struct {
-	passers, unknown []member
-	costs, lots      []float64
+// pickScratch holds slices that pickMember reuses.
+type pickScratch struct {
+	eligible, outdated       []member
+	costs, cumulativeWeights []float64
 }
 
-// Driver decides for one instance.
+// Driver makes the routing decisions of one driver instance.
 type Driver struct {
-	roster
+	membership
 	observations
 	health
-	warming
-	picking       picking
-	spare         float64 // further attempts that may be made now
-	success       float64 // share of recent further attempts that were ok
-	host          Host
-	rng           *rand.Rand
-	methods       []Method
-	allowed       Allowed
-	index         map[MemberID]member
-	groups        map[GroupID]*group
-	calls         map[RPCID]*call
-	tokens, older map[string]int64 // last commits of sessions by answers; those of the time before
-	swept, floor  int64            // when the oldest were dropped; the newest of them, which all must see
-	soft          int64            // mean soft deadline of the methods
-	begun, taken  int64            // when this driver began, and when its last RPC came
-	gap           float64          // smoothed time between RPCs
+	slowStartState
+	scratch                             pickScratch
+	retryTokens                         float64 // retry budget
+	retrySuccessRate                    float64 // smoothed share of retries that succeeded
+	host                                Host
+	rng                                 *rand.Rand
+	methods                             []Method
+	policy                              Policy
+	index                               map[MemberID]member
+	groups                              map[GroupID]*group
+	calls                               map[RPCID]*call
+	sessionCommits, olderSessionCommits map[string]int64 // last commits by session; those of the previous retention period
+	lastCommitSweep, droppedCommitMax   int64            // last start of a period; newest dropped commit, which all session reads must see
+	meanSoftDeadline                    int64            // over all methods
+	startedAt, lastRPC                  int64            // when this driver started, and when its last RPC arrived
+	rpcInterval                         float64          // smoothed time between RPCs
 }
 
-// place gives a place in the arrays, with nothing of whoever had it before.
-func (d *Driver) place() member {
+// allocateSlot returns a zeroed slot in the per-member slices.
+func (d *Driver) allocateSlot() member {
 	m := member(len(d.ids))
-	if last := len(d.free) - 1; last >= 0 {
-		m, d.free = d.free[last], d.free[:last]
+	if last := len(d.freeSlots) - 1; last >= 0 {
+		m, d.freeSlots = d.freeSlots[last], d.freeSlots[:last]
 	}
-	blank(m, &d.ids)
-	blank(m, &d.of)
-	blank(m, &d.zone)
-	blank(m, &d.state)
-	blank(m, &d.known)
-	blank(m, &d.heard, &d.asking, &d.lookedAt, &d.aside, &d.lastLot, &d.answered, &d.timed, &d.served, &d.since, &d.wrong,
-		&d.listing, &d.restarted, &d.guessed, &d.opened)
-	blank(m, &d.silent, &d.back, &d.untold, &d.kept, &d.erred)
-	blank(m, &d.out, &d.lost, &d.refused)
-	blank(m, &d.room, &d.took, &d.strain, &d.size, &d.errors)
+	resetSlot(m, &d.ids)
+	resetSlot(m, &d.groupOf)
+	resetSlot(m, &d.zone)
+	resetSlot(m, &d.state)
+	resetSlot(m, &d.replication)
+	resetSlot(m, &d.lastHeard, &d.probeStarted, &d.lastProbeEnd, &d.ejectedUntil, &d.lastDraw, &d.unsentLatency, &d.latencyUpdated, &d.answered, &d.unresponsiveSince, &d.lastError,
+		&d.listedStart, &d.inferredStart, &d.inferredOutageStart, &d.connectedAt)
+	resetSlot(m, &d.isUnresponsive, &d.isRecovering, &d.hasUnsentReport, &d.isInGroup, &d.lastAnswerFailed)
+	resetSlot(m, &d.inFlight, &d.consecutiveLosses, &d.consecutiveRejections)
+	resetSlot(m, &d.limit, &d.latency, &d.latencyRatio, &d.weight, &d.errorRate)
 	return m
 }
 
-func blank[T any](m member, arrays ...*[]T) {
+func resetSlot[T any](m member, arrays ...*[]T) {
 	for _, a := range arrays {
 		if int(m) == len(*a) {
 			*a = append(*a, *new(T))
@@ -155,50 +157,50 @@
 	}
 }
 
-// keep makes a member one of its group.
-func (d *Driver) keep(m member) {
-	d.kept[m] = true
-	d.keeping++
-	d.of[m].members = append(d.of[m].members, m)
+// addToGroup adds a member to its group.
+func (d *Driver) addToGroup(m member) {
+	d.isInGroup[m] = true
+	d.groupedCount++
+	d.groupOf[m].members = append(d.groupOf[m].members, m)
 }
 
-// Met tells whether anything was heard of a member, from itself or from a fellow driver.
-func (d *Driver) Met(id MemberID) bool {
+// Known reports whether a member was heard of, from itself or from a peer.
+func (d *Driver) Known(id MemberID) bool {
 	m, known := d.index[id]
-	return known && d.met(m)
+	return known && d.isKnown(m)
 }
 
-func (d *Driver) met(m member) bool { return d.heard[m] != 0 || d.known[m].learned != 0 }
+func (d *Driver) isKnown(m member) bool { return d.lastHeard[m] != 0 || d.replication[m].heardAt != 0 }
 
-// many tells whether this is one of so many drivers that it sees little of a member by itself.
-func (d *Driver) many() bool { return d.first <= 1 }
+// isInLargeFleet reports whether there are so many drivers that each has few samples of a member.
+func (d *Driver) isInLargeFleet() bool { return d.initialLimit <= 1 }
 
-// fewOrMany gives what holds for a driver of few, or else for one of many.
-func fewOrMany[T any](d *Driver, few, many T) T {
-	if d.many() {
-		return many
+// byFleetSize returns the value that applies to the size of the fleet.
+func byFleetSize[T any](d *Driver, small, large T) T {
+	if d.isInLargeFleet() {
+		return large
 	}
-	return few
+	return small
 }
 
-// Reached tells whether all of a group's members that answer and are to serve, its primary among them, were seen at a
-// position or past it.
-func (d *Driver) Reached(id GroupID, position int64) bool {
+// CaughtUp reports whether all responsive healthy members of a group, its primary included, have
+// reached a position.
+func (d *Driver) CaughtUp(id GroupID, position int64) bool {
 	g := d.groups[id]
-	if g == nil || g.primary == nobody || d.silent[g.primary] || d.known[g.primary].position < position {
+	if g == nil || g.primary == noMember || d.isUnresponsive[g.primary] || d.replication[g.primary].position < position {
 		return false
 	}
 	for _, m := range g.members {
-		if d.state[m] == Healthy && !d.silent[m] && d.known[m].position < position {
+		if d.state[m] == Healthy && !d.isUnresponsive[m] && d.replication[m].position < position {
 			return false
 		}
 	}
 	return true
 }
 
-// Look probes a group's members, for somebody who waits until they are Reached.
-func (d *Driver) Look(id GroupID) {
-	if g := d.groups[id]; g != nil && d.allowed.Probes {
+// ProbeGroup probes a group's members, for a caller that waits for CaughtUp.
+func (d *Driver) ProbeGroup(id GroupID) {
+	if g := d.groups[id]; g != nil && d.policy.Probing {
 		for _, m := range g.members {
 			if d.state[m] == Healthy {
 				d.probe(m)
@@ -207,99 +209,103 @@
 	}
 }
 
-// drop gives a member's place back. Nothing may be out for it.
-func (d *Driver) drop(m member) {
-	g := d.of[m]
+// removeMember frees a member's slot. It must have no attempts or probes in flight.
+func (d *Driver) removeMember(m member) {
+	g := d.groupOf[m]
 	g.members = slices.DeleteFunc(g.members, func(o member) bool { return o == m })
 	if g.primary == m {
-		g.primary = nobody
+		g.primary = noMember
 	}
-	g.newest = d.newest(g)
-	d.kept[m] = false
-	d.keeping--
+	g.newestPosition = d.newestPosition(g)
+	d.isInGroup[m] = false
+	d.groupedCount--
 	delete(d.index, d.ids[m])
-	d.free = append(d.free, m)
+	d.freeSlots = append(d.freeSlots, m)
 	d.host.Forget(d.ids[m])
 }
 
-// add makes room for a member in the arrays; took, gap and room are what to expect at first.
-func (d *Driver) add(l Listing, took, gap, room float64) member {
-	m := d.place()
-	g := d.groups[l.Group]
+// addMember allocates a slot for a member, with initial values for its limit and a new group's
+// estimates.
+func (d *Driver) addMember(entry MemberEntry, latency, requestInterval, limit float64) member {
+	m := d.allocateSlot()
+	g := d.groups[entry.Group]
 	if g == nil {
-		g = newGroup(l.Group, d.host.Now(), took, gap)
-		d.groups[l.Group] = g
+		g = newGroup(entry.Group, d.host.Now(), latency, requestInterval)
+		d.groups[entry.Group] = g
 	}
-	d.index[l.Member] = m
-	d.ids[m], d.of[m], d.zone[m], d.state[m] = l.Member, g, l.Zone, l.State
-	d.room[m], d.took[m], d.size[m] = room, g.took, 1
+	d.index[entry.Member] = m
+	d.ids[m], d.groupOf[m], d.zone[m], d.state[m] = entry.Member, g, entry.Zone, entry.State
+	d.limit[m], d.latency[m], d.weight[m] = limit, g.latency, 1
 	return m
 }
 
-func newGroup(id GroupID, now int64, took, gap float64) *group {
-	begins := warmLoad{at: now}
-	return &group{id: id, primary: nobody, took: took, gap: gap, load: groupLoad{begins, begins}}
+func newGroup(id GroupID, now int64, latency, requestInterval float64) *group {
+	initial := warmThroughput{updatedAt: now}
+	return &group{id: id, primary: noMember, latency: latency, requestInterval: requestInterval, throughput: groupThroughput{initial, initial}}
 }
 
-// isRead tells whether a replica may answer.
-func (c *call) isRead() bool { return c.method.Need != NeedPrimary && c.method.Need != NeedFresh }
+// isRead reports whether a replica may serve the RPC.
+func (c *call) isRead() bool {
+	return c.method.Consistency != ConsistencyWrite && c.method.Consistency != ConsistencyLinearizable
+}
 
-// last is when an answer is of use at the latest.
-func (c *call) last() int64 {
+// usefulUntil returns the latest time at which an answer is of use.
+func (c *call) usefulUntil() int64 {
 	if c.method.LateUtility == 0 {
-		return min(c.deadline, c.soft)
+		return min(c.deadline, c.softDeadline)
 	}
 	return c.deadline
 }
 
-func (c *call) worth(now int64) float64 {
-	if now > c.soft {
+func (c *call) utility(now int64) float64 {
+	if now > c.softDeadline {
 		return c.method.Utility * c.method.LateUtility
 	}
 	return c.method.Utility
 }
 
-// Left hears that the client of an RPC has gone.
-func (d *Driver) Left(id RPCID) {
+// ClientLeft ends an RPC whose client has disconnected.
+func (d *Driver) ClientLeft(id RPCID) {
 	if c := d.calls[id]; c != nil {
-		d.end(c)
+		d.endCall(c)
 	}
 }
 
-func (d *Driver) end(c *call) {
-	c.ended = true
+func (d *Driver) endCall(c *call) {
+	c.hasEnded = true
 	delete(d.calls, c.ID)
-	d.cancelOut(c, -1)
+	d.cancelInFlight(c, -1)
 }
 
-// cancelOut calls off what is out for an RPC, but for one attempt.
-func (d *Driver) cancelOut(c *call, but int) {
-	for _, n := range c.out {
-		if d.allowed.Cancel && n != but {
+// cancelInFlight cancels the attempts of an RPC that are in flight, except one.
+func (d *Driver) cancelInFlight(c *call, except int) {
+	for _, n := range c.inFlight {
+		if d.policy.Cancellation && n != except {
 			d.host.Cancel(c.ID, n)
 		}
 	}
 }
 
-// remember keeps a session's last commit for one to two spans; of those dropped the newest holds for all sessions.
-func (d *Driver) remember(c *call, commit, span int64) {
-	if c.method.Need == NeedPrimary && !d.store.Carried {
-		d.tokens[c.Session] = max(d.tokens[c.Session], commit)
+// recordCommit records a session's last commit, which is kept for one to two retention periods.
+// The newest dropped commit then applies to all sessions.
+func (d *Driver) recordCommit(c *call, commit, retention int64) {
+	if c.method.Consistency == ConsistencyWrite && !d.store.CarriesSessionToken {
+		d.sessionCommits[c.Session] = max(d.sessionCommits[c.Session], commit)
 	}
-	if now := d.host.Now(); now > d.swept+span {
-		for _, t := range d.older {
-			d.floor = max(d.floor, t)
+	if now := d.host.Now(); now > d.lastCommitSweep+retention {
+		for _, t := range d.olderSessionCommits {
+			d.droppedCommitMax = max(d.droppedCommitMax, t)
 		}
-		d.older, d.tokens, d.swept = d.tokens, map[string]int64{}, now
+		d.olderSessionCommits, d.sessionCommits, d.lastCommitSweep = d.sessionCommits, map[string]int64{}, now
 	}
 }
 
-// upTo draws a span below another, 0 where that is none.
-func (d *Driver) upTo(span int64) int64 {
-	if span <= 0 {
+// randomBelow returns a random duration in [0, limit), or 0 if limit is not positive.
+func (d *Driver) randomBelow(limit int64) int64 {
+	if limit <= 0 {
 		return 0
 	}
-	return d.rng.Int63n(span)
+	return d.rng.Int63n(limit)
 }
 
 func (d *Driver) logf(format string, args ...any) { d.host.Log(fmt.Sprintf(format, args...)) }
