--- a/internal/council/chamber/record.go
+++ b/internal/council/chamber/record.go
@@ -9,9 +9,9 @@
 	Data    json.RawMessage `json:"data"`
 }
 
-// Machine is one of the state machines on the council's log. Its methods are called one after another, at every voter in
+// StateMachine is one of the state machines on the council's log. Its methods are called one after another, at every voter in
 // the same order. They must not call the chamber.
-type Machine interface {
+type StateMachine interface {
 	// Apply takes a record in that the council has agreed on. What it makes of it must be the same at every voter.
 	Apply(data []byte)
 	// Snapshot is all that was applied, for Restore at a voter that is far behind.
--- a/internal/store/journal_test.go
+++ b/internal/store/journal_test.go
@@ -77,7 +77,7 @@
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path)
 	require.NoError(t, err)
-	c := NewCommitter(j, 16)
+	c := NewBatchWriter(j, 16)
 	var all sync.WaitGroup
 	for i := range 200 {
 		all.Add(1)
@@ -87,7 +87,7 @@
 		}()
 	}
 	all.Wait()
-	writes, records := c.Counts()
+	writes, records := c.Stats()
 	require.EqualValues(t, 200, records)
 	require.Less(t, writes, int64(100))
 	got, err := read(j)
@@ -106,8 +106,8 @@
 	for i := range 10 {
 		require.NoError(t, j.Append([]byte(fmt.Sprint(i))))
 	}
-	require.NoError(t, j.Drop(20))
-	require.NoError(t, j.Drop(3))
+	require.NoError(t, j.TrimOldest(20))
+	require.NoError(t, j.TrimOldest(3))
 	require.NoError(t, j.Append([]byte("10")))
 	require.NoError(t, j.Close())
 	j, err = Open(path)
@@ -115,7 +115,7 @@
 	got, err := read(j)
 	require.NoError(t, err)
 	require.Equal(t, []string{"7", "8", "9", "10"}, got)
-	require.NoError(t, j.Drop(0))
+	require.NoError(t, j.TrimOldest(0))
 	got, err = read(j)
 	require.NoError(t, err)
 	require.Empty(t, got)
@@ -128,7 +128,7 @@
 		b.Run(fmt.Sprint(many, " at once"), func(b *testing.B) {
 			j, err := Open(filepath.Join(b.TempDir(), "j"))
 			require.NoError(b, err)
-			c := NewCommitter(j, many)
+			c := NewBatchWriter(j, many)
 			record := make([]byte, 120)
 			var all sync.WaitGroup
 			b.ResetTimer()
@@ -142,7 +142,7 @@
 				}()
 			}
 			all.Wait()
-			writes, records := c.Counts()
+			writes, records := c.Stats()
 			b.ReportMetric(float64(records)/float64(writes), "records/write")
 			j.Close()
 		})
