--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -1,11 +1,11 @@
-// Package council is how a few drivers agree on one log of records. It drives the step function of go.etcd.io/raft and
-// adds what this program needs on top: a leader's tenure in terms of clock rates alone, voters whose disks have come back
-// old, are slow or stand still, and who votes. It does no I/O, reads no clock and starts no goroutine: ticks, packets and
-// what the disk has written come in; packets to send at once and writes for the disk go out, and what rests on a write
-// goes out once that is said to be written. docs/fleet.md weighs the ways.
+// Package council replicates a log of records among a few drivers. It wraps the RawNode of
+// go.etcd.io/raft and adds a leader lease that depends only on clock rates, protection against
+// voters whose disks were restored from old copies, are slow or hang, and membership changes. It
+// does no I/O, reads no clock and starts no goroutines: the caller passes in ticks, packets and
+// completed writes, and gets back packets to send and writes to make durable.
 //
-// What goes on without a quorum: nothing new is recorded, and nobody has a tenure once the last one is over, so no lease
-// is given and drivers act on those they hold until their end. A quorum that comes back elects by itself and goes on.
+// Without a quorum nothing is committed, and after the last lease has ended no voter acts as
+// leader. The council recovers by itself when a quorum is back.
 package council
 
 import (
@@ -15,40 +15,42 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// VoterID is a voter's number, never used again for another. 0 is nobody.
+// VoterID identifies a voter and is never reused. 0 means none.
 type VoterID uint64
 
-// Timing is how a council counts time.
+// Timing holds the timing parameters of a council; they must be the same at all voters.
 type Timing struct {
 	Tick          int64   // nanoseconds between two calls of Seat.Tick
-	ElectionTicks int     // a leader is looked for after so many ticks without one at the earliest, at least 4
-	MaxDrift      float64 // the most by which any voter's clock runs fast or slow, as a part of 1
+	ElectionTicks int     // minimum election timeout in ticks, at least 4
+	MaxDrift      float64 // bound on the rate error of any voter's clock, as a fraction
 }
 
-// LeaderLease is how long a leader may act for the council after it sent what a quorum has acknowledged, by its own clock:
+// LeaderLease returns how long a leader may act after it sent a heartbeat that a quorum
+// acknowledged, by its own clock:
 //
-//	(Election - 2) * Tick * (1 - Drift) / (1 + Drift)
+//	(ElectionTicks - 2) * Tick * (1 - MaxDrift) / (1 + MaxDrift)
 //
-// A voter that took in a leader's message gives nobody else its vote for Election of its own ticks. The first of them may
-// have been due already when the message was taken in, and the next follow at a ticker's pace, so that Election - 2 whole
-// ticks pass at the least, each shorter by the drift of the voter's clock and longer by that of the leader's.
+// A voter that received a leader's message grants no other candidate its vote for ElectionTicks of
+// its own ticks. The first tick may be due already, so at least ElectionTicks - 2 whole ticks pass,
+// corrected for the drift of both clocks.
 func (p Timing) LeaderLease() int64 {
 	return int64(float64(p.ElectionTicks-2) * float64(p.Tick) * (1 - p.MaxDrift) / (1 + p.MaxDrift))
 }
 
-// LogPosition is how far a voter's disk was when it last showed others: what it must hold whenever it comes back.
+// LogPosition is how far a voter's disk is known to have advanced; it must never be behind that
+// again.
 type LogPosition struct {
-	Term      uint64 `json:"term"` // that it has seen, or voted in
+	Term      uint64 `json:"term"` // highest term seen or voted in
 	LastTerm  uint64 `json:"last_term"`
-	LastIndex uint64 `json:"last"` // of the entry of LastTerm that it acknowledged
+	LastIndex uint64 `json:"last"` // highest acknowledged index of LastTerm
 }
 
-// exceeds tells whether a disk that is at s lacks something that a voter had shown.
+// exceeds reports whether p is ahead of other in term or log.
 func (p LogPosition) exceeds(other LogPosition) bool {
 	return p.Term > other.Term || p.LastTerm > other.LastTerm || p.LastTerm == other.LastTerm && p.LastIndex > other.LastIndex
 }
 
-// merge is the most of two.
+// merge returns the maximum of two positions.
 func (p LogPosition) merge(other LogPosition) LogPosition {
 	next := p
 	next.Term = max(p.Term, other.Term)
@@ -58,26 +60,26 @@
 	return next
 }
 
-// Packet is what one voter sends another.
+// Packet is a message from one voter to another.
 type Packet struct {
 	From      VoterID                 `json:"from"`
 	To        VoterID                 `json:"to"`
-	Messages  [][]byte                `json:"messages,omitempty"` // of raft
-	IsQuery   bool                    `json:"hello,omitempty"`    // From has started: what is known of it?
-	IsReply   bool                    `json:"reply,omitempty"`    // the answer is in Seen
-	Positions map[VoterID]LogPosition `json:"seen,omitempty"`     // what From knows that voters have shown
+	Messages  [][]byte                `json:"messages,omitempty"` // encoded raft messages
+	IsQuery   bool                    `json:"hello,omitempty"`    // From is starting and asks for its last known position
+	IsReply   bool                    `json:"reply,omitempty"`    // reply to a query, with the answer in Positions
+	Positions map[VoterID]LogPosition `json:"seen,omitempty"`     // positions that From knows
 }
 
-// DiskState is what a voter's disk holds.
+// DiskState is the durable state of a voter.
 type DiskState struct {
 	HardState      *raftpb.HardState // nil on a new disk
-	Snapshot       *raftpb.Snapshot  // nil on the new disk of a voter that joins
+	Snapshot       *raftpb.Snapshot  // nil on the new disk of a joining voter
 	Entries        []*raftpb.Entry
-	Position       LogPosition             // how far this voter's disk ever was
-	KnownPositions map[VoterID]LogPosition // what others have shown
+	Position       LogPosition             // furthest position this disk has reached
+	KnownPositions map[VoterID]LogPosition // of the voters, as this voter knows them
 }
 
-// NewDiskState is the new disk of a voter of a council that begins with these voters, the same at each of them.
+// NewDiskState returns the initial durable state of each voter of a new council.
 func NewDiskState(voters []VoterID) DiskState {
 	initialIndex := uint64(1)
 	confState := &raftpb.ConfState{}
@@ -88,8 +90,9 @@
 		Snapshot: &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{ConfState: confState, Index: &initialIndex, Term: &initialIndex}}}
 }
 
-// Sizes of a council that are worth having: an even one bears no more losses than the odd one below it.
-func sizeAllowed(voters int) error {
+// validateVoterCount rejects even sizes, which tolerate no more failures than the next smaller odd
+// size, and large ones.
+func validateVoterCount(voters int) error {
 	if voters != 1 && voters != 3 && voters != 5 && voters != 7 {
 		return fmt.Errorf("%d voters: a council has 1, 3, 5 or 7", voters)
 	}
--- a/internal/council/seat.go
+++ b/internal/council/seat.go
@@ -15,334 +15,343 @@
 	"sedgespread/internal/planted"
 )
 
-// Node is one voter. Its methods are to be called one after another; after each, Work until there is none.
+// Node is the raft node of one voter. Its methods must not be called concurrently; after each call,
+// call Ready until it reports no more work.
 //
-//	state     it becomes this when                               what it does
-//	asking    it has started                                     asks the others how far it was; nothing else
-//	sworn     all others have answered, or a majority with its   all that a voter does, but gives no vote within Election
-//	          own and 2 * Election ticks have passed, and its    ticks of its start: before it, it may have been a quorum's
-//	          disk lacks nothing that it had shown               part in a tenure
-//	refused   somebody knows that its disk lacks what it had     nothing, for good: its number may not vote any more
-//	          shown
+//	state      entered when                                  behaviour
+//	starting   it is created                                 asks its peers for its last known log position; nothing else
+//	active     all peers have replied, or a majority         takes part in the council, but grants no vote within
+//	           (itself included) after 2 * ElectionTicks,    ElectionTicks of its start, since before a restart it may
+//	           and its disk is not behind that position      have acknowledged a lease that still runs
+//	refused    a peer knows a position beyond its disk       nothing, permanently: its voter ID must not vote again
 type Node struct {
-	id      VoterID
-	pace    Timing
-	rng     *rand.Rand
-	rawNode *raft.RawNode
-	store   *raft.MemoryStorage
-	conf    *raftpb.ConfState
-
-	seen     map[VoterID]LogPosition
-	answered map[VoterID]bool
-	sworn    bool
-	refused  string
-	ticks    int // since the start
-	quiet    int // ticks since a leader was heard, or a vote given
-	patience int // so many of which are borne before a leader is looked for
-	vain     int // times that a leader was looked for since one was heard
-
-	reached  LogPosition // how far the disk ever was
-	promised LogPosition // how far it will have been once all writes given out are on it
-	writes   int         // given out and not yet written
-	stalled  int         // ticks for which the disk has written none of them
-
-	term    uint64
-	lead    VoterID
-	leads   bool
-	applied uint64
-	ownTerm uint64 // of the newest entry applied
-	tenure  int64  // end of the last confirmed, own clock
-	packets []Packet
-	hard    *raftpb.HardState // that is on the disk
-	strange bool              // who votes has changed since the last snapshot
+	id        VoterID
+	timing    Timing
+	rng       *rand.Rand
+	rawNode   *raft.RawNode
+	storage   *raft.MemoryStorage
+	confState *raftpb.ConfState
+
+	knownPositions     map[VoterID]LogPosition
+	hasReplied         map[VoterID]bool
+	isActive           bool
+	refusalReason      string
+	ticksSinceStart    int
+	ticksWithoutLeader int // since the last message of a leader, or the last vote granted
+	electionTimeout    int // ticks without a leader before it campaigns
+	failedElections    int // campaigns since the last message of a leader
+
+	durablePosition LogPosition // furthest position the disk has reached
+	pendingPosition LogPosition // position of the disk once all pending writes are durable
+	pendingWrites   int         // handed out by Ready or Compact and not completed
+	stalledTicks    int         // ticks since a write last completed while writes are pending
+
+	term         uint64
+	leader       VoterID
+	isLeader     bool
+	appliedIndex uint64
+	appliedTerm  uint64 // term of the last applied entry
+	leaseEnd     int64  // by this voter's clock
+	packets      []Packet
+	hardState    *raftpb.HardState // as durable on disk
+	confChanged  bool              // the configuration changed after the last snapshot
 }
 
-// maxInflight and the sizes bound what a leader sends ahead.
+// Limits of the raft node.
 const (
-	maxMessage     = 1 << 20
-	maxInflight    = 64
-	maxUncommitted = 16 << 20
-	compactAfter   = 2048 // entries beyond the last snapshot
-	compactLeaves  = 256  // that followers a little behind still get one by one
-	bearsStalled   = 8    // Election times for which a leader's disk may stand still
-	mostVain       = 3    // doublings of the time in which a leader is looked for: a disk slower than that may not lead
+	maxMessageBytes      = 1 << 20
+	maxInflightMessages  = 64
+	maxUncommittedBytes  = 16 << 20
+	compactAfterEntries  = 2048 // entries in the log before it is compacted
+	retainedEntries      = 256  // entries kept for followers that lag slightly
+	maxStalledElections  = 8    // multiples of ElectionTicks without a completed write
+	maxElectionDoublings = 3    // of the election timeout after failed elections
 )
 
-// NewNode seats a voter over what its disk holds.
-func NewNode(id VoterID, pace Timing, diskState DiskState, seed int64) (*Node, error) {
-	s := &Node{id: id, pace: pace, rng: rand.New(rand.NewSource(seed)), store: raft.NewMemoryStorage(), hard: diskState.HardState,
-		seen: map[VoterID]LogPosition{}, answered: map[VoterID]bool{}, conf: &raftpb.ConfState{}, reached: diskState.Position}
-	maps.Copy(s.seen, diskState.KnownPositions)
+// NewNode returns a node that resumes from diskState. The seed sets its random election timeouts.
+func NewNode(id VoterID, timing Timing, diskState DiskState, seed int64) (*Node, error) {
+	n := &Node{id: id, timing: timing, rng: rand.New(rand.NewSource(seed)), storage: raft.NewMemoryStorage(), hardState: diskState.HardState,
+		knownPositions: map[VoterID]LogPosition{}, hasReplied: map[VoterID]bool{}, confState: &raftpb.ConfState{}, durablePosition: diskState.Position}
+	maps.Copy(n.knownPositions, diskState.KnownPositions)
 	if diskState.Snapshot != nil {
-		if err := s.restore(diskState.Snapshot); err != nil {
+		if err := n.restore(diskState.Snapshot); err != nil {
 			return nil, err
 		}
 	}
 	if diskState.HardState != nil {
-		s.store.SetHardState(diskState.HardState)
+		n.storage.SetHardState(diskState.HardState)
 	}
-	if err := s.store.Append(diskState.Entries); err != nil {
+	if err := n.storage.Append(diskState.Entries); err != nil {
 		return nil, err
 	}
-	last, _ := s.store.LastIndex()
-	term, _ := s.store.Term(last)
-	s.reached = s.reached.merge(LogPosition{Term: s.hard.GetTerm(), LastTerm: term, LastIndex: last})
-	s.promised = s.reached
+	last, _ := n.storage.LastIndex()
+	term, _ := n.storage.Term(last)
+	n.durablePosition = n.durablePosition.merge(LogPosition{Term: n.hardState.GetTerm(), LastTerm: term, LastIndex: last})
+	n.pendingPosition = n.durablePosition
 	var err error
-	s.rawNode, err = raft.NewRawNode(&raft.Config{ID: uint64(id), ElectionTick: pace.ElectionTicks, HeartbeatTick: 1, Storage: s.store,
-		Applied: s.applied, MaxSizePerMsg: maxMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted,
+	n.rawNode, err = raft.NewRawNode(&raft.Config{ID: uint64(id), ElectionTick: timing.ElectionTicks, HeartbeatTick: 1, Storage: n.storage,
+		Applied: n.appliedIndex, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: maxUncommittedBytes,
 		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, AsyncStorageWrites: true,
-		Logger: quietLogger{}})
+		Logger: panicLogger{}})
 	if err != nil {
 		return nil, err
 	}
-	s.patience = s.drawPatience()
-	s.swear()
-	return s, nil
+	n.electionTimeout = n.randomElectionTimeout()
+	n.tryActivate()
+	return n, nil
 }
 
-// restore begins from a snapshot.
-func (s *Node) restore(snapshot *raftpb.Snapshot) error {
+// restore resets the configuration, the applied position and the storage to a snapshot.
+func (n *Node) restore(snapshot *raftpb.Snapshot) error {
 	meta := snapshot.GetMetadata()
-	s.conf, s.applied, s.ownTerm = meta.GetConfState(), meta.GetIndex(), meta.GetTerm()
-	return s.store.ApplySnapshot(snapshot)
+	n.confState, n.appliedIndex, n.appliedTerm = meta.GetConfState(), meta.GetIndex(), meta.GetTerm()
+	return n.storage.ApplySnapshot(snapshot)
 }
 
-// drawPatience draws from a time that doubles with each vain look: one election takes two writes of the disks, of which
-// this voter does not know how long they are.
-func (s *Node) drawPatience() int {
-	return s.pace.ElectionTicks + s.rng.Intn(s.pace.ElectionTicks<<min(s.vain, mostVain))
+// randomElectionTimeout returns a timeout in ticks whose range doubles with each failed election.
+// An election needs two disk writes, and their duration on the peers is unknown.
+func (n *Node) randomElectionTimeout() int {
+	return n.timing.ElectionTicks + n.rng.Intn(n.timing.ElectionTicks<<min(n.failedElections, maxElectionDoublings))
 }
 
-// known is what this voter has to show others.
-func (s *Node) known() map[VoterID]LogPosition {
-	seen := maps.Clone(s.seen)
-	seen[s.id] = seen[s.id].merge(s.reached)
-	return seen
+// positions returns all known log positions, including its own durable one.
+func (n *Node) positions() map[VoterID]LogPosition {
+	positions := maps.Clone(n.knownPositions)
+	positions[n.id] = positions[n.id].merge(n.durablePosition)
+	return positions
 }
 
-// Voters are those of the newest configuration that was applied, with those that are on their way out.
-func (s *Node) Voters() (voters []VoterID) {
-	for _, v := range slices.Concat(s.conf.GetVoters(), s.conf.GetVotersOutgoing()) {
+// Voters returns the voters of the latest applied configuration, including outgoing ones of a joint
+// configuration.
+func (n *Node) Voters() (voters []VoterID) {
+	for _, v := range slices.Concat(n.confState.GetVoters(), n.confState.GetVotersOutgoing()) {
 		voters = append(voters, VoterID(v))
 	}
 	slices.Sort(voters)
 	return slices.Compact(voters)
 }
 
-func (s *Node) others() (others []VoterID) {
-	for _, v := range s.Voters() {
-		if v != s.id {
-			others = append(others, v)
+func (n *Node) peers() (peers []VoterID) {
+	for _, v := range n.Voters() {
+		if v != n.id {
+			peers = append(peers, v)
 		}
 	}
-	return others
+	return peers
 }
 
-// Tick says that a tick has passed, and what time it is by this voter's clock, which must not go back.
-func (s *Node) Tick(now int64) {
-	if s.refused != "" {
+// Tick advances the node by one tick. now is the time of this voter's monotonic clock in
+// nanoseconds.
+func (n *Node) Tick(now int64) {
+	if n.refusalReason != "" {
 		return
 	}
-	s.ticks++
-	if s.writes > 0 {
-		s.stalled++
+	n.ticksSinceStart++
+	if n.pendingWrites > 0 {
+		n.stalledTicks++
 	}
 	switch {
-	case !s.sworn:
-		for _, v := range s.others() {
-			if !s.answered[v] {
-				s.packets = append(s.packets, Packet{From: s.id, To: v, IsQuery: true, Positions: s.known()})
+	case !n.isActive:
+		for _, v := range n.peers() {
+			if !n.hasReplied[v] {
+				n.packets = append(n.packets, Packet{From: n.id, To: v, IsQuery: true, Positions: n.positions()})
 			}
 		}
-		s.swear()
-	case s.leads && s.IsDiskStalled():
-		// nothing that it leads would ever be recorded: what it does not say any more lets others look for another
-	case s.leads:
-		s.rawNode.Tick()
-		s.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(now)))
+		n.tryActivate()
+	case n.isLeader && n.IsDiskStalled():
+		// stop sending heartbeats so that the followers elect a leader whose disk works
+	case n.isLeader:
+		n.rawNode.Tick()
+		n.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(now)))
 	default:
-		s.rawNode.TickQuiesced() // counts towards the time in which no vote is given; when to look for a leader is decided here
-		s.look()
+		n.rawNode.TickQuiesced() // keeps raft's leader stickiness timer; campaigns are started below
+		n.campaignIfTimedOut()
 	}
 }
 
-// look looks for a leader when none was heard for long. A voter whose disk is at work can't win: its own vote is not
-// written down.
-func (s *Node) look() {
-	if s.quiet++; s.quiet < s.patience || s.ticks < s.pace.ElectionTicks || s.writes > 0 {
+// campaignIfTimedOut campaigns when no leader was heard for the election timeout. A voter with
+// pending writes does not: its vote for itself would wait behind them.
+func (n *Node) campaignIfTimedOut() {
+	if n.ticksWithoutLeader++; n.ticksWithoutLeader < n.electionTimeout || n.ticksSinceStart < n.timing.ElectionTicks || n.pendingWrites > 0 {
 		return
 	}
-	s.vain++
-	s.quiet, s.patience = 0, s.drawPatience()
-	s.rawNode.Campaign()
+	n.failedElections++
+	n.ticksWithoutLeader, n.electionTimeout = 0, n.randomElectionTimeout()
+	n.rawNode.Campaign()
 }
 
-// IsDiskStalled tells whether the disk has been asked to write and has written nothing for so long that this voter may not lead:
-// bearsStalled * Election ticks. Guards against a disk that hangs under a leader whose links are sound.
-func (s *Node) IsDiskStalled() bool { return s.stalled > bearsStalled*s.pace.ElectionTicks }
+// IsDiskStalled reports whether pending writes have made no progress for maxStalledElections *
+// ElectionTicks. Such a voter must not lead: with a hung disk but a working network its heartbeats
+// would block elections.
+func (n *Node) IsDiskStalled() bool {
+	return n.stalledTicks > maxStalledElections*n.timing.ElectionTicks
+}
 
-// swear lets the voter begin once enough is known of what it had shown.
-func (s *Node) swear() {
-	others, answered := s.others(), 0
-	for _, v := range others {
-		if s.answered[v] {
-			answered++
+// tryActivate makes the node active once enough peers have reported its last known position.
+func (n *Node) tryActivate() {
+	peers, replies := n.peers(), 0
+	for _, v := range peers {
+		if n.hasReplied[v] {
+			replies++
 		}
 	}
-	majority := 2*(answered+1) > len(others)+1
-	if s.sworn || answered < len(others) && !(majority && s.ticks >= 2*s.pace.ElectionTicks) {
+	hasMajority := 2*(replies+1) > len(peers)+1
+	if n.isActive || replies < len(peers) && !(hasMajority && n.ticksSinceStart >= 2*n.timing.ElectionTicks) {
 		return
 	}
-	s.sworn = true
-	s.examine()
+	n.isActive = true
+	n.checkPosition()
 }
 
-// examine refuses the voter whose disk lacks something that it had shown. Guards against a disk that was put back from an
-// old copy: its voter would vote twice in a term, or forget what was recorded with its voice.
-func (s *Node) examine() {
-	if shown := s.seen[s.id]; s.refused == "" && shown.exceeds(s.reached) && !planted.Is(planted.OldDisk) {
-		s.refuse(fmt.Sprintf("the disk of voter %d is older than what it had told others: at term %d, entry %d of term %d; it had shown "+
-			"term %d, entry %d of term %d", s.id, s.reached.Term, s.reached.LastIndex, s.reached.LastTerm, shown.Term, shown.LastIndex, shown.LastTerm))
+// checkPosition refuses a voter whose disk is behind the position that its peers know. A disk
+// restored from an old copy could make it vote twice in a term, or lose entries that it had
+// acknowledged.
+func (n *Node) checkPosition() {
+	if known := n.knownPositions[n.id]; n.refusalReason == "" && known.exceeds(n.durablePosition) && !planted.Is(planted.OldDisk) {
+		n.refuse(fmt.Sprintf("the disk of voter %d is older than what it had told others: at term %d, entry %d of term %d; it had shown "+
+			"term %d, entry %d of term %d", n.id, n.durablePosition.Term, n.durablePosition.LastIndex, n.durablePosition.LastTerm, known.Term, known.LastIndex, known.LastTerm))
 	}
 }
 
-func (s *Node) refuse(why string) {
-	s.refused, s.leads, s.lead, s.packets = why, false, 0, nil
+// refuse shuts the node down permanently.
+func (n *Node) refuse(reason string) {
+	n.refusalReason, n.isLeader, n.leader, n.packets = reason, false, 0, nil
 }
 
-// RefusalReason is why this voter may not vote any more, empty for not.
-func (s *Node) RefusalReason() string { return s.refused }
+// RefusalReason returns why this voter must not vote any more, or an empty string.
+func (n *Node) RefusalReason() string { return n.refusalReason }
 
-// IsActive tells whether it has begun.
-func (s *Node) IsActive() bool { return s.sworn && s.refused == "" }
+// IsActive reports whether the node takes part in the council.
+func (n *Node) IsActive() bool { return n.isActive && n.refusalReason == "" }
 
-// Receive takes a packet in. What can't be read, or is not for this voter, is an error and changes nothing.
-func (s *Node) Receive(p Packet) error {
-	if p.To != s.id || p.From == s.id {
-		return fmt.Errorf("a packet from voter %d to %d came to %d", p.From, p.To, s.id)
+// Receive handles a packet from a peer. A malformed or misdirected packet is an error and changes
+// nothing.
+func (n *Node) Receive(p Packet) error {
+	if p.To != n.id || p.From == n.id {
+		return fmt.Errorf("packet from voter %d to voter %d was received by voter %d", p.From, p.To, n.id)
 	}
 	messages := make([]*raftpb.Message, len(p.Messages))
-	for i, text := range p.Messages {
+	for i, data := range p.Messages {
 		messages[i] = &raftpb.Message{}
-		if err := proto.Unmarshal(text, messages[i]); err != nil {
+		if err := proto.Unmarshal(data, messages[i]); err != nil {
 			return err
 		}
-		if VoterID(messages[i].GetFrom()) != p.From || VoterID(messages[i].GetTo()) != s.id {
-			return fmt.Errorf("a message from voter %d to %d in a packet from %d", messages[i].GetFrom(), messages[i].GetTo(), p.From)
+		if VoterID(messages[i].GetFrom()) != p.From || VoterID(messages[i].GetTo()) != n.id {
+			return fmt.Errorf("message from voter %d to voter %d in a packet from voter %d", messages[i].GetFrom(), messages[i].GetTo(), p.From)
 		}
 	}
-	for v, shown := range p.Positions {
-		s.seen[v] = s.seen[v].merge(shown)
+	for v, position := range p.Positions {
+		n.knownPositions[v] = n.knownPositions[v].merge(position)
 	}
-	if s.refused != "" {
+	if n.refusalReason != "" {
 		return nil
 	}
 	if p.IsQuery {
-		s.packets = append(s.packets, Packet{From: s.id, To: p.From, IsReply: true, Positions: s.known()})
+		n.packets = append(n.packets, Packet{From: n.id, To: p.From, IsReply: true, Positions: n.positions()})
 	}
-	if p.IsReply && !s.sworn {
-		s.answered[p.From] = true
-		s.swear()
+	if p.IsReply && !n.isActive {
+		n.hasReplied[p.From] = true
+		n.tryActivate()
 	}
-	if s.sworn {
-		s.examine()
+	if n.isActive {
+		n.checkPosition()
 	}
 	for _, m := range messages {
-		s.step(m)
+		n.step(m)
 	}
 	return nil
 }
 
-// step takes a message of raft in.
-func (s *Node) step(m *raftpb.Message) {
-	if !s.sworn || s.refused != "" {
+// step passes a raft message to the raft node, if the lease and disk rules allow it.
+func (n *Node) step(m *raftpb.Message) {
+	if !n.isActive || n.refusalReason != "" {
 		return
 	}
-	last, _ := s.store.LastIndex()
-	term := s.rawNode.BasicStatus().GetTerm()
+	last, _ := n.storage.LastIndex()
+	term := n.rawNode.BasicStatus().GetTerm()
 	switch m.GetType() {
 	case raftpb.MsgTimeoutNow:
-		return // whoever gave a tenure its acknowledgement must not vote before it is over
+		return // a leadership transfer would skip the wait for the lease that this voter acknowledged
 	case raftpb.MsgVote, raftpb.MsgPreVote:
-		if s.ticks < s.pace.ElectionTicks {
+		if n.ticksSinceStart < n.timing.ElectionTicks {
 			return
 		}
 	case raftpb.MsgHeartbeat:
 		if m.GetTerm() >= term && m.GetCommit() > last {
-			s.refuse(fmt.Sprintf("the leader, voter %d, holds acknowledged by voter %d up to entry %d, and its disk ends at %d",
-				m.GetFrom(), s.id, m.GetCommit(), last))
+			n.refuse(fmt.Sprintf("the leader, voter %d, holds acknowledged by voter %d up to entry %d, and its disk ends at %d",
+				m.GetFrom(), n.id, m.GetCommit(), last))
 			return
 		}
 	}
-	s.rawNode.Step(m)
+	n.rawNode.Step(m)
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if m.GetTerm() >= term {
-			s.quiet, s.vain = 0, 0
+			n.ticksWithoutLeader, n.failedElections = 0, 0
 		}
 	}
 }
 
-// CommittedEntry is a record that the council has agreed on, or nothing but a change of who votes.
+// CommittedEntry is a committed log entry: a record, a configuration change, or an empty entry.
 type CommittedEntry struct {
 	Index  uint64
-	Record []byte // empty for none
+	Record []byte // empty if the entry has none
 	Change *raftpb.ConfChangeV2
 }
 
-// Write is what a voter's disk has to hold from then on, all of it or nothing. Writes are given out and to be written in
-// order; several may be written as one.
+// Write is an atomic update of a voter's disk. Writes must be applied in the order in which they
+// are handed out; several may be combined into one disk write.
 type Write struct {
 	HardState      *raftpb.HardState // nil if unchanged
 	Snapshot       *raftpb.Snapshot  // nil if unchanged
-	ReplacesLog    bool              // the snapshot is the leader's: all entries go
-	Entries        []*raftpb.Entry   // in place of all from the first of them on
-	DropBefore     uint64            // entries before it go
+	ReplacesLog    bool              // the snapshot came from the leader; drop all entries
+	Entries        []*raftpb.Entry   // replace all entries from the first one's index on
+	DropBefore     uint64            // index; drop all entries before it
 	Position       LogPosition
 	KnownPositions map[VoterID]LogPosition
 
-	then    []*raftpb.Message // of raft, that rest on it
-	commits []*raftpb.Entry   // given out after it
-	applied []*raftpb.Message // of raft, once these are
+	onWritten []*raftpb.Message // raft messages to deliver once the write is durable
+	committed []*raftpb.Entry   // entries to apply once the write is durable
+	onApplied []*raftpb.Message // raft messages to deliver once those are applied
 }
 
-// IsEmpty tells whether there is nothing to write; what comes after it still keeps its turn.
+// IsEmpty reports whether nothing has to be written. An empty write must still be completed in
+// order.
 func (w *Write) IsEmpty() bool { return w.HardState == nil && w.Snapshot == nil && len(w.Entries) == 0 }
 
-// Ready is what there is to do: packets to be sent at once, and a write, of which Written is to be said.
+// Ready holds packets to send at once, and a write to pass to CompleteWrite when it is durable.
 type Ready struct {
-	Write   *Write // nil for none
+	Write   *Write // nil if there is none
 	Packets []Packet
 }
 
-// Ready gives what there is to do, and whether there is something.
-func (s *Node) Ready() (w Ready, any bool) {
-	w.Packets, s.packets = s.packets, nil
-	if s.IsActive() && s.rawNode.HasReady() {
-		ready := s.rawNode.Ready()
-		s.settle(ready)
+// Ready returns the pending work, and whether there is any.
+func (n *Node) Ready() (ready Ready, hasWork bool) {
+	ready.Packets, n.packets = n.packets, nil
+	if n.IsActive() && n.rawNode.HasReady() {
+		raftReady := n.rawNode.Ready()
+		n.updateLeadership(raftReady)
 		var messages []*raftpb.Message
-		w.Write, messages = s.sorted(ready)
-		w.Packets = append(w.Packets, s.pack(messages)...)
-		if w.Write != nil {
-			s.writes++
+		ready.Write, messages = n.splitReady(raftReady)
+		ready.Packets = append(ready.Packets, n.buildPackets(messages)...)
+		if ready.Write != nil {
+			n.pendingWrites++
 		}
 	}
-	return w, w.Write != nil || len(w.Packets) > 0
+	return ready, ready.Write != nil || len(ready.Packets) > 0
 }
 
-// sorted parts what raft has ready into what goes to the disk first and what can be sent. Records are given out behind a
-// write of what this voter knows that others have shown of them: else an old disk among those that a record rests on could
-// come back with nobody left who knows.
-func (s *Node) sorted(ready raft.Ready) (write *Write, messages []*raftpb.Message) {
+// splitReady splits raft's ready work into a disk write and messages to send at once. Entries are
+// handed out only after the peers' known positions are durable: otherwise a peer that acknowledged
+// an entry could return with an old disk undetected.
+func (n *Node) splitReady(ready raft.Ready) (write *Write, messages []*raftpb.Message) {
 	w := &Write{}
 	for _, m := range ready.Messages {
 		switch m.GetTo() {
 		case raft.LocalAppendThread:
-			write, w.then = w, m.GetResponses()
+			write, w.onWritten = w, m.GetResponses()
 		case raft.LocalApplyThread:
-			write, w.commits, w.applied = w, m.GetEntries(), m.GetResponses()
+			write, w.committed, w.onApplied = w, m.GetEntries(), m.GetResponses()
 		default:
 			messages = append(messages, m)
 		}
@@ -352,25 +361,26 @@
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
 		w.HardState = ready.HardState
-		s.promised = s.promised.merge(LogPosition{Term: w.HardState.GetTerm()})
-		if w.HardState.GetVote() != s.hard.GetVote() || w.HardState.GetTerm() != s.hard.GetTerm() {
-			s.quiet = 0
+		n.pendingPosition = n.pendingPosition.merge(LogPosition{Term: w.HardState.GetTerm()})
+		if w.HardState.GetVote() != n.hardState.GetVote() || w.HardState.GetTerm() != n.hardState.GetTerm() {
+			n.ticksWithoutLeader = 0
 		}
 	}
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		meta := ready.Snapshot.GetMetadata()
 		w.Snapshot, w.ReplacesLog, w.DropBefore = ready.Snapshot, true, meta.GetIndex()+1
-		s.promised = s.promised.merge(LogPosition{LastTerm: meta.GetTerm(), LastIndex: meta.GetIndex()})
+		n.pendingPosition = n.pendingPosition.merge(LogPosition{LastTerm: meta.GetTerm(), LastIndex: meta.GetIndex()})
 	}
 	if w.Entries = ready.Entries; len(w.Entries) > 0 {
 		last := w.Entries[len(w.Entries)-1]
-		s.promised = s.promised.merge(LogPosition{LastTerm: last.GetTerm(), LastIndex: last.GetIndex()})
+		n.pendingPosition = n.pendingPosition.merge(LogPosition{LastTerm: last.GetTerm(), LastIndex: last.GetIndex()})
 	}
-	w.Position, w.KnownPositions = s.promised, maps.Clone(s.seen)
+	w.Position, w.KnownPositions = n.pendingPosition, maps.Clone(n.knownPositions)
 	return w, messages
 }
 
-func commitOf(e *raftpb.Entry) CommittedEntry {
+// decodeEntry converts a raft entry to a CommittedEntry.
+func decodeEntry(e *raftpb.Entry) CommittedEntry {
 	c := CommittedEntry{Index: e.GetIndex()}
 	if e.GetType() == raftpb.EntryConfChangeV2 {
 		c.Change = &raftpb.ConfChangeV2{}
@@ -383,172 +393,175 @@
 	return c
 }
 
-// pack puts messages into one packet a voter, in the voters' order.
-func (s *Node) pack(messages []*raftpb.Message) (packets []Packet) {
+// buildPackets groups messages into one packet per recipient, in the order of each recipient's
+// first message.
+func (n *Node) buildPackets(messages []*raftpb.Message) (packets []Packet) {
 	for _, m := range messages {
-		text, err := proto.Marshal(m)
+		data, err := proto.Marshal(m)
 		if err != nil {
-			continue // lost, as it might be on its way
+			continue // raft tolerates lost messages
 		}
 		to := VoterID(m.GetTo())
-		at := slices.IndexFunc(packets, func(p Packet) bool { return p.To == to })
-		if at < 0 {
-			at, packets = len(packets), append(packets, Packet{From: s.id, To: to, Positions: s.known()})
+		index := slices.IndexFunc(packets, func(p Packet) bool { return p.To == to })
+		if index < 0 {
+			index, packets = len(packets), append(packets, Packet{From: n.id, To: to, Positions: n.positions()})
 		}
-		packets[at].Messages = append(packets[at].Messages, text)
+		packets[index].Messages = append(packets[index].Messages, data)
 	}
 	return packets
 }
 
-// CompleteWrite says that a write is on the disk. It gives what the machines have to take then, a snapshot before the records, and
-// counts it as taken.
-func (s *Node) CompleteWrite(w *Write) (snapshot *raftpb.Snapshot, commits []CommittedEntry, err error) {
-	if s.stalled, s.writes = 0, s.writes-1; s.refused != "" {
+// CompleteWrite reports that a write is durable. It returns a snapshot to restore, if any, and the
+// entries to apply after it, and counts both as applied.
+func (n *Node) CompleteWrite(w *Write) (snapshot *raftpb.Snapshot, committed []CommittedEntry, err error) {
+	if n.stalledTicks, n.pendingWrites = 0, n.pendingWrites-1; n.refusalReason != "" {
 		return nil, nil, nil
 	}
 	if w.ReplacesLog {
-		if err := s.restore(w.Snapshot); err != nil {
+		if err := n.restore(w.Snapshot); err != nil {
 			return nil, nil, err
 		}
 		snapshot = w.Snapshot
 	}
-	if err := s.store.Append(w.Entries); err != nil {
+	if err := n.storage.Append(w.Entries); err != nil {
 		return nil, nil, err
 	}
 	if w.HardState != nil {
-		s.hard = w.HardState
-		s.store.SetHardState(w.HardState)
+		n.hardState = w.HardState
+		n.storage.SetHardState(w.HardState)
 	}
-	s.reached = s.reached.merge(w.Position)
-	s.follow(w.then)
-	for _, e := range w.commits {
-		c := commitOf(e)
+	n.durablePosition = n.durablePosition.merge(w.Position)
+	n.deliver(w.onWritten)
+	for _, e := range w.committed {
+		c := decodeEntry(e)
 		if c.Change != nil {
-			s.conf, s.strange = s.rawNode.ApplyConfChange(c.Change), true
+			n.confState, n.confChanged = n.rawNode.ApplyConfChange(c.Change), true
 		}
-		s.applied, s.ownTerm = e.GetIndex(), e.GetTerm()
-		commits = append(commits, c)
+		n.appliedIndex, n.appliedTerm = e.GetIndex(), e.GetTerm()
+		committed = append(committed, c)
 	}
-	s.follow(w.applied)
-	return snapshot, commits, nil
+	n.deliver(w.onApplied)
+	return snapshot, committed, nil
 }
 
-// follow lets messages go that waited for a write.
-func (s *Node) follow(messages []*raftpb.Message) {
-	var out []*raftpb.Message
+// deliver steps messages addressed to this voter and queues the others for sending.
+func (n *Node) deliver(messages []*raftpb.Message) {
+	var outgoing []*raftpb.Message
 	for _, m := range messages {
-		if VoterID(m.GetTo()) == s.id {
-			s.rawNode.Step(m)
+		if VoterID(m.GetTo()) == n.id {
+			n.rawNode.Step(m)
 		} else {
-			out = append(out, m)
+			outgoing = append(outgoing, m)
 		}
 	}
-	s.packets = append(s.packets, s.pack(out)...)
+	n.packets = append(n.packets, n.buildPackets(outgoing)...)
 }
 
-// settle takes note of who leads, and of a tenure that was confirmed.
-func (s *Node) settle(r raft.Ready) {
-	now := s.rawNode.BasicStatus()
-	if now.GetTerm() != s.term {
-		s.term, s.tenure = now.GetTerm(), 0
-	}
-	s.leads, s.lead = now.RaftState == raft.StateLeader, VoterID(now.Lead)
-	for _, read := range r.ReadStates {
-		if s.leads && len(read.RequestCtx) == 8 {
-			s.tenure = max(s.tenure, int64(binary.BigEndian.Uint64(read.RequestCtx))+s.pace.LeaderLease())
+// updateLeadership updates the leader and the term, and extends the lease when a quorum has
+// confirmed it.
+func (n *Node) updateLeadership(ready raft.Ready) {
+	status := n.rawNode.BasicStatus()
+	if status.GetTerm() != n.term {
+		n.term, n.leaseEnd = status.GetTerm(), 0
+	}
+	n.isLeader, n.leader = status.RaftState == raft.StateLeader, VoterID(status.Lead)
+	for _, read := range ready.ReadStates {
+		if n.isLeader && len(read.RequestCtx) == 8 {
+			n.leaseEnd = max(n.leaseEnd, int64(binary.BigEndian.Uint64(read.RequestCtx))+n.timing.LeaderLease())
 		}
 	}
 }
 
-// Leader is who leads as far as this voter knows, 0 for nobody.
-func (s *Node) Leader() VoterID { return s.lead }
+// Leader returns the leader that this voter knows, 0 if none.
+func (n *Node) Leader() VoterID { return n.leader }
 
-// Term is the newest that it knows.
-func (s *Node) Term() uint64 { return s.term }
+// Term returns the current term of this voter.
+func (n *Node) Term() uint64 { return n.term }
 
-// AppliedIndex is the number of the newest record that it has given out.
-func (s *Node) AppliedIndex() uint64 { return s.applied }
+// AppliedIndex returns the index of the last entry returned for applying.
+func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// LeaseEnd is until when this voter alone acts for the council, by its own clock; 0 where it does not. It has then given
-// out every record that the council ever agreed on before its term.
-func (s *Node) LeaseEnd() int64 {
-	if !s.IsActive() || !s.leads || s.ownTerm != s.term {
+// LeaseEnd returns when this voter's leader lease ends by its own clock, or 0 if it holds none. A
+// lease holder has handed out all entries committed in earlier terms.
+func (n *Node) LeaseEnd() int64 {
+	if !n.IsActive() || !n.isLeader || n.appliedTerm != n.term {
 		return 0
 	}
-	return s.tenure
+	return n.leaseEnd
 }
 
-var errNotLeading = errors.New("this voter does not lead the council")
+var errNotLeader = errors.New("this voter does not lead the council")
 
-// Propose asks the council to agree on a record. That it was taken does not say that it will be.
-func (s *Node) Propose(record []byte) error {
-	if !s.IsActive() || !s.leads || s.IsDiskStalled() {
-		return errNotLeading
+// Propose proposes a record. A nil error does not mean that it will be committed.
+func (n *Node) Propose(record []byte) error {
+	if !n.IsActive() || !n.isLeader || n.IsDiskStalled() {
+		return errNotLeader
 	}
-	return s.rawNode.Propose(record)
+	return n.rawNode.Propose(record)
 }
 
-// ChangeVoters asks the council to let some voters in and others go, at once: majorities of both councils agree meanwhile. What
-// is said of the new ones is handed to everybody with the change.
-func (s *Node) ChangeVoters(add, remove []VoterID, context []byte) error {
-	if !s.IsActive() || !s.leads {
-		return errNotLeading
+// ChangeVoters proposes to add and remove voters in one step through a joint configuration. context
+// is passed to every voter with the change.
+func (n *Node) ChangeVoters(add, remove []VoterID, context []byte) error {
+	if !n.IsActive() || !n.isLeader {
+		return errNotLeader
 	}
-	if len(s.conf.GetVotersOutgoing()) > 0 {
+	if len(n.confState.GetVotersOutgoing()) > 0 {
 		return errors.New("another change of who votes is under way")
 	}
-	after := map[VoterID]bool{}
-	for _, v := range s.Voters() {
-		after[v] = true
+	voters := map[VoterID]bool{}
+	for _, v := range n.Voters() {
+		voters[v] = true
 	}
 	change := &raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionJointImplicit.Enum(), Context: context}
 	for _, v := range add {
-		if v == 0 || after[v] {
+		if v == 0 || voters[v] {
 			return fmt.Errorf("voter %d is one already, or no number for one", v)
 		}
-		after[v] = true
+		voters[v] = true
 		change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(uint64(v))})
 	}
 	for _, v := range remove {
-		if !after[v] || slices.Contains(add, v) {
+		if !voters[v] || slices.Contains(add, v) {
 			return fmt.Errorf("voter %d is none", v)
 		}
-		delete(after, v)
+		delete(voters, v)
 		change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(uint64(v))})
 	}
-	if err := sizeAllowed(len(after)); err != nil {
+	if err := validateVoterCount(len(voters)); err != nil {
 		return err
 	}
-	return s.rawNode.ProposeConfChange(change)
+	return n.rawNode.ProposeConfChange(change)
 }
 
-// ReportUnreachable says that a packet to a voter could not be sent; a snapshot may have been in it.
-func (s *Node) ReportUnreachable(v VoterID) {
-	if s.IsActive() && s.leads {
-		s.rawNode.ReportUnreachable(uint64(v))
-		s.rawNode.ReportSnapshot(uint64(v), raft.SnapshotFailure)
+// ReportUnreachable reports that sending a packet to a voter failed; it may have contained a
+// snapshot.
+func (n *Node) ReportUnreachable(v VoterID) {
+	if n.IsActive() && n.isLeader {
+		n.rawNode.ReportUnreachable(uint64(v))
+		n.rawNode.ReportSnapshot(uint64(v), raft.SnapshotFailure)
 	}
 }
 
-// NeedsCompaction tells whether the log has grown long enough to be cut, or the last snapshot does not know of a voter, who could not
-// take it: Compact is to be called with what the machines are.
-func (s *Node) NeedsCompaction() bool {
-	first, err := s.store.FirstIndex()
-	return err == nil && (s.applied >= first+compactAfter || s.strange)
+// NeedsCompaction reports whether Compact should be called: the log has grown too long, or the
+// voters have changed since the last snapshot and a new voter could not restore it.
+func (n *Node) NeedsCompaction() bool {
+	first, err := n.storage.FirstIndex()
+	return err == nil && (n.appliedIndex >= first+compactAfterEntries || n.confChanged)
 }
 
-// Compact cuts the log off before what is applied, all but the last of it, and gives what is to be written down for that: a
-// snapshot that stands for what was cut.
-func (s *Node) Compact(data []byte) (*Write, error) {
-	snapshot, err := s.store.CreateSnapshot(s.applied, s.conf, data)
+// Compact drops applied entries from the log, except for the last retainedEntries, and returns the
+// write of the snapshot that replaces them. data is the serialized state of the state machines.
+func (n *Node) Compact(data []byte) (*Write, error) {
+	snapshot, err := n.storage.CreateSnapshot(n.appliedIndex, n.confState, data)
 	if err != nil {
 		return nil, err
 	}
-	s.strange = false
-	s.writes++
-	w := &Write{Snapshot: snapshot, DropBefore: s.applied - min(compactLeaves, s.applied-1), Position: s.promised, KnownPositions: maps.Clone(s.seen)}
-	if have, _ := s.store.FirstIndex(); w.DropBefore > have {
-		err = s.store.Compact(w.DropBefore - 1)
+	n.confChanged = false
+	n.pendingWrites++
+	w := &Write{Snapshot: snapshot, DropBefore: n.appliedIndex - min(retainedEntries, n.appliedIndex-1), Position: n.pendingPosition, KnownPositions: maps.Clone(n.knownPositions)}
+	if first, _ := n.storage.FirstIndex(); w.DropBefore > first {
+		err = n.storage.Compact(w.DropBefore - 1)
 	}
 	return w, err
 }
--- a/internal/council/walk_test.go
+++ b/internal/council/walk_test.go
@@ -10,449 +10,451 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// world is a council of voters whose clocks run at rates of their own, whose packets are late, lost, doubled and out of
-// order, whose disks are slow or hang, and which crash, stand still and get their disks back. What happens next is drawn.
-type world struct {
-	rng     *rand.Rand
-	planted fault
-	now     int64
-	pace    Timing
-	voters  []*voter
-	air     []Packet
-	cutOff  map[[2]VoterID]bool
-	agreed  map[uint64]string // by index
-	told    map[string]uint64 // records whose proposer saw them applied, with their index
-	asked   int
-	broken  string
-	acted   int // steps at which somebody acted
-	refused int
-	calmly  bool // nothing crashes, and no log is cut by chance
-	slow    bool // some disks are slow, and some hang for a while
+// cluster simulates a council with random faults: clocks drift, packets are delayed, lost,
+// duplicated and reordered, disks are slow, hang or are restored from old copies, and voters crash
+// and pause.
+type cluster struct {
+	rng           *rand.Rand
+	fault         fault
+	now           int64
+	timing        Timing
+	voters        []*voter
+	inFlight      []Packet
+	blockedLinks  map[[2]VoterID]bool
+	committed     map[uint64]string // by index
+	acknowledged  map[string]uint64 // index by record, for records that an acting proposer applied
+	proposed      int
+	violation     string
+	actingSteps   int // steps at which a voter acted as leader
+	restoredDisks int
+	noFaults      bool // no random crashes and compactions
+	hasSlowDisks  bool // some disks are slow, and some hang temporarily
 }
 
-// planted is a fault of ours that the walk has to find.
+// fault is a deliberate bug that the random walk must detect.
 type fault int
 
 const (
-	sound        fault = iota
-	longTenure         // a leader acts longer than it may
-	youngVoters        // a voter that has just started counts ticks that did not pass
-	sendsFirst         // what rests on a write is done before that is on the disk
-	oldDisks           // nobody tells a voter that its disk is old
-	staleReaders       // a leader acts before it has applied what others recorded
+	noFault           fault = iota
+	longLease               // a leader acts after its lease has ended
+	earlyVotes              // a voter votes too early after its start
+	sendsBeforeWrite        // a write is completed before it is durable
+	noPositions             // known positions are not exchanged
+	actsBeforeApplied       // a leader acts before it has applied earlier records
 )
 
 type voter struct {
-	id      VoterID
-	rate    float64
-	seat    *Node
-	disk    DiskState
-	old     *DiskState // an older copy
-	writes  []*Write   // given out, not on the disk yet
-	slow    bool       // its disk writes now and then
-	hung    bool       // its disk writes nothing
-	up      bool
-	still   bool
-	started int64 // its clock is 0 then
-	due     int64 // of its next tick, own clock
-	applied map[uint64]bool
-	last    uint64
-	starts  int64
+	id            VoterID
+	clockRate     float64
+	node          *Node
+	disk          DiskState
+	oldDisk       *DiskState // an earlier copy
+	pendingWrites []*Write   // not durable yet
+	isDiskSlow    bool       // its disk writes only occasionally
+	isDiskHung    bool       // its disk completes no writes
+	isUp          bool
+	isPaused      bool
+	startedAt     int64 // simulation time at which its clock was 0
+	nextTick      int64 // by its own clock
+	applied       map[uint64]bool
+	lastApplied   uint64
+	starts        int64
 }
 
-var walkPace = Timing{Tick: 10, ElectionTicks: 8, MaxDrift: 0.02}
+var testTiming = Timing{Tick: 10, ElectionTicks: 8, MaxDrift: 0.02}
 
-func newWorld(seed int64, voters int, p fault) *world {
-	w := &world{rng: rand.New(rand.NewSource(seed)), planted: p, pace: walkPace, cutOff: map[[2]VoterID]bool{},
-		agreed: map[uint64]string{}, told: map[string]uint64{}, slow: seed%2 == 1}
+func newCluster(seed int64, voterCount int, planted fault) *cluster {
+	w := &cluster{rng: rand.New(rand.NewSource(seed)), fault: planted, timing: testTiming, blockedLinks: map[[2]VoterID]bool{},
+		committed: map[uint64]string{}, acknowledged: map[string]uint64{}, hasSlowDisks: seed%2 == 1}
 	var ids []VoterID
-	for i := range voters {
+	for i := range voterCount {
 		ids = append(ids, VoterID(i+1))
 	}
 	for _, id := range ids {
-		v := &voter{id: id, rate: 1 + w.pace.MaxDrift*(2*w.rng.Float64()-1), disk: NewDiskState(ids), slow: w.slow && w.rng.Intn(3) == 0}
+		v := &voter{id: id, clockRate: 1 + w.timing.MaxDrift*(2*w.rng.Float64()-1), disk: NewDiskState(ids), isDiskSlow: w.hasSlowDisks && w.rng.Intn(3) == 0}
 		w.voters = append(w.voters, v)
 		w.start(v)
 	}
 	return w
 }
 
-func (w *world) clock(v *voter) int64 { return int64(float64(w.now-v.started) * v.rate) }
+func (w *cluster) clock(v *voter) int64 { return int64(float64(w.now-v.startedAt) * v.clockRate) }
 
-// start starts a voter over its disk.
-func (w *world) start(v *voter) {
+// start starts a voter from its disk.
+func (w *cluster) start(v *voter) {
 	v.starts++
-	kept := v.disk
-	kept.Entries = slices.Clone(v.disk.Entries)
-	seat, err := NewNode(v.id, w.pace, kept, w.rng.Int63())
+	diskState := v.disk
+	diskState.Entries = slices.Clone(v.disk.Entries)
+	node, err := NewNode(v.id, w.timing, diskState, w.rng.Int63())
 	if err != nil {
-		w.broken = err.Error()
+		w.violation = err.Error()
 		return
 	}
-	v.writes, v.hung = nil, false
-	v.seat, v.up, v.still, v.started, v.due, v.applied = seat, true, false, w.now, w.pace.Tick, map[uint64]bool{}
-	v.last = v.disk.Snapshot.GetMetadata().GetIndex()
-	if w.planted == youngVoters {
-		for range w.pace.ElectionTicks {
-			v.seat.ticks++
+	v.pendingWrites, v.isDiskHung = nil, false
+	v.node, v.isUp, v.isPaused, v.startedAt, v.nextTick, v.applied = node, true, false, w.now, w.timing.Tick, map[uint64]bool{}
+	v.lastApplied = v.disk.Snapshot.GetMetadata().GetIndex()
+	if w.fault == earlyVotes {
+		for range w.timing.ElectionTicks {
+			v.node.ticksSinceStart++
 		}
 	}
 }
 
-// save puts a write on a disk: all of it or nothing.
-func (d *DiskState) save(k *Write) {
-	if k.IsEmpty() {
+// apply makes a write durable.
+func (d *DiskState) apply(w *Write) {
+	if w.IsEmpty() {
 		return
 	}
-	d.KnownPositions, d.Position = k.KnownPositions, k.Position
-	if k.HardState != nil {
-		d.HardState = k.HardState
+	d.KnownPositions, d.Position = w.KnownPositions, w.Position
+	if w.HardState != nil {
+		d.HardState = w.HardState
 	}
-	if k.ReplacesLog {
+	if w.ReplacesLog {
 		d.Entries = nil
 	}
-	if len(k.Entries) > 0 {
-		first := k.Entries[0].GetIndex()
-		kept := slices.IndexFunc(d.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= first })
-		if kept < 0 {
-			kept = len(d.Entries)
+	if len(w.Entries) > 0 {
+		first := w.Entries[0].GetIndex()
+		count := slices.IndexFunc(d.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= first })
+		if count < 0 {
+			count = len(d.Entries)
 		}
-		d.Entries = append(slices.Clone(d.Entries[:kept]), k.Entries...)
+		d.Entries = append(slices.Clone(d.Entries[:count]), w.Entries...)
 	}
-	if k.Snapshot != nil {
-		d.Snapshot = k.Snapshot
+	if w.Snapshot != nil {
+		d.Snapshot = w.Snapshot
 		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e *raftpb.Entry) bool {
-			return e.GetIndex() < k.DropBefore || e.GetIndex() <= k.Snapshot.GetMetadata().GetIndex()
+			return e.GetIndex() < w.DropBefore || e.GetIndex() <= w.Snapshot.GetMetadata().GetIndex()
 		})
 	}
 }
 
-// work lets a voter do what there is to do; it may crash between any two steps of it.
-func (w *world) work(v *voter) {
-	for v.up {
-		k, any := v.seat.Ready()
-		if !any {
+// processReady processes all ready work of a voter, which may crash between any two steps.
+func (w *cluster) processReady(v *voter) {
+	for v.isUp {
+		ready, hasWork := v.node.Ready()
+		if !hasWork {
 			break
 		}
-		w.send(k.Packets)
-		if k.Write != nil {
-			v.writes = append(v.writes, k.Write)
-			if w.planted == sendsFirst {
-				w.written(v, k.Write)
+		w.send(ready.Packets)
+		if ready.Write != nil {
+			v.pendingWrites = append(v.pendingWrites, ready.Write)
+			if w.fault == sendsBeforeWrite {
+				w.completeWrite(v, ready.Write)
 			}
 		}
-		if w.crashes(v) {
+		if w.mayCrash(v) {
 			return
 		}
-		if !v.slow && !v.hung {
-			w.write(v, len(v.writes))
+		if !v.isDiskSlow && !v.isDiskHung {
+			w.write(v, len(v.pendingWrites))
 		}
 	}
-	taken, _ := v.seat.store.Snapshot()
-	beyond := v.up && v.seat.IsActive() && v.seat.AppliedIndex() > taken.GetMetadata().GetIndex()
-	if beyond && (v.seat.strange || !w.calmly && w.rng.Intn(400) == 0) {
+	snapshot, _ := v.node.storage.Snapshot()
+	canCompact := v.isUp && v.node.IsActive() && v.node.AppliedIndex() > snapshot.GetMetadata().GetIndex()
+	if canCompact && (v.node.confChanged || !w.noFaults && w.rng.Intn(400) == 0) {
 		w.compact(v)
 	}
 }
 
-// write lets a disk write the oldest of what it was given.
-func (w *world) write(v *voter, most int) {
-	for n := 0; v.up && n < most && len(v.writes) > 0; n++ {
-		k := v.writes[0]
-		v.writes = v.writes[1:]
-		v.disk.save(k)
-		if !w.crashes(v) && w.planted != sendsFirst {
-			w.written(v, k)
+// write completes up to most of the oldest pending writes.
+func (w *cluster) write(v *voter, maxWrites int) {
+	for n := 0; v.isUp && n < maxWrites && len(v.pendingWrites) > 0; n++ {
+		write := v.pendingWrites[0]
+		v.pendingWrites = v.pendingWrites[1:]
+		v.disk.apply(write)
+		if !w.mayCrash(v) && w.fault != sendsBeforeWrite {
+			w.completeWrite(v, write)
 		}
 	}
 }
 
-func (w *world) written(v *voter, k *Write) {
-	snapshot, commits, err := v.seat.CompleteWrite(k)
+func (w *cluster) completeWrite(v *voter, write *Write) {
+	snapshot, commits, err := v.node.CompleteWrite(write)
 	if err != nil {
-		w.broken = err.Error()
+		w.violation = err.Error()
 	}
 	if snapshot != nil {
-		v.last = snapshot.GetMetadata().GetIndex()
+		v.lastApplied = snapshot.GetMetadata().GetIndex()
 	}
 	for _, c := range commits {
 		w.apply(v, c)
 	}
 }
 
-func (w *world) compact(v *voter) {
-	k, err := v.seat.Compact([]byte("all"))
+func (w *cluster) compact(v *voter) {
+	write, err := v.node.Compact([]byte("all"))
 	if err != nil {
-		w.broken = err.Error()
+		w.violation = err.Error()
 		return
 	}
-	v.writes = append(v.writes, k)
-	if !v.slow && !v.hung {
-		w.write(v, len(v.writes))
+	v.pendingWrites = append(v.pendingWrites, write)
+	if !v.isDiskSlow && !v.isDiskHung {
+		w.write(v, len(v.pendingWrites))
 	}
 }
 
-func (w *world) crashes(v *voter) bool {
-	if !w.calmly && w.rng.Intn(300) == 0 {
-		v.up = false
+func (w *cluster) mayCrash(v *voter) bool {
+	if !w.noFaults && w.rng.Intn(300) == 0 {
+		v.isUp = false
 	}
-	return !v.up
+	return !v.isUp
 }
 
-// apply checks that all agree on what a record is.
-func (w *world) apply(v *voter, c CommittedEntry) {
-	what := string(c.Record)
+// apply checks that all voters apply the same entry at an index.
+func (w *cluster) apply(v *voter, c CommittedEntry) {
+	record := string(c.Record)
 	if c.Change != nil {
-		what = "a change"
+		record = "a change"
 	}
-	if have, known := w.agreed[c.Index]; known && have != what {
-		w.broken = fmt.Sprintf("entry %d is %q at voter %d, and was %q", c.Index, what, v.id, have)
+	if previous, known := w.committed[c.Index]; known && previous != record {
+		w.violation = fmt.Sprintf("entry %d is %q at voter %d, but was %q elsewhere", c.Index, record, v.id, previous)
 	}
-	w.agreed[c.Index] = what
-	v.last = c.Index
-	if len(c.Record) > 0 && v.applied[0] && w.acts(v) {
-		w.told[what] = c.Index
+	w.committed[c.Index] = record
+	v.lastApplied = c.Index
+	if len(c.Record) > 0 && v.applied[0] && w.isActing(v) {
+		w.acknowledged[record] = c.Index
 	}
 }
 
-const mostAir = 300 // packets on their way; more are lost
+const maxInFlight = 300 // packets; further ones are dropped
 
-func (w *world) send(packets []Packet) {
+func (w *cluster) send(packets []Packet) {
 	for _, p := range packets {
-		if w.planted == oldDisks {
+		if w.fault == noPositions {
 			p.Positions = nil
 		}
-		if !w.cutOff[[2]VoterID{p.From, p.To}] && len(w.air) < mostAir {
-			w.air = append(w.air, p)
+		if !w.blockedLinks[[2]VoterID{p.From, p.To}] && len(w.inFlight) < maxInFlight {
+			w.inFlight = append(w.inFlight, p)
 		}
 	}
 }
 
-// acts tells whether a voter would act for the council now.
-func (w *world) acts(v *voter) bool {
-	if !v.up || v.still {
+// isActing reports whether a voter would act as leader now.
+func (w *cluster) isActing(v *voter) bool {
+	if !v.isUp || v.isPaused {
 		return false
 	}
-	until := v.seat.LeaseEnd()
-	if w.planted == staleReaders && v.seat.IsActive() && v.seat.leads {
-		until = w.clock(v) + 1
+	leaseEnd := v.node.LeaseEnd()
+	if w.fault == actsBeforeApplied && v.node.IsActive() && v.node.isLeader {
+		leaseEnd = w.clock(v) + 1
 	}
-	if w.planted == longTenure && until > 0 {
-		until += 3 * w.pace.Tick
+	if w.fault == longLease && leaseEnd > 0 {
+		leaseEnd += 3 * w.timing.Tick
 	}
-	return w.clock(v) < until
+	return w.clock(v) < leaseEnd
 }
 
-// step lets one thing happen.
-func (w *world) step() {
+// step executes one random event.
+func (w *cluster) step() {
 	v := w.voters[w.rng.Intn(len(w.voters))]
 	switch n := w.rng.Intn(1000); {
 	case n < 300:
-		w.now += 1 + w.rng.Int63n(w.pace.Tick/2)
-		w.ticks()
+		w.now += 1 + w.rng.Int63n(w.timing.Tick/2)
+		w.tickDue()
 	case n < 865:
-		w.deliver()
+		w.deliverOne()
 	case n < 880:
-		if !v.hung {
+		if !v.isDiskHung {
 			w.write(v, 1+w.rng.Intn(3))
-			w.work(v)
+			w.processReady(v)
 		}
 	case n < 940:
-		if w.acts(v) {
+		if w.isActing(v) {
 			w.propose(v)
 		}
 	case n < 946:
-		v.up = false
+		v.isUp = false
 	case n < 956:
-		if !v.up {
+		if !v.isUp {
 			w.start(v)
 		}
 	case n < 962:
-		v.still = true
+		v.isPaused = true
 	case n < 980:
-		v.still = false
+		v.isPaused = false
 	case n < 984:
 		other := w.voters[w.rng.Intn(len(w.voters))]
-		w.cutOff[[2]VoterID{v.id, other.id}] = true
+		w.blockedLinks[[2]VoterID{v.id, other.id}] = true
 	case n < 990:
-		w.cutOff = map[[2]VoterID]bool{}
+		w.blockedLinks = map[[2]VoterID]bool{}
 	case n < 992:
 		copied := v.disk
 		copied.Entries = slices.Clone(v.disk.Entries)
-		v.old = &copied
+		v.oldDisk = &copied
 	case n < 993:
-		w.putBack(v)
+		w.restoreOldDisk(v)
 	case n < 994:
-		v.hung = w.slow
+		v.isDiskHung = w.hasSlowDisks
 	default:
-		v.hung = false
+		v.isDiskHung = false
 	}
-	w.check()
+	w.checkInvariants()
 }
 
-// propose lets a voter that acts propose a record.
-func (w *world) propose(v *voter) {
-	w.asked++
+// propose proposes a new record at an acting voter.
+func (w *cluster) propose(v *voter) {
+	w.proposed++
 	v.applied[0] = true
-	v.seat.Propose(fmt.Appendf(nil, "r%d", w.asked))
-	w.work(v)
+	v.node.Propose(fmt.Appendf(nil, "r%d", w.proposed))
+	w.processReady(v)
 }
 
-// putBack puts an old copy in place of a voter's disk, if all others are up to tell, and no more than one was ever put back:
-// a council bears the loss of few, and one of one voter can't know.
-func (w *world) putBack(v *voter) {
-	for _, other := range w.voters {
-		if !other.up || other != v && other.seat.RefusalReason() != "" {
+// restoreOldDisk replaces a voter's disk by an old copy. It does so at most once, and only while
+// all peers are up to detect it; a council of one voter cannot.
+func (w *cluster) restoreOldDisk(v *voter) {
+	for _, peer := range w.voters {
+		if !peer.isUp || peer != v && peer.node.RefusalReason() != "" {
 			return
 		}
 	}
-	if v.old != nil && w.refused == 0 && len(w.voters) > 1 {
-		v.disk = *v.old
-		w.refused++
+	if v.oldDisk != nil && w.restoredDisks == 0 && len(w.voters) > 1 {
+		v.disk = *v.oldDisk
+		w.restoredDisks++
 		w.start(v)
 	}
 }
 
-// ticks lets clocks tick that are due. One that stood still has one tick to make up for.
-func (w *world) ticks() {
+// tickDue ticks all voters whose tick is due. A voter that was paused makes up for one tick only.
+func (w *cluster) tickDue() {
 	for _, v := range w.voters {
-		for v.up && !v.still && w.clock(v) >= v.due {
-			v.due += w.pace.Tick
-			if late := w.clock(v) - v.due; late > 0 {
-				v.due += late / w.pace.Tick * w.pace.Tick
+		for v.isUp && !v.isPaused && w.clock(v) >= v.nextTick {
+			v.nextTick += w.timing.Tick
+			if delay := w.clock(v) - v.nextTick; delay > 0 {
+				v.nextTick += delay / w.timing.Tick * w.timing.Tick
 			}
-			v.seat.Tick(w.clock(v))
-			w.work(v)
+			v.node.Tick(w.clock(v))
+			w.processReady(v)
 		}
 	}
 }
 
-// deliver takes a packet out of the air, and now and then leaves it there as well, or loses it.
-func (w *world) deliver() {
-	if len(w.air) == 0 {
+// deliverOne delivers a random packet, and occasionally duplicates or drops it.
+func (w *cluster) deliverOne() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	at := w.rng.Intn(min(len(w.air), 12))
-	p := w.air[at]
-	fate := w.rng.Intn(40)
-	if fate != 0 || len(w.air) > 200 {
-		w.air = slices.Delete(w.air, at, at+1)
+	index := w.rng.Intn(min(len(w.inFlight), 12))
+	p := w.inFlight[index]
+	outcome := w.rng.Intn(40)
+	if outcome != 0 || len(w.inFlight) > 200 {
+		w.inFlight = slices.Delete(w.inFlight, index, index+1)
 	}
 	v := w.voters[p.To-1]
-	if fate == 1 || !v.up {
+	if outcome == 1 || !v.isUp {
 		return
 	}
-	if v.still {
-		w.air = append(w.air, p)
+	if v.isPaused {
+		w.inFlight = append(w.inFlight, p)
 		return
 	}
-	if err := v.seat.Receive(p); err != nil {
-		w.broken = err.Error()
+	if err := v.node.Receive(p); err != nil {
+		w.violation = err.Error()
 	}
-	w.work(v)
+	w.processReady(v)
 }
 
-// check looks at what must hold at every moment.
-func (w *world) check() {
+// checkInvariants checks that at most one voter acts, and that it has applied all acknowledged
+// records.
+func (w *cluster) checkInvariants() {
 	var acting []VoterID
 	for _, v := range w.voters {
-		if !w.acts(v) {
+		if !w.isActing(v) {
 			continue
 		}
 		acting = append(acting, v.id)
-		for what, index := range w.told {
-			if index > v.last {
-				w.broken = fmt.Sprintf("voter %d acts at entry %d and does not know %q, entry %d", v.id, v.last, what, index)
+		for record, index := range w.acknowledged {
+			if index > v.lastApplied {
+				w.violation = fmt.Sprintf("voter %d acts at entry %d without having applied %q, entry %d", v.id, v.lastApplied, record, index)
 			}
 		}
 	}
 	if len(acting) > 0 {
-		w.acted++
+		w.actingSteps++
 	}
 	if len(acting) > 1 {
-		w.broken = fmt.Sprintf("voters %v act at once", acting)
+		w.violation = fmt.Sprintf("voters %v act at the same time", acting)
 	}
 }
 
-// settle lets everything work again, and tells whether the council then records something.
-func (w *world) settle() bool {
-	w.cutOff = map[[2]VoterID]bool{}
-	w.planted, w.calmly, w.air = sound, true, nil
-	before := len(w.told)
+// recover ends all faults and reports whether the council then commits records.
+func (w *cluster) recover() bool {
+	w.blockedLinks = map[[2]VoterID]bool{}
+	w.fault, w.noFaults, w.inFlight = noFault, true, nil
+	before := len(w.acknowledged)
 	for range 40_000 {
 		for _, v := range w.voters {
-			v.still, v.slow, v.hung = false, false, false
-			if !v.up {
+			v.isPaused, v.isDiskSlow, v.isDiskHung = false, false, false
+			if !v.isUp {
 				w.start(v)
 			}
 		}
 		v := w.voters[w.rng.Intn(len(w.voters))]
 		switch n := w.rng.Intn(10); {
 		case n < 2:
-			w.now += 1 + w.rng.Int63n(w.pace.Tick/2)
-			w.ticks()
+			w.now += 1 + w.rng.Int63n(w.timing.Tick/2)
+			w.tickDue()
 		case n < 9:
 			for range 10 {
-				w.deliver()
+				w.deliverOne()
 			}
-			w.write(v, len(v.writes))
-			w.work(v)
-		case w.acts(v):
+			w.write(v, len(v.pendingWrites))
+			w.processReady(v)
+		case w.isActing(v):
 			w.propose(v)
 		}
-		w.check()
-		if w.broken != "" || len(w.told) > before+2 {
-			return w.broken == ""
+		w.checkInvariants()
+		if w.violation != "" || len(w.acknowledged) > before+2 {
+			return w.violation == ""
 		}
 	}
 	return false
 }
 
-// guarded runs a walk and makes a breach of a panic of raft's.
-func (w *world) walk(steps int) {
+// run executes random steps and reports a panic in raft as a violation.
+func (w *cluster) run(steps int) {
 	defer func() {
 		if r := recover(); r != nil {
-			w.broken = fmt.Sprint("panic: ", r)
+			w.violation = fmt.Sprint("panic: ", r)
 		}
 	}()
 	for range steps {
-		if w.step(); w.broken != "" {
+		if w.step(); w.violation != "" {
 			return
 		}
 	}
 }
 
-// Guards against two that act for the council at once, against records that are lost, changed or out of order, against a
-// leader that does not know what others recorded, and against a council that does not come back by itself.
+// Guards against two voters acting at once, against lost, changed or reordered records, against a
+// leader with stale state, and against a council that does not recover by itself.
 func TestCouncilsInAnyOrder(t *testing.T) {
-	acted, told, refused := 0, 0, 0
+	actingSteps, acknowledged, refusedVoters := 0, 0, 0
 	for seed := range int64(120) {
-		w := newWorld(seed, []int{3, 5, 3, 7, 1}[seed%5], sound)
-		w.walk(6000)
-		require.Empty(t, w.broken, "seed %d", seed)
-		require.True(t, w.settle(), "seed %d: the council did not come back: %s", seed, w.broken)
-		acted, told = acted+w.acted, told+len(w.told)
+		w := newCluster(seed, []int{3, 5, 3, 7, 1}[seed%5], noFault)
+		w.run(6000)
+		require.Empty(t, w.violation, "seed %d", seed)
+		require.True(t, w.recover(), "seed %d: the council did not recover: %s", seed, w.violation)
+		actingSteps, acknowledged = actingSteps+w.actingSteps, acknowledged+len(w.acknowledged)
 		for _, v := range w.voters {
-			if v.seat.RefusalReason() != "" {
-				refused++
+			if v.node.RefusalReason() != "" {
+				refusedVoters++
 			}
 		}
 	}
-	t.Logf("somebody acted at %d steps of %d; %d records; %d voters with old disks refused", acted, 120*6000, told, refused)
-	require.Greater(t, acted, 120*6000/20)
-	require.Greater(t, refused, 3)
+	t.Logf("a voter acted at %d of %d steps; %d records; %d voters with old disks refused", actingSteps, 120*6000, acknowledged, refusedVoters)
+	require.Greater(t, actingSteps, 120*6000/20)
+	require.Greater(t, refusedVoters, 3)
 }
 
-// The walk finds what is planted.
+// Guards against a random walk that misses deliberate faults.
 func TestCouncilsWithPlantedFaults(t *testing.T) {
-	for name, p := range map[string]fault{"a tenure too long": longTenure, "votes just after a start": youngVoters,
-		"sent before written": sendsFirst, "old disks accepted": oldDisks,
-		"acting before knowing": staleReaders} {
+	for name, p := range map[string]fault{"a lease too long": longLease, "votes just after a start": earlyVotes,
+		"sent before written": sendsBeforeWrite, "old disks accepted": noPositions,
+		"acting before knowing": actsBeforeApplied} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(3000) {
-				w := newWorld(seed, 3, p)
-				if w.walk(6000); w.broken != "" {
-					t.Logf("found with seed %d: %s", seed, w.broken)
+				w := newCluster(seed, 3, p)
+				if w.run(6000); w.violation != "" {
+					t.Logf("found with seed %d: %s", seed, w.violation)
 					return
 				}
 			}
