--- a/internal/council/chamber/chamber.go
+++ b/internal/council/chamber/chamber.go
@@ -1,5 +1,5 @@
-// Package chamber lets a council's seat work: its disk, its clock, and the connections to the other voters. What is decided
-// is decided in package council and in the machines on its log.
+// Package chamber runs a council.Node: it provides its disk, its clock and the connections to the
+// other voters. All decisions are made in package council and in the state machines.
 package chamber
 
 import (
@@ -20,438 +20,442 @@
 	"sedgespread/internal/council"
 )
 
-// Server is one voter at work.
+// Server runs one voter of the council.
 type Server struct {
-	id       council.VoterID
-	pace     council.Timing
-	disk     *disk
-	machines map[string]StateMachine
-	strange  map[string][]json.RawMessage // records for machines that this build does not know, kept for snapshots
-	log      logrus.FieldLogger
-	begun    time.Time
-	events   chan func() // run one after another by Run
-	over     chan struct{}
-	post     *post
-	scribe   *scribe
-	pen      pen
-
-	tenure atomic.Int64 // until when this voter acts for the council, on its own clock
-	asked  atomic.Uint64
-	name   string // of this start, in proposals
-
-	mu      sync.Mutex // of what others may look at
-	state   State
-	seat    *council.Node
-	waiting map[string]chan error
-	voters  map[string]string
-	leading uint64 // the term in which the machines were told to lead
-	broken  error
-	lost    bool // no leader was known last
+	id             council.VoterID
+	timing         council.Timing
+	disk           *disk
+	stateMachines  map[string]StateMachine
+	unknownRecords map[string][]json.RawMessage // by unknown state machine; kept for snapshots
+	log            logrus.FieldLogger
+	startTime      time.Time
+	events         chan func() // executed by Run
+	done           chan struct{}
+	sender         *packetSender
+	writer         *diskWriter
+	latency        writeLatency
+
+	leaseEnd       atomic.Int64 // end of the leader lease, as returned by now
+	proposals      atomic.Uint64
+	proposalPrefix string // unique per start
+
+	mu          sync.Mutex // guards state and addresses; the fields below belong to Run
+	state       State
+	node        *council.Node
+	waiters     map[string]chan error
+	addresses   map[string]string
+	leadingTerm uint64 // term in which Lead was last called
+	failure     error
+	hasNoLeader bool // as last logged
 }
 
-// State is what a voter tells of the council.
+// State is the state of the council as one voter knows it.
 type State struct {
 	Voter         council.VoterID   `json:"voter"`
 	Voters        []council.VoterID `json:"voters"`
-	Addresses     map[string]string `json:"at"` // addresses of the voters, by number
+	Addresses     map[string]string `json:"at"` // by voter ID
 	Leader        council.VoterID   `json:"leader"`
 	Term          uint64            `json:"term"`
 	Applied       uint64            `json:"applied"`
-	IsActing      bool              `json:"acts"`     // this voter acts for the council
-	WriteMs       float64           `json:"write_ms"` // that a write of its disk takes, in the mean
+	IsActing      bool              `json:"acts"`     // this voter holds the leader lease
+	WriteMs       float64           `json:"write_ms"` // moving average of the duration of disk writes
 	RefusalReason string            `json:"refused,omitempty"`
 }
 
-// VoterAddresses are the addresses of the voters that a council begins with, as this voter reaches them.
+// VoterAddresses maps voters to the addresses at which this voter reaches them.
 type VoterAddresses map[council.VoterID]string
 
-// Open opens a voter's disk and seats it; nothing is sent yet. One that joins a council that is at work already begins
-// with an empty disk.
-func Open(id council.VoterID, peers VoterAddresses, joins bool, path string, pace council.Timing, machines map[string]StateMachine,
+// Open opens a voter's disk and creates its node; nothing is sent before Run. A voter that joins an
+// existing council starts with an empty disk.
+func Open(id council.VoterID, addresses VoterAddresses, joinExisting bool, path string, timing council.Timing, stateMachines map[string]StateMachine,
 	log logrus.FieldLogger) (c *Server, err error) {
-	var founders []council.VoterID
-	for v := range peers {
-		if !joins {
-			founders = append(founders, v)
+	var initialVoters []council.VoterID
+	for v := range addresses {
+		if !joinExisting {
+			initialVoters = append(initialVoters, v)
 		}
 	}
-	c = &Server{id: id, pace: pace, machines: machines, strange: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
-		begun: time.Now(), events: make(chan func(), mostEvents), over: make(chan struct{}), waiting: map[string]chan error{},
-		voters: map[string]string{}}
-	for v, at := range peers {
-		c.voters[strconv.FormatUint(uint64(v), 10)] = at
+	c = &Server{id: id, timing: timing, stateMachines: stateMachines, unknownRecords: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
+		startTime: time.Now(), events: make(chan func(), maxQueuedEvents), done: make(chan struct{}), waiters: map[string]chan error{},
+		addresses: map[string]string{}}
+	for v, address := range addresses {
+		c.addresses[strconv.FormatUint(uint64(v), 10)] = address
 	}
-	if c.disk, err = openDisk(path, id, founders); err != nil {
+	if c.disk, err = openDisk(path, id, initialVoters); err != nil {
 		return nil, err
 	}
 	seed := time.Now().UnixNano() ^ int64(id)<<48
-	c.name = fmt.Sprintf("%d-%x", id, uint64(rand.New(rand.NewSource(seed)).Int63()))
-	if c.seat, err = council.NewNode(id, pace, c.disk.kept, seed); err == nil {
-		err = c.restore(c.disk.kept.Snapshot)
+	c.proposalPrefix = fmt.Sprintf("%d-%x", id, uint64(rand.New(rand.NewSource(seed)).Int63()))
+	if c.node, err = council.NewNode(id, timing, c.disk.state, seed); err == nil {
+		err = c.restore(c.disk.state.Snapshot)
 	}
 	if err != nil {
 		c.disk.close()
 		return nil, err
 	}
-	c.disk.kept = council.DiskState{} // the seat has it now
-	c.post, c.scribe = newPost(c), newScribe(c)
-	c.publish()
+	c.disk.state = council.DiskState{} // the node owns it now
+	c.sender, c.writer = newPacketSender(c), newDiskWriter(c)
+	c.publishState()
 	return c, nil
 }
 
 const (
-	mostEvents = 1 << 10
-	mostBatch  = 256 // events between two writes to the disk
+	maxQueuedEvents = 1 << 10
+	maxEventBatch   = 256 // events handled before the next Ready
 )
 
-func (c *Server) now() int64 { return int64(time.Since(c.begun)) }
+// now returns the time of the voter's monotonic clock in nanoseconds.
+func (c *Server) now() int64 { return int64(time.Since(c.startTime)) }
 
-// Run works until the context ends. All that touches the seat happens here.
+// Run runs the voter until ctx is cancelled. The node is used only in Run's goroutine.
 func (c *Server) Run(ctx context.Context) {
 	defer c.disk.close()
-	defer func() { <-c.scribe.over }()
-	defer close(c.over)
-	defer c.post.close()
-	go c.scribe.run()
-	tick := time.NewTicker(time.Duration(c.pace.Tick))
+	defer func() { <-c.writer.done }()
+	defer close(c.done)
+	defer c.sender.close()
+	go c.writer.run()
+	tick := time.NewTicker(time.Duration(c.timing.Tick))
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-			c.seat.Tick(c.now())
-		case do := <-c.events:
-			do()
-			for more := len(c.events); more > 0 && more < mostBatch; more-- {
+			c.node.Tick(c.now())
+		case event := <-c.events:
+			event()
+			for remaining := len(c.events); remaining > 0 && remaining < maxEventBatch; remaining-- {
 				(<-c.events)()
 			}
 		}
-		c.work()
+		c.processReady()
 	}
-	c.tenure.Store(0)
-	c.fail(errOver)
+	c.leaseEnd.Store(0)
+	c.failWaiters(errShuttingDown)
 }
 
-// elsewhere is an error that leaves open that another voter does what this one did not.
-type elsewhere string
+// unavailableError is an error after which another voter may be able to serve the request.
+type unavailableError string
 
-func (e elsewhere) Error() string { return string(e) }
+func (e unavailableError) Error() string { return string(e) }
 
-// Status lets it be told as what sends whoever asks to another voter.
-func (e elsewhere) Status() int { return http.StatusServiceUnavailable }
+// Status returns the HTTP status that makes the caller try another voter.
+func (e unavailableError) Status() int { return http.StatusServiceUnavailable }
 
 const (
-	errOver = elsewhere("this voter is leaving")
-	// ErrNotLeading says that another voter, or nobody, acts for the council; nothing was recorded.
-	ErrNotLeading = elsewhere("this voter does not act for the council")
+	errShuttingDown = unavailableError("this voter is leaving")
+	// ErrNotLeading reports that this voter does not hold the leader lease; nothing was recorded.
+	ErrNotLeading = unavailableError("this voter does not act for the council")
 )
 
 var (
-	// ErrOutcomeUnknown says that a record was proposed and it is not known whether it will stand.
+	// ErrOutcomeUnknown reports that a record was proposed and may or may not be committed.
 	ErrOutcomeUnknown = errors.New("whether it was recorded is not known: the council has changed its leader meanwhile")
 )
 
-// work does what the seat asks for until there is nothing more.
-func (c *Server) work() {
-	for c.broken == nil {
-		w, any := c.seat.Ready()
-		if !any {
+// processReady handles the node's ready work until there is none.
+func (c *Server) processReady() {
+	for c.failure == nil {
+		ready, hasWork := c.node.Ready()
+		if !hasWork {
 			break
 		}
-		c.post.send(w.Packets)
-		if w.Write != nil {
-			c.scribe.add(w.Write)
+		c.sender.enqueue(ready.Packets)
+		if ready.Write != nil {
+			c.writer.add(ready.Write)
 		}
 	}
-	c.lead()
-	if c.broken == nil && c.seat.NeedsCompaction() {
+	c.updateLease()
+	if c.failure == nil && c.node.NeedsCompaction() {
 		c.compact()
 	}
-	c.publish()
+	c.publishState()
 }
 
-// written takes in that writes are on the disk, and hands out what waited for them.
-func (c *Server) written(writes []*council.Write, took time.Duration, err error) {
-	if c.broken != nil {
+// completeWrites completes durable writes, or stops the voter after a failed one, and applies
+// committed entries.
+func (c *Server) completeWrites(writes []*council.Write, took time.Duration, err error) {
+	if c.failure != nil {
 		return
 	}
 	if err != nil {
-		c.breakDown(err)
+		c.stop(err)
 		return
 	}
 	if took > 0 {
-		c.pen.noted(took, c.pace, c.log)
+		c.latency.observe(took, c.timing, c.log)
 	}
 	for _, w := range writes {
-		snapshot, commits, err := c.seat.CompleteWrite(w)
+		snapshot, entries, err := c.node.CompleteWrite(w)
 		if err == nil {
 			err = c.restore(snapshot)
 		}
 		if err != nil {
-			c.breakDown(err)
+			c.stop(err)
 			return
 		}
-		for _, k := range commits {
-			c.apply(k)
+		for _, entry := range entries {
+			c.apply(entry)
 		}
 	}
 }
 
-// breakDown ends this voter's part for good: it can't write down what it would have to answer for.
-func (c *Server) breakDown(err error) {
-	c.broken = err
-	c.tenure.Store(0)
-	c.log.WithError(err).Error("this voter can't go on")
-	c.fail(err)
-	c.publish()
+// stop stops the voter permanently, since it can no longer persist its state.
+func (c *Server) stop(err error) {
+	c.failure = err
+	c.leaseEnd.Store(0)
+	c.log.WithError(err).Error("voter stopped after an unrecoverable error")
+	c.failWaiters(err)
+	c.publishState()
 }
 
-// lead tells the machines when this voter begins to act for the council, and everybody until when.
-func (c *Server) lead() {
-	until := c.seat.LeaseEnd()
-	if c.broken != nil {
-		until = 0
-	}
-	if until > c.now() && c.leading != c.seat.Term() {
-		c.leading = c.seat.Term()
-		c.log.WithFields(logrus.Fields{"term": c.leading, "applied": c.seat.AppliedIndex()}).Info("acts for the council")
-		for _, m := range c.machines {
+// updateLease publishes the end of the leader lease, and calls Lead when a lease begins in a new
+// term.
+func (c *Server) updateLease() {
+	leaseEnd := c.node.LeaseEnd()
+	if c.failure != nil {
+		leaseEnd = 0
+	}
+	if leaseEnd > c.now() && c.leadingTerm != c.node.Term() {
+		c.leadingTerm = c.node.Term()
+		c.log.WithFields(logrus.Fields{"term": c.leadingTerm, "applied": c.node.AppliedIndex()}).Info("acquired the leader lease")
+		for _, m := range c.stateMachines {
 			m.Lead()
 		}
 	}
-	if until == 0 && c.tenure.Load() != 0 {
-		c.fail(ErrOutcomeUnknown)
+	if leaseEnd == 0 && c.leaseEnd.Load() != 0 {
+		c.failWaiters(ErrOutcomeUnknown)
 	}
-	c.tenure.Store(until)
+	c.leaseEnd.Store(leaseEnd)
 }
 
-// apply hands a record to its machine, and tells whoever waits for it.
-func (c *Server) apply(k council.CommittedEntry) {
-	if k.Change != nil {
-		c.joins(k.Change)
+// apply passes a record to its state machine and wakes the caller that proposed it.
+func (c *Server) apply(entry council.CommittedEntry) {
+	if entry.Change != nil {
+		c.addAddresses(entry.Change)
 		return
 	}
 	var r record
-	if len(k.Record) == 0 || json.Unmarshal(k.Record, &r) != nil {
+	if len(entry.Record) == 0 || json.Unmarshal(entry.Record, &r) != nil {
 		return
 	}
-	if m := c.machines[r.Machine]; m != nil {
+	if m := c.stateMachines[r.Machine]; m != nil {
 		m.Apply(r.Data)
 	} else {
-		c.strange[r.Machine] = append(c.strange[r.Machine], r.Data)
+		c.unknownRecords[r.Machine] = append(c.unknownRecords[r.Machine], r.Data)
 	}
-	if told := c.waiting[r.By]; told != nil {
-		delete(c.waiting, r.By)
-		told <- nil
+	if waiter := c.waiters[r.ProposalID]; waiter != nil {
+		delete(c.waiters, r.ProposalID)
+		waiter <- nil
 	}
 }
 
-// joins takes the addresses of new voters in.
-func (c *Server) joins(change *raftpb.ConfChangeV2) {
-	var said map[string]string
-	if json.Unmarshal(change.GetContext(), &said) != nil {
+// addAddresses stores the addresses of added voters.
+func (c *Server) addAddresses(change *raftpb.ConfChangeV2) {
+	var addresses map[string]string
+	if json.Unmarshal(change.GetContext(), &addresses) != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for v, at := range said {
-		c.voters[v] = at
+	for v, address := range addresses {
+		c.addresses[v] = address
 	}
 }
 
-// fail tells all that wait that it is not known what became of their records.
-func (c *Server) fail(err error) {
-	for by, told := range c.waiting {
-		delete(c.waiting, by)
-		told <- err
+// failWaiters ends all waiting proposals with err.
+func (c *Server) failWaiters(err error) {
+	for proposalID, waiter := range c.waiters {
+		delete(c.waiters, proposalID)
+		waiter <- err
 	}
 }
 
-// compact writes a snapshot in place of the oldest entries.
+// compact replaces the oldest log entries by a snapshot.
 func (c *Server) compact() {
-	s := snapshot{Machines: map[string]json.RawMessage{}, Voters: c.voters}
-	for name, m := range c.machines {
-		text, err := m.Snapshot()
+	s := snapshot{Machines: map[string]json.RawMessage{}, Voters: c.addresses}
+	for name, m := range c.stateMachines {
+		data, err := m.Snapshot()
 		if err != nil {
-			c.log.WithError(err).WithField("machine", name).Error("no snapshot of the council's log")
+			c.log.WithError(err).WithField("machine", name).Error("taking snapshot of state machine failed")
 			return
 		}
-		s.Machines[name] = text
+		s.Machines[name] = data
 	}
-	for name, records := range c.strange {
-		text, err := json.Marshal(records)
+	for name, records := range c.unknownRecords {
+		data, err := json.Marshal(records)
 		if err != nil {
 			return
 		}
-		s.Machines[name] = text
+		s.Machines[name] = data
 	}
-	text, err := json.Marshal(s)
+	data, err := json.Marshal(s)
 	var w *council.Write
 	if err == nil {
-		w, err = c.seat.Compact(text)
+		w, err = c.node.Compact(data)
 	}
 	if err != nil {
-		c.breakDown(err)
+		c.stop(err)
 		return
 	}
-	c.scribe.add(w)
+	c.writer.add(w)
 }
 
-// restore lets the machines take a snapshot, if it holds something.
-func (c *Server) restore(taken *raftpb.Snapshot) error {
-	if len(taken.GetData()) == 0 {
+// restore restores the state machines and voter addresses from a snapshot, unless it is empty.
+func (c *Server) restore(raftSnapshot *raftpb.Snapshot) error {
+	if len(raftSnapshot.GetData()) == 0 {
 		return nil
 	}
 	var s snapshot
-	if err := json.Unmarshal(taken.GetData(), &s); err != nil {
+	if err := json.Unmarshal(raftSnapshot.GetData(), &s); err != nil {
 		return err
 	}
-	for name, text := range s.Machines {
-		m := c.machines[name]
+	for name, data := range s.Machines {
+		m := c.stateMachines[name]
 		if m == nil {
 			var records []json.RawMessage
-			if json.Unmarshal(text, &records) != nil {
-				records = []json.RawMessage{text}
+			if json.Unmarshal(data, &records) != nil {
+				records = []json.RawMessage{data}
 			}
-			c.strange[name] = records
+			c.unknownRecords[name] = records
 			continue
 		}
-		if err := m.Restore(text); err != nil {
+		if err := m.Restore(data); err != nil {
 			return fmt.Errorf("machine %s: %w", name, err)
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for v, at := range s.Voters {
-		if c.voters[v] == "" {
-			c.voters[v] = at
+	for v, address := range s.Voters {
+		if c.addresses[v] == "" {
+			c.addresses[v] = address
 		}
 	}
 	return nil
 }
 
-// publish lets others see how things stand, and logs when a leader is lost or found.
-func (c *Server) publish() {
-	lost := c.seat.Leader() == 0 && c.tenure.Load() == 0
-	refused := c.seat.RefusalReason()
-	if c.broken != nil {
-		refused = c.broken.Error()
+// publishState updates the state that State returns, and logs when a leader is lost or found.
+func (c *Server) publishState() {
+	hasNoLeader := c.node.Leader() == 0 && c.leaseEnd.Load() == 0
+	refusalReason := c.node.RefusalReason()
+	if c.failure != nil {
+		refusalReason = c.failure.Error()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if refused != "" && c.state.RefusalReason == "" {
-		c.log.WithField("why", refused).Error("this voter is refused")
-	} else if lost != c.lost {
-		c.log.WithFields(logrus.Fields{"leader": c.seat.Leader(), "term": c.seat.Term(), "applied": c.seat.AppliedIndex()}).
-			Info(map[bool]string{true: "the council has no leader", false: "the council has a leader"}[lost])
-	}
-	c.lost = lost
-	c.state = State{Voter: c.id, Voters: c.seat.Voters(), Leader: c.seat.Leader(), Term: c.seat.Term(), Applied: c.seat.AppliedIndex(),
-		RefusalReason: refused, WriteMs: float64(c.pen.usual) / float64(time.Millisecond)}
+	if refusalReason != "" && c.state.RefusalReason == "" {
+		c.log.WithField("why", refusalReason).Error("voter refused permanently")
+	} else if hasNoLeader != c.hasNoLeader {
+		c.log.WithFields(logrus.Fields{"leader": c.node.Leader(), "term": c.node.Term(), "applied": c.node.AppliedIndex()}).
+			Info(map[bool]string{true: "no leader", false: "leader elected"}[hasNoLeader])
+	}
+	c.hasNoLeader = hasNoLeader
+	c.state = State{Voter: c.id, Voters: c.node.Voters(), Leader: c.node.Leader(), Term: c.node.Term(), Applied: c.node.AppliedIndex(),
+		RefusalReason: refusalReason, WriteMs: float64(c.latency.mean) / float64(time.Millisecond)}
 }
 
-// State tells how the council stands, as far as this voter knows.
+// State returns the state of the council as this voter knows it.
 func (c *Server) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state
 	s.IsActing = c.IsActing()
-	s.Addresses = make(map[string]string, len(c.voters))
-	for v, at := range c.voters {
-		s.Addresses[v] = at
+	s.Addresses = make(map[string]string, len(c.addresses))
+	for v, address := range c.addresses {
+		s.Addresses[v] = address
 	}
 	return s
 }
 
-// IsActing tells whether this voter acts for the council just now: nobody else does, and all that was recorded is applied.
-func (c *Server) IsActing() bool { return c.now() < c.tenure.Load() }
+// IsActing reports whether this voter holds the leader lease. It is then the only one, and has
+// applied all earlier records.
+func (c *Server) IsActing() bool { return c.now() < c.leaseEnd.Load() }
 
-// address is where a voter is, empty for not known.
+// address returns the address of a voter, or an empty string if it is unknown.
 func (c *Server) address(v council.VoterID) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.voters[strconv.FormatUint(uint64(v), 10)]
+	return c.addresses[strconv.FormatUint(uint64(v), 10)]
 }
 
-// do lets something happen between two steps of Run, and tells whether it will.
-func (c *Server) do(ctx context.Context, what func()) error {
+// enqueue queues event to be executed by Run.
+func (c *Server) enqueue(ctx context.Context, event func()) error {
 	select {
-	case c.events <- what:
+	case c.events <- event:
 		return nil
-	case <-c.over:
-		return errOver
+	case <-c.done:
+		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Record asks the council to agree on a record for a machine, and returns once that has it. After ErrNotLeading it was not
-// recorded and never will be; after another error it may be.
-func (c *Server) Record(ctx context.Context, machine string, data any) error {
-	text, err := json.Marshal(data)
+// Record proposes a record and returns when this voter's state machine has applied it. After
+// ErrNotLeading the record was not proposed; after any other error it may still be committed.
+func (c *Server) Record(ctx context.Context, stateMachine string, data any) error {
+	encoded, err := json.Marshal(data)
 	if err != nil {
 		return err
 	}
-	by := c.name + "-" + strconv.FormatUint(c.asked.Add(1), 36)
-	text, err = json.Marshal(record{Machine: machine, By: by, Data: text})
+	proposalID := c.proposalPrefix + "-" + strconv.FormatUint(c.proposals.Add(1), 36)
+	encoded, err = json.Marshal(record{Machine: stateMachine, ProposalID: proposalID, Data: encoded})
 	if err != nil {
 		return err
 	}
-	err = c.ask(ctx, func(told chan error) {
-		if !c.IsActing() || c.seat.Propose(text) != nil {
-			told <- ErrNotLeading
+	err = c.call(ctx, func(result chan error) {
+		if !c.IsActing() || c.node.Propose(encoded) != nil {
+			result <- ErrNotLeading
 			return
 		}
-		c.waiting[by] = told
+		c.waiters[proposalID] = result
 	})
 	if err != nil && err == ctx.Err() {
-		c.do(context.Background(), func() { delete(c.waiting, by) })
+		c.enqueue(context.Background(), func() { delete(c.waiters, proposalID) })
 		return fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
 	}
 	return err
 }
 
-// ask lets something happen between two steps of Run that answers once, and waits for the answer.
-func (c *Server) ask(ctx context.Context, what func(told chan error)) error {
-	told := make(chan error, 1)
-	if err := c.do(ctx, func() { what(told) }); err != nil {
+// call executes event in Run and waits for its result.
+func (c *Server) call(ctx context.Context, event func(result chan error)) error {
+	result := make(chan error, 1)
+	if err := c.enqueue(ctx, func() { event(result) }); err != nil {
 		return err
 	}
 	select {
-	case err := <-told:
+	case err := <-result:
 		return err
-	case <-c.over:
-		return errOver
+	case <-c.done:
+		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// VoterChange is a change of who votes.
+// VoterChange lists voters to add and remove.
 type VoterChange struct {
 	Add    VoterAddresses    `json:"add,omitempty"`
 	Remove []council.VoterID `json:"remove,omitempty"`
 }
 
-// ChangeVoters asks the council to let voters in and others go, and returns once it was proposed.
+// ChangeVoters proposes to add and remove voters. It does not wait for the change to be committed.
 func (c *Server) ChangeVoters(ctx context.Context, change VoterChange) error {
-	said := map[string]string{}
+	addresses := map[string]string{}
 	var add []council.VoterID
-	for v, at := range change.Add {
-		add, said[strconv.FormatUint(uint64(v), 10)] = append(add, v), at
+	for v, address := range change.Add {
+		add, addresses[strconv.FormatUint(uint64(v), 10)] = append(add, v), address
 	}
-	text, err := json.Marshal(said)
+	encoded, err := json.Marshal(addresses)
 	if err != nil {
 		return err
 	}
-	return c.ask(ctx, func(told chan error) { told <- c.seat.ChangeVoters(add, change.Remove, text) })
+	return c.call(ctx, func(result chan error) { result <- c.node.ChangeVoters(add, change.Remove, encoded) })
 }
 
-// Receive takes a packet of another voter in.
+// Receive queues a packet from another voter.
 func (c *Server) Receive(ctx context.Context, p council.Packet) error {
-	return c.do(ctx, func() {
-		if err := c.seat.Receive(p); err != nil {
-			c.log.WithError(err).Warn("a packet was not taken")
+	return c.enqueue(ctx, func() {
+		if err := c.node.Receive(p); err != nil {
+			c.log.WithError(err).Warn("rejected a packet from another voter")
 		}
 	})
 }
--- a/internal/council/chamber/chamber_test.go
+++ b/internal/council/chamber/chamber_test.go
@@ -27,11 +27,11 @@
 	"sedgespread/internal/store"
 )
 
-// register is a machine that holds one value.
+// register is a state machine that holds one value.
 type register struct {
-	mu    sync.Mutex
-	value string
-	leads int
+	mu        sync.Mutex
+	value     string
+	leadCalls int
 }
 
 func (r *register) Apply(data []byte) {
@@ -50,7 +50,7 @@
 func (r *register) Lead() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leads++
+	r.leadCalls++
 }
 
 func (r *register) read() string {
@@ -59,94 +59,95 @@
 	return r.value
 }
 
-// table is a council of chambers in one process, with a relay for each two of them.
-type table struct {
-	t     *testing.T
-	net   *relays.Net
-	dir   string
-	at    []string
-	peers []VoterAddresses
-	seats []*seated
-	pens  []*slowPen
+// cluster is a council of servers in one process, with a relay for each direction between two of them.
+type cluster struct {
+	t               *testing.T
+	net             *relays.Net
+	dir             string
+	listenAddresses []string
+	addresses       []VoterAddresses
+	voters          []*runningVoter
+	files           []*slowFile
 }
 
-// slowPen is a voter's file that takes a time more for each write, or waits until it is mended.
-type slowPen struct {
-	keeper
-	takes  atomic.Int64 // nanoseconds
-	hangs  atomic.Bool
+// slowFile delays each write of a voter's file, or blocks writes while it is hung.
+type slowFile struct {
+	logFile
+	delay  atomic.Int64 // nanoseconds
+	isHung atomic.Bool
 	writes atomic.Int64
 }
 
-func (p *slowPen) Save(parts ...store.Update) error {
-	time.Sleep(time.Duration(p.takes.Load()))
-	for p.hangs.Load() {
+func (p *slowFile) Save(parts ...store.Update) error {
+	time.Sleep(time.Duration(p.delay.Load()))
+	for p.isHung.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	p.writes.Add(1)
-	return p.keeper.Save(parts...)
+	return p.logFile.Save(parts...)
 }
 
-type seated struct {
-	mu   sync.Mutex
-	c    *Server
-	r    *register
-	stop func()
+type runningVoter struct {
+	mu       sync.Mutex
+	server   *Server
+	register *register
+	stop     func()
 }
 
-var pace = council.Timing{Tick: int64(10 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
+var timing = council.Timing{Tick: int64(10 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// aside is where voters listen: on an address from which nobody connects, and so takes the port of one that is down.
-const aside = "127.0.0.2:0"
+// listenAddress differs from the address that outgoing connections use, so that these cannot take
+// the port of a stopped voter.
+const listenAddress = "127.0.0.2:0"
 
-func newTable(t *testing.T, voters int) *table {
-	b := &table{t: t, net: relays.New(1), dir: t.TempDir()}
+func newCluster(t *testing.T, voterCount int) *cluster {
+	b := &cluster{t: t, net: relays.New(1), dir: t.TempDir()}
 	t.Cleanup(b.net.Close)
-	for range voters {
-		l, err := net.Listen("tcp", aside)
+	for range voterCount {
+		listener, err := net.Listen("tcp", listenAddress)
 		require.NoError(t, err)
-		b.at = append(b.at, l.Addr().String())
-		l.Close()
+		b.listenAddresses = append(b.listenAddresses, listener.Addr().String())
+		listener.Close()
 	}
-	for i := range voters {
+	for i := range voterCount {
 		peers := VoterAddresses{}
-		for j := range voters {
-			at, err := b.net.Relay(links.Way{From: name(i), To: name(j)}, b.at[j])
+		for j := range voterCount {
+			address, err := b.net.Relay(links.Way{From: voterName(i), To: voterName(j)}, b.listenAddresses[j])
 			require.NoError(t, err)
-			peers[council.VoterID(j+1)] = at
+			peers[council.VoterID(j+1)] = address
 		}
-		b.peers, b.seats, b.pens = append(b.peers, peers), append(b.seats, &seated{}), append(b.pens, &slowPen{})
+		b.addresses, b.voters, b.files = append(b.addresses, peers), append(b.voters, &runningVoter{}), append(b.files, &slowFile{})
 	}
-	for i := range voters {
+	for i := range voterCount {
 		b.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range b.seats {
-			b.end(i)
+		for i := range b.voters {
+			b.stop(i)
 		}
 	})
 	return b
 }
 
-func name(i int) string { return fmt.Sprint("v", i+1) }
+func voterName(i int) string { return fmt.Sprint("v", i+1) }
 
-func (b *table) disk(i int) string { return filepath.Join(b.dir, name(i)) }
+func (b *cluster) disk(i int) string { return filepath.Join(b.dir, voterName(i)) }
 
-// start starts a voter over its disk.
-func (b *table) start(i int) {
-	s := b.seats[i]
+// start starts a voter from its disk.
+func (b *cluster) start(i int) {
+	s := b.voters[i]
 	r := &register{}
-	c, err := Open(council.VoterID(i+1), b.peers[i], false, b.disk(i), pace, map[string]StateMachine{"register": r}, quiet())
+	c, err := Open(council.VoterID(i+1), b.addresses[i], false, b.disk(i), timing, map[string]StateMachine{"register": r}, discardLogger())
 	require.NoError(b.t, err)
-	b.pens[i].keeper = c.disk.log
-	c.disk.log = b.pens[i]
-	l, err := net.Listen("tcp", b.at[i])
+	b.files[i].logFile = c.disk.log
+	c.disk.log = b.files[i]
+	l, err := net.Listen("tcp", b.listenAddresses[i])
 	require.NoError(b.t, err)
 	mux := http.NewServeMux()
 	c.RegisterHandlers(mux)
@@ -156,56 +157,56 @@
 	go func() { defer done.Done(); c.Run(ctx) }()
 	go func() { defer done.Done(); jsonhttp.Serve(ctx, l, mux) }()
 	s.mu.Lock()
-	s.c, s.r, s.stop = c, r, func() { stop(); done.Wait() }
+	s.server, s.register, s.stop = c, r, func() { stop(); done.Wait() }
 	s.mu.Unlock()
 }
 
-// end ends a voter, as its process would end.
-func (b *table) end(i int) {
-	s := b.seats[i]
+// stop stops a voter.
+func (b *cluster) stop(i int) {
+	s := b.voters[i]
 	s.mu.Lock()
 	stop := s.stop
-	s.c, s.stop = nil, nil
+	s.server, s.stop = nil, nil
 	s.mu.Unlock()
 	if stop != nil {
 		stop()
 	}
 }
 
-func (s *seated) now() (*Server, *register) {
+func (s *runningVoter) current() (*Server, *register) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.c, s.r
+	return s.server, s.register
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, failure string, isDone func() bool) {
 	t.Helper()
-	for begun := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		require.Less(t, time.Since(begun), 15*time.Second, what)
+	for start := time.Now(); !isDone(); time.Sleep(2 * time.Millisecond) {
+		require.Less(t, time.Since(start), 15*time.Second, failure)
 	}
 }
 
-// leader is the voter that acts, -1 for none.
-func (b *table) leader() int {
-	for i, s := range b.seats {
-		if c, _ := s.now(); c != nil && c.IsActing() {
+// leader returns the voter that acts as leader, or -1.
+func (b *cluster) leader() int {
+	for i, s := range b.voters {
+		if c, _ := s.current(); c != nil && c.IsActing() {
 			return i
 		}
 	}
 	return -1
 }
 
-// leads is the voter that acts, once one does.
-func (b *table) leads() int {
-	lead := -1
-	eventually(b.t, "nobody leads", func() bool { lead = b.leader(); return lead >= 0 })
-	return lead
+// waitForLeader waits until a voter acts as leader and returns it.
+func (b *cluster) waitForLeader() int {
+	leader := -1
+	eventually(b.t, "no voter acts as leader", func() bool { leader = b.leader(); return leader >= 0 })
+	return leader
 }
 
-func (b *table) record(value string) {
-	eventually(b.t, "nobody records", func() bool {
-		for _, s := range b.seats {
-			if c, _ := s.now(); c != nil && c.Record(context.Background(), "register", value) == nil {
+func (b *cluster) record(value string) {
+	eventually(b.t, "no voter accepts the record", func() bool {
+		for _, s := range b.voters {
+			if c, _ := s.current(); c != nil && c.Record(context.Background(), "register", value) == nil {
 				return true
 			}
 		}
@@ -213,55 +214,55 @@
 	})
 }
 
-// Guards against a council that does not survive the loss of any one voter, or of all at once, and against one that goes
-// on alone.
-func TestACouncilSurvivesLosses(t *testing.T) {
-	b := newTable(t, 3)
+// Guards against a council that does not survive the loss of any one voter or a restart of all of
+// them, and against a leader that acts without a quorum.
+func TestVoterLosses(t *testing.T) {
+	b := newCluster(t, 3)
 	b.record("one")
 	for i := range 3 {
-		b.end(i)
+		b.stop(i)
 		b.record(fmt.Sprint("without ", i))
 		b.start(i)
-		eventually(t, "it does not catch up", func() bool { _, r := b.seats[i].now(); return r.read() == fmt.Sprint("without ", i) })
+		eventually(t, "the voter does not catch up", func() bool { _, r := b.voters[i].current(); return r.read() == fmt.Sprint("without ", i) })
 	}
-	lead := b.leads()
+	leader := b.waitForLeader()
 	for i := range 3 {
-		if i != lead {
-			b.end(i)
+		if i != leader {
+			b.stop(i)
 		}
 	}
-	eventually(t, "it acts alone", func() bool { return b.leader() < 0 })
-	c, _ := b.seats[lead].now()
+	eventually(t, "a voter without a quorum acts as leader", func() bool { return b.leader() < 0 })
+	c, _ := b.voters[leader].current()
 	require.ErrorIs(t, c.Record(context.Background(), "register", "alone"), ErrNotLeading)
-	b.end(lead)
+	b.stop(leader)
 	for i := range 3 {
 		b.start(i)
 	}
 	b.record("all again")
 	for i := range 3 {
-		eventually(t, "not told", func() bool { _, r := b.seats[i].now(); return r.read() == "all again" })
+		eventually(t, "the record is not applied", func() bool { _, r := b.voters[i].current(); return r.read() == "all again" })
 	}
 }
 
-// Guards against disks on which each write takes longer than a leader's tenure: the council still elects, the leader goes on
-// acting without a gap, and what many record at once shares writes.
-func TestACouncilOnSlowDisks(t *testing.T) {
-	b := newTable(t, 3)
-	for _, p := range b.pens {
-		p.takes.Store(2 * pace.LeaderLease())
+// Guards against disks whose writes take longer than the leader lease: a leader must be elected and
+// keep its lease, and concurrent records must share writes.
+func TestSlowDisks(t *testing.T) {
+	b := newCluster(t, 3)
+	for _, p := range b.files {
+		p.delay.Store(2 * timing.LeaderLease())
 	}
 	b.record("first")
-	lead := b.leads()
-	c, r := b.seats[lead].now()
-	require.Greater(t, c.State().WriteMs, float64(pace.LeaderLease())/1e6, "its disk is known to be slow")
-	before, gaps, over := b.pens[lead].writes.Load(), 0, make(chan struct{})
-	var watch, clients sync.WaitGroup
-	watch.Add(1)
+	leader := b.waitForLeader()
+	c, r := b.voters[leader].current()
+	require.Greater(t, c.State().WriteMs, float64(timing.LeaderLease())/1e6, "the mean write duration shows the slow disk")
+	writesBefore, gaps, done := b.files[leader].writes.Load(), 0, make(chan struct{})
+	var watcher, clients sync.WaitGroup
+	watcher.Add(1)
 	go func() {
-		defer watch.Done()
+		defer watcher.Done()
 		for ; ; time.Sleep(time.Millisecond) {
 			select {
-			case <-over:
+			case <-done:
 				return
 			default:
 			}
@@ -279,77 +280,77 @@
 		}()
 	}
 	clients.Wait()
-	close(over)
-	watch.Wait()
-	require.Zero(t, gaps, "moments at which the leader did not act")
-	require.Equal(t, 1, r.leads)
-	require.Less(t, b.pens[lead].writes.Load()-before, int64(records/2))
+	close(done)
+	watcher.Wait()
+	require.Zero(t, gaps, "times at which the leader held no lease")
+	require.Equal(t, 1, r.leadCalls)
+	require.Less(t, b.files[leader].writes.Load()-writesBefore, int64(records/2))
 }
 
-// Guards against a leader whose disk hangs and whose heartbeats keep the others from going on without it.
-func TestALeaderWhoseDiskHangs(t *testing.T) {
-	b := newTable(t, 3)
+// Guards against a leader with a hung disk whose heartbeats block elections.
+func TestLeaderWithHungDiskIsReplaced(t *testing.T) {
+	b := newCluster(t, 3)
 	b.record("one")
-	lead := b.leads()
-	b.pens[lead].hangs.Store(true)
-	defer b.pens[lead].hangs.Store(false)
-	c, _ := b.seats[lead].now()
-	by, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	leader := b.waitForLeader()
+	b.files[leader].isHung.Store(true)
+	defer b.files[leader].isHung.Store(false)
+	c, _ := b.voters[leader].current()
+	ctx, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer stop()
-	require.ErrorIs(t, c.Record(by, "register", "hung"), ErrOutcomeUnknown)
-	eventually(t, "nobody follows it", func() bool { i := b.leader(); return i >= 0 && i != lead })
+	require.ErrorIs(t, c.Record(ctx, "register", "hung"), ErrOutcomeUnknown)
+	eventually(t, "no other voter acts as leader", func() bool { i := b.leader(); return i >= 0 && i != leader })
 	b.record("without it")
-	b.pens[lead].hangs.Store(false)
-	eventually(t, "it does not catch up", func() bool { _, r := b.seats[lead].now(); return r.read() == "without it" })
+	b.files[leader].isHung.Store(false)
+	eventually(t, "the voter does not catch up", func() bool { _, r := b.voters[leader].current(); return r.read() == "without it" })
 }
 
-// Guards against a disk that came back old, or is another voter's, or was cut.
-func TestDisksThatCantBeUsed(t *testing.T) {
-	b := newTable(t, 3)
+// Guards against disks that are stale, truncated or belong to another voter.
+func TestUnusableDisks(t *testing.T) {
+	b := newCluster(t, 3)
 	b.record("one")
-	i := b.leads()
-	b.end(i)
-	old, err := os.ReadFile(b.disk(i))
+	i := b.waitForLeader()
+	b.stop(i)
+	oldFile, err := os.ReadFile(b.disk(i))
 	require.NoError(t, err)
 	b.start(i)
 	for n := range 5 {
 		b.record(fmt.Sprint("more ", n))
 	}
-	eventually(t, "it does not catch up", func() bool { _, r := b.seats[i].now(); return r.read() == "more 4" })
-	eventually(t, "others did not hear from it", func() bool { c, _ := b.seats[(i+1)%3].now(); return c.State().Applied > 5 })
-	b.end(i)
-	require.NoError(t, os.WriteFile(b.disk(i), old, 0o600))
+	eventually(t, "the voter does not catch up", func() bool { _, r := b.voters[i].current(); return r.read() == "more 4" })
+	eventually(t, "the other voters have not caught up", func() bool { c, _ := b.voters[(i+1)%3].current(); return c.State().Applied > 5 })
+	b.stop(i)
+	require.NoError(t, os.WriteFile(b.disk(i), oldFile, 0o600))
 	b.start(i)
-	eventually(t, "not refused", func() bool { c, _ := b.seats[i].now(); return c.State().RefusalReason != "" })
-	c, _ := b.seats[i].now()
+	eventually(t, "the voter is not refused", func() bool { c, _ := b.voters[i].current(); return c.State().RefusalReason != "" })
+	c, _ := b.voters[i].current()
 	require.Contains(t, c.State().RefusalReason, "is older than what it had told")
 	b.record("the others go on")
-	b.end(i)
-	require.NoError(t, os.WriteFile(b.disk(i), old[:len(old)/2], 0o600))
-	_, err = Open(council.VoterID(i+1), b.peers[i], false, b.disk(i), pace, nil, quiet())
+	b.stop(i)
+	require.NoError(t, os.WriteFile(b.disk(i), oldFile[:len(oldFile)/2], 0o600))
+	_, err = Open(council.VoterID(i+1), b.addresses[i], false, b.disk(i), timing, nil, discardLogger())
 	require.ErrorContains(t, err, "cut off")
 	other := (i + 1) % 3
-	b.end(other)
-	_, err = Open(council.VoterID(i+1), b.peers[i], false, b.disk(other), pace, nil, quiet())
-	require.ErrorContains(t, err, fmt.Sprintf("it is the disk of voter %d, and this is voter %d", other+1, i+1))
+	b.stop(other)
+	_, err = Open(council.VoterID(i+1), b.addresses[i], false, b.disk(other), timing, nil, discardLogger())
+	require.ErrorContains(t, err, fmt.Sprintf("disk belongs to voter %d, but this is voter %d", other+1, i+1))
 	b.start(other)
 }
 
-// Guards against a voter lost for good: another takes its place while the council works, and learns what was recorded.
-func TestAnotherTakesAPlace(t *testing.T) {
-	b := newTable(t, 3)
+// Guards against a lost voter that cannot be replaced, or a new voter that does not catch up.
+func TestVoterReplacement(t *testing.T) {
+	b := newCluster(t, 3)
 	b.record("before")
-	lost := (b.leads() + 1) % 3
-	b.end(lost)
-	l, err := net.Listen("tcp", aside)
+	lost := (b.waitForLeader() + 1) % 3
+	b.stop(lost)
+	l, err := net.Listen("tcp", listenAddress)
 	require.NoError(t, err)
-	at := l.Addr().String()
+	address := l.Addr().String()
 	l.Close()
-	b.at, b.peers, b.seats = append(b.at, at), append(b.peers, b.peers[lost]), append(b.seats, &seated{})
+	b.listenAddresses, b.addresses, b.voters = append(b.listenAddresses, address), append(b.addresses, b.addresses[lost]), append(b.voters, &runningVoter{})
 	r := &register{}
-	c, err := Open(4, b.peers[lost], true, b.disk(3), pace, map[string]StateMachine{"register": r}, quiet())
+	c, err := Open(4, b.addresses[lost], true, b.disk(3), timing, map[string]StateMachine{"register": r}, discardLogger())
 	require.NoError(t, err)
-	l, err = net.Listen("tcp", at)
+	l, err = net.Listen("tcp", address)
 	require.NoError(t, err)
 	mux := http.NewServeMux()
 	c.RegisterHandlers(mux)
@@ -357,80 +358,80 @@
 	defer stop()
 	go c.Run(ctx)
 	go jsonhttp.Serve(ctx, l, mux)
-	change := VoterChange{Add: VoterAddresses{4: at}, Remove: []council.VoterID{council.VoterID(lost + 1)}}
-	eventually(t, "not proposed", func() bool {
-		for _, s := range b.seats[:3] {
-			if k, _ := s.now(); k != nil && k.ChangeVoters(context.Background(), change) == nil {
+	change := VoterChange{Add: VoterAddresses{4: address}, Remove: []council.VoterID{council.VoterID(lost + 1)}}
+	eventually(t, "the change is not proposed", func() bool {
+		for _, s := range b.voters[:3] {
+			if k, _ := s.current(); k != nil && k.ChangeVoters(context.Background(), change) == nil {
 				return true
 			}
 		}
 		return false
 	})
-	eventually(t, "not taken in", func() bool { return len(c.State().Voters) == 3 && r.read() == "before" })
+	eventually(t, "the new voter does not join", func() bool { return len(c.State().Voters) == 3 && r.read() == "before" })
 	require.NotContains(t, c.State().Voters, council.VoterID(lost+1))
 	b.record("after")
-	eventually(t, "not told", func() bool { return r.read() == "after" })
+	eventually(t, "the record is not applied", func() bool { return r.read() == "after" })
 }
 
-// Guards against requests that reach a voter that does not lead, and against ones that go round in a ring.
-func TestAnyVoterPassesOn(t *testing.T) {
-	b := newTable(t, 3)
+// Guards against requests that fail at a follower, and against forwarding loops.
+func TestForwardToLeader(t *testing.T) {
+	b := newCluster(t, 3)
 	b.record("x")
-	hits := 0
-	served := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { hits++; io.WriteString(w, "{}") })
-	ask := func(i int, hop string) int {
-		c, _ := b.seats[i].now()
+	handled := 0
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handled++; io.WriteString(w, "{}") })
+	request := func(i int, hop string) int {
+		c, _ := b.voters[i].current()
 		r, _ := http.NewRequest(http.MethodPost, "http://x/v1/council/state", http.NoBody)
 		r.Header.Set(hopHeader, hop)
-		w := &recorder{head: http.Header{}}
-		c.ForwardToLeader(served).ServeHTTP(w, r)
+		w := &statusRecorder{header: http.Header{}}
+		c.ForwardToLeader(handler).ServeHTTP(w, r)
 		return w.status
 	}
-	lead := b.leads()
-	require.Equal(t, http.StatusOK, ask(lead, ""))
-	require.Equal(t, 1, hits)
-	other := (lead + 1) % 3
-	require.Equal(t, http.StatusServiceUnavailable, ask(other, "1"), "passed on once already")
-	require.NotEqual(t, http.StatusServiceUnavailable, ask(other, ""), "passed on to the leader's own handler")
-	require.Equal(t, 1, hits)
+	leader := b.waitForLeader()
+	require.Equal(t, http.StatusOK, request(leader, ""))
+	require.Equal(t, 1, handled)
+	other := (leader + 1) % 3
+	require.Equal(t, http.StatusServiceUnavailable, request(other, "1"), "must not be forwarded again")
+	require.NotEqual(t, http.StatusServiceUnavailable, request(other, ""), "must be forwarded to the leader")
+	require.Equal(t, 1, handled)
 }
 
-type recorder struct {
-	head   http.Header
+type statusRecorder struct {
+	header http.Header
 	status int
 }
 
-func (r *recorder) Header() http.Header { return r.head }
-func (r *recorder) WriteHeader(s int)   { r.status = s }
-func (r *recorder) Write(b []byte) (int, error) {
+func (r *statusRecorder) Header() http.Header { return r.header }
+func (r *statusRecorder) WriteHeader(s int)   { r.status = s }
+func (r *statusRecorder) Write(b []byte) (int, error) {
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
 	return len(b), nil
 }
 
-// Guards against an order of records that some client could tell from one after another: writers and readers at all voters,
-// while links fail and voters end and start again, and a checker over what they saw.
+// Guards against histories that are not linearizable, with clients at all voters while links fail
+// and voters restart.
 func TestRecordsAreOneAfterAnother(t *testing.T) {
-	b := newTable(t, 3)
+	b := newCluster(t, 3)
 	b.record("0")
 	rng := rand.New(rand.NewSource(1))
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	begun := time.Now()
-	over, end := context.WithTimeout(context.Background(), time.Minute) // it ends by count, below
-	defer end()
-	var written, read atomic.Int64
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), time.Minute) // cancelled below once there are enough operations
+	defer cancel()
+	var writeCount, readCount atomic.Int64
 	var clients sync.WaitGroup
 	for id := range 6 {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			for n := 0; over.Err() == nil; n++ {
+			for n := 0; ctx.Err() == nil; n++ {
 				value := fmt.Sprintf("%d-%d", id, n)
-				op := porcupine.Operation{ClientId: id, Input: value, Call: int64(time.Since(begun))}
-				s := b.seats[(id+n)%3]
-				c, r := s.now()
+				op := porcupine.Operation{ClientId: id, Input: value, Call: int64(time.Since(start))}
+				s := b.voters[(id+n)%3]
+				c, r := s.current()
 				if c == nil {
 					continue
 				}
@@ -445,8 +446,8 @@
 						continue
 					}
 				} else {
-					by, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
-					err := c.Record(by, "register", value)
+					recordCtx, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
+					err := c.Record(recordCtx, "register", value)
 					stop()
 					if errors.Is(err, ErrNotLeading) {
 						time.Sleep(time.Millisecond)
@@ -454,19 +455,19 @@
 					}
 					op.Output = ""
 					if err != nil {
-						op.Return = int64(time.Hour) // it may count at any later time, or never
+						op.Return = int64(time.Hour) // may take effect at any later time, or never
 					}
 				}
 				if op.Return == 0 {
-					op.Return = int64(time.Since(begun))
+					op.Return = int64(time.Since(start))
 				}
 				if op.Input == "" {
-					read.Add(1)
+					readCount.Add(1)
 				} else if op.Return != int64(time.Hour) {
-					written.Add(1)
+					writeCount.Add(1)
 				}
-				if time.Since(begun) > 3*time.Second && written.Load() > 100 && read.Load() > 100 {
-					end() // by count, since a slow disk records fewer
+				if time.Since(start) > 3*time.Second && writeCount.Load() > 100 && readCount.Load() > 100 {
+					cancel() // by count, since a slow disk allows fewer records
 				}
 				mu.Lock()
 				history = append(history, op)
@@ -475,13 +476,13 @@
 			}
 		}()
 	}
-	voters := []string{name(0), name(1), name(2)}
+	voters := []string{voterName(0), voterName(1), voterName(2)}
 	const ms = time.Millisecond
-	p := &relays.Player{Net: b.net}
+	player := &relays.Player{Net: b.net}
 	clients.Add(2)
 	go func() {
 		defer clients.Done()
-		p.Play(over, links.Draw(3, 5*time.Second, []links.Kind{
+		player.Play(ctx, links.Draw(3, 5*time.Second, []links.Kind{
 			{What: links.Silent, Every: 500 * ms, From: voters, To: []string{"*"}, Both: true, Least: 100 * ms, Most: 500 * ms},
 			{What: links.Silent, Every: 700 * ms, From: voters, To: voters, Least: 100 * ms, Most: 500 * ms},
 			{What: links.Delay, Every: 500 * ms, From: voters, To: voters, Least: 100 * ms, Most: 500 * ms, Amount: 0.005, Upto: 0.05, Spread: 0.01},
@@ -490,52 +491,52 @@
 	}()
 	go func() {
 		defer clients.Done()
-		for over.Err() == nil {
+		for ctx.Err() == nil {
 			time.Sleep(time.Duration(300+rng.Intn(500)) * ms)
 			i := rng.Intn(3)
 			if lead := b.leader(); lead >= 0 && rng.Intn(2) == 0 {
 				i = lead
 			}
-			b.end(i)
+			b.stop(i)
 			time.Sleep(time.Duration(rng.Intn(200)) * ms)
 			b.start(i)
 		}
 	}()
 	clients.Wait()
-	writes, reads, open := 0, 0, 0
+	writes, reads, unknownWrites := 0, 0, 0
 	for _, op := range history {
 		switch {
 		case op.Input == "":
 			reads++
 		case op.Return == int64(time.Hour):
-			open++
+			unknownWrites++
 		default:
 			writes++
 		}
 	}
 	leads := 0
-	for _, s := range b.seats {
-		_, r := s.now()
-		leads += r.leads
+	for _, s := range b.voters {
+		_, r := s.current()
+		leads += r.leadCalls
 	}
-	t.Logf("%d writes, %d reads, %d writes of unknown fate", writes, reads, open)
+	t.Logf("%d writes, %d reads, %d writes of unknown outcome", writes, reads, unknownWrites)
 	require.Greater(t, writes, 100)
 	require.Greater(t, reads, 100)
-	require.NotEqual(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(model, history, 30*time.Second))
-	if writes > 0 { // the checker finds what is wrong
-		spoilt := append([]porcupine.Operation(nil), history...)
-		for i := len(spoilt) - 1; i >= 0; i-- {
-			if spoilt[i].Input == "" {
-				spoilt[i].Output = "0"
+	require.NotEqual(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(registerModel, history, 30*time.Second))
+	if writes > 0 { // the checker must reject a corrupted history
+		corrupted := append([]porcupine.Operation(nil), history...)
+		for i := len(corrupted) - 1; i >= 0; i-- {
+			if corrupted[i].Input == "" {
+				corrupted[i].Output = "0"
 				break
 			}
 		}
-		require.Equal(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(model, spoilt, 30*time.Second))
+		require.Equal(t, porcupine.Illegal, porcupine.CheckOperationsTimeout(registerModel, corrupted, 30*time.Second))
 	}
 }
 
-// model is a register: a read, without an input, gives what was written last.
-var model = porcupine.Model{
+// registerModel models a register. An operation with an empty input is a read.
+var registerModel = porcupine.Model{
 	Init: func() any { return "0" },
 	Step: func(state, input, output any) (bool, any) {
 		if input == "" {
--- a/internal/council/chamber/disk.go
+++ b/internal/council/chamber/disk.go
@@ -11,174 +11,177 @@
 	"sedgespread/internal/store"
 )
 
-// disk is a voter's part of the council's log, on a file.
+// disk is the durable state of a voter.
 type disk struct {
-	log  keeper
-	kept council.DiskState
+	log   logFile
+	state council.DiskState
 }
 
-// keeper is the file; that of package store, but in tests of slow ones.
-type keeper interface {
+// logFile is implemented by store.Log, and by tests that simulate slow files.
+type logFile interface {
 	Save(parts ...store.Update) error
 	Value(name string) ([]byte, error)
 	Each(do func(n uint64, record []byte) error) error
 	Close() error
 }
 
-// Names of what the file holds beside the entries.
+// Names of the values in the file.
 const (
-	valueHard     = "hard"
-	valueSnapshot = "snapshot"
-	valueSeen     = "seen"
-	valueReached  = "reached"
-	valueVoter    = "voter"
+	keyHardState      = "hard"
+	keySnapshot       = "snapshot"
+	keyKnownPositions = "seen"
+	keyPosition       = "reached"
+	keyVoter          = "voter"
 )
 
-// openDisk opens a voter's disk. A new one is founded with the voters that the council begins with, or left empty for one
-// that joins. A disk is one voter's for good.
-func openDisk(path string, id council.VoterID, founders []council.VoterID) (d *disk, err error) {
+// openDisk opens a voter's disk. A new one is initialized with the initial voters, or left empty
+// for a voter that joins. A disk belongs permanently to the voter that created it.
+func openDisk(path string, id council.VoterID, initialVoters []council.VoterID) (d *disk, err error) {
 	d = &disk{}
 	if d.log, err = store.OpenLog(path); err != nil {
 		return nil, err
 	}
-	if err := d.begin(id, founders); err != nil {
+	if err := d.initialize(id, initialVoters); err != nil {
 		d.log.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return d, nil
 }
 
-func (d *disk) begin(id council.VoterID, founders []council.VoterID) error {
+// initialize loads an existing disk after checking its owner, or writes the initial state of a new
+// one.
+func (d *disk) initialize(id council.VoterID, initialVoters []council.VoterID) error {
 	var owner council.VoterID
-	known, err := d.value(valueVoter, &owner)
+	isInitialized, err := d.loadJSON(keyVoter, &owner)
 	switch {
 	case err != nil:
 		return err
-	case known && owner != id:
-		return fmt.Errorf("it is the disk of voter %d, and this is voter %d", owner, id)
-	case known:
-		return d.read()
+	case isInitialized && owner != id:
+		return fmt.Errorf("disk belongs to voter %d, but this is voter %d", owner, id)
+	case isInitialized:
+		return d.load()
 	}
-	if len(founders) > 0 {
-		d.kept = council.NewDiskState(founders)
+	if len(initialVoters) > 0 {
+		d.state = council.NewDiskState(initialVoters)
 	}
-	text, err := json.Marshal(id)
+	encoded, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
-	p, err := part(&council.Write{HardState: d.kept.HardState, Snapshot: d.kept.Snapshot})
+	update, err := encodeWrite(&council.Write{HardState: d.state.HardState, Snapshot: d.state.Snapshot})
 	if err != nil {
 		return err
 	}
-	p.Values[valueVoter] = text
-	return d.log.Save(p)
+	update.Values[keyVoter] = encoded
+	return d.log.Save(update)
 }
 
-// value reads a value as JSON, and tells whether there is one.
-func (d *disk) value(name string, into any) (bool, error) {
-	text, err := d.log.Value(name)
-	if err != nil || text == nil {
+// loadJSON decodes a JSON value and reports whether it exists.
+func (d *disk) loadJSON(name string, target any) (bool, error) {
+	data, err := d.log.Value(name)
+	if err != nil || data == nil {
 		return false, err
 	}
-	return true, json.Unmarshal(text, into)
+	return true, json.Unmarshal(data, target)
 }
 
-// message reads a value as a message, and tells whether there is one.
-func (d *disk) message(name string, into proto.Message) (bool, error) {
-	text, err := d.log.Value(name)
-	if err != nil || text == nil {
+// loadProto decodes a protobuf value and reports whether it exists.
+func (d *disk) loadProto(name string, target proto.Message) (bool, error) {
+	data, err := d.log.Value(name)
+	if err != nil || data == nil {
 		return false, err
 	}
-	return true, proto.Unmarshal(text, into)
+	return true, proto.Unmarshal(data, target)
 }
 
-func (d *disk) read() error {
-	if _, err := d.value(valueSeen, &d.kept.KnownPositions); err != nil {
+// load reads the state of the voter from the file.
+func (d *disk) load() error {
+	if _, err := d.loadJSON(keyKnownPositions, &d.state.KnownPositions); err != nil {
 		return err
 	}
-	if _, err := d.value(valueReached, &d.kept.Position); err != nil {
+	if _, err := d.loadJSON(keyPosition, &d.state.Position); err != nil {
 		return err
 	}
-	hard, snapshot := &raftpb.HardState{}, &raftpb.Snapshot{}
-	if known, err := d.message(valueHard, hard); err != nil {
+	hardState, snapshot := &raftpb.HardState{}, &raftpb.Snapshot{}
+	if found, err := d.loadProto(keyHardState, hardState); err != nil {
 		return err
-	} else if known {
-		d.kept.HardState = hard
+	} else if found {
+		d.state.HardState = hardState
 	}
-	if known, err := d.message(valueSnapshot, snapshot); err != nil {
+	if found, err := d.loadProto(keySnapshot, snapshot); err != nil {
 		return err
-	} else if known {
-		d.kept.Snapshot = snapshot
+	} else if found {
+		d.state.Snapshot = snapshot
 	}
-	return d.log.Each(func(n uint64, record []byte) error {
-		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(record, e); err != nil {
+	return d.log.Each(func(index uint64, record []byte) error {
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(record, entry); err != nil {
 			return err
 		}
-		if e.GetIndex() != n {
-			return fmt.Errorf("record %d says that it is %d", n, e.GetIndex())
+		if entry.GetIndex() != index {
+			return fmt.Errorf("record %d holds the entry with index %d", index, entry.GetIndex())
 		}
-		if n > d.kept.Snapshot.GetMetadata().GetIndex() {
-			d.kept.Entries = append(d.kept.Entries, e)
+		if index > d.state.Snapshot.GetMetadata().GetIndex() {
+			d.state.Entries = append(d.state.Entries, entry)
 		}
 		return nil
 	})
 }
 
-// write writes down what a seat asks for, all of it at once, and tells whether there was anything to write.
-func (d *disk) write(writes []*council.Write) (any bool, err error) {
-	var parts []store.Update
+// write applies writes in one transaction and reports whether any of them was not empty.
+func (d *disk) write(writes []*council.Write) (written bool, err error) {
+	var updates []store.Update
 	for _, w := range writes {
 		if w.IsEmpty() {
 			continue
 		}
-		p, err := part(w)
+		update, err := encodeWrite(w)
 		if err != nil {
 			return false, err
 		}
-		parts = append(parts, p)
+		updates = append(updates, update)
 	}
-	if len(parts) == 0 {
+	if len(updates) == 0 {
 		return false, nil
 	}
-	return true, d.log.Save(parts...)
+	return true, d.log.Save(updates...)
 }
 
-// part is a write in the form of the file.
-func part(w *council.Write) (p store.Update, err error) {
-	p = store.Update{DropBefore: w.DropBefore, Values: map[string][]byte{}}
-	values := []struct {
+// encodeWrite converts a write to an update of the file.
+func encodeWrite(w *council.Write) (update store.Update, err error) {
+	update = store.Update{DropBefore: w.DropBefore, Values: map[string][]byte{}}
+	fields := []struct {
 		name  string
 		given bool
-		text  func() ([]byte, error)
+		data  func() ([]byte, error)
 	}{
-		{valueHard, w.HardState != nil, func() ([]byte, error) { return proto.Marshal(w.HardState) }},
-		{valueSnapshot, w.Snapshot != nil, func() ([]byte, error) { return proto.Marshal(w.Snapshot) }},
-		{valueSeen, w.KnownPositions != nil, func() ([]byte, error) { return json.Marshal(w.KnownPositions) }},
-		{valueReached, true, func() ([]byte, error) { return json.Marshal(w.Position) }},
+		{keyHardState, w.HardState != nil, func() ([]byte, error) { return proto.Marshal(w.HardState) }},
+		{keySnapshot, w.Snapshot != nil, func() ([]byte, error) { return proto.Marshal(w.Snapshot) }},
+		{keyKnownPositions, w.KnownPositions != nil, func() ([]byte, error) { return json.Marshal(w.KnownPositions) }},
+		{keyPosition, true, func() ([]byte, error) { return json.Marshal(w.Position) }},
 	}
-	for _, v := range values {
+	for _, v := range fields {
 		if !v.given {
 			continue
 		}
-		if p.Values[v.name], err = v.text(); err != nil {
-			return p, err
+		if update.Values[v.name], err = v.data(); err != nil {
+			return update, err
 		}
 	}
 	if w.ReplacesLog {
-		p.First = w.DropBefore
+		update.First = w.DropBefore
 	}
 	for i, e := range w.Entries {
 		if i == 0 {
-			p.First = e.GetIndex()
+			update.First = e.GetIndex()
 		}
-		text, err := proto.Marshal(e)
+		data, err := proto.Marshal(e)
 		if err != nil {
-			return p, err
+			return update, err
 		}
-		p.Records = append(p.Records, text)
+		update.Records = append(update.Records, data)
 	}
-	return p, nil
+	return update, nil
 }
 
 func (d *disk) close() error { return d.log.Close() }
--- a/internal/council/chamber/post.go
+++ b/internal/council/chamber/post.go
@@ -13,10 +13,10 @@
 	"sedgespread/internal/jsonhttp"
 )
 
-// post sends packets to other voters. Each has a queue of its own, so that one that does not answer holds up no other;
-// what finds it full is lost, as it might be on its way.
-type post struct {
-	c      *Server
+// packetSender sends packets to other voters. Each voter has its own queue, so that an unresponsive
+// one does not delay the others. Packets for a full queue are dropped.
+type packetSender struct {
+	server *Server
 	ctx    context.Context
 	stop   context.CancelFunc
 	client *http.Client
@@ -24,87 +24,87 @@
 }
 
 const (
-	mostQueued  = 64
-	mostJoined  = 16 // packets that go out as one
-	sendWithin  = time.Second
-	connectsIn  = 300 * time.Millisecond
-	packetPath  = "/v1/council/packet"
-	hopHeader   = "Sedgespread-Hop" // a request that was passed on is not passed on again
-	idleSockets = 2
+	maxQueuedPackets    = 64
+	maxMergedPackets    = 16 // queued packets combined into one request
+	sendTimeout         = time.Second
+	dialTimeout         = 300 * time.Millisecond
+	packetPath          = "/v1/council/packet"
+	hopHeader           = "Sedgespread-Hop" // marks a forwarded request, which is not forwarded again
+	maxIdleConnsPerHost = 2
 )
 
-func newPost(c *Server) *post {
+func newPacketSender(server *Server) *packetSender {
 	ctx, stop := context.WithCancel(context.Background())
-	transport := &http.Transport{MaxIdleConnsPerHost: idleSockets, DialContext: (&net.Dialer{Timeout: connectsIn}).DialContext}
-	return &post{c: c, ctx: ctx, stop: stop, client: &http.Client{Transport: transport}, queues: map[council.VoterID]chan council.Packet{}}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}
+	return &packetSender{server: server, ctx: ctx, stop: stop, client: &http.Client{Transport: transport}, queues: map[council.VoterID]chan council.Packet{}}
 }
 
-func (p *post) close() {
+func (p *packetSender) close() {
 	p.stop()
 	p.client.CloseIdleConnections()
 }
 
-// send puts packets in their queues. It is called by Run alone.
-func (p *post) send(packets []council.Packet) {
-	for _, k := range packets {
-		queue := p.queues[k.To]
+// enqueue queues packets for their recipients. It must be called only from Run.
+func (p *packetSender) enqueue(packets []council.Packet) {
+	for _, packet := range packets {
+		queue := p.queues[packet.To]
 		if queue == nil {
-			queue = make(chan council.Packet, mostQueued)
-			p.queues[k.To] = queue
-			go p.deliver(k.To, queue)
+			queue = make(chan council.Packet, maxQueuedPackets)
+			p.queues[packet.To] = queue
+			go p.sendLoop(packet.To, queue)
 		}
 		select {
-		case queue <- k:
+		case queue <- packet:
 		default:
 		}
 	}
 }
 
-// deliver sends what stands in a queue, joining what has gathered.
-func (p *post) deliver(to council.VoterID, queue chan council.Packet) {
+// sendLoop sends the packets of a queue, combining those that are waiting.
+func (p *packetSender) sendLoop(to council.VoterID, queue chan council.Packet) {
 	for {
 		select {
 		case <-p.ctx.Done():
 			return
-		case k := <-queue:
-			for n := 1; n < mostJoined && len(queue) > 0; n++ {
+		case packet := <-queue:
+			for n := 1; n < maxMergedPackets && len(queue) > 0; n++ {
 				next := <-queue
-				k.Messages, k.Positions = append(k.Messages, next.Messages...), next.Positions
-				k.IsQuery, k.IsReply = k.IsQuery || next.IsQuery, k.IsReply || next.IsReply
+				packet.Messages, packet.Positions = append(packet.Messages, next.Messages...), next.Positions
+				packet.IsQuery, packet.IsReply = packet.IsQuery || next.IsQuery, packet.IsReply || next.IsReply
 			}
-			by, stop := context.WithTimeout(p.ctx, sendWithin)
-			err := jsonhttp.Post(by, p.client, "http://"+p.c.address(to)+packetPath, k, nil)
+			ctx, stop := context.WithTimeout(p.ctx, sendTimeout)
+			err := jsonhttp.Post(ctx, p.client, "http://"+p.server.address(to)+packetPath, packet, nil)
 			stop()
 			if err != nil && p.ctx.Err() == nil {
-				p.c.do(p.ctx, func() { p.c.seat.ReportUnreachable(to) })
+				p.server.enqueue(p.ctx, func() { p.server.node.ReportUnreachable(to) })
 			}
 		}
 	}
 }
 
-// RegisterHandlers lets a voter answer the others, and whoever asks how the council stands.
+// RegisterHandlers registers the HTTP handlers for packets, state and voter changes.
 func (c *Server) RegisterHandlers(mux *http.ServeMux) {
 	mux.Handle("POST "+packetPath, jsonhttp.Does(c.Receive))
 	mux.Handle("POST /v1/council/state", jsonhttp.Tells(func(context.Context) (State, error) { return c.State(), nil }))
 	mux.Handle("POST /v1/council/change", c.ForwardToLeader(jsonhttp.Does(c.ChangeVoters)))
 }
 
-// ForwardToLeader lets a handler answer where this voter acts for the council, and passes on to the one that does what is asked
-// elsewhere, once: so a driver that reaches any voter reaches the leader. Where nobody is known to act the answer is 503.
-func (c *Server) ForwardToLeader(here http.Handler) http.Handler {
+// ForwardToLeader serves a request with handler if this voter holds the leader lease, and otherwise
+// forwards it to the leader, at most once. The response is 503 if the leader is unknown.
+func (c *Server) ForwardToLeader(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.IsActing() {
-			here.ServeHTTP(w, r)
+			handler.ServeHTTP(w, r)
 			return
 		}
-		s := c.State()
-		at := c.address(s.Leader)
-		if s.Leader == 0 || s.Leader == c.id || at == "" || r.Header.Get(hopHeader) != "" {
-			http.Error(w, strings.TrimSpace("nobody is known to act for the council "+s.RefusalReason), http.StatusServiceUnavailable)
+		state := c.State()
+		address := c.address(state.Leader)
+		if state.Leader == 0 || state.Leader == c.id || address == "" || r.Header.Get(hopHeader) != "" {
+			http.Error(w, strings.TrimSpace("nobody is known to act for the council "+state.RefusalReason), http.StatusServiceUnavailable)
 			return
 		}
-		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: at})
-		proxy.Transport = c.post.client.Transport
+		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
+		proxy.Transport = c.sender.client.Transport
 		proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, err error) {
 			http.Error(w, "the leader can't be reached: "+err.Error(), http.StatusServiceUnavailable)
 		}
--- a/internal/council/chamber/record.go
+++ b/internal/council/chamber/record.go
@@ -2,28 +2,30 @@
 
 import "encoding/json"
 
-// record is what stands in the council's log: which machine it is for, and who waits for it.
+// record is the format of a record in the council's log.
 type record struct {
-	Machine string          `json:"machine"`
-	By      string          `json:"by,omitempty"` // the proposal, new for each
-	Data    json.RawMessage `json:"data"`
+	Machine    string          `json:"machine"`
+	ProposalID string          `json:"by,omitempty"` // unique per proposal
+	Data       json.RawMessage `json:"data"`
 }
 
-// StateMachine is one of the state machines on the council's log. Its methods are called one after another, at every voter in
-// the same order. They must not call the chamber.
+// StateMachine applies records of the council's log. Its methods are called sequentially, and
+// records in the same order at every voter. They must not call the Server.
 type StateMachine interface {
-	// Apply takes a record in that the council has agreed on. What it makes of it must be the same at every voter.
+	// Apply applies a committed record. It must be deterministic.
 	Apply(data []byte)
-	// Snapshot is all that was applied, for Restore at a voter that is far behind.
+	// Snapshot returns the state that results from all applied records.
 	Snapshot() ([]byte, error)
+	// Restore replaces the state by that of a snapshot.
 	Restore(data []byte) error
-	// Lead says that this voter acts for the council from now on: every record of those who did before it is applied, and
-	// none of them acts any more.
+	// Lead is called when this voter acquires the leader lease in a new term. All records of
+	// earlier leaders are applied, and their leases have ended.
 	Lead()
 }
 
-// snapshot is all machines, by name. Those that this build does not know are kept as they came.
+// snapshot is the format of a snapshot. It keeps the records of state machines that this build does
+// not know.
 type snapshot struct {
 	Machines map[string]json.RawMessage `json:"machines"`
-	Voters   map[string]string          `json:"voters"` // addresses by number, of those that joined
+	Voters   map[string]string          `json:"voters"` // addresses by voter ID
 }
--- a/internal/council/chamber/scribe.go
+++ b/internal/council/chamber/scribe.go
@@ -10,23 +10,24 @@
 	"sedgespread/internal/council"
 )
 
-// scribe writes down what a seat asks for, in order and away from Run, so that a disk that takes long holds up no heartbeat
-// and no tick. What has gathered during one write goes into the next as one.
-type scribe struct {
-	c *Server
+// diskWriter performs writes in order in its own goroutine, so that a slow disk delays no
+// heartbeats and ticks. Writes that arrive during a disk write are combined into the next one.
+type diskWriter struct {
+	server *Server
 
 	mu    sync.Mutex
 	queue []*council.Write
 	wake  chan struct{}
-	over  chan struct{}
+	done  chan struct{}
 }
 
-func newScribe(c *Server) *scribe {
-	return &scribe{c: c, wake: make(chan struct{}, 1), over: make(chan struct{})}
+func newDiskWriter(server *Server) *diskWriter {
+	return &diskWriter{server: server, wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// add takes a write to be written. It never waits; raft bounds what can gather (maxUncommitted, maxInflight).
-func (s *scribe) add(w *council.Write) {
+// add queues a write. It never blocks; raft's limits on uncommitted and in-flight entries bound the
+// queue.
+func (s *diskWriter) add(w *council.Write) {
 	s.mu.Lock()
 	s.queue = append(s.queue, w)
 	s.mu.Unlock()
@@ -36,54 +37,55 @@
 	}
 }
 
-func (s *scribe) take() (writes []*council.Write) {
+// takeAll removes and returns all queued writes.
+func (s *diskWriter) takeAll() (writes []*council.Write) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	writes, s.queue = s.queue, nil
 	return writes
 }
 
-// run writes until the chamber is over, or the disk takes nothing more.
-func (s *scribe) run() {
-	defer close(s.over)
+// run performs queued writes until the server is done or a write fails.
+func (s *diskWriter) run() {
+	defer close(s.done)
 	for {
 		select {
-		case <-s.c.over:
+		case <-s.server.done:
 			return
 		case <-s.wake:
 		}
-		writes, begun := s.take(), time.Now()
+		writes, start := s.takeAll(), time.Now()
 		if len(writes) == 0 {
 			continue
 		}
-		any, err := s.c.disk.write(writes)
-		took := time.Since(begun)
-		if !any {
+		written, err := s.server.disk.write(writes)
+		took := time.Since(start)
+		if !written {
 			took = 0
 		}
-		if s.c.do(context.Background(), func() { s.c.written(writes, took, err) }) != nil || err != nil {
+		if s.server.enqueue(context.Background(), func() { s.server.completeWrites(writes, took, err) }) != nil || err != nil {
 			return
 		}
 	}
 }
 
-// pen is how long the disk takes, and whether that is known to be slow.
-type pen struct {
-	usual time.Duration // a mean that forgets
-	slow  bool
+// writeLatency tracks the duration of disk writes and whether the disk is slow.
+type writeLatency struct {
+	mean   time.Duration // exponentially weighted moving average
+	isSlow bool
 }
 
-// noted takes in how long a write took. A disk is slow once writes take as long as a tenure in the mean, and no longer once
-// they take half of it: then each record takes longer than a leader could act without others' word.
-func (p *pen) noted(took time.Duration, pace council.Timing, log logrus.FieldLogger) {
-	if p.usual == 0 {
-		p.usual = took
+// observe records the duration of a write. A disk becomes slow when the mean exceeds the leader
+// lease, and stops being slow when it drops to half of that.
+func (p *writeLatency) observe(took time.Duration, timing council.Timing, log logrus.FieldLogger) {
+	if p.mean == 0 {
+		p.mean = took
 	}
-	p.usual += (took - p.usual) / 8
-	tenure := time.Duration(pace.LeaderLease())
-	if slow := p.usual > tenure || p.slow && p.usual > tenure/2; slow != p.slow {
-		p.slow = slow
-		log.WithFields(logrus.Fields{"write_ms": p.usual.Milliseconds(), "tenure_ms": tenure.Milliseconds()}).
-			Warn(map[bool]string{true: "the disk is slow", false: "the disk is fast enough again"}[slow])
+	p.mean += (took - p.mean) / 8
+	lease := time.Duration(timing.LeaderLease())
+	if isSlow := p.mean > lease || p.isSlow && p.mean > lease/2; isSlow != p.isSlow {
+		p.isSlow = isSlow
+		log.WithFields(logrus.Fields{"write_ms": p.mean.Milliseconds(), "tenure_ms": lease.Milliseconds()}).
+			Warn(map[bool]string{true: "disk writes are slower than the leader lease", false: "disk writes are fast enough again"}[isSlow])
 	}
 }
