--- a/internal/council/chamber/chamber_test.go
+++ b/internal/council/chamber/chamber_test.go
@@ -59,8 +59,9 @@
 	return r.value
 }
 
-// cluster is a council of servers in one process, with a relay for each direction between two of them.
-type cluster struct {
+// testCluster is a council of servers in one process, with a relay for each direction between two
+// of them.
+type testCluster struct {
 	t               *testing.T
 	net             *relays.Net
 	dir             string
@@ -106,68 +107,68 @@
 // the port of a stopped voter.
 const listenAddress = "127.0.0.2:0"
 
-func newCluster(t *testing.T, voterCount int) *cluster {
-	b := &cluster{t: t, net: relays.New(1), dir: t.TempDir()}
-	t.Cleanup(b.net.Close)
+func newCluster(t *testing.T, voterCount int) *testCluster {
+	cluster := &testCluster{t: t, net: relays.New(1), dir: t.TempDir()}
+	t.Cleanup(cluster.net.Close)
 	for range voterCount {
 		listener, err := net.Listen("tcp", listenAddress)
 		require.NoError(t, err)
-		b.listenAddresses = append(b.listenAddresses, listener.Addr().String())
+		cluster.listenAddresses = append(cluster.listenAddresses, listener.Addr().String())
 		listener.Close()
 	}
 	for i := range voterCount {
 		peers := VoterAddresses{}
 		for j := range voterCount {
-			address, err := b.net.Relay(links.Way{From: voterName(i), To: voterName(j)}, b.listenAddresses[j])
+			address, err := cluster.net.Relay(links.Way{From: voterName(i), To: voterName(j)}, cluster.listenAddresses[j])
 			require.NoError(t, err)
 			peers[council.VoterID(j+1)] = address
 		}
-		b.addresses, b.voters, b.files = append(b.addresses, peers), append(b.voters, &runningVoter{}), append(b.files, &slowFile{})
+		cluster.addresses, cluster.voters, cluster.files = append(cluster.addresses, peers), append(cluster.voters, &runningVoter{}), append(cluster.files, &slowFile{})
 	}
 	for i := range voterCount {
-		b.start(i)
+		cluster.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range b.voters {
-			b.stop(i)
+		for i := range cluster.voters {
+			cluster.stop(i)
 		}
 	})
-	return b
+	return cluster
 }
 
 func voterName(i int) string { return fmt.Sprint("v", i+1) }
 
-func (b *cluster) disk(i int) string { return filepath.Join(b.dir, voterName(i)) }
+func (c *testCluster) disk(i int) string { return filepath.Join(c.dir, voterName(i)) }
 
 // start starts a voter from its disk.
-func (b *cluster) start(i int) {
-	s := b.voters[i]
+func (c *testCluster) start(i int) {
+	voter := c.voters[i]
 	r := &register{}
-	c, err := Open(council.VoterID(i+1), b.addresses[i], false, b.disk(i), timing, map[string]StateMachine{"register": r}, discardLogger())
-	require.NoError(b.t, err)
-	b.files[i].logFile = c.disk.log
-	c.disk.log = b.files[i]
-	l, err := net.Listen("tcp", b.listenAddresses[i])
-	require.NoError(b.t, err)
+	server, err := Open(council.VoterID(i+1), c.addresses[i], false, c.disk(i), timing, map[string]StateMachine{"register": r}, discardLogger())
+	require.NoError(c.t, err)
+	c.files[i].logFile = server.disk.log
+	server.disk.log = c.files[i]
+	listener, err := net.Listen("tcp", c.listenAddresses[i])
+	require.NoError(c.t, err)
 	mux := http.NewServeMux()
-	c.RegisterHandlers(mux)
+	server.RegisterHandlers(mux)
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(2)
-	go func() { defer done.Done(); c.Run(ctx) }()
-	go func() { defer done.Done(); jsonhttp.Serve(ctx, l, mux) }()
-	s.mu.Lock()
-	s.server, s.register, s.stop = c, r, func() { stop(); done.Wait() }
-	s.mu.Unlock()
+	go func() { defer done.Done(); server.Run(ctx) }()
+	go func() { defer done.Done(); jsonhttp.Serve(ctx, listener, mux) }()
+	voter.mu.Lock()
+	voter.server, voter.register, voter.stop = server, r, func() { stop(); done.Wait() }
+	voter.mu.Unlock()
 }
 
 // stop stops a voter.
-func (b *cluster) stop(i int) {
-	s := b.voters[i]
-	s.mu.Lock()
-	stop := s.stop
-	s.server, s.stop = nil, nil
-	s.mu.Unlock()
+func (c *testCluster) stop(i int) {
+	voter := c.voters[i]
+	voter.mu.Lock()
+	stop := voter.stop
+	voter.server, voter.stop = nil, nil
+	voter.mu.Unlock()
 	if stop != nil {
 		stop()
 	}
@@ -187,9 +188,9 @@
 }
 
 // leader returns the voter that acts as leader, or -1.
-func (b *cluster) leader() int {
-	for i, s := range b.voters {
-		if c, _ := s.current(); c != nil && c.IsActing() {
+func (c *testCluster) leader() int {
+	for i, s := range c.voters {
+		if server, _ := s.current(); server != nil && server.IsActing() {
 			return i
 		}
 	}
@@ -197,16 +198,16 @@
 }
 
 // waitForLeader waits until a voter acts as leader and returns it.
-func (b *cluster) waitForLeader() int {
+func (c *testCluster) waitForLeader() int {
 	leader := -1
-	eventually(b.t, "no voter acts as leader", func() bool { leader = b.leader(); return leader >= 0 })
+	eventually(c.t, "no voter acts as leader", func() bool { leader = c.leader(); return leader >= 0 })
 	return leader
 }
 
-func (b *cluster) record(value string) {
-	eventually(b.t, "no voter accepts the record", func() bool {
-		for _, s := range b.voters {
-			if c, _ := s.current(); c != nil && c.Record(context.Background(), "register", value) == nil {
+func (c *testCluster) record(value string) {
+	eventually(c.t, "no voter accepts the record", func() bool {
+		for _, s := range c.voters {
+			if server, _ := s.current(); server != nil && server.Record(context.Background(), "register", value) == nil {
 				return true
 			}
 		}
@@ -217,45 +218,45 @@
 // Guards against a council that does not survive the loss of any one voter or a restart of all of
 // them, and against a leader that acts without a quorum.
 func TestVoterLosses(t *testing.T) {
-	b := newCluster(t, 3)
-	b.record("one")
+	cluster := newCluster(t, 3)
+	cluster.record("one")
 	for i := range 3 {
-		b.stop(i)
-		b.record(fmt.Sprint("without ", i))
-		b.start(i)
-		eventually(t, "the voter does not catch up", func() bool { _, r := b.voters[i].current(); return r.read() == fmt.Sprint("without ", i) })
+		cluster.stop(i)
+		cluster.record(fmt.Sprint("without ", i))
+		cluster.start(i)
+		eventually(t, "the voter does not catch up", func() bool { _, r := cluster.voters[i].current(); return r.read() == fmt.Sprint("without ", i) })
 	}
-	leader := b.waitForLeader()
+	leader := cluster.waitForLeader()
 	for i := range 3 {
 		if i != leader {
-			b.stop(i)
+			cluster.stop(i)
 		}
 	}
-	eventually(t, "a voter without a quorum acts as leader", func() bool { return b.leader() < 0 })
-	c, _ := b.voters[leader].current()
-	require.ErrorIs(t, c.Record(context.Background(), "register", "alone"), ErrNotLeading)
-	b.stop(leader)
+	eventually(t, "a voter without a quorum acts as leader", func() bool { return cluster.leader() < 0 })
+	server, _ := cluster.voters[leader].current()
+	require.ErrorIs(t, server.Record(context.Background(), "register", "alone"), ErrNotLeading)
+	cluster.stop(leader)
 	for i := range 3 {
-		b.start(i)
+		cluster.start(i)
 	}
-	b.record("all again")
+	cluster.record("all again")
 	for i := range 3 {
-		eventually(t, "the record is not applied", func() bool { _, r := b.voters[i].current(); return r.read() == "all again" })
+		eventually(t, "the record is not applied", func() bool { _, r := cluster.voters[i].current(); return r.read() == "all again" })
 	}
 }
 
 // Guards against disks whose writes take longer than the leader lease: a leader must be elected and
 // keep its lease, and concurrent records must share writes.
 func TestSlowDisks(t *testing.T) {
-	b := newCluster(t, 3)
-	for _, p := range b.files {
+	cluster := newCluster(t, 3)
+	for _, p := range cluster.files {
 		p.delay.Store(2 * timing.LeaderLease())
 	}
-	b.record("first")
-	leader := b.waitForLeader()
-	c, r := b.voters[leader].current()
-	require.Greater(t, c.State().WriteMs, float64(timing.LeaderLease())/1e6, "the mean write duration shows the slow disk")
-	writesBefore, gaps, done := b.files[leader].writes.Load(), 0, make(chan struct{})
+	cluster.record("first")
+	leader := cluster.waitForLeader()
+	server, r := cluster.voters[leader].current()
+	require.Greater(t, server.State().WriteMs, float64(timing.LeaderLease())/1e6, "the mean write duration shows the slow disk")
+	writesBefore, gaps, done := cluster.files[leader].writes.Load(), 0, make(chan struct{})
 	var watcher, clients sync.WaitGroup
 	watcher.Add(1)
 	go func() {
@@ -266,7 +267,7 @@
 				return
 			default:
 			}
-			if !c.IsActing() {
+			if !server.IsActing() {
 				gaps++
 			}
 		}
@@ -276,7 +277,7 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			require.NoError(t, c.Record(context.Background(), "register", fmt.Sprint(n)))
+			require.NoError(t, server.Record(context.Background(), "register", fmt.Sprint(n)))
 		}()
 	}
 	clients.Wait()
@@ -284,110 +285,110 @@
 	watcher.Wait()
 	require.Zero(t, gaps, "times at which the leader held no lease")
 	require.Equal(t, 1, r.leadCalls)
-	require.Less(t, b.files[leader].writes.Load()-writesBefore, int64(records/2))
+	require.Less(t, cluster.files[leader].writes.Load()-writesBefore, int64(records/2))
 }
 
 // Guards against a leader with a hung disk whose heartbeats block elections.
 func TestLeaderWithHungDiskIsReplaced(t *testing.T) {
-	b := newCluster(t, 3)
-	b.record("one")
-	leader := b.waitForLeader()
-	b.files[leader].isHung.Store(true)
-	defer b.files[leader].isHung.Store(false)
-	c, _ := b.voters[leader].current()
+	cluster := newCluster(t, 3)
+	cluster.record("one")
+	leader := cluster.waitForLeader()
+	cluster.files[leader].isHung.Store(true)
+	defer cluster.files[leader].isHung.Store(false)
+	server, _ := cluster.voters[leader].current()
 	ctx, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer stop()
-	require.ErrorIs(t, c.Record(ctx, "register", "hung"), ErrOutcomeUnknown)
-	eventually(t, "no other voter acts as leader", func() bool { i := b.leader(); return i >= 0 && i != leader })
-	b.record("without it")
-	b.files[leader].isHung.Store(false)
-	eventually(t, "the voter does not catch up", func() bool { _, r := b.voters[leader].current(); return r.read() == "without it" })
+	require.ErrorIs(t, server.Record(ctx, "register", "hung"), ErrOutcomeUnknown)
+	eventually(t, "no other voter acts as leader", func() bool { i := cluster.leader(); return i >= 0 && i != leader })
+	cluster.record("without it")
+	cluster.files[leader].isHung.Store(false)
+	eventually(t, "the voter does not catch up", func() bool { _, r := cluster.voters[leader].current(); return r.read() == "without it" })
 }
 
 // Guards against disks that are stale, truncated or belong to another voter.
 func TestUnusableDisks(t *testing.T) {
-	b := newCluster(t, 3)
-	b.record("one")
-	i := b.waitForLeader()
-	b.stop(i)
-	oldFile, err := os.ReadFile(b.disk(i))
+	cluster := newCluster(t, 3)
+	cluster.record("one")
+	i := cluster.waitForLeader()
+	cluster.stop(i)
+	oldFile, err := os.ReadFile(cluster.disk(i))
 	require.NoError(t, err)
-	b.start(i)
+	cluster.start(i)
 	for n := range 5 {
-		b.record(fmt.Sprint("more ", n))
+		cluster.record(fmt.Sprint("more ", n))
 	}
-	eventually(t, "the voter does not catch up", func() bool { _, r := b.voters[i].current(); return r.read() == "more 4" })
-	eventually(t, "the other voters have not caught up", func() bool { c, _ := b.voters[(i+1)%3].current(); return c.State().Applied > 5 })
-	b.stop(i)
-	require.NoError(t, os.WriteFile(b.disk(i), oldFile, 0o600))
-	b.start(i)
-	eventually(t, "the voter is not refused", func() bool { c, _ := b.voters[i].current(); return c.State().RefusalReason != "" })
-	c, _ := b.voters[i].current()
-	require.Contains(t, c.State().RefusalReason, "is older than what it had told")
-	b.record("the others go on")
-	b.stop(i)
-	require.NoError(t, os.WriteFile(b.disk(i), oldFile[:len(oldFile)/2], 0o600))
-	_, err = Open(council.VoterID(i+1), b.addresses[i], false, b.disk(i), timing, nil, discardLogger())
-	require.ErrorContains(t, err, "cut off")
+	eventually(t, "the voter does not catch up", func() bool { _, r := cluster.voters[i].current(); return r.read() == "more 4" })
+	eventually(t, "the other voters have not caught up", func() bool { server, _ := cluster.voters[(i+1)%3].current(); return server.State().Applied > 5 })
+	cluster.stop(i)
+	require.NoError(t, os.WriteFile(cluster.disk(i), oldFile, 0o600))
+	cluster.start(i)
+	eventually(t, "the voter is not refused", func() bool { server, _ := cluster.voters[i].current(); return server.State().RefusalReason != "" })
+	server, _ := cluster.voters[i].current()
+	require.Contains(t, server.State().RefusalReason, "is older than what it had told")
+	cluster.record("the others go on")
+	cluster.stop(i)
+	require.NoError(t, os.WriteFile(cluster.disk(i), oldFile[:len(oldFile)/2], 0o600))
+	_, err = Open(council.VoterID(i+1), cluster.addresses[i], false, cluster.disk(i), timing, nil, discardLogger())
+	require.ErrorContains(t, err, "file is truncated")
 	other := (i + 1) % 3
-	b.stop(other)
-	_, err = Open(council.VoterID(i+1), b.addresses[i], false, b.disk(other), timing, nil, discardLogger())
+	cluster.stop(other)
+	_, err = Open(council.VoterID(i+1), cluster.addresses[i], false, cluster.disk(other), timing, nil, discardLogger())
 	require.ErrorContains(t, err, fmt.Sprintf("disk belongs to voter %d, but this is voter %d", other+1, i+1))
-	b.start(other)
+	cluster.start(other)
 }
 
 // Guards against a lost voter that cannot be replaced, or a new voter that does not catch up.
 func TestVoterReplacement(t *testing.T) {
-	b := newCluster(t, 3)
-	b.record("before")
-	lost := (b.waitForLeader() + 1) % 3
-	b.stop(lost)
-	l, err := net.Listen("tcp", listenAddress)
+	cluster := newCluster(t, 3)
+	cluster.record("before")
+	lost := (cluster.waitForLeader() + 1) % 3
+	cluster.stop(lost)
+	listener, err := net.Listen("tcp", listenAddress)
 	require.NoError(t, err)
-	address := l.Addr().String()
-	l.Close()
-	b.listenAddresses, b.addresses, b.voters = append(b.listenAddresses, address), append(b.addresses, b.addresses[lost]), append(b.voters, &runningVoter{})
+	address := listener.Addr().String()
+	listener.Close()
+	cluster.listenAddresses, cluster.addresses, cluster.voters = append(cluster.listenAddresses, address), append(cluster.addresses, cluster.addresses[lost]), append(cluster.voters, &runningVoter{})
 	r := &register{}
-	c, err := Open(4, b.addresses[lost], true, b.disk(3), timing, map[string]StateMachine{"register": r}, discardLogger())
+	server, err := Open(4, cluster.addresses[lost], true, cluster.disk(3), timing, map[string]StateMachine{"register": r}, discardLogger())
 	require.NoError(t, err)
-	l, err = net.Listen("tcp", address)
+	listener, err = net.Listen("tcp", address)
 	require.NoError(t, err)
 	mux := http.NewServeMux()
-	c.RegisterHandlers(mux)
+	server.RegisterHandlers(mux)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go c.Run(ctx)
-	go jsonhttp.Serve(ctx, l, mux)
+	go server.Run(ctx)
+	go jsonhttp.Serve(ctx, listener, mux)
 	change := VoterChange{Add: VoterAddresses{4: address}, Remove: []council.VoterID{council.VoterID(lost + 1)}}
 	eventually(t, "the change is not proposed", func() bool {
-		for _, s := range b.voters[:3] {
-			if k, _ := s.current(); k != nil && k.ChangeVoters(context.Background(), change) == nil {
+		for _, s := range cluster.voters[:3] {
+			if other, _ := s.current(); other != nil && other.ChangeVoters(context.Background(), change) == nil {
 				return true
 			}
 		}
 		return false
 	})
-	eventually(t, "the new voter does not join", func() bool { return len(c.State().Voters) == 3 && r.read() == "before" })
-	require.NotContains(t, c.State().Voters, council.VoterID(lost+1))
-	b.record("after")
+	eventually(t, "the new voter does not join", func() bool { return len(server.State().Voters) == 3 && r.read() == "before" })
+	require.NotContains(t, server.State().Voters, council.VoterID(lost+1))
+	cluster.record("after")
 	eventually(t, "the record is not applied", func() bool { return r.read() == "after" })
 }
 
 // Guards against requests that fail at a follower, and against forwarding loops.
 func TestForwardToLeader(t *testing.T) {
-	b := newCluster(t, 3)
-	b.record("x")
+	cluster := newCluster(t, 3)
+	cluster.record("x")
 	handled := 0
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handled++; io.WriteString(w, "{}") })
 	request := func(i int, hop string) int {
-		c, _ := b.voters[i].current()
+		server, _ := cluster.voters[i].current()
 		r, _ := http.NewRequest(http.MethodPost, "http://x/v1/council/state", http.NoBody)
 		r.Header.Set(hopHeader, hop)
 		w := &statusRecorder{header: http.Header{}}
-		c.ForwardToLeader(handler).ServeHTTP(w, r)
+		server.ForwardToLeader(handler).ServeHTTP(w, r)
 		return w.status
 	}
-	leader := b.waitForLeader()
+	leader := cluster.waitForLeader()
 	require.Equal(t, http.StatusOK, request(leader, ""))
 	require.Equal(t, 1, handled)
 	other := (leader + 1) % 3
@@ -413,8 +414,8 @@
 // Guards against histories that are not linearizable, with clients at all voters while links fail
 // and voters restart.
 func TestRecordsAreOneAfterAnother(t *testing.T) {
-	b := newCluster(t, 3)
-	b.record("0")
+	cluster := newCluster(t, 3)
+	cluster.record("0")
 	rng := rand.New(rand.NewSource(1))
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -430,24 +431,24 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				value := fmt.Sprintf("%d-%d", id, n)
 				op := porcupine.Operation{ClientId: id, Input: value, Call: int64(time.Since(start))}
-				s := b.voters[(id+n)%3]
-				c, r := s.current()
-				if c == nil {
+				s := cluster.voters[(id+n)%3]
+				server, r := s.current()
+				if server == nil {
 					continue
 				}
 				if id%2 == 0 {
 					op.Input = ""
-					if !c.IsActing() {
+					if !server.IsActing() {
 						time.Sleep(time.Millisecond)
 						continue
 					}
 					op.Output = r.read()
-					if !c.IsActing() {
+					if !server.IsActing() {
 						continue
 					}
 				} else {
 					recordCtx, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
-					err := c.Record(recordCtx, "register", value)
+					err := server.Record(recordCtx, "register", value)
 					stop()
 					if errors.Is(err, ErrNotLeading) {
 						time.Sleep(time.Millisecond)
@@ -478,7 +479,7 @@
 	}
 	voters := []string{voterName(0), voterName(1), voterName(2)}
 	const ms = time.Millisecond
-	player := &relays.Player{Net: b.net}
+	player := &relays.Player{Net: cluster.net}
 	clients.Add(2)
 	go func() {
 		defer clients.Done()
@@ -494,12 +495,12 @@
 		for ctx.Err() == nil {
 			time.Sleep(time.Duration(300+rng.Intn(500)) * ms)
 			i := rng.Intn(3)
-			if lead := b.leader(); lead >= 0 && rng.Intn(2) == 0 {
+			if lead := cluster.leader(); lead >= 0 && rng.Intn(2) == 0 {
 				i = lead
 			}
-			b.stop(i)
+			cluster.stop(i)
 			time.Sleep(time.Duration(rng.Intn(200)) * ms)
-			b.start(i)
+			cluster.start(i)
 		}
 	}()
 	clients.Wait()
@@ -515,7 +516,7 @@
 		}
 	}
 	leads := 0
-	for _, s := range b.voters {
+	for _, s := range cluster.voters {
 		_, r := s.current()
 		leads += r.leadCalls
 	}
--- a/internal/council/chamber/disk.go
+++ b/internal/council/chamber/disk.go
@@ -169,11 +169,11 @@
 		}
 	}
 	if w.ReplacesLog {
-		update.First = w.DropBefore
+		update.ReplaceFrom = w.DropBefore
 	}
 	for i, e := range w.Entries {
 		if i == 0 {
-			update.First = e.GetIndex()
+			update.ReplaceFrom = e.GetIndex()
 		}
 		data, err := proto.Marshal(e)
 		if err != nil {
--- a/internal/council/chamber/scribe.go
+++ b/internal/council/chamber/scribe.go
@@ -77,15 +77,15 @@
 
 // observe records the duration of a write. A disk becomes slow when the mean exceeds the leader
 // lease, and stops being slow when it drops to half of that.
-func (p *writeLatency) observe(took time.Duration, timing council.Timing, log logrus.FieldLogger) {
-	if p.mean == 0 {
-		p.mean = took
+func (l *writeLatency) observe(took time.Duration, timing council.Timing, log logrus.FieldLogger) {
+	if l.mean == 0 {
+		l.mean = took
 	}
-	p.mean += (took - p.mean) / 8
+	l.mean += (took - l.mean) / 8
 	lease := time.Duration(timing.LeaderLease())
-	if isSlow := p.mean > lease || p.isSlow && p.mean > lease/2; isSlow != p.isSlow {
-		p.isSlow = isSlow
-		log.WithFields(logrus.Fields{"write_ms": p.mean.Milliseconds(), "tenure_ms": lease.Milliseconds()}).
+	if isSlow := l.mean > lease || l.isSlow && l.mean > lease/2; isSlow != l.isSlow {
+		l.isSlow = isSlow
+		log.WithFields(logrus.Fields{"write_ms": l.mean.Milliseconds(), "tenure_ms": lease.Milliseconds()}).
 			Warn(map[bool]string{true: "disk writes are slower than the leader lease", false: "disk writes are fast enough again"}[isSlow])
 	}
 }
--- a/internal/council/seat_test.go
+++ b/internal/council/seat_test.go
@@ -11,52 +11,52 @@
 )
 
 // runUntil runs the cluster without faults until isDone returns true.
-func (w *cluster) runUntil(t *testing.T, failure string, isDone func() bool) {
+func (c *testCluster) runUntil(t *testing.T, failure string, isDone func() bool) {
 	for range 20_000 {
 		if isDone() {
 			return
 		}
-		if w.rng.Intn(5) == 0 {
-			w.now++
-			w.tickDue()
-		} else if len(w.inFlight) > 0 {
-			p := w.inFlight[0]
-			w.inFlight = w.inFlight[1:]
-			if v := w.voters[p.To-1]; v.isUp && !v.isPaused {
+		if c.rng.Intn(5) == 0 {
+			c.now++
+			c.tickDue()
+		} else if len(c.inFlight) > 0 {
+			p := c.inFlight[0]
+			c.inFlight = c.inFlight[1:]
+			if v := c.voters[p.To-1]; v.isUp && !v.isPaused {
 				require.NoError(t, v.node.Receive(p))
-				w.processReady(v)
+				c.processReady(v)
 			}
 		} else {
-			for _, v := range w.voters {
-				if v.isDiskSlow && !v.isDiskHung && w.rng.Intn(40) == 0 {
-					w.write(v, len(v.pendingWrites))
-					w.processReady(v)
+			for _, v := range c.voters {
+				if v.isDiskSlow && !v.isDiskHung && c.rng.Intn(40) == 0 {
+					c.write(v, len(v.pendingWrites))
+					c.processReady(v)
 				}
 			}
 		}
-		require.Empty(t, w.violation)
+		require.Empty(t, c.violation)
 	}
 	t.Fatal(failure)
 }
 
-func (w *cluster) actingVoter() *voter {
-	for _, v := range w.voters {
-		if w.isActing(v) {
+func (c *testCluster) actingVoter() *voter {
+	for _, v := range c.voters {
+		if c.isActing(v) {
 			return v
 		}
 	}
 	return nil
 }
 
-func newSettledCluster(t *testing.T, voters int) *cluster {
+func newSettledCluster(t *testing.T, voters int) *testCluster {
 	return newSettledClusterWithSeed(t, 11, voters)
 }
 
-func newSettledClusterWithSeed(t *testing.T, seed int64, voters int) *cluster {
-	w := newCluster(seed, voters, noFault)
-	w.noFaults = true
-	w.runUntil(t, "no voter acts as leader", func() bool { return w.actingVoter() != nil })
-	return w
+func newSettledClusterWithSeed(t *testing.T, seed int64, voters int) *testCluster {
+	cluster := newCluster(seed, voters, noFault)
+	cluster.noFaults = true
+	cluster.runUntil(t, "no voter acts as leader", func() bool { return cluster.actingVoter() != nil })
+	return cluster
 }
 
 func TestLeaderLease(t *testing.T) {
@@ -73,33 +73,33 @@
 }
 
 func testStaleDiskRefused(t *testing.T, offset VoterID) {
-	w := newSettledCluster(t, 3)
-	leader := w.actingVoter()
-	victim := w.voters[(leader.id-1+offset)%3]
+	cluster := newSettledCluster(t, 3)
+	leader := cluster.actingVoter()
+	victim := cluster.voters[(leader.id-1+offset)%3]
 	stale := victim.disk
 	for range 5 {
 		require.NoError(t, leader.node.Propose([]byte("x")))
-		w.processReady(leader)
+		cluster.processReady(leader)
 	}
-	w.runUntil(t, "the record is not committed", func() bool { return victim.lastApplied >= leader.lastApplied && leader.lastApplied > 5 })
+	cluster.runUntil(t, "the record is not committed", func() bool { return victim.lastApplied >= leader.lastApplied && leader.lastApplied > 5 })
 	for _, disk := range []DiskState{stale, NewDiskState([]VoterID{1, 2, 3})} {
 		current := victim.disk
 		victim.disk = disk
-		w.start(victim)
-		w.runUntil(t, "the voter is not refused", func() bool { return victim.node.RefusalReason() != "" })
+		cluster.start(victim)
+		cluster.runUntil(t, "the voter is not refused", func() bool { return victim.node.RefusalReason() != "" })
 		require.Contains(t, victim.node.RefusalReason(), "is older than what it had told")
 		require.False(t, victim.node.IsActive())
 		victim.disk = current
-		w.start(victim)
-		w.runUntil(t, "the voter is not active with its current disk", func() bool { return victim.node.IsActive() })
+		cluster.start(victim)
+		cluster.runUntil(t, "the voter is not active with its current disk", func() bool { return victim.node.IsActive() })
 	}
-	w.runUntil(t, "the remaining voters elect no leader", func() bool { return w.actingVoter() != nil })
+	cluster.runUntil(t, "the remaining voters elect no leader", func() bool { return cluster.actingVoter() != nil })
 }
 
 // Guards against a stale disk that is discovered only after the voter became active.
 func TestOldDiskIsRefusedAfterActivation(t *testing.T) {
-	w := newSettledCluster(t, 3)
-	v := w.voters[0]
+	cluster := newSettledCluster(t, 3)
+	v := cluster.voters[0]
 	require.True(t, v.node.IsActive())
 	require.NoError(t, v.node.Receive(Packet{From: 2, To: 1, Positions: map[VoterID]LogPosition{1: {Term: 1, LastTerm: 1, LastIndex: 1}}}))
 	require.True(t, v.node.IsActive(), "the reported position is not ahead of its disk")
@@ -111,8 +111,8 @@
 
 // Guards against misdirected and malformed packets.
 func TestInvalidPacketsAreRejected(t *testing.T) {
-	w := newSettledCluster(t, 3)
-	v := w.voters[0]
+	cluster := newSettledCluster(t, 3)
+	v := cluster.voters[0]
 	require.ErrorContains(t, v.node.Receive(Packet{From: 2, To: 3}), "received by voter 1")
 	require.ErrorContains(t, v.node.Receive(Packet{From: 1, To: 1}), "received by voter 1")
 	require.Error(t, v.node.Receive(Packet{From: 2, To: 1, Messages: [][]byte{{0xff}}}))
@@ -124,30 +124,30 @@
 // Guards against a council that cannot replace a lost voter in one change, or whose new voter does
 // not catch up.
 func TestVoterReplacement(t *testing.T) {
-	w := newSettledCluster(t, 3)
-	leader := w.actingVoter()
-	removed := w.voters[leader.id%3]
+	cluster := newSettledCluster(t, 3)
+	leader := cluster.actingVoter()
+	removed := cluster.voters[leader.id%3]
 	removed.isUp = false
 	require.NoError(t, leader.node.Propose([]byte("before")))
-	w.processReady(leader)
+	cluster.processReady(leader)
 	require.ErrorContains(t, leader.node.ChangeVoters([]VoterID{4}, nil, nil), "a council has 1, 3, 5 or 7")
 	require.ErrorContains(t, leader.node.ChangeVoters([]VoterID{leader.id}, nil, nil), "is one already")
 	require.ErrorContains(t, leader.node.ChangeVoters(nil, []VoterID{9}, nil), "is none")
 	added := &voter{id: 4, clockRate: 1}
-	w.voters = append(w.voters, added)
-	w.start(added)
+	cluster.voters = append(cluster.voters, added)
+	cluster.start(added)
 	require.NoError(t, leader.node.ChangeVoters([]VoterID{4}, []VoterID{removed.id}, []byte("said")))
-	w.processReady(leader)
+	cluster.processReady(leader)
 	want := []VoterID{1, 2, 3, 4}
 	want = append(want[:removed.id-1], want[removed.id:]...)
-	w.runUntil(t, "the voter is not replaced", func() bool {
+	cluster.runUntil(t, "the voter is not replaced", func() bool {
 		return added.lastApplied == leader.lastApplied && leader.node.peers() != nil && len(leader.node.Voters()) == 3
 	})
 	require.Equal(t, want, leader.node.Voters())
-	w.runUntil(t, "the added voter does not learn the new configuration", func() bool { return len(added.node.Voters()) == 3 })
+	cluster.runUntil(t, "the added voter does not learn the new configuration", func() bool { return len(added.node.Voters()) == 3 })
 	require.Equal(t, want, added.node.Voters())
-	other := w.voters[0]
-	for _, v := range w.voters {
+	other := cluster.voters[0]
+	for _, v := range cluster.voters {
 		if v != leader && v != added && v != removed {
 			other = v
 		}
@@ -155,49 +155,49 @@
 	other.isUp = false
 	lastApplied := leader.lastApplied
 	require.NoError(t, leader.node.Propose([]byte("after")))
-	w.processReady(leader)
-	w.runUntil(t, "the added voter does not count towards the quorum", func() bool { return leader.lastApplied > lastApplied })
+	cluster.processReady(leader)
+	cluster.runUntil(t, "the added voter does not count towards the quorum", func() bool { return leader.lastApplied > lastApplied })
 }
 
 // Guards against a log that grows without bound, and a lagging voter that cannot catch up from a
 // snapshot.
 func TestLogCompaction(t *testing.T) {
-	w := newSettledCluster(t, 3)
-	leader := w.actingVoter()
-	lagging := w.voters[leader.id%3]
+	cluster := newSettledCluster(t, 3)
+	leader := cluster.actingVoter()
+	lagging := cluster.voters[leader.id%3]
 	lagging.isUp = false
 	for range compactAfterEntries + 10 {
 		require.NoError(t, leader.node.Propose([]byte("x")))
-		w.processReady(leader)
-		w.runUntil(t, "the record is not committed", func() bool { return len(w.inFlight) == 0 })
+		cluster.processReady(leader)
+		cluster.runUntil(t, "the record is not committed", func() bool { return len(cluster.inFlight) == 0 })
 	}
 	require.True(t, leader.node.NeedsCompaction())
-	w.compact(leader)
+	cluster.compact(leader)
 	require.False(t, leader.node.NeedsCompaction())
 	require.LessOrEqual(t, len(leader.disk.Entries), retainedEntries+1)
-	w.start(lagging)
-	w.runUntil(t, "the lagging voter does not catch up", func() bool { return lagging.node.AppliedIndex() == leader.node.AppliedIndex() })
-	w.start(leader)
-	w.runUntil(t, "no voter acts as leader", func() bool { return w.actingVoter() != nil })
+	cluster.start(lagging)
+	cluster.runUntil(t, "the lagging voter does not catch up", func() bool { return lagging.node.AppliedIndex() == leader.node.AppliedIndex() })
+	cluster.start(leader)
+	cluster.runUntil(t, "no voter acts as leader", func() bool { return cluster.actingVoter() != nil })
 }
 
 // Guards against leader changes when a disk write takes longer than the election timeout:
 // heartbeats must not wait for writes, and candidates must back off.
 func TestSlowDisks(t *testing.T) {
-	w := newCluster(12, 3, noFault)
-	w.noFaults = true
-	for _, v := range w.voters {
+	cluster := newCluster(12, 3, noFault)
+	cluster.noFaults = true
+	for _, v := range cluster.voters {
 		v.isDiskSlow = true
 	}
-	runUntil := w.withWriteDelay(3 * w.timing.LeaderLease())
-	runUntil(t, "no voter acts as leader", 200, func() bool { return w.actingVoter() != nil })
-	leader := w.actingVoter()
+	runUntil := cluster.withWriteDelay(3 * cluster.timing.LeaderLease())
+	runUntil(t, "no voter acts as leader", 200, func() bool { return cluster.actingVoter() != nil })
+	leader := cluster.actingVoter()
 	for n := range 5 {
 		lastApplied := leader.lastApplied
 		require.NoError(t, leader.node.Propose(fmt.Appendf(nil, "%d", n)))
-		w.processReady(leader)
+		cluster.processReady(leader)
 		runUntil(t, "the record is not committed", 20, func() bool {
-			require.Equal(t, leader, w.actingVoter(), "slow disks alone must not change the leader")
+			require.Equal(t, leader, cluster.actingVoter(), "slow disks alone must not change the leader")
 			return leader.lastApplied > lastApplied
 		})
 	}
@@ -205,29 +205,29 @@
 
 // withWriteDelay returns a function that runs the cluster with disks that need delay per write
 // until isDone returns true, for at most most delays.
-func (w *cluster) withWriteDelay(delay int64) func(t *testing.T, what string, most int64, ok func() bool) {
-	due := map[*voter]int64{}
-	return func(t *testing.T, what string, most int64, ok func() bool) {
-		for end := w.now + most*delay; !ok(); {
-			require.Less(t, w.now, end, what)
-			w.now++
-			w.tickDue()
-			for len(w.inFlight) > 0 {
-				w.deliverOne()
+func (c *testCluster) withWriteDelay(delay int64) func(t *testing.T, failure string, maxDelays int64, isDone func() bool) {
+	dueAt := map[*voter]int64{}
+	return func(t *testing.T, failure string, maxDelays int64, isDone func() bool) {
+		for end := c.now + maxDelays*delay; !isDone(); {
+			require.Less(t, c.now, end, failure)
+			c.now++
+			c.tickDue()
+			for len(c.inFlight) > 0 {
+				c.deliverOne()
 			}
-			for _, v := range w.voters {
+			for _, v := range c.voters {
 				switch {
 				case v.isDiskHung || len(v.pendingWrites) == 0:
-					due[v] = 0
-				case due[v] == 0:
-					due[v] = w.now + delay
-				case w.now >= due[v]:
-					due[v] = 0
-					w.write(v, len(v.pendingWrites))
-					w.processReady(v)
+					dueAt[v] = 0
+				case dueAt[v] == 0:
+					dueAt[v] = c.now + delay
+				case c.now >= dueAt[v]:
+					dueAt[v] = 0
+					c.write(v, len(v.pendingWrites))
+					c.processReady(v)
 				}
 			}
-			require.Empty(t, w.violation)
+			require.Empty(t, c.violation)
 		}
 	}
 }
@@ -246,30 +246,30 @@
 }
 
 // timeToFailover returns how long it takes until another voter acts after the leader's disk hangs.
-func timeToFailover(t *testing.T, w *cluster) (elapsed int64) {
-	leader := w.actingVoter()
+func timeToFailover(t *testing.T, cluster *testCluster) (elapsed int64) {
+	leader := cluster.actingVoter()
 	leader.isDiskSlow, leader.isDiskHung = true, true
-	lastApplied, start := leader.lastApplied, w.now
+	lastApplied, start := leader.lastApplied, cluster.now
 	require.NoError(t, leader.node.Propose([]byte("hung")))
-	w.processReady(leader)
-	w.runUntil(t, "the record is not on the followers' disks", func() bool {
+	cluster.processReady(leader)
+	cluster.runUntil(t, "the record is not on the followers' disks", func() bool {
 		copies := 0
-		for _, v := range w.voters {
+		for _, v := range cluster.voters {
 			if n := len(v.disk.Entries); v != leader && n > 0 && string(v.disk.Entries[n-1].GetData()) == "hung" {
 				copies++
 			}
 		}
 		return copies == 2
 	})
-	w.runUntil(t, "no other voter acts as leader", func() bool {
+	cluster.runUntil(t, "no other voter acts as leader", func() bool {
 		require.Equal(t, lastApplied, leader.lastApplied)
-		return w.actingVoter() != nil && w.actingVoter() != leader
+		return cluster.actingVoter() != nil && cluster.actingVoter() != leader
 	})
-	elapsed = w.now - start
+	elapsed = cluster.now - start
 	require.Error(t, leader.node.Propose([]byte("more")))
 	leader.isDiskHung = false
-	w.runUntil(t, "the former leader does not catch up", func() bool {
-		return leader.lastApplied == w.actingVoter().lastApplied && leader.lastApplied > lastApplied
+	cluster.runUntil(t, "the former leader does not catch up", func() bool {
+		return leader.lastApplied == cluster.actingVoter().lastApplied && leader.lastApplied > lastApplied
 	})
 	return elapsed
 }
--- a/internal/council/walk_test.go
+++ b/internal/council/walk_test.go
@@ -10,10 +10,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// cluster simulates a council with random faults: clocks drift, packets are delayed, lost,
+// testCluster simulates a council with random faults: clocks drift, packets are delayed, lost,
 // duplicated and reordered, disks are slow, hang or are restored from old copies, and voters crash
 // and pause.
-type cluster struct {
+type testCluster struct {
 	rng           *rand.Rand
 	fault         fault
 	now           int64
@@ -63,38 +63,38 @@
 
 var testTiming = Timing{Tick: 10, ElectionTicks: 8, MaxDrift: 0.02}
 
-func newCluster(seed int64, voterCount int, planted fault) *cluster {
-	w := &cluster{rng: rand.New(rand.NewSource(seed)), fault: planted, timing: testTiming, blockedLinks: map[[2]VoterID]bool{},
+func newCluster(seed int64, voterCount int, planted fault) *testCluster {
+	cluster := &testCluster{rng: rand.New(rand.NewSource(seed)), fault: planted, timing: testTiming, blockedLinks: map[[2]VoterID]bool{},
 		committed: map[uint64]string{}, acknowledged: map[string]uint64{}, hasSlowDisks: seed%2 == 1}
 	var ids []VoterID
 	for i := range voterCount {
 		ids = append(ids, VoterID(i+1))
 	}
 	for _, id := range ids {
-		v := &voter{id: id, clockRate: 1 + w.timing.MaxDrift*(2*w.rng.Float64()-1), disk: NewDiskState(ids), isDiskSlow: w.hasSlowDisks && w.rng.Intn(3) == 0}
-		w.voters = append(w.voters, v)
-		w.start(v)
+		v := &voter{id: id, clockRate: 1 + cluster.timing.MaxDrift*(2*cluster.rng.Float64()-1), disk: NewDiskState(ids), isDiskSlow: cluster.hasSlowDisks && cluster.rng.Intn(3) == 0}
+		cluster.voters = append(cluster.voters, v)
+		cluster.start(v)
 	}
-	return w
+	return cluster
 }
 
-func (w *cluster) clock(v *voter) int64 { return int64(float64(w.now-v.startedAt) * v.clockRate) }
+func (c *testCluster) clock(v *voter) int64 { return int64(float64(c.now-v.startedAt) * v.clockRate) }
 
 // start starts a voter from its disk.
-func (w *cluster) start(v *voter) {
+func (c *testCluster) start(v *voter) {
 	v.starts++
 	diskState := v.disk
 	diskState.Entries = slices.Clone(v.disk.Entries)
-	node, err := NewNode(v.id, w.timing, diskState, w.rng.Int63())
+	node, err := NewNode(v.id, c.timing, diskState, c.rng.Int63())
 	if err != nil {
-		w.violation = err.Error()
+		c.violation = err.Error()
 		return
 	}
 	v.pendingWrites, v.isDiskHung = nil, false
-	v.node, v.isUp, v.isPaused, v.startedAt, v.nextTick, v.applied = node, true, false, w.now, w.timing.Tick, map[uint64]bool{}
+	v.node, v.isUp, v.isPaused, v.startedAt, v.nextTick, v.applied = node, true, false, c.now, c.timing.Tick, map[uint64]bool{}
 	v.lastApplied = v.disk.Snapshot.GetMetadata().GetIndex()
-	if w.fault == earlyVotes {
-		for range w.timing.ElectionTicks {
+	if c.fault == earlyVotes {
+		for range c.timing.ElectionTicks {
 			v.node.ticksSinceStart++
 		}
 	}
@@ -129,296 +129,296 @@
 }
 
 // processReady processes all ready work of a voter, which may crash between any two steps.
-func (w *cluster) processReady(v *voter) {
+func (c *testCluster) processReady(v *voter) {
 	for v.isUp {
 		ready, hasWork := v.node.Ready()
 		if !hasWork {
 			break
 		}
-		w.send(ready.Packets)
+		c.send(ready.Packets)
 		if ready.Write != nil {
 			v.pendingWrites = append(v.pendingWrites, ready.Write)
-			if w.fault == sendsBeforeWrite {
-				w.completeWrite(v, ready.Write)
+			if c.fault == sendsBeforeWrite {
+				c.completeWrite(v, ready.Write)
 			}
 		}
-		if w.mayCrash(v) {
+		if c.mayCrash(v) {
 			return
 		}
 		if !v.isDiskSlow && !v.isDiskHung {
-			w.write(v, len(v.pendingWrites))
+			c.write(v, len(v.pendingWrites))
 		}
 	}
 	snapshot, _ := v.node.storage.Snapshot()
 	canCompact := v.isUp && v.node.IsActive() && v.node.AppliedIndex() > snapshot.GetMetadata().GetIndex()
-	if canCompact && (v.node.confChanged || !w.noFaults && w.rng.Intn(400) == 0) {
-		w.compact(v)
+	if canCompact && (v.node.confChanged || !c.noFaults && c.rng.Intn(400) == 0) {
+		c.compact(v)
 	}
 }
 
 // write completes up to most of the oldest pending writes.
-func (w *cluster) write(v *voter, maxWrites int) {
+func (c *testCluster) write(v *voter, maxWrites int) {
 	for n := 0; v.isUp && n < maxWrites && len(v.pendingWrites) > 0; n++ {
 		write := v.pendingWrites[0]
 		v.pendingWrites = v.pendingWrites[1:]
 		v.disk.apply(write)
-		if !w.mayCrash(v) && w.fault != sendsBeforeWrite {
-			w.completeWrite(v, write)
+		if !c.mayCrash(v) && c.fault != sendsBeforeWrite {
+			c.completeWrite(v, write)
 		}
 	}
 }
 
-func (w *cluster) completeWrite(v *voter, write *Write) {
-	snapshot, commits, err := v.node.CompleteWrite(write)
+func (c *testCluster) completeWrite(v *voter, write *Write) {
+	snapshot, committed, err := v.node.CompleteWrite(write)
 	if err != nil {
-		w.violation = err.Error()
+		c.violation = err.Error()
 	}
 	if snapshot != nil {
 		v.lastApplied = snapshot.GetMetadata().GetIndex()
 	}
-	for _, c := range commits {
-		w.apply(v, c)
+	for _, entry := range committed {
+		c.apply(v, entry)
 	}
 }
 
-func (w *cluster) compact(v *voter) {
+func (c *testCluster) compact(v *voter) {
 	write, err := v.node.Compact([]byte("all"))
 	if err != nil {
-		w.violation = err.Error()
+		c.violation = err.Error()
 		return
 	}
 	v.pendingWrites = append(v.pendingWrites, write)
 	if !v.isDiskSlow && !v.isDiskHung {
-		w.write(v, len(v.pendingWrites))
+		c.write(v, len(v.pendingWrites))
 	}
 }
 
-func (w *cluster) mayCrash(v *voter) bool {
-	if !w.noFaults && w.rng.Intn(300) == 0 {
+func (c *testCluster) mayCrash(v *voter) bool {
+	if !c.noFaults && c.rng.Intn(300) == 0 {
 		v.isUp = false
 	}
 	return !v.isUp
 }
 
 // apply checks that all voters apply the same entry at an index.
-func (w *cluster) apply(v *voter, c CommittedEntry) {
-	record := string(c.Record)
-	if c.Change != nil {
+func (c *testCluster) apply(v *voter, entry CommittedEntry) {
+	record := string(entry.Record)
+	if entry.Change != nil {
 		record = "a change"
 	}
-	if previous, known := w.committed[c.Index]; known && previous != record {
-		w.violation = fmt.Sprintf("entry %d is %q at voter %d, but was %q elsewhere", c.Index, record, v.id, previous)
+	if previous, known := c.committed[entry.Index]; known && previous != record {
+		c.violation = fmt.Sprintf("entry %d is %q at voter %d, but was %q elsewhere", entry.Index, record, v.id, previous)
 	}
-	w.committed[c.Index] = record
-	v.lastApplied = c.Index
-	if len(c.Record) > 0 && v.applied[0] && w.isActing(v) {
-		w.acknowledged[record] = c.Index
+	c.committed[entry.Index] = record
+	v.lastApplied = entry.Index
+	if len(entry.Record) > 0 && v.applied[0] && c.isActing(v) {
+		c.acknowledged[record] = entry.Index
 	}
 }
 
 const maxInFlight = 300 // packets; further ones are dropped
 
-func (w *cluster) send(packets []Packet) {
+func (c *testCluster) send(packets []Packet) {
 	for _, p := range packets {
-		if w.fault == noPositions {
+		if c.fault == noPositions {
 			p.Positions = nil
 		}
-		if !w.blockedLinks[[2]VoterID{p.From, p.To}] && len(w.inFlight) < maxInFlight {
-			w.inFlight = append(w.inFlight, p)
+		if !c.blockedLinks[[2]VoterID{p.From, p.To}] && len(c.inFlight) < maxInFlight {
+			c.inFlight = append(c.inFlight, p)
 		}
 	}
 }
 
 // isActing reports whether a voter would act as leader now.
-func (w *cluster) isActing(v *voter) bool {
+func (c *testCluster) isActing(v *voter) bool {
 	if !v.isUp || v.isPaused {
 		return false
 	}
 	leaseEnd := v.node.LeaseEnd()
-	if w.fault == actsBeforeApplied && v.node.IsActive() && v.node.isLeader {
-		leaseEnd = w.clock(v) + 1
+	if c.fault == actsBeforeApplied && v.node.IsActive() && v.node.isLeader {
+		leaseEnd = c.clock(v) + 1
 	}
-	if w.fault == longLease && leaseEnd > 0 {
-		leaseEnd += 3 * w.timing.Tick
+	if c.fault == longLease && leaseEnd > 0 {
+		leaseEnd += 3 * c.timing.Tick
 	}
-	return w.clock(v) < leaseEnd
+	return c.clock(v) < leaseEnd
 }
 
 // step executes one random event.
-func (w *cluster) step() {
-	v := w.voters[w.rng.Intn(len(w.voters))]
-	switch n := w.rng.Intn(1000); {
+func (c *testCluster) step() {
+	v := c.voters[c.rng.Intn(len(c.voters))]
+	switch n := c.rng.Intn(1000); {
 	case n < 300:
-		w.now += 1 + w.rng.Int63n(w.timing.Tick/2)
-		w.tickDue()
+		c.now += 1 + c.rng.Int63n(c.timing.Tick/2)
+		c.tickDue()
 	case n < 865:
-		w.deliverOne()
+		c.deliverOne()
 	case n < 880:
 		if !v.isDiskHung {
-			w.write(v, 1+w.rng.Intn(3))
-			w.processReady(v)
+			c.write(v, 1+c.rng.Intn(3))
+			c.processReady(v)
 		}
 	case n < 940:
-		if w.isActing(v) {
-			w.propose(v)
+		if c.isActing(v) {
+			c.propose(v)
 		}
 	case n < 946:
 		v.isUp = false
 	case n < 956:
 		if !v.isUp {
-			w.start(v)
+			c.start(v)
 		}
 	case n < 962:
 		v.isPaused = true
 	case n < 980:
 		v.isPaused = false
 	case n < 984:
-		other := w.voters[w.rng.Intn(len(w.voters))]
-		w.blockedLinks[[2]VoterID{v.id, other.id}] = true
+		other := c.voters[c.rng.Intn(len(c.voters))]
+		c.blockedLinks[[2]VoterID{v.id, other.id}] = true
 	case n < 990:
-		w.blockedLinks = map[[2]VoterID]bool{}
+		c.blockedLinks = map[[2]VoterID]bool{}
 	case n < 992:
 		copied := v.disk
 		copied.Entries = slices.Clone(v.disk.Entries)
 		v.oldDisk = &copied
 	case n < 993:
-		w.restoreOldDisk(v)
+		c.restoreOldDisk(v)
 	case n < 994:
-		v.isDiskHung = w.hasSlowDisks
+		v.isDiskHung = c.hasSlowDisks
 	default:
 		v.isDiskHung = false
 	}
-	w.checkInvariants()
+	c.checkInvariants()
 }
 
 // propose proposes a new record at an acting voter.
-func (w *cluster) propose(v *voter) {
-	w.proposed++
+func (c *testCluster) propose(v *voter) {
+	c.proposed++
 	v.applied[0] = true
-	v.node.Propose(fmt.Appendf(nil, "r%d", w.proposed))
-	w.processReady(v)
+	v.node.Propose(fmt.Appendf(nil, "r%d", c.proposed))
+	c.processReady(v)
 }
 
 // restoreOldDisk replaces a voter's disk by an old copy. It does so at most once, and only while
 // all peers are up to detect it; a council of one voter cannot.
-func (w *cluster) restoreOldDisk(v *voter) {
-	for _, peer := range w.voters {
+func (c *testCluster) restoreOldDisk(v *voter) {
+	for _, peer := range c.voters {
 		if !peer.isUp || peer != v && peer.node.RefusalReason() != "" {
 			return
 		}
 	}
-	if v.oldDisk != nil && w.restoredDisks == 0 && len(w.voters) > 1 {
+	if v.oldDisk != nil && c.restoredDisks == 0 && len(c.voters) > 1 {
 		v.disk = *v.oldDisk
-		w.restoredDisks++
-		w.start(v)
+		c.restoredDisks++
+		c.start(v)
 	}
 }
 
 // tickDue ticks all voters whose tick is due. A voter that was paused makes up for one tick only.
-func (w *cluster) tickDue() {
-	for _, v := range w.voters {
-		for v.isUp && !v.isPaused && w.clock(v) >= v.nextTick {
-			v.nextTick += w.timing.Tick
-			if delay := w.clock(v) - v.nextTick; delay > 0 {
-				v.nextTick += delay / w.timing.Tick * w.timing.Tick
+func (c *testCluster) tickDue() {
+	for _, v := range c.voters {
+		for v.isUp && !v.isPaused && c.clock(v) >= v.nextTick {
+			v.nextTick += c.timing.Tick
+			if delay := c.clock(v) - v.nextTick; delay > 0 {
+				v.nextTick += delay / c.timing.Tick * c.timing.Tick
 			}
-			v.node.Tick(w.clock(v))
-			w.processReady(v)
+			v.node.Tick(c.clock(v))
+			c.processReady(v)
 		}
 	}
 }
 
 // deliverOne delivers a random packet, and occasionally duplicates or drops it.
-func (w *cluster) deliverOne() {
-	if len(w.inFlight) == 0 {
+func (c *testCluster) deliverOne() {
+	if len(c.inFlight) == 0 {
 		return
 	}
-	index := w.rng.Intn(min(len(w.inFlight), 12))
-	p := w.inFlight[index]
-	outcome := w.rng.Intn(40)
-	if outcome != 0 || len(w.inFlight) > 200 {
-		w.inFlight = slices.Delete(w.inFlight, index, index+1)
+	index := c.rng.Intn(min(len(c.inFlight), 12))
+	p := c.inFlight[index]
+	outcome := c.rng.Intn(40)
+	if outcome != 0 || len(c.inFlight) > 200 {
+		c.inFlight = slices.Delete(c.inFlight, index, index+1)
 	}
-	v := w.voters[p.To-1]
+	v := c.voters[p.To-1]
 	if outcome == 1 || !v.isUp {
 		return
 	}
 	if v.isPaused {
-		w.inFlight = append(w.inFlight, p)
+		c.inFlight = append(c.inFlight, p)
 		return
 	}
 	if err := v.node.Receive(p); err != nil {
-		w.violation = err.Error()
+		c.violation = err.Error()
 	}
-	w.processReady(v)
+	c.processReady(v)
 }
 
 // checkInvariants checks that at most one voter acts, and that it has applied all acknowledged
 // records.
-func (w *cluster) checkInvariants() {
+func (c *testCluster) checkInvariants() {
 	var acting []VoterID
-	for _, v := range w.voters {
-		if !w.isActing(v) {
+	for _, v := range c.voters {
+		if !c.isActing(v) {
 			continue
 		}
 		acting = append(acting, v.id)
-		for record, index := range w.acknowledged {
+		for record, index := range c.acknowledged {
 			if index > v.lastApplied {
-				w.violation = fmt.Sprintf("voter %d acts at entry %d without having applied %q, entry %d", v.id, v.lastApplied, record, index)
+				c.violation = fmt.Sprintf("voter %d acts at entry %d without having applied %q, entry %d", v.id, v.lastApplied, record, index)
 			}
 		}
 	}
 	if len(acting) > 0 {
-		w.actingSteps++
+		c.actingSteps++
 	}
 	if len(acting) > 1 {
-		w.violation = fmt.Sprintf("voters %v act at the same time", acting)
+		c.violation = fmt.Sprintf("voters %v act at the same time", acting)
 	}
 }
 
 // recover ends all faults and reports whether the council then commits records.
-func (w *cluster) recover() bool {
-	w.blockedLinks = map[[2]VoterID]bool{}
-	w.fault, w.noFaults, w.inFlight = noFault, true, nil
-	before := len(w.acknowledged)
+func (c *testCluster) recover() bool {
+	c.blockedLinks = map[[2]VoterID]bool{}
+	c.fault, c.noFaults, c.inFlight = noFault, true, nil
+	before := len(c.acknowledged)
 	for range 40_000 {
-		for _, v := range w.voters {
+		for _, v := range c.voters {
 			v.isPaused, v.isDiskSlow, v.isDiskHung = false, false, false
 			if !v.isUp {
-				w.start(v)
+				c.start(v)
 			}
 		}
-		v := w.voters[w.rng.Intn(len(w.voters))]
-		switch n := w.rng.Intn(10); {
+		v := c.voters[c.rng.Intn(len(c.voters))]
+		switch n := c.rng.Intn(10); {
 		case n < 2:
-			w.now += 1 + w.rng.Int63n(w.timing.Tick/2)
-			w.tickDue()
+			c.now += 1 + c.rng.Int63n(c.timing.Tick/2)
+			c.tickDue()
 		case n < 9:
 			for range 10 {
-				w.deliverOne()
+				c.deliverOne()
 			}
-			w.write(v, len(v.pendingWrites))
-			w.processReady(v)
-		case w.isActing(v):
-			w.propose(v)
+			c.write(v, len(v.pendingWrites))
+			c.processReady(v)
+		case c.isActing(v):
+			c.propose(v)
 		}
-		w.checkInvariants()
-		if w.violation != "" || len(w.acknowledged) > before+2 {
-			return w.violation == ""
+		c.checkInvariants()
+		if c.violation != "" || len(c.acknowledged) > before+2 {
+			return c.violation == ""
 		}
 	}
 	return false
 }
 
 // run executes random steps and reports a panic in raft as a violation.
-func (w *cluster) run(steps int) {
+func (c *testCluster) run(steps int) {
 	defer func() {
 		if r := recover(); r != nil {
-			w.violation = fmt.Sprint("panic: ", r)
+			c.violation = fmt.Sprint("panic: ", r)
 		}
 	}()
 	for range steps {
-		if w.step(); w.violation != "" {
+		if c.step(); c.violation != "" {
 			return
 		}
 	}
@@ -429,12 +429,12 @@
 func TestCouncilsInAnyOrder(t *testing.T) {
 	actingSteps, acknowledged, refusedVoters := 0, 0, 0
 	for seed := range int64(120) {
-		w := newCluster(seed, []int{3, 5, 3, 7, 1}[seed%5], noFault)
-		w.run(6000)
-		require.Empty(t, w.violation, "seed %d", seed)
-		require.True(t, w.recover(), "seed %d: the council did not recover: %s", seed, w.violation)
-		actingSteps, acknowledged = actingSteps+w.actingSteps, acknowledged+len(w.acknowledged)
-		for _, v := range w.voters {
+		cluster := newCluster(seed, []int{3, 5, 3, 7, 1}[seed%5], noFault)
+		cluster.run(6000)
+		require.Empty(t, cluster.violation, "seed %d", seed)
+		require.True(t, cluster.recover(), "seed %d: the council did not recover: %s", seed, cluster.violation)
+		actingSteps, acknowledged = actingSteps+cluster.actingSteps, acknowledged+len(cluster.acknowledged)
+		for _, v := range cluster.voters {
 			if v.node.RefusalReason() != "" {
 				refusedVoters++
 			}
@@ -447,14 +447,14 @@
 
 // Guards against a random walk that misses deliberate faults.
 func TestCouncilsWithPlantedFaults(t *testing.T) {
-	for name, p := range map[string]fault{"a lease too long": longLease, "votes just after a start": earlyVotes,
+	for name, planted := range map[string]fault{"a lease too long": longLease, "votes just after a start": earlyVotes,
 		"sent before written": sendsBeforeWrite, "old disks accepted": noPositions,
 		"acting before knowing": actsBeforeApplied} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(3000) {
-				w := newCluster(seed, 3, p)
-				if w.run(6000); w.violation != "" {
-					t.Logf("found with seed %d: %s", seed, w.violation)
+				cluster := newCluster(seed, 3, planted)
+				if cluster.run(6000); cluster.violation != "" {
+					t.Logf("found with seed %d: %s", seed, cluster.violation)
 					return
 				}
 			}
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -5,75 +5,75 @@
 	"sync"
 )
 
-// BatchWriter appends records for many at once: those that come while a write is under way go to the disk together with the
-// next. Each is told once its own is there.
+// BatchWriter appends records of concurrent callers to a journal. Records that arrive during a
+// write are combined into the next one.
 type BatchWriter struct {
-	journal *Journal
-	most    int // records in one write
+	journal  *Journal
+	maxBatch int // records per write
 
-	mu      sync.Mutex
-	waiting [][]byte
-	told    []chan error
-	writing bool
-	closed  bool
-	writes  int64
-	records int64
+	mu        sync.Mutex
+	pending   [][]byte
+	results   []chan error
+	isWriting bool
+	isClosed  bool
+	writes    int64
+	records   int64
 }
 
 var errClosed = errors.New("the journal is closed")
 
-// NewBatchWriter commits to a journal, at most so many records in one write.
+// NewBatchWriter returns a writer to a journal that writes at most maxBatch records at once.
 func NewBatchWriter(j *Journal, maxBatch int) *BatchWriter {
-	return &BatchWriter{journal: j, most: max(1, maxBatch)}
+	return &BatchWriter{journal: j, maxBatch: max(1, maxBatch)}
 }
 
-// Append writes a record and waits until it is on the disk. After an error none of the records of its write are.
+// Append writes a record and waits until it is durable. After an error no record of its batch is.
 func (c *BatchWriter) Append(record []byte) error {
-	told := make(chan error, 1)
+	result := make(chan error, 1)
 	c.mu.Lock()
-	if c.closed {
+	if c.isClosed {
 		c.mu.Unlock()
 		return errClosed
 	}
-	c.waiting, c.told = append(c.waiting, record), append(c.told, told)
-	if !c.writing {
-		c.writing = true
-		go c.write()
+	c.pending, c.results = append(c.pending, record), append(c.results, result)
+	if !c.isWriting {
+		c.isWriting = true
+		go c.writePending()
 	}
 	c.mu.Unlock()
-	return <-told
+	return <-result
 }
 
-// write writes what waits until nothing does.
-func (c *BatchWriter) write() {
+// writePending writes pending records until there are none.
+func (c *BatchWriter) writePending() {
 	for {
 		c.mu.Lock()
-		n := min(len(c.waiting), c.most)
+		n := min(len(c.pending), c.maxBatch)
 		if n == 0 {
-			c.writing = false
+			c.isWriting = false
 			c.mu.Unlock()
 			return
 		}
-		records, told := c.waiting[:n:n], c.told[:n:n]
-		c.waiting, c.told = c.waiting[n:], c.told[n:]
+		records, results := c.pending[:n:n], c.results[:n:n]
+		c.pending, c.results = c.pending[n:], c.results[n:]
 		c.writes++
 		c.records += int64(n)
 		c.mu.Unlock()
 		err := c.journal.Append(records...)
-		for _, t := range told {
-			t <- err
+		for _, result := range results {
+			result <- err
 		}
 	}
 }
 
-// Close lets nothing more be written; what waits is still told.
+// Close rejects further records. Pending ones are still written.
 func (c *BatchWriter) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = true
+	c.isClosed = true
 }
 
-// Stats are how many writes there were, and how many records in them.
+// Stats returns the number of writes, and of the records in them.
 func (c *BatchWriter) Stats() (writes, records int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/store/journal.go
+++ b/internal/store/journal.go
@@ -1,4 +1,4 @@
-// Package store keeps what has to outlast a crash: records in the order in which they were written, in a bbolt file.
+// Package store keeps records durably in bbolt files.
 package store
 
 import (
@@ -13,52 +13,54 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Journal is a file of records. A record is there once Append has returned, and either all of one Append's are or none.
+// Journal is an append-only file of records. Append is atomic, and its records are durable when it
+// returns.
 type Journal struct {
 	db   *bbolt.DB
 	path string
 }
 
 const (
-	form     = 1 // of what is written
-	lockWait = time.Second
-	sumBytes = 8
+	journalVersion = 1 // format version
+	lockTimeout    = time.Second
+	checksumBytes  = 8
 )
 
 var (
-	bucketRecords = []byte("records")
-	bucketForm    = []byte("form")
-	keyForm       = []byte("version")
-	keyFirst      = []byte("first") // number of the first record that is kept, if any were dropped
+	bucketRecords  = []byte("records")
+	bucketFormat   = []byte("form")
+	keyVersion     = []byte("version")
+	keyFirstRecord = []byte("first") // number of the first record, if older ones were trimmed
 )
 
-// Open opens a journal, or begins one where there is no file. A file that was cut off or changed is refused: what is left
-// of it may be older than what others have been told.
+// Open opens a journal, or creates one if there is no file. It rejects a truncated or corrupted
+// file, since that may lack records that others already rely on.
 func Open(path string) (j *Journal, err error) {
-	defer rescue(path, &err, debug.SetPanicOnFault(true))
+	defer recoverDamage(path, &err, debug.SetPanicOnFault(true))
 	db, err := openFile(path)
 	if err != nil {
 		return nil, err
 	}
 	j = &Journal{db: db, path: path}
-	if err := j.begin(); err != nil {
+	if err := j.initialize(); err != nil {
 		db.Close()
 		return nil, err
 	}
 	return j, nil
 }
 
-// openFile opens a file that is whole and that no other process has open.
+// openFile opens a file that is not truncated and not open in another process.
 func openFile(path string) (*bbolt.DB, error) {
-	err := whole(path)
+	err := checkSize(path)
 	var db *bbolt.DB
 	if err == nil {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait})
+		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	}
-	if errors.Is(err, bbolt.ErrTimeout) {
-		err = errors.New("another process has it open")
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		err = errors.New("file is open in another process")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -66,33 +68,33 @@
 	return db, nil
 }
 
-// rescue makes an error of what the store below panics with when pages of the file are not what they should be. It is
-// deferred with what faults says of its goroutine.
-func rescue(path string, err *error, faults bool) {
-	debug.SetPanicOnFault(faults)
+// recoverDamage converts a panic that bbolt raises on corrupted pages into an error. Call it in a
+// defer statement; panicOnFault is the setting of debug.SetPanicOnFault to restore.
+func recoverDamage(path string, err *error, panicOnFault bool) {
+	debug.SetPanicOnFault(panicOnFault)
 	if r := recover(); r != nil {
 		*err = fmt.Errorf("%s: the file is damaged: %v", path, r)
 	}
 }
 
-// begin checks the form of a journal that has been written to, and gives a new one its own.
-func (j *Journal) begin() (err error) {
-	defer rescue(j.path, &err, debug.SetPanicOnFault(true))
+// initialize checks the format version of an existing journal, and sets up a new one.
+func (j *Journal) initialize() (err error) {
+	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
 	err = j.db.Update(func(tx *bbolt.Tx) error {
-		if b := tx.Bucket(bucketForm); b != nil {
-			if v := b.Get(keyForm); len(v) != 1 || v[0] != form {
-				return fmt.Errorf("its form is %v, and this program knows %d", v, form)
+		if b := tx.Bucket(bucketFormat); b != nil {
+			if v := b.Get(keyVersion); len(v) != 1 || v[0] != journalVersion {
+				return fmt.Errorf("format version %v is not supported, only %d", v, journalVersion)
 			}
 			return nil
 		}
-		b, err := tx.CreateBucket(bucketForm)
+		b, err := tx.CreateBucket(bucketFormat)
 		if err != nil {
 			return err
 		}
 		if _, err := tx.CreateBucket(bucketRecords); err != nil {
 			return err
 		}
-		return b.Put(keyForm, []byte{form})
+		return b.Put(keyVersion, []byte{journalVersion})
 	})
 	if err != nil {
 		err = fmt.Errorf("%s: %w", j.path, err)
@@ -100,30 +102,31 @@
 	return err
 }
 
-// Append writes records and waits until they are on the disk.
+// Append writes records and waits until they are durable.
 func (j *Journal) Append(records ...[]byte) (err error) {
 	if len(records) == 0 {
 		return nil
 	}
-	defer rescue(j.path, &err, debug.SetPanicOnFault(true))
+	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
 	if err := j.append(records); err != nil {
 		return err
 	}
-	return j.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketForm).Put(keyForm, []byte{form}) })
+	return j.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketFormat).Put(keyVersion, []byte{journalVersion}) })
 }
 
-// append writes records. The file has two metas that are written by turns: only after a second transaction do both know
-// of the records, so that losing either loses none.
+// append writes records in one transaction. bbolt writes its two meta pages alternately, so Append
+// adds a second transaction, after which both cover the records and the loss of either meta page
+// loses none.
 func (j *Journal) append(records [][]byte) error {
 	return j.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketRecords)
-		b.FillPercent = 1 // they come in order
+		b.FillPercent = 1 // keys are appended in order
 		for _, r := range records {
 			n, err := b.NextSequence()
 			if err != nil {
 				return err
 			}
-			if err := b.Put(number(n), summed(r)); err != nil {
+			if err := b.Put(encodeNumber(n), addChecksum(r)); err != nil {
 				return err
 			}
 		}
@@ -131,12 +134,12 @@
 	})
 }
 
-// Replay gives all records in their order. One that is missing or was changed ends it with an error.
+// Replay calls each with all records in order. It fails at a missing or corrupted record.
 func (j *Journal) Replay(each func(record []byte) error) (err error) {
-	defer rescue(j.path, &err, debug.SetPanicOnFault(true))
+	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
 	return j.db.View(func(tx *bbolt.Tx) error {
 		b, count := tx.Bucket(bucketRecords), uint64(0)
-		if first := tx.Bucket(bucketForm).Get(keyFirst); len(first) == 8 {
+		if first := tx.Bucket(bucketFormat).Get(keyFirstRecord); len(first) == 8 {
 			count = binary.BigEndian.Uint64(first) - 1
 		}
 		err := b.ForEach(func(k, v []byte) error {
@@ -144,24 +147,24 @@
 			if len(k) != 8 || binary.BigEndian.Uint64(k) != count {
 				return fmt.Errorf("%s: record %d is missing", j.path, count)
 			}
-			record, err := unsummed(v)
+			record, err := stripChecksum(v)
 			if err != nil {
 				return fmt.Errorf("%s: record %d %w", j.path, count, err)
 			}
 			return each(record)
 		})
 		if err == nil && count != b.Sequence() {
-			err = fmt.Errorf("%s: records up to %d, and %d were written", j.path, count, b.Sequence())
+			err = fmt.Errorf("%s: last record is %d, but %d were written", j.path, count, b.Sequence())
 		}
 		return err
 	})
 }
 
-// ReadAll reads all records of a journal that were written as JSON, in their order.
+// ReadAll returns all records of a journal, decoded from JSON.
 func ReadAll[T any](j *Journal) (all []T, err error) {
-	err = j.Replay(func(text []byte) error {
+	err = j.Replay(func(data []byte) error {
 		var r T
-		if err := json.Unmarshal(text, &r); err != nil {
+		if err := json.Unmarshal(data, &r); err != nil {
 			return err
 		}
 		all = append(all, r)
@@ -170,9 +173,9 @@
 	return all, err
 }
 
-// TrimOldest forgets the oldest records, all but so many. What they said must not be needed any more.
+// TrimOldest deletes all but the newest keep records.
 func (j *Journal) TrimOldest(keep int) (err error) {
-	defer rescue(j.path, &err, debug.SetPanicOnFault(true))
+	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
 	return j.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketRecords)
 		last := b.Sequence()
@@ -180,30 +183,31 @@
 			return nil
 		}
 		first := last - uint64(keep) + 1
-		if err := forget(b, first); err != nil {
+		if err := deleteBefore(b, first); err != nil {
 			return err
 		}
-		return tx.Bucket(bucketForm).Put(keyFirst, number(first))
+		return tx.Bucket(bucketFormat).Put(keyFirstRecord, encodeNumber(first))
 	})
 }
 
 // Close closes the file.
 func (j *Journal) Close() error { return j.db.Close() }
 
-// The first two pages of a bbolt file are its metas, which by turns say how much of the file counts.
+// Layout of the first two pages of a bbolt file, its meta pages. The one with the higher
+// transaction ID is current.
 const (
-	pageHead  = 16
-	metaBytes = 64
-	metaMagic = 0xED0CDAED
-	metaSize  = 8  // where the size of a page stands in a meta
-	metaPages = 40 // how many pages count
-	metaTurn  = 48 // the newer one has more
-	metaSum   = 56
+	pageHeaderBytes     = 16
+	metaBytes           = 64
+	metaMagic           = 0xED0CDAED
+	metaPageSizeOffset  = 8
+	metaPageCountOffset = 40 // high-water mark of used pages
+	metaTxIDOffset      = 48
+	metaChecksumOffset  = 56
 )
 
-// whole tells whether a file is as long as the newest of its metas says. bbolt maps a file that is not, and the first
-// look at what is missing would end the process.
-func whole(path string) error {
+// checkSize returns an error if a file is shorter than its current meta page says. bbolt would map
+// such a file, and the first access to a missing page would kill the process.
+func checkSize(path string) error {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -217,33 +221,33 @@
 		return err
 	}
 	if info.Size() == 0 {
-		return errors.New("the file is empty: remove it to begin a new journal, if nothing was ever written to it")
+		return errors.New("file is empty; if nothing was ever written to it, remove it to create a new one")
 	}
-	size := int64(os.Getpagesize())
-	var newest uint64
-	pages := int64(0)
+	pageSize := int64(os.Getpagesize())
+	var newestTxID uint64
+	newestPageCount := int64(0)
 	for i := int64(0); i < 2; i++ {
-		if turn, count, of, ok := meta(file, i*size); ok && turn >= newest {
-			newest, pages, size = turn, count, of
+		if txID, pageCount, metaPageSize, ok := readMeta(file, i*pageSize); ok && txID >= newestTxID {
+			newestTxID, newestPageCount, pageSize = txID, pageCount, metaPageSize
 		}
 	}
-	if pages == 0 || info.Size() < pages*size {
-		return fmt.Errorf("the file was cut off: it has %d bytes of %d", info.Size(), pages*size)
+	if newestPageCount == 0 || info.Size() < newestPageCount*pageSize {
+		return fmt.Errorf("file is truncated: it has %d of %d bytes", info.Size(), newestPageCount*pageSize)
 	}
 	return nil
 }
 
-// meta reads a meta, and tells whether it is one.
-func meta(file io.ReaderAt, at int64) (turn uint64, pages, size int64, ok bool) {
-	var b [pageHead + metaBytes]byte
-	if _, err := file.ReadAt(b[:], at); err != nil {
+// readMeta reads the meta page at offset and reports whether it is valid.
+func readMeta(file io.ReaderAt, offset int64) (txID uint64, pageCount, pageSize int64, ok bool) {
+	var b [pageHeaderBytes + metaBytes]byte
+	if _, err := file.ReadAt(b[:], offset); err != nil {
 		return 0, 0, 0, false
 	}
-	m, order := b[pageHead:], binary.NativeEndian
-	sum := fnv.New64a()
-	sum.Write(m[:metaSum])
-	if order.Uint32(m) != metaMagic || order.Uint64(m[metaSum:]) != sum.Sum64() {
+	meta, byteOrder := b[pageHeaderBytes:], binary.NativeEndian
+	checksum := fnv.New64a()
+	checksum.Write(meta[:metaChecksumOffset])
+	if byteOrder.Uint32(meta) != metaMagic || byteOrder.Uint64(meta[metaChecksumOffset:]) != checksum.Sum64() {
 		return 0, 0, 0, false
 	}
-	return order.Uint64(m[metaTurn:]), int64(order.Uint64(m[metaPages:])), int64(order.Uint32(m[metaSize:])), true
+	return byteOrder.Uint64(meta[metaTxIDOffset:]), int64(byteOrder.Uint64(meta[metaPageCountOffset:])), int64(byteOrder.Uint32(meta[metaPageSizeOffset:])), true
 }
--- a/internal/store/journal_test.go
+++ b/internal/store/journal_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func read(j *Journal) (records []string, err error) {
+func readRecords(j *Journal) (records []string, err error) {
 	err = j.Replay(func(r []byte) error { records = append(records, string(r)); return nil })
 	return records, err
 }
 
-// Guards against records that are lost, doubled or out of order over a restart.
-func TestRecordsOutlastARestart(t *testing.T) {
+// Guards against records that are lost, duplicated or reordered by a restart.
+func TestRecordsSurviveRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	var want []string
 	for round := range 3 {
 		j, err := Open(path)
 		require.NoError(t, err)
-		got, err := read(j)
+		got, err := readRecords(j)
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 		for i := range 50 {
@@ -37,9 +37,9 @@
 	}
 }
 
-// Guards against a coordinator that goes on from less than it has told: a journal cut off at any byte is whole or refused,
-// with an error and without a crash.
-func TestAJournalCutAtAnyByte(t *testing.T) {
+// Guards against a coordinator that resumes with fewer records than it has acknowledged: a journal
+// truncated at any byte must be complete or rejected with an error.
+func TestTruncatedJournal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "j")
 	j, err := Open(path)
@@ -50,47 +50,48 @@
 		require.NoError(t, j.Append([]byte(want[i])))
 	}
 	require.NoError(t, j.Close())
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	require.NoError(t, err)
 	refused := 0
-	for cut := 0; cut < len(text); cut++ {
-		if cut%4096 > 2 && cut%4096 < 4094 && cut > 8300 && cut%509 != 0 { // each byte of the heads, and round each page's end
+	for cut := 0; cut < len(data); cut++ {
+		if cut%4096 > 2 && cut%4096 < 4094 && cut > 8300 && cut%509 != 0 { // every byte of the meta pages and around page ends
 			continue
 		}
-		part := filepath.Join(dir, "cut")
-		require.NoError(t, os.WriteFile(part, text[:cut], 0o600))
-		j, err := Open(part)
+		truncatedPath := filepath.Join(dir, "cut")
+		require.NoError(t, os.WriteFile(truncatedPath, data[:cut], 0o600))
+		j, err := Open(truncatedPath)
 		if err != nil {
 			refused++
 			continue
 		}
-		got, err := read(j)
+		got, err := readRecords(j)
 		require.NoError(t, j.Close())
 		require.NoError(t, err)
-		require.Equal(t, want, got, "cut at %d of %d", cut, len(text))
+		require.Equal(t, want, got, "cut at %d of %d", cut, len(data))
 	}
 	require.Greater(t, refused, 1000)
 }
 
-// Guards against a grant that is given though its record is not there: each Append is told of its own write.
-func TestRecordsOfManyGoTogether(t *testing.T) {
+// Guards against an Append that returns before its own record is durable, and against unbatched
+// writes.
+func TestConcurrentAppendsAreBatched(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path)
 	require.NoError(t, err)
 	c := NewBatchWriter(j, 16)
-	var all sync.WaitGroup
+	var wait sync.WaitGroup
 	for i := range 200 {
-		all.Add(1)
+		wait.Add(1)
 		go func() {
-			defer all.Done()
+			defer wait.Done()
 			assert.NoError(t, c.Append([]byte(fmt.Sprint(i))))
 		}()
 	}
-	all.Wait()
+	wait.Wait()
 	writes, records := c.Stats()
 	require.EqualValues(t, 200, records)
 	require.Less(t, writes, int64(100))
-	got, err := read(j)
+	got, err := readRecords(j)
 	require.NoError(t, err)
 	require.Len(t, got, 200)
 	require.NoError(t, j.Close())
@@ -99,7 +100,7 @@
 	require.ErrorIs(t, c.Append([]byte("later")), errClosed)
 }
 
-func TestOldRecordsAreDropped(t *testing.T) {
+func TestTrimOldest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path)
 	require.NoError(t, err)
@@ -112,36 +113,36 @@
 	require.NoError(t, j.Close())
 	j, err = Open(path)
 	require.NoError(t, err)
-	got, err := read(j)
+	got, err := readRecords(j)
 	require.NoError(t, err)
 	require.Equal(t, []string{"7", "8", "9", "10"}, got)
 	require.NoError(t, j.TrimOldest(0))
-	got, err = read(j)
+	got, err = readRecords(j)
 	require.NoError(t, err)
 	require.Empty(t, got)
 	require.NoError(t, j.Close())
 }
 
-// One sync a record against records of many together.
+// BenchmarkAppend compares one write per record with batched writes.
 func BenchmarkAppend(b *testing.B) {
-	for _, many := range []int{1, 8, 64} {
-		b.Run(fmt.Sprint(many, " at once"), func(b *testing.B) {
+	for _, writers := range []int{1, 8, 64} {
+		b.Run(fmt.Sprint(writers, " at once"), func(b *testing.B) {
 			j, err := Open(filepath.Join(b.TempDir(), "j"))
 			require.NoError(b, err)
-			c := NewBatchWriter(j, many)
+			c := NewBatchWriter(j, writers)
 			record := make([]byte, 120)
-			var all sync.WaitGroup
+			var wait sync.WaitGroup
 			b.ResetTimer()
-			for range many {
-				all.Add(1)
+			for range writers {
+				wait.Add(1)
 				go func() {
-					defer all.Done()
-					for range max(1, b.N/many) {
+					defer wait.Done()
+					for range max(1, b.N/writers) {
 						c.Append(record)
 					}
 				}()
 			}
-			all.Wait()
+			wait.Wait()
 			writes, records := c.Stats()
 			b.ReportMetric(float64(records)/float64(writes), "records/write")
 			j.Close()
@@ -149,29 +150,29 @@
 	}
 }
 
-// Guards against what a disk changes.
-func TestAJournalThatWasChanged(t *testing.T) {
+// Guards against reading corrupted records.
+func TestCorruptedJournal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "j")
 	j, err := Open(path)
 	require.NoError(t, err)
 	require.NoError(t, j.Append([]byte("the first record"), []byte("the second record")))
 	require.NoError(t, j.Close())
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for at := 0; at < len(text); at += 61 {
-		changed := append([]byte(nil), text...)
-		changed[at] ^= 0x55
-		part := filepath.Join(dir, fmt.Sprint("changed", at)) // one that could not be opened may stay locked
-		require.NoError(t, os.WriteFile(part, changed, 0o600))
-		j, err := Open(part)
+	for offset := 0; offset < len(data); offset += 61 {
+		corrupted := append([]byte(nil), data...)
+		corrupted[offset] ^= 0x55
+		corruptedPath := filepath.Join(dir, fmt.Sprint("changed", offset)) // its own path, since a file that failed to open may stay locked
+		require.NoError(t, os.WriteFile(corruptedPath, corrupted, 0o600))
+		j, err := Open(corruptedPath)
 		if err != nil {
 			continue
 		}
-		got, err := read(j)
+		got, err := readRecords(j)
 		j.Close()
 		if err == nil {
-			require.Equal(t, []string{"the first record", "the second record"}, got, "changed at %d", at)
+			require.Equal(t, []string{"the first record", "the second record"}, got, "changed at %d", offset)
 		}
 	}
 }
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -10,80 +10,81 @@
 	"go.etcd.io/bbolt"
 )
 
-// Log is a file of numbered records of which the newest may be written anew, with a few named values beside them. Records
-// and values of one Save are on the disk once it has returned, either all of them or none.
+// Log is a file of numbered records, whose tail can be overwritten, and of named values. Save is
+// atomic, and its changes are durable when it returns.
 type Log struct {
 	db   *bbolt.DB
 	path string
 }
 
-const logForm = 1
+const logVersion = 1
 
 var (
-	bucketLog     = []byte("log")
-	bucketValues  = []byte("values")
-	bucketLogForm = []byte("log form")
+	bucketLog       = []byte("log")
+	bucketValues    = []byte("values")
+	bucketLogFormat = []byte("log form")
 )
 
-// OpenLog opens a log, or begins one where there is no file. A file that was cut off or changed is refused.
+// OpenLog opens a log, or creates one if there is no file. It rejects a truncated or corrupted
+// file.
 func OpenLog(path string) (l *Log, err error) {
-	defer rescue(path, &err, debug.SetPanicOnFault(true))
+	defer recoverDamage(path, &err, debug.SetPanicOnFault(true))
 	db, err := openFile(path)
 	if err != nil {
 		return nil, err
 	}
 	l = &Log{db: db, path: path}
-	if err := l.begin(); err != nil {
+	if err := l.initialize(); err != nil {
 		db.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-// begin checks the form of a log that has been written to, and gives a new one its own.
-func (l *Log) begin() (err error) {
-	defer rescue(l.path, &err, debug.SetPanicOnFault(true))
+// initialize checks the format version of an existing log, and sets up a new one.
+func (l *Log) initialize() (err error) {
+	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
 	return l.db.Update(func(tx *bbolt.Tx) error {
-		if b := tx.Bucket(bucketLogForm); b != nil {
-			if v := b.Get(keyForm); len(v) != 1 || v[0] != logForm {
-				return fmt.Errorf("%s: its form is %v, and this program knows %d", l.path, v, logForm)
+		if b := tx.Bucket(bucketLogFormat); b != nil {
+			if v := b.Get(keyVersion); len(v) != 1 || v[0] != logVersion {
+				return fmt.Errorf("%s: format version %v is not supported, only %d", l.path, v, logVersion)
 			}
 			return nil
 		}
-		if tx.Bucket(bucketForm) != nil {
-			return fmt.Errorf("%s: it is a journal of a coordinator, not a council's disk", l.path)
+		if tx.Bucket(bucketFormat) != nil {
+			return fmt.Errorf("%s: file is a journal of a coordinator, not the disk of a council voter", l.path)
 		}
-		for _, name := range [][]byte{bucketLogForm, bucketLog, bucketValues} {
+		for _, name := range [][]byte{bucketLogFormat, bucketLog, bucketValues} {
 			if _, err := tx.CreateBucket(name); err != nil {
 				return err
 			}
 		}
-		return tx.Bucket(bucketLogForm).Put(keyForm, []byte{logForm})
+		return tx.Bucket(bucketLogFormat).Put(keyVersion, []byte{logVersion})
 	})
 }
 
-// Update is a part of what is saved at once.
+// Update is a set of changes to a log. Its fields are applied in their order.
 type Update struct {
-	First      uint64   // records stand in place of all that were there from it on; 0 leaves them alone
-	Records    [][]byte // from First on
-	DropBefore uint64   // records before it are forgotten
-	Values     map[string][]byte
+	ReplaceFrom uint64   // delete all records from this number on; 0 deletes none
+	Records     [][]byte // new records, numbered from ReplaceFrom on
+	DropBefore  uint64   // delete all records before this number
+	Values      map[string][]byte
 }
 
-// Save writes parts one after another, and waits until all of them are on the disk.
-func (l *Log) Save(parts ...Update) (err error) {
-	defer rescue(l.path, &err, debug.SetPanicOnFault(true))
-	if err := l.save(parts); err != nil {
+// Save applies updates in order in one transaction, and waits until they are durable.
+func (l *Log) Save(updates ...Update) (err error) {
+	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
+	if err := l.save(updates); err != nil {
 		return fmt.Errorf("%s: %w", l.path, err)
 	}
-	// The file's two metas are written by turns: only now do both know of what was saved (Journal.append).
-	return l.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketLogForm).Put(keyForm, []byte{logForm}) })
+	// A second transaction makes both meta pages cover the update; see Journal.append.
+	return l.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketLogFormat).Put(keyVersion, []byte{logVersion}) })
 }
 
-func (l *Log) save(parts []Update) error {
+func (l *Log) save(updates []Update) error {
 	return l.db.Update(func(tx *bbolt.Tx) error {
-		for _, p := range parts {
-			if err := p.put(tx.Bucket(bucketLog), tx.Bucket(bucketValues)); err != nil {
+		for _, p := range updates {
+			if err := p.apply(tx.Bucket(bucketLog), tx.Bucket(bucketValues)); err != nil {
 				return err
 			}
 		}
@@ -91,31 +92,31 @@
 	})
 }
 
-func (p *Update) put(records, values *bbolt.Bucket) error {
-	records.FillPercent = 1 // they come in order
-	if p.First > 0 {
-		if err := cut(records, p.First); err != nil {
+func (p *Update) apply(records, values *bbolt.Bucket) error {
+	records.FillPercent = 1 // keys are appended in order
+	if p.ReplaceFrom > 0 {
+		if err := deleteFrom(records, p.ReplaceFrom); err != nil {
 			return err
 		}
 	}
 	for i, r := range p.Records {
-		if err := records.Put(number(p.First+uint64(i)), summed(r)); err != nil {
+		if err := records.Put(encodeNumber(p.ReplaceFrom+uint64(i)), addChecksum(r)); err != nil {
 			return err
 		}
 	}
-	if err := forget(records, p.DropBefore); err != nil {
+	if err := deleteBefore(records, p.DropBefore); err != nil {
 		return err
 	}
 	for name, v := range p.Values {
-		if err := values.Put([]byte(name), summed(v)); err != nil {
+		if err := values.Put([]byte(name), addChecksum(v)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cut takes all records away from a number on.
-func cut(b *bbolt.Bucket, from uint64) error {
+// deleteFrom deletes all records from a number on.
+func deleteFrom(b *bbolt.Bucket, from uint64) error {
 	for k, _ := b.Cursor().Last(); k != nil && binary.BigEndian.Uint64(k) >= from; k, _ = b.Cursor().Last() {
 		if err := b.Delete(k); err != nil {
 			return err
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// forget takes all records away before a number.
-func forget(b *bbolt.Bucket, before uint64) error {
+// deleteBefore deletes all records before a number.
+func deleteBefore(b *bbolt.Bucket, before uint64) error {
 	for k, _ := b.Cursor().First(); k != nil && binary.BigEndian.Uint64(k) < before; k, _ = b.Cursor().First() {
 		if err := b.Delete(k); err != nil {
 			return err
@@ -134,31 +135,32 @@
 	return nil
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// summed is a value with its sum before it.
-func summed(v []byte) []byte {
+// addChecksum returns a value prefixed with its checksum.
+func addChecksum(v []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(v)), v...)
 }
 
-var errChanged = errors.New("was changed")
+var errChecksum = errors.New("has a wrong checksum")
 
-func unsummed(v []byte) ([]byte, error) {
-	if len(v) < sumBytes || binary.BigEndian.Uint64(v) != xxhash.Sum64(v[sumBytes:]) {
-		return nil, errChanged
+// stripChecksum verifies the checksum and returns the value without it.
+func stripChecksum(v []byte) ([]byte, error) {
+	if len(v) < checksumBytes || binary.BigEndian.Uint64(v) != xxhash.Sum64(v[checksumBytes:]) {
+		return nil, errChecksum
 	}
-	return append([]byte(nil), v[sumBytes:]...), nil
+	return append([]byte(nil), v[checksumBytes:]...), nil
 }
 
-// Value is a named value, nil for one that was never written.
+// Value returns a named value, or nil if it was never written.
 func (l *Log) Value(name string) (value []byte, err error) {
-	defer rescue(l.path, &err, debug.SetPanicOnFault(true))
+	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		v := tx.Bucket(bucketValues).Get([]byte(name))
 		if v == nil {
 			return nil
 		}
-		if value, err = unsummed(v); err != nil {
+		if value, err = stripChecksum(v); err != nil {
 			return fmt.Errorf("%s: %s %w", l.path, name, err)
 		}
 		return nil
@@ -166,21 +168,21 @@
 	return value, err
 }
 
-// Each gives all records with their numbers, which follow one another.
+// Each calls do with all records in order. It fails at a missing or corrupted record.
 func (l *Log) Each(do func(n uint64, record []byte) error) (err error) {
-	defer rescue(l.path, &err, debug.SetPanicOnFault(true))
+	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
 	return l.db.View(func(tx *bbolt.Tx) error {
 		next := uint64(0)
 		return tx.Bucket(bucketLog).ForEach(func(k, v []byte) error {
 			if len(k) != 8 {
-				return fmt.Errorf("%s: a record has no number", l.path)
+				return fmt.Errorf("%s: record key is not a number", l.path)
 			}
 			n := binary.BigEndian.Uint64(k)
 			if next != 0 && n != next {
 				return fmt.Errorf("%s: record %d is missing", l.path, next)
 			}
 			next = n + 1
-			record, err := unsummed(v)
+			record, err := stripChecksum(v)
 			if err != nil {
 				return fmt.Errorf("%s: record %d %w", l.path, n, err)
 			}
