--- a/internal/council/chamber/chamber.go
+++ b/internal/council/chamber/chamber.go
@@ -68,35 +68,35 @@
 // Open opens a voter's disk and creates its node; nothing is sent before Run. A voter that joins an
 // existing council starts with an empty disk.
 func Open(id council.VoterID, addresses VoterAddresses, joinExisting bool, path string, timing council.Timing, stateMachines map[string]StateMachine,
-	log logrus.FieldLogger) (c *Server, err error) {
+	log logrus.FieldLogger) (s *Server, err error) {
 	var initialVoters []council.VoterID
 	for v := range addresses {
 		if !joinExisting {
 			initialVoters = append(initialVoters, v)
 		}
 	}
-	c = &Server{id: id, timing: timing, stateMachines: stateMachines, unknownRecords: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
+	s = &Server{id: id, timing: timing, stateMachines: stateMachines, unknownRecords: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
 		startTime: time.Now(), events: make(chan func(), maxQueuedEvents), done: make(chan struct{}), waiters: map[string]chan error{},
 		addresses: map[string]string{}}
 	for v, address := range addresses {
-		c.addresses[strconv.FormatUint(uint64(v), 10)] = address
+		s.addresses[strconv.FormatUint(uint64(v), 10)] = address
 	}
-	if c.disk, err = openDisk(path, id, initialVoters); err != nil {
+	if s.disk, err = openDisk(path, id, initialVoters); err != nil {
 		return nil, err
 	}
 	seed := time.Now().UnixNano() ^ int64(id)<<48
-	c.proposalPrefix = fmt.Sprintf("%d-%x", id, uint64(rand.New(rand.NewSource(seed)).Int63()))
-	if c.node, err = council.NewNode(id, timing, c.disk.state, seed); err == nil {
-		err = c.restore(c.disk.state.Snapshot)
+	s.proposalPrefix = fmt.Sprintf("%d-%x", id, uint64(rand.New(rand.NewSource(seed)).Int63()))
+	if s.node, err = council.NewNode(id, timing, s.disk.state, seed); err == nil {
+		err = s.restore(s.disk.state.Snapshot)
 	}
 	if err != nil {
-		c.disk.close()
+		s.disk.close()
 		return nil, err
 	}
-	c.disk.state = council.DiskState{} // the node owns it now
-	c.sender, c.writer = newPacketSender(c), newDiskWriter(c)
-	c.publishState()
-	return c, nil
+	s.disk.state = council.DiskState{} // the node owns it now
+	s.sender, s.writer = newPacketSender(s), newDiskWriter(s)
+	s.publishState()
+	return s, nil
 }
 
 const (
@@ -105,32 +105,32 @@
 )
 
 // now returns the time of the voter's monotonic clock in nanoseconds.
-func (c *Server) now() int64 { return int64(time.Since(c.startTime)) }
+func (s *Server) now() int64 { return int64(time.Since(s.startTime)) }
 
 // Run runs the voter until ctx is cancelled. The node is used only in Run's goroutine.
-func (c *Server) Run(ctx context.Context) {
-	defer c.disk.close()
-	defer func() { <-c.writer.done }()
-	defer close(c.done)
-	defer c.sender.close()
-	go c.writer.run()
-	tick := time.NewTicker(time.Duration(c.timing.Tick))
+func (s *Server) Run(ctx context.Context) {
+	defer s.disk.close()
+	defer func() { <-s.writer.done }()
+	defer close(s.done)
+	defer s.sender.close()
+	go s.writer.run()
+	tick := time.NewTicker(time.Duration(s.timing.Tick))
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-			c.node.Tick(c.now())
-		case event := <-c.events:
+			s.node.Tick(s.now())
+		case event := <-s.events:
 			event()
-			for remaining := len(c.events); remaining > 0 && remaining < maxEventBatch; remaining-- {
-				(<-c.events)()
+			for remaining := len(s.events); remaining > 0 && remaining < maxEventBatch; remaining-- {
+				(<-s.events)()
 			}
 		}
-		c.processReady()
+		s.processReady()
 	}
-	c.leaseEnd.Store(0)
-	c.failWaiters(errShuttingDown)
+	s.leaseEnd.Store(0)
+	s.failWaiters(errShuttingDown)
 }
 
 // unavailableError is an error after which another voter may be able to serve the request.
@@ -153,236 +153,236 @@
 )
 
 // processReady handles the node's ready work until there is none.
-func (c *Server) processReady() {
-	for c.failure == nil {
-		ready, hasWork := c.node.Ready()
+func (s *Server) processReady() {
+	for s.failure == nil {
+		ready, hasWork := s.node.Ready()
 		if !hasWork {
 			break
 		}
-		c.sender.enqueue(ready.Packets)
+		s.sender.enqueue(ready.Packets)
 		if ready.Write != nil {
-			c.writer.add(ready.Write)
+			s.writer.add(ready.Write)
 		}
 	}
-	c.updateLease()
-	if c.failure == nil && c.node.NeedsCompaction() {
-		c.compact()
+	s.updateLease()
+	if s.failure == nil && s.node.NeedsCompaction() {
+		s.compact()
 	}
-	c.publishState()
+	s.publishState()
 }
 
 // completeWrites completes durable writes, or stops the voter after a failed one, and applies
 // committed entries.
-func (c *Server) completeWrites(writes []*council.Write, took time.Duration, err error) {
-	if c.failure != nil {
+func (s *Server) completeWrites(writes []*council.Write, took time.Duration, err error) {
+	if s.failure != nil {
 		return
 	}
 	if err != nil {
-		c.stop(err)
+		s.stop(err)
 		return
 	}
 	if took > 0 {
-		c.latency.observe(took, c.timing, c.log)
+		s.latency.observe(took, s.timing, s.log)
 	}
 	for _, w := range writes {
-		snapshot, entries, err := c.node.CompleteWrite(w)
+		snapshot, entries, err := s.node.CompleteWrite(w)
 		if err == nil {
-			err = c.restore(snapshot)
+			err = s.restore(snapshot)
 		}
 		if err != nil {
-			c.stop(err)
+			s.stop(err)
 			return
 		}
 		for _, entry := range entries {
-			c.apply(entry)
+			s.apply(entry)
 		}
 	}
 }
 
 // stop stops the voter permanently, since it can no longer persist its state.
-func (c *Server) stop(err error) {
-	c.failure = err
-	c.leaseEnd.Store(0)
-	c.log.WithError(err).Error("voter stopped after an unrecoverable error")
-	c.failWaiters(err)
-	c.publishState()
+func (s *Server) stop(err error) {
+	s.failure = err
+	s.leaseEnd.Store(0)
+	s.log.WithError(err).Error("voter stopped after an unrecoverable error")
+	s.failWaiters(err)
+	s.publishState()
 }
 
 // updateLease publishes the end of the leader lease, and calls Lead when a lease begins in a new
 // term.
-func (c *Server) updateLease() {
-	leaseEnd := c.node.LeaseEnd()
-	if c.failure != nil {
+func (s *Server) updateLease() {
+	leaseEnd := s.node.LeaseEnd()
+	if s.failure != nil {
 		leaseEnd = 0
 	}
-	if leaseEnd > c.now() && c.leadingTerm != c.node.Term() {
-		c.leadingTerm = c.node.Term()
-		c.log.WithFields(logrus.Fields{"term": c.leadingTerm, "applied": c.node.AppliedIndex()}).Info("acquired the leader lease")
-		for _, m := range c.stateMachines {
+	if leaseEnd > s.now() && s.leadingTerm != s.node.Term() {
+		s.leadingTerm = s.node.Term()
+		s.log.WithFields(logrus.Fields{"term": s.leadingTerm, "applied": s.node.AppliedIndex()}).Info("acquired the leader lease")
+		for _, m := range s.stateMachines {
 			m.Lead()
 		}
 	}
-	if leaseEnd == 0 && c.leaseEnd.Load() != 0 {
-		c.failWaiters(ErrOutcomeUnknown)
+	if leaseEnd == 0 && s.leaseEnd.Load() != 0 {
+		s.failWaiters(ErrOutcomeUnknown)
 	}
-	c.leaseEnd.Store(leaseEnd)
+	s.leaseEnd.Store(leaseEnd)
 }
 
 // apply passes a record to its state machine and wakes the caller that proposed it.
-func (c *Server) apply(entry council.CommittedEntry) {
+func (s *Server) apply(entry council.CommittedEntry) {
 	if entry.Change != nil {
-		c.addAddresses(entry.Change)
+		s.addAddresses(entry.Change)
 		return
 	}
 	var r record
 	if len(entry.Record) == 0 || json.Unmarshal(entry.Record, &r) != nil {
 		return
 	}
-	if m := c.stateMachines[r.Machine]; m != nil {
+	if m := s.stateMachines[r.Machine]; m != nil {
 		m.Apply(r.Data)
 	} else {
-		c.unknownRecords[r.Machine] = append(c.unknownRecords[r.Machine], r.Data)
+		s.unknownRecords[r.Machine] = append(s.unknownRecords[r.Machine], r.Data)
 	}
-	if waiter := c.waiters[r.ProposalID]; waiter != nil {
-		delete(c.waiters, r.ProposalID)
+	if waiter := s.waiters[r.ProposalID]; waiter != nil {
+		delete(s.waiters, r.ProposalID)
 		waiter <- nil
 	}
 }
 
 // addAddresses stores the addresses of added voters.
-func (c *Server) addAddresses(change *raftpb.ConfChangeV2) {
+func (s *Server) addAddresses(change *raftpb.ConfChangeV2) {
 	var addresses map[string]string
 	if json.Unmarshal(change.GetContext(), &addresses) != nil {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for v, address := range addresses {
-		c.addresses[v] = address
+		s.addresses[v] = address
 	}
 }
 
 // failWaiters ends all waiting proposals with err.
-func (c *Server) failWaiters(err error) {
-	for proposalID, waiter := range c.waiters {
-		delete(c.waiters, proposalID)
+func (s *Server) failWaiters(err error) {
+	for proposalID, waiter := range s.waiters {
+		delete(s.waiters, proposalID)
 		waiter <- err
 	}
 }
 
 // compact replaces the oldest log entries by a snapshot.
-func (c *Server) compact() {
-	s := snapshot{Machines: map[string]json.RawMessage{}, Voters: c.addresses}
-	for name, m := range c.stateMachines {
+func (s *Server) compact() {
+	contents := snapshot{Machines: map[string]json.RawMessage{}, Voters: s.addresses}
+	for name, m := range s.stateMachines {
 		data, err := m.Snapshot()
 		if err != nil {
-			c.log.WithError(err).WithField("machine", name).Error("taking snapshot of state machine failed")
+			s.log.WithError(err).WithField("machine", name).Error("taking snapshot of state machine failed")
 			return
 		}
-		s.Machines[name] = data
+		contents.Machines[name] = data
 	}
-	for name, records := range c.unknownRecords {
+	for name, records := range s.unknownRecords {
 		data, err := json.Marshal(records)
 		if err != nil {
 			return
 		}
-		s.Machines[name] = data
+		contents.Machines[name] = data
 	}
-	data, err := json.Marshal(s)
+	data, err := json.Marshal(contents)
 	var w *council.Write
 	if err == nil {
-		w, err = c.node.Compact(data)
+		w, err = s.node.Compact(data)
 	}
 	if err != nil {
-		c.stop(err)
+		s.stop(err)
 		return
 	}
-	c.writer.add(w)
+	s.writer.add(w)
 }
 
 // restore restores the state machines and voter addresses from a snapshot, unless it is empty.
-func (c *Server) restore(raftSnapshot *raftpb.Snapshot) error {
+func (s *Server) restore(raftSnapshot *raftpb.Snapshot) error {
 	if len(raftSnapshot.GetData()) == 0 {
 		return nil
 	}
-	var s snapshot
-	if err := json.Unmarshal(raftSnapshot.GetData(), &s); err != nil {
+	var contents snapshot
+	if err := json.Unmarshal(raftSnapshot.GetData(), &contents); err != nil {
 		return err
 	}
-	for name, data := range s.Machines {
-		m := c.stateMachines[name]
+	for name, data := range contents.Machines {
+		m := s.stateMachines[name]
 		if m == nil {
 			var records []json.RawMessage
 			if json.Unmarshal(data, &records) != nil {
 				records = []json.RawMessage{data}
 			}
-			c.unknownRecords[name] = records
+			s.unknownRecords[name] = records
 			continue
 		}
 		if err := m.Restore(data); err != nil {
 			return fmt.Errorf("machine %s: %w", name, err)
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for v, address := range s.Voters {
-		if c.addresses[v] == "" {
-			c.addresses[v] = address
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for v, address := range contents.Voters {
+		if s.addresses[v] == "" {
+			s.addresses[v] = address
 		}
 	}
 	return nil
 }
 
 // publishState updates the state that State returns, and logs when a leader is lost or found.
-func (c *Server) publishState() {
-	hasNoLeader := c.node.Leader() == 0 && c.leaseEnd.Load() == 0
-	refusalReason := c.node.RefusalReason()
-	if c.failure != nil {
-		refusalReason = c.failure.Error()
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if refusalReason != "" && c.state.RefusalReason == "" {
-		c.log.WithField("why", refusalReason).Error("voter refused permanently")
-	} else if hasNoLeader != c.hasNoLeader {
-		c.log.WithFields(logrus.Fields{"leader": c.node.Leader(), "term": c.node.Term(), "applied": c.node.AppliedIndex()}).
+func (s *Server) publishState() {
+	hasNoLeader := s.node.Leader() == 0 && s.leaseEnd.Load() == 0
+	refusalReason := s.node.RefusalReason()
+	if s.failure != nil {
+		refusalReason = s.failure.Error()
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if refusalReason != "" && s.state.RefusalReason == "" {
+		s.log.WithField("why", refusalReason).Error("voter refused permanently")
+	} else if hasNoLeader != s.hasNoLeader {
+		s.log.WithFields(logrus.Fields{"leader": s.node.Leader(), "term": s.node.Term(), "applied": s.node.AppliedIndex()}).
 			Info(map[bool]string{true: "no leader", false: "leader elected"}[hasNoLeader])
 	}
-	c.hasNoLeader = hasNoLeader
-	c.state = State{Voter: c.id, Voters: c.node.Voters(), Leader: c.node.Leader(), Term: c.node.Term(), Applied: c.node.AppliedIndex(),
-		RefusalReason: refusalReason, WriteMs: float64(c.latency.mean) / float64(time.Millisecond)}
+	s.hasNoLeader = hasNoLeader
+	s.state = State{Voter: s.id, Voters: s.node.Voters(), Leader: s.node.Leader(), Term: s.node.Term(), Applied: s.node.AppliedIndex(),
+		RefusalReason: refusalReason, WriteMs: float64(s.latency.mean) / float64(time.Millisecond)}
 }
 
 // State returns the state of the council as this voter knows it.
-func (c *Server) State() State {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := c.state
-	s.IsActing = c.IsActing()
-	s.Addresses = make(map[string]string, len(c.addresses))
-	for v, address := range c.addresses {
-		s.Addresses[v] = address
-	}
-	return s
+func (s *Server) State() State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.state
+	state.IsActing = s.IsActing()
+	state.Addresses = make(map[string]string, len(s.addresses))
+	for v, address := range s.addresses {
+		state.Addresses[v] = address
+	}
+	return state
 }
 
 // IsActing reports whether this voter holds the leader lease. It is then the only one, and has
 // applied all earlier records.
-func (c *Server) IsActing() bool { return c.now() < c.leaseEnd.Load() }
+func (s *Server) IsActing() bool { return s.now() < s.leaseEnd.Load() }
 
 // address returns the address of a voter, or an empty string if it is unknown.
-func (c *Server) address(v council.VoterID) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.addresses[strconv.FormatUint(uint64(v), 10)]
+func (s *Server) address(v council.VoterID) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.addresses[strconv.FormatUint(uint64(v), 10)]
 }
 
 // enqueue queues event to be executed by Run.
-func (c *Server) enqueue(ctx context.Context, event func()) error {
+func (s *Server) enqueue(ctx context.Context, event func()) error {
 	select {
-	case c.events <- event:
+	case s.events <- event:
 		return nil
-	case <-c.done:
+	case <-s.done:
 		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
@@ -391,40 +391,40 @@
 
 // Record proposes a record and returns when this voter's state machine has applied it. After
 // ErrNotLeading the record was not proposed; after any other error it may still be committed.
-func (c *Server) Record(ctx context.Context, stateMachine string, data any) error {
+func (s *Server) Record(ctx context.Context, stateMachine string, data any) error {
 	encoded, err := json.Marshal(data)
 	if err != nil {
 		return err
 	}
-	proposalID := c.proposalPrefix + "-" + strconv.FormatUint(c.proposals.Add(1), 36)
+	proposalID := s.proposalPrefix + "-" + strconv.FormatUint(s.proposals.Add(1), 36)
 	encoded, err = json.Marshal(record{Machine: stateMachine, ProposalID: proposalID, Data: encoded})
 	if err != nil {
 		return err
 	}
-	err = c.call(ctx, func(result chan error) {
-		if !c.IsActing() || c.node.Propose(encoded) != nil {
+	err = s.call(ctx, func(result chan error) {
+		if !s.IsActing() || s.node.Propose(encoded) != nil {
 			result <- ErrNotLeading
 			return
 		}
-		c.waiters[proposalID] = result
+		s.waiters[proposalID] = result
 	})
 	if err != nil && err == ctx.Err() {
-		c.enqueue(context.Background(), func() { delete(c.waiters, proposalID) })
+		s.enqueue(context.Background(), func() { delete(s.waiters, proposalID) })
 		return fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
 	}
 	return err
 }
 
 // call executes event in Run and waits for its result.
-func (c *Server) call(ctx context.Context, event func(result chan error)) error {
+func (s *Server) call(ctx context.Context, event func(result chan error)) error {
 	result := make(chan error, 1)
-	if err := c.enqueue(ctx, func() { event(result) }); err != nil {
+	if err := s.enqueue(ctx, func() { event(result) }); err != nil {
 		return err
 	}
 	select {
 	case err := <-result:
 		return err
-	case <-c.done:
+	case <-s.done:
 		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
@@ -438,7 +438,7 @@
 }
 
 // ChangeVoters proposes to add and remove voters. It does not wait for the change to be committed.
-func (c *Server) ChangeVoters(ctx context.Context, change VoterChange) error {
+func (s *Server) ChangeVoters(ctx context.Context, change VoterChange) error {
 	addresses := map[string]string{}
 	var add []council.VoterID
 	for v, address := range change.Add {
@@ -448,14 +448,14 @@
 	if err != nil {
 		return err
 	}
-	return c.call(ctx, func(result chan error) { result <- c.node.ChangeVoters(add, change.Remove, encoded) })
+	return s.call(ctx, func(result chan error) { result <- s.node.ChangeVoters(add, change.Remove, encoded) })
 }
 
 // Receive queues a packet from another voter.
-func (c *Server) Receive(ctx context.Context, p council.Packet) error {
-	return c.enqueue(ctx, func() {
-		if err := c.node.Receive(p); err != nil {
-			c.log.WithError(err).Warn("rejected a packet from another voter")
+func (s *Server) Receive(ctx context.Context, p council.Packet) error {
+	return s.enqueue(ctx, func() {
+		if err := s.node.Receive(p); err != nil {
+			s.log.WithError(err).Warn("rejected a packet from another voter")
 		}
 	})
 }
--- a/internal/council/chamber/chamber_test.go
+++ b/internal/council/chamber/chamber_test.go
@@ -117,13 +117,13 @@
 		listener.Close()
 	}
 	for i := range voterCount {
-		peers := VoterAddresses{}
+		addresses := VoterAddresses{}
 		for j := range voterCount {
 			address, err := cluster.net.Relay(links.Way{From: voterName(i), To: voterName(j)}, cluster.listenAddresses[j])
 			require.NoError(t, err)
-			peers[council.VoterID(j+1)] = address
+			addresses[council.VoterID(j+1)] = address
 		}
-		cluster.addresses, cluster.voters, cluster.files = append(cluster.addresses, peers), append(cluster.voters, &runningVoter{}), append(cluster.files, &slowFile{})
+		cluster.addresses, cluster.voters, cluster.files = append(cluster.addresses, addresses), append(cluster.voters, &runningVoter{}), append(cluster.files, &slowFile{})
 	}
 	for i := range voterCount {
 		cluster.start(i)
@@ -189,8 +189,8 @@
 
 // leader returns the voter that acts as leader, or -1.
 func (c *testCluster) leader() int {
-	for i, s := range c.voters {
-		if server, _ := s.current(); server != nil && server.IsActing() {
+	for i, voter := range c.voters {
+		if server, _ := voter.current(); server != nil && server.IsActing() {
 			return i
 		}
 	}
@@ -206,8 +206,8 @@
 
 func (c *testCluster) record(value string) {
 	eventually(c.t, "no voter accepts the record", func() bool {
-		for _, s := range c.voters {
-			if server, _ := s.current(); server != nil && server.Record(context.Background(), "register", value) == nil {
+		for _, voter := range c.voters {
+			if server, _ := voter.current(); server != nil && server.Record(context.Background(), "register", value) == nil {
 				return true
 			}
 		}
@@ -431,8 +431,8 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				value := fmt.Sprintf("%d-%d", id, n)
 				op := porcupine.Operation{ClientId: id, Input: value, Call: int64(time.Since(start))}
-				s := cluster.voters[(id+n)%3]
-				server, r := s.current()
+				voter := cluster.voters[(id+n)%3]
+				server, r := voter.current()
 				if server == nil {
 					continue
 				}
@@ -516,8 +516,8 @@
 		}
 	}
 	leads := 0
-	for _, s := range cluster.voters {
-		_, r := s.current()
+	for _, voter := range cluster.voters {
+		_, r := voter.current()
 		leads += r.leadCalls
 	}
 	t.Logf("%d writes, %d reads, %d writes of unknown outcome", writes, reads, unknownWrites)
--- a/internal/council/chamber/post.go
+++ b/internal/council/chamber/post.go
@@ -83,28 +83,28 @@
 }
 
 // RegisterHandlers registers the HTTP handlers for packets, state and voter changes.
-func (c *Server) RegisterHandlers(mux *http.ServeMux) {
-	mux.Handle("POST "+packetPath, jsonhttp.Does(c.Receive))
-	mux.Handle("POST /v1/council/state", jsonhttp.Tells(func(context.Context) (State, error) { return c.State(), nil }))
-	mux.Handle("POST /v1/council/change", c.ForwardToLeader(jsonhttp.Does(c.ChangeVoters)))
+func (s *Server) RegisterHandlers(mux *http.ServeMux) {
+	mux.Handle("POST "+packetPath, jsonhttp.Does(s.Receive))
+	mux.Handle("POST /v1/council/state", jsonhttp.Tells(func(context.Context) (State, error) { return s.State(), nil }))
+	mux.Handle("POST /v1/council/change", s.ForwardToLeader(jsonhttp.Does(s.ChangeVoters)))
 }
 
 // ForwardToLeader serves a request with handler if this voter holds the leader lease, and otherwise
 // forwards it to the leader, at most once. The response is 503 if the leader is unknown.
-func (c *Server) ForwardToLeader(handler http.Handler) http.Handler {
+func (s *Server) ForwardToLeader(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.IsActing() {
+		if s.IsActing() {
 			handler.ServeHTTP(w, r)
 			return
 		}
-		state := c.State()
-		address := c.address(state.Leader)
-		if state.Leader == 0 || state.Leader == c.id || address == "" || r.Header.Get(hopHeader) != "" {
+		state := s.State()
+		address := s.address(state.Leader)
+		if state.Leader == 0 || state.Leader == s.id || address == "" || r.Header.Get(hopHeader) != "" {
 			http.Error(w, strings.TrimSpace("nobody is known to act for the council "+state.RefusalReason), http.StatusServiceUnavailable)
 			return
 		}
 		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
-		proxy.Transport = c.sender.client.Transport
+		proxy.Transport = s.sender.client.Transport
 		proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, err error) {
 			http.Error(w, "the leader can't be reached: "+err.Error(), http.StatusServiceUnavailable)
 		}
--- a/internal/council/chamber/scribe.go
+++ b/internal/council/chamber/scribe.go
@@ -27,43 +27,43 @@
 
 // add queues a write. It never blocks; raft's limits on uncommitted and in-flight entries bound the
 // queue.
-func (s *diskWriter) add(w *council.Write) {
-	s.mu.Lock()
-	s.queue = append(s.queue, w)
-	s.mu.Unlock()
+func (w *diskWriter) add(write *council.Write) {
+	w.mu.Lock()
+	w.queue = append(w.queue, write)
+	w.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
 // takeAll removes and returns all queued writes.
-func (s *diskWriter) takeAll() (writes []*council.Write) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	writes, s.queue = s.queue, nil
+func (w *diskWriter) takeAll() (writes []*council.Write) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	writes, w.queue = w.queue, nil
 	return writes
 }
 
 // run performs queued writes until the server is done or a write fails.
-func (s *diskWriter) run() {
-	defer close(s.done)
+func (w *diskWriter) run() {
+	defer close(w.done)
 	for {
 		select {
-		case <-s.server.done:
+		case <-w.server.done:
 			return
-		case <-s.wake:
+		case <-w.wake:
 		}
-		writes, start := s.takeAll(), time.Now()
+		writes, start := w.takeAll(), time.Now()
 		if len(writes) == 0 {
 			continue
 		}
-		written, err := s.server.disk.write(writes)
+		written, err := w.server.disk.write(writes)
 		took := time.Since(start)
 		if !written {
 			took = 0
 		}
-		if s.server.enqueue(context.Background(), func() { s.server.completeWrites(writes, took, err) }) != nil || err != nil {
+		if w.server.enqueue(context.Background(), func() { w.server.completeWrites(writes, took, err) }) != nil || err != nil {
 			return
 		}
 	}
--- a/internal/council/seat.go
+++ b/internal/council/seat.go
@@ -380,28 +380,28 @@
 }
 
 // decodeEntry converts a raft entry to a CommittedEntry.
-func decodeEntry(e *raftpb.Entry) CommittedEntry {
-	c := CommittedEntry{Index: e.GetIndex()}
-	if e.GetType() == raftpb.EntryConfChangeV2 {
-		c.Change = &raftpb.ConfChangeV2{}
-		if proto.Unmarshal(e.GetData(), c.Change) != nil {
-			c.Change = nil
+func decodeEntry(raftEntry *raftpb.Entry) CommittedEntry {
+	entry := CommittedEntry{Index: raftEntry.GetIndex()}
+	if raftEntry.GetType() == raftpb.EntryConfChangeV2 {
+		entry.Change = &raftpb.ConfChangeV2{}
+		if proto.Unmarshal(raftEntry.GetData(), entry.Change) != nil {
+			entry.Change = nil
 		}
-		return c
+		return entry
 	}
-	c.Record = e.GetData()
-	return c
+	entry.Record = raftEntry.GetData()
+	return entry
 }
 
 // buildPackets groups messages into one packet per recipient, in the order of each recipient's
 // first message.
 func (n *Node) buildPackets(messages []*raftpb.Message) (packets []Packet) {
-	for _, m := range messages {
-		data, err := proto.Marshal(m)
+	for _, message := range messages {
+		data, err := proto.Marshal(message)
 		if err != nil {
 			continue // raft tolerates lost messages
 		}
-		to := VoterID(m.GetTo())
+		to := VoterID(message.GetTo())
 		index := slices.IndexFunc(packets, func(p Packet) bool { return p.To == to })
 		if index < 0 {
 			index, packets = len(packets), append(packets, Packet{From: n.id, To: to, Positions: n.positions()})
@@ -432,13 +432,13 @@
 	}
 	n.durablePosition = n.durablePosition.merge(w.Position)
 	n.deliver(w.onWritten)
-	for _, e := range w.committed {
-		c := decodeEntry(e)
-		if c.Change != nil {
-			n.confState, n.confChanged = n.rawNode.ApplyConfChange(c.Change), true
+	for _, raftEntry := range w.committed {
+		entry := decodeEntry(raftEntry)
+		if entry.Change != nil {
+			n.confState, n.confChanged = n.rawNode.ApplyConfChange(entry.Change), true
 		}
-		n.appliedIndex, n.appliedTerm = e.GetIndex(), e.GetTerm()
-		committed = append(committed, c)
+		n.appliedIndex, n.appliedTerm = raftEntry.GetIndex(), raftEntry.GetTerm()
+		committed = append(committed, entry)
 	}
 	n.deliver(w.onApplied)
 	return snapshot, committed, nil
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -28,38 +28,38 @@
 }
 
 // Append writes a record and waits until it is durable. After an error no record of its batch is.
-func (c *BatchWriter) Append(record []byte) error {
+func (w *BatchWriter) Append(record []byte) error {
 	result := make(chan error, 1)
-	c.mu.Lock()
-	if c.isClosed {
-		c.mu.Unlock()
+	w.mu.Lock()
+	if w.isClosed {
+		w.mu.Unlock()
 		return errClosed
 	}
-	c.pending, c.results = append(c.pending, record), append(c.results, result)
-	if !c.isWriting {
-		c.isWriting = true
-		go c.writePending()
+	w.pending, w.results = append(w.pending, record), append(w.results, result)
+	if !w.isWriting {
+		w.isWriting = true
+		go w.writePending()
 	}
-	c.mu.Unlock()
+	w.mu.Unlock()
 	return <-result
 }
 
 // writePending writes pending records until there are none.
-func (c *BatchWriter) writePending() {
+func (w *BatchWriter) writePending() {
 	for {
-		c.mu.Lock()
-		n := min(len(c.pending), c.maxBatch)
+		w.mu.Lock()
+		n := min(len(w.pending), w.maxBatch)
 		if n == 0 {
-			c.isWriting = false
-			c.mu.Unlock()
+			w.isWriting = false
+			w.mu.Unlock()
 			return
 		}
-		records, results := c.pending[:n:n], c.results[:n:n]
-		c.pending, c.results = c.pending[n:], c.results[n:]
-		c.writes++
-		c.records += int64(n)
-		c.mu.Unlock()
-		err := c.journal.Append(records...)
+		records, results := w.pending[:n:n], w.results[:n:n]
+		w.pending, w.results = w.pending[n:], w.results[n:]
+		w.writes++
+		w.records += int64(n)
+		w.mu.Unlock()
+		err := w.journal.Append(records...)
 		for _, result := range results {
 			result <- err
 		}
@@ -67,15 +67,15 @@
 }
 
 // Close rejects further records. Pending ones are still written.
-func (c *BatchWriter) Close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.isClosed = true
+func (w *BatchWriter) Close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.isClosed = true
 }
 
 // Stats returns the number of writes, and of the records in them.
-func (c *BatchWriter) Stats() (writes, records int64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.writes, c.records
+func (w *BatchWriter) Stats() (writes, records int64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.writes, w.records
 }
--- a/internal/store/journal_test.go
+++ b/internal/store/journal_test.go
@@ -78,26 +78,26 @@
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path)
 	require.NoError(t, err)
-	c := NewBatchWriter(j, 16)
+	writer := NewBatchWriter(j, 16)
 	var wait sync.WaitGroup
 	for i := range 200 {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			assert.NoError(t, c.Append([]byte(fmt.Sprint(i))))
+			assert.NoError(t, writer.Append([]byte(fmt.Sprint(i))))
 		}()
 	}
 	wait.Wait()
-	writes, records := c.Stats()
+	writes, records := writer.Stats()
 	require.EqualValues(t, 200, records)
 	require.Less(t, writes, int64(100))
 	got, err := readRecords(j)
 	require.NoError(t, err)
 	require.Len(t, got, 200)
 	require.NoError(t, j.Close())
-	require.Error(t, c.Append([]byte("late")), "the file is closed")
-	c.Close()
-	require.ErrorIs(t, c.Append([]byte("later")), errClosed)
+	require.Error(t, writer.Append([]byte("late")), "the file is closed")
+	writer.Close()
+	require.ErrorIs(t, writer.Append([]byte("later")), errClosed)
 }
 
 func TestTrimOldest(t *testing.T) {
@@ -127,9 +127,9 @@
 func BenchmarkAppend(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(writers, " at once"), func(b *testing.B) {
-			j, err := Open(filepath.Join(b.TempDir(), "j"))
+			journal, err := Open(filepath.Join(b.TempDir(), "j"))
 			require.NoError(b, err)
-			c := NewBatchWriter(j, writers)
+			writer := NewBatchWriter(journal, writers)
 			record := make([]byte, 120)
 			var wait sync.WaitGroup
 			b.ResetTimer()
@@ -138,14 +138,14 @@
 				go func() {
 					defer wait.Done()
 					for range max(1, b.N/writers) {
-						c.Append(record)
+						writer.Append(record)
 					}
 				}()
 			}
 			wait.Wait()
-			writes, records := c.Stats()
+			writes, records := writer.Stats()
 			b.ReportMetric(float64(records)/float64(writes), "records/write")
-			j.Close()
+			journal.Close()
 		})
 	}
 }
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -83,8 +83,8 @@
 
 func (l *Log) save(updates []Update) error {
 	return l.db.Update(func(tx *bbolt.Tx) error {
-		for _, p := range updates {
-			if err := p.apply(tx.Bucket(bucketLog), tx.Bucket(bucketValues)); err != nil {
+		for _, update := range updates {
+			if err := update.apply(tx.Bucket(bucketLog), tx.Bucket(bucketValues)); err != nil {
 				return err
 			}
 		}
@@ -92,22 +92,22 @@
 	})
 }
 
-func (p *Update) apply(records, values *bbolt.Bucket) error {
+func (u *Update) apply(records, values *bbolt.Bucket) error {
 	records.FillPercent = 1 // keys are appended in order
-	if p.ReplaceFrom > 0 {
-		if err := deleteFrom(records, p.ReplaceFrom); err != nil {
+	if u.ReplaceFrom > 0 {
+		if err := deleteFrom(records, u.ReplaceFrom); err != nil {
 			return err
 		}
 	}
-	for i, r := range p.Records {
-		if err := records.Put(encodeNumber(p.ReplaceFrom+uint64(i)), addChecksum(r)); err != nil {
+	for i, r := range u.Records {
+		if err := records.Put(encodeNumber(u.ReplaceFrom+uint64(i)), addChecksum(r)); err != nil {
 			return err
 		}
 	}
-	if err := deleteBefore(records, p.DropBefore); err != nil {
+	if err := deleteBefore(records, u.DropBefore); err != nil {
 		return err
 	}
-	for name, v := range p.Values {
+	for name, v := range u.Values {
 		if err := values.Put([]byte(name), addChecksum(v)); err != nil {
 			return err
 		}
