--- a/internal/council/seat.go
+++ b/internal/council/seat.go
@@ -65,7 +65,7 @@
 	compactAfterEntries  = 2048 // entries in the log before it is compacted
 	retainedEntries      = 256  // entries kept for followers that lag slightly
 	maxStalledElections  = 8    // multiples of ElectionTicks without a completed write
-	maxElectionDoublings = 3    // of the election timeout after failed elections
+	maxElectionDoublings = 3    // cap on doublings of the election timeout after failed elections
 )
 
 // NewNode returns a node that resumes from diskState. The seed sets its random election timeouts.
--- a/internal/council/seat_test.go
+++ b/internal/council/seat_test.go
@@ -204,7 +204,7 @@
 }
 
 // withWriteDelay returns a function that runs the cluster with disks that need delay per write
-// until isDone returns true, for at most most delays.
+// until isDone returns true, for at most maxDelays delays.
 func (c *testCluster) withWriteDelay(delay int64) func(t *testing.T, failure string, maxDelays int64, isDone func() bool) {
 	dueAt := map[*voter]int64{}
 	return func(t *testing.T, failure string, maxDelays int64, isDone func() bool) {
--- a/internal/council/walk_test.go
+++ b/internal/council/walk_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// write completes up to most of the oldest pending writes.
+// write completes up to maxWrites of the oldest pending writes.
 func (c *testCluster) write(v *voter, maxWrites int) {
 	for n := 0; v.isUp && n < maxWrites && len(v.pendingWrites) > 0; n++ {
 		write := v.pendingWrites[0]
@@ -447,7 +447,7 @@
 
 // Guards against a random walk that misses deliberate faults.
 func TestCouncilsWithPlantedFaults(t *testing.T) {
-	for name, planted := range map[string]fault{"a lease too long": longLease, "votes just after a start": earlyVotes,
+	for name, planted := range map[string]fault{"a tenure too long": longLease, "votes just after a start": earlyVotes,
 		"sent before written": sendsBeforeWrite, "old disks accepted": noPositions,
 		"acting before knowing": actsBeforeApplied} {
 		t.Run(name, func(t *testing.T) {
