--- a/internal/council/chamber/post.go
+++ b/internal/council/chamber/post.go
@@ -84,9 +84,9 @@
 
 // RegisterHandlers registers the HTTP handlers for packets, state and voter changes.
 func (s *Server) RegisterHandlers(mux *http.ServeMux) {
-	mux.Handle("POST "+packetPath, jsonhttp.Does(s.Receive))
-	mux.Handle("POST /v1/council/state", jsonhttp.Tells(func(context.Context) (State, error) { return s.State(), nil }))
-	mux.Handle("POST /v1/council/change", s.ForwardToLeader(jsonhttp.Does(s.ChangeVoters)))
+	mux.Handle("POST "+packetPath, jsonhttp.ActionHandler(s.Receive))
+	mux.Handle("POST /v1/council/state", jsonhttp.QueryHandler(func(context.Context) (State, error) { return s.State(), nil }))
+	mux.Handle("POST /v1/council/change", s.ForwardToLeader(jsonhttp.ActionHandler(s.ChangeVoters)))
 }
 
 // ForwardToLeader serves a request with handler if this voter holds the leader lease, and otherwise
