--- a/internal/council/chamber/chamber.go
+++ b/internal/council/chamber/chamber.go
@@ -1,5 +1,5 @@
-// Package chamber lets a council's seat work: its disk, its clock, and the connections to the other voters. What is decided
-// is decided in package council and in the machines on its log.
+// Package chamber runs a council.Node: it provides its disk, its clock and the connections to the
+// other voters. All decisions are made in package council and in the state machines.
 package chamber
 
 import (
@@ -20,438 +20,442 @@
 	"sedgespread/internal/council"
 )
 
-// Chamber is one voter at work.
-type Chamber struct {
-	id       council.VoterID
-	pace     council.Pace
-	disk     *disk
-	machines map[string]Machine
-	strange  map[string][]json.RawMessage // records for machines that this build does not know, kept for snapshots
-	log      logrus.FieldLogger
-	begun    time.Time
-	events   chan func() // run one after another by Run
-	over     chan struct{}
-	post     *post
-	scribe   *scribe
-	pen      pen
-
-	tenure atomic.Int64 // until when this voter acts for the council, on its own clock
-	asked  atomic.Uint64
-	name   string // of this start, in proposals
-
-	mu      sync.Mutex // of what others may look at
-	state   State
-	seat    *council.Seat
-	waiting map[string]chan error
-	voters  map[string]string
-	leading uint64 // the term in which the machines were told to lead
-	broken  error
-	lost    bool // no leader was known last
+// Server runs one voter of the council.
+type Server struct {
+	id             council.VoterID
+	timing         council.Timing
+	disk           *disk
+	stateMachines  map[string]StateMachine
+	unknownRecords map[string][]json.RawMessage // by unknown state machine; kept for snapshots
+	log            logrus.FieldLogger
+	startTime      time.Time
+	events         chan func() // executed by Run
+	done           chan struct{}
+	sender         *packetSender
+	writer         *diskWriter
+	latency        writeLatency
+
+	leaseEnd       atomic.Int64 // end of the leader lease, as returned by now
+	proposals      atomic.Uint64
+	proposalPrefix string // unique per start
+
+	mu          sync.Mutex // guards state and addresses; the fields below belong to Run
+	state       State
+	node        *council.Node
+	waiters     map[string]chan error
+	addresses   map[string]string
+	leadingTerm uint64 // term in which Lead was last called
+	failure     error
+	hasNoLeader bool // as last logged
 }
 
-// State is what a voter tells of the council.
+// State is the state of the council as one voter knows it.
 type State struct {
-	Voter   council.VoterID   `json:"voter"`
-	Voters  []council.VoterID `json:"voters"`
-	At      map[string]string `json:"at"` // addresses of the voters, by number
-	Leader  council.VoterID   `json:"leader"`
-	Term    uint64            `json:"term"`
-	Applied uint64            `json:"applied"`
-	Acts    bool              `json:"acts"`     // this voter acts for the council
-	WriteMs float64           `json:"write_ms"` // that a write of its disk takes, in the mean
-	Refused string            `json:"refused,omitempty"`
+	Voter         council.VoterID   `json:"voter"`
+	Voters        []council.VoterID `json:"voters"`
+	Addresses     map[string]string `json:"at"` // by voter ID
+	Leader        council.VoterID   `json:"leader"`
+	Term          uint64            `json:"term"`
+	Applied       uint64            `json:"applied"`
+	IsActing      bool              `json:"acts"`     // this voter holds the leader lease
+	WriteMs       float64           `json:"write_ms"` // moving average of the duration of disk writes
+	RefusalReason string            `json:"refused,omitempty"`
 }
 
-// Peers are the addresses of the voters that a council begins with, as this voter reaches them.
-type Peers map[council.VoterID]string
-
-// Open opens a voter's disk and seats it; nothing is sent yet. One that joins a council that is at work already begins
-// with an empty disk.
-func Open(id council.VoterID, peers Peers, joins bool, path string, pace council.Pace, machines map[string]Machine,
-	log logrus.FieldLogger) (c *Chamber, err error) {
-	var founders []council.VoterID
-	for v := range peers {
-		if !joins {
-			founders = append(founders, v)
+// VoterAddresses maps voters to the addresses at which this voter reaches them.
+type VoterAddresses map[council.VoterID]string
+
+// Open opens a voter's disk and creates its node; nothing is sent before Run. A voter that joins an
+// existing council starts with an empty disk.
+func Open(id council.VoterID, addresses VoterAddresses, joinExisting bool, path string, timing council.Timing, stateMachines map[string]StateMachine,
+	log logrus.FieldLogger) (s *Server, err error) {
+	var initialVoters []council.VoterID
+	for v := range addresses {
+		if !joinExisting {
+			initialVoters = append(initialVoters, v)
 		}
 	}
-	c = &Chamber{id: id, pace: pace, machines: machines, strange: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
-		begun: time.Now(), events: make(chan func(), mostEvents), over: make(chan struct{}), waiting: map[string]chan error{},
-		voters: map[string]string{}}
-	for v, at := range peers {
-		c.voters[strconv.FormatUint(uint64(v), 10)] = at
+	s = &Server{id: id, timing: timing, stateMachines: stateMachines, unknownRecords: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
+		startTime: time.Now(), events: make(chan func(), maxQueuedEvents), done: make(chan struct{}), waiters: map[string]chan error{},
+		addresses: map[string]string{}}
+	for v, address := range addresses {
+		s.addresses[strconv.FormatUint(uint64(v), 10)] = address
 	}
-	if c.disk, err = openDisk(path, id, founders); err != nil {
+	if s.disk, err = openDisk(path, id, initialVoters); err != nil {
 		return nil, err
 	}
 	seed := time.Now().UnixNano() ^ int64(id)<<48
-	c.name = fmt.Sprintf("%d-%x", id, uint64(rand.New(rand.NewSource(seed)).Int63()))
-	if c.seat, err = council.NewSeat(id, pace, c.disk.kept, seed); err == nil {
-		err = c.restore(c.disk.kept.Snapshot)
+	s.proposalPrefix = fmt.Sprintf("%d-%x", id, uint64(rand.New(rand.NewSource(seed)).Int63()))
+	if s.node, err = council.NewNode(id, timing, s.disk.state, seed); err == nil {
+		err = s.restore(s.disk.state.Snapshot)
 	}
 	if err != nil {
-		c.disk.close()
+		s.disk.close()
 		return nil, err
 	}
-	c.disk.kept = council.Kept{} // the seat has it now
-	c.post, c.scribe = newPost(c), newScribe(c)
-	c.publish()
-	return c, nil
+	s.disk.state = council.DiskState{} // the node owns it now
+	s.sender, s.writer = newPacketSender(s), newDiskWriter(s)
+	s.publishState()
+	return s, nil
 }
 
 const (
-	mostEvents = 1 << 10
-	mostBatch  = 256 // events between two writes to the disk
+	maxQueuedEvents = 1 << 10
+	maxEventBatch   = 256 // events handled before the next Ready
 )
 
-func (c *Chamber) now() int64 { return int64(time.Since(c.begun)) }
-
-// Run works until the context ends. All that touches the seat happens here.
-func (c *Chamber) Run(ctx context.Context) {
-	defer c.disk.close()
-	defer func() { <-c.scribe.over }()
-	defer close(c.over)
-	defer c.post.close()
-	go c.scribe.run()
-	tick := time.NewTicker(time.Duration(c.pace.Tick))
+// now returns the time of the voter's monotonic clock in nanoseconds.
+func (s *Server) now() int64 { return int64(time.Since(s.startTime)) }
+
+// Run runs the voter until ctx is cancelled. The node is used only in Run's goroutine.
+func (s *Server) Run(ctx context.Context) {
+	defer s.disk.close()
+	defer func() { <-s.writer.done }()
+	defer close(s.done)
+	defer s.sender.close()
+	go s.writer.run()
+	tick := time.NewTicker(time.Duration(s.timing.Tick))
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-			c.seat.Tick(c.now())
-		case do := <-c.events:
-			do()
-			for more := len(c.events); more > 0 && more < mostBatch; more-- {
-				(<-c.events)()
+			s.node.Tick(s.now())
+		case event := <-s.events:
+			event()
+			for remaining := len(s.events); remaining > 0 && remaining < maxEventBatch; remaining-- {
+				(<-s.events)()
 			}
 		}
-		c.work()
+		s.processReady()
 	}
-	c.tenure.Store(0)
-	c.fail(errOver)
+	s.leaseEnd.Store(0)
+	s.failWaiters(errShuttingDown)
 }
 
-// elsewhere is an error that leaves open that another voter does what this one did not.
-type elsewhere string
+// unavailableError is an error after which another voter may be able to serve the request.
+type unavailableError string
 
-func (e elsewhere) Error() string { return string(e) }
+func (e unavailableError) Error() string { return string(e) }
 
-// Status lets it be told as what sends whoever asks to another voter.
-func (e elsewhere) Status() int { return http.StatusServiceUnavailable }
+// Status returns the HTTP status that makes the caller try another voter.
+func (e unavailableError) Status() int { return http.StatusServiceUnavailable }
 
 const (
-	errOver = elsewhere("this voter is leaving")
-	// ErrNotLeading says that another voter, or nobody, acts for the council; nothing was recorded.
-	ErrNotLeading = elsewhere("this voter does not act for the council")
+	errShuttingDown = unavailableError("this voter is leaving")
+	// ErrNotLeading reports that this voter does not hold the leader lease; nothing was recorded.
+	ErrNotLeading = unavailableError("this voter does not act for the council")
 )
 
 var (
-	// ErrUnknown says that a record was proposed and it is not known whether it will stand.
-	ErrUnknown = errors.New("whether it was recorded is not known: the council has changed its leader meanwhile")
+	// ErrOutcomeUnknown reports that a record was proposed and may or may not be committed.
+	ErrOutcomeUnknown = errors.New("whether it was recorded is not known: the council has changed its leader meanwhile")
 )
 
-// work does what the seat asks for until there is nothing more.
-func (c *Chamber) work() {
-	for c.broken == nil {
-		w, any := c.seat.Work()
-		if !any {
+// processReady handles the node's ready work until there is none.
+func (s *Server) processReady() {
+	for s.failure == nil {
+		ready, hasWork := s.node.Ready()
+		if !hasWork {
 			break
 		}
-		c.post.send(w.Packets)
-		if w.Write != nil {
-			c.scribe.add(w.Write)
+		s.sender.enqueue(ready.Packets)
+		if ready.Write != nil {
+			s.writer.add(ready.Write)
 		}
 	}
-	c.lead()
-	if c.broken == nil && c.seat.Long() {
-		c.compact()
+	s.updateLease()
+	if s.failure == nil && s.node.NeedsCompaction() {
+		s.compact()
 	}
-	c.publish()
+	s.publishState()
 }
 
-// written takes in that writes are on the disk, and hands out what waited for them.
-func (c *Chamber) written(writes []*council.Write, took time.Duration, err error) {
-	if c.broken != nil {
+// completeWrites completes durable writes, or stops the voter after a failed one, and applies
+// committed entries.
+func (s *Server) completeWrites(writes []*council.Write, took time.Duration, err error) {
+	if s.failure != nil {
 		return
 	}
 	if err != nil {
-		c.breakDown(err)
+		s.stop(err)
 		return
 	}
 	if took > 0 {
-		c.pen.noted(took, c.pace, c.log)
+		s.latency.observe(took, s.timing, s.log)
 	}
 	for _, w := range writes {
-		snapshot, commits, err := c.seat.Written(w)
+		snapshot, entries, err := s.node.CompleteWrite(w)
 		if err == nil {
-			err = c.restore(snapshot)
+			err = s.restore(snapshot)
 		}
 		if err != nil {
-			c.breakDown(err)
+			s.stop(err)
 			return
 		}
-		for _, k := range commits {
-			c.apply(k)
+		for _, entry := range entries {
+			s.apply(entry)
 		}
 	}
 }
 
-// breakDown ends this voter's part for good: it can't write down what it would have to answer for.
-func (c *Chamber) breakDown(err error) {
-	c.broken = err
-	c.tenure.Store(0)
-	c.log.WithError(err).Error("this voter can't go on")
-	c.fail(err)
-	c.publish()
+// stop stops the voter permanently, since it can no longer persist its state.
+func (s *Server) stop(err error) {
+	s.failure = err
+	s.leaseEnd.Store(0)
+	s.log.WithError(err).Error("voter stopped after an unrecoverable error")
+	s.failWaiters(err)
+	s.publishState()
 }
 
-// lead tells the machines when this voter begins to act for the council, and everybody until when.
-func (c *Chamber) lead() {
-	until := c.seat.Tenure()
-	if c.broken != nil {
-		until = 0
-	}
-	if until > c.now() && c.leading != c.seat.Term() {
-		c.leading = c.seat.Term()
-		c.log.WithFields(logrus.Fields{"term": c.leading, "applied": c.seat.Applied()}).Info("acts for the council")
-		for _, m := range c.machines {
+// updateLease publishes the end of the leader lease, and calls Lead when a lease begins in a new
+// term.
+func (s *Server) updateLease() {
+	leaseEnd := s.node.LeaseEnd()
+	if s.failure != nil {
+		leaseEnd = 0
+	}
+	if leaseEnd > s.now() && s.leadingTerm != s.node.Term() {
+		s.leadingTerm = s.node.Term()
+		s.log.WithFields(logrus.Fields{"term": s.leadingTerm, "applied": s.node.AppliedIndex()}).Info("acquired the leader lease")
+		for _, m := range s.stateMachines {
 			m.Lead()
 		}
 	}
-	if until == 0 && c.tenure.Load() != 0 {
-		c.fail(ErrUnknown)
+	if leaseEnd == 0 && s.leaseEnd.Load() != 0 {
+		s.failWaiters(ErrOutcomeUnknown)
 	}
-	c.tenure.Store(until)
+	s.leaseEnd.Store(leaseEnd)
 }
 
-// apply hands a record to its machine, and tells whoever waits for it.
-func (c *Chamber) apply(k council.Commit) {
-	if k.Change != nil {
-		c.joins(k.Change)
+// apply passes a record to its state machine and wakes the caller that proposed it.
+func (s *Server) apply(entry council.CommittedEntry) {
+	if entry.Change != nil {
+		s.addAddresses(entry.Change)
 		return
 	}
 	var r record
-	if len(k.Record) == 0 || json.Unmarshal(k.Record, &r) != nil {
+	if len(entry.Record) == 0 || json.Unmarshal(entry.Record, &r) != nil {
 		return
 	}
-	if m := c.machines[r.Machine]; m != nil {
+	if m := s.stateMachines[r.Machine]; m != nil {
 		m.Apply(r.Data)
 	} else {
-		c.strange[r.Machine] = append(c.strange[r.Machine], r.Data)
+		s.unknownRecords[r.Machine] = append(s.unknownRecords[r.Machine], r.Data)
 	}
-	if told := c.waiting[r.By]; told != nil {
-		delete(c.waiting, r.By)
-		told <- nil
+	if waiter := s.waiters[r.ProposalID]; waiter != nil {
+		delete(s.waiters, r.ProposalID)
+		waiter <- nil
 	}
 }
 
-// joins takes the addresses of new voters in.
-func (c *Chamber) joins(change *raftpb.ConfChangeV2) {
-	var said map[string]string
-	if json.Unmarshal(change.GetContext(), &said) != nil {
+// addAddresses stores the addresses of added voters.
+func (s *Server) addAddresses(change *raftpb.ConfChangeV2) {
+	var addresses map[string]string
+	if json.Unmarshal(change.GetContext(), &addresses) != nil {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for v, at := range said {
-		c.voters[v] = at
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for v, address := range addresses {
+		s.addresses[v] = address
 	}
 }
 
-// fail tells all that wait that it is not known what became of their records.
-func (c *Chamber) fail(err error) {
-	for by, told := range c.waiting {
-		delete(c.waiting, by)
-		told <- err
+// failWaiters ends all waiting proposals with err.
+func (s *Server) failWaiters(err error) {
+	for proposalID, waiter := range s.waiters {
+		delete(s.waiters, proposalID)
+		waiter <- err
 	}
 }
 
-// compact writes a snapshot in place of the oldest entries.
-func (c *Chamber) compact() {
-	s := snapshot{Machines: map[string]json.RawMessage{}, Voters: c.voters}
-	for name, m := range c.machines {
-		text, err := m.Snapshot()
+// compact replaces the oldest log entries by a snapshot.
+func (s *Server) compact() {
+	contents := snapshot{Machines: map[string]json.RawMessage{}, Voters: s.addresses}
+	for name, m := range s.stateMachines {
+		data, err := m.Snapshot()
 		if err != nil {
-			c.log.WithError(err).WithField("machine", name).Error("no snapshot of the council's log")
+			s.log.WithError(err).WithField("machine", name).Error("taking snapshot of state machine failed")
 			return
 		}
-		s.Machines[name] = text
+		contents.Machines[name] = data
 	}
-	for name, records := range c.strange {
-		text, err := json.Marshal(records)
+	for name, records := range s.unknownRecords {
+		data, err := json.Marshal(records)
 		if err != nil {
 			return
 		}
-		s.Machines[name] = text
+		contents.Machines[name] = data
 	}
-	text, err := json.Marshal(s)
+	data, err := json.Marshal(contents)
 	var w *council.Write
 	if err == nil {
-		w, err = c.seat.Compact(text)
+		w, err = s.node.Compact(data)
 	}
 	if err != nil {
-		c.breakDown(err)
+		s.stop(err)
 		return
 	}
-	c.scribe.add(w)
+	s.writer.add(w)
 }
 
-// restore lets the machines take a snapshot, if it holds something.
-func (c *Chamber) restore(taken *raftpb.Snapshot) error {
-	if len(taken.GetData()) == 0 {
+// restore restores the state machines and voter addresses from a snapshot, unless it is empty.
+func (s *Server) restore(raftSnapshot *raftpb.Snapshot) error {
+	if len(raftSnapshot.GetData()) == 0 {
 		return nil
 	}
-	var s snapshot
-	if err := json.Unmarshal(taken.GetData(), &s); err != nil {
+	var contents snapshot
+	if err := json.Unmarshal(raftSnapshot.GetData(), &contents); err != nil {
 		return err
 	}
-	for name, text := range s.Machines {
-		m := c.machines[name]
+	for name, data := range contents.Machines {
+		m := s.stateMachines[name]
 		if m == nil {
 			var records []json.RawMessage
-			if json.Unmarshal(text, &records) != nil {
-				records = []json.RawMessage{text}
+			if json.Unmarshal(data, &records) != nil {
+				records = []json.RawMessage{data}
 			}
-			c.strange[name] = records
+			s.unknownRecords[name] = records
 			continue
 		}
-		if err := m.Restore(text); err != nil {
+		if err := m.Restore(data); err != nil {
 			return fmt.Errorf("machine %s: %w", name, err)
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for v, at := range s.Voters {
-		if c.voters[v] == "" {
-			c.voters[v] = at
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for v, address := range contents.Voters {
+		if s.addresses[v] == "" {
+			s.addresses[v] = address
 		}
 	}
 	return nil
 }
 
-// publish lets others see how things stand, and logs when a leader is lost or found.
-func (c *Chamber) publish() {
-	lost := c.seat.Leader() == 0 && c.tenure.Load() == 0
-	refused := c.seat.Refused()
-	if c.broken != nil {
-		refused = c.broken.Error()
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if refused != "" && c.state.Refused == "" {
-		c.log.WithField("why", refused).Error("this voter is refused")
-	} else if lost != c.lost {
-		c.log.WithFields(logrus.Fields{"leader": c.seat.Leader(), "term": c.seat.Term(), "applied": c.seat.Applied()}).
-			Info(map[bool]string{true: "the council has no leader", false: "the council has a leader"}[lost])
-	}
-	c.lost = lost
-	c.state = State{Voter: c.id, Voters: c.seat.Voters(), Leader: c.seat.Leader(), Term: c.seat.Term(), Applied: c.seat.Applied(),
-		Refused: refused, WriteMs: float64(c.pen.usual) / float64(time.Millisecond)}
+// publishState updates the state that State returns, and logs when a leader is lost or found.
+func (s *Server) publishState() {
+	hasNoLeader := s.node.Leader() == 0 && s.leaseEnd.Load() == 0
+	refusalReason := s.node.RefusalReason()
+	if s.failure != nil {
+		refusalReason = s.failure.Error()
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if refusalReason != "" && s.state.RefusalReason == "" {
+		s.log.WithField("why", refusalReason).Error("voter refused permanently")
+	} else if hasNoLeader != s.hasNoLeader {
+		s.log.WithFields(logrus.Fields{"leader": s.node.Leader(), "term": s.node.Term(), "applied": s.node.AppliedIndex()}).
+			Info(map[bool]string{true: "no leader", false: "leader elected"}[hasNoLeader])
+	}
+	s.hasNoLeader = hasNoLeader
+	s.state = State{Voter: s.id, Voters: s.node.Voters(), Leader: s.node.Leader(), Term: s.node.Term(), Applied: s.node.AppliedIndex(),
+		RefusalReason: refusalReason, WriteMs: float64(s.latency.mean) / float64(time.Millisecond)}
 }
 
-// State tells how the council stands, as far as this voter knows.
-func (c *Chamber) State() State {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := c.state
-	s.Acts = c.Acts()
-	s.At = make(map[string]string, len(c.voters))
-	for v, at := range c.voters {
-		s.At[v] = at
-	}
-	return s
+// State returns the state of the council as this voter knows it.
+func (s *Server) State() State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.state
+	state.IsActing = s.IsActing()
+	state.Addresses = make(map[string]string, len(s.addresses))
+	for v, address := range s.addresses {
+		state.Addresses[v] = address
+	}
+	return state
 }
 
-// Acts tells whether this voter acts for the council just now: nobody else does, and all that was recorded is applied.
-func (c *Chamber) Acts() bool { return c.now() < c.tenure.Load() }
+// IsActing reports whether this voter holds the leader lease. It is then the only one, and has
+// applied all earlier records.
+func (s *Server) IsActing() bool { return s.now() < s.leaseEnd.Load() }
 
-// address is where a voter is, empty for not known.
-func (c *Chamber) address(v council.VoterID) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.voters[strconv.FormatUint(uint64(v), 10)]
+// address returns the address of a voter, or an empty string if it is unknown.
+func (s *Server) address(v council.VoterID) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.addresses[strconv.FormatUint(uint64(v), 10)]
 }
 
-// do lets something happen between two steps of Run, and tells whether it will.
-func (c *Chamber) do(ctx context.Context, what func()) error {
+// enqueue queues event to be executed by Run.
+func (s *Server) enqueue(ctx context.Context, event func()) error {
 	select {
-	case c.events <- what:
+	case s.events <- event:
 		return nil
-	case <-c.over:
-		return errOver
+	case <-s.done:
+		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Record asks the council to agree on a record for a machine, and returns once that has it. After ErrNotLeading it was not
-// recorded and never will be; after another error it may be.
-func (c *Chamber) Record(ctx context.Context, machine string, data any) error {
-	text, err := json.Marshal(data)
+// Record proposes a record and returns when this voter's state machine has applied it. After
+// ErrNotLeading the record was not proposed; after any other error it may still be committed.
+func (s *Server) Record(ctx context.Context, stateMachine string, data any) error {
+	encoded, err := json.Marshal(data)
 	if err != nil {
 		return err
 	}
-	by := c.name + "-" + strconv.FormatUint(c.asked.Add(1), 36)
-	text, err = json.Marshal(record{Machine: machine, By: by, Data: text})
+	proposalID := s.proposalPrefix + "-" + strconv.FormatUint(s.proposals.Add(1), 36)
+	encoded, err = json.Marshal(record{Machine: stateMachine, ProposalID: proposalID, Data: encoded})
 	if err != nil {
 		return err
 	}
-	err = c.ask(ctx, func(told chan error) {
-		if !c.Acts() || c.seat.Propose(text) != nil {
-			told <- ErrNotLeading
+	err = s.call(ctx, func(result chan error) {
+		if !s.IsActing() || s.node.Propose(encoded) != nil {
+			result <- ErrNotLeading
 			return
 		}
-		c.waiting[by] = told
+		s.waiters[proposalID] = result
 	})
 	if err != nil && err == ctx.Err() {
-		c.do(context.Background(), func() { delete(c.waiting, by) })
-		return fmt.Errorf("%w (%w)", ErrUnknown, err)
+		s.enqueue(context.Background(), func() { delete(s.waiters, proposalID) })
+		return fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
 	}
 	return err
 }
 
-// ask lets something happen between two steps of Run that answers once, and waits for the answer.
-func (c *Chamber) ask(ctx context.Context, what func(told chan error)) error {
-	told := make(chan error, 1)
-	if err := c.do(ctx, func() { what(told) }); err != nil {
+// call executes event in Run and waits for its result.
+func (s *Server) call(ctx context.Context, event func(result chan error)) error {
+	result := make(chan error, 1)
+	if err := s.enqueue(ctx, func() { event(result) }); err != nil {
 		return err
 	}
 	select {
-	case err := <-told:
+	case err := <-result:
 		return err
-	case <-c.over:
-		return errOver
+	case <-s.done:
+		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Change is a change of who votes.
-type Change struct {
-	Add    Peers             `json:"add,omitempty"`
+// VoterChange lists voters to add and remove.
+type VoterChange struct {
+	Add    VoterAddresses    `json:"add,omitempty"`
 	Remove []council.VoterID `json:"remove,omitempty"`
 }
 
-// Change asks the council to let voters in and others go, and returns once it was proposed.
-func (c *Chamber) Change(ctx context.Context, change Change) error {
-	said := map[string]string{}
+// ChangeVoters proposes to add and remove voters. It does not wait for the change to be committed.
+func (s *Server) ChangeVoters(ctx context.Context, change VoterChange) error {
+	addresses := map[string]string{}
 	var add []council.VoterID
-	for v, at := range change.Add {
-		add, said[strconv.FormatUint(uint64(v), 10)] = append(add, v), at
+	for v, address := range change.Add {
+		add, addresses[strconv.FormatUint(uint64(v), 10)] = append(add, v), address
 	}
-	text, err := json.Marshal(said)
+	encoded, err := json.Marshal(addresses)
 	if err != nil {
 		return err
 	}
-	return c.ask(ctx, func(told chan error) { told <- c.seat.Change(add, change.Remove, text) })
+	return s.call(ctx, func(result chan error) { result <- s.node.ChangeVoters(add, change.Remove, encoded) })
 }
 
-// Take takes a packet of another voter in.
-func (c *Chamber) Take(ctx context.Context, p council.Packet) error {
-	return c.do(ctx, func() {
-		if err := c.seat.Receive(p); err != nil {
-			c.log.WithError(err).Warn("a packet was not taken")
+// Receive queues a packet from another voter.
+func (s *Server) Receive(ctx context.Context, p council.Packet) error {
+	return s.enqueue(ctx, func() {
+		if err := s.node.Receive(p); err != nil {
+			s.log.WithError(err).Warn("rejected a packet from another voter")
 		}
 	})
 }
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -5,75 +5,77 @@
 	"sync"
 )
 
-// Committer appends records for many at once: those that come while a write is under way go to the disk together with the
-// next. Each is told once its own is there.
-type Committer struct {
-	journal *Journal
-	most    int // records in one write
+// BatchWriter appends records of concurrent callers to a journal. Records that arrive during a
+// write are combined into the next one.
+type BatchWriter struct {
+	journal  *Journal
+	maxBatch int // records per write
 
-	mu      sync.Mutex
-	waiting [][]byte
-	told    []chan error
-	writing bool
-	closed  bool
-	writes  int64
-	records int64
+	mu        sync.Mutex
+	pending   [][]byte
+	results   []chan error
+	isWriting bool
+	isClosed  bool
+	writes    int64
+	records   int64
 }
 
 var errClosed = errors.New("the journal is closed")
 
-// NewCommitter commits to a journal, at most so many records in one write.
-func NewCommitter(j *Journal, most int) *Committer { return &Committer{journal: j, most: max(1, most)} }
+// NewBatchWriter returns a writer to a journal that writes at most maxBatch records at once.
+func NewBatchWriter(j *Journal, maxBatch int) *BatchWriter {
+	return &BatchWriter{journal: j, maxBatch: max(1, maxBatch)}
+}
 
-// Append writes a record and waits until it is on the disk. After an error none of the records of its write are.
-func (c *Committer) Append(record []byte) error {
-	told := make(chan error, 1)
-	c.mu.Lock()
-	if c.closed {
-		c.mu.Unlock()
+// Append writes a record and waits until it is durable. After an error no record of its batch is.
+func (w *BatchWriter) Append(record []byte) error {
+	result := make(chan error, 1)
+	w.mu.Lock()
+	if w.isClosed {
+		w.mu.Unlock()
 		return errClosed
 	}
-	c.waiting, c.told = append(c.waiting, record), append(c.told, told)
-	if !c.writing {
-		c.writing = true
-		go c.write()
+	w.pending, w.results = append(w.pending, record), append(w.results, result)
+	if !w.isWriting {
+		w.isWriting = true
+		go w.writePending()
 	}
-	c.mu.Unlock()
-	return <-told
+	w.mu.Unlock()
+	return <-result
 }
 
-// write writes what waits until nothing does.
-func (c *Committer) write() {
+// writePending writes pending records until there are none.
+func (w *BatchWriter) writePending() {
 	for {
-		c.mu.Lock()
-		n := min(len(c.waiting), c.most)
+		w.mu.Lock()
+		n := min(len(w.pending), w.maxBatch)
 		if n == 0 {
-			c.writing = false
-			c.mu.Unlock()
+			w.isWriting = false
+			w.mu.Unlock()
 			return
 		}
-		records, told := c.waiting[:n:n], c.told[:n:n]
-		c.waiting, c.told = c.waiting[n:], c.told[n:]
-		c.writes++
-		c.records += int64(n)
-		c.mu.Unlock()
-		err := c.journal.Append(records...)
-		for _, t := range told {
-			t <- err
+		records, results := w.pending[:n:n], w.results[:n:n]
+		w.pending, w.results = w.pending[n:], w.results[n:]
+		w.writes++
+		w.records += int64(n)
+		w.mu.Unlock()
+		err := w.journal.Append(records...)
+		for _, result := range results {
+			result <- err
 		}
 	}
 }
 
-// Close lets nothing more be written; what waits is still told.
-func (c *Committer) Close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.closed = true
+// Close rejects further records. Pending ones are still written.
+func (w *BatchWriter) Close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.isClosed = true
 }
 
-// Counts are how many writes there were, and how many records in them.
-func (c *Committer) Counts() (writes, records int64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.writes, c.records
+// Stats returns the number of writes, and of the records in them.
+func (w *BatchWriter) Stats() (writes, records int64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.writes, w.records
 }
