--- a/internal/versions/steps.go
+++ b/internal/versions/steps.go
@@ -254,12 +254,12 @@
 
 // Behind is a version that some hold back.
 type Behind struct {
-	Thing  Thing
-	Number Number
-	Stage  Stage
-	For    int64 // since the stage began, or this ledger began to act
-	Over   bool  // longer than the plan allows
-	Who    []Sign
+	Thing  Thing  `json:"Thing"`
+	Number Number `json:"Number"`
+	Stage  Stage  `json:"Stage"`
+	For    int64  `json:"For"`  // nanoseconds since the stage began or this ledger took over
+	Over   bool   `json:"Over"` // longer than the plan allows
+	Who    []Sign `json:"Who"`
 }
 
 // Behind tells which drivers hold a version back.
