--- a/internal/versions/fence.go
+++ b/internal/versions/fence.go
@@ -25,22 +25,22 @@
 }
 
 // Fence is what a call-out under a version of a thing tells a store.
-func (h *DriverState) Fence(of Resource, n Number) Fence {
-	t := h.things[of]
-	if t == nil {
+func (d *DriverState) Fence(resource Resource, number Number) Fence {
+	s := d.resources[resource]
+	if s == nil {
 		return Fence{}
 	}
-	return Fence{Version: n, Epoch: t.epoch, Valid: t.valid}
+	return Fence{Version: number, Epoch: s.epoch, Valid: s.valid}
 }
 
 // MarkFenced takes in that a store has turned a version of a thing away at a time: the driver acts on nothing until it has asked
 // the council again. It tells whether it did act on it.
-func (h *DriverState) MarkFenced(now int64, of Resource, n Number) bool {
-	t := h.things[of]
-	if t == nil || t.acts != n || n == 0 {
+func (d *DriverState) MarkFenced(now int64, resource Resource, number Number) bool {
+	s := d.resources[resource]
+	if s == nil || s.active != number || number == 0 {
 		return false
 	}
-	t.acts, t.fenced = 0, max(now, 1)
+	s.active, s.fencedAt = 0, max(now, 1)
 	return true
 }
 
@@ -60,12 +60,12 @@
 }
 
 // Accept takes in what a call-out tells, and tells whether it may run.
-func (w *FenceChecker) Accept(f Fence) bool {
-	if f.Version == 0 {
+func (c *FenceChecker) Accept(fence Fence) bool {
+	if fence.Version == 0 {
 		return true
 	}
-	if f.Epoch > w.Epoch {
-		w.Epoch, w.Valid = f.Epoch, slices.Clone(f.Valid)
+	if fence.Epoch > c.Epoch {
+		c.Epoch, c.Valid = fence.Epoch, slices.Clone(fence.Valid)
 	}
-	return w.Epoch == 0 || slices.Contains(w.Valid, f.Version)
+	return c.Epoch == 0 || slices.Contains(c.Valid, fence.Version)
 }
--- a/internal/versions/holder.go
+++ b/internal/versions/holder.go
@@ -7,39 +7,39 @@
 
 // DriverState is a driver's side: what it holds, what it acts on, and what it has in flight. Times are its own clock's.
 type DriverState struct {
-	lease    int64 // it may act until then
-	things   map[Resource]*held
-	observed map[Resource]Report
+	leaseExpiry int64 // it may act until then
+	resources   map[Resource]*resourceState
+	observed    map[Resource]Report
 }
 
-type held struct {
-	epoch  Epoch
-	act    Number // it is told to act on this
-	keep   Number // and may on this until it does
-	acts   Number // and does on this
-	holds  Number
-	texts  map[Number]string
-	valid  []Number // that some driver may act on
-	fares  []RPCStats
-	flight map[Number]int
-	ill    string
-	fenced int64 // since when it acts on nothing, since a store turned it away; 0 for not
+type resourceState struct {
+	epoch    Epoch
+	target   Number // it is told to act on this
+	allowed  Number // and may on this until it does
+	active   Number // and does on this
+	stored   Number
+	texts    map[Number]string
+	valid    []Number // that some driver may act on
+	stats    []RPCStats
+	inFlight map[Number]int
+	failure  string
+	fencedAt int64 // since when it acts on nothing, since a store turned it away; 0 for not
 }
 
 // NewDriverState makes the holder of a driver that has just started: it acts on nothing.
 func NewDriverState() *DriverState {
-	return &DriverState{things: map[Resource]*held{}, observed: map[Resource]Report{}}
+	return &DriverState{resources: map[Resource]*resourceState{}, observed: map[Resource]Report{}}
 }
 
-// thing gives what is held of a thing. With its first lease a driver was told of all that have versions; on any other it acts
+// resource gives what is held of a thing. With its first lease a driver was told of all that have versions; on any other it acts
 // as it started.
-func (h *DriverState) thing(of Resource) *held {
-	t := h.things[of]
-	if t == nil {
-		t = &held{act: InitialVersion, acts: InitialVersion, texts: map[Number]string{}, flight: map[Number]int{}}
-		h.things[of] = t
+func (d *DriverState) resource(resource Resource) *resourceState {
+	s := d.resources[resource]
+	if s == nil {
+		s = &resourceState{target: InitialVersion, active: InitialVersion, texts: map[Number]string{}, inFlight: map[Number]int{}}
+		d.resources[resource] = s
 	}
-	return t
+	return s
 }
 
 // Grant is what a driver is given: a lease from when it asked, and orders.
@@ -59,123 +59,123 @@
 
 // ApplyGrant takes in what was granted to what was asked at a time, and tells what is to be adopted. What it is told to stop
 // acting on it stops acting on at once. Older orders than it knows change nothing.
-func (h *DriverState) ApplyGrant(asked int64, g Grant) (due []Adoption) {
-	if g.Lease > 0 {
-		h.lease = max(h.lease, asked+g.Lease)
+func (d *DriverState) ApplyGrant(requestedAt int64, grant Grant) (adoptions []Adoption) {
+	if grant.Lease > 0 {
+		d.leaseExpiry = max(d.leaseExpiry, requestedAt+grant.Lease)
 	}
-	for _, o := range g.Assignments {
-		t := h.thing(o.Resource)
-		if o.Epoch < t.epoch {
+	for _, assignment := range grant.Assignments {
+		s := d.resource(assignment.Resource)
+		if assignment.Epoch < s.epoch {
 			continue
 		}
-		t.take(o)
-		if t.acts != t.act && t.acts != t.keep {
-			t.acts = 0 // it has missed that the version was closed, or must not overlap with the next
+		s.apply(assignment)
+		if s.active != s.target && s.active != s.allowed {
+			s.active = 0 // it has missed that the version was closed, or must not overlap with the next
 		}
-		if a, can := t.due(o.Resource); can {
-			due = append(due, a)
+		if adoption, isPending := s.pendingAdoption(assignment.Resource); isPending {
+			adoptions = append(adoptions, adoption)
 		}
 	}
-	if g.Lease > 0 {
-		due = append(due, h.unfenced(asked)...)
+	if grant.Lease > 0 {
+		adoptions = append(adoptions, d.liftFences(requestedAt)...)
 	}
-	return due
+	return adoptions
 }
 
-// due is what a thing's version is that it is told to act on and does not, if it can.
-func (t *held) due(of Resource) (a Adoption, can bool) {
-	text, have := t.texts[t.act]
-	return Adoption{of, t.act, text}, (have || t.act == InitialVersion) && t.acts != t.act
+// pendingAdoption is what a thing's version is that it is told to act on and does not, if it can.
+func (s *resourceState) pendingAdoption(resource Resource) (adoption Adoption, isPending bool) {
+	text, isStored := s.texts[s.target]
+	return Adoption{resource, s.target, text}, (isStored || s.target == InitialVersion) && s.active != s.target
 }
 
-// unfenced are versions that stores turned away before a time: what the council has told since then is what counts.
-func (h *DriverState) unfenced(asked int64) (due []Adoption) {
-	for _, name := range slices.Sorted(maps.Keys(h.things)) {
-		t := h.things[name]
-		if t.fenced == 0 || asked < t.fenced {
+// liftFences are versions that stores turned away before a time: what the council has told since then is what counts.
+func (d *DriverState) liftFences(requestedAt int64) (adoptions []Adoption) {
+	for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
+		s := d.resources[resource]
+		if s.fencedAt == 0 || requestedAt < s.fencedAt {
 			continue
 		}
-		t.fenced = 0
-		if a, can := t.due(name); can {
-			due = append(due, a)
+		s.fencedAt = 0
+		if adoption, isPending := s.pendingAdoption(resource); isPending {
+			adoptions = append(adoptions, adoption)
 		}
 	}
-	return due
+	return adoptions
 }
 
-// take takes an order in.
-func (t *held) take(o Assignment) {
-	if o.Epoch > t.epoch {
-		t.ill, t.fenced = "", 0
+// apply takes an order in.
+func (s *resourceState) apply(assignment Assignment) {
+	if assignment.Epoch > s.epoch {
+		s.failure, s.fencedAt = "", 0
 	}
-	t.epoch, t.act, t.keep, t.valid = o.Epoch, o.Active, o.Allowed, o.Valid
-	t.forgetFares()
-	if o.Text != "" {
-		t.texts[o.Stored] = o.Text
+	s.epoch, s.target, s.allowed, s.valid = assignment.Epoch, assignment.Active, assignment.Allowed, assignment.Valid
+	s.trimStats()
+	if assignment.Text != "" {
+		s.texts[assignment.Stored] = assignment.Text
 	}
-	if o.ActiveText != "" {
-		t.texts[o.Active] = o.ActiveText
+	if assignment.ActiveText != "" {
+		s.texts[assignment.Active] = assignment.ActiveText
 	}
-	if _, have := t.texts[o.Stored]; have {
-		t.holds = o.Stored
+	if _, have := s.texts[assignment.Stored]; have {
+		s.stored = assignment.Stored
 	}
-	maps.DeleteFunc(t.texts, func(n Number, _ string) bool { return n != o.Stored && n != o.Active })
+	maps.DeleteFunc(s.texts, func(n Number, _ string) bool { return n != assignment.Stored && n != assignment.Active })
 }
 
 // MarkAdopted says that the driver acts on a version from now on, if it is still told to.
-func (h *DriverState) MarkAdopted(a Adoption) {
-	if t := h.things[a.Resource]; t != nil && t.act == a.Number {
-		t.acts, t.ill = a.Number, ""
+func (d *DriverState) MarkAdopted(adoption Adoption) {
+	if s := d.resources[adoption.Resource]; s != nil && s.target == adoption.Number {
+		s.active, s.failure = adoption.Number, ""
 	}
 }
 
 // MarkFailed says that the driver can't act on a version.
-func (h *DriverState) MarkFailed(a Adoption, why string) {
-	if t := h.things[a.Resource]; t != nil && t.act == a.Number {
-		t.ill = why
+func (d *DriverState) MarkFailed(adoption Adoption, reason string) {
+	if s := d.resources[adoption.Resource]; s != nil && s.target == adoption.Number {
+		s.failure = reason
 	}
 }
 
 // Begin tells on which version of a thing something that begins now acts, and whether anything may: not once the lease is
 // over. What has begun must be ended.
-func (h *DriverState) Begin(now int64, of Resource) (Number, bool) {
-	t := h.thing(of)
-	if t.acts == 0 || now >= h.lease {
+func (d *DriverState) Begin(now int64, resource Resource) (Number, bool) {
+	s := d.resource(resource)
+	if s.active == 0 || now >= d.leaseExpiry {
 		return 0, false
 	}
-	t.flight[t.acts]++
-	return t.acts, true
+	s.inFlight[s.active]++
+	return s.active, true
 }
 
 // MayContinue tells whether what has begun under a version may do something more now.
-func (h *DriverState) MayContinue(now int64, of Resource, n Number) bool {
-	t := h.things[of]
-	return t != nil && now < h.lease && t.flight[n] > 0 && (n == t.act || n == t.keep)
+func (d *DriverState) MayContinue(now int64, resource Resource, number Number) bool {
+	s := d.resources[resource]
+	return s != nil && now < d.leaseExpiry && s.inFlight[number] > 0 && (number == s.target || number == s.allowed)
 }
 
 // End says that something that has begun is over.
-func (h *DriverState) End(of Resource, n Number) {
-	t := h.things[of]
-	if t == nil || t.flight[n] == 0 {
+func (d *DriverState) End(resource Resource, number Number) {
+	s := d.resources[resource]
+	if s == nil || s.inFlight[number] == 0 {
 		return
 	}
-	if t.flight[n]--; t.flight[n] == 0 {
-		delete(t.flight, n)
+	if s.inFlight[number]--; s.inFlight[number] == 0 {
+		delete(s.inFlight, number)
 	}
 }
 
 // LeaseExpiry is until when the driver may act.
-func (h *DriverState) LeaseExpiry() int64 { return h.lease }
+func (d *DriverState) LeaseExpiry() int64 { return d.leaseExpiry }
 
 // Reports are what the council is told: of what it decides first.
-func (h *DriverState) Reports() (all []Report) {
-	for _, name := range slices.Sorted(maps.Keys(h.things)) {
-		t := h.things[name]
-		all = append(all, Report{Resource: name, Epoch: t.epoch, Stored: t.holds, Active: t.acts,
-			InFlight: slices.Sorted(maps.Keys(t.flight)), Failure: t.ill, Stats: slices.Clone(t.fares)})
-	}
-	for _, name := range slices.Sorted(maps.Keys(h.observed)) {
-		all = append(all, h.observed[name])
+func (d *DriverState) Reports() (all []Report) {
+	for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
+		s := d.resources[resource]
+		all = append(all, Report{Resource: resource, Epoch: s.epoch, Stored: s.stored, Active: s.active,
+			InFlight: slices.Sorted(maps.Keys(s.inFlight)), Failure: s.failure, Stats: slices.Clone(s.stats)})
+	}
+	for _, resource := range slices.Sorted(maps.Keys(d.observed)) {
+		all = append(all, d.observed[resource])
 	}
 	return all
 }
--- a/internal/versions/observed.go
+++ b/internal/versions/observed.go
@@ -14,8 +14,8 @@
 )
 
 // Observe takes in what the driver acts on of a thing that the council does not decide.
-func (h *DriverState) Observe(of Resource, n Number, digest string) {
-	h.observed[of] = Report{Resource: of, Stored: n, Active: n, Digest: digest}
+func (d *DriverState) Observe(resource Resource, number Number, digest string) {
+	d.observed[resource] = Report{Resource: resource, Stored: number, Active: number, Digest: digest}
 }
 
 // VersionHolders is the drivers that act on one and the same of a thing.
@@ -40,76 +40,76 @@
 	Duration int64  `json:"for_ns"` // since it came nearer last, or something newer was there first
 }
 
-// kind is what sets one group apart from another.
-type kind struct {
+// versionKey is what sets one group apart from another.
+type versionKey struct {
 	number Number
 	digest string
 }
 
 // lagKey is a driver's part of a thing.
 type lagKey struct {
-	thing Resource
-	who   Instance
+	resource Resource
+	instance Instance
 }
 
 // lag is since when a driver has been behind at a number.
 type lag struct {
-	at    Number
-	since int64
+	number Number
+	since  int64
 }
 
 // Distributions tells what drivers that may act act on of each thing that the council does not decide. It is to be called now and
 // then by whoever acts for the council, who finds out anew since when what is so.
 func (l *Controller) Distributions(now int64, drivers []DriverStatus) (all []Distribution) {
-	groups := map[Resource]map[kind][]Instance{}
+	holders := map[Resource]map[versionKey][]Instance{}
 	for _, d := range drivers {
-		s := l.heard(d.Instance)
-		if !d.MayAct || s == nil {
+		latest := l.reportsOf(d.Instance)
+		if !d.MayAct || latest == nil {
 			continue
 		}
-		for _, t := range slices.Sorted(maps.Keys(s.sightings)) {
-			seen := s.sightings[t]
-			if seen.Digest == "" || l.lines[t] != nil {
+		for _, resource := range slices.Sorted(maps.Keys(latest.reports)) {
+			report := latest.reports[resource]
+			if report.Digest == "" || l.histories[resource] != nil {
 				continue
 			}
-			if groups[t] == nil {
-				groups[t] = map[kind][]Instance{}
+			if holders[resource] == nil {
+				holders[resource] = map[versionKey][]Instance{}
 			}
-			key := kind{seen.Active, seen.Digest}
-			groups[t][key] = append(groups[t][key], d.Instance)
+			key := versionKey{report.Active, report.Digest}
+			holders[resource][key] = append(holders[resource][key], d.Instance)
 		}
 	}
 	lags := map[lagKey]lag{}
-	for _, t := range slices.Sorted(maps.Keys(groups)) {
-		all = append(all, l.spread(now, t, groups[t], lags))
+	for _, resource := range slices.Sorted(maps.Keys(holders)) {
+		all = append(all, l.distribution(now, resource, holders[resource], lags))
 	}
 	l.lags = lags
 	return all
 }
 
-// spread sums one thing up, and keeps since when who is behind.
-func (l *Controller) spread(now int64, t Resource, groups map[kind][]Instance, lags map[lagKey]lag) Distribution {
-	s := Distribution{Resource: t}
-	for key, who := range groups {
-		s.Holders = append(s.Holders, VersionHolders{key.number, key.digest, who})
+// distribution sums one thing up, and keeps since when who is behind.
+func (l *Controller) distribution(now int64, resource Resource, holders map[versionKey][]Instance, lags map[lagKey]lag) Distribution {
+	s := Distribution{Resource: resource}
+	for key, instances := range holders {
+		s.Holders = append(s.Holders, VersionHolders{key.number, key.digest, instances})
 	}
 	slices.SortFunc(s.Holders, func(a, b VersionHolders) int {
 		return cmp.Or(cmp.Compare(b.Number, a.Number), cmp.Compare(a.Digest, b.Digest))
 	})
 	newest := s.Holders[0].Number
-	for i, g := range s.Holders {
-		s.HasConflict = s.HasConflict || i > 0 && s.Holders[i-1].Number == g.Number
-		if g.Number == newest {
+	for i, holder := range s.Holders {
+		s.HasConflict = s.HasConflict || i > 0 && s.Holders[i-1].Number == holder.Number
+		if holder.Number == newest {
 			continue
 		}
-		for _, who := range g.Instances {
-			key := lagKey{t, who}
-			was, had := l.lags[key]
-			if !had || was.at != g.Number {
-				was = lag{g.Number, now}
+		for _, instances := range holder.Instances {
+			key := lagKey{resource, instances}
+			previous, isKnown := l.lags[key]
+			if !isKnown || previous.number != holder.Number {
+				previous = lag{holder.Number, now}
 			}
-			lags[key] = was
-			s.Lagging = append(s.Lagging, LaggingDriver{who, g.Number, now - was.since})
+			lags[key] = previous
+			s.Lagging = append(s.Lagging, LaggingDriver{instances, holder.Number, now - previous.since})
 		}
 	}
 	slices.SortStableFunc(s.Lagging, func(a, b LaggingDriver) int { return cmp.Compare(b.Duration, a.Duration) })
--- a/internal/versions/pacer_test.go
+++ b/internal/versions/pacer_test.go
@@ -37,7 +37,7 @@
 	now += 60_000_000_000
 	p.Reserve(now, Instance{"x", 1}, 5000)
 	p.Reserve(now, Instance{"gone", 1}, 500)
-	require.Len(t, p.turns, 1)
+	require.Len(t, p.reservations, 1)
 	p.RemoveExpired(now + 10_000_000_000)
-	require.Empty(t, p.turns)
+	require.Empty(t, p.reservations)
 }
--- a/internal/versions/size_test.go
+++ b/internal/versions/size_test.go
@@ -257,7 +257,7 @@
 			s.change(120_000 * ms)
 			change := s.at(0.5, begun) + ", " + s.at(0.99, begun) + ", " + s.at(1, begun)
 			closed := "not yet"
-			if v := s.ledger.lines[thing].last(); v.Stage == StageCompleted {
+			if v := s.ledger.histories[thing].latest(); v.Stage == StageCompleted {
 				closed = fmt.Sprintf("%.2f s", float64(v.CompletedAt-begun)/1e9)
 			}
 			changeWorst := s.worst
--- a/internal/versions/trial_test.go
+++ b/internal/versions/trial_test.go
@@ -37,13 +37,13 @@
 	return f
 }
 
-func (c *crowd) pair(tries bool) (p pair) {
+func (c *crowd) pair(tries bool) (p comparison) {
 	usual, slow := c.badly*math.Exp(c.differ*c.rng.NormFloat64()), math.Exp(c.differ*c.rng.NormFloat64())
 	move := func() (float64, float64) {
 		return min(0.9, usual*math.Exp(c.moves*c.rng.NormFloat64())), slow * math.Exp(c.moves*c.rng.NormFloat64()/4)
 	}
 	if c.history {
-		p.before = c.fare(move())
+		p.baseline = c.fare(move())
 	}
 	bad, time := move()
 	if tries {
@@ -53,7 +53,7 @@
 	return p
 }
 
-func (c *crowd) trial(canaries, others int) (tried, rest []pair) {
+func (c *crowd) trial(canaries, others int) (tried, rest []comparison) {
 	for range canaries {
 		tried = append(tried, c.pair(true))
 	}
@@ -64,7 +64,7 @@
 }
 
 // alarms is the share of trials in which some rule says that a version is worse.
-func (c *crowd) alarms(trials, canaries, others int, rule func(tried, rest []pair) bool) float64 {
+func (c *crowd) alarms(trials, canaries, others int, rule func(tried, rest []comparison) bool) float64 {
 	n := 0
 	for range trials {
 		if rule(c.trial(canaries, others)) {
@@ -74,14 +74,14 @@
 	return float64(n) / float64(trials)
 }
 
-func byTest(tried, rest []pair) bool {
-	worse, _ := CompareCanaries(tried, rest, usualBears, usualAlarm*looks) // one look
+func byTest(tried, rest []comparison) bool {
+	worse, _ := CompareCanaries(tried, rest, defaultToleratedRatio, defaultFalseAlarmRate*trialChecks) // one look
 	return worse != ""
 }
 
 // byConstant is what a person would set up: twice the others' share of bad ends, or half as long again.
-func byConstant(tried, rest []pair) bool {
-	sum := func(pairs []pair) (f RPCStats) {
+func byConstant(tried, rest []comparison) bool {
+	sum := func(pairs []comparison) (f RPCStats) {
 		for _, p := range pairs {
 			f.RPCs, f.Failed, f.Served, f.LogSum = f.RPCs+p.during.RPCs, f.Failed+p.during.Failed, f.Served+p.during.Served, f.LogSum+p.during.LogSum
 		}
@@ -93,7 +93,7 @@
 }
 
 // byCounts takes all RPCs for independent: a test of two shares.
-func byCounts(tried, rest []pair) bool {
+func byCounts(tried, rest []comparison) bool {
 	var a, b RPCStats
 	for _, p := range tried {
 		a.RPCs, a.Failed = a.RPCs+p.during.RPCs, a.Failed+p.during.Failed
@@ -118,11 +118,11 @@
 	require.Greater(t, c.alarms(300, 2, 7, byTest), 0.85, "a fifth more end badly")
 	c.worse, c.slower = 0, 2
 	require.Greater(t, c.alarms(300, 2, 7, byTest), 0.8, "twice as long")
-	_, judged := CompareCanaries([]pair{{}}, []pair{{}, {}, {}, {}}, usualBears, 0.01)
+	_, judged := CompareCanaries([]comparison{{}}, []comparison{{}, {}, {}, {}}, defaultToleratedRatio, 0.01)
 	require.False(t, judged)
 	c.rpcs = 100
 	_, rest := c.trial(1, 2)
-	_, judged = CompareCanaries(rest[:1], rest, usualBears, 0.01)
+	_, judged = CompareCanaries(rest[:1], rest, defaultToleratedRatio, 0.01)
 	require.False(t, judged, "two others don't tell what is usual")
 }
 
@@ -185,7 +185,7 @@
 		}{{"nothing", 0, 1}, {"0.05 more end badly", 0.05, 1}, {"0.2 more end badly", 0.2, 1}, {"1.5 times as long", 0, 1.5}, {"3 times as long", 0, 3}} {
 			c := &crowd{rng: rand.New(rand.NewSource(7)), rpcs: size.rpcs, differ: 0.8, moves: 0.3, badly: 0.02, history: true, worse: kind.worse, slower: kind.slower}
 			row := fmt.Sprintf("| %d, %d, %d | %s", size.drivers, size.canaries, size.rpcs, kind.what)
-			for _, rule := range []func(tried, rest []pair) bool{byTest, byConstant, byCounts} {
+			for _, rule := range []func(tried, rest []comparison) bool{byTest, byConstant, byCounts} {
 				row += fmt.Sprintf(" | %.3f", c.alarms(400, size.canaries, size.drivers-size.canaries, rule))
 			}
 			b.WriteString(row + " |\n")
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -53,17 +53,17 @@
 	StageRolledBack
 )
 
-var stageNames = [...]string{"unknown", "told", "trying", "stopping", "opening", "closing", "closed", "withdrawing", "withdrawn"}
+var stageTexts = [...]string{"unknown", "told", "trying", "stopping", "opening", "closing", "closed", "withdrawing", "withdrawn"}
 
-func (s Stage) String() string {
-	if s < 0 || int(s) >= len(stageNames) {
-		return fmt.Sprintf("stage %d", int(s))
+func (stage Stage) String() string {
+	if stage < 0 || int(stage) >= len(stageTexts) {
+		return fmt.Sprintf("stage %d", int(stage))
 	}
-	return stageNames[s]
+	return stageTexts[stage]
 }
 
-// before lists, for each stage, those that it may follow.
-var before = map[Stage][]Stage{
+// allowedPredecessors lists, for each stage, those that it may follow.
+var allowedPredecessors = map[Stage][]Stage{
 	StageAnnounced:   {StageUnknown},
 	StageCanary:      {StageAnnounced},
 	StageStopping:    {StageAnnounced},
@@ -74,8 +74,8 @@
 	StageRolledBack:  {StageRollingBack},
 }
 
-// over tells whether nothing more happens to a version.
-func (s Stage) over() bool { return s == StageCompleted || s == StageRolledBack }
+// isFinal tells whether nothing more happens to a version.
+func (s Stage) isFinal() bool { return s == StageCompleted || s == StageRolledBack }
 
 // Plan is how a version is to come. Times are nanoseconds.
 type Plan struct {
@@ -159,28 +159,28 @@
 
 // Controller is all things with their versions.
 type Controller struct {
-	lines  map[Resource]*line
-	newest Epoch
+	histories   map[Resource]*history
+	latestEpoch Epoch
 
 	// What only whoever acts for the council knows, and a successor finds out anew.
-	said  map[string]*saying
-	since map[Resource]since
-	lags  map[lagKey]lag
+	reports     map[string]*instanceReports
+	stageStarts map[Resource]stageStart
+	lags        map[lagKey]lag
 }
 
-type line struct {
-	acted    Number // the newest that was closed
-	versions []*Version
+type history struct {
+	completed Number // the newest that was closed
+	versions  []*Version
 }
 
-// saying is what a driver said last.
-type saying struct {
-	start     uint64
-	sightings map[Resource]Report
+// instanceReports is what a driver said last.
+type instanceReports struct {
+	start   uint64
+	reports map[Resource]Report
 }
 
-// since is when something began, by the own clock.
-type since struct {
+// stageStart is when something began, by the own clock.
+type stageStart struct {
 	epoch Epoch
 	at    int64
 	trial *trial // nil until all canaries act
@@ -188,33 +188,33 @@
 
 // mostVersions is how many of a thing are remembered, and mostText how long one may be.
 const (
-	mostVersions = 64
-	mostText     = 1 << 20
+	maxVersions  = 64
+	maxTextBytes = 1 << 20
 )
 
 // NewController makes an empty ledger.
 func NewController() *Controller {
-	return &Controller{lines: map[Resource]*line{}, said: map[string]*saying{}, since: map[Resource]since{}}
+	return &Controller{histories: map[Resource]*history{}, reports: map[string]*instanceReports{}, stageStarts: map[Resource]stageStart{}}
 }
 
 // StartLeading says that this ledger begins to be acted by: what drivers told another has to be heard again.
 func (l *Controller) StartLeading() {
-	l.said, l.since, l.lags = map[string]*saying{}, map[Resource]since{}, nil
+	l.reports, l.stageStarts, l.lags = map[string]*instanceReports{}, map[Resource]stageStart{}, nil
 }
 
 // LatestEpoch is the epoch of the last record.
-func (l *Controller) LatestEpoch() Epoch { return l.newest }
+func (l *Controller) LatestEpoch() Epoch { return l.latestEpoch }
 
-// last is a thing's newest version, nil for none.
-func (n *line) last() *Version {
-	if n == nil || len(n.versions) == 0 {
+// latest is a thing's newest version, nil for none.
+func (h *history) latest() *Version {
+	if h == nil || len(h.versions) == 0 {
 		return nil
 	}
-	return n.versions[len(n.versions)-1]
+	return h.versions[len(h.versions)-1]
 }
 
-func (n *line) find(number Number) *Version {
-	for _, v := range n.versions {
+func (h *history) find(number Number) *Version {
+	for _, v := range h.versions {
 		if v.Number == number {
 			return v
 		}
@@ -224,8 +224,8 @@
 
 // Resources are those that have versions, in order.
 func (l *Controller) Resources() []Resource {
-	things := make([]Resource, 0, len(l.lines))
-	for t := range l.lines {
+	things := make([]Resource, 0, len(l.histories))
+	for t := range l.histories {
 		things = append(things, t)
 	}
 	slices.Sort(things)
@@ -233,9 +233,9 @@
 }
 
 // Versions are those remembered of a thing, the oldest first.
-func (l *Controller) Versions(t Resource) (all []Version) {
-	if n := l.lines[t]; n != nil {
-		for _, v := range n.versions {
+func (l *Controller) Versions(resource Resource) (all []Version) {
+	if h := l.histories[resource]; h != nil {
+		for _, v := range h.versions {
 			all = append(all, *v)
 		}
 	}
@@ -243,99 +243,99 @@
 }
 
 // Propose proposes a new version of a thing.
-func (l *Controller) Propose(now int64, t Resource, digest, text, why string, p Plan) ([]Record, error) {
-	last, number, base := l.lines[t].last(), InitialVersion+1, InitialVersion
+func (l *Controller) Propose(now int64, resource Resource, digest, text, reason string, plan Plan) ([]Record, error) {
+	latest, number, base := l.histories[resource].latest(), InitialVersion+1, InitialVersion
 	switch {
-	case t == "" || digest == "" || text == "":
+	case resource == "" || digest == "" || text == "":
 		return nil, fmt.Errorf("a version needs a thing, a digest and a text")
-	case len(text) > mostText:
-		return nil, fmt.Errorf("%d bytes are more than %d", len(text), mostText)
-	case p.AnnounceTimeout <= 0 || p.AdoptTimeout <= 0 || p.DrainTimeout <= 0 || p.TrialTime < 0:
+	case len(text) > maxTextBytes:
+		return nil, fmt.Errorf("%d bytes are more than %d", len(text), maxTextBytes)
+	case plan.AnnounceTimeout <= 0 || plan.AdoptTimeout <= 0 || plan.DrainTimeout <= 0 || plan.TrialTime < 0:
 		return nil, fmt.Errorf("a plan needs a time for each of its steps")
-	case !(p.FalseAlarmRate >= 0 && p.FalseAlarmRate < 1):
-		return nil, fmt.Errorf("%v is no chance of a false alarm", p.FalseAlarmRate)
-	case p.ToleratedRatio != 0 && !(p.ToleratedRatio >= 1):
-		return nil, fmt.Errorf("%v times as bad is no worse", p.ToleratedRatio)
-	case p.Exclusive && p.CanaryFraction > 0:
+	case !(plan.FalseAlarmRate >= 0 && plan.FalseAlarmRate < 1):
+		return nil, fmt.Errorf("%v is no chance of a false alarm", plan.FalseAlarmRate)
+	case plan.ToleratedRatio != 0 && !(plan.ToleratedRatio >= 1):
+		return nil, fmt.Errorf("%v times as bad is no worse", plan.ToleratedRatio)
+	case plan.Exclusive && plan.CanaryFraction > 0:
 		return nil, fmt.Errorf("what must not overlap can't be tried by some first")
-	case !(p.CanaryFraction >= 0 && p.CanaryFraction <= 1):
-		return nil, fmt.Errorf("a part of %v can't try it", p.CanaryFraction)
-	case last != nil && !last.Stage.over():
-		return nil, fmt.Errorf("version %d of %s is under way: %v since epoch %d", last.Number, t, last.Stage, last.Epoch)
+	case !(plan.CanaryFraction >= 0 && plan.CanaryFraction <= 1):
+		return nil, fmt.Errorf("a part of %v can't try it", plan.CanaryFraction)
+	case latest != nil && !latest.Stage.isFinal():
+		return nil, fmt.Errorf("version %d of %s is under way: %v since epoch %d", latest.Number, resource, latest.Stage, latest.Epoch)
 	}
-	if last != nil {
-		number, base = last.Number+1, l.lines[t].acted
+	if latest != nil {
+		number, base = latest.Number+1, l.histories[resource].completed
 	}
-	return []Record{{Version{Resource: t, Number: number, Base: base, Digest: digest, Text: text, Plan: p, Stage: StageAnnounced,
-		Epoch: l.newest + 1, Reason: why, UpdatedAt: now}}}, nil
+	return []Record{{Version{Resource: resource, Number: number, Base: base, Digest: digest, Text: text, Plan: plan, Stage: StageAnnounced,
+		Epoch: l.latestEpoch + 1, Reason: reason, UpdatedAt: now}}}, nil
 }
 
 // RollBack proposes to go back to the older version.
-func (l *Controller) RollBack(now int64, t Resource, why string) ([]Record, error) {
-	v := l.lines[t].last()
+func (l *Controller) RollBack(now int64, resource Resource, reason string) ([]Record, error) {
+	v := l.histories[resource].latest()
 	switch {
-	case v == nil || v.Stage.over():
-		return nil, fmt.Errorf("no version of %s is under way", t)
-	case !slices.Contains(before[StageRollingBack], v.Stage) || v.Stage == StageActivating && v.Plan.Exclusive:
-		return nil, fmt.Errorf("version %d of %s is %v: only another version undoes it", v.Number, t, v.Stage)
+	case v == nil || v.Stage.isFinal():
+		return nil, fmt.Errorf("no version of %s is under way", resource)
+	case !slices.Contains(allowedPredecessors[StageRollingBack], v.Stage) || v.Stage == StageActivating && v.Plan.Exclusive:
+		return nil, fmt.Errorf("version %d of %s is %v: only another version undoes it", v.Number, resource, v.Stage)
 	}
-	return []Record{l.next(now, v, StageRollingBack, why, nil)}, nil
+	return []Record{l.nextRecord(now, v, StageRollingBack, reason, nil)}, nil
 }
 
-// next is a version's next step.
-func (l *Controller) next(now int64, v *Version, s Stage, why string, b *Evidence) Record {
-	n := *v
-	n.Stage, n.Epoch, n.UpdatedAt, n.Reason, n.Evidence = s, l.newest+1, now, why, b
-	if s == StageCompleted {
-		n.CompletedAt = now
+// nextRecord is a version's next step.
+func (l *Controller) nextRecord(now int64, v *Version, stage Stage, reason string, evidence *Evidence) Record {
+	next := *v
+	next.Stage, next.Epoch, next.UpdatedAt, next.Reason, next.Evidence = stage, l.latestEpoch+1, now, reason, evidence
+	if stage == StageCompleted {
+		next.CompletedAt = now
 	}
-	return Record{n}
+	return Record{next}
 }
 
 // Apply takes in a record that has been written down. One that does not follow from those before counts for nobody, and is
 // an error.
-func (l *Controller) Apply(k Record) error {
-	v := k.Version
-	n := l.lines[v.Resource]
-	have := StageUnknown
-	if n == nil && v.Number != InitialVersion+1 {
+func (l *Controller) Apply(record Record) error {
+	v := record.Version
+	h := l.histories[v.Resource]
+	current := StageUnknown
+	if h == nil && v.Number != InitialVersion+1 {
 		return fmt.Errorf("version %d of %s does not follow %d", v.Number, v.Resource, InitialVersion)
 	}
-	if n != nil {
-		if last := n.last(); last != nil && last.Number == v.Number {
-			have = last.Stage
-		} else if last != nil && (last.Number+1 != v.Number || !last.Stage.over()) {
-			return fmt.Errorf("version %d of %s does not follow %d, %v", v.Number, v.Resource, last.Number, last.Stage)
+	if h != nil {
+		if latest := h.latest(); latest != nil && latest.Number == v.Number {
+			current = latest.Stage
+		} else if latest != nil && (latest.Number+1 != v.Number || !latest.Stage.isFinal()) {
+			return fmt.Errorf("version %d of %s does not follow %d, %v", v.Number, v.Resource, latest.Number, latest.Stage)
 		}
 	}
-	if !slices.Contains(before[v.Stage], have) || v.Epoch <= l.newest {
-		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Resource, v.Epoch, v.Stage, have,
-			l.newest)
+	if !slices.Contains(allowedPredecessors[v.Stage], current) || v.Epoch <= l.latestEpoch {
+		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Resource, v.Epoch, v.Stage, current,
+			l.latestEpoch)
 	}
-	l.take(v)
+	l.store(v)
 	return nil
 }
 
-func (l *Controller) take(v Version) {
-	n := l.lines[v.Resource]
-	if n == nil {
-		n = &line{acted: InitialVersion}
-		l.lines[v.Resource] = n
+func (l *Controller) store(v Version) {
+	h := l.histories[v.Resource]
+	if h == nil {
+		h = &history{completed: InitialVersion}
+		l.histories[v.Resource] = h
 	}
-	if at := n.find(v.Number); at != nil {
-		*at = v
+	if known := h.find(v.Number); known != nil {
+		*known = v
 	} else {
-		n.versions = append(n.versions, &v)
+		h.versions = append(h.versions, &v)
 	}
 	if v.Stage == StageCompleted {
-		n.acted = v.Number
+		h.completed = v.Number
 	}
-	l.newest = max(l.newest, v.Epoch)
-	if len(n.versions) > mostVersions {
-		n.versions = slices.Delete(n.versions, 0, len(n.versions)-mostVersions)
+	l.latestEpoch = max(l.latestEpoch, v.Epoch)
+	if len(h.versions) > maxVersions {
+		h.versions = slices.Delete(h.versions, 0, len(h.versions)-maxVersions)
 	}
-	for _, old := range n.versions {
-		if old.Number != n.acted && old.Number != v.Number {
+	for _, old := range h.versions {
+		if old.Number != h.completed && old.Number != v.Number {
 			old.Text = ""
 		}
 	}
@@ -348,18 +348,18 @@
 }
 
 // Snapshot gives it for Restore.
-func (l *Controller) Snapshot() (p Snapshot) {
-	for _, t := range l.Resources() {
-		p.Versions = append(p.Versions, l.Versions(t)...)
+func (l *Controller) Snapshot() (snapshot Snapshot) {
+	for _, resource := range l.Resources() {
+		snapshot.Versions = append(snapshot.Versions, l.Versions(resource)...)
 	}
-	p.LatestEpoch = l.newest
-	return p
+	snapshot.LatestEpoch = l.latestEpoch
+	return snapshot
 }
 
 // Restore takes a past over in place of what is known.
-func (l *Controller) Restore(p Snapshot) {
-	l.lines, l.newest = map[Resource]*line{}, p.LatestEpoch
-	for _, v := range p.Versions {
-		l.take(v)
+func (l *Controller) Restore(snapshot Snapshot) {
+	l.histories, l.latestEpoch = map[Resource]*history{}, snapshot.LatestEpoch
+	for _, v := range snapshot.Versions {
+		l.store(v)
 	}
 }
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func (f *fleet) stage() Stage { return f.l.lines["x"].last().Stage }
+func (f *fleet) stage() Stage { return f.l.histories["x"].latest().Stage }
 
 func (f *fleet) propose(digest string, p Plan) {
 	f.must(f.l.Propose(f.now, "x", digest, "text of "+digest, "test", p))
@@ -113,7 +113,7 @@
 	n, may := f.holders[away.Name].Begin(f.now, "x")
 	require.True(t, may && n == 2, "its lease is not over by its own clock here")
 	f.may[away.Name] = true
-	f.holders[away.Name].lease = 0
+	f.holders[away.Name].leaseExpiry = 0
 	due := f.renew(away)
 	_, may = f.holders[away.Name].Begin(f.now, "x")
 	require.False(t, may, "it has missed the change: nothing on the old one, though its lease is new")
@@ -227,12 +227,12 @@
 	}
 	_, err := f.l.Propose(0, "", "d", "t", "", usual)
 	require.Error(t, err)
-	_, err = f.l.Propose(0, "x", "d", strings.Repeat("x", mostText+1), "", usual)
+	_, err = f.l.Propose(0, "x", "d", strings.Repeat("x", maxTextBytes+1), "", usual)
 	require.Error(t, err)
 	_, err = f.l.RollBack(0, "x", "")
 	require.ErrorContains(t, err, "no version of x is under way")
 	f.propose("a", usual)
-	first := Record{*f.l.lines["x"].last()}
+	first := Record{*f.l.histories["x"].latest()}
 	require.Error(t, f.l.Apply(first), "twice")
 	f.rounds()
 	_, err = f.l.RollBack(0, "x", "")
--- a/internal/versions/walk_test.go
+++ b/internal/versions/walk_test.go
@@ -200,7 +200,7 @@
 		return
 	}
 	if w.planted == oldOrders {
-		for _, t := range d.h.things {
+		for _, t := range d.h.resources {
 			t.epoch = 0
 		}
 	}
@@ -252,7 +252,7 @@
 			w.broken = fmt.Sprintf("%v act on version %d, which was over", who, n)
 		}
 	}
-	if v := w.ledger.lines[thing].last(); v != nil && v.Plan.Exclusive && len(acts) > 1 {
+	if v := w.ledger.histories[thing].latest(); v != nil && v.Plan.Exclusive && len(acts) > 1 {
 		w.broken = fmt.Sprintf("act at once on versions that must not overlap: %v", acts)
 	}
 }
@@ -273,7 +273,7 @@
 		versions += len(w.ledger.Versions(thing))
 	}
 	t.Logf("%d versions, stages %v", versions, visits)
-	require.Len(t, visits, len(stageNames)-1, "every stage but that of nothing")
+	require.Len(t, visits, len(stageTexts)-1, "every stage but that of nothing")
 	require.Greater(t, versions, 500)
 }
 
