--- a/internal/versions/fence.go
+++ b/internal/versions/fence.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Fence is what a call-out tells a store, so that the store can turn away what comes under a version that is over: also from a
-// driver whose lease, clock or build is at fault, or whose call-out was held up on its way.
+// Fence is a fencing token that is sent with a call-out to a store, so that the store can reject requests under an
+// obsolete version, also those that were delayed or come from a driver with a faulty lease, clock or build.
 type Fence struct {
 	Version Number
-	Epoch   Epoch    // of the order that the driver follows
+	Epoch   Epoch    // of the assignment that the driver follows
 	Valid   []Number // versions that some driver may act on at that epoch
 }
 
-// valid are the versions that some driver may act on at a version's stage.
+// valid returns the versions that some driver may act on at the version's stage.
 func (v *Version) valid() []Number {
 	switch v.Stage {
 	case StageAnnounced, StageStopping, StageRolledBack:
@@ -24,7 +24,7 @@
 	return []Number{v.Base, v.Number}
 }
 
-// Fence is what a call-out under a version of a thing tells a store.
+// Fence returns the fencing token for call-outs under a version of a resource.
 func (d *DriverState) Fence(resource Resource, number Number) Fence {
 	s := d.resources[resource]
 	if s == nil {
@@ -33,8 +33,8 @@
 	return Fence{Version: number, Epoch: s.epoch, Valid: s.valid}
 }
 
-// MarkFenced takes in that a store has turned a version of a thing away at a time: the driver acts on nothing until it has asked
-// the council again. It tells whether it did act on it.
+// MarkFenced records that a store rejected a version: the driver stops acting on it until a grant that it requests
+// later. It reports whether the version was active.
 func (d *DriverState) MarkFenced(now int64, resource Resource, number Number) bool {
 	s := d.resources[resource]
 	if s == nil || s.active != number || number == 0 {
@@ -44,22 +44,23 @@
 	return true
 }
 
-// FenceChecker is a store's side of one thing: the newest epoch that any driver's call-out told, and what is valid there.
+// FenceChecker is a store's side for one resource: the latest epoch in any driver's fencing token, and the versions
+// valid in that epoch.
 //
-//	what is told                                       what it does
-//	no version                                         takes it: its driver stands in no fleet
-//	a newer epoch than is known                        takes over what is valid there, then as below
-//	a version that is valid at the newest epoch known  takes it
-//	another version                                    turns it away; it never runs
+//	fencing token                        action
+//	no version                           accept: the driver belongs to no fleet
+//	a newer epoch than known             adopt its epoch and valid versions, then as below
+//	a version valid in the known epoch   accept
+//	another version                      reject before execution
 //
-// A store learns of a version's end with the first call-out of any driver that was told: until then it takes older ones. So it
-// never turns away what its fleet holds valid, and is a second lock beside leases, not one in place of them.
+// A store learns of a new epoch only from call-outs, so it may accept obsolete versions until then, but never rejects
+// valid ones. It adds to leases and does not replace them.
 type FenceChecker struct {
 	Epoch Epoch
 	Valid []Number
 }
 
-// Accept takes in what a call-out tells, and tells whether it may run.
+// Accept updates the checker from a fencing token and reports whether the call-out may run.
 func (c *FenceChecker) Accept(fence Fence) bool {
 	if fence.Version == 0 {
 		return true
--- a/internal/versions/holder.go
+++ b/internal/versions/holder.go
@@ -5,34 +5,36 @@
 	"slices"
 )
 
-// DriverState is a driver's side: what it holds, what it acts on, and what it has in flight. Times are its own clock's.
+// DriverState is the driver's side: the versions that it stores, acts on and has requests in flight under. Times are
+// by the driver's clock.
 type DriverState struct {
-	leaseExpiry int64 // it may act until then
+	leaseExpiry int64
 	resources   map[Resource]*resourceState
 	observed    map[Resource]Report
 }
 
+// resourceState is the state of one resource at a driver.
 type resourceState struct {
 	epoch    Epoch
-	target   Number // it is told to act on this
-	allowed  Number // and may on this until it does
-	active   Number // and does on this
+	target   Number // assigned version
+	allowed  Number // may be acted on until target is active
+	active   Number // acted on, 0 for none
 	stored   Number
 	texts    map[Number]string
-	valid    []Number // that some driver may act on
+	valid    []Number // versions that some driver may act on
 	stats    []RPCStats
 	inFlight map[Number]int
 	failure  string
-	fencedAt int64 // since when it acts on nothing, since a store turned it away; 0 for not
+	fencedAt int64 // when a store rejected the active version; 0 if none did
 }
 
-// NewDriverState makes the holder of a driver that has just started: it acts on nothing.
+// NewDriverState returns the state of a driver that has just started; without a lease it acts on nothing.
 func NewDriverState() *DriverState {
 	return &DriverState{resources: map[Resource]*resourceState{}, observed: map[Resource]Report{}}
 }
 
-// resource gives what is held of a thing. With its first lease a driver was told of all that have versions; on any other it acts
-// as it started.
+// resource returns the state of a resource. A driver's first lease comes with assignments for all resources that have
+// versions, so any other resource is at its initial version.
 func (d *DriverState) resource(resource Resource) *resourceState {
 	s := d.resources[resource]
 	if s == nil {
@@ -42,23 +44,23 @@
 	return s
 }
 
-// Grant is what a driver is given: a lease from when it asked, and orders.
+// Grant answers a driver's request: a lease that runs from the time of the request, and assignments.
 type Grant struct {
-	Lease       int64        `json:"lease_ns"`           // 0 for none: what it would have to be told first has its turn later
-	RetryAfter  int64        `json:"again_ns,omitempty"` // it should ask again after so long
+	Lease       int64        `json:"lease_ns"`           // 0 for none, while the assignments it would need are paced
+	RetryAfter  int64        `json:"again_ns,omitempty"` // when to ask again
 	Assignments []Assignment `json:"orders,omitempty"`
 }
 
-// Adoption is a version that a driver is to act on from now on, without a text for what it started with. Whoever drives the
-// holder does what it takes, and then calls Adopted, or Fails.
+// Adoption is a version that a driver should activate; Text is empty for the initial version. The caller activates it
+// and then calls MarkAdopted or MarkFailed.
 type Adoption struct {
 	Resource Resource
 	Number   Number
 	Text     string
 }
 
-// ApplyGrant takes in what was granted to what was asked at a time, and tells what is to be adopted. What it is told to stop
-// acting on it stops acting on at once. Older orders than it knows change nothing.
+// ApplyGrant applies the grant for a request and returns the versions to activate. The driver stops acting at once on
+// versions that are not allowed any more. Assignments older than the known epoch are ignored.
 func (d *DriverState) ApplyGrant(requestedAt int64, grant Grant) (adoptions []Adoption) {
 	if grant.Lease > 0 {
 		d.leaseExpiry = max(d.leaseExpiry, requestedAt+grant.Lease)
@@ -70,7 +72,7 @@
 		}
 		s.apply(assignment)
 		if s.active != s.target && s.active != s.allowed {
-			s.active = 0 // it has missed that the version was closed, or must not overlap with the next
+			s.active = 0 // a rollout completed without this driver, or is exclusive
 		}
 		if adoption, isPending := s.pendingAdoption(assignment.Resource); isPending {
 			adoptions = append(adoptions, adoption)
@@ -82,13 +84,14 @@
 	return adoptions
 }
 
-// pendingAdoption is what a thing's version is that it is told to act on and does not, if it can.
+// pendingAdoption returns the assigned version if its text is stored and it is not active.
 func (s *resourceState) pendingAdoption(resource Resource) (adoption Adoption, isPending bool) {
 	text, isStored := s.texts[s.target]
 	return Adoption{resource, s.target, text}, (isStored || s.target == InitialVersion) && s.active != s.target
 }
 
-// liftFences are versions that stores turned away before a time: what the council has told since then is what counts.
+// liftFences returns the versions to activate again: those that a store rejected before a grant was requested. The
+// assignment is then newer than the rejection.
 func (d *DriverState) liftFences(requestedAt int64) (adoptions []Adoption) {
 	for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
 		s := d.resources[resource]
@@ -103,7 +106,7 @@
 	return adoptions
 }
 
-// apply takes an order in.
+// apply replaces the assignment, and keeps only the texts that it needs.
 func (s *resourceState) apply(assignment Assignment) {
 	if assignment.Epoch > s.epoch {
 		s.failure, s.fencedAt = "", 0
@@ -116,28 +119,28 @@
 	if assignment.ActiveText != "" {
 		s.texts[assignment.Active] = assignment.ActiveText
 	}
-	if _, have := s.texts[assignment.Stored]; have {
+	if _, isStored := s.texts[assignment.Stored]; isStored {
 		s.stored = assignment.Stored
 	}
 	maps.DeleteFunc(s.texts, func(n Number, _ string) bool { return n != assignment.Stored && n != assignment.Active })
 }
 
-// MarkAdopted says that the driver acts on a version from now on, if it is still told to.
+// MarkAdopted records that the driver has activated a version, if it is still the assigned one.
 func (d *DriverState) MarkAdopted(adoption Adoption) {
 	if s := d.resources[adoption.Resource]; s != nil && s.target == adoption.Number {
 		s.active, s.failure = adoption.Number, ""
 	}
 }
 
-// MarkFailed says that the driver can't act on a version.
+// MarkFailed records that the driver can't activate a version.
 func (d *DriverState) MarkFailed(adoption Adoption, reason string) {
 	if s := d.resources[adoption.Resource]; s != nil && s.target == adoption.Number {
 		s.failure = reason
 	}
 }
 
-// Begin tells on which version of a thing something that begins now acts, and whether anything may: not once the lease is
-// over. What has begun must be ended.
+// Begin starts a request under the active version of a resource, and returns that version. It returns false if there is
+// none or the lease has expired. Each request that was begun must be ended by End.
 func (d *DriverState) Begin(now int64, resource Resource) (Number, bool) {
 	s := d.resource(resource)
 	if s.active == 0 || now >= d.leaseExpiry {
@@ -147,13 +150,13 @@
 	return s.active, true
 }
 
-// MayContinue tells whether what has begun under a version may do something more now.
+// MayContinue reports whether a request that began under a version may make another attempt.
 func (d *DriverState) MayContinue(now int64, resource Resource, number Number) bool {
 	s := d.resources[resource]
 	return s != nil && now < d.leaseExpiry && s.inFlight[number] > 0 && (number == s.target || number == s.allowed)
 }
 
-// End says that something that has begun is over.
+// End records the end of a request that began under a version.
 func (d *DriverState) End(resource Resource, number Number) {
 	s := d.resources[resource]
 	if s == nil || s.inFlight[number] == 0 {
@@ -164,10 +167,10 @@
 	}
 }
 
-// LeaseExpiry is until when the driver may act.
+// LeaseExpiry returns the time until which the driver may act.
 func (d *DriverState) LeaseExpiry() int64 { return d.leaseExpiry }
 
-// Reports are what the council is told: of what it decides first.
+// Reports returns the reports to the council, those of resources that it decides first.
 func (d *DriverState) Reports() (all []Report) {
 	for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
 		s := d.resources[resource]
--- a/internal/versions/observed.go
+++ b/internal/versions/observed.go
@@ -6,70 +6,68 @@
 	"slices"
 )
 
-// Things that drivers act on by themselves: the council decides nothing of them, and is told what each driver has.
+// Resources that the council does not decide; drivers only report their versions of these.
 const (
-	DiscoveryList Resource = "list"    // discovery's, by its generation
-	Build         Resource = "program" // the feature level, with the build
-	OperatorFile  Resource = "file"    // what all should have alike in their operator's files and has no versions
+	DiscoveryList Resource = "list"    // of members, numbered by discovery's generation
+	Build         Resource = "program" // numbered by feature level; the digest is the build
+	OperatorFile  Resource = "file"    // settings that should be the same at all drivers and have no versions
 )
 
-// Observe takes in what the driver acts on of a thing that the council does not decide.
+// Observe sets the driver's version of a resource that the council does not decide.
 func (d *DriverState) Observe(resource Resource, number Number, digest string) {
 	d.observed[resource] = Report{Resource: resource, Stored: number, Active: number, Digest: digest}
 }
 
-// VersionHolders is the drivers that act on one and the same of a thing.
+// VersionHolders are the drivers that act on the same version and digest.
 type VersionHolders struct {
 	Number    Number     `json:"number"`
 	Digest    string     `json:"digest"`
 	Instances []Instance `json:"who"`
 }
 
-// Distribution is what drivers act on of a thing that the council does not decide.
+// Distribution shows which drivers act on which versions of a resource that the council does not decide.
 type Distribution struct {
 	Resource    Resource         `json:"thing"`
-	Holders     []VersionHolders `json:"groups"` // the newest first
-	HasConflict bool             `json:"forked"` // two that call themselves the same differ
-	Lagging     []LaggingDriver  `json:"behind"` // those that do not act on the newest, the latest first
+	Holders     []VersionHolders `json:"groups"` // latest version first
+	HasConflict bool             `json:"forked"` // the same number has two digests
+	Lagging     []LaggingDriver  `json:"behind"` // drivers that do not act on the latest version, longest first
 }
 
-// LaggingDriver is a driver that is behind.
+// LaggingDriver is a driver that does not act on the latest version.
 type LaggingDriver struct {
 	Instance
 	Number   Number `json:"number"`
-	Duration int64  `json:"for_ns"` // since it came nearer last, or something newer was there first
+	Duration int64  `json:"for_ns"` // nanoseconds since its version last changed, or since it was first seen to lag
 }
 
-// versionKey is what sets one group apart from another.
 type versionKey struct {
 	number Number
 	digest string
 }
 
-// lagKey is a driver's part of a thing.
 type lagKey struct {
 	resource Resource
 	instance Instance
 }
 
-// lag is since when a driver has been behind at a number.
+// lag is the version of a lagging driver and when that was first seen.
 type lag struct {
 	number Number
 	since  int64
 }
 
-// Distributions tells what drivers that may act act on of each thing that the council does not decide. It is to be called now and
-// then by whoever acts for the council, who finds out anew since when what is so.
-func (l *Controller) Distributions(now int64, drivers []DriverStatus) (all []Distribution) {
+// Distributions returns a Distribution for each resource that the council does not decide, of the drivers that may act.
+// The leader calls it periodically; lag is measured between calls.
+func (c *Controller) Distributions(now int64, drivers []DriverStatus) (all []Distribution) {
 	holders := map[Resource]map[versionKey][]Instance{}
 	for _, d := range drivers {
-		latest := l.reportsOf(d.Instance)
+		latest := c.reportsOf(d.Instance)
 		if !d.MayAct || latest == nil {
 			continue
 		}
 		for _, resource := range slices.Sorted(maps.Keys(latest.reports)) {
 			report := latest.reports[resource]
-			if report.Digest == "" || l.histories[resource] != nil {
+			if report.Digest == "" || c.histories[resource] != nil {
 				continue
 			}
 			if holders[resource] == nil {
@@ -81,37 +79,37 @@
 	}
 	lags := map[lagKey]lag{}
 	for _, resource := range slices.Sorted(maps.Keys(holders)) {
-		all = append(all, l.distribution(now, resource, holders[resource], lags))
+		all = append(all, c.distribution(now, resource, holders[resource], lags))
 	}
-	l.lags = lags
+	c.lags = lags
 	return all
 }
 
-// distribution sums one thing up, and keeps since when who is behind.
-func (l *Controller) distribution(now int64, resource Resource, holders map[versionKey][]Instance, lags map[lagKey]lag) Distribution {
-	s := Distribution{Resource: resource}
+// distribution sums up one resource, and adds its lagging drivers to lags.
+func (c *Controller) distribution(now int64, resource Resource, holders map[versionKey][]Instance, lags map[lagKey]lag) Distribution {
+	d := Distribution{Resource: resource}
 	for key, instances := range holders {
-		s.Holders = append(s.Holders, VersionHolders{key.number, key.digest, instances})
+		d.Holders = append(d.Holders, VersionHolders{key.number, key.digest, instances})
 	}
-	slices.SortFunc(s.Holders, func(a, b VersionHolders) int {
+	slices.SortFunc(d.Holders, func(a, b VersionHolders) int {
 		return cmp.Or(cmp.Compare(b.Number, a.Number), cmp.Compare(a.Digest, b.Digest))
 	})
-	newest := s.Holders[0].Number
-	for i, holder := range s.Holders {
-		s.HasConflict = s.HasConflict || i > 0 && s.Holders[i-1].Number == holder.Number
+	newest := d.Holders[0].Number
+	for i, holder := range d.Holders {
+		d.HasConflict = d.HasConflict || i > 0 && d.Holders[i-1].Number == holder.Number
 		if holder.Number == newest {
 			continue
 		}
-		for _, instances := range holder.Instances {
-			key := lagKey{resource, instances}
-			previous, isKnown := l.lags[key]
+		for _, instance := range holder.Instances {
+			key := lagKey{resource, instance}
+			previous, isKnown := c.lags[key]
 			if !isKnown || previous.number != holder.Number {
 				previous = lag{holder.Number, now}
 			}
 			lags[key] = previous
-			s.Lagging = append(s.Lagging, LaggingDriver{instances, holder.Number, now - previous.since})
+			d.Lagging = append(d.Lagging, LaggingDriver{instance, holder.Number, now - previous.since})
 		}
 	}
-	slices.SortStableFunc(s.Lagging, func(a, b LaggingDriver) int { return cmp.Compare(b.Duration, a.Duration) })
-	return s
+	slices.SortStableFunc(d.Lagging, func(a, b LaggingDriver) int { return cmp.Compare(b.Duration, a.Duration) })
+	return d
 }
--- a/internal/versions/pacer.go
+++ b/internal/versions/pacer.go
@@ -1,20 +1,20 @@
 package versions
 
-// Pacer spreads texts over time, so that many drivers that come back at once don't drown whoever tells them. Each is given
-// a turn and asks again then. Times are nanoseconds.
+// Pacer limits the rate at which texts are sent, so that many drivers that reconnect at once don't overload the leader.
+// A driver that has to wait gets a reservation and asks again at that time. Times are in nanoseconds.
 type Pacer struct {
-	rate         float64 // bytes a nanosecond
-	burst        int64   // turns so near are now
-	nextFree     int64   // from when on the next turn may be
+	rate         float64 // bytes per nanosecond
+	burst        int64   // a reservation this near is granted now
+	nextFree     int64   // earliest time of the next reservation
 	reservations map[Instance]int64
 }
 
-// NewPacer lets so many bytes a second be told, and those be told at once that are due within a burst.
+// NewPacer returns a pacer with a rate and a burst in nanoseconds: reservations due within the burst are granted at once.
 func NewPacer(bytesPerSecond float64, burst int64) *Pacer {
 	return &Pacer{rate: bytesPerSecond / 1e9, burst: burst, reservations: map[Instance]int64{}}
 }
 
-// Reserve tells whether a driver may be told so many bytes now, or after how long it should ask again.
+// Reserve returns 0 if an instance may be sent this number of bytes now, or else how long to wait before asking again.
 func (p *Pacer) Reserve(now int64, instance Instance, bytes int) (wait int64) {
 	at, isReserved := p.reservations[instance]
 	if !isReserved || at < now-p.expiry() {
@@ -29,10 +29,10 @@
 	return 0
 }
 
-// expiry is how long after its turn a driver may still come.
+// expiry is how long a reservation is kept after its time.
 func (p *Pacer) expiry() int64 { return 10 * p.burst }
 
-// RemoveExpired forgets turns that nobody came for.
+// RemoveExpired removes reservations that were not used.
 func (p *Pacer) RemoveExpired(now int64) {
 	for instance, at := range p.reservations {
 		if at < now-p.expiry() {
--- a/internal/versions/steps.go
+++ b/internal/versions/steps.go
@@ -10,45 +10,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RecordReports takes in what a driver's start says of all things.
-func (l *Controller) RecordReports(instance Instance, reports []Report) {
+// RecordReports replaces the reports of a driver by those of one of its instances.
+func (c *Controller) RecordReports(instance Instance, reports []Report) {
 	latest := &instanceReports{start: instance.Start, reports: make(map[Resource]Report, len(reports))}
 	for _, report := range reports {
 		latest.reports[report.Resource] = report
 	}
-	l.reports[instance.Name] = latest
+	c.reports[instance.Name] = latest
 }
 
-// reportsOf is what a driver's start said last, nil for nothing.
-func (l *Controller) reportsOf(instance Instance) *instanceReports {
-	if latest := l.reports[instance.Name]; latest != nil && latest.start == instance.Start {
+// reportsOf returns the last reports of an instance, or nil.
+func (c *Controller) reportsOf(instance Instance) *instanceReports {
+	if latest := c.reports[instance.Name]; latest != nil && latest.start == instance.Start {
 		return latest
 	}
 	return nil
 }
 
-// Assignments are what a driver is told, of the things of which it does not follow the newest order; what it said stands in
-// Say. A driver that is new is told of all.
-func (l *Controller) Assignments(instance Instance) (assignments []Assignment) {
-	reported := l.reportsOf(instance)
-	for _, resource := range l.Resources() {
-		stored := l.histories[resource]
-		v := stored.latest()
+// Assignments returns the assignments that an instance does not follow yet, according to its last reports. An instance
+// without reports gets those of all resources.
+func (c *Controller) Assignments(instance Instance) (assignments []Assignment) {
+	reported := c.reportsOf(instance)
+	for _, resource := range c.Resources() {
+		h := c.histories[resource]
+		v := h.latest()
 		report := Report{}
 		if reported != nil {
 			report = reported.reports[resource]
 		}
-		if report.Epoch == v.Epoch && report.Stored >= l.versionToStore(stored) {
+		if report.Epoch == v.Epoch && report.Stored >= c.versionToStore(h) {
 			continue
 		}
-		assignment := Assignment{Resource: resource, Epoch: v.Epoch, Active: l.activeVersion(stored, instance), Allowed: v.allowed(), Valid: v.valid(), Stored: l.versionToStore(stored)}
-		if stored := stored.find(assignment.Stored); stored != nil {
+		assignment := Assignment{Resource: resource, Epoch: v.Epoch, Active: c.activeVersion(h, instance), Allowed: v.allowed(),
+			Valid: v.valid(), Stored: c.versionToStore(h)}
+		if stored := h.find(assignment.Stored); stored != nil {
 			assignment.Digest = stored.Digest
 			if report.Stored != assignment.Stored {
 				assignment.Text = stored.Text
 			}
 		}
-		if active := stored.find(assignment.Active); active != nil && assignment.Active != assignment.Stored && report.Active != assignment.Active {
+		if active := h.find(assignment.Active); active != nil && assignment.Active != assignment.Stored &&
+			report.Active != assignment.Active {
 			assignment.ActiveText = active.Text
 		}
 		assignments = append(assignments, assignment)
@@ -56,7 +58,7 @@
 	return assignments
 }
 
-// allowed is the version that a driver may still act on that does not act yet on what it is told to.
+// allowed returns the version that a driver may act on until it has activated the assigned one, or 0.
 func (v *Version) allowed() Number {
 	switch {
 	case v.Plan.Exclusive || v.Stage.isFinal():
@@ -67,8 +69,8 @@
 	return v.Base
 }
 
-// versionToStore is the version whose text all are to have.
-func (l *Controller) versionToStore(h *history) Number {
+// versionToStore returns the version whose text all drivers should have.
+func (c *Controller) versionToStore(h *history) Number {
 	v := h.latest()
 	if v.Stage == StageRollingBack || v.Stage == StageRolledBack {
 		return v.Base
@@ -76,8 +78,8 @@
 	return v.Number
 }
 
-// activeVersion is the version that a driver is to act on.
-func (l *Controller) activeVersion(h *history, instance Instance) Number {
+// activeVersion returns the version that an instance should act on, 0 for none.
+func (c *Controller) activeVersion(h *history, instance Instance) Number {
 	switch v := h.latest(); v.Stage {
 	case StageAnnounced, StageRollingBack, StageRolledBack:
 		return v.Base
@@ -93,34 +95,35 @@
 	}
 }
 
-// Step proposes the next step of a version that is ready for one, or nothing. Whoever drives it calls again until nothing
-// is proposed.
-func (l *Controller) Step(now int64, drivers []DriverStatus) []Record {
-	for _, resource := range l.Resources() {
-		v := l.histories[resource].latest()
+// Step returns the record of the next transition that is due, or nil. The caller applies it and calls Step again until
+// it returns nil.
+func (c *Controller) Step(now int64, drivers []DriverStatus) []Record {
+	for _, resource := range c.Resources() {
+		v := c.histories[resource].latest()
 		if v.Stage.isFinal() {
 			continue
 		}
-		if next, ready := l.stepVersion(now, v, drivers); ready {
+		if next, isReady := c.stepVersion(now, v, drivers); isReady {
 			return []Record{next}
 		}
 	}
 	return nil
 }
 
-// stepVersion is the step that a version is ready for: the table at Stage.
-func (l *Controller) stepVersion(now int64, v *Version, drivers []DriverStatus) (Record, bool) {
-	if l.stageStarts[v.Resource].epoch != v.Epoch {
-		l.stageStarts[v.Resource] = stageStart{epoch: v.Epoch, at: now}
+// stepVersion returns the transition that is due for a version, by the table at Stage.
+func (c *Controller) stepVersion(now int64, v *Version, drivers []DriverStatus) (Record, bool) {
+	if c.stageStarts[v.Resource].epoch != v.Epoch {
+		c.stageStarts[v.Resource] = stageStart{epoch: v.Epoch, startedAt: now}
 	}
 	if v.Stage == StageCanary {
-		return l.stepCanaryTrial(now, v, drivers)
+		return c.stepCanaryTrial(now, v, drivers)
 	}
-	evidence, isReady := l.allFinishedStage(v, drivers)
+	evidence, isReady := c.allFinishedStage(v, drivers)
 	if !isReady {
 		return Record{}, false
 	}
-	nextStage := map[Stage]Stage{StageAnnounced: StageActivating, StageStopping: StageActivating, StageActivating: StageDraining, StageDraining: StageCompleted, StageRollingBack: StageRolledBack}[v.Stage]
+	nextStage := map[Stage]Stage{StageAnnounced: StageActivating, StageStopping: StageActivating, StageActivating: StageDraining,
+		StageDraining: StageCompleted, StageRollingBack: StageRolledBack}[v.Stage]
 	chosen := chooseCanaries(v, drivers)
 	switch {
 	case v.Stage == StageAnnounced && v.Plan.Exclusive:
@@ -128,30 +131,31 @@
 	case v.Stage == StageAnnounced && len(chosen) > 0:
 		nextStage = StageCanary
 	}
-	next := l.nextRecord(now, v, nextStage, v.Reason, &evidence)
+	next := c.nextRecord(now, v, nextStage, v.Reason, &evidence)
 	if nextStage == StageCanary {
 		next.Version.Canaries = chosen
 	}
 	return next, true
 }
 
-// stepCanaryTrial sees how canaries fare.
-func (l *Controller) stepCanaryTrial(now int64, v *Version, drivers []DriverStatus) (Record, bool) {
+// stepCanaryTrial rolls a version back if its canary trial has failed, and activates it once the trial has passed.
+func (c *Controller) stepCanaryTrial(now int64, v *Version, drivers []DriverStatus) (Record, bool) {
 	active := 0
 	for _, canary := range v.Canaries {
-		at := slices.IndexFunc(drivers, func(p DriverStatus) bool { return p.Instance == canary })
-		if at < 0 || !drivers[at].MayAct {
-			return l.nextRecord(now, v, StageRollingBack, fmt.Sprintf("canary %s, start %d, has failed: its lease ran out or it started anew", canary.Name,
-				canary.Start), nil), true
+		i := slices.IndexFunc(drivers, func(d DriverStatus) bool { return d.Instance == canary })
+		if i < 0 || !drivers[i].MayAct {
+			return c.nextRecord(now, v, StageRollingBack, fmt.Sprintf(
+				"canary %s, start %d, has failed: its lease ran out or it started anew", canary.Name, canary.Start), nil), true
 		}
-		if drivers[at].IsUnreachable {
-			return l.nextRecord(now, v, StageRollingBack, fmt.Sprintf("canary %s, start %d, has failed: most of its fellows do not hear it", canary.Name, canary.Start),
-				nil), true
+		if drivers[i].IsUnreachable {
+			return c.nextRecord(now, v, StageRollingBack, fmt.Sprintf(
+				"canary %s, start %d, has failed: most of its fellows do not hear it", canary.Name, canary.Start), nil), true
 		}
-		report, isReported := l.currentReport(v, canary)
+		report, isReported := c.currentReport(v, canary)
 		switch {
 		case isReported && report.Failure != "":
-			return l.nextRecord(now, v, StageRollingBack, fmt.Sprintf("canary %s can't act on it: %s", canary.Name, report.Failure), nil), true
+			return c.nextRecord(now, v, StageRollingBack,
+				fmt.Sprintf("canary %s can't act on it: %s", canary.Name, report.Failure), nil), true
 		case isReported && report.Active == v.Number:
 			active++
 		}
@@ -159,30 +163,31 @@
 	if active < len(v.Canaries) {
 		return Record{}, false
 	}
-	started := l.stageStarts[v.Resource]
+	started := c.stageStarts[v.Resource]
 	if started.trial == nil {
 		started.trial = &trial{startedAt: now, check: 1, baselines: map[Instance]RPCStats{}}
 		for _, d := range drivers {
-			if report, isReported := l.currentReport(v, d.Instance); isReported {
+			if report, isReported := c.currentReport(v, d.Instance); isReported {
 				started.trial.baselines[d.Instance] = statsOf(report.Stats, v.Base)
 			}
 		}
-		l.stageStarts[v.Resource] = started
+		c.stageStarts[v.Resource] = started
 	}
-	isOver, problem, result := l.evaluateTrial(now, v, started.trial, drivers)
+	isOver, problem, result := c.evaluateTrial(now, v, started.trial, drivers)
 	switch {
 	case problem != "":
-		return l.nextRecord(now, v, StageRollingBack, problem, nil), true
+		return c.nextRecord(now, v, StageRollingBack, problem, nil), true
 	case !isOver:
 		return Record{}, false
 	}
-	next := l.nextRecord(now, v, StageActivating, v.Reason, nil)
+	next := c.nextRecord(now, v, StageActivating, v.Reason, nil)
 	next.Version.TrialResult = result
 	return next, true
 }
 
-// chooseCanaries are the drivers that try a version first: a choice of its own for each version, the same whoever makes it. Those
-// that vote come last: a version that ends its canaries must not end the council, which would have to call it off.
+// chooseCanaries returns the canaries of a version: a pseudo-random choice that depends only on the version and the
+// drivers. Voters are chosen last, as a version that crashes its canaries must not cost the council its quorum, which
+// is needed for the rollback.
 func chooseCanaries(v *Version, drivers []DriverStatus) (chosen []Instance) {
 	if v.Plan.CanaryFraction <= 0 {
 		return nil
@@ -203,9 +208,9 @@
 	return chosen
 }
 
-// currentReport is what a driver's start said of a version's thing since its last step.
-func (l *Controller) currentReport(v *Version, instance Instance) (Report, bool) {
-	latest := l.reportsOf(instance)
+// currentReport returns what an instance reported about a version's resource since the last transition.
+func (c *Controller) currentReport(v *Version, instance Instance) (Report, bool) {
+	latest := c.reportsOf(instance)
 	if latest == nil {
 		return Report{}, false
 	}
@@ -213,9 +218,9 @@
 	return report, isReported && report.Epoch == v.Epoch
 }
 
-// hasFinishedStage tells whether a driver has done its part of a version's stage.
-func (l *Controller) hasFinishedStage(v *Version, instance Instance) bool {
-	report, isReported := l.currentReport(v, instance)
+// hasFinishedStage reports whether an instance has reported that it finished the version's current stage.
+func (c *Controller) hasFinishedStage(v *Version, instance Instance) bool {
+	report, isReported := c.currentReport(v, instance)
 	if !isReported {
 		return false
 	}
@@ -237,15 +242,15 @@
 	return false
 }
 
-// allFinishedStage tells whether each driver that may act has done its part, and on whom that rests. One whose lease has run out acts on
-// nothing until it has asked again, and then on what is told by then.
-func (l *Controller) allFinishedStage(v *Version, drivers []DriverStatus) (evidence Evidence, isReady bool) {
+// allFinishedStage reports whether all drivers that may act have finished the stage. A driver whose lease has expired
+// need not be waited for: it acts on nothing until it renews its lease, which comes with the current assignment.
+func (c *Controller) allFinishedStage(v *Version, drivers []DriverStatus) (evidence Evidence, isReady bool) {
 	isReady = true
 	for _, d := range drivers {
 		switch {
 		case !d.MayAct:
 			evidence.Expired = append(evidence.Expired, d.Instance)
-		case l.hasFinishedStage(v, d.Instance):
+		case c.hasFinishedStage(v, d.Instance):
 			evidence.Confirmed = append(evidence.Confirmed, d.Instance)
 		default:
 			isReady = false
@@ -254,29 +259,29 @@
 	return evidence, isReady
 }
 
-// StalledVersion is a version that some hold back.
+// StalledVersion is a rollout that waits for some drivers.
 type StalledVersion struct {
 	Resource  Resource   `json:"Thing"`
 	Number    Number     `json:"Number"`
 	Stage     Stage      `json:"Stage"`
-	Duration  int64      `json:"For"`  // nanoseconds since the stage began or this ledger took over
-	IsOverdue bool       `json:"Over"` // longer than the plan allows
+	Duration  int64      `json:"For"`  // nanoseconds since the stage began or this controller started leading
+	IsOverdue bool       `json:"Over"` // the timeout of the stage has passed
 	Instances []Instance `json:"Who"`
 }
 
-// StalledVersions tells which drivers hold a version back.
-func (l *Controller) StalledVersions(now int64, drivers []DriverStatus) (all []StalledVersion) {
-	for _, resource := range l.Resources() {
-		v := l.histories[resource].latest()
-		started := l.stageStarts[resource]
+// StalledVersions returns the rollouts that wait for drivers, and which drivers those are.
+func (c *Controller) StalledVersions(now int64, drivers []DriverStatus) (all []StalledVersion) {
+	for _, resource := range c.Resources() {
+		v := c.histories[resource].latest()
+		started := c.stageStarts[resource]
 		if v.Stage.isFinal() || started.epoch != v.Epoch || v.Stage == StageCanary {
 			continue
 		}
-		stalled := StalledVersion{Resource: resource, Number: v.Number, Stage: v.Stage, Duration: now - started.at}
+		stalled := StalledVersion{Resource: resource, Number: v.Number, Stage: v.Stage, Duration: now - started.startedAt}
 		timeout := map[Stage]int64{StageAnnounced: v.Plan.AnnounceTimeout, StageDraining: v.Plan.DrainTimeout}[v.Stage]
 		stalled.IsOverdue = stalled.Duration > cmp.Or(timeout, v.Plan.AdoptTimeout)
 		for _, d := range drivers {
-			if d.MayAct && !l.hasFinishedStage(v, d.Instance) {
+			if d.MayAct && !c.hasFinishedStage(v, d.Instance) {
 				stalled.Instances = append(stalled.Instances, d.Instance)
 			}
 		}
@@ -287,9 +292,9 @@
 	return all
 }
 
-// Reports is what a driver's start said last.
-func (l *Controller) Reports(instance Instance) (all []Report) {
-	latest := l.reportsOf(instance)
+// Reports returns the last reports of an instance, sorted by resource.
+func (c *Controller) Reports(instance Instance) (all []Report) {
+	latest := c.reportsOf(instance)
 	if latest == nil {
 		return nil
 	}
--- a/internal/versions/trial.go
+++ b/internal/versions/trial.go
@@ -10,17 +10,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// RPCStats is how RPCs under a version have fared at a driver since its start.
+// RPCStats sums up the RPCs of a driver under one version since the driver started.
 type RPCStats struct {
 	Number       Number  `json:"number"`
 	RPCs         uint64  `json:"rpcs"`
-	Failed       uint64  `json:"bad"`    // of those, pushed back or aborted
-	Served       uint64  `json:"served"` // of those
-	LogSum       float64 `json:"log"`    // sum of the logarithms of the times of those served, nanoseconds
-	LogSquareSum float64 `json:"squares"`
+	Failed       uint64  `json:"bad"` // pushed back or aborted
+	Served       uint64  `json:"served"`
+	LogSum       float64 `json:"log"`     // sum of ln(nanoseconds) of the served RPCs
+	LogSquareSum float64 `json:"squares"` // sum of ln(nanoseconds) squared
 }
 
-// RecordOutcome notes how an RPC under a version of a thing has ended for its client.
+// RecordOutcome counts an RPC under a version of a resource by how it ended for its client.
 func (d *DriverState) RecordOutcome(resource Resource, number Number, isServed, isFailed bool, duration int64) {
 	state := d.resources[resource]
 	if state == nil || number == 0 {
@@ -35,26 +35,29 @@
 	switch {
 	case isServed:
 		logDuration := math.Log(float64(max(duration, 1)))
-		stats.Served, stats.LogSum, stats.LogSquareSum = stats.Served+1, stats.LogSum+logDuration, stats.LogSquareSum+logDuration*logDuration
+		stats.Served, stats.LogSum, stats.LogSquareSum = stats.Served+1, stats.LogSum+logDuration,
+			stats.LogSquareSum+logDuration*logDuration
 	case isFailed:
 		stats.Failed++
 	}
 }
 
-// maxStats is how many versions' fares a driver keeps: what is acted on, what was, and what is tried.
+// maxStats is the number of versions whose statistics a driver keeps: the current, the previous and the new one.
 const maxStats = 3
 
+// trimStats keeps the statistics of the latest versions.
 func (s *resourceState) trimStats() {
 	slices.SortFunc(s.stats, func(a, b RPCStats) int { return cmp.Compare(b.Number, a.Number) })
 	s.stats = s.stats[:min(len(s.stats), maxStats)]
 }
 
-// sub is what came after an earlier look at the same version.
+// sub returns the increase since an earlier state of the same statistics.
 func (s RPCStats) sub(baseline RPCStats) RPCStats {
-	return RPCStats{s.Number, s.RPCs - baseline.RPCs, s.Failed - baseline.Failed, s.Served - baseline.Served, s.LogSum - baseline.LogSum, s.LogSquareSum - baseline.LogSquareSum}
+	return RPCStats{s.Number, s.RPCs - baseline.RPCs, s.Failed - baseline.Failed, s.Served - baseline.Served,
+		s.LogSum - baseline.LogSum, s.LogSquareSum - baseline.LogSquareSum}
 }
 
-// statsOf is a version's fare among those of a driver.
+// statsOf returns the statistics of a version, which are zero if there are none.
 func statsOf(all []RPCStats, number Number) RPCStats {
 	if i := slices.IndexFunc(all, func(s RPCStats) bool { return s.Number == number }); i >= 0 {
 		return all[i]
@@ -62,62 +65,61 @@
 	return RPCStats{Number: number}
 }
 
-// Trials are looked at so many times; the chance of a false alarm is divided among the looks and the two measures.
+// The false alarm rate is divided by the number of tests (Bonferroni): one for each check and measure.
 const (
-	trialChecks  = 4
+	trialChecks  = 4 // in the course of a trial
 	measureCount = 2
 )
 
-// fewest RPCs at a driver say something of it; and so many other drivers must be there to tell what is usual.
+// Least data for a comparison.
 const (
-	minRPCs   = 20
-	minOthers = 3
+	minRPCs   = 20 // of a driver
+	minOthers = 3  // drivers that are not canaries, to estimate how much drivers differ
 )
 
-// comparison is one driver's fares before a trial and in it.
+// comparison holds the statistics of one driver before and during a trial.
 type comparison struct{ baseline, during RPCStats }
 
-// measure is one way to say how RPCs fare: a value, and its variance by chance. Both are logarithms, of odds and of times: what
-// drivers differ in is a factor, and a few that have many bad ends do not hide what is usual.
+// measure estimates one property of RPCs with its sampling variance. Values are logarithms (of failure odds, of
+// latencies), as drivers differ by factors.
 type measure struct {
-	estimate func(f RPCStats) (value, variance float64, known bool)
-	describe func(by float64) string
+	estimate func(s RPCStats) (value, variance float64, isKnown bool)
+	describe func(increase float64) string
 }
 
 var measures = [measureCount]measure{
-	{func(f RPCStats) (float64, float64, bool) {
-		bad, other := float64(f.Failed)+0.5, float64(f.RPCs-f.Failed)+0.5 // who has seen none knows little, not that there are none
-		return math.Log(bad / other), 1/bad + 1/other, f.RPCs >= minRPCs
-	}, func(by float64) string {
-		return fmt.Sprintf("%.3g times as many RPCs end badly for each that does not", math.Exp(by))
+	{func(s RPCStats) (float64, float64, bool) {
+		failed, succeeded := float64(s.Failed)+0.5, float64(s.RPCs-s.Failed)+0.5 // +0.5: no failures in a small sample do not mean odds of 0
+		return math.Log(failed / succeeded), 1/failed + 1/succeeded, s.RPCs >= minRPCs
+	}, func(increase float64) string {
+		return fmt.Sprintf("%.3g times as many RPCs end badly for each that does not", math.Exp(increase))
 	}},
-	{func(f RPCStats) (float64, float64, bool) {
-		n := float64(f.Served)
-		mean := f.LogSum / max(n, 1)
-		return mean, max(f.LogSquareSum/max(n, 1)-mean*mean, 1e-9) / max(n, 1), f.Served >= minRPCs
-	}, func(by float64) string { return fmt.Sprintf("RPCs take %.2f times as long", math.Exp(by)) }},
+	{func(s RPCStats) (float64, float64, bool) {
+		n := float64(s.Served)
+		mean := s.LogSum / max(n, 1)
+		return mean, max(s.LogSquareSum/max(n, 1)-mean*mean, 1e-9) / max(n, 1), s.Served >= minRPCs
+	}, func(increase float64) string { return fmt.Sprintf("RPCs take %.2f times as long", math.Exp(increase)) }},
 }
 
-// change is how much worse a driver fares than before, by one measure, with the variance of that by chance.
-func (m *measure) change(c comparison, withBefore bool) (increase, variance float64, isKnown bool) {
+// change returns the value of a driver during the trial, less its baseline if withBaseline, and the sampling variance.
+func (m *measure) change(c comparison, withBaseline bool) (increase, variance float64, isKnown bool) {
 	increase, variance, isKnown = m.estimate(c.during)
-	if !isKnown || !withBefore {
+	if !isKnown || !withBaseline {
 		return increase, variance, isKnown
 	}
 	baseline, baselineVariance, isKnown := m.estimate(c.baseline)
 	return increase - baseline, variance + baselineVariance, isKnown
 }
 
-// CompareCanaries is the test: whether the RPCs of those that try something fare worse than those of the others, each driver compared with
-// itself before the trial where all were there long enough. What drivers differ in anyhow is learned from the others, so that
-// a canary that happens to be at a busy place is not taken for a bad version; and what is worse by less than is borne passes, for
-// RPCs of one driver that come one after another tell less than as many that are independent. It gives what is worse at the
-// chance of a false alarm, empty for nothing, and whether there was enough to judge by.
+// CompareCanaries tests whether the RPCs of canaries fail more often or take longer than those of the other drivers,
+// by more than the tolerated ratio. If all drivers have a baseline, each is compared with its own. Natural differences
+// between drivers are estimated from the others, so that a canary under high load does not fail the test. The finding
+// is empty if nothing is significantly worse; isConclusive is false if there was too little data.
 func CompareCanaries(canaries, others []comparison, toleratedRatio, falseAlarmRate float64) (finding string, isConclusive bool) {
 	for i := range measures {
 		m := &measures[i]
-		withBefore := allHaveBaseline(m, canaries) && allHaveBaseline(m, others)
-		increase, probability, isKnown := m.compare(canaries, others, math.Log(toleratedRatio), withBefore)
+		withBaseline := allHaveBaseline(m, canaries) && allHaveBaseline(m, others)
+		increase, probability, isKnown := m.compare(canaries, others, math.Log(toleratedRatio), withBaseline)
 		if !isKnown {
 			continue
 		}
@@ -129,24 +131,24 @@
 	return finding, isConclusive
 }
 
-// allHaveBaseline tells whether every driver was there before.
+// allHaveBaseline reports whether every driver has enough data from before the trial.
 func allHaveBaseline(m *measure, drivers []comparison) bool {
 	return !slices.ContainsFunc(drivers, func(c comparison) bool { _, _, isKnown := m.estimate(c.baseline); return !isKnown })
 }
 
-// compare gives by how much canaries are worse than the others, and how likely that is if they are worse by no more than is
-// borne.
-func (m *measure) compare(canaries, others []comparison, tolerated float64, withBefore bool) (increase, probability float64, isKnown bool) {
-	canaryChanges, canaryVariances := m.changes(canaries, withBefore)
-	otherChanges, otherVariances := m.changes(others, withBefore)
+// compare returns by how much canaries are worse than the others, and the probability of at least that difference if
+// the true one is the tolerated one.
+func (m *measure) compare(canaries, others []comparison, tolerated float64, withBaseline bool) (increase, probability float64, isKnown bool) {
+	canaryChanges, canaryVariances := m.changes(canaries, withBaseline)
+	otherChanges, otherVariances := m.changes(others, withBaseline)
 	if len(canaryChanges) == 0 || len(otherChanges) < minOthers {
 		return 0, 1, false
 	}
 	canaryCount, otherCount := float64(len(canaryChanges)), float64(len(otherChanges))
 	mean, totalVariance := stat.MeanVariance(otherChanges, nil)
 	increase = stat.Mean(canaryChanges, nil) - mean
-	// The variance by chance alone is known; by what drivers differ beside that is learned from few, which costs certainty
-	// (Welch and Satterthwaite's degrees of freedom).
+	// The sampling variance is known, while the variance between drivers is estimated from few of them, which lowers the
+	// degrees of freedom (Welch-Satterthwaite equation).
 	samplingVariance := stat.Mean(canaryVariances, nil)/canaryCount + stat.Mean(otherVariances, nil)/otherCount
 	driverVariance := max(0, totalVariance-stat.Mean(otherVariances, nil)) * (1/canaryCount + 1/otherCount)
 	variance := max(samplingVariance+driverVariance, 1e-12)
@@ -155,34 +157,35 @@
 	return increase, distribution.Survival((increase - tolerated) / math.Sqrt(variance)), true
 }
 
-// maxDegreesOfFreedom is where Student's distribution is as good as the normal one.
+// maxDegreesOfFreedom is where Student's t-distribution is practically the normal distribution.
 const maxDegreesOfFreedom = 1000
 
-func (m *measure) changes(drivers []comparison, withBefore bool) (increases, variances []float64) {
+// changes returns the changes and sampling variances of the drivers that have enough data.
+func (m *measure) changes(drivers []comparison, withBaseline bool) (increases, variances []float64) {
 	for _, c := range drivers {
-		if increase, variance, isKnown := m.change(c, withBefore); isKnown {
+		if increase, variance, isKnown := m.change(c, withBaseline); isKnown {
 			increases, variances = append(increases, increase), append(variances, variance)
 		}
 	}
 	return increases, variances
 }
 
-// trial is what whoever acts for the council keeps of one.
+// trial is the leader's state of a canary trial.
 type trial struct {
-	startedAt int64 // all canaries act since
-	check     int   // that is next, from 1
+	startedAt int64 // when all canaries had activated the version
+	check     int   // number of the next check, from 1
 	baselines map[Instance]RPCStats
 }
 
-// comparisons pairs what drivers said when the trial began with what they say now.
-func (l *Controller) comparisons(v *Version, tr *trial, drivers []DriverStatus) (canaries, others []comparison) {
+// comparisons pairs the baselines of drivers with their current statistics.
+func (c *Controller) comparisons(v *Version, tr *trial, drivers []DriverStatus) (canaries, others []comparison) {
 	for _, d := range drivers {
-		report, isReported := l.currentReport(v, d.Instance)
+		report, isReported := c.currentReport(v, d.Instance)
 		baseline, hasBaseline := tr.baselines[d.Instance]
 		if !isReported || !d.MayAct {
 			continue
 		}
-		if !hasBaseline { // it is compared from here on
+		if !hasBaseline { // its baseline begins here
 			tr.baselines[d.Instance] = statsOf(report.Stats, v.Base)
 			continue
 		}
@@ -195,13 +198,15 @@
 	return canaries, others
 }
 
-// evaluateTrial looks at a trial whose canaries all act, and tells whether it is over and what speaks against the version.
-func (l *Controller) evaluateTrial(now int64, v *Version, tr *trial, drivers []DriverStatus) (isOver bool, problem, result string) {
+// evaluateTrial runs the next check of a trial if it is due. It returns whether the trial is over, with the problem if
+// the version failed or the result if it passed.
+func (c *Controller) evaluateTrial(now int64, v *Version, tr *trial, drivers []DriverStatus) (isOver bool, problem, result string) {
 	if now-tr.startedAt < v.Plan.TrialTime*int64(tr.check)/trialChecks {
 		return false, "", ""
 	}
-	canaries, others := l.comparisons(v, tr, drivers)
-	finding, isConclusive := CompareCanaries(canaries, others, cmp.Or(v.Plan.ToleratedRatio, defaultToleratedRatio), cmp.Or(v.Plan.FalseAlarmRate, defaultFalseAlarmRate))
+	canaries, others := c.comparisons(v, tr, drivers)
+	finding, isConclusive := CompareCanaries(canaries, others, cmp.Or(v.Plan.ToleratedRatio, defaultToleratedRatio),
+		cmp.Or(v.Plan.FalseAlarmRate, defaultFalseAlarmRate))
 	if finding != "" {
 		return true, "at its canaries " + finding, ""
 	}
@@ -214,7 +219,7 @@
 	return true, "", fmt.Sprintf("its canaries fare no worse: %d canaries, %d others", len(canaries), len(others))
 }
 
-// What a plan that does not say means: the chance of withdrawing a sound version, and how many times as bad is borne.
+// Defaults for plans that leave these at 0.
 const (
 	defaultFalseAlarmRate = 0.01
 	defaultToleratedRatio = 1.25
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -1,6 +1,7 @@
-// Package versions decides how each thing that drivers act on passes from one version to the next, and from which moment on
-// provably no driver acts on an older one. It does no I/O, reads no clock and starts no goroutine. Ledger is the council's
-// side; what must outlast its holder is a Record, written down before it counts. Holder is a driver's side.
+// Package versions rolls out versions of resources to drivers and determines when no driver can act on an older
+// version any more. Controller is the council's side: its state changes only through Records, which the council
+// replicates before they are applied. DriverState is the driver's side. The package does no I/O, reads no clock and
+// starts no goroutines.
 package versions
 
 import (
@@ -8,37 +9,37 @@
 	"slices"
 )
 
-// Resource is what has versions: a part of the operator's file, a book, limits, a program.
+// Resource names something versioned that drivers act on: a part of the operator's file, a rulebook, limits, a build.
 type Resource string
 
-// Number is a version's within its thing, by the council's order. 0 is none.
+// Number is the number of a version within its resource, in the order of the council's records. 0 means no version.
 type Number uint64
 
-// InitialVersion is what each driver acts on that was told of no version: what it started with.
+// InitialVersion is what a driver starts with and acts on until it is assigned a version.
 const InitialVersion Number = 1
 
-// Epoch numbers the records of all things. A driver never follows an older one than it knows.
+// Epoch numbers the records of all resources. A driver ignores assignments older than the epoch it knows.
 type Epoch uint64
 
-// Stage is how far a version has come.
+// Stage is the stage of a version's rollout.
 //
-//	from         what has been seen                                        to           drivers then act on
-//	nothing      it is proposed, and none of its thing is under way        Told         the older
-//	Told         all hold it; it is tried first                            Trying       canaries the new, others the older
-//	Told, Trying all hold it (its canaries have acted on it for Trial)     Opening      the new
-//	Told         all hold it; two must not overlap                         Stopping     nothing
-//	Stopping     nobody acts on anything, nothing is in flight             Opening      the new
-//	Opening      all act on it                                             Closing      the new
-//	Closing      nothing is in flight under another                        Closed       the new
-//	Trying       a canary's lease has run out, most of its fellows do not hear it, it started anew, is ill, or RPCs fare worse
-//	             there than at the others (Worse)
-//	                                                                       Withdrawing  the older
-//	Told, Stopping, Trying, and Opening where two may overlap
-//	             it is called off                                          Withdrawing  the older
-//	Withdrawing  all act on the older, nothing is in flight under it       Withdrawn    the older
+//	from               condition                                           to           drivers then act on
+//	(none)             proposed, no other rollout of the resource          Announced    the base version
+//	Announced          all store it; the plan has canaries                 Canary       canaries the new, others the base
+//	Announced, Canary  all store it (and the canary trial has passed)      Activating   the new version
+//	Announced          all store it; the plan is exclusive                 Stopping     nothing
+//	Stopping           no driver acts, nothing is in flight                Activating   the new version
+//	Activating         all act on it                                       Draining     the new version
+//	Draining           nothing is in flight under another version          Completed    the new version
+//	Canary             a canary's lease expired, or it restarted, is       RollingBack  the base version
+//	                   unreachable to most peers, reports a failure or
+//	                   does worse than the others (CompareCanaries)
+//	Announced, Canary, Stopping; Activating unless exclusive
+//	                   an operator rolls it back                           RollingBack  the base version
+//	RollingBack        all act on the base, nothing is in flight under new RolledBack   the base version
 //
-// "All" means: each driver that may act has said so of this very step, and all others' leases have provably run out.
-// Without a quorum no step is recorded; drivers go on as told until their leases are over, and then act on nothing.
+// "All" means that each driver that may act has reported so in the current epoch and the leases of all others have
+// expired. Without a quorum no transition is recorded; drivers act as assigned until their leases expire.
 type Stage int
 
 const (
@@ -55,14 +56,14 @@
 
 var stageTexts = [...]string{"unknown", "told", "trying", "stopping", "opening", "closing", "closed", "withdrawing", "withdrawn"}
 
-func (stage Stage) String() string {
-	if stage < 0 || int(stage) >= len(stageTexts) {
-		return fmt.Sprintf("stage %d", int(stage))
+func (s Stage) String() string {
+	if s < 0 || int(s) >= len(stageTexts) {
+		return fmt.Sprintf("stage %d", int(s))
 	}
-	return stageTexts[stage]
+	return stageTexts[s]
 }
 
-// allowedPredecessors lists, for each stage, those that it may follow.
+// allowedPredecessors lists the stages that each stage may follow.
 var allowedPredecessors = map[Stage][]Stage{
 	StageAnnounced:   {StageUnknown},
 	StageCanary:      {StageAnnounced},
@@ -74,138 +75,140 @@
 	StageRolledBack:  {StageRollingBack},
 }
 
-// isFinal tells whether nothing more happens to a version.
+// isFinal reports whether a version in this stage changes no more.
 func (s Stage) isFinal() bool { return s == StageCompleted || s == StageRolledBack }
 
-// Plan is how a version is to come. Times are nanoseconds.
+// Plan describes how a version is rolled out. Times are in nanoseconds.
 type Plan struct {
-	Exclusive       bool    `json:"exclusive,omitempty"` // no two drivers may act on different versions at one time
-	CanaryFraction  float64 `json:"canaries,omitempty"`  // the part of the drivers that tries it first, 0 for none
-	TrialTime       int64   `json:"trial,omitempty"`     // for so long
-	FalseAlarmRate  float64 `json:"alarm,omitempty"`     // the chance of withdrawing a sound version for how its canaries fare; 0 for 0.01
-	ToleratedRatio  float64 `json:"bears,omitempty"`     // so many times as bad at its canaries is borne; 0 for 1.25
-	AnnounceTimeout int64   `json:"tell"`                // in which all must hold it
-	AdoptTimeout    int64   `json:"adopt"`               // in which all must act on it, or on nothing, or on the older again
-	DrainTimeout    int64   `json:"close"`               // in which what is in flight must have ended
+	Exclusive       bool    `json:"exclusive,omitempty"` // no two drivers may act on different versions at the same time
+	CanaryFraction  float64 `json:"canaries,omitempty"`  // fraction of the drivers that are canaries; 0 for none
+	TrialTime       int64   `json:"trial,omitempty"`     // duration of the canary trial
+	FalseAlarmRate  float64 `json:"alarm,omitempty"`     // probability of rolling back a good version after its canary trial; 0 for the default
+	ToleratedRatio  float64 `json:"bears,omitempty"`     // how many times worse canaries may do; 0 for the default
+	AnnounceTimeout int64   `json:"tell"`                // for all drivers to store the version
+	AdoptTimeout    int64   `json:"adopt"`               // for all drivers to activate it, to stop, or to return to the base
+	DrainTimeout    int64   `json:"close"`               // for requests in flight under other versions to end
 }
 
-// Version is one version of a thing.
+// Version is one version of a resource with the state of its rollout.
 type Version struct {
 	Resource    Resource   `json:"thing"`
 	Number      Number     `json:"number"`
-	Base        Number     `json:"base"` // the one that is acted on until it opens
+	Base        Number     `json:"base"` // the version that drivers act on before activation
 	Digest      string     `json:"digest"`
-	Text        string     `json:"text,omitempty"` // none once it can't be needed any more
+	Text        string     `json:"text,omitempty"` // removed once no driver can need it
 	Plan        Plan       `json:"plan"`
 	Stage       Stage      `json:"stage"`
 	Epoch       Epoch      `json:"epoch"` // of the last record
 	Reason      string     `json:"why,omitempty"`
-	UpdatedAt   int64      `json:"when"`             // of the last record, by its proposer's clock, for people
-	Evidence    *Evidence  `json:"basis,omitempty"`  // of the last record
-	CompletedAt int64      `json:"closes,omitempty"` // when it was closed, as When
-	Canaries    []Instance `json:"tried,omitempty"`  // its canaries with their starts
-	TrialResult string     `json:"judged,omitempty"` // how they fared
+	UpdatedAt   int64      `json:"when"`             // Unix nanoseconds of the last record, by its proposer's clock; informational
+	Evidence    *Evidence  `json:"basis,omitempty"`  // for the last record
+	CompletedAt int64      `json:"closes,omitempty"` // when it was completed, as UpdatedAt
+	Canaries    []Instance `json:"tried,omitempty"`
+	TrialResult string     `json:"judged,omitempty"` // of the canaries
 }
 
-// Instance is a driver's start.
+// Instance identifies one run of a driver by its name and start number.
 type Instance struct {
 	Name  string `json:"name"`
 	Start uint64 `json:"start"`
 }
 
-// Evidence is what a step rests on.
+// Evidence lists the drivers that a transition relied on.
 type Evidence struct {
-	Confirmed []Instance `json:"said"`   // drivers that said so
-	Expired   []Instance `json:"waited"` // those whose leases had run out
+	Confirmed []Instance `json:"said"`   // reported that they finished the stage
+	Expired   []Instance `json:"waited"` // had no valid lease
 }
 
-// Record is what the council agrees on: a version as it is from here on.
+// Record is an entry of the council's replication log: the new state of a version.
 type Record struct {
 	Version Version `json:"version"`
 }
 
-// Report is what a driver says of one thing.
+// Report is what a driver reports about one resource.
 type Report struct {
 	Resource Resource   `json:"thing"`
-	Epoch    Epoch      `json:"epoch"` // of the order that it follows
-	Stored   Number     `json:"holds"` // the newest whose text it has
+	Epoch    Epoch      `json:"epoch"` // of the assignment that it follows
+	Stored   Number     `json:"holds"` // latest version whose text it has
 	Active   Number     `json:"acts"`  // 0 for nothing
 	InFlight []Number   `json:"flight,omitempty"`
-	Failure  string     `json:"ill,omitempty"` // why it can't act on what it was told to
+	Failure  string     `json:"ill,omitempty"` // why it can't activate the assigned version
 	Stats    []RPCStats `json:"fares,omitempty"`
-	Digest   string     `json:"digest,omitempty"` // of what it acts on, of things that the council does not decide
+	Digest   string     `json:"digest,omitempty"` // of the active version, for resources that the council does not decide
 }
 
-// Assignment is what a driver is told of one thing.
+// Assignment tells a driver which version of one resource to act on and which text to store.
 type Assignment struct {
 	Resource   Resource `json:"thing"`
 	Epoch      Epoch    `json:"epoch"`
-	Active     Number   `json:"act"`              // on this, 0 for nothing
-	Allowed    Number   `json:"keep,omitempty"`   // what acts on this may until it acts on that; 0 for nothing may
-	Valid      []Number `json:"valid,omitempty"`  // that some driver may act on
-	Stored     Number   `json:"hold"`             // have the text of this one ready
-	Text       string   `json:"text,omitempty"`   // of Hold, if the driver does not say that it has it
-	ActiveText string   `json:"before,omitempty"` // text of Act, likewise
-	Digest     string   `json:"digest,omitempty"` // of Hold
+	Active     Number   `json:"act"`              // version to act on; 0 for none
+	Allowed    Number   `json:"keep,omitempty"`   // version that a driver may act on until it activates Active; 0 for none
+	Valid      []Number `json:"valid,omitempty"`  // versions that some driver may act on
+	Stored     Number   `json:"hold"`             // version whose text to store
+	Text       string   `json:"text,omitempty"`   // of Stored, unless the driver reported that it has it
+	ActiveText string   `json:"before,omitempty"` // of Active, likewise
+	Digest     string   `json:"digest,omitempty"` // of Stored
 }
 
-// DriverStatus is a driver as the roster knows it.
+// DriverStatus is the state of a driver according to the roster.
 type DriverStatus struct {
 	Instance
-	MayAct        bool // it may act, as far as is known
-	IsVoter       bool // in the council
-	IsUnreachable bool // most of its fellows do not hear it
+	MayAct        bool // its lease may still be valid
+	IsVoter       bool // of the council
+	IsUnreachable bool // most of its peers do not hear it
 }
 
-// Controller is all things with their versions.
+// Controller holds the versions of all resources and decides their next transitions.
 type Controller struct {
 	histories   map[Resource]*history
 	latestEpoch Epoch
 
-	// What only whoever acts for the council knows, and a successor finds out anew.
+	// Known only to the leader; a new leader collects it again.
 	reports     map[string]*instanceReports
 	stageStarts map[Resource]stageStart
 	lags        map[lagKey]lag
 }
 
+// history is the versions of one resource, oldest first.
 type history struct {
-	completed Number // the newest that was closed
+	completed Number // latest completed version
 	versions  []*Version
 }
 
-// instanceReports is what a driver said last.
+// instanceReports is the last set of reports of a driver.
 type instanceReports struct {
 	start   uint64
 	reports map[Resource]Report
 }
 
-// stageStart is when something began, by the own clock.
+// stageStart is when the current stage of a resource began, by the leader's clock.
 type stageStart struct {
-	epoch Epoch
-	at    int64
-	trial *trial // nil until all canaries act
+	epoch     Epoch
+	startedAt int64
+	trial     *trial // nil until all canaries act on the version
 }
 
-// mostVersions is how many of a thing are remembered, and mostText how long one may be.
 const (
-	maxVersions  = 64
+	maxVersions  = 64 // kept for each resource
 	maxTextBytes = 1 << 20
 )
 
-// NewController makes an empty ledger.
+// NewController returns a controller without versions.
 func NewController() *Controller {
-	return &Controller{histories: map[Resource]*history{}, reports: map[string]*instanceReports{}, stageStarts: map[Resource]stageStart{}}
+	return &Controller{histories: map[Resource]*history{}, reports: map[string]*instanceReports{},
+		stageStarts: map[Resource]stageStart{}}
 }
 
-// StartLeading says that this ledger begins to be acted by: what drivers told another has to be heard again.
-func (l *Controller) StartLeading() {
-	l.reports, l.stageStarts, l.lags = map[string]*instanceReports{}, map[Resource]stageStart{}, nil
+// StartLeading is called when this process becomes the leader. It discards reports and stage times: drivers have to
+// report to the new leader before it may rely on them.
+func (c *Controller) StartLeading() {
+	c.reports, c.stageStarts, c.lags = map[string]*instanceReports{}, map[Resource]stageStart{}, nil
 }
 
-// LatestEpoch is the epoch of the last record.
-func (l *Controller) LatestEpoch() Epoch { return l.latestEpoch }
+// LatestEpoch returns the epoch of the last record.
+func (c *Controller) LatestEpoch() Epoch { return c.latestEpoch }
 
-// latest is a thing's newest version, nil for none.
+// latest returns the latest version, or nil.
 func (h *history) latest() *Version {
 	if h == nil || len(h.versions) == 0 {
 		return nil
@@ -222,19 +225,19 @@
 	return nil
 }
 
-// Resources are those that have versions, in order.
-func (l *Controller) Resources() []Resource {
-	things := make([]Resource, 0, len(l.histories))
-	for t := range l.histories {
-		things = append(things, t)
+// Resources returns the resources that have versions, sorted by name.
+func (c *Controller) Resources() []Resource {
+	resources := make([]Resource, 0, len(c.histories))
+	for resource := range c.histories {
+		resources = append(resources, resource)
 	}
-	slices.Sort(things)
-	return things
+	slices.Sort(resources)
+	return resources
 }
 
-// Versions are those remembered of a thing, the oldest first.
-func (l *Controller) Versions(resource Resource) (all []Version) {
-	if h := l.histories[resource]; h != nil {
+// Versions returns the versions kept of a resource, oldest first.
+func (c *Controller) Versions(resource Resource) (all []Version) {
+	if h := c.histories[resource]; h != nil {
 		for _, v := range h.versions {
 			all = append(all, *v)
 		}
@@ -242,61 +245,61 @@
 	return all
 }
 
-// Propose proposes a new version of a thing.
-func (l *Controller) Propose(now int64, resource Resource, digest, text, reason string, plan Plan) ([]Record, error) {
-	latest, number, base := l.histories[resource].latest(), InitialVersion+1, InitialVersion
+// Propose returns the record that announces a new version of a resource.
+func (c *Controller) Propose(now int64, resource Resource, digest, text, reason string, plan Plan) ([]Record, error) {
+	latest, number, base := c.histories[resource].latest(), InitialVersion+1, InitialVersion
 	switch {
 	case resource == "" || digest == "" || text == "":
-		return nil, fmt.Errorf("a version needs a thing, a digest and a text")
+		return nil, fmt.Errorf("a version needs a resource name, a digest and a text")
 	case len(text) > maxTextBytes:
-		return nil, fmt.Errorf("%d bytes are more than %d", len(text), maxTextBytes)
+		return nil, fmt.Errorf("text of %d bytes exceeds the limit of %d bytes", len(text), maxTextBytes)
 	case plan.AnnounceTimeout <= 0 || plan.AdoptTimeout <= 0 || plan.DrainTimeout <= 0 || plan.TrialTime < 0:
-		return nil, fmt.Errorf("a plan needs a time for each of its steps")
+		return nil, fmt.Errorf("a plan needs a timeout for each of its stages")
 	case !(plan.FalseAlarmRate >= 0 && plan.FalseAlarmRate < 1):
-		return nil, fmt.Errorf("%v is no chance of a false alarm", plan.FalseAlarmRate)
+		return nil, fmt.Errorf("false alarm rate %v is not in [0, 1)", plan.FalseAlarmRate)
 	case plan.ToleratedRatio != 0 && !(plan.ToleratedRatio >= 1):
-		return nil, fmt.Errorf("%v times as bad is no worse", plan.ToleratedRatio)
+		return nil, fmt.Errorf("tolerated ratio %v is less than 1", plan.ToleratedRatio)
 	case plan.Exclusive && plan.CanaryFraction > 0:
-		return nil, fmt.Errorf("what must not overlap can't be tried by some first")
+		return nil, fmt.Errorf("an exclusive rollout can't have canaries")
 	case !(plan.CanaryFraction >= 0 && plan.CanaryFraction <= 1):
-		return nil, fmt.Errorf("a part of %v can't try it", plan.CanaryFraction)
+		return nil, fmt.Errorf("canary fraction %v is not in [0, 1]", plan.CanaryFraction)
 	case latest != nil && !latest.Stage.isFinal():
 		return nil, fmt.Errorf("version %d of %s is under way: %v since epoch %d", latest.Number, resource, latest.Stage, latest.Epoch)
 	}
 	if latest != nil {
-		number, base = latest.Number+1, l.histories[resource].completed
+		number, base = latest.Number+1, c.histories[resource].completed
 	}
-	return []Record{{Version{Resource: resource, Number: number, Base: base, Digest: digest, Text: text, Plan: plan, Stage: StageAnnounced,
-		Epoch: l.latestEpoch + 1, Reason: reason, UpdatedAt: now}}}, nil
+	return []Record{{Version{Resource: resource, Number: number, Base: base, Digest: digest, Text: text, Plan: plan,
+		Stage: StageAnnounced, Epoch: c.latestEpoch + 1, Reason: reason, UpdatedAt: now}}}, nil
 }
 
-// RollBack proposes to go back to the older version.
-func (l *Controller) RollBack(now int64, resource Resource, reason string) ([]Record, error) {
-	v := l.histories[resource].latest()
+// RollBack returns the record that starts to roll back the current rollout of a resource.
+func (c *Controller) RollBack(now int64, resource Resource, reason string) ([]Record, error) {
+	v := c.histories[resource].latest()
 	switch {
 	case v == nil || v.Stage.isFinal():
 		return nil, fmt.Errorf("no version of %s is under way", resource)
 	case !slices.Contains(allowedPredecessors[StageRollingBack], v.Stage) || v.Stage == StageActivating && v.Plan.Exclusive:
-		return nil, fmt.Errorf("version %d of %s is %v: only another version undoes it", v.Number, resource, v.Stage)
+		return nil, fmt.Errorf("version %d of %s is %v and can't be rolled back: propose a new version instead", v.Number, resource, v.Stage)
 	}
-	return []Record{l.nextRecord(now, v, StageRollingBack, reason, nil)}, nil
+	return []Record{c.nextRecord(now, v, StageRollingBack, reason, nil)}, nil
 }
 
-// nextRecord is a version's next step.
-func (l *Controller) nextRecord(now int64, v *Version, stage Stage, reason string, evidence *Evidence) Record {
+// nextRecord returns the record that moves a version to a stage.
+func (c *Controller) nextRecord(now int64, v *Version, stage Stage, reason string, evidence *Evidence) Record {
 	next := *v
-	next.Stage, next.Epoch, next.UpdatedAt, next.Reason, next.Evidence = stage, l.latestEpoch+1, now, reason, evidence
+	next.Stage, next.Epoch, next.UpdatedAt, next.Reason, next.Evidence = stage, c.latestEpoch+1, now, reason, evidence
 	if stage == StageCompleted {
 		next.CompletedAt = now
 	}
 	return Record{next}
 }
 
-// Apply takes in a record that has been written down. One that does not follow from those before counts for nobody, and is
-// an error.
-func (l *Controller) Apply(record Record) error {
+// Apply applies a record that the council has committed. A record that does not follow from those before it changes
+// nothing and is an error.
+func (c *Controller) Apply(record Record) error {
 	v := record.Version
-	h := l.histories[v.Resource]
+	h := c.histories[v.Resource]
 	current := StageUnknown
 	if h == nil && v.Number != InitialVersion+1 {
 		return fmt.Errorf("version %d of %s does not follow %d", v.Number, v.Resource, InitialVersion)
@@ -308,19 +311,20 @@
 			return fmt.Errorf("version %d of %s does not follow %d, %v", v.Number, v.Resource, latest.Number, latest.Stage)
 		}
 	}
-	if !slices.Contains(allowedPredecessors[v.Stage], current) || v.Epoch <= l.latestEpoch {
-		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Resource, v.Epoch, v.Stage, current,
-			l.latestEpoch)
+	if !slices.Contains(allowedPredecessors[v.Stage], current) || v.Epoch <= c.latestEpoch {
+		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Resource, v.Epoch,
+			v.Stage, current, c.latestEpoch)
 	}
-	l.store(v)
+	c.store(v)
 	return nil
 }
 
-func (l *Controller) store(v Version) {
-	h := l.histories[v.Resource]
+// store adds or replaces a version, and removes the texts that no driver can need any more.
+func (c *Controller) store(v Version) {
+	h := c.histories[v.Resource]
 	if h == nil {
 		h = &history{completed: InitialVersion}
-		l.histories[v.Resource] = h
+		c.histories[v.Resource] = h
 	}
 	if known := h.find(v.Number); known != nil {
 		*known = v
@@ -330,7 +334,7 @@
 	if v.Stage == StageCompleted {
 		h.completed = v.Number
 	}
-	l.latestEpoch = max(l.latestEpoch, v.Epoch)
+	c.latestEpoch = max(c.latestEpoch, v.Epoch)
 	if len(h.versions) > maxVersions {
 		h.versions = slices.Delete(h.versions, 0, len(h.versions)-maxVersions)
 	}
@@ -341,25 +345,25 @@
 	}
 }
 
-// Snapshot is all that records have said, in short.
+// Snapshot is the state that all applied records led to.
 type Snapshot struct {
 	Versions    []Version `json:"versions"`
 	LatestEpoch Epoch     `json:"newest"`
 }
 
-// Snapshot gives it for Restore.
-func (l *Controller) Snapshot() (snapshot Snapshot) {
-	for _, resource := range l.Resources() {
-		snapshot.Versions = append(snapshot.Versions, l.Versions(resource)...)
+// Snapshot returns the state for Restore.
+func (c *Controller) Snapshot() (snapshot Snapshot) {
+	for _, resource := range c.Resources() {
+		snapshot.Versions = append(snapshot.Versions, c.Versions(resource)...)
 	}
-	snapshot.LatestEpoch = l.latestEpoch
+	snapshot.LatestEpoch = c.latestEpoch
 	return snapshot
 }
 
-// Restore takes a past over in place of what is known.
-func (l *Controller) Restore(snapshot Snapshot) {
-	l.histories, l.latestEpoch = map[Resource]*history{}, snapshot.LatestEpoch
+// Restore replaces the state by that of a snapshot.
+func (c *Controller) Restore(snapshot Snapshot) {
+	c.histories, c.latestEpoch = map[Resource]*history{}, snapshot.LatestEpoch
 	for _, v := range snapshot.Versions {
-		l.store(v)
+		c.store(v)
 	}
 }
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -220,8 +220,8 @@
 // Guards against plans that can't be, and records that do not follow.
 func TestWhatIsRefused(t *testing.T) {
 	f := newFleet(t, 1)
-	for says, p := range map[string]Plan{"a plan needs a time": {}, "can't be tried by some first": {Exclusive: true, CanaryFraction: 1, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1},
-		"a part of 2 can't try it": {CanaryFraction: 2, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1}} {
+	for says, p := range map[string]Plan{"a plan needs a timeout": {}, "an exclusive rollout can't have canaries": {Exclusive: true, CanaryFraction: 1, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1},
+		"canary fraction 2 is not in [0, 1]": {CanaryFraction: 2, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1}} {
 		_, err := f.l.Propose(0, "x", "d", "t", "", p)
 		require.ErrorContains(t, err, says)
 	}
