--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -22,7 +22,7 @@
 	Idempotent                  // something that does no harm twice
 	Deduplicated                // something that its store does once for a token
 	NonIdempotent               // something that must not be done twice
-	effects
+	effectCount
 )
 
 // Outcome is how an RPC ended for its client.
@@ -33,7 +33,7 @@
 	PushedBack
 	Aborted
 	ClientLeft // the client had gone
-	outcomes
+	outcomeCount
 )
 
 var (
@@ -45,12 +45,12 @@
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Counts counts RPCs by effect and outcome.
-type Counts [effects][outcomes]uint64
+type Counts [effectCount][outcomeCount]uint64
 
 // Total is all of them.
 func (t *Counts) Total() (n uint64) {
-	for _, by := range t {
-		for _, count := range by {
+	for _, byOutcome := range t {
+		for _, count := range byOutcome {
 			n += count
 		}
 	}
@@ -58,18 +58,18 @@
 }
 
 // ByOutcome is how many ended in one way.
-func (t *Counts) ByOutcome(o Outcome) (n uint64) {
-	for _, by := range t {
-		n += by[o]
+func (t *Counts) ByOutcome(outcome Outcome) (n uint64) {
+	for _, byOutcome := range t {
+		n += byOutcome[outcome]
 	}
 	return n
 }
 
 // add adds another.
-func (t *Counts) add(more *Counts) {
-	for e := range t {
-		for o := range t[e] {
-			t[e][o] += more[e][o]
+func (t *Counts) add(other *Counts) {
+	for effect := range t {
+		for outcome := range t[effect] {
+			t[effect][outcome] += other[effect][outcome]
 		}
 	}
 }
@@ -104,9 +104,9 @@
 	Hash     string            `json:"hash"`
 }
 
-// hashed is the entry's hash, which rests on all entries before it.
-func (e Entry) hashed(before string) string {
-	e.Hash = before
+// computeHash is the entry's hash, which rests on all entries before it.
+func (e Entry) computeHash(previousHash string) string {
+	e.Hash = previousHash
 	text, err := json.Marshal(e)
 	if err != nil {
 		return ""
@@ -129,32 +129,32 @@
 }
 
 // WithClockOffset is the part with what its last entry says of its clock, where that was made just before it was told.
-func (p Segment) WithClockOffset(now int64) Segment {
-	if n := len(p.Entries); n > 0 && p.Entries[n-1].Kind == KindSpan {
-		p.ClockOffset, p.IsClockOffsetKnown = now-p.Entries[n-1].At, true
+func (s Segment) WithClockOffset(now int64) Segment {
+	if n := len(s.Entries); n > 0 && s.Entries[n-1].Kind == KindSpan {
+		s.ClockOffset, s.IsClockOffsetKnown = now-s.Entries[n-1].At, true
 	}
-	return p
+	return s
 }
 
-// root is what the first entry of a start's trail is chained to.
-func root(who versions.Instance, token string) string {
-	sum := sha256.Sum256(fmt.Appendf(nil, "%q %d %q", who.Name, who.Start, token))
+// rootHash is what the first entry of a start's trail is chained to.
+func rootHash(instance versions.Instance, token string) string {
+	sum := sha256.Sum256(fmt.Appendf(nil, "%q %d %q", instance.Name, instance.Start, token))
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
 // Verify checks a part's chain, and gives how many entries hold and what is wrong with the next, nil for nothing.
-func (p *Segment) Verify() (holds int, err error) {
-	before := p.PreviousHash
-	for i, e := range p.Entries {
+func (s *Segment) Verify() (valid int, err error) {
+	previousHash := s.PreviousHash
+	for i, e := range s.Entries {
 		switch {
-		case e.Seq == 0 || i > 0 && e.Seq != p.Entries[i-1].Seq+1:
-			return i, fmt.Errorf("%s start %d: entry %d does not follow", p.Instance.Name, p.Instance.Start, e.Seq)
-		case e.Seq == 1 && before != root(p.Instance, p.Token):
-			return i, fmt.Errorf("%s start %d: the trail is not rooted in its start", p.Instance.Name, p.Instance.Start)
-		case e.hashed(before) != e.Hash:
-			return i, fmt.Errorf("%s start %d: entry %d was changed, or one before it was", p.Instance.Name, p.Instance.Start, e.Seq)
+		case e.Seq == 0 || i > 0 && e.Seq != s.Entries[i-1].Seq+1:
+			return i, fmt.Errorf("%s start %d: entry %d does not follow", s.Instance.Name, s.Instance.Start, e.Seq)
+		case e.Seq == 1 && previousHash != rootHash(s.Instance, s.Token):
+			return i, fmt.Errorf("%s start %d: the trail is not rooted in its start", s.Instance.Name, s.Instance.Start)
+		case e.computeHash(previousHash) != e.Hash:
+			return i, fmt.Errorf("%s start %d: entry %d was changed, or one before it was", s.Instance.Name, s.Instance.Start, e.Seq)
 		}
-		before = e.Hash
+		previousHash = e.Hash
 	}
-	return len(p.Entries), nil
+	return len(s.Entries), nil
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -125,8 +125,8 @@
 	require.EqualValues(t, 32, one.LastSeq(who))
 	forged := r.Since(0, 1)
 	forged.Token = "another"
-	forged.PreviousHash = root(who, "another")
-	forged.Entries[0].Hash = forged.Entries[0].hashed(forged.PreviousHash)
+	forged.PreviousHash = rootHash(who, "another")
+	forged.Entries[0].Hash = forged.Entries[0].computeHash(forged.PreviousHash)
 	all.Add(forged)
 	require.Contains(t, strings.Join(all.Faults(), " "), "two trails say that they are its")
 }
@@ -206,7 +206,7 @@
 	require.NoError(t, err)
 	last := p.Entries[len(p.Entries)-1]
 	require.Equal(t, KindDropped, last.Kind)
-	require.EqualValues(t, writes-most*singlesShare, last.Count)
+	require.EqualValues(t, writes-most*rpcEntriesShare, last.Count)
 	c := NewCollection(8)
 	c.Add(p)
 	require.Len(t, c.Segments()[0].Entries, 8)
--- a/internal/audit/collection.go
+++ b/internal/audit/collection.go
@@ -10,49 +10,49 @@
 
 // Collection is the trails of many starts, as far as they were heard.
 type Collection struct {
-	most   int // entries of one start
-	trails map[versions.Instance]*trail
-	faults []string
+	maxEntries int // entries of one start
+	trails     map[versions.Instance]*trail
+	faults     []string
 }
 
 // trail is what was heard of one start's: pieces with holes between them.
 type trail struct {
-	token  string
-	pieces []piece
-	offset int64 // the least that was heard
-	placed bool
+	token         string
+	fragments     []fragment
+	offset        int64 // the least that was heard
+	isOffsetKnown bool
 }
 
-// piece is entries that follow one another, with the hash before the first.
-type piece struct {
-	before  string
-	entries []Entry
+// fragment is entries that follow one another, with the hash before the first.
+type fragment struct {
+	previousHash string
+	entries      []Entry
 }
 
-// place is a time of a start's own clock by the clock of those who heard it.
-func (t *trail) place(at int64) int64 { return at + t.offset }
+// toLocalTime is a time of a start's own clock by the clock of those who heard it.
+func (t *trail) toLocalTime(at int64) int64 { return at + t.offset }
 
 // NewCollection makes an empty one that holds so many entries of a start at the most, the newest.
-func NewCollection(most int) *Collection {
-	return &Collection{most: most, trails: map[versions.Instance]*trail{}}
+func NewCollection(maxEntries int) *Collection {
+	return &Collection{maxEntries: maxEntries, trails: map[versions.Instance]*trail{}}
 }
 
-// mostFaults is how many faults are remembered.
-const mostFaults = 64
+// maxFaults is how many faults are remembered.
+const maxFaults = 64
 
 // Add takes in a part of a trail as its driver tells it, and gives up to which entry the start's trail is held. A part that
 // does not hold together is taken up to where it does, and the fault is kept. One behind a hole is not taken if its driver
 // still has what belongs there: it is told up to where the trail is held, and tells that first.
-func (c *Collection) Add(p Segment) (held uint64) {
-	t := c.trails[p.Instance]
-	if t != nil && len(p.Entries) > 0 && p.Entries[0].Seq > t.last()+1 && p.OldestSeq <= t.last()+1 {
-		return t.last()
+func (c *Collection) Add(segment Segment) (lastSeq uint64) {
+	t := c.trails[segment.Instance]
+	if t != nil && len(segment.Entries) > 0 && segment.Entries[0].Seq > t.lastSeq()+1 && segment.OldestSeq <= t.lastSeq()+1 {
+		return t.lastSeq()
 	}
-	return c.take(p)
+	return c.addSegment(segment)
 }
 
 // AddFinal takes in what a driver tells that leaves: what is missing before it can't be told any more, and is a hole.
-func (c *Collection) AddFinal(p Segment) (held uint64) { return c.take(p) }
+func (c *Collection) AddFinal(segment Segment) (lastSeq uint64) { return c.addSegment(segment) }
 
 // Extent is from when to when the trail of a start is held, with holes or without, by the clock of those who heard it.
 type Extent struct {
@@ -62,112 +62,112 @@
 
 // Extents are those of all starts of a name, in their order.
 func (c *Collection) Extents(name string) (all []Extent) {
-	for _, who := range c.starts() {
-		t := c.trails[who]
-		if who.Name != name || len(t.pieces) == 0 {
+	for _, instance := range c.instances() {
+		t := c.trails[instance]
+		if instance.Name != name || len(t.fragments) == 0 {
 			continue
 		}
-		last := t.pieces[len(t.pieces)-1].entries
-		all = append(all, Extent{who, t.place(t.pieces[0].entries[0].At), t.place(last[len(last)-1].At)})
+		last := t.fragments[len(t.fragments)-1].entries
+		all = append(all, Extent{instance, t.toLocalTime(t.fragments[0].entries[0].At), t.toLocalTime(last[len(last)-1].At)})
 	}
 	return all
 }
 
-// take takes in a part wherever it belongs behind what is held.
-func (c *Collection) take(p Segment) (held uint64) {
-	holds, err := p.Verify()
+// addSegment takes in a part wherever it belongs behind what is held.
+func (c *Collection) addSegment(segment Segment) (lastSeq uint64) {
+	valid, err := segment.Verify()
 	if err != nil {
-		c.fault(err.Error())
+		c.addFault(err.Error())
 	}
-	t := c.trails[p.Instance]
+	t := c.trails[segment.Instance]
 	if t == nil {
-		t = &trail{token: p.Token}
-		c.trails[p.Instance] = t
+		t = &trail{token: segment.Token}
+		c.trails[segment.Instance] = t
 	}
-	if t.token != p.Token {
-		c.fault(fmt.Sprintf("%s start %d: two trails say that they are its", p.Instance.Name, p.Instance.Start))
-		return t.last()
+	if t.token != segment.Token {
+		c.addFault(fmt.Sprintf("%s start %d: two trails say that they are its", segment.Instance.Name, segment.Instance.Start))
+		return t.lastSeq()
 	}
-	if p.IsClockOffsetKnown && (!t.placed || p.ClockOffset < t.offset) {
-		t.offset, t.placed = p.ClockOffset, true
+	if segment.IsClockOffsetKnown && (!t.isOffsetKnown || segment.ClockOffset < t.offset) {
+		t.offset, t.isOffsetKnown = segment.ClockOffset, true
 	}
-	before := p.PreviousHash
-	for _, e := range p.Entries[:holds] {
-		if !t.add(before, e) {
-			c.fault(fmt.Sprintf("%s start %d: entry %d was told in two ways", p.Instance.Name, p.Instance.Start, e.Seq))
+	previousHash := segment.PreviousHash
+	for _, e := range segment.Entries[:valid] {
+		if !t.add(previousHash, e) {
+			c.addFault(fmt.Sprintf("%s start %d: entry %d was told in two ways", segment.Instance.Name, segment.Instance.Start, e.Seq))
 		}
-		before = e.Hash
+		previousHash = e.Hash
 	}
-	t.cut(c.most)
-	return t.last()
+	t.trim(c.maxEntries)
+	return t.lastSeq()
 }
 
 // add adds an entry at the end, if it is not held; false tells that another is held in its place.
-func (t *trail) add(before string, e Entry) bool {
-	last := t.last()
-	if e.Seq <= last {
-		for _, p := range t.pieces {
-			if at := int(e.Seq) - int(p.entries[0].Seq); at >= 0 && at < len(p.entries) {
-				return p.entries[at].Hash == e.Hash
+func (t *trail) add(previousHash string, e Entry) bool {
+	lastSeq := t.lastSeq()
+	if e.Seq <= lastSeq {
+		for _, f := range t.fragments {
+			if i := int(e.Seq) - int(f.entries[0].Seq); i >= 0 && i < len(f.entries) {
+				return f.entries[i].Hash == e.Hash
 			}
 		}
 		return true // what lies in a hole is left to those who hold it
 	}
-	if n := len(t.pieces); n > 0 && e.Seq == last+1 {
-		t.pieces[n-1].entries = append(t.pieces[n-1].entries, e)
+	if n := len(t.fragments); n > 0 && e.Seq == lastSeq+1 {
+		t.fragments[n-1].entries = append(t.fragments[n-1].entries, e)
 	} else {
-		t.pieces = append(t.pieces, piece{before, []Entry{e}})
+		t.fragments = append(t.fragments, fragment{previousHash, []Entry{e}})
 	}
 	return true
 }
 
-// cut lets go of the oldest entries beyond so many.
-func (t *trail) cut(most int) {
-	for over := t.count() - most; over > 0; over = t.count() - most {
-		first := &t.pieces[0]
-		if len(first.entries) <= over {
-			t.pieces = t.pieces[1:]
+// trim lets go of the oldest entries beyond so many.
+func (t *trail) trim(maxEntries int) {
+	for excess := t.count() - maxEntries; excess > 0; excess = t.count() - maxEntries {
+		first := &t.fragments[0]
+		if len(first.entries) <= excess {
+			t.fragments = t.fragments[1:]
 			continue
 		}
-		first.before, first.entries = first.entries[over-1].Hash, slices.Clone(first.entries[over:])
+		first.previousHash, first.entries = first.entries[excess-1].Hash, slices.Clone(first.entries[excess:])
 	}
 }
 
 func (t *trail) count() (n int) {
-	for _, p := range t.pieces {
-		n += len(p.entries)
+	for _, f := range t.fragments {
+		n += len(f.entries)
 	}
 	return n
 }
 
 // each gives all entries, the oldest first.
-func (t *trail) each(do func(e *Entry)) {
-	for _, p := range t.pieces {
-		for i := range p.entries {
-			do(&p.entries[i])
+func (t *trail) each(visit func(e *Entry)) {
+	for _, f := range t.fragments {
+		for i := range f.entries {
+			visit(&f.entries[i])
 		}
 	}
 }
 
-func (c *Collection) fault(what string) {
-	if len(c.faults) < mostFaults && !slices.Contains(c.faults, what) {
-		c.faults = append(c.faults, what)
+func (c *Collection) addFault(fault string) {
+	if len(c.faults) < maxFaults && !slices.Contains(c.faults, fault) {
+		c.faults = append(c.faults, fault)
 	}
 }
 
-// last is the number of the newest entry held, 0 for none.
-func (t *trail) last() uint64 {
-	if len(t.pieces) == 0 {
+// lastSeq is the number of the newest entry held, 0 for none.
+func (t *trail) lastSeq() uint64 {
+	if len(t.fragments) == 0 {
 		return 0
 	}
-	entries := t.pieces[len(t.pieces)-1].entries
+	entries := t.fragments[len(t.fragments)-1].entries
 	return entries[len(entries)-1].Seq
 }
 
 // LastSeq is up to which entry a start's trail is held.
-func (c *Collection) LastSeq(who versions.Instance) uint64 {
-	if t := c.trails[who]; t != nil {
-		return t.last()
+func (c *Collection) LastSeq(instance versions.Instance) uint64 {
+	if t := c.trails[instance]; t != nil {
+		return t.lastSeq()
 	}
 	return 0
 }
@@ -176,21 +176,21 @@
 func (c *Collection) Faults() []string { return slices.Clone(c.faults) }
 
 // Segments are all trails held, by name and start.
-func (c *Collection) Segments() (parts []Segment) {
-	for _, who := range c.starts() {
-		t := c.trails[who]
-		for _, p := range t.pieces {
-			parts = append(parts, Segment{Instance: who, Token: t.token, PreviousHash: p.before, Entries: slices.Clone(p.entries), ClockOffset: t.offset,
-				IsClockOffsetKnown: t.placed})
+func (c *Collection) Segments() (segments []Segment) {
+	for _, instance := range c.instances() {
+		t := c.trails[instance]
+		for _, f := range t.fragments {
+			segments = append(segments, Segment{Instance: instance, Token: t.token, PreviousHash: f.previousHash, Entries: slices.Clone(f.entries), ClockOffset: t.offset,
+				IsClockOffsetKnown: t.isOffsetKnown})
 		}
 	}
-	return parts
+	return segments
 }
 
-func (c *Collection) starts() []versions.Instance {
+func (c *Collection) instances() []versions.Instance {
 	all := make([]versions.Instance, 0, len(c.trails))
-	for who := range c.trails {
-		all = append(all, who)
+	for instance := range c.trails {
+		all = append(all, instance)
 	}
 	slices.SortFunc(all, func(a, b versions.Instance) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
@@ -218,83 +218,83 @@
 }
 
 // Activities tells who acted on what from when to when, by each driver's own clock.
-func (c *Collection) Activities(q Query) (all []Activity) {
-	for _, who := range c.starts() {
-		if q.Driver != "" && q.Driver != who.Name {
+func (c *Collection) Activities(query Query) (all []Activity) {
+	for _, instance := range c.instances() {
+		if query.Driver != "" && query.Driver != instance.Name {
 			continue
 		}
-		found, holds := map[spanKey]*Activity{}, holdings{}
-		c.trails[who].each(func(e *Entry) {
-			holds.take(e)
-			acts := e.Kind == KindSpan || e.Kind == KindRPC || e.Kind == KindDropped
-			if !acts || q.Resource != "" && e.Resource != q.Resource || q.Version != 0 && e.Version != q.Version {
+		found, observed := map[spanKey]*Activity{}, observedVersions{}
+		c.trails[instance].each(func(e *Entry) {
+			observed.add(e)
+			isActivity := e.Kind == KindSpan || e.Kind == KindRPC || e.Kind == KindDropped
+			if !isActivity || query.Resource != "" && e.Resource != query.Resource || query.Version != 0 && e.Version != query.Version {
 				return
 			}
 			from, to := e.From, e.To
 			if e.Kind == KindRPC {
 				from, to = e.At, e.At
 			}
-			if q.To != 0 && from > q.To || q.From != 0 && to < q.From {
+			if query.To != 0 && from > query.To || query.From != 0 && to < query.From {
 				return
 			}
 			key := spanKey{e.Resource, e.Version}
-			a := found[key]
-			if a == nil {
-				a = &Activity{Instance: who, Resource: e.Resource, Version: e.Version, From: from, To: to}
-				found[key] = a
+			activity := found[key]
+			if activity == nil {
+				activity = &Activity{Instance: instance, Resource: e.Resource, Version: e.Version, From: from, To: to}
+				found[key] = activity
 			}
-			a.From, a.To = min(a.From, from), max(a.To, to)
+			activity.From, activity.To = min(activity.From, from), max(activity.To, to)
 			switch e.Kind {
 			case KindRPC:
-				a.RPCEntries++
+				activity.RPCEntries++
 			case KindDropped:
-				a.Dropped += e.Count
+				activity.Dropped += e.Count
 			default:
-				a.Counts.add(e.Counts)
+				activity.Counts.add(e.Counts)
 			}
 		})
-		for _, a := range found {
-			all = append(all, *a)
+		for _, activity := range found {
+			all = append(all, *activity)
 		}
-		all = append(all, holds.asked(who, q)...)
+		all = append(all, observed.matching(instance, query)...)
 	}
-	slices.SortFunc(all, func(a, b Activity) int {
-		return cmp.Or(cmp.Compare(a.Resource, b.Resource), cmp.Compare(a.Version, b.Version), cmp.Compare(a.Instance.Name, b.Instance.Name),
-			cmp.Compare(a.Instance.Start, b.Instance.Start))
+	slices.SortFunc(all, func(activity, b Activity) int {
+		return cmp.Or(cmp.Compare(activity.Resource, b.Resource), cmp.Compare(activity.Version, b.Version), cmp.Compare(activity.Instance.Name, b.Instance.Name),
+			cmp.Compare(activity.Instance.Start, b.Instance.Start))
 	})
 	return all
 }
 
-// holdings are the versions that a start had of things that the council does not decide, each until the next, and the last
+// observedVersions are the versions that a start had of things that the council does not decide, each until the next, and the last
 // until the last entry that is held.
-type holdings struct {
-	all []Activity
-	now map[versions.Resource]int // index of the last of each
-	at  int64
+type observedVersions struct {
+	all         []Activity
+	latest      map[versions.Resource]int // index of the last of each
+	lastEntryAt int64
 }
 
-func (h *holdings) take(e *Entry) {
-	h.at = e.At
+func (o *observedVersions) add(e *Entry) {
+	o.lastEntryAt = e.At
 	if e.Kind != KindObserved {
 		return
 	}
-	if i, had := h.now[e.Resource]; had {
-		h.all[i].To = e.At
+	if i, isKnown := o.latest[e.Resource]; isKnown {
+		o.all[i].To = e.At
 	}
-	if h.now == nil {
-		h.now = map[versions.Resource]int{}
+	if o.latest == nil {
+		o.latest = map[versions.Resource]int{}
 	}
-	h.now[e.Resource] = len(h.all)
-	h.all = append(h.all, Activity{Resource: e.Resource, Version: e.Version, From: e.At})
+	o.latest[e.Resource] = len(o.all)
+	o.all = append(o.all, Activity{Resource: e.Resource, Version: e.Version, From: e.At})
 }
 
-func (h *holdings) asked(who versions.Instance, q Query) (all []Activity) {
-	for i, a := range h.all {
-		if a.Instance = who; h.now[a.Resource] == i {
-			a.To = h.at
+func (o *observedVersions) matching(instance versions.Instance, query Query) (all []Activity) {
+	for i, activity := range o.all {
+		if activity.Instance = instance; o.latest[activity.Resource] == i {
+			activity.To = o.lastEntryAt
 		}
-		if (q.Resource == "" || q.Resource == a.Resource) && (q.Version == 0 || q.Version == a.Version) && (q.To == 0 || a.From <= q.To) && a.To >= q.From {
-			all = append(all, a)
+		if (query.Resource == "" || query.Resource == activity.Resource) && (query.Version == 0 || query.Version == activity.Version) && (query.To == 0 || activity.From <= query.To) && activity.To >= query.From {
+			all = append(all, activity)
 		}
 	}
 	return all
@@ -315,41 +315,41 @@
 // beyond what they may differ by, and not told of otherwise. What counts is when an attempt was let begin, not when its RPC ended: a driver that
 // stood still ends, long after, what it did before. Of RPCs that are only counted those count that began within their span. Where a driver's clock was
 // never compared nothing is late by clocks.
-func (c *Collection) LateActivities(thing versions.Resource, closed versions.Number, epoch versions.Epoch, at, clockError int64) (late []LateActivity) {
-	for _, who := range c.starts() {
-		knew, singles := int64(0), map[versions.Number]uint64{} // since the last span of each version, which counts them too
-		c.trails[who].each(func(e *Entry) {
-			if e.Resource != thing {
+func (c *Collection) LateActivities(resource versions.Resource, completed versions.Number, epoch versions.Epoch, completedAt, clockError int64) (late []LateActivity) {
+	for _, instance := range c.instances() {
+		learnedAt, rpcEntries := int64(0), map[versions.Number]uint64{} // since the last span of each version, which counts them too
+		c.trails[instance].each(func(e *Entry) {
+			if e.Resource != resource {
 				return
 			}
-			if e.Kind == KindEpoch && e.Epoch >= epoch && knew == 0 {
-				knew = e.At
+			if e.Kind == KindEpoch && e.Epoch >= epoch && learnedAt == 0 {
+				learnedAt = e.At
 			}
-			if e.Version >= closed || e.Version == 0 {
+			if e.Version >= completed || e.Version == 0 {
 				return
 			}
-			when, sure := e.From, false
+			attemptedAt, isCertain := e.From, false
 			switch e.Kind {
 			case KindRPC:
-				singles[e.Version]++
-				if when == 0 { // an older build does not say
-					when = e.At
+				rpcEntries[e.Version]++
+				if attemptedAt == 0 { // an older build does not say
+					attemptedAt = e.At
 				}
-				sure = knew != 0 && when >= knew
+				isCertain = learnedAt != 0 && attemptedAt >= learnedAt
 			case KindSpan:
-				told := singles[e.Version] + e.Count // what has an entry of its own, and what may have acted before
-				singles[e.Version] = 0
-				if e.Counts.Total() <= told {
+				excluded := rpcEntries[e.Version] + e.Count // what has an entry of its own, and what may have acted before
+				rpcEntries[e.Version] = 0
+				if e.Counts.Total() <= excluded {
 					return
 				}
 			default:
 				return
 			}
 			switch {
-			case sure:
-				late = append(late, LateActivity{who, e.Version, when, e.RPC, fmt.Sprintf("entry %d, after it had learned of epoch %d", e.Seq, epoch), true})
-			case c.trails[who].placed && c.trails[who].place(when) > at+clockError:
-				late = append(late, LateActivity{who, e.Version, when, e.RPC, fmt.Sprintf("entry %d, beyond the clocks' error", e.Seq), false})
+			case isCertain:
+				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC, fmt.Sprintf("entry %d, after it had learned of epoch %d", e.Seq, epoch), true})
+			case c.trails[instance].isOffsetKnown && c.trails[instance].toLocalTime(attemptedAt) > completedAt+clockError:
+				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC, fmt.Sprintf("entry %d, beyond the clocks' error", e.Seq), false})
 			}
 		})
 	}
@@ -373,77 +373,77 @@
 }
 
 // Gaps tells what is not known of starts: before, between and after the pieces of their trails that are held.
-func (c *Collection) Gaps(starts []Lifetime) (all []Gap) {
-	for _, s := range starts {
-		t := c.trails[s.Instance]
-		if t == nil || len(t.pieces) == 0 {
-			all = append(all, Gap{s.Instance, s.From, s.Until, "nothing of its trail was heard"})
+func (c *Collection) Gaps(lifetimes []Lifetime) (all []Gap) {
+	for _, lifetime := range lifetimes {
+		t := c.trails[lifetime.Instance]
+		if t == nil || len(t.fragments) == 0 {
+			all = append(all, Gap{lifetime.Instance, lifetime.From, lifetime.Until, "nothing of its trail was heard"})
 			continue
 		}
-		from, seq := s.From, uint64(0)
-		for _, p := range t.pieces {
-			if first := p.entries[0]; first.Seq > seq+1 {
-				all = append(all, Gap{s.Instance, from, t.place(first.At), fmt.Sprintf("entries %d to %d are not held", seq+1, first.Seq-1)})
+		from, seq := lifetime.From, uint64(0)
+		for _, f := range t.fragments {
+			if first := f.entries[0]; first.Seq > seq+1 {
+				all = append(all, Gap{lifetime.Instance, from, t.toLocalTime(first.At), fmt.Sprintf("entries %d to %d are not held", seq+1, first.Seq-1)})
 			}
-			last := p.entries[len(p.entries)-1]
-			from, seq = t.place(last.At), last.Seq
+			last := f.entries[len(f.entries)-1]
+			from, seq = t.toLocalTime(last.At), last.Seq
 		}
-		if !s.IsLive && from < s.Until {
-			all = append(all, Gap{s.Instance, from, s.Until, "it ended, or was not heard, after its last entry"})
+		if !lifetime.IsLive && from < lifetime.Until {
+			all = append(all, Gap{lifetime.Instance, from, lifetime.Until, "it ended, or was not heard, after its last entry"})
 		}
 	}
-	for _, s := range starts {
-		all = append(all, c.dropped(s.Instance)...)
+	for _, lifetime := range lifetimes {
+		all = append(all, c.droppedGaps(lifetime.Instance)...)
 	}
 	return all
 }
 
 // UnorderedActivities tells which of some starts acted on versions of a thing below one that was closed, and at what time is not known, since their clocks were
 // never compared with those of the voters.
-func (c *Collection) UnorderedActivities(thing versions.Resource, closed versions.Number, starts []Lifetime) (all []Gap) {
-	for _, s := range starts {
-		t, acted := c.trails[s.Instance], false
-		if t == nil || t.placed {
+func (c *Collection) UnorderedActivities(resource versions.Resource, completed versions.Number, lifetimes []Lifetime) (all []Gap) {
+	for _, lifetime := range lifetimes {
+		t, isActive := c.trails[lifetime.Instance], false
+		if t == nil || t.isOffsetKnown {
 			continue
 		}
 		t.each(func(e *Entry) {
-			older := e.Resource == thing && e.Version != 0 && e.Version < closed
-			acted = acted || older && (e.Kind == KindRPC || e.Kind == KindSpan && e.Counts.Total() > 0)
+			isOlder := e.Resource == resource && e.Version != 0 && e.Version < completed
+			isActive = isActive || isOlder && (e.Kind == KindRPC || e.Kind == KindSpan && e.Counts.Total() > 0)
 		})
-		if acted {
-			why := fmt.Sprintf("its clock was not compared: when it acted on versions of %s below %d is not known", thing, closed)
-			all = append(all, Gap{s.Instance, s.From, s.Until, why})
+		if isActive {
+			reason := fmt.Sprintf("its clock was not compared: when it acted on versions of %s below %d is not known", resource, completed)
+			all = append(all, Gap{lifetime.Instance, lifetime.From, lifetime.Until, reason})
 		}
 	}
 	return all
 }
 
-// dropped are the times of a start in which its trail had no room for single entries.
-func (c *Collection) dropped(who versions.Instance) (all []Gap) {
-	t := c.trails[who]
+// droppedGaps are the times of a start in which its trail had no room for single entries.
+func (c *Collection) droppedGaps(instance versions.Instance) (all []Gap) {
+	t := c.trails[instance]
 	if t == nil {
 		return nil
 	}
 	t.each(func(e *Entry) {
 		if e.Kind == KindDropped {
-			why := fmt.Sprintf("%d single entries of version %d of %s were not kept", e.Count, e.Version, e.Resource)
-			all = append(all, Gap{who, t.place(e.From), t.place(e.To), why})
+			reason := fmt.Sprintf("%d single entries of version %d of %s were not kept", e.Count, e.Version, e.Resource)
+			all = append(all, Gap{instance, t.toLocalTime(e.From), t.toLocalTime(e.To), reason})
 		}
 	})
 	return all
 }
 
 // Merge takes in what several hold, each maybe another piece of a trail.
-func (c *Collection) Merge(parts []Segment) {
-	parts = slices.Clone(parts)
-	first := func(p Segment) uint64 {
-		if len(p.Entries) == 0 {
+func (c *Collection) Merge(segments []Segment) {
+	segments = slices.Clone(segments)
+	firstSeq := func(segment Segment) uint64 {
+		if len(segment.Entries) == 0 {
 			return 0
 		}
-		return p.Entries[0].Seq
+		return segment.Entries[0].Seq
 	}
-	slices.SortStableFunc(parts, func(a, b Segment) int { return cmp.Compare(first(a), first(b)) })
-	for _, p := range parts {
-		c.take(p)
+	slices.SortStableFunc(segments, func(a, b Segment) int { return cmp.Compare(firstSeq(a), firstSeq(b)) })
+	for _, segment := range segments {
+		c.addSegment(segment)
 	}
 }
