--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,6 @@
-// Package audit is the record of which driver acted on which version. A Trail is a driver's own: spans of versions with
-// counts by effect and outcome, single entries for RPCs with effects near a change, and what it learned when, each chained
-// to the one before by its hash. A Collection is the trails of many, as far as they were heard, and answers who acted on
-// what, what acted on a version after it was closed, and what is not known; that is never filled by a guess. The package
-// does no I/O, reads no clock and starts no goroutine.
+// Package audit records which driver acted on which version, and when. A Trail is a driver's own hash-chained audit
+// trail. A Collection holds the trails received from many drivers and finds activity under obsolete versions as well as
+// gaps: times for which there is no record. The package does no I/O, reads no clock and starts no goroutines.
 package audit
 
 import (
@@ -14,14 +12,14 @@
 	"sedgespread/internal/versions"
 )
 
-// Effect is what an RPC does to data.
+// Effect classifies an RPC by what it does to data and whether it may be repeated.
 type Effect int
 
 const (
-	Read          Effect = iota // nothing
-	Idempotent                  // something that does no harm twice
-	Deduplicated                // something that its store does once for a token
-	NonIdempotent               // something that must not be done twice
+	Read          Effect = iota // changes nothing
+	Idempotent                  // may be repeated
+	Deduplicated                // the store deduplicates it by a token
+	NonIdempotent               // must not be repeated
 	effectCount
 )
 
@@ -32,7 +30,7 @@
 	Served Outcome = iota
 	PushedBack
 	Aborted
-	ClientLeft // the client had gone
+	ClientLeft // the client disconnected first
 	outcomeCount
 )
 
@@ -47,7 +45,7 @@
 // Counts counts RPCs by effect and outcome.
 type Counts [effectCount][outcomeCount]uint64
 
-// Total is all of them.
+// Total returns the number of RPCs.
 func (t *Counts) Total() (n uint64) {
 	for _, byOutcome := range t {
 		for _, count := range byOutcome {
@@ -57,7 +55,7 @@
 	return n
 }
 
-// ByOutcome is how many ended in one way.
+// ByOutcome returns the number of RPCs with an outcome.
 func (t *Counts) ByOutcome(outcome Outcome) (n uint64) {
 	for _, byOutcome := range t {
 		n += byOutcome[outcome]
@@ -65,7 +63,6 @@
 	return n
 }
 
-// add adds another.
 func (t *Counts) add(other *Counts) {
 	for effect := range t {
 		for outcome := range t[effect] {
@@ -74,19 +71,22 @@
 	}
 }
 
-// Kind says what an Entry is of.
+// Kind is the kind of an Entry.
 type Kind string
 
 const (
-	KindStart    Kind = "begins" // the trail of a start
-	KindEpoch    Kind = "learns" // an order: from here on the driver knows of its epoch
-	KindSpan     Kind = "spans"  // it acted on a version, or might have, from From to To, and this is what came to an end meanwhile; Count were under way at From
-	KindRPC      Kind = "single" // one RPC with an effect that had an attempt, the last of which began at From
-	KindDropped  Kind = "drops"  // so many single entries of a version were not kept, from From to To
-	KindObserved Kind = "has"    // it acts on a version of a thing that the council does not decide, until the next such entry
+	KindStart Kind = "begins" // first entry of a trail
+	KindEpoch Kind = "learns" // the driver learned of an epoch by an assignment
+	// KindSpan: a version was active or had RPCs in flight between From and To. Counts has the RPCs that ended in that
+	// time, Count is the number of those in flight at From.
+	KindSpan    Kind = "spans"
+	KindRPC     Kind = "single" // an RPC with an effect; its last attempt began at From
+	KindDropped Kind = "drops"  // Count KindRPC entries of a version were dropped between From and To
+	// KindObserved: the driver acts on a version of a resource that the council does not decide, until the next such entry.
+	KindObserved Kind = "has"
 )
 
-// Entry is one line of a trail. Times are its driver's clock, Unix time in nanoseconds.
+// Entry is an entry of a trail. Times are Unix nanoseconds by the driver's clock.
 type Entry struct {
 	Seq      uint64            `json:"seq"`
 	Kind     Kind              `json:"kind"`
@@ -104,31 +104,32 @@
 	Hash     string            `json:"hash"`
 }
 
-// computeHash is the entry's hash, which rests on all entries before it.
+// computeHash returns the hash of the entry chained to that of the previous one.
 func (e Entry) computeHash(previousHash string) string {
 	e.Hash = previousHash
-	text, err := json.Marshal(e)
+	encoded, err := json.Marshal(e)
 	if err != nil {
 		return ""
 	}
-	sum := sha256.Sum256(text)
+	sum := sha256.Sum256(encoded)
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
-// Segment is some of a start's trail, in its order. Before is the hash of the entry before the first, or what the trail is
-// rooted in.
+// Segment is a run of consecutive entries of an instance's trail. PreviousHash is the hash of the entry before the
+// first, or the root hash of the trail.
 type Segment struct {
 	Instance     versions.Instance `json:"who"`
 	Token        string            `json:"token"`
 	PreviousHash string            `json:"before"`
 	Entries      []Entry           `json:"entries"`
-	OldestSeq    uint64            `json:"oldest,omitempty"` // entry that its driver still has
-	// What is to be added to its times to have those of whoever heard it, too much by as long as it was on its way.
+	OldestSeq    uint64            `json:"oldest,omitempty"` // oldest entry that the driver still has
+	// ClockOffset converts times of the driver's clock to the receiver's; it is too large by the transmission delay.
 	ClockOffset        int64 `json:"offset,omitempty"`
-	IsClockOffsetKnown bool  `json:"placed,omitempty"` // Offset is known
+	IsClockOffsetKnown bool  `json:"placed,omitempty"` // ClockOffset is set
 }
 
-// WithClockOffset is the part with what its last entry says of its clock, where that was made just before it was told.
+// WithClockOffset returns the segment with its clock offset, if its last entry is a span, which is recorded just before
+// sending.
 func (s Segment) WithClockOffset(now int64) Segment {
 	if n := len(s.Entries); n > 0 && s.Entries[n-1].Kind == KindSpan {
 		s.ClockOffset, s.IsClockOffsetKnown = now-s.Entries[n-1].At, true
@@ -136,25 +137,26 @@
 	return s
 }
 
-// rootHash is what the first entry of a start's trail is chained to.
+// rootHash returns the hash that the first entry of a trail is chained to.
 func rootHash(instance versions.Instance, token string) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%q %d %q", instance.Name, instance.Start, token))
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
-// Verify checks a part's chain, and gives how many entries hold and what is wrong with the next, nil for nothing.
-func (s *Segment) Verify() (valid int, err error) {
+// Verify checks the hash chain. It returns the number of valid entries and what is wrong with the next one, if any.
+func (s *Segment) Verify() (validCount int, err error) {
 	previousHash := s.PreviousHash
-	for i, e := range s.Entries {
+	for i, entry := range s.Entries {
 		switch {
-		case e.Seq == 0 || i > 0 && e.Seq != s.Entries[i-1].Seq+1:
-			return i, fmt.Errorf("%s start %d: entry %d does not follow", s.Instance.Name, s.Instance.Start, e.Seq)
-		case e.Seq == 1 && previousHash != rootHash(s.Instance, s.Token):
+		case entry.Seq == 0 || i > 0 && entry.Seq != s.Entries[i-1].Seq+1:
+			return i, fmt.Errorf("%s start %d: entry %d does not follow", s.Instance.Name, s.Instance.Start, entry.Seq)
+		case entry.Seq == 1 && previousHash != rootHash(s.Instance, s.Token):
 			return i, fmt.Errorf("%s start %d: the trail is not rooted in its start", s.Instance.Name, s.Instance.Start)
-		case e.computeHash(previousHash) != e.Hash:
-			return i, fmt.Errorf("%s start %d: entry %d was changed, or one before it was", s.Instance.Name, s.Instance.Start, e.Seq)
+		case entry.computeHash(previousHash) != entry.Hash:
+			return i, fmt.Errorf("%s start %d: entry %d was changed, or one before it was", s.Instance.Name,
+				s.Instance.Start, entry.Seq)
 		}
-		previousHash = e.Hash
+		previousHash = entry.Hash
 	}
 	return len(s.Entries), nil
 }
--- a/internal/audit/collection.go
+++ b/internal/audit/collection.go
@@ -8,41 +8,40 @@
 	"sedgespread/internal/versions"
 )
 
-// Collection is the trails of many starts, as far as they were heard.
+// Collection holds the received parts of the trails of many instances.
 type Collection struct {
-	maxEntries int // entries of one start
+	maxEntries int // of one instance
 	trails     map[versions.Instance]*trail
 	faults     []string
 }
 
-// trail is what was heard of one start's: pieces with holes between them.
+// trail is the received fragments of one instance's trail, in order, with gaps between them.
 type trail struct {
 	token         string
 	fragments     []fragment
-	offset        int64 // the least that was heard
+	offset        int64 // smallest received, which has the least transmission delay
 	isOffsetKnown bool
 }
 
-// fragment is entries that follow one another, with the hash before the first.
+// fragment is a run of consecutive entries with the hash of the entry before them.
 type fragment struct {
 	previousHash string
 	entries      []Entry
 }
 
-// toLocalTime is a time of a start's own clock by the clock of those who heard it.
+// toLocalTime converts a time of the instance's clock to the receiver's.
 func (t *trail) toLocalTime(at int64) int64 { return at + t.offset }
 
-// NewCollection makes an empty one that holds so many entries of a start at the most, the newest.
+// NewCollection returns an empty collection that keeps the latest maxEntries entries of each instance.
 func NewCollection(maxEntries int) *Collection {
 	return &Collection{maxEntries: maxEntries, trails: map[versions.Instance]*trail{}}
 }
 
-// maxFaults is how many faults are remembered.
 const maxFaults = 64
 
-// Add takes in a part of a trail as its driver tells it, and gives up to which entry the start's trail is held. A part that
-// does not hold together is taken up to where it does, and the fault is kept. One behind a hole is not taken if its driver
-// still has what belongs there: it is told up to where the trail is held, and tells that first.
+// Add adds a segment received from its driver and returns the last entry held of the trail. Of an invalid segment only
+// the valid entries are added, and the fault is kept. A segment after a gap is ignored while the driver still has the
+// missing entries: it learns from the result which ones to send first.
 func (c *Collection) Add(segment Segment) (lastSeq uint64) {
 	t := c.trails[segment.Instance]
 	if t != nil && len(segment.Entries) > 0 && segment.Entries[0].Seq > t.lastSeq()+1 && segment.OldestSeq <= t.lastSeq()+1 {
@@ -51,16 +50,16 @@
 	return c.addSegment(segment)
 }
 
-// AddFinal takes in what a driver tells that leaves: what is missing before it can't be told any more, and is a hole.
+// AddFinal adds the last segment of a driver that leaves, also after a gap, which the driver will not fill any more.
 func (c *Collection) AddFinal(segment Segment) (lastSeq uint64) { return c.addSegment(segment) }
 
-// Extent is from when to when the trail of a start is held, with holes or without, by the clock of those who heard it.
+// Extent is the time between the first and last held entry of an instance, by the receiver's clock.
 type Extent struct {
 	Instance versions.Instance
 	From, To int64
 }
 
-// Extents are those of all starts of a name, in their order.
+// Extents returns the extents of all instances of a driver, in the order of their starts.
 func (c *Collection) Extents(name string) (all []Extent) {
 	for _, instance := range c.instances() {
 		t := c.trails[instance]
@@ -73,9 +72,9 @@
 	return all
 }
 
-// addSegment takes in a part wherever it belongs behind what is held.
+// addSegment verifies a segment and adds its new entries, after a gap if need be.
 func (c *Collection) addSegment(segment Segment) (lastSeq uint64) {
-	valid, err := segment.Verify()
+	validCount, err := segment.Verify()
 	if err != nil {
 		c.addFault(err.Error())
 	}
@@ -92,7 +91,7 @@
 		t.offset, t.isOffsetKnown = segment.ClockOffset, true
 	}
 	previousHash := segment.PreviousHash
-	for _, e := range segment.Entries[:valid] {
+	for _, e := range segment.Entries[:validCount] {
 		if !t.add(previousHash, e) {
 			c.addFault(fmt.Sprintf("%s start %d: entry %d was told in two ways", segment.Instance.Name, segment.Instance.Start, e.Seq))
 		}
@@ -102,7 +101,7 @@
 	return t.lastSeq()
 }
 
-// add adds an entry at the end, if it is not held; false tells that another is held in its place.
+// add appends an entry unless it is held. It returns false if another entry is held at its place.
 func (t *trail) add(previousHash string, e Entry) bool {
 	lastSeq := t.lastSeq()
 	if e.Seq <= lastSeq {
@@ -111,7 +110,7 @@
 				return f.entries[i].Hash == e.Hash
 			}
 		}
-		return true // what lies in a hole is left to those who hold it
+		return true // entries in gaps are not filled in
 	}
 	if n := len(t.fragments); n > 0 && e.Seq == lastSeq+1 {
 		t.fragments[n-1].entries = append(t.fragments[n-1].entries, e)
@@ -121,7 +120,7 @@
 	return true
 }
 
-// trim lets go of the oldest entries beyond so many.
+// trim removes the oldest entries beyond maxEntries.
 func (t *trail) trim(maxEntries int) {
 	for excess := t.count() - maxEntries; excess > 0; excess = t.count() - maxEntries {
 		first := &t.fragments[0]
@@ -140,7 +139,7 @@
 	return n
 }
 
-// each gives all entries, the oldest first.
+// each calls visit for all entries, oldest first.
 func (t *trail) each(visit func(e *Entry)) {
 	for _, f := range t.fragments {
 		for i := range f.entries {
@@ -155,7 +154,7 @@
 	}
 }
 
-// lastSeq is the number of the newest entry held, 0 for none.
+// lastSeq returns the number of the last entry held, 0 for none.
 func (t *trail) lastSeq() uint64 {
 	if len(t.fragments) == 0 {
 		return 0
@@ -164,7 +163,7 @@
 	return entries[len(entries)-1].Seq
 }
 
-// LastSeq is up to which entry a start's trail is held.
+// LastSeq returns the number of the last entry held of an instance, 0 for none.
 func (c *Collection) LastSeq(instance versions.Instance) uint64 {
 	if t := c.trails[instance]; t != nil {
 		return t.lastSeq()
@@ -172,16 +171,16 @@
 	return 0
 }
 
-// Faults are what did not hold together.
+// Faults returns what was found wrong with added segments.
 func (c *Collection) Faults() []string { return slices.Clone(c.faults) }
 
-// Segments are all trails held, by name and start.
+// Segments returns all held entries, sorted by driver name and start.
 func (c *Collection) Segments() (segments []Segment) {
 	for _, instance := range c.instances() {
 		t := c.trails[instance]
 		for _, f := range t.fragments {
-			segments = append(segments, Segment{Instance: instance, Token: t.token, PreviousHash: f.previousHash, Entries: slices.Clone(f.entries), ClockOffset: t.offset,
-				IsClockOffsetKnown: t.isOffsetKnown})
+			segments = append(segments, Segment{Instance: instance, Token: t.token, PreviousHash: f.previousHash,
+				Entries: slices.Clone(f.entries), ClockOffset: t.offset, IsClockOffsetKnown: t.isOffsetKnown})
 		}
 	}
 	return segments
@@ -198,7 +197,7 @@
 	return all
 }
 
-// Query narrows a question down.
+// Query selects activities.
 type Query struct {
 	Resource versions.Resource
 	Version  versions.Number // 0 for all
@@ -206,7 +205,7 @@
 	From, To int64           // Unix time in nanoseconds, 0 for no end
 }
 
-// Activity is one driver's start on one version.
+// Activity sums up what an instance did under one version.
 type Activity struct {
 	Instance   versions.Instance `json:"who"`
 	Resource   versions.Resource `json:"thing"`
@@ -214,10 +213,10 @@
 	From, To   int64
 	Counts     Counts `json:"tally"`
 	RPCEntries int    `json:"singles"`
-	Dropped    uint64 `json:"dropped"` // single entries that were not kept
+	Dropped    uint64 `json:"dropped"` // KindRPC entries that the driver dropped
 }
 
-// Activities tells who acted on what from when to when, by each driver's own clock.
+// Activities returns the activities that match a query. Times are by each driver's own clock.
 func (c *Collection) Activities(query Query) (all []Activity) {
 	for _, instance := range c.instances() {
 		if query.Driver != "" && query.Driver != instance.Name {
@@ -258,18 +257,18 @@
 		}
 		all = append(all, observed.matching(instance, query)...)
 	}
-	slices.SortFunc(all, func(activity, b Activity) int {
-		return cmp.Or(cmp.Compare(activity.Resource, b.Resource), cmp.Compare(activity.Version, b.Version), cmp.Compare(activity.Instance.Name, b.Instance.Name),
-			cmp.Compare(activity.Instance.Start, b.Instance.Start))
+	slices.SortFunc(all, func(a, b Activity) int {
+		return cmp.Or(cmp.Compare(a.Resource, b.Resource), cmp.Compare(a.Version, b.Version),
+			cmp.Compare(a.Instance.Name, b.Instance.Name), cmp.Compare(a.Instance.Start, b.Instance.Start))
 	})
 	return all
 }
 
-// observedVersions are the versions that a start had of things that the council does not decide, each until the next, and the last
-// until the last entry that is held.
+// observedVersions collects an instance's versions of resources that the council does not decide. Each lasts until the
+// next, and the last until the last held entry.
 type observedVersions struct {
 	all         []Activity
-	latest      map[versions.Resource]int // index of the last of each
+	latest      map[versions.Resource]int // index in all of the latest version
 	lastEntryAt int64
 }
 
@@ -293,31 +292,33 @@
 		if activity.Instance = instance; o.latest[activity.Resource] == i {
 			activity.To = o.lastEntryAt
 		}
-		if (query.Resource == "" || query.Resource == activity.Resource) && (query.Version == 0 || query.Version == activity.Version) && (query.To == 0 || activity.From <= query.To) && activity.To >= query.From {
+		if (query.Resource == "" || query.Resource == activity.Resource) && (query.Version == 0 || query.Version == activity.Version) &&
+			(query.To == 0 || activity.From <= query.To) && activity.To >= query.From {
 			all = append(all, activity)
 		}
 	}
 	return all
 }
 
-// LateActivity is something that was done under a version after a newer one was closed.
+// LateActivity is an act under a version after a newer one was completed.
 type LateActivity struct {
 	Instance  versions.Instance `json:"who"`
 	Version   versions.Number   `json:"version"`
 	At        int64             `json:"at"`
 	RPC       string            `json:"rpc,omitempty"`
 	Reason    string            `json:"why"`
-	IsCertain bool              `json:"sure"` // by what the driver knew; else by clocks, which may differ by the stated error
+	IsCertain bool              `json:"sure"` // the driver knew of the newer epoch; otherwise judged by clocks
 }
 
-// LateActivities looks for what acted on versions of a thing below one that was closed at an epoch, at a time of the closer's clock.
-// What a driver did after it had learned of that epoch is late for sure. What it did before is put in order by clocks alone: it is late if it lies
-// beyond what they may differ by, and not told of otherwise. What counts is when an attempt was let begin, not when its RPC ended: a driver that
-// stood still ends, long after, what it did before. Of RPCs that are only counted those count that began within their span. Where a driver's clock was
-// never compared nothing is late by clocks.
-func (c *Collection) LateActivities(resource versions.Resource, completed versions.Number, epoch versions.Epoch, completedAt, clockError int64) (late []LateActivity) {
+// LateActivities returns acts on versions below one that was completed in an epoch, at completedAt by the council's
+// clock. An act is late for certain if the driver knew of the epoch, and otherwise if it is later by more than the clock
+// error; without a clock offset only the former counts. The time of an act is when its last attempt began, as a paused
+// driver may end old RPCs late. RPCs without an entry are late if they began within a late span.
+func (c *Collection) LateActivities(resource versions.Resource, completed versions.Number, epoch versions.Epoch,
+	completedAt, clockError int64) (late []LateActivity) {
 	for _, instance := range c.instances() {
-		learnedAt, rpcEntries := int64(0), map[versions.Number]uint64{} // since the last span of each version, which counts them too
+		// rpcEntries counts those since the last span of each version, whose counts include them.
+		learnedAt, rpcEntries := int64(0), map[versions.Number]uint64{}
 		c.trails[instance].each(func(e *Entry) {
 			if e.Resource != resource {
 				return
@@ -332,12 +333,12 @@
 			switch e.Kind {
 			case KindRPC:
 				rpcEntries[e.Version]++
-				if attemptedAt == 0 { // an older build does not say
+				if attemptedAt == 0 { // not set by older builds
 					attemptedAt = e.At
 				}
 				isCertain = learnedAt != 0 && attemptedAt >= learnedAt
 			case KindSpan:
-				excluded := rpcEntries[e.Version] + e.Count // what has an entry of its own, and what may have acted before
+				excluded := rpcEntries[e.Version] + e.Count // RPCs with an entry of their own or that began before the span
 				rpcEntries[e.Version] = 0
 				if e.Counts.Total() <= excluded {
 					return
@@ -347,24 +348,26 @@
 			}
 			switch {
 			case isCertain:
-				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC, fmt.Sprintf("entry %d, after it had learned of epoch %d", e.Seq, epoch), true})
+				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC,
+					fmt.Sprintf("entry %d, after it had learned of epoch %d", e.Seq, epoch), true})
 			case c.trails[instance].isOffsetKnown && c.trails[instance].toLocalTime(attemptedAt) > completedAt+clockError:
-				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC, fmt.Sprintf("entry %d, beyond the clocks' error", e.Seq), false})
+				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC,
+					fmt.Sprintf("entry %d, beyond the clocks' error", e.Seq), false})
 			}
 		})
 	}
 	return late
 }
 
-// Lifetime is a start that the roster knows, and when it may have acted. Times are the roster's.
+// Lifetime is the time in which an instance may have acted, according to the roster.
 type Lifetime struct {
 	Instance versions.Instance
-	From     int64 // it joined then
-	Until    int64 // it may have acted until then
+	From     int64 // when it joined
+	Until    int64 // when its last lease ended
 	IsLive   bool  // it may still act
 }
 
-// Gap is a time in which a start may have done what nobody was told, by the clock of those who heard it.
+// Gap is a time for which the record of an instance is incomplete, by the receiver's clock.
 type Gap struct {
 	Instance versions.Instance `json:"who"`
 	From     int64             `json:"from"`
@@ -372,7 +375,7 @@
 	Reason   string            `json:"why"`
 }
 
-// Gaps tells what is not known of starts: before, between and after the pieces of their trails that are held.
+// Gaps returns the gaps before, between and after the held fragments, and those with dropped entries.
 func (c *Collection) Gaps(lifetimes []Lifetime) (all []Gap) {
 	for _, lifetime := range lifetimes {
 		t := c.trails[lifetime.Instance]
@@ -383,7 +386,8 @@
 		from, seq := lifetime.From, uint64(0)
 		for _, f := range t.fragments {
 			if first := f.entries[0]; first.Seq > seq+1 {
-				all = append(all, Gap{lifetime.Instance, from, t.toLocalTime(first.At), fmt.Sprintf("entries %d to %d are not held", seq+1, first.Seq-1)})
+				all = append(all, Gap{lifetime.Instance, from, t.toLocalTime(first.At),
+					fmt.Sprintf("entries %d to %d are not held", seq+1, first.Seq-1)})
 			}
 			last := f.entries[len(f.entries)-1]
 			from, seq = t.toLocalTime(last.At), last.Seq
@@ -398,9 +402,10 @@
 	return all
 }
 
-// UnorderedActivities tells which of some starts acted on versions of a thing below one that was closed, and at what time is not known, since their clocks were
-// never compared with those of the voters.
-func (c *Collection) UnorderedActivities(resource versions.Resource, completed versions.Number, lifetimes []Lifetime) (all []Gap) {
+// UnorderedActivities returns the instances that acted on versions below a completed one at unknown times, as their
+// clock offsets are not known.
+func (c *Collection) UnorderedActivities(resource versions.Resource, completed versions.Number,
+	lifetimes []Lifetime) (all []Gap) {
 	for _, lifetime := range lifetimes {
 		t, isActive := c.trails[lifetime.Instance], false
 		if t == nil || t.isOffsetKnown {
@@ -411,14 +416,15 @@
 			isActive = isActive || isOlder && (e.Kind == KindRPC || e.Kind == KindSpan && e.Counts.Total() > 0)
 		})
 		if isActive {
-			reason := fmt.Sprintf("its clock was not compared: when it acted on versions of %s below %d is not known", resource, completed)
+			reason := fmt.Sprintf("its clock was not compared: when it acted on versions of %s below %d is not known",
+				resource, completed)
 			all = append(all, Gap{lifetime.Instance, lifetime.From, lifetime.Until, reason})
 		}
 	}
 	return all
 }
 
-// droppedGaps are the times of a start in which its trail had no room for single entries.
+// droppedGaps returns the times in which an instance dropped KindRPC entries.
 func (c *Collection) droppedGaps(instance versions.Instance) (all []Gap) {
 	t := c.trails[instance]
 	if t == nil {
@@ -433,7 +439,7 @@
 	return all
 }
 
-// Merge takes in what several hold, each maybe another piece of a trail.
+// Merge adds the segments that several collections hold.
 func (c *Collection) Merge(segments []Segment) {
 	segments = slices.Clone(segments)
 	firstSeq := func(segment Segment) uint64 {
--- a/internal/audit/shelf/shelf.go
+++ b/internal/audit/shelf/shelf.go
@@ -1,5 +1,5 @@
-// Package shelf keeps trails on a disk: parts as they came, a line each. A line that was cut off or changed is no part, and
-// what comes after it still is.
+// Package shelf stores audit trails in a file, a line of JSON for each segment. Lines that were cut off or damaged are
+// skipped.
 package shelf
 
 import (
@@ -14,8 +14,7 @@
 	"sedgespread/internal/audit"
 )
 
-// Store is a file of parts. What a process has written outlasts it; what the machine lost with its power is missed by the
-// chain.
+// Store is a file of segments. It is not synced: what a power failure loses shows as a gap in the trail.
 type Store struct {
 	path     string
 	file     *os.File
@@ -25,11 +24,11 @@
 
 const (
 	maxLineBytes = 32 << 20
-	// MaxBytes is how long a file grows before it is written anew with what is still held.
+	// MaxBytes is the size beyond which a file should be rewritten with the segments still held.
 	MaxBytes = 64 << 20
 )
 
-// Open opens a shelf that grows to so many bytes, and gives what stands on it and how many lines can't be read.
+// Open opens or creates a store. It returns the stored segments and the number of unreadable lines.
 func Open(path string, maxBytes int64) (s *Store, segments []audit.Segment, unreadable int, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -55,25 +54,25 @@
 	return s, segments, unreadable, err
 }
 
-func (s *Store) write(text []byte) error {
-	n, err := s.file.Write(text)
+func (s *Store) write(line []byte) error {
+	n, err := s.file.Write(line)
 	s.size += int64(n)
 	return err
 }
 
-// Append writes a part down.
+// Append writes a segment.
 func (s *Store) Append(segment audit.Segment) error {
-	text, err := json.Marshal(segment)
+	line, err := json.Marshal(segment)
 	if err != nil {
 		return err
 	}
-	return s.write(append(text, '\n'))
+	return s.write(append(line, '\n'))
 }
 
-// IsFull tells whether the file has grown so long that it is to be written anew.
+// IsFull reports whether the file should be rewritten.
 func (s *Store) IsFull() bool { return s.size > s.maxBytes }
 
-// Rewrite writes the file anew with what is still held, all of it or nothing.
+// Rewrite atomically replaces the contents of the file.
 func (s *Store) Rewrite(segments []audit.Segment) error {
 	temporary, err := os.CreateTemp(filepath.Dir(s.path), "trails")
 	if err != nil {
@@ -93,11 +92,11 @@
 		temporary.Close()
 		os.Remove(temporary.Name())
 		*s = old
-		return fmt.Errorf("%s: not written anew: %w", s.path, err)
+		return fmt.Errorf("%s: rewriting trails: %w", s.path, err)
 	}
 	old.file.Close()
 	return nil
 }
 
-// Close closes the file.
+// Close closes the store.
 func (s *Store) Close() error { return s.file.Close() }
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -8,33 +8,31 @@
 	"sedgespread/internal/versions"
 )
 
-// Trail is a driver's own record. Entries are kept until the voters hold them, and after that as long as there is room.
-//
-// Its memory is bounded by a count of entries. Three quarters of them are for single entries that the voters do not hold: a driver that can't reach
-// them has room for so many, however long that takes and whatever its rate. Those beyond are dropped, and the trail says of which version they were,
-// how many, and from when to when; they stay in the counts of spans. If more than the whole count is not told, the oldest entries go,
-// which shows as a hole. Spans are entered by the trail's own clock, and only as they are told while half of the count waits for that.
+// Trail is a driver's own audit trail, bounded by a number of entries. Entries that the voters have acknowledged are
+// kept while there is room. KindRPC entries beyond rpcEntriesShare that are not acknowledged are dropped: a KindDropped
+// entry then tells their number and time, and spans still count them. If too many other entries are unacknowledged the
+// oldest are removed, which leaves a gap.
 type Trail struct {
 	instance           versions.Instance
 	token              string
 	maxEntries         int
-	nearChange         int64 // after a change of version, what is attempted in this time has a single entry
+	nearChange         int64 // RPCs attempted within this time after a change of version have entries of their own
 	oldestPreviousHash string
 	lastHash           string
 	seq                uint64
 	entries            []Entry
-	chained            int // of those kept
+	chained            int // number of entries whose hashes are computed
 	openSpans          map[spanKey]*span
 	active             map[versions.Resource]versions.Number
-	changedAt          map[versions.Resource]int64 // when the version acted on changed last
-	flushedAt          int64                       // when spans were entered last
-	flushedForSendAt   int64                       // and when for somebody who was about to tell the trail
-	acknowledgedSeq    uint64                      // entry up to which the voters hold the trail, as they said last
-	unacknowledgedRPCs int                         // single entries after that one
-	dropped            map[spanKey]*droppedRPCs    // what there was no room for, and is not entered yet
+	changedAt          map[versions.Resource]int64 // when the active version changed last
+	flushedAt          int64                       // when spans were recorded last
+	flushedForSendAt   int64                       // when spans were recorded last before sending
+	acknowledgedSeq    uint64                      // last entry that the voters acknowledged
+	unacknowledgedRPCs int                         // KindRPC entries after acknowledgedSeq
+	dropped            map[spanKey]*droppedRPCs    // dropped and not yet recorded as KindDropped
 }
 
-// droppedRPCs are single entries of a version that were not kept.
+// droppedRPCs counts the KindRPC entries of a version that were dropped.
 type droppedRPCs struct {
 	from, to int64
 	count    uint64
@@ -45,25 +43,26 @@
 	version  versions.Number
 }
 
-// span is a version that is acted on, or under which something is in flight.
+// span collects counts for a version that is active or has RPCs in flight.
 type span struct {
-	from            int64 // of what has not been entered yet
+	from            int64 // end of the last recorded span
 	counts          Counts
 	inFlight        int
-	inFlightAtStart int // of those in flight at from
+	inFlightAtStart int
 }
 
-// FlushInterval is how often spans are entered, in nanoseconds.
+// FlushInterval is how often spans are recorded, in nanoseconds.
 const FlushInterval = int64(250_000_000)
 
 const (
-	rpcEntriesShare = 0.75 // of the entries kept are for single ones that the voters do not hold
-	unsentShare     = 0.5  // of them may wait to be told before spans are entered only as they are told
+	rpcEntriesShare = 0.75 // of the entries, for KindRPC entries that are not acknowledged
+	unsentShare     = 0.5  // of the entries; if more are unacknowledged, spans are recorded only before sending
 )
 
-// NewTrail begins the trail of a start, which keeps so many entries.
+// NewTrail begins the trail of an instance, which keeps maxEntries entries.
 func NewTrail(now int64, instance versions.Instance, token string, maxEntries int, nearChange int64) *Trail {
-	t := &Trail{instance: instance, token: token, maxEntries: max(maxEntries, 16), nearChange: nearChange, openSpans: map[spanKey]*span{}, active: map[versions.Resource]versions.Number{},
+	t := &Trail{instance: instance, token: token, maxEntries: max(maxEntries, 16), nearChange: nearChange,
+		openSpans: map[spanKey]*span{}, active: map[versions.Resource]versions.Number{},
 		changedAt: map[versions.Resource]int64{}, dropped: map[spanKey]*droppedRPCs{}, flushedAt: now}
 	t.oldestPreviousHash = rootHash(instance, token)
 	t.lastHash = t.oldestPreviousHash
@@ -71,7 +70,7 @@
 	return t
 }
 
-// append adds an entry to those before. It is chained to them when somebody asks: hashes are no part of an RPC's way.
+// append adds an entry. Hashes are computed later, to keep them off the path of RPCs.
 func (t *Trail) append(e Entry) {
 	t.seq++
 	e.Seq = t.seq
@@ -81,7 +80,7 @@
 	}
 }
 
-// computeHashes chains the entries that are not chained yet.
+// computeHashes computes the hashes that are still missing.
 func (t *Trail) computeHashes() {
 	for i := t.chained; i < len(t.entries); i++ {
 		t.entries[i].Hash = t.entries[i].computeHash(t.lastHash)
@@ -90,7 +89,7 @@
 	t.chained = len(t.entries)
 }
 
-// removeUpTo lets go of entries up to one.
+// removeUpTo removes the entries up to and including seq.
 func (t *Trail) removeUpTo(seq uint64) {
 	t.computeHashes()
 	for len(t.entries) > 0 && t.entries[0].Seq <= seq {
@@ -98,13 +97,13 @@
 	}
 }
 
-// RecordEpoch notes an order, and on which version of its thing the driver acts from now on.
+// RecordEpoch records that the driver learned of an epoch, and the version that it acts on from now on.
 func (t *Trail) RecordEpoch(now int64, resource versions.Resource, epoch versions.Epoch, active versions.Number) {
 	t.append(Entry{Kind: KindEpoch, At: now, Resource: resource, Epoch: epoch, Version: active})
 	t.RecordActive(now, resource, active)
 }
 
-// RecordActive notes on which version the driver acts from now on, 0 for none.
+// RecordActive sets the version that the driver acts on from now on, 0 for none.
 func (t *Trail) RecordActive(now int64, resource versions.Resource, active versions.Number) {
 	if t.active[resource] == active {
 		return
@@ -115,7 +114,7 @@
 	}
 }
 
-// RecordObserved notes on which version of a thing that the council does not decide the driver acts from now on.
+// RecordObserved records the version of a resource that the council does not decide.
 func (t *Trail) RecordObserved(now int64, resource versions.Resource, version versions.Number) {
 	if t.active[resource] != version {
 		t.active[resource] = version
@@ -123,6 +122,7 @@
 	}
 }
 
+// span returns the open span of a version, and opens one if there is none.
 func (t *Trail) span(now int64, resource versions.Resource, version versions.Number) *span {
 	key := spanKey{resource, version}
 	if t.openSpans[key] == nil {
@@ -131,19 +131,22 @@
 	return t.openSpans[key]
 }
 
-// BeginRPC notes that an RPC begins under a version.
+// BeginRPC records that an RPC begins under a version.
 func (t *Trail) BeginRPC(now int64, resource versions.Resource, version versions.Number) {
 	t.flushIfDue(now)
 	t.span(now, resource, version).inFlight++
 }
 
-// EndRPC notes how an RPC that began has ended, and when its last attempt began, 0 for none: what had none has no entry of its own.
-func (t *Trail) EndRPC(now int64, resource versions.Resource, version versions.Number, rpc string, effect Effect, outcome Outcome, attemptedAt int64) {
+// EndRPC records how an RPC ended and when its last attempt began, 0 if it had none. Only RPCs with an effect that were
+// attempted near a change of version, or under another than the active one, get an entry of their own.
+func (t *Trail) EndRPC(now int64, resource versions.Resource, version versions.Number, rpc string, effect Effect,
+	outcome Outcome, attemptedAt int64) {
 	t.flushIfDue(now)
 	s := t.span(now, resource, version)
 	s.inFlight = max(0, s.inFlight-1)
 	s.counts[effect][outcome]++
-	if attemptedAt == 0 || effect < Deduplicated || version == t.active[resource] && attemptedAt-t.changedAt[resource] > t.nearChange {
+	if attemptedAt == 0 || effect < Deduplicated ||
+		version == t.active[resource] && attemptedAt-t.changedAt[resource] > t.nearChange {
 		return
 	}
 	if t.unacknowledgedRPCs >= int(float64(t.maxEntries)*rpcEntriesShare) {
@@ -151,10 +154,11 @@
 		return
 	}
 	t.unacknowledgedRPCs++
-	t.append(Entry{Kind: KindRPC, At: now, Resource: resource, Version: version, RPC: rpc, Effect: effect, Outcome: outcome, From: attemptedAt})
+	t.append(Entry{Kind: KindRPC, At: now, Resource: resource, Version: version, RPC: rpc, Effect: effect,
+		Outcome: outcome, From: attemptedAt})
 }
 
-// countDropped counts a single entry that there is no room for.
+// countDropped counts a KindRPC entry that there is no room for.
 func (t *Trail) countDropped(now int64, key spanKey) {
 	d := t.dropped[key]
 	if d == nil {
@@ -165,7 +169,7 @@
 	d.count++
 }
 
-// flushIfDue flushes if it is time and there is room.
+// flushIfDue flushes once per interval while there is room.
 func (t *Trail) flushIfDue(now int64) {
 	unsent := float64(t.seq - t.acknowledgedSeq)
 	if now-t.flushedAt >= FlushInterval && unsent < float64(t.maxEntries)*unsentShare {
@@ -173,20 +177,21 @@
 	}
 }
 
-// sortedKeys are the keys of a map in their order, so that the same acts make the same trail.
+// sortedKeys returns the keys in order, so that trails are deterministic.
 func sortedKeys[T any](spans map[spanKey]T) []spanKey {
 	return slices.SortedFunc(maps.Keys(spans), func(a, b spanKey) int {
 		return cmp.Or(cmp.Compare(a.resource, b.resource), cmp.Compare(a.version, b.version))
 	})
 }
 
-// Flush enters what has gathered in spans, and ends those that are over.
+// Flush records all open spans, and closes those that are neither active nor have RPCs in flight.
 func (t *Trail) Flush(now int64) {
 	t.flushedAt = now
 	for _, key := range sortedKeys(t.openSpans) {
 		s := t.openSpans[key]
 		counts := s.counts
-		t.append(Entry{Kind: KindSpan, At: now, Resource: key.resource, Version: key.version, From: s.from, To: now, Counts: &counts, Count: uint64(s.inFlightAtStart)})
+		t.append(Entry{Kind: KindSpan, At: now, Resource: key.resource, Version: key.version, From: s.from, To: now,
+			Counts: &counts, Count: uint64(s.inFlightAtStart)})
 		s.from, s.counts, s.inFlightAtStart = now, Counts{}, s.inFlight
 		if s.inFlight == 0 && t.active[key.resource] != key.version {
 			delete(t.openSpans, key)
@@ -194,8 +199,8 @@
 	}
 }
 
-// FlushBeforeSend flushes for somebody who is about to tell the trail, but not more often than spans are entered: the last entry of what is told then says what
-// this driver's clock showed at that time, whatever was flushed in between.
+// FlushBeforeSend flushes before the trail is sent, at most once per FlushInterval, even if flushIfDue has just flushed:
+// the last entry sent then carries the current time, from which the receiver derives the clock offset.
 func (t *Trail) FlushBeforeSend(now int64) {
 	if now-t.flushedForSendAt >= FlushInterval {
 		t.flushedForSendAt = now
@@ -203,16 +208,17 @@
 	}
 }
 
-// appendDropped enters what there was no room for.
+// appendDropped records the dropped entries.
 func (t *Trail) appendDropped() {
 	for _, key := range sortedKeys(t.dropped) {
 		d := t.dropped[key]
-		t.append(Entry{Kind: KindDropped, At: d.to, Resource: key.resource, Version: key.version, From: d.from, To: d.to, Count: d.count})
+		t.append(Entry{Kind: KindDropped, At: d.to, Resource: key.resource, Version: key.version, From: d.from, To: d.to,
+			Count: d.count})
 	}
 	clear(t.dropped)
 }
 
-// Since gives the entries after one, which is the last that the voters hold, at most so many, the oldest first.
+// Since returns up to maxEntries entries after seq, the last entry that the voters hold.
 func (t *Trail) Since(seq uint64, maxEntries int) Segment {
 	t.appendDropped()
 	t.computeHashes()
@@ -231,7 +237,7 @@
 	return segment
 }
 
-// acknowledge notes up to which entry the voters hold the trail, which may be less than before: a successor may not have heard all.
+// acknowledge sets the last entry that the voters hold. It may go back, as a new leader may have received less.
 func (t *Trail) acknowledge(seq uint64) {
 	t.acknowledgedSeq, t.unacknowledgedRPCs = seq, 0
 	for _, e := range t.entries {
