--- a/internal/versions/size_test.go
+++ b/internal/versions/size_test.go
@@ -39,7 +39,6 @@
 	Instance
 	h      *DriverState
 	asked  int64
-	began  int64
 	acting bool
 	lapsed bool
 	turn   int
--- a/internal/versions/walk_test.go
+++ b/internal/versions/walk_test.go
@@ -21,7 +21,6 @@
 	drivers []*driver
 	asked   []ask
 	grants  []grant
-	closed  Number // the newest version that was closed, or withdrawn down to
 	dead    map[Number]bool
 	broken  string
 	visits  map[string]bool
