--- a/internal/versions/size_test.go
+++ b/internal/versions/size_test.go
@@ -14,40 +14,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sized is a fleet of many drivers on a virtual clock, with one that tells them all: requests are served one after another
+// loadSimulation is a fleet of many drivers on a virtual clock, with one that tells them all: requests are served one after another
 // and take time by their bytes.
-type sized struct {
-	rng      *rand.Rand
-	ledger   *Controller
-	pacer    *Pacer // nil for none
-	poll     int64  // drivers ask so often; 0 for at once after an answer, which may wait
-	now      int64
-	events   events
-	seq      int
-	free     int64 // when the server is idle again
-	drivers  []*askers
-	waiting  []*askers // whose answers wait for something new
-	acts     []int64   // when drivers began to act on the version
-	wanted   Number
-	messages int
-	bytes    int64
-	worst    int64 // longest wait in the server's queue
-	lapsed   int   // drivers whose lease ran out
+type loadSimulation struct {
+	rng           *rand.Rand
+	controller    *Controller
+	pacer         *Pacer // nil for none
+	pollInterval  int64  // drivers ask so often; 0 for at once after an answer, which may wait
+	now           int64
+	events        events
+	seq           int
+	idleAt        int64 // when the server is idle again
+	drivers       []*loadDriver
+	waiting       []*loadDriver // whose answers wait for something new
+	activatedAt   []int64       // when drivers began to act on the version
+	target        Number
+	messages      int
+	bytes         int64
+	maxQueueWait  int64 // longest wait in the server's queue
+	expiredLeases int   // drivers whose lease ran out
 }
 
-type askers struct {
+type loadDriver struct {
 	Instance
-	h      *DriverState
-	asked  int64
-	acting bool
-	lapsed bool
-	turn   int
+	state       *DriverState
+	requestedAt int64
+	isActive    bool
+	isExpired   bool
+	answers     int
 }
 
 type event struct {
 	at  int64
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -61,173 +61,173 @@
 func (e *events) Pop() any     { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
 const (
-	ms         = int64(1_000_000)
-	sizedLease = 15_000 * ms
-	sizedWait  = sizedLease / 4
-	sizedHop   = ms         // one way
-	sizedCost  = 100_000    // ns a request, beside
-	sizedBytes = 10.0       // ns a byte: 100 MB a second
-	sizedText  = 256 << 10  // of a version
-	sizedRate  = 32.0 * 1e6 // bytes a second that a pacer lets through
+	ms              = int64(1_000_000)
+	loadLease       = 15_000 * ms
+	loadAnswerWait  = loadLease / 4
+	loadLatency     = ms         // one way
+	loadRequestCost = 100_000    // ns a request, beside
+	loadByteCost    = 10.0       // ns a byte: 100 MB a second
+	loadTextBytes   = 256 << 10  // of a version
+	loadPacerRate   = 32.0 * 1e6 // bytes a second that a pacer lets through
 )
 
-func (s *sized) after(wait int64, do func()) {
+func (s *loadSimulation) after(delay int64, do func()) {
 	s.seq++
-	heap.Push(&s.events, event{s.now + wait, s.seq, do})
+	heap.Push(&s.events, event{s.now + delay, s.seq, do})
 }
 
-func (s *sized) run(until int64) {
+func (s *loadSimulation) run(until int64) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	s.now = until
 }
 
 // serve lets the server spend time on some bytes, and then do something.
-func (s *sized) serve(bytes int, do func()) {
-	begun := max(s.now, s.free)
-	s.worst = max(s.worst, begun-s.now)
-	s.free = begun + sizedCost + int64(float64(bytes)*sizedBytes)
+func (s *loadSimulation) serve(bytes int, do func()) {
+	startedAt := max(s.now, s.idleAt)
+	s.maxQueueWait = max(s.maxQueueWait, startedAt-s.now)
+	s.idleAt = startedAt + loadRequestCost + int64(float64(bytes)*loadByteCost)
 	s.messages++
 	s.bytes += int64(bytes)
-	s.after(s.free-s.now, do)
+	s.after(s.idleAt-s.now, do)
 }
 
-func length(v any) int {
+func encodedLength(v any) int {
 	text, _ := json.Marshal(v)
 	return len(text)
 }
 
-// ask lets a driver ask.
-func (s *sized) ask(d *askers) {
-	d.asked = s.now
-	if d.h.LeaseExpiry() != 0 && d.h.LeaseExpiry() < s.now && !d.lapsed {
-		d.lapsed = true
-		s.lapsed++
+// request lets a driver ask.
+func (s *loadSimulation) request(d *loadDriver) {
+	d.requestedAt = s.now
+	if d.state.LeaseExpiry() != 0 && d.state.LeaseExpiry() < s.now && !d.isExpired {
+		d.isExpired = true
+		s.expiredLeases++
 	}
-	seen := d.h.Reports()
-	s.after(sizedHop, func() {
-		s.serve(length(seen)+200, func() {
-			s.ledger.RecordReports(d.Instance, seen)
+	reports := d.state.Reports()
+	s.after(loadLatency, func() {
+		s.serve(encodedLength(reports)+200, func() {
+			s.controller.RecordReports(d.Instance, reports)
 			s.step()
-			s.answer(d, true)
+			s.respond(d, true)
 		})
 	})
 }
 
-// answer answers a driver, at once or once there is something new.
-func (s *sized) answer(d *askers, may bool) {
-	orders := s.ledger.Assignments(d.Instance)
-	if len(orders) == 0 && may && s.poll == 0 {
+// respond answers a driver, at once or once there is something new.
+func (s *loadSimulation) respond(d *loadDriver, mayWait bool) {
+	assignments := s.controller.Assignments(d.Instance)
+	if len(assignments) == 0 && mayWait && s.pollInterval == 0 {
 		s.waiting = append(s.waiting, d)
-		d.turn++
-		turn := d.turn
-		s.after(sizedWait, func() {
-			if d.turn == turn {
-				s.waiting = slices.DeleteFunc(s.waiting, func(w *askers) bool { return w == d })
-				s.answer(d, false)
+		d.answers++
+		answer := d.answers
+		s.after(loadAnswerWait, func() {
+			if d.answers == answer {
+				s.waiting = slices.DeleteFunc(s.waiting, func(w *loadDriver) bool { return w == d })
+				s.respond(d, false)
 			}
 		})
 		return
 	}
-	d.turn++
-	again := int64(0)
-	for i := range orders {
-		if n := len(orders[i].Text); n > 0 && s.pacer != nil {
-			if again = s.pacer.Reserve(s.now, d.Instance, n); again > 0 {
-				orders = nil
+	d.answers++
+	retryAfter := int64(0)
+	for i := range assignments {
+		if n := len(assignments[i].Text); n > 0 && s.pacer != nil {
+			if retryAfter = s.pacer.Reserve(s.now, d.Instance, n); retryAfter > 0 {
+				assignments = nil
 				break
 			}
 		}
 	}
-	g := Grant{Lease: sizedLease, Assignments: orders}
-	if again > 0 {
-		g.Lease = 0
+	grant := Grant{Lease: loadLease, Assignments: assignments}
+	if retryAfter > 0 {
+		grant.Lease = 0
 	}
-	s.serve(length(g), func() { s.after(sizedHop, func() { s.granted(d, g, again) }) })
+	s.serve(encodedLength(grant), func() { s.after(loadLatency, func() { s.applyGrant(d, grant, retryAfter) }) })
 }
 
-// granted lets a driver take in what it was granted, and ask again.
-func (s *sized) granted(d *askers, g Grant, again int64) {
-	if again > 0 {
-		s.after(again, func() { s.ask(d) })
+// applyGrant lets a driver take in what it was granted, and ask again.
+func (s *loadSimulation) applyGrant(d *loadDriver, grant Grant, retryAfter int64) {
+	if retryAfter > 0 {
+		s.after(retryAfter, func() { s.request(d) })
 		return
 	}
-	for _, a := range d.h.ApplyGrant(d.asked, g) {
-		d.h.MarkAdopted(a)
+	for _, adoption := range d.state.ApplyGrant(d.requestedAt, grant) {
+		d.state.MarkAdopted(adoption)
 	}
-	d.lapsed = false
-	if n, may := d.h.Begin(s.now, thing); may {
-		d.h.End(thing, n)
-		if n >= s.wanted && !d.acting {
-			d.acting = true
-			s.acts = append(s.acts, s.now)
+	d.isExpired = false
+	if n, may := d.state.Begin(s.now, testResource); may {
+		d.state.End(testResource, n)
+		if n >= s.target && !d.isActive {
+			d.isActive = true
+			s.activatedAt = append(s.activatedAt, s.now)
 		}
 	}
-	wait := s.poll
-	if len(g.Assignments) > 0 {
+	wait := s.pollInterval
+	if len(grant.Assignments) > 0 {
 		wait = 0
 	}
-	s.after(wait, func() { s.ask(d) })
+	s.after(wait, func() { s.request(d) })
 }
 
-func (s *sized) step() {
-	var all []DriverStatus
+func (s *loadSimulation) step() {
+	var statuses []DriverStatus
 	for _, d := range s.drivers {
-		all = append(all, DriverStatus{Instance: d.Instance, MayAct: true})
+		statuses = append(statuses, DriverStatus{Instance: d.Instance, MayAct: true})
 	}
-	for _, k := range s.ledger.Step(s.now, all) {
-		s.ledger.Apply(k)
+	for _, record := range s.controller.Step(s.now, statuses) {
+		s.controller.Apply(record)
 		waiting := s.waiting
 		s.waiting = nil
 		for _, d := range waiting {
-			s.answer(d, false)
+			s.respond(d, false)
 		}
 	}
 }
 
-func newSized(drivers int, poll int64, paced bool) *sized {
-	s := &sized{rng: rand.New(rand.NewSource(1)), ledger: NewController(), poll: poll}
-	if paced {
-		s.pacer = NewPacer(sizedRate, 20*ms)
+func newLoadSimulation(drivers int, pollInterval int64, isPaced bool) *loadSimulation {
+	s := &loadSimulation{rng: rand.New(rand.NewSource(1)), controller: NewController(), pollInterval: pollInterval}
+	if isPaced {
+		s.pacer = NewPacer(loadPacerRate, 20*ms)
 	}
 	for i := range drivers {
-		d := &askers{Instance: Instance{fmt.Sprint("driver-", i), 1}, h: NewDriverState()}
+		d := &loadDriver{Instance: Instance{fmt.Sprint("driver-", i), 1}, state: NewDriverState()}
 		s.drivers = append(s.drivers, d)
-		s.after(s.rng.Int63n(1000*ms), func() { s.ask(d) })
+		s.after(s.rng.Int63n(1000*ms), func() { s.request(d) })
 	}
 	return s
 }
 
-// change brings a version in, and lets the fleet run.
-func (s *sized) change(span int64) {
-	records, err := s.ledger.Propose(s.now, thing, "d", strings.Repeat("x", sizedText), "", Plan{AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1})
+// rollOut brings a version in, and lets the fleet run.
+func (s *loadSimulation) rollOut(span int64) {
+	records, err := s.controller.Propose(s.now, testResource, "d", strings.Repeat("x", loadTextBytes), "", Plan{AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1})
 	if err != nil {
 		panic(err)
 	}
-	s.wanted, s.acts, s.worst = records[0].Version.Number, nil, 0
+	s.target, s.activatedAt, s.maxQueueWait = records[0].Version.Number, nil, 0
 	for _, d := range s.drivers {
-		d.acting = false
+		d.isActive = false
 	}
-	s.ledger.Apply(records[0])
+	s.controller.Apply(records[0])
 	waiting := s.waiting
 	s.waiting = nil
 	for _, d := range waiting {
-		s.answer(d, false)
+		s.respond(d, false)
 	}
 	s.run(s.now + span)
 }
 
-// at is when a part of the drivers acted on the version, after a time.
-func (s *sized) at(part float64, begun int64) string {
-	need := int(math.Ceil(part * float64(len(s.drivers))))
-	if len(s.acts) < need {
+// activationTime is when a part of the drivers acted on the version, after a time.
+func (s *loadSimulation) activationTime(fraction float64, startedAt int64) string {
+	need := int(math.Ceil(fraction * float64(len(s.drivers))))
+	if len(s.activatedAt) < need {
 		return "not yet"
 	}
-	slices.Sort(s.acts)
-	return fmt.Sprintf("%.2f s", float64(s.acts[need-1]-begun)/1e9)
+	slices.Sort(s.activatedAt)
+	return fmt.Sprintf("%.2f s", float64(s.activatedAt[need-1]-startedAt)/1e9)
 }
 
 // TestMeasureSize compares ways of telling many drivers. `make results-fleet-size` keeps the table.
@@ -242,34 +242,34 @@
 	b.WriteString("| drivers | way | quiet: messages/s, KB/s at the council; messages/s at a driver | change: 50%, 99%, all act | closed | return: 50%, 99%, all act | longest wait in the council's queue | leases that ran out |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, n := range []int{10, 100, 1000} {
-		for _, way := range []struct {
+		for _, mode := range []struct {
 			name  string
 			poll  int64
 			paced bool
 		}{{"answers wait, paced", 0, true}, {"answers wait, all at once", 0, false}, {"polling every 1 s", 1000 * ms, false}} {
-			s := newSized(n, way.poll, way.paced)
+			s := newLoadSimulation(n, mode.poll, mode.paced)
 			s.run(20_000 * ms)
 			messages, bytes := s.messages, s.bytes
 			s.run(s.now + 60_000*ms)
 			quiet := fmt.Sprintf("%.1f, %.1f; %.2f", float64(s.messages-messages)/60, float64(s.bytes-bytes)/60e3, float64(s.messages-messages)/60/float64(n))
-			begun := s.now
-			s.change(120_000 * ms)
-			change := s.at(0.5, begun) + ", " + s.at(0.99, begun) + ", " + s.at(1, begun)
-			closed := "not yet"
-			if v := s.ledger.histories[thing].latest(); v.Stage == StageCompleted {
-				closed = fmt.Sprintf("%.2f s", float64(v.CompletedAt-begun)/1e9)
+			startedAt := s.now
+			s.rollOut(120_000 * ms)
+			change := s.activationTime(0.5, startedAt) + ", " + s.activationTime(0.99, startedAt) + ", " + s.activationTime(1, startedAt)
+			completed := "not yet"
+			if v := s.controller.histories[testResource].latest(); v.Stage == StageCompleted {
+				completed = fmt.Sprintf("%.2f s", float64(v.CompletedAt-startedAt)/1e9)
 			}
-			changeWorst := s.worst
-			s.events, s.waiting, s.acts, s.worst, s.lapsed = nil, nil, nil, 0, 0
-			s.free, begun = s.now, s.now
+			rolloutQueueWait := s.maxQueueWait
+			s.events, s.waiting, s.activatedAt, s.maxQueueWait, s.expiredLeases = nil, nil, nil, 0, 0
+			s.idleAt, startedAt = s.now, s.now
 			for _, d := range s.drivers {
-				d.h, d.acting, d.turn = NewDriverState(), false, d.turn+1
+				d.state, d.isActive, d.answers = NewDriverState(), false, d.answers+1
 				d.Start++
-				s.ask(d)
+				s.request(d)
 			}
 			s.run(s.now + 120_000*ms)
-			fmt.Fprintf(&b, "| %d | %s | %s | %s | %s | %s | change %.2f s, return %.2f s | %d |\n", n, way.name, quiet, change, closed,
-				s.at(0.5, begun)+", "+s.at(0.99, begun)+", "+s.at(1, begun), float64(changeWorst)/1e9, float64(s.worst)/1e9, s.lapsed)
+			fmt.Fprintf(&b, "| %d | %s | %s | %s | %s | %s | change %.2f s, return %.2f s | %d |\n", n, mode.name, quiet, change, completed,
+				s.activationTime(0.5, startedAt)+", "+s.activationTime(0.99, startedAt)+", "+s.activationTime(1, startedAt), float64(rolloutQueueWait)/1e9, float64(s.maxQueueWait)/1e9, s.expiredLeases)
 		}
 	}
 	require.NoError(t, os.WriteFile(path, []byte(b.String()), 0o600))
--- a/internal/versions/walk_test.go
+++ b/internal/versions/walk_test.go
@@ -9,283 +9,283 @@
 	"github.com/stretchr/testify/require"
 )
 
-// world is a ledger whose holder changes, drivers with clocks of their own, and messages that are late, lost, doubled and
+// simulation is a ledger whose holder changes, drivers with clocks of their own, and messages that are late, lost, doubled and
 // out of order. It keeps the truth of what drivers act on.
-type world struct {
-	rng     *rand.Rand
-	planted planted
-	now     int64
-	ledger  *Controller
-	records []Record
-	until   map[string]int64 // leases as the ledger's holder knows
-	drivers []*driver
-	asked   []ask
-	grants  []grant
-	dead    map[Number]bool
-	broken  string
-	visits  map[string]bool
+type simulation struct {
+	rng           *rand.Rand
+	fault         fault
+	now           int64
+	controller    *Controller
+	records       []Record
+	leaseExpiry   map[string]int64 // leases as the ledger's holder knows
+	drivers       []*driver
+	requests      []request
+	grants        []pendingGrant
+	obsolete      map[Number]bool
+	violation     string
+	visitedStages map[string]bool
 }
 
-type planted int
+type fault int
 
 const (
-	sound       planted = iota
-	longLease           // drivers hold a lease a tenth too long
-	noStraggler         // a version is closed though one that may act has not said so
-	oldOrders           // drivers take in orders older than what they know
-	actsOn              // drivers go on with what has begun under a version that was closed
+	noFault          fault = iota
+	leaseTooLong           // drivers hold a lease a tenth too long
+	skipUnconfirmed        // a version is closed though one that may act has not said so
+	acceptStale            // drivers take in orders older than what they know
+	continueObsolete       // drivers go on with what has begun under a version that was closed
 )
 
 type driver struct {
 	Instance
-	h      *DriverState
-	rate   float64
-	flight []flight
-	mute   int64 // nothing that it says is heard until then
+	state      *DriverState
+	clockRate  float64
+	inFlight   []inFlightRequest
+	mutedUntil int64 // nothing that it says is heard until then
 }
 
-type flight struct {
+type inFlightRequest struct {
 	number Number
-	ends   int64
+	endsAt int64
 }
 
-type ask struct {
-	who   Instance
-	at    int64 // own clock
-	seen  []Report
-	ready int64
+type request struct {
+	instance Instance
+	sentAt   int64 // own clock
+	reports  []Report
+	ready    int64
 }
 
-type grant struct {
-	who   Instance
-	at    int64
-	g     Grant
-	ready int64
+type pendingGrant struct {
+	instance    Instance
+	requestedAt int64
+	grant       Grant
+	ready       int64
 }
 
 const (
-	lease  = 1000
-	margin = 60 // for clocks that differ by 0.02
-	thing  = Resource("x")
+	leaseTime    = 1000
+	clockMargin  = 60 // for clocks that differ by 0.02
+	testResource = Resource("x")
 )
 
-func newWorld(seed int64, p planted) *world {
-	w := &world{rng: rand.New(rand.NewSource(seed)), planted: p, until: map[string]int64{}, dead: map[Number]bool{},
-		visits: map[string]bool{}, ledger: NewController()}
+func newSimulation(seed int64, f fault) *simulation {
+	s := &simulation{rng: rand.New(rand.NewSource(seed)), fault: f, leaseExpiry: map[string]int64{}, obsolete: map[Number]bool{},
+		visitedStages: map[string]bool{}, controller: NewController()}
 	for i := range 4 {
-		d := &driver{Instance: Instance{fmt.Sprint("d", i), 0}, rate: 1 + 0.02*(2*w.rng.Float64()-1)}
-		w.drivers = append(w.drivers, d)
-		w.begin(d)
+		d := &driver{Instance: Instance{fmt.Sprint("d", i), 0}, clockRate: 1 + 0.02*(2*s.rng.Float64()-1)}
+		s.drivers = append(s.drivers, d)
+		s.restart(d)
 	}
-	return w
+	return s
 }
 
-func (d *driver) clock(now int64) int64 { return int64(float64(now) * d.rate) }
+func (d *driver) clock(now int64) int64 { return int64(float64(now) * d.clockRate) }
 
-func (w *world) begin(d *driver) {
+func (s *simulation) restart(d *driver) {
 	d.Start++
-	d.h, d.flight = NewDriverState(), nil
+	d.state, d.inFlight = NewDriverState(), nil
 }
 
-func (w *world) present() (all []DriverStatus) {
-	for _, d := range w.drivers {
-		all = append(all, DriverStatus{Instance: d.Instance, MayAct: w.until[d.Name] >= w.now})
+func (s *simulation) statuses() (all []DriverStatus) {
+	for _, d := range s.drivers {
+		all = append(all, DriverStatus{Instance: d.Instance, MayAct: s.leaseExpiry[d.Name] >= s.now})
 	}
 	return all
 }
 
-func (w *world) write(records []Record) {
-	for _, k := range records {
-		if err := w.ledger.Apply(k); err != nil {
-			w.broken = err.Error()
+func (s *simulation) commit(records []Record) {
+	for _, record := range records {
+		if err := s.controller.Apply(record); err != nil {
+			s.violation = err.Error()
 			return
 		}
-		w.records = append(w.records, k)
-		v := k.Version
-		w.visits[v.Stage.String()] = true
+		s.records = append(s.records, record)
+		v := record.Version
+		s.visitedStages[v.Stage.String()] = true
 		if v.Stage == StageCompleted {
-			w.dead[v.Base] = true
+			s.obsolete[v.Base] = true
 			for n := range v.Number {
-				w.dead[n] = true
+				s.obsolete[n] = true
 			}
 		}
 		if v.Stage == StageRolledBack {
-			w.dead[v.Number] = true
+			s.obsolete[v.Number] = true
 		}
 	}
 }
 
 // step lets one thing happen.
-func (w *world) step() {
-	d := w.drivers[w.rng.Intn(len(w.drivers))]
-	switch n := w.rng.Intn(1000); {
+func (s *simulation) step() {
+	d := s.drivers[s.rng.Intn(len(s.drivers))]
+	switch n := s.rng.Intn(1000); {
 	case n < 250:
-		w.now += w.rng.Int63n(60)
+		s.now += s.rng.Int63n(60)
 	case n < 400:
-		w.asked = append(w.asked, ask{d.Instance, d.clock(w.now), d.h.Reports(), w.now + w.rng.Int63n(120)})
+		s.requests = append(s.requests, request{d.Instance, d.clock(s.now), d.state.Reports(), s.now + s.rng.Int63n(120)})
 	case n < 560:
-		w.hear()
+		s.deliverRequest()
 	case n < 720:
-		w.tell()
+		s.deliverGrant()
 	case n < 840:
-		w.begins(d)
+		s.beginRequest(d)
 	case n < 900:
-		d.settle(w.now)
+		d.endRequests(s.now)
 	case n < 960:
-		present := w.present()
-		if w.planted == noStraggler && w.rng.Intn(40) == 0 {
-			present[w.rng.Intn(len(present))].MayAct = false
+		statuses := s.statuses()
+		if s.fault == skipUnconfirmed && s.rng.Intn(40) == 0 {
+			statuses[s.rng.Intn(len(statuses))].MayAct = false
 		}
-		w.write(w.ledger.Step(w.now, present))
+		s.commit(s.controller.Step(s.now, statuses))
 	case n < 968:
-		p := Plan{Exclusive: w.rng.Intn(2) == 0, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1, TrialTime: 50}
-		if !p.Exclusive && w.rng.Intn(2) == 0 {
-			p.CanaryFraction = 0.3
+		plan := Plan{Exclusive: s.rng.Intn(2) == 0, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1, TrialTime: 50}
+		if !plan.Exclusive && s.rng.Intn(2) == 0 {
+			plan.CanaryFraction = 0.3
 		}
-		if records, err := w.ledger.Propose(w.now, thing, "d", "text", "walk", p); err == nil {
-			w.write(records)
+		if records, err := s.controller.Propose(s.now, testResource, "d", "text", "walk", plan); err == nil {
+			s.commit(records)
 		}
 	case n < 970:
-		if records, err := w.ledger.RollBack(w.now, thing, "walk"); err == nil {
-			w.write(records)
+		if records, err := s.controller.RollBack(s.now, testResource, "walk"); err == nil {
+			s.commit(records)
 		}
 	case n < 974:
-		w.begin(d)
+		s.restart(d)
 	case n < 978:
-		past := w.ledger.Snapshot()
-		w.ledger = NewController()
-		w.ledger.Restore(past)
-		w.ledger.StartLeading()
-		for _, d := range w.drivers {
-			w.until[d.Name] = w.now + lease + margin
+		snapshot := s.controller.Snapshot()
+		s.controller = NewController()
+		s.controller.Restore(snapshot)
+		s.controller.StartLeading()
+		for _, d := range s.drivers {
+			s.leaseExpiry[d.Name] = s.now + leaseTime + clockMargin
 		}
 	case n < 984:
-		d.mute = w.now + w.rng.Int63n(3*lease)
+		d.mutedUntil = s.now + s.rng.Int63n(3*leaseTime)
 	}
-	w.check()
+	s.check()
 }
 
-// hear lets an ask arrive, and be answered.
-func (w *world) hear() {
-	if len(w.asked) == 0 {
+// deliverRequest lets an ask arrive, and be answered.
+func (s *simulation) deliverRequest() {
+	if len(s.requests) == 0 {
 		return
 	}
-	at := w.rng.Intn(len(w.asked))
-	a := w.asked[at]
-	if w.rng.Intn(20) != 0 || len(w.asked) > 60 {
-		w.asked = slices.Delete(w.asked, at, at+1)
+	i := s.rng.Intn(len(s.requests))
+	request := s.requests[i]
+	if s.rng.Intn(20) != 0 || len(s.requests) > 60 {
+		s.requests = slices.Delete(s.requests, i, i+1)
 	}
-	d := w.drivers[slices.IndexFunc(w.drivers, func(d *driver) bool { return d.Name == a.who.Name })]
-	if a.who != d.Instance || w.now < d.mute || w.rng.Intn(12) == 0 {
+	d := s.drivers[slices.IndexFunc(s.drivers, func(d *driver) bool { return d.Name == request.instance.Name })]
+	if request.instance != d.Instance || s.now < d.mutedUntil || s.rng.Intn(12) == 0 {
 		return // the roster lets nobody ask who was followed by a later start
 	}
-	w.until[a.who.Name] = w.now + lease + margin
-	w.ledger.RecordReports(a.who, a.seen)
-	w.grants = append(w.grants, grant{a.who, a.at, Grant{Lease: lease, Assignments: w.ledger.Assignments(a.who)}, w.now})
+	s.leaseExpiry[request.instance.Name] = s.now + leaseTime + clockMargin
+	s.controller.RecordReports(request.instance, request.reports)
+	s.grants = append(s.grants, pendingGrant{request.instance, request.sentAt, Grant{Lease: leaseTime, Assignments: s.controller.Assignments(request.instance)}, s.now})
 }
 
-// tell lets a grant arrive.
-func (w *world) tell() {
-	if len(w.grants) == 0 {
+// deliverGrant lets a grant arrive.
+func (s *simulation) deliverGrant() {
+	if len(s.grants) == 0 {
 		return
 	}
-	at := w.rng.Intn(len(w.grants))
-	g := w.grants[at]
-	if w.rng.Intn(3) != 0 || len(w.grants) > 60 {
-		w.grants = slices.Delete(w.grants, at, at+1)
+	i := s.rng.Intn(len(s.grants))
+	pending := s.grants[i]
+	if s.rng.Intn(3) != 0 || len(s.grants) > 60 {
+		s.grants = slices.Delete(s.grants, i, i+1)
 	}
-	d := w.drivers[slices.IndexFunc(w.drivers, func(d *driver) bool { return d.Name == g.who.Name })]
-	if g.who != d.Instance {
+	d := s.drivers[slices.IndexFunc(s.drivers, func(d *driver) bool { return d.Name == pending.instance.Name })]
+	if pending.instance != d.Instance {
 		return
 	}
-	if w.planted == oldOrders {
-		for _, t := range d.h.resources {
-			t.epoch = 0
+	if s.fault == acceptStale {
+		for _, resource := range d.state.resources {
+			resource.epoch = 0
 		}
 	}
-	if w.planted == longLease {
-		g.g.Lease += lease / 10
+	if s.fault == leaseTooLong {
+		pending.grant.Lease += leaseTime / 10
 	}
-	for _, a := range d.h.ApplyGrant(g.at, g.g) {
-		if w.rng.Intn(10) == 0 {
-			d.h.MarkFailed(a, "can't")
+	for _, adoption := range d.state.ApplyGrant(pending.requestedAt, pending.grant) {
+		if s.rng.Intn(10) == 0 {
+			d.state.MarkFailed(adoption, "can't")
 		} else {
-			d.h.MarkAdopted(a)
+			d.state.MarkAdopted(adoption)
 		}
 	}
 }
 
-func (w *world) begins(d *driver) {
-	if n, may := d.h.Begin(d.clock(w.now), thing); may {
-		d.flight = append(d.flight, flight{n, w.now + w.rng.Int63n(200) + w.rng.Int63n(40)/39*5*lease})
+func (s *simulation) beginRequest(d *driver) {
+	if n, may := d.state.Begin(d.clock(s.now), testResource); may {
+		d.inFlight = append(d.inFlight, inFlightRequest{n, s.now + s.rng.Int63n(200) + s.rng.Int63n(40)/39*5*leaseTime})
 	}
 }
 
-// settle ends what is over.
-func (d *driver) settle(now int64) {
-	d.flight = slices.DeleteFunc(d.flight, func(f flight) bool {
-		if f.ends <= now {
-			d.h.End(thing, f.number)
+// endRequests ends what is over.
+func (d *driver) endRequests(now int64) {
+	d.inFlight = slices.DeleteFunc(d.inFlight, func(request inFlightRequest) bool {
+		if request.endsAt <= now {
+			d.state.End(testResource, request.number)
 		}
-		return f.ends <= now
+		return request.endsAt <= now
 	})
 }
 
 // check looks at what every driver could do just now.
-func (w *world) check() {
-	acts := map[Number][]string{}
-	for _, d := range w.drivers {
-		clock := d.clock(w.now)
-		if n, may := d.h.Begin(clock, thing); may {
-			acts[n] = append(acts[n], d.Name)
-			d.h.End(thing, n)
+func (s *simulation) check() {
+	active := map[Number][]string{}
+	for _, d := range s.drivers {
+		clock := d.clock(s.now)
+		if n, may := d.state.Begin(clock, testResource); may {
+			active[n] = append(active[n], d.Name)
+			d.state.End(testResource, n)
 		}
-		for _, f := range d.flight {
-			if d.h.MayContinue(clock, thing, f.number) || w.planted == actsOn && clock < d.h.LeaseExpiry() {
-				acts[f.number] = append(acts[f.number], d.Name)
+		for _, request := range d.inFlight {
+			if d.state.MayContinue(clock, testResource, request.number) || s.fault == continueObsolete && clock < d.state.LeaseExpiry() {
+				active[request.number] = append(active[request.number], d.Name)
 			}
 		}
 	}
-	for n, who := range acts {
-		if w.dead[n] {
-			w.broken = fmt.Sprintf("%v act on version %d, which was over", who, n)
+	for n, names := range active {
+		if s.obsolete[n] {
+			s.violation = fmt.Sprintf("%v act on version %d, which was over", names, n)
 		}
 	}
-	if v := w.ledger.histories[thing].latest(); v != nil && v.Plan.Exclusive && len(acts) > 1 {
-		w.broken = fmt.Sprintf("act at once on versions that must not overlap: %v", acts)
+	if v := s.controller.histories[testResource].latest(); v != nil && v.Plan.Exclusive && len(active) > 1 {
+		s.violation = fmt.Sprintf("act at once on versions that must not overlap: %v", active)
 	}
 }
 
 // Guards against acts on a version after the moment from which there are none, and on two that must not overlap.
 func TestNobodyActsOnAnOldVersion(t *testing.T) {
-	visits, versions := map[string]bool{}, 0
+	visitedStages, versions := map[string]bool{}, 0
 	for seed := range int64(150) {
-		w := newWorld(seed, sound)
+		stage := newSimulation(seed, noFault)
 		for range 8000 {
-			if w.step(); w.broken != "" {
-				t.Fatalf("seed %d: %s", seed, w.broken)
+			if stage.step(); stage.violation != "" {
+				t.Fatalf("seed %d: %s", seed, stage.violation)
 			}
 		}
-		for s := range w.visits {
-			visits[s] = true
+		for stage := range stage.visitedStages {
+			visitedStages[stage] = true
 		}
-		versions += len(w.ledger.Versions(thing))
+		versions += len(stage.controller.Versions(testResource))
 	}
-	t.Logf("%d versions, stages %v", versions, visits)
-	require.Len(t, visits, len(stageTexts)-1, "every stage but that of nothing")
+	t.Logf("%d versions, stages %v", versions, visitedStages)
+	require.Len(t, visitedStages, len(stageTexts)-1, "every stage but that of nothing")
 	require.Greater(t, versions, 500)
 }
 
 // The walk finds what is planted.
 func TestPlantedFaults(t *testing.T) {
-	for name, p := range map[string]planted{"a lease held a tenth too long": longLease, "the straggler's check left out": noStraggler,
-		"old orders taken in": oldOrders, "what had begun goes on": actsOn} {
+	for name, f := range map[string]fault{"a lease held a tenth too long": leaseTooLong, "the straggler's check left out": skipUnconfirmed,
+		"old orders taken in": acceptStale, "what had begun goes on": continueObsolete} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(2000) {
-				w := newWorld(seed, p)
+				s := newSimulation(seed, f)
 				for range 8000 {
-					if w.step(); w.broken != "" {
-						t.Logf("found with seed %d: %s", seed, w.broken)
+					if s.step(); s.violation != "" {
+						t.Logf("found with seed %d: %s", seed, s.violation)
 						return
 					}
 				}
