--- a/internal/audit/shelf/shelf_test.go
+++ b/internal/audit/shelf/shelf_test.go
@@ -12,58 +12,58 @@
 )
 
 // Guards against a file cut at any byte that loses more than its last line, and one that grows for ever.
-func TestTrailsOutlastARestart(t *testing.T) {
+func TestStoreSurvivesTruncation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
-	s, parts, spoilt, err := Open(path, 500)
+	store, segments, unreadable, err := Open(path, 500)
 	require.NoError(t, err)
-	require.Empty(t, parts)
-	require.Zero(t, spoilt)
-	r := audit.NewTrail(0, versions.Instance{Name: "a", Start: 1}, "x", 1000, 1)
-	r.RecordEpoch(0, "book", 1, 1)
+	require.Empty(t, segments)
+	require.Zero(t, unreadable)
+	trail := audit.NewTrail(0, versions.Instance{Name: "a", Start: 1}, "x", 1000, 1)
+	trail.RecordEpoch(0, "book", 1, 1)
 	lines := 0
-	for at := uint64(0); ; lines++ {
-		r.Flush(int64(at))
-		p := r.Since(at, 1)
-		require.NoError(t, s.Append(p))
-		if at = p.Entries[0].Seq; at == 10 {
+	for seq := uint64(0); ; lines++ {
+		trail.Flush(int64(seq))
+		segment := trail.Since(seq, 1)
+		require.NoError(t, store.Append(segment))
+		if seq = segment.Entries[0].Seq; seq == 10 {
 			break
 		}
 	}
 	lines++
-	require.NoError(t, s.Close())
+	require.NoError(t, store.Close())
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	part := filepath.Join(t.TempDir(), "cut")
-	whole, cutOff := 0, 0
+	truncated := filepath.Join(t.TempDir(), "cut")
+	maxSegments, unreadableLines := 0, 0
 	for cut := 0; cut <= len(text); cut++ {
-		require.NoError(t, os.WriteFile(part, text[:cut], 0o600))
-		s, parts, spoilt, err := Open(part, 3000)
+		require.NoError(t, os.WriteFile(truncated, text[:cut], 0o600))
+		store, segments, unreadable, err := Open(truncated, 3000)
 		require.NoError(t, err)
-		require.LessOrEqual(t, spoilt, 1)
-		c := audit.NewCollection(1000)
-		c.Merge(parts)
-		require.Empty(t, c.Faults(), "cut at %d", cut)
-		whole, cutOff = max(whole, len(parts)), cutOff+spoilt
+		require.LessOrEqual(t, unreadable, 1)
+		collection := audit.NewCollection(1000)
+		collection.Merge(segments)
+		require.Empty(t, collection.Faults(), "cut at %d", cut)
+		maxSegments, unreadableLines = max(maxSegments, len(segments)), unreadableLines+unreadable
 		if cut%97 == 0 { // what is written behind is read again
-			require.NoError(t, s.Append(r.Since(10, 1)))
-			s.Close()
-			_, again, _, err := Open(part, 3000)
+			require.NoError(t, store.Append(trail.Since(10, 1)))
+			store.Close()
+			_, reopened, _, err := Open(truncated, 3000)
 			require.NoError(t, err)
-			require.Len(t, again, len(parts)+1)
+			require.Len(t, reopened, len(segments)+1)
 			continue
 		}
-		s.Close()
+		store.Close()
 	}
-	require.Equal(t, lines, whole)
-	require.Greater(t, cutOff, 100)
-	s, parts, _, err = Open(path, 1000)
+	require.Equal(t, lines, maxSegments)
+	require.Greater(t, unreadableLines, 100)
+	store, segments, _, err = Open(path, 1000)
 	require.NoError(t, err)
-	require.True(t, s.IsFull())
-	require.NoError(t, s.Rewrite(parts[:2]))
-	require.False(t, s.IsFull())
-	require.NoError(t, s.Append(parts[2]))
-	require.NoError(t, s.Close())
-	_, parts, _, err = Open(path, 3000)
+	require.True(t, store.IsFull())
+	require.NoError(t, store.Rewrite(segments[:2]))
+	require.False(t, store.IsFull())
+	require.NoError(t, store.Append(segments[2]))
+	require.NoError(t, store.Close())
+	_, segments, _, err = Open(path, 3000)
 	require.NoError(t, err)
-	require.Len(t, parts, 3)
+	require.Len(t, segments, 3)
 }
