--- a/internal/versions/observed_test.go
+++ b/internal/versions/observed_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a fleet whose drivers act on different lists for long without anybody knowing, against a driver that is
-// called late though it keeps up with a list that changes all the time, and against two lists of one number.
+// Guards against drivers that act on different lists unnoticed, two lists with the same number, and a driver that is
+// reported as lagging although it keeps up with a list that changes often.
 func TestDistributionsOfObservedResources(t *testing.T) {
 	f := newFleet(t, 4)
 	report := func(i int, number Number, digest string) {
@@ -23,7 +23,7 @@
 	for i := range f.instances {
 		report(i, 7, "seven")
 	}
-	require.Empty(t, f.controller.Assignments(f.instances[0]), "there is nothing to be told of it")
+	require.Empty(t, f.controller.Assignments(f.instances[0]), "nothing is assigned")
 	require.Empty(t, f.controller.StalledVersions(0, f.statuses()))
 	s := distribution()
 	require.Equal(t, []VersionHolders{{7, "seven", f.instances}}, s.Holders)
@@ -36,18 +36,18 @@
 	report(0, 10, "ten")
 	report(1, 9, "nine")
 	s = distribution()
-	require.Equal(t, []LaggingDriver{{f.instances[2], 7, 50}, {f.instances[3], 7, 50}, {f.instances[1], 9, 0}}, s.Lagging, "the second comes nearer")
+	require.Equal(t, []LaggingDriver{{f.instances[2], 7, 50}, {f.instances[3], 7, 50}, {f.instances[1], 9, 0}}, s.Lagging, "the second driver catches up")
 	require.False(t, s.HasConflict)
 	f.mayAct["d3"] = false
 	report(1, 10, "another ten")
 	s = distribution()
 	require.True(t, s.HasConflict)
-	require.Len(t, s.Lagging, 1, "one that may not act is not late")
+	require.Len(t, s.Lagging, 1, "drivers that may not act do not lag")
 	report(2, 10, "ten")
 	report(1, 10, "ten")
 	s = distribution()
 	require.False(t, s.HasConflict)
 	require.Empty(t, s.Lagging)
 	f.controller.StartLeading()
-	require.Empty(t, f.controller.Distributions(f.now, f.statuses()), "what was told to another")
+	require.Empty(t, f.controller.Distributions(f.now, f.statuses()), "reports to the previous leader")
 }
--- a/internal/versions/pacer_test.go
+++ b/internal/versions/pacer_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against texts that are told all at once, turns that are given twice, and ones that nobody comes for.
+// Guards against texts sent all at once, double reservations, and reservations that are never removed.
 func TestPacer(t *testing.T) {
-	p := NewPacer(1000, 100_000_000) // 1000 bytes a second
+	p := NewPacer(1000, 100_000_000)
 	now, sentAt := int64(0), []int64{}
 	waiting := map[Instance]int64{}
 	for i := range 20 {
@@ -32,7 +32,7 @@
 	require.Len(t, sentAt, 20)
 	require.InDelta(t, 19*0.5, float64(sentAt[19])/1e9, 0.2, "half a second each")
 	for i := 4; i < len(sentAt); i++ {
-		require.GreaterOrEqual(t, sentAt[i]-sentAt[i-4], int64(1_500_000_000), "never many at once")
+		require.GreaterOrEqual(t, sentAt[i]-sentAt[i-4], int64(1_500_000_000), "no bursts")
 	}
 	now += 60_000_000_000
 	p.Reserve(now, Instance{"x", 1}, 5000)
--- a/internal/versions/size_test.go
+++ b/internal/versions/size_test.go
@@ -14,25 +14,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loadSimulation is a fleet of many drivers on a virtual clock, with one that tells them all: requests are served one after another
-// and take time by their bytes.
+// loadSimulation is a leader and many drivers on a virtual clock. The leader handles messages one at a time, which takes
+// time by their size.
 type loadSimulation struct {
 	rng           *rand.Rand
 	controller    *Controller
 	pacer         *Pacer // nil for none
-	pollInterval  int64  // drivers ask so often; 0 for at once after an answer, which may wait
+	pollInterval  int64  // 0 for long polling
 	now           int64
 	events        events
 	seq           int
-	idleAt        int64 // when the server is idle again
+	idleAt        int64 // when the leader has handled all messages
 	drivers       []*loadDriver
-	waiting       []*loadDriver // whose answers wait for something new
-	activatedAt   []int64       // when drivers began to act on the version
+	waiting       []*loadDriver // drivers in long polls
+	activatedAt   []int64       // when each driver activated the target version
 	target        Number
 	messages      int
 	bytes         int64
-	maxQueueWait  int64 // longest wait in the server's queue
-	expiredLeases int   // drivers whose lease ran out
+	maxQueueWait  int64 // in the leader's queue
+	expiredLeases int   // number of drivers whose lease expired
 }
 
 type loadDriver struct {
@@ -65,10 +65,10 @@
 	loadLease       = 15_000 * ms
 	loadAnswerWait  = loadLease / 4
 	loadLatency     = ms         // one way
-	loadRequestCost = 100_000    // ns a request, beside
-	loadByteCost    = 10.0       // ns a byte: 100 MB a second
+	loadRequestCost = 100_000    // ns for each message
+	loadByteCost    = 10.0       // ns for each byte
 	loadTextBytes   = 256 << 10  // of a version
-	loadPacerRate   = 32.0 * 1e6 // bytes a second that a pacer lets through
+	loadPacerRate   = 32.0 * 1e6 // bytes per second
 )
 
 func (s *loadSimulation) after(delay int64, do func()) {
@@ -85,7 +85,7 @@
 	s.now = until
 }
 
-// serve lets the server spend time on some bytes, and then do something.
+// serve queues a message at the leader and calls do when it has been handled.
 func (s *loadSimulation) serve(bytes int, do func()) {
 	startedAt := max(s.now, s.idleAt)
 	s.maxQueueWait = max(s.maxQueueWait, startedAt-s.now)
@@ -100,7 +100,7 @@
 	return len(text)
 }
 
-// request lets a driver ask.
+// request sends a driver's reports.
 func (s *loadSimulation) request(d *loadDriver) {
 	d.requestedAt = s.now
 	if d.state.LeaseExpiry() != 0 && d.state.LeaseExpiry() < s.now && !d.isExpired {
@@ -117,7 +117,7 @@
 	})
 }
 
-// respond answers a driver, at once or once there is something new.
+// respond answers a driver, or lets its long poll wait for new assignments.
 func (s *loadSimulation) respond(d *loadDriver, mayWait bool) {
 	assignments := s.controller.Assignments(d.Instance)
 	if len(assignments) == 0 && mayWait && s.pollInterval == 0 {
@@ -149,7 +149,7 @@
 	s.serve(encodedLength(grant), func() { s.after(loadLatency, func() { s.applyGrant(d, grant, retryAfter) }) })
 }
 
-// applyGrant lets a driver take in what it was granted, and ask again.
+// applyGrant applies a grant at a driver and schedules its next request.
 func (s *loadSimulation) applyGrant(d *loadDriver, grant Grant, retryAfter int64) {
 	if retryAfter > 0 {
 		s.after(retryAfter, func() { s.request(d) })
@@ -201,9 +201,10 @@
 	return s
 }
 
-// rollOut brings a version in, and lets the fleet run.
+// rollOut proposes a version and runs the simulation for span.
 func (s *loadSimulation) rollOut(span int64) {
-	records, err := s.controller.Propose(s.now, testResource, "d", strings.Repeat("x", loadTextBytes), "", Plan{AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1})
+	records, err := s.controller.Propose(s.now, testResource, "d", strings.Repeat("x", loadTextBytes), "",
+		Plan{AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1})
 	if err != nil {
 		panic(err)
 	}
@@ -220,7 +221,7 @@
 	s.run(s.now + span)
 }
 
-// activationTime is when a part of the drivers acted on the version, after a time.
+// activationTime returns how long it took until a fraction of the drivers had activated the version.
 func (s *loadSimulation) activationTime(fraction float64, startedAt int64) string {
 	need := int(math.Ceil(fraction * float64(len(s.drivers))))
 	if len(s.activatedAt) < need {
@@ -230,11 +231,11 @@
 	return fmt.Sprintf("%.2f s", float64(s.activatedAt[need-1]-startedAt)/1e9)
 }
 
-// TestMeasureSize compares ways of telling many drivers. `make results-fleet-size` keeps the table.
+// TestMeasureSize compares ways to distribute versions to many drivers, for `make results-fleet-size`.
 func TestMeasureSize(t *testing.T) {
 	path := os.Getenv("SEDGESPREAD_FLEET_TABLE")
 	if path == "" {
-		t.Skip("no table is wanted")
+		t.Skip("set SEDGESPREAD_FLEET_TABLE to a file")
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "A virtual clock; one that tells, 0.1 ms and 10 ns a byte for each message, 1 ms a way; lease 15 s, a version of 256 KiB, texts paced to 32 MB/s.\n"+
--- a/internal/versions/trial_test.go
+++ b/internal/versions/trial_test.go
@@ -11,16 +11,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trialSimulation draws how drivers fare: each has a share of bad ends and a time of its own, which move from one minute to the next, and
-// those that try a version fare worse by some.
+// trialSimulation generates statistics of drivers. Each has its own failure rate and latency, which vary over time;
+// those of canaries are worse by extraFailures and slowdown.
 type trialSimulation struct {
 	rng           *rand.Rand
-	rpcs          int     // of a driver in a trial
-	driverSpread  float64 // spread of what drivers are used to, of the logarithms
-	timeSpread    float64 // spread of how that moves between two times
-	failureRate   float64 // usual share of bad ends
-	extraFailures float64 // of those that try it, more
-	slowdown      float64 // times as long
+	rpcs          int     // of each driver in a trial
+	driverSpread  float64 // standard deviation between drivers, of logarithms
+	timeSpread    float64 // standard deviation between two times, of logarithms
+	failureRate   float64 // median of drivers
+	extraFailures float64 // added to the failure rate of canaries
+	slowdown      float64 // latency factor of canaries
 	hasBaseline   bool
 }
 
@@ -63,7 +63,7 @@
 	return tested, untested
 }
 
-// alarmRate is the share of trials in which some rule says that a version is worse.
+// alarmRate returns the fraction of trials in which a rule finds the version worse.
 func (c *trialSimulation) alarmRate(trials, canaries, others int, rule func(tried, rest []comparison) bool) float64 {
 	n := 0
 	for range trials {
@@ -75,11 +75,11 @@
 }
 
 func detectedByTest(canaries, others []comparison) bool {
-	finding, _ := CompareCanaries(canaries, others, defaultToleratedRatio, defaultFalseAlarmRate*trialChecks) // one look
+	finding, _ := CompareCanaries(canaries, others, defaultToleratedRatio, defaultFalseAlarmRate*trialChecks) // a single check
 	return finding != ""
 }
 
-// detectedByFixedRatio is what a person would set up: twice the others' share of bad ends, or half as long again.
+// detectedByFixedRatio is a simple rule: twice the failure rate of the others, or 1.5 times their latency.
 func detectedByFixedRatio(canaries, others []comparison) bool {
 	sum := func(comparisons []comparison) (total RPCStats) {
 		for _, c := range comparisons {
@@ -92,7 +92,7 @@
 		a.LogSum/float64(a.Served)-b.LogSum/float64(b.Served) > math.Log(1.5)
 }
 
-// detectedByPooledCounts takes all RPCs for independent: a test of two shares.
+// detectedByPooledCounts is a two-proportion z-test, which treats all RPCs as independent.
 func detectedByPooledCounts(canaries, others []comparison) bool {
 	var a, b RPCStats
 	for _, p := range canaries {
@@ -106,27 +106,27 @@
 	return (float64(a.Failed)/n-float64(b.Failed)/m)/math.Sqrt(p*(1-p)*(1/n+1/m)) > 2.33
 }
 
-// Guards against canaries that are taken for ill since they are at busy places, and ill ones that are taken for well.
+// Guards against good versions that fail the test as drivers differ naturally, and bad ones that pass.
 func TestCanaryComparisonAllowsForDriverDifferences(t *testing.T) {
 	c := &trialSimulation{rng: rand.New(rand.NewSource(1)), rpcs: 400, driverSpread: 0.8, timeSpread: 0.3, failureRate: 0.02, hasBaseline: true}
-	require.Less(t, c.alarmRate(1000, 1, 8, detectedByTest), 0.04, "a sound version")
-	require.Greater(t, c.alarmRate(300, 1, 8, detectedByFixedRatio), 0.1, "a constant knows nothing of what drivers differ in")
+	require.Less(t, c.alarmRate(1000, 1, 8, detectedByTest), 0.04, "good version")
+	require.Greater(t, c.alarmRate(300, 1, 8, detectedByFixedRatio), 0.1, "a fixed ratio ignores differences between drivers")
 	c.hasBaseline = false
-	require.Less(t, c.alarmRate(1000, 2, 7, detectedByTest), 0.04, "a sound version, drivers just started")
-	require.Less(t, c.alarmRate(1000, 2, 4, detectedByTest), 0.05, "a sound version, few drivers")
+	require.Less(t, c.alarmRate(1000, 2, 7, detectedByTest), 0.04, "good version, no baselines")
+	require.Less(t, c.alarmRate(1000, 2, 4, detectedByTest), 0.05, "good version, few drivers")
 	c.hasBaseline, c.extraFailures = true, 0.2
-	require.Greater(t, c.alarmRate(300, 2, 7, detectedByTest), 0.85, "a fifth more end badly")
+	require.Greater(t, c.alarmRate(300, 2, 7, detectedByTest), 0.85, "0.2 more fail")
 	c.extraFailures, c.slowdown = 0, 2
-	require.Greater(t, c.alarmRate(300, 2, 7, detectedByTest), 0.8, "twice as long")
+	require.Greater(t, c.alarmRate(300, 2, 7, detectedByTest), 0.8, "twice the latency")
 	_, isConclusive := CompareCanaries([]comparison{{}}, []comparison{{}, {}, {}, {}}, defaultToleratedRatio, 0.01)
 	require.False(t, isConclusive)
 	c.rpcs = 100
 	_, others := c.trial(1, 2)
 	_, isConclusive = CompareCanaries(others[:1], others, defaultToleratedRatio, 0.01)
-	require.False(t, isConclusive, "two others don't tell what is usual")
+	require.False(t, isConclusive, "two others are too few")
 }
 
-// Guards against a trial that is over before it was looked at, one that never is, and one that lets a bad version through.
+// Guards against a trial that ends before a check, never ends, or lets a bad version pass.
 func TestCanaryTrialPassesOrRollsBack(t *testing.T) {
 	for _, canaryFailures := range []uint64{1, 60} {
 		f := newFleet(t, 9)
@@ -145,7 +145,7 @@
 			}
 		}
 		for _, instance := range f.instances {
-			n, _ := f.states[instance.Name].Begin(0, "x") // it knows of the thing
+			n, _ := f.states[instance.Name].Begin(0, "x") // creates the state of the resource
 			f.states[instance.Name].End("x", n)
 		}
 		recordRPCs(100)
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestMeasureCanaries writes the table of docs/results/fleet/canaries.md.
+// TestMeasureCanaries writes the table in docs/results/fleet/canaries.md.
 func TestMeasureCanaries(t *testing.T) {
 	path := os.Getenv("SEDGESPREAD_CANARIES_TABLE")
 	if path == "" {
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -10,7 +10,7 @@
 
 var testPlan = Plan{AnnounceTimeout: 100, AdoptTimeout: 100, DrainTimeout: 100}
 
-// fleet is drivers that do what they are told at once.
+// fleet is a controller with drivers that activate assigned versions at once.
 type fleet struct {
 	t          *testing.T
 	controller *Controller
@@ -43,13 +43,13 @@
 	return all
 }
 
-// requestGrant lets a driver ask and take in what it is told.
+// requestGrant sends a driver's reports and applies the grant.
 func (f *fleet) requestGrant(instance Instance) (adoptions []Adoption) {
 	f.controller.RecordReports(instance, f.states[instance.Name].Reports())
 	return f.states[instance.Name].ApplyGrant(f.now, Grant{Lease: 1000, Assignments: f.controller.Assignments(instance)})
 }
 
-// runUntilStable lets all drivers that may act ask, adopt and ask again, and steps be taken, until nothing happens any more.
+// runUntilStable lets all drivers that may act report and activate, and applies transitions, until nothing changes.
 func (f *fleet) runUntilStable() {
 	for range 20 {
 		for _, instance := range f.instances {
@@ -70,7 +70,7 @@
 	f.apply(f.controller.Propose(f.now, "x", digest, "text of "+digest, "test", plan))
 }
 
-// Guards against a first version that nobody ever acts on, and one that is not told to who comes later.
+// Guards against a first version that is never activated, or not assigned to drivers that join later.
 func TestVersionIsRolledOut(t *testing.T) {
 	f := newFleet(t, 3)
 	f.propose("a", testPlan)
@@ -84,7 +84,7 @@
 	adoptions := f.requestGrant(added)
 	require.Equal(t, []Adoption{{"x", 2, "text of a"}}, adoptions)
 	_, may := f.states["late"].Begin(0, "x")
-	require.False(t, may, "not before it has adopted it")
+	require.False(t, may, "not activated yet")
 	f.states["late"].MarkAdopted(adoptions[0])
 	n, may := f.states["late"].Begin(0, "x")
 	require.True(t, may)
@@ -92,7 +92,7 @@
 	require.Empty(t, f.controller.Assignments(added)[0].ActiveText)
 }
 
-// Guards against a version that waits for ever for a driver that is away, and against one closed before its lease is over.
+// Guards against a rollout that waits forever for a disconnected driver, and one that completes before its lease expires.
 func TestRolloutWaitsForLeaseOfDisconnectedDriver(t *testing.T) {
 	f := newFleet(t, 3)
 	f.propose("a", testPlan)
@@ -100,7 +100,7 @@
 	f.propose("b", testPlan)
 	disconnected, others := f.instances[1], []Instance{f.instances[0], f.instances[2]}
 	require.Equal(t, StageAnnounced, f.runOnly(others))
-	f.requestGrant(disconnected) // it holds it now, and is not heard of any more
+	f.requestGrant(disconnected) // stores the version, then disconnects
 	f.controller.RecordReports(disconnected, f.states[disconnected.Name].Reports())
 	require.Equal(t, StageActivating, f.runOnly(others))
 	require.Equal(t, []Instance{disconnected}, f.controller.StalledVersions(f.now, f.statuses())[0].Instances)
@@ -111,17 +111,17 @@
 	require.Equal(t, StageCompleted, f.stage())
 	require.Equal(t, []Instance{disconnected}, f.controller.Versions("x")[1].Evidence.Expired)
 	n, may := f.states[disconnected.Name].Begin(f.now, "x")
-	require.True(t, may && n == 2, "its lease is not over by its own clock here")
+	require.True(t, may && n == 2, "its own lease has not expired")
 	f.mayAct[disconnected.Name] = true
 	f.states[disconnected.Name].leaseExpiry = 0
 	adoptions := f.requestGrant(disconnected)
 	_, may = f.states[disconnected.Name].Begin(f.now, "x")
-	require.False(t, may, "it has missed the change: nothing on the old one, though its lease is new")
+	require.False(t, may, "must not act on the old version with a new lease")
 	require.Equal(t, []Adoption{{"x", 3, "text of b"}}, adoptions)
-	require.False(t, f.states[disconnected.Name].MayContinue(f.now, "x", 2), "nor what had begun")
+	require.False(t, f.states[disconnected.Name].MayContinue(f.now, "x", 2), "nor continue earlier requests")
 }
 
-// runOnly lets some ask and steps be taken, while the others are waited for.
+// runOnly is like runUntilStable with only some of the drivers connected.
 func (f *fleet) runOnly(active []Instance) Stage {
 	for range 5 {
 		for _, instance := range active {
@@ -135,7 +135,7 @@
 	return f.stage()
 }
 
-// Guards against two versions at once of what must not overlap.
+// Guards against two exclusive versions being active at the same time.
 func TestExclusiveVersionsDoNotOverlap(t *testing.T) {
 	f := newFleet(t, 2)
 	exclusive := testPlan
@@ -157,7 +157,7 @@
 	require.EqualValues(t, 3, n)
 }
 
-// Guards against a version that harms all: canaries try it, and it is withdrawn when one fails.
+// Guards against a version that is activated everywhere although a canary restarted.
 func TestRollbackAfterCanaryRestart(t *testing.T) {
 	f := newFleet(t, 10)
 	f.propose("a", testPlan)
@@ -174,7 +174,7 @@
 		require.Equal(t, n == 3, instance == canaries[0] || instance == canaries[1])
 		f.states[instance.Name].End("x", n)
 	}
-	for i, instance := range f.instances { // it crashed, and its next start was heard
+	for i, instance := range f.instances { // crashed and restarted
 		if instance == canaries[0] {
 			f.instances[i].Start, f.states[instance.Name] = 2, NewDriverState()
 		}
@@ -189,13 +189,13 @@
 	f.propose("c", plan)
 	f.runUntilStable()
 	require.Equal(t, StageCanary, f.stage())
-	require.EqualValues(t, 2, f.controller.Versions("x")[2].Base, "what was withdrawn is nobody's base")
+	require.EqualValues(t, 2, f.controller.Versions("x")[2].Base, "a rolled back version is not a base")
 	f.now += 60
 	f.runUntilStable()
 	require.Equal(t, StageCompleted, f.stage())
 }
 
-// Guards against a canary that says that it can't, and is not listened to.
+// Guards against ignoring a canary that reports a failure.
 func TestRollbackAfterCanaryFailure(t *testing.T) {
 	f := newFleet(t, 3)
 	f.propose("a", testPlan)
@@ -214,14 +214,18 @@
 	}
 	require.True(t, strings.Contains(f.controller.Versions("x")[1].Reason, "can't act on it: no such cell"), f.controller.Versions("x")[1].Reason)
 	n, may := f.states["d0"].Begin(0, "x")
-	require.True(t, may && n == 2, "all the while it acts on the older")
+	require.True(t, may && n == 2, "still acts on the base version")
 }
 
-// Guards against plans that can't be, and records that do not follow.
+// Guards against invalid plans, and records that do not follow from the state.
 func TestInvalidProposalsAndRecords(t *testing.T) {
 	f := newFleet(t, 1)
-	for message, plan := range map[string]Plan{"a plan needs a timeout": {}, "an exclusive rollout can't have canaries": {Exclusive: true, CanaryFraction: 1, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1},
-		"canary fraction 2 is not in [0, 1]": {CanaryFraction: 2, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1}} {
+	for message, plan := range map[string]Plan{
+		"a plan needs a timeout": {},
+		"an exclusive rollout can't have canaries": {Exclusive: true, CanaryFraction: 1, AnnounceTimeout: 1, AdoptTimeout: 1,
+			DrainTimeout: 1},
+		"canary fraction 2 is not in [0, 1]": {CanaryFraction: 2, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1},
+	} {
 		_, err := f.controller.Propose(0, "x", "d", "t", "", plan)
 		require.ErrorContains(t, err, message)
 	}
@@ -233,7 +237,7 @@
 	require.ErrorContains(t, err, "no version of x is under way")
 	f.propose("a", testPlan)
 	first := Record{*f.controller.histories["x"].latest()}
-	require.Error(t, f.controller.Apply(first), "twice")
+	require.Error(t, f.controller.Apply(first), "applied twice")
 	f.runUntilStable()
 	_, err = f.controller.RollBack(0, "x", "")
 	require.Error(t, err)
@@ -242,7 +246,7 @@
 	require.ErrorContains(t, f.controller.Apply(skipped), "version 4 of x does not follow 2")
 }
 
-// Guards against a successor that knows less, or that counts on what drivers told another.
+// Guards against a new leader that lost state, or relies on reports to the previous one.
 func TestNewLeaderContinues(t *testing.T) {
 	f := newFleet(t, 2)
 	f.propose("a", testPlan)
@@ -255,8 +259,8 @@
 	require.Equal(t, snapshot, f.controller.Snapshot())
 	f.controller.StartLeading()
 	f.propose("c", testPlan)
-	require.Empty(t, f.controller.Step(f.now, f.statuses()), "nobody has told it anything")
+	require.Empty(t, f.controller.Step(f.now, f.statuses()), "no driver has reported to it")
 	f.runUntilStable()
 	require.Equal(t, StageCompleted, f.stage())
-	require.Empty(t, f.controller.Versions("x")[0].Text, "what nobody can need is not kept")
+	require.Empty(t, f.controller.Versions("x")[0].Text, "texts that are not needed are removed")
 }
--- a/internal/versions/walk_test.go
+++ b/internal/versions/walk_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulation is a ledger whose holder changes, drivers with clocks of their own, and messages that are late, lost, doubled and
-// out of order. It keeps the truth of what drivers act on.
+// simulation is a controller whose leader changes, drivers with their own clocks, and messages that are delayed, lost,
+// duplicated and reordered. It checks on which versions drivers really act.
 type simulation struct {
 	rng           *rand.Rand
 	fault         fault
 	now           int64
 	controller    *Controller
 	records       []Record
-	leaseExpiry   map[string]int64 // leases as the ledger's holder knows
+	leaseExpiry   map[string]int64 // by driver, as the leader knows them
 	drivers       []*driver
 	requests      []request
 	grants        []pendingGrant
@@ -30,10 +30,10 @@
 
 const (
 	noFault          fault = iota
-	leaseTooLong           // drivers hold a lease a tenth too long
-	skipUnconfirmed        // a version is closed though one that may act has not said so
-	acceptStale            // drivers take in orders older than what they know
-	continueObsolete       // drivers go on with what has begun under a version that was closed
+	leaseTooLong           // drivers keep their leases 10 % too long
+	skipUnconfirmed        // transitions do not wait for some driver that may act
+	acceptStale            // drivers apply assignments that are older than they know
+	continueObsolete       // drivers continue requests under completed versions
 )
 
 type driver struct {
@@ -41,7 +41,7 @@
 	state      *DriverState
 	clockRate  float64
 	inFlight   []inFlightRequest
-	mutedUntil int64 // nothing that it says is heard until then
+	mutedUntil int64 // its requests are lost until then
 }
 
 type inFlightRequest struct {
@@ -51,7 +51,7 @@
 
 type request struct {
 	instance Instance
-	sentAt   int64 // own clock
+	sentAt   int64 // by the driver's clock
 	reports  []Report
 	ready    int64
 }
@@ -65,7 +65,7 @@
 
 const (
 	leaseTime    = 1000
-	clockMargin  = 60 // for clocks that differ by 0.02
+	clockMargin  = 60 // for clock rates that differ by up to 2 %
 	testResource = Resource("x")
 )
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// step lets one thing happen.
+// step performs one random action.
 func (s *simulation) step() {
 	d := s.drivers[s.rng.Intn(len(s.drivers))]
 	switch n := s.rng.Intn(1000); {
@@ -165,7 +165,7 @@
 	s.check()
 }
 
-// deliverRequest lets an ask arrive, and be answered.
+// deliverRequest delivers a random request and answers it.
 func (s *simulation) deliverRequest() {
 	if len(s.requests) == 0 {
 		return
@@ -177,14 +177,14 @@
 	}
 	d := s.drivers[slices.IndexFunc(s.drivers, func(d *driver) bool { return d.Name == request.instance.Name })]
 	if request.instance != d.Instance || s.now < d.mutedUntil || s.rng.Intn(12) == 0 {
-		return // the roster lets nobody ask who was followed by a later start
+		return // the roster rejects requests of instances that restarted
 	}
 	s.leaseExpiry[request.instance.Name] = s.now + leaseTime + clockMargin
 	s.controller.RecordReports(request.instance, request.reports)
 	s.grants = append(s.grants, pendingGrant{request.instance, request.sentAt, Grant{Lease: leaseTime, Assignments: s.controller.Assignments(request.instance)}, s.now})
 }
 
-// deliverGrant lets a grant arrive.
+// deliverGrant delivers a random grant.
 func (s *simulation) deliverGrant() {
 	if len(s.grants) == 0 {
 		return
@@ -221,7 +221,7 @@
 	}
 }
 
-// endRequests ends what is over.
+// endRequests ends the requests that are due.
 func (d *driver) endRequests(now int64) {
 	d.inFlight = slices.DeleteFunc(d.inFlight, func(request inFlightRequest) bool {
 		if request.endsAt <= now {
@@ -231,7 +231,7 @@
 	})
 }
 
-// check looks at what every driver could do just now.
+// check looks for drivers that could act on obsolete versions, or on two exclusive ones, at this moment.
 func (s *simulation) check() {
 	active := map[Number][]string{}
 	for _, d := range s.drivers {
@@ -248,15 +248,15 @@
 	}
 	for n, names := range active {
 		if s.obsolete[n] {
-			s.violation = fmt.Sprintf("%v act on version %d, which was over", names, n)
+			s.violation = fmt.Sprintf("%v act on version %d, which is obsolete", names, n)
 		}
 	}
 	if v := s.controller.histories[testResource].latest(); v != nil && v.Plan.Exclusive && len(active) > 1 {
-		s.violation = fmt.Sprintf("act at once on versions that must not overlap: %v", active)
+		s.violation = fmt.Sprintf("drivers act on exclusive versions at the same time: %v", active)
 	}
 }
 
-// Guards against acts on a version after the moment from which there are none, and on two that must not overlap.
+// Guards against acts on a version after its rollout or rollback ended, and on two exclusive versions.
 func TestNobodyActsOnAnOldVersion(t *testing.T) {
 	visitedStages, versions := map[string]bool{}, 0
 	for seed := range int64(150) {
@@ -272,14 +272,15 @@
 		versions += len(stage.controller.Versions(testResource))
 	}
 	t.Logf("%d versions, stages %v", versions, visitedStages)
-	require.Len(t, visitedStages, len(stageTexts)-1, "every stage but that of nothing")
+	require.Len(t, visitedStages, len(stageTexts)-1, "every stage but unknown")
 	require.Greater(t, versions, 500)
 }
 
-// The walk finds what is planted.
+// Guards against a simulation that would not detect faults.
 func TestPlantedFaults(t *testing.T) {
-	for name, f := range map[string]fault{"a lease held a tenth too long": leaseTooLong, "the straggler's check left out": skipUnconfirmed,
-		"old orders taken in": acceptStale, "what had begun goes on": continueObsolete} {
+	for name, f := range map[string]fault{"leases kept too long": leaseTooLong,
+		"unconfirmed driver skipped": skipUnconfirmed, "stale assignments applied": acceptStale,
+		"requests continued under obsolete version": continueObsolete} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(2000) {
 				s := newSimulation(seed, f)
