--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -19,7 +19,7 @@
 
 func newTrail(maxEntries int) *Trail { return NewTrail(0, testInstance, "token", maxEntries, second) }
 
-// Guards against counts that are lost or told twice, and spans that end too early.
+// Guards against RPCs that are lost or counted twice, and spans that end too early.
 func TestCountsAndRPCEntries(t *testing.T) {
 	trail := newTrail(100)
 	trail.RecordEpoch(1, testResource, 1, 1)
@@ -45,17 +45,17 @@
 	require.Equal(t, Counts{NonIdempotent: {Served: 1}, Deduplicated: {Aborted: 1}}, activities[0].Counts)
 	require.Equal(t, 2, activities[0].RPCEntries)
 	require.EqualValues(t, 1, activities[0].From)
-	require.EqualValues(t, 40, activities[0].To, "as long as something was in flight")
+	require.EqualValues(t, 40, activities[0].To, "until the last RPC ended")
 	require.EqualValues(t, 1, activities[1].RPCEntries+int(activities[1].Counts.ByOutcome(PushedBack))+0)
 	require.EqualValues(t, 2, activities[1].Counts.Total())
 	require.Len(t, collection.Activities(Query{Resource: testResource, Version: 2, From: 30}), 1)
 	require.Empty(t, collection.Activities(Query{Resource: "other"}))
 	require.Empty(t, collection.Activities(Query{Driver: "b"}))
 	require.Empty(t, collection.Activities(Query{Version: 1, From: second}))
-	require.Empty(t, collection.LateActivities(testResource, 2, 3, 45, 100), "what had begun and ended before the closing")
+	require.Empty(t, collection.LateActivities(testResource, 2, 3, 45, 100), "ended before the rollout completed")
 }
 
-// Guards against a trail that was changed, cut, or has a piece of another in it.
+// Guards against changed, missing or foreign entries that are not detected.
 func TestVerifyHashChain(t *testing.T) {
 	trail := newTrail(1000)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -74,7 +74,7 @@
 		require.Equal(t, i, validCount)
 		changed.Entries = append(append([]Entry(nil), segment.Entries[:i]...), segment.Entries[i+1:]...)
 		validCount, err = changed.Verify()
-		require.True(t, err != nil || i == n-1, "an entry left out")
+		require.True(t, err != nil || i == n-1, "missing entry")
 		require.Equal(t, i, validCount)
 	}
 	foreign := segment
@@ -86,13 +86,13 @@
 	require.Len(t, collection.Faults(), 1)
 	middle := trail.Since(5, 3)
 	_, err = middle.Verify()
-	require.NoError(t, err, "a piece from the middle holds together")
+	require.NoError(t, err, "segment from the middle")
 	middle.PreviousHash = "x"
 	_, err = middle.Verify()
 	require.Error(t, err)
 }
 
-// Guards against pieces that come late, twice, in another order or from several voters.
+// Guards against segments that arrive late, twice, out of order or from several voters.
 func TestMergeSegments(t *testing.T) {
 	trail := newTrail(1000)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -110,10 +110,10 @@
 	merged.Merge(append(second.Segments(), first.Segments()...))
 	require.Empty(t, merged.Faults())
 	require.Len(t, merged.Segments()[0].Entries, 32)
-	require.EqualValues(t, 15, first.Add(trail.Since(20, 3)), "what lies between is to be told first")
+	require.EqualValues(t, 15, first.Add(trail.Since(20, 3)), "the missing entries come first")
 	afterGap := trail.Since(20, 3)
 	afterGap.OldestSeq = 20
-	require.EqualValues(t, 23, first.Add(afterGap), "unless its driver does not have it any more")
+	require.EqualValues(t, 23, first.Add(afterGap), "unless the driver removed them")
 	require.Len(t, first.Segments(), 2)
 	require.Contains(t, fmt.Sprint(first.Gaps([]Lifetime{{testInstance, 0, 0, true}})), "entries 16 to 20 are not held")
 	for _, segment := range first.Segments() {
@@ -131,11 +131,9 @@
 	require.Contains(t, strings.Join(merged.Faults(), " "), "two trails say that they are its")
 }
 
-func (p Segment) verify() (int, error) { return p.Verify() }
+func (s Segment) verify() (int, error) { return s.Verify() }
 
-// A driver that is cut off from the council tells nothing, and it is its acts that the audit is for. Its trail used to keep 512 single entries
-// between two flushes, and was flushed only as it was told: in a night (seed 305 of a trial) 11 of 1,846 writes went missing, all in the last 16 ms of
-// 600 in which 523 had ended. Now it flushes by its own clock, and keeps what nobody was told of as long as it has room.
+// Guards against RPC entries that are lost while a driver can't reach the council, although the trail has room.
 func TestUnsentTrailKeepsRPCEntries(t *testing.T) {
 	const writes = 3000
 	trail := NewTrail(0, testInstance, "token", 8192, 10*second)
@@ -157,12 +155,11 @@
 			require.Fail(t, "entries were dropped", e)
 		}
 	}
-	require.Equal(t, writes, rpcEntries, "all of them are near the change")
+	require.Equal(t, writes, rpcEntries, "all are near the change")
 	require.GreaterOrEqual(t, spans, int(writes*second/2000/FlushInterval)-1)
 }
 
-// Where a trail has no more room for single entries that nobody was told of, it says which version they were of, how many, and from when to when;
-// the audit then calls that time unknown, and has them in the counts.
+// Guards against RPC entries that are dropped without a record: they must stay in the counts and show as a gap.
 func TestDroppedRPCEntriesAreCounted(t *testing.T) {
 	const maxEntries, writes = 64, 500
 	trail := newTrail(maxEntries)
@@ -178,15 +175,16 @@
 	activities := collection.Activities(Query{Resource: testResource, Version: 1})
 	require.Len(t, activities, 1)
 	require.EqualValues(t, writes, activities[0].Counts.Total(), "all are counted")
-	require.EqualValues(t, writes, activities[0].RPCEntries+int(activities[0].Dropped), "each is entered or said to be dropped")
+	require.EqualValues(t, writes, activities[0].RPCEntries+int(activities[0].Dropped), "each has an entry or is counted as dropped")
 	require.Positive(t, activities[0].RPCEntries)
 	gaps := collection.Gaps([]Lifetime{{testInstance, 0, 0, true}})
 	require.Len(t, gaps, 1)
-	require.Equal(t, Gap{testInstance, int64(activities[0].RPCEntries), writes - 1, fmt.Sprintf("%d single entries of version 1 of book were not kept", activities[0].Dropped)}, gaps[0])
-	require.Empty(t, collection.Activities(Query{Version: 2, Resource: testResource}), "another version has none")
+	require.Equal(t, Gap{testInstance, int64(activities[0].RPCEntries), writes - 1,
+		fmt.Sprintf("%d single entries of version 1 of book were not kept", activities[0].Dropped)}, gaps[0])
+	require.Empty(t, collection.Activities(Query{Version: 2, Resource: testResource}), "no activity under another version")
 }
 
-// Guards against memory that grows: the oldest go first, also where nobody was told of them, and what is left still holds together.
+// Guards against unbounded memory, and trails that can't be verified after their oldest entries were removed.
 func TestTrailsAreBounded(t *testing.T) {
 	const maxEntries, writes = 20, 1024
 	trail := newTrail(maxEntries)
@@ -215,7 +213,7 @@
 	require.EqualValues(t, last.Count, collection.Activities(Query{Resource: testResource})[0].Dropped)
 }
 
-// Guards against room that is not given back: once the voters hold what was entered, single entries are kept again.
+// Guards against entries that are still dropped after the voters have acknowledged the earlier ones.
 func TestAcknowledgedEntriesFreeRoom(t *testing.T) {
 	trail := newTrail(64)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -240,26 +238,25 @@
 	require.Zero(t, activities[0].Dropped)
 }
 
-// Guards against an act on a closed version that nobody finds, and one that is found where clocks can't tell.
+// Guards against a late act that is not found, and one that is reported within the clock error.
 func TestLateActivities(t *testing.T) {
 	trail := NewTrail(0, testInstance, "token", 100, 10*second)
 	trail.RecordEpoch(0, testResource, 1, 1)
 	trail.BeginRPC(5*second, testResource, 1)
-	trail.EndRPC(5*second, testResource, 1, "in doubt", NonIdempotent, Served, 5*second)
+	trail.EndRPC(5*second, testResource, 1, "uncertain", NonIdempotent, Served, 5*second)
 	trail.RecordEpoch(6*second, testResource, 9, 2)
-	trail.EndRPC(6*second, testResource, 1, "sure", NonIdempotent, Served, 6*second)
+	trail.EndRPC(6*second, testResource, 1, "certain", NonIdempotent, Served, 6*second)
 	collection := NewCollection(100)
 	collection.Add(withKnownOffset(trail.Since(0, 100)))
 	late := collection.LateActivities(testResource, 2, 9, 4*second, 2*second)
 	require.Len(t, late, 1)
 	require.True(t, late[0].IsCertain)
-	require.Equal(t, "sure", late[0].RPC)
-	require.Len(t, collection.LateActivities(testResource, 2, 9, 4*second, second/2), 2, "clocks that differ by less tell more")
+	require.Equal(t, "certain", late[0].RPC)
+	require.Len(t, collection.LateActivities(testResource, 2, 9, 4*second, second/2), 2, "a smaller clock error finds more")
 	require.Empty(t, collection.LateActivities(testResource, 1, 9, 0, 0))
 }
 
-// Guards against a write that reached a member just before the time near a change was over and ended after it: seed 40 of TestAuditSoak missed one that
-// came 4.998 s after the change. What counts is when it was attempted.
+// Guards against a missing entry for an RPC that was attempted near a change of version but ended later.
 func TestRPCEntryDependsOnAttemptTime(t *testing.T) {
 	trail := newTrail(100)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -272,8 +269,7 @@
 	require.Equal(t, 1, collection.Activities(Query{Resource: testResource})[0].RPCEntries)
 }
 
-// The night of 1,000 versions called 12 acts late that were not. A driver that stands still past its lease ends, when it goes on, what it had begun:
-// entries were dated by that end. What counts is when the last attempt was let begin; an RPC that had none did nothing.
+// Guards against RPCs reported as late because a paused driver ended them late: what counts is the last attempt.
 func TestLateEndOfEarlierAttempt(t *testing.T) {
 	trail := newTrail(100)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -298,18 +294,18 @@
 	trail.Flush(11 * second)
 	collection.Add(trail.Since(collection.LastSeq(testInstance), 100))
 	late := collection.LateActivities(testResource, 2, 9, 5*second, second)
-	require.Len(t, late, 1, "what began after the closing is late, also where it is only counted")
+	require.Len(t, late, 1, "late although it has no entry of its own")
 	require.Empty(t, late[0].RPC)
 }
 
-// withKnownOffset is a part of a trail whose driver's clock is that of the voters.
+// withKnownOffset returns the segment with a clock offset of 0.
 func withKnownOffset(segment Segment) Segment {
 	segment.IsClockOffsetKnown = true
 	return segment
 }
 
-// A driver whose clock was minutes ahead was said to be late 472 times in a night of 300 versions: its spans were entered by its own clock between two
-// tellings, so that none of what it told ended in one made just then, by which clocks are compared.
+// Guards against a driver with a wrong clock being reported as late: a segment must end in a span recorded just before
+// sending, from which the clock offset is derived.
 func TestClockOffsetFromSentSegments(t *testing.T) {
 	const ahead = 100 * second
 	trail := NewTrail(ahead, testInstance, "token", 1000, 10*second)
@@ -318,7 +314,7 @@
 	for now := int64(0); now < 5*second; now += second / 100 {
 		trail.BeginRPC(ahead+now, testResource, 1)
 		trail.EndRPC(ahead+now, testResource, 1, "w", NonIdempotent, Served, ahead+now)
-		if now%(second/3) < second/100 { // told three times a second
+		if now%(second/3) < second/100 { // sent three times a second
 			trail.FlushBeforeSend(ahead + now)
 			collection.Add(trail.Since(collection.LastSeq(testInstance), 64).WithClockOffset(now))
 		}
@@ -330,14 +326,14 @@
 	unsynchronized := NewCollection(1000)
 	segment := trail.Since(0, 50)
 	unsynchronized.Add(segment)
-	require.Empty(t, unsynchronized.LateActivities(testResource, 2, 9, 2*second, 0), "nobody knows what its clock shows")
+	require.Empty(t, unsynchronized.LateActivities(testResource, 2, 9, 2*second, 0), "clock offset is not known")
 	lifetimes := []Lifetime{{testInstance, 0, 5 * second, true}}
 	require.Contains(t, fmt.Sprint(unsynchronized.UnorderedActivities(testResource, 2, lifetimes)), "its clock was not compared")
 	require.Empty(t, unsynchronized.UnorderedActivities(testResource, 1, lifetimes))
 	require.Empty(t, collection.UnorderedActivities(testResource, 2, lifetimes))
 }
 
-// Guards against clocks that are minutes off: times are placed by when they were heard.
+// Guards against gaps that are reported in the driver's own time, with a clock that is minutes off.
 func TestGapsUseClockOffset(t *testing.T) {
 	trail := NewTrail(500*second, testInstance, "token", 100, second)
 	trail.RecordEpoch(500*second, testResource, 1, 1)
@@ -353,7 +349,7 @@
 	require.Equal(t, gaps, merged.Gaps([]Lifetime{{testInstance, 0, 5 * second, false}}))
 }
 
-// Guards against a time of which nobody was told that is passed over.
+// Guards against gaps that are not reported.
 func TestGaps(t *testing.T) {
 	trail := newTrail(100)
 	trail.RecordEpoch(5, testResource, 1, 1)
@@ -367,7 +363,7 @@
 	require.Equal(t, Gap{unheard, 60, 70, "nothing of its trail was heard"}, gaps[2])
 }
 
-// Guards against a question that is not answered: which list, or program, a driver acted on at some time.
+// Guards against missing answers to which discovery list or build a driver used at a given time.
 func TestActivitiesOfObservedResources(t *testing.T) {
 	instance := versions.Instance{Name: "a", Start: 1}
 	trail := NewTrail(0, instance, "token", 100, 0)
@@ -381,11 +377,13 @@
 	collection := NewCollection(100)
 	collection.Add(trail.Since(0, 100))
 	require.Empty(t, collection.Faults())
-	require.Equal(t, []Activity{{Instance: instance, Resource: versions.DiscoveryList, Version: 7, From: 10, To: 40}, {Instance: instance, Resource: versions.DiscoveryList, Version: 9, From: 40, To: 70}},
-		collection.Activities(Query{Resource: versions.DiscoveryList}))
+	require.Equal(t, []Activity{
+		{Instance: instance, Resource: versions.DiscoveryList, Version: 7, From: 10, To: 40},
+		{Instance: instance, Resource: versions.DiscoveryList, Version: 9, From: 40, To: 70},
+	}, collection.Activities(Query{Resource: versions.DiscoveryList}))
 	require.Len(t, collection.Activities(Query{Resource: versions.DiscoveryList, From: 41}), 1)
 	require.Len(t, collection.Activities(Query{Resource: versions.DiscoveryList, To: 39}), 1)
 	require.Len(t, collection.Activities(Query{Resource: versions.Build, Version: 1}), 1)
 	require.Len(t, collection.Activities(Query{}), 4)
-	require.Empty(t, collection.LateActivities(versions.DiscoveryList, 9, 0, 0, 0), "nobody closes what is not decided")
+	require.Empty(t, collection.LateActivities(versions.DiscoveryList, 9, 0, 0, 0), "observed resources have no rollouts")
 }
--- a/internal/audit/shelf/shelf_test.go
+++ b/internal/audit/shelf/shelf_test.go
@@ -11,7 +11,7 @@
 	"sedgespread/internal/versions"
 )
 
-// Guards against a file cut at any byte that loses more than its last line, and one that grows for ever.
+// Guards against a truncated file that loses more than its last line, and one that grows without bound.
 func TestStoreSurvivesTruncation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
 	store, segments, unreadable, err := Open(path, 500)
@@ -44,7 +44,7 @@
 		collection.Merge(segments)
 		require.Empty(t, collection.Faults(), "cut at %d", cut)
 		maxSegments, unreadableLines = max(maxSegments, len(segments)), unreadableLines+unreadable
-		if cut%97 == 0 { // what is written behind is read again
+		if cut%97 == 0 { // segments appended after the truncation are readable
 			require.NoError(t, store.Append(trail.Since(10, 1)))
 			store.Close()
 			_, reopened, _, err := Open(truncated, 3000)
--- a/internal/versions/observed_test.go
+++ b/internal/versions/observed_test.go
@@ -36,7 +36,8 @@
 	report(0, 10, "ten")
 	report(1, 9, "nine")
 	s = distribution()
-	require.Equal(t, []LaggingDriver{{f.instances[2], 7, 50}, {f.instances[3], 7, 50}, {f.instances[1], 9, 0}}, s.Lagging, "the second driver catches up")
+	require.Equal(t, []LaggingDriver{{f.instances[2], 7, 50}, {f.instances[3], 7, 50}, {f.instances[1], 9, 0}}, s.Lagging,
+		"the second driver catches up")
 	require.False(t, s.HasConflict)
 	f.mayAct["d3"] = false
 	report(1, 10, "another ten")
