--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,6 +1,7 @@
-// Package audit records which driver acted on which version, and when. A Trail is a driver's own hash-chained audit
-// trail. A Collection holds the trails received from many drivers and finds activity under obsolete versions as well as
-// gaps: times for which there is no record. The package does no I/O, reads no clock and starts no goroutines.
+// Package audit records which driver acted on which version, and when. A Trail is a driver's own
+// hash-chained audit trail. A Collection holds the trails received from many drivers and finds
+// activity under obsolete versions as well as gaps: times for which there is no record. The package
+// does no I/O, reads no clock and starts no goroutines.
 package audit
 
 import (
@@ -77,12 +78,13 @@
 const (
 	KindStart Kind = "begins" // first entry of a trail
 	KindEpoch Kind = "learns" // the driver learned of an epoch by an assignment
-	// KindSpan: a version was active or had RPCs in flight between From and To. Counts has the RPCs that ended in that
-	// time, Count is the number of those in flight at From.
+	// KindSpan: a version was active or had RPCs in flight between From and To. Counts has the RPCs
+	// that ended in that time, Count is the number of those in flight at From.
 	KindSpan    Kind = "spans"
 	KindRPC     Kind = "single" // an RPC with an effect; its last attempt began at From
 	KindDropped Kind = "drops"  // Count KindRPC entries of a version were dropped between From and To
-	// KindObserved: the driver acts on a version of a resource that the council does not decide, until the next such entry.
+	// KindObserved: the driver acts on a version of a resource that the council does not decide,
+	// until the next such entry.
 	KindObserved Kind = "has"
 )
 
@@ -115,21 +117,22 @@
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
-// Segment is a run of consecutive entries of an instance's trail. PreviousHash is the hash of the entry before the
-// first, or the root hash of the trail.
+// Segment is a run of consecutive entries of an instance's trail. PreviousHash is the hash of the
+// entry before the first, or the root hash of the trail.
 type Segment struct {
 	Instance     versions.Instance `json:"who"`
 	Token        string            `json:"token"`
 	PreviousHash string            `json:"before"`
 	Entries      []Entry           `json:"entries"`
 	OldestSeq    uint64            `json:"oldest,omitempty"` // oldest entry that the driver still has
-	// ClockOffset converts times of the driver's clock to the receiver's; it is too large by the transmission delay.
+	// ClockOffset converts times of the driver's clock to the receiver's; it is too large by the
+	// transmission delay.
 	ClockOffset        int64 `json:"offset,omitempty"`
 	IsClockOffsetKnown bool  `json:"placed,omitempty"` // ClockOffset is set
 }
 
-// WithClockOffset returns the segment with its clock offset, if its last entry is a span, which is recorded just before
-// sending.
+// WithClockOffset returns the segment with its clock offset, if its last entry is a span, which is
+// recorded just before sending.
 func (s Segment) WithClockOffset(now int64) Segment {
 	if n := len(s.Entries); n > 0 && s.Entries[n-1].Kind == KindSpan {
 		s.ClockOffset, s.IsClockOffsetKnown = now-s.Entries[n-1].At, true
@@ -143,7 +146,8 @@
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
-// Verify checks the hash chain. It returns the number of valid entries and what is wrong with the next one, if any.
+// Verify checks the hash chain. It returns the number of valid entries and what is wrong with the
+// next one, if any.
 func (s *Segment) Verify() (validCount int, err error) {
 	previousHash := s.PreviousHash
 	for i, entry := range s.Entries {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -133,7 +133,8 @@
 
 func (s Segment) verify() (int, error) { return s.Verify() }
 
-// Guards against RPC entries that are lost while a driver can't reach the council, although the trail has room.
+// Guards against RPC entries that are lost while a driver can't reach the council, although the
+// trail has room.
 func TestUnsentTrailKeepsRPCEntries(t *testing.T) {
 	const writes = 3000
 	trail := NewTrail(0, testInstance, "token", 8192, 10*second)
@@ -159,7 +160,8 @@
 	require.GreaterOrEqual(t, spans, int(writes*second/2000/FlushInterval)-1)
 }
 
-// Guards against RPC entries that are dropped without a record: they must stay in the counts and show as a gap.
+// Guards against RPC entries that are dropped without a record: they must stay in the counts and
+// show as a gap.
 func TestDroppedRPCEntriesAreCounted(t *testing.T) {
 	const maxEntries, writes = 64, 500
 	trail := newTrail(maxEntries)
@@ -184,7 +186,8 @@
 	require.Empty(t, collection.Activities(Query{Version: 2, Resource: testResource}), "no activity under another version")
 }
 
-// Guards against unbounded memory, and trails that can't be verified after their oldest entries were removed.
+// Guards against unbounded memory, and trails that can't be verified after their oldest entries
+// were removed.
 func TestTrailsAreBounded(t *testing.T) {
 	const maxEntries, writes = 20, 1024
 	trail := newTrail(maxEntries)
@@ -213,7 +216,8 @@
 	require.EqualValues(t, last.Count, collection.Activities(Query{Resource: testResource})[0].Dropped)
 }
 
-// Guards against entries that are still dropped after the voters have acknowledged the earlier ones.
+// Guards against entries that are still dropped after the voters have acknowledged the earlier
+// ones.
 func TestAcknowledgedEntriesFreeRoom(t *testing.T) {
 	trail := newTrail(64)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -256,7 +260,8 @@
 	require.Empty(t, collection.LateActivities(testResource, 1, 9, 0, 0))
 }
 
-// Guards against a missing entry for an RPC that was attempted near a change of version but ended later.
+// Guards against a missing entry for an RPC that was attempted near a change of version but ended
+// later.
 func TestRPCEntryDependsOnAttemptTime(t *testing.T) {
 	trail := newTrail(100)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -269,7 +274,8 @@
 	require.Equal(t, 1, collection.Activities(Query{Resource: testResource})[0].RPCEntries)
 }
 
-// Guards against RPCs reported as late because a paused driver ended them late: what counts is the last attempt.
+// Guards against RPCs reported as late because a paused driver ended them late: what counts is the
+// last attempt.
 func TestLateEndOfEarlierAttempt(t *testing.T) {
 	trail := newTrail(100)
 	trail.RecordEpoch(0, testResource, 1, 1)
@@ -304,8 +310,8 @@
 	return segment
 }
 
-// Guards against a driver with a wrong clock being reported as late: a segment must end in a span recorded just before
-// sending, from which the clock offset is derived.
+// Guards against a driver with a wrong clock being reported as late: a segment must end in a span
+// recorded just before sending, from which the clock offset is derived.
 func TestClockOffsetFromSentSegments(t *testing.T) {
 	const ahead = 100 * second
 	trail := NewTrail(ahead, testInstance, "token", 1000, 10*second)
--- a/internal/audit/collection.go
+++ b/internal/audit/collection.go
@@ -29,19 +29,21 @@
 	entries      []Entry
 }
 
-// toLocalTime converts a time of the instance's clock to the receiver's.
-func (t *trail) toLocalTime(at int64) int64 { return at + t.offset }
+// toReceiverTime converts a time of the instance's clock to the receiver's.
+func (t *trail) toReceiverTime(at int64) int64 { return at + t.offset }
 
-// NewCollection returns an empty collection that keeps the latest maxEntries entries of each instance.
+// NewCollection returns an empty collection that keeps the latest maxEntries entries of each
+// instance.
 func NewCollection(maxEntries int) *Collection {
 	return &Collection{maxEntries: maxEntries, trails: map[versions.Instance]*trail{}}
 }
 
 const maxFaults = 64
 
-// Add adds a segment received from its driver and returns the last entry held of the trail. Of an invalid segment only
-// the valid entries are added, and the fault is kept. A segment after a gap is ignored while the driver still has the
-// missing entries: it learns from the result which ones to send first.
+// Add adds a segment received from its driver and returns the last entry held of the trail. Of an
+// invalid segment only the valid entries are added, and the fault is kept. A segment after a gap is
+// ignored while the driver still has the missing entries: it learns from the result which ones to
+// send first.
 func (c *Collection) Add(segment Segment) (lastSeq uint64) {
 	t := c.trails[segment.Instance]
 	if t != nil && len(segment.Entries) > 0 && segment.Entries[0].Seq > t.lastSeq()+1 && segment.OldestSeq <= t.lastSeq()+1 {
@@ -50,7 +52,8 @@
 	return c.addSegment(segment)
 }
 
-// AddFinal adds the last segment of a driver that leaves, also after a gap, which the driver will not fill any more.
+// AddFinal adds the last segment of a driver that leaves, also after a gap, which the driver will
+// not fill any more.
 func (c *Collection) AddFinal(segment Segment) (lastSeq uint64) { return c.addSegment(segment) }
 
 // Extent is the time between the first and last held entry of an instance, by the receiver's clock.
@@ -67,7 +70,7 @@
 			continue
 		}
 		last := t.fragments[len(t.fragments)-1].entries
-		all = append(all, Extent{instance, t.toLocalTime(t.fragments[0].entries[0].At), t.toLocalTime(last[len(last)-1].At)})
+		all = append(all, Extent{instance, t.toReceiverTime(t.fragments[0].entries[0].At), t.toReceiverTime(last[len(last)-1].At)})
 	}
 	return all
 }
@@ -226,7 +229,8 @@
 		c.trails[instance].each(func(e *Entry) {
 			observed.add(e)
 			isActivity := e.Kind == KindSpan || e.Kind == KindRPC || e.Kind == KindDropped
-			if !isActivity || query.Resource != "" && e.Resource != query.Resource || query.Version != 0 && e.Version != query.Version {
+			if !isActivity || query.Resource != "" && e.Resource != query.Resource ||
+				query.Version != 0 && e.Version != query.Version {
 				return
 			}
 			from, to := e.From, e.To
@@ -264,8 +268,8 @@
 	return all
 }
 
-// observedVersions collects an instance's versions of resources that the council does not decide. Each lasts until the
-// next, and the last until the last held entry.
+// observedVersions collects an instance's versions of resources that the council does not decide.
+// Each lasts until the next, and the last until the last held entry.
 type observedVersions struct {
 	all         []Activity
 	latest      map[versions.Resource]int // index in all of the latest version
@@ -292,7 +296,8 @@
 		if activity.Instance = instance; o.latest[activity.Resource] == i {
 			activity.To = o.lastEntryAt
 		}
-		if (query.Resource == "" || query.Resource == activity.Resource) && (query.Version == 0 || query.Version == activity.Version) &&
+		if (query.Resource == "" || query.Resource == activity.Resource) &&
+			(query.Version == 0 || query.Version == activity.Version) &&
 			(query.To == 0 || activity.From <= query.To) && activity.To >= query.From {
 			all = append(all, activity)
 		}
@@ -310,10 +315,11 @@
 	IsCertain bool              `json:"sure"` // the driver knew of the newer epoch; otherwise judged by clocks
 }
 
-// LateActivities returns acts on versions below one that was completed in an epoch, at completedAt by the council's
-// clock. An act is late for certain if the driver knew of the epoch, and otherwise if it is later by more than the clock
-// error; without a clock offset only the former counts. The time of an act is when its last attempt began, as a paused
-// driver may end old RPCs late. RPCs without an entry are late if they began within a late span.
+// LateActivities returns acts on versions below one that was completed in an epoch, at completedAt
+// by the council's clock. An act is late for certain if the driver knew of the epoch, and otherwise
+// if it is later by more than the clock error; without a clock offset only the former counts. The
+// time of an act is when its last attempt began, as a paused driver may end old RPCs late. RPCs
+// without an entry are late if they began within a late span.
 func (c *Collection) LateActivities(resource versions.Resource, completed versions.Number, epoch versions.Epoch,
 	completedAt, clockError int64) (late []LateActivity) {
 	for _, instance := range c.instances() {
@@ -338,7 +344,8 @@
 				}
 				isCertain = learnedAt != 0 && attemptedAt >= learnedAt
 			case KindSpan:
-				excluded := rpcEntries[e.Version] + e.Count // RPCs with an entry of their own or that began before the span
+				// RPCs with an entry of their own, and those that began before the span.
+				excluded := rpcEntries[e.Version] + e.Count
 				rpcEntries[e.Version] = 0
 				if e.Counts.Total() <= excluded {
 					return
@@ -350,7 +357,7 @@
 			case isCertain:
 				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC,
 					fmt.Sprintf("entry %d, after it had learned of epoch %d", e.Seq, epoch), true})
-			case c.trails[instance].isOffsetKnown && c.trails[instance].toLocalTime(attemptedAt) > completedAt+clockError:
+			case c.trails[instance].isOffsetKnown && c.trails[instance].toReceiverTime(attemptedAt) > completedAt+clockError:
 				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC,
 					fmt.Sprintf("entry %d, beyond the clocks' error", e.Seq), false})
 			}
@@ -375,7 +382,8 @@
 	Reason   string            `json:"why"`
 }
 
-// Gaps returns the gaps before, between and after the held fragments, and those with dropped entries.
+// Gaps returns the gaps before, between and after the held fragments, and those with dropped
+// entries.
 func (c *Collection) Gaps(lifetimes []Lifetime) (all []Gap) {
 	for _, lifetime := range lifetimes {
 		t := c.trails[lifetime.Instance]
@@ -386,11 +394,11 @@
 		from, seq := lifetime.From, uint64(0)
 		for _, f := range t.fragments {
 			if first := f.entries[0]; first.Seq > seq+1 {
-				all = append(all, Gap{lifetime.Instance, from, t.toLocalTime(first.At),
+				all = append(all, Gap{lifetime.Instance, from, t.toReceiverTime(first.At),
 					fmt.Sprintf("entries %d to %d are not held", seq+1, first.Seq-1)})
 			}
 			last := f.entries[len(f.entries)-1]
-			from, seq = t.toLocalTime(last.At), last.Seq
+			from, seq = t.toReceiverTime(last.At), last.Seq
 		}
 		if !lifetime.IsLive && from < lifetime.Until {
 			all = append(all, Gap{lifetime.Instance, from, lifetime.Until, "it ended, or was not heard, after its last entry"})
@@ -402,8 +410,8 @@
 	return all
 }
 
-// UnorderedActivities returns the instances that acted on versions below a completed one at unknown times, as their
-// clock offsets are not known.
+// UnorderedActivities returns the instances that acted on versions below a completed one at unknown
+// times, as their clock offsets are not known.
 func (c *Collection) UnorderedActivities(resource versions.Resource, completed versions.Number,
 	lifetimes []Lifetime) (all []Gap) {
 	for _, lifetime := range lifetimes {
@@ -433,7 +441,7 @@
 	t.each(func(e *Entry) {
 		if e.Kind == KindDropped {
 			reason := fmt.Sprintf("%d single entries of version %d of %s were not kept", e.Count, e.Version, e.Resource)
-			all = append(all, Gap{instance, t.toLocalTime(e.From), t.toLocalTime(e.To), reason})
+			all = append(all, Gap{instance, t.toReceiverTime(e.From), t.toReceiverTime(e.To), reason})
 		}
 	})
 	return all
--- a/internal/audit/shelf/shelf.go
+++ b/internal/audit/shelf/shelf.go
@@ -1,5 +1,5 @@
-// Package shelf stores audit trails in a file, a line of JSON for each segment. Lines that were cut off or damaged are
-// skipped.
+// Package shelf stores audit trails in a file, a line of JSON for each segment. Lines that were cut
+// off or damaged are skipped.
 package shelf
 
 import (
@@ -14,7 +14,8 @@
 	"sedgespread/internal/audit"
 )
 
-// Store is a file of segments. It is not synced: what a power failure loses shows as a gap in the trail.
+// Store is a file of segments. It is not synced: what a power failure loses shows as a gap in the
+// trail.
 type Store struct {
 	path     string
 	file     *os.File
--- a/internal/audit/shelf/shelf_test.go
+++ b/internal/audit/shelf/shelf_test.go
@@ -11,7 +11,8 @@
 	"sedgespread/internal/versions"
 )
 
-// Guards against a truncated file that loses more than its last line, and one that grows without bound.
+// Guards against a truncated file that loses more than its last line, and one that grows without
+// bound.
 func TestStoreSurvivesTruncation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
 	store, segments, unreadable, err := Open(path, 500)
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -8,15 +8,16 @@
 	"sedgespread/internal/versions"
 )
 
-// Trail is a driver's own audit trail, bounded by a number of entries. Entries that the voters have acknowledged are
-// kept while there is room. KindRPC entries beyond rpcEntriesShare that are not acknowledged are dropped: a KindDropped
-// entry then tells their number and time, and spans still count them. If too many other entries are unacknowledged the
-// oldest are removed, which leaves a gap.
+// Trail is a driver's own audit trail, bounded by a number of entries. Entries that the voters have
+// acknowledged are kept while there is room. KindRPC entries beyond rpcEntriesShare that are not
+// acknowledged are dropped: a KindDropped entry then tells their number and time, and spans still
+// count them. If too many other entries are unacknowledged the oldest are removed, which leaves a
+// gap.
 type Trail struct {
 	instance           versions.Instance
 	token              string
 	maxEntries         int
-	nearChange         int64 // RPCs attempted within this time after a change of version have entries of their own
+	nearChange         int64 // RPCs attempted this soon after a change of version get a KindRPC entry
 	oldestPreviousHash string
 	lastHash           string
 	seq                uint64
@@ -76,7 +77,7 @@
 	e.Seq = t.seq
 	t.entries = append(t.entries, e)
 	if len(t.entries) > t.maxEntries+t.maxEntries/8 {
-		t.removeUpTo(t.seq - uint64(t.maxEntries))
+		t.removeUpTo(t.seq - uint64(t.maxEntries)) // in batches, as this computes hashes
 	}
 }
 
@@ -97,7 +98,8 @@
 	}
 }
 
-// RecordEpoch records that the driver learned of an epoch, and the version that it acts on from now on.
+// RecordEpoch records that the driver learned of an epoch, and the version that it acts on from now
+// on.
 func (t *Trail) RecordEpoch(now int64, resource versions.Resource, epoch versions.Epoch, active versions.Number) {
 	t.append(Entry{Kind: KindEpoch, At: now, Resource: resource, Epoch: epoch, Version: active})
 	t.RecordActive(now, resource, active)
@@ -137,8 +139,9 @@
 	t.span(now, resource, version).inFlight++
 }
 
-// EndRPC records how an RPC ended and when its last attempt began, 0 if it had none. Only RPCs with an effect that were
-// attempted near a change of version, or under another than the active one, get an entry of their own.
+// EndRPC records how an RPC ended and when its last attempt began, 0 if it had none. Only RPCs with
+// an effect that were attempted near a change of version, or under another than the active one, get
+// an entry of their own.
 func (t *Trail) EndRPC(now int64, resource versions.Resource, version versions.Number, rpc string, effect Effect,
 	outcome Outcome, attemptedAt int64) {
 	t.flushIfDue(now)
@@ -199,8 +202,9 @@
 	}
 }
 
-// FlushBeforeSend flushes before the trail is sent, at most once per FlushInterval, even if flushIfDue has just flushed:
-// the last entry sent then carries the current time, from which the receiver derives the clock offset.
+// FlushBeforeSend flushes before the trail is sent, at most once per FlushInterval, even if
+// flushIfDue has just flushed: the last entry sent then carries the current time, from which the
+// receiver derives the clock offset.
 func (t *Trail) FlushBeforeSend(now int64) {
 	if now-t.flushedForSendAt >= FlushInterval {
 		t.flushedForSendAt = now
@@ -237,7 +241,8 @@
 	return segment
 }
 
-// acknowledge sets the last entry that the voters hold. It may go back, as a new leader may have received less.
+// acknowledge sets the last entry that the voters hold. It may go back, as a new leader may have
+// received less.
 func (t *Trail) acknowledge(seq uint64) {
 	t.acknowledgedSeq, t.unacknowledgedRPCs = seq, 0
 	for _, e := range t.entries {
--- a/internal/versions/fence.go
+++ b/internal/versions/fence.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Fence is a fencing token that is sent with a call-out to a store, so that the store can reject requests under an
-// obsolete version, also those that were delayed or come from a driver with a faulty lease, clock or build.
+// Fence is a fencing token that is sent with a call-out to a store, so that the store can reject
+// requests under an obsolete version, also those that were delayed or come from a driver with a
+// faulty lease, clock or build.
 type Fence struct {
 	Version Number
 	Epoch   Epoch    // of the assignment that the driver follows
@@ -33,8 +34,8 @@
 	return Fence{Version: number, Epoch: s.epoch, Valid: s.valid}
 }
 
-// MarkFenced records that a store rejected a version: the driver stops acting on it until a grant that it requests
-// later. It reports whether the version was active.
+// MarkFenced records that a store rejected a version: the driver stops acting on it until a grant
+// that it requests later. It reports whether the version was active.
 func (d *DriverState) MarkFenced(now int64, resource Resource, number Number) bool {
 	s := d.resources[resource]
 	if s == nil || s.active != number || number == 0 {
@@ -44,8 +45,8 @@
 	return true
 }
 
-// FenceChecker is a store's side for one resource: the latest epoch in any driver's fencing token, and the versions
-// valid in that epoch.
+// FenceChecker is a store's side for one resource: the latest epoch in any driver's fencing token,
+// and the versions valid in that epoch.
 //
 //	fencing token                        action
 //	no version                           accept: the driver belongs to no fleet
@@ -53,8 +54,8 @@
 //	a version valid in the known epoch   accept
 //	another version                      reject before execution
 //
-// A store learns of a new epoch only from call-outs, so it may accept obsolete versions until then, but never rejects
-// valid ones. It adds to leases and does not replace them.
+// A store learns of a new epoch only from call-outs, so it may accept obsolete versions until then,
+// but never rejects valid ones. It adds to leases and does not replace them.
 type FenceChecker struct {
 	Epoch Epoch
 	Valid []Number
--- a/internal/versions/fence_test.go
+++ b/internal/versions/fence_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a store that rejects valid versions, or accepts obsolete ones after it learned of a newer epoch.
+// Guards against a store that rejects valid versions, or accepts obsolete ones after it learned of
+// a newer epoch.
 func TestFenceChecker(t *testing.T) {
 	checker := &FenceChecker{}
 	require.True(t, checker.Accept(Fence{}), "driver without a fleet")
--- a/internal/versions/holder.go
+++ b/internal/versions/holder.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// DriverState is the driver's side: the versions that it stores, acts on and has requests in flight under. Times are
-// by the driver's clock.
+// DriverState is the driver's side: the versions that it stores, acts on and has requests in flight
+// under. Times are by the driver's clock.
 type DriverState struct {
 	leaseExpiry int64
 	resources   map[Resource]*resourceState
@@ -28,14 +28,15 @@
 	fencedAt int64 // when a store rejected the active version; 0 if none did
 }
 
-// NewDriverState returns the state of a driver that has just started; without a lease it acts on nothing.
+// NewDriverState returns the state of a driver that has just started; without a lease it acts on
+// nothing.
 func NewDriverState() *DriverState {
 	return &DriverState{resources: map[Resource]*resourceState{}, observed: map[Resource]Report{}}
 }
 
-// resource returns the state of a resource. A driver's first lease comes with assignments for all resources that have
-// versions, so any other resource is at its initial version.
-func (d *DriverState) resource(resource Resource) *resourceState {
+// stateOf returns the state of a resource. A driver's first lease comes with assignments for all
+// resources that have versions, so any other resource is at its initial version.
+func (d *DriverState) stateOf(resource Resource) *resourceState {
 	s := d.resources[resource]
 	if s == nil {
 		s = &resourceState{target: InitialVersion, active: InitialVersion, texts: map[Number]string{}, inFlight: map[Number]int{}}
@@ -44,29 +45,31 @@
 	return s
 }
 
-// Grant answers a driver's request: a lease that runs from the time of the request, and assignments.
+// Grant answers a driver's request: a lease that runs from the time of the request, and
+// assignments.
 type Grant struct {
 	Lease       int64        `json:"lease_ns"`           // 0 for none, while the assignments it would need are paced
 	RetryAfter  int64        `json:"again_ns,omitempty"` // when to ask again
 	Assignments []Assignment `json:"orders,omitempty"`
 }
 
-// Adoption is a version that a driver should activate; Text is empty for the initial version. The caller activates it
-// and then calls MarkAdopted or MarkFailed.
+// Adoption is a version that a driver should activate; Text is empty for the initial version. The
+// caller activates it and then calls MarkAdopted or MarkFailed.
 type Adoption struct {
 	Resource Resource
 	Number   Number
 	Text     string
 }
 
-// ApplyGrant applies the grant for a request and returns the versions to activate. The driver stops acting at once on
-// versions that are not allowed any more. Assignments older than the known epoch are ignored.
+// ApplyGrant applies the grant for a request and returns the versions to activate. The driver stops
+// acting at once on versions that are not allowed any more. Assignments older than the known epoch
+// are ignored.
 func (d *DriverState) ApplyGrant(requestedAt int64, grant Grant) (adoptions []Adoption) {
 	if grant.Lease > 0 {
 		d.leaseExpiry = max(d.leaseExpiry, requestedAt+grant.Lease)
 	}
 	for _, assignment := range grant.Assignments {
-		s := d.resource(assignment.Resource)
+		s := d.stateOf(assignment.Resource)
 		if assignment.Epoch < s.epoch {
 			continue
 		}
@@ -90,8 +93,8 @@
 	return Adoption{resource, s.target, text}, (isStored || s.target == InitialVersion) && s.active != s.target
 }
 
-// liftFences returns the versions to activate again: those that a store rejected before a grant was requested. The
-// assignment is then newer than the rejection.
+// liftFences returns the versions to activate again: those that a store rejected before a grant was
+// requested. The assignment is then newer than the rejection.
 func (d *DriverState) liftFences(requestedAt int64) (adoptions []Adoption) {
 	for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
 		s := d.resources[resource]
@@ -139,10 +142,11 @@
 	}
 }
 
-// Begin starts a request under the active version of a resource, and returns that version. It returns false if there is
-// none or the lease has expired. Each request that was begun must be ended by End.
+// Begin starts a request under the active version of a resource, and returns that version. It
+// returns false if there is none or the lease has expired. Each request that was begun must be
+// ended by End.
 func (d *DriverState) Begin(now int64, resource Resource) (Number, bool) {
-	s := d.resource(resource)
+	s := d.stateOf(resource)
 	if s.active == 0 || now >= d.leaseExpiry {
 		return 0, false
 	}
--- a/internal/versions/observed.go
+++ b/internal/versions/observed.go
@@ -25,7 +25,8 @@
 	Instances []Instance `json:"who"`
 }
 
-// Distribution shows which drivers act on which versions of a resource that the council does not decide.
+// Distribution shows which drivers act on which versions of a resource that the council does not
+// decide.
 type Distribution struct {
 	Resource    Resource         `json:"thing"`
 	Holders     []VersionHolders `json:"groups"` // latest version first
@@ -37,7 +38,7 @@
 type LaggingDriver struct {
 	Instance
 	Number   Number `json:"number"`
-	Duration int64  `json:"for_ns"` // nanoseconds since its version last changed, or since it was first seen to lag
+	Duration int64  `json:"for_ns"` // nanoseconds that it has lagged at this number
 }
 
 type versionKey struct {
@@ -56,8 +57,8 @@
 	since  int64
 }
 
-// Distributions returns a Distribution for each resource that the council does not decide, of the drivers that may act.
-// The leader calls it periodically; lag is measured between calls.
+// Distributions returns a Distribution for each resource that the council does not decide, of the
+// drivers that may act. The leader calls it periodically; lag is measured between calls.
 func (c *Controller) Distributions(now int64, drivers []DriverStatus) (all []Distribution) {
 	holders := map[Resource]map[versionKey][]Instance{}
 	for _, d := range drivers {
@@ -86,7 +87,8 @@
 }
 
 // distribution sums up one resource, and adds its lagging drivers to lags.
-func (c *Controller) distribution(now int64, resource Resource, holders map[versionKey][]Instance, lags map[lagKey]lag) Distribution {
+func (c *Controller) distribution(now int64, resource Resource, holders map[versionKey][]Instance,
+	lags map[lagKey]lag) Distribution {
 	d := Distribution{Resource: resource}
 	for key, instances := range holders {
 		d.Holders = append(d.Holders, VersionHolders{key.number, key.digest, instances})
--- a/internal/versions/observed_test.go
+++ b/internal/versions/observed_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against drivers that act on different lists unnoticed, two lists with the same number, and a driver that is
-// reported as lagging although it keeps up with a list that changes often.
+// Guards against drivers that act on different lists unnoticed, two lists with the same number, and
+// a driver that is reported as lagging although it keeps up with a list that changes often.
 func TestDistributionsOfObservedResources(t *testing.T) {
 	f := newFleet(t, 4)
 	report := func(i int, number Number, digest string) {
--- a/internal/versions/pacer_test.go
+++ b/internal/versions/pacer_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against texts sent all at once, double reservations, and reservations that are never removed.
+// Guards against texts sent all at once, double reservations, and reservations that are never
+// removed.
 func TestPacer(t *testing.T) {
 	p := NewPacer(1000, 100_000_000)
 	now, sentAt := int64(0), []int64{}
--- a/internal/versions/size_test.go
+++ b/internal/versions/size_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loadSimulation is a leader and many drivers on a virtual clock. The leader handles messages one at a time, which takes
-// time by their size.
+// loadSimulation is a leader and many drivers on a virtual clock. The leader handles messages one
+// at a time, which takes time by their size.
 type loadSimulation struct {
 	rng           *rand.Rand
 	controller    *Controller
@@ -221,7 +221,8 @@
 	s.run(s.now + span)
 }
 
-// activationTime returns how long it took until a fraction of the drivers had activated the version.
+// activationTime returns how long it took until a fraction of the drivers had activated the
+// version.
 func (s *loadSimulation) activationTime(fraction float64, startedAt int64) string {
 	need := int(math.Ceil(fraction * float64(len(s.drivers))))
 	if len(s.activatedAt) < need {
@@ -231,7 +232,8 @@
 	return fmt.Sprintf("%.2f s", float64(s.activatedAt[need-1]-startedAt)/1e9)
 }
 
-// TestMeasureSize compares ways to distribute versions to many drivers, for `make results-fleet-size`.
+// TestMeasureSize compares ways to distribute versions to many drivers, for `make
+// results-fleet-size`.
 func TestMeasureSize(t *testing.T) {
 	path := os.Getenv("SEDGESPREAD_FLEET_TABLE")
 	if path == "" {
--- a/internal/versions/steps.go
+++ b/internal/versions/steps.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Assignments returns the assignments that an instance does not follow yet, according to its last reports. An instance
-// without reports gets those of all resources.
+// Assignments returns the assignments that an instance does not follow yet, according to its last
+// reports. An instance without reports gets those of all resources.
 func (c *Controller) Assignments(instance Instance) (assignments []Assignment) {
 	reported := c.reportsOf(instance)
 	for _, resource := range c.Resources() {
@@ -58,7 +58,8 @@
 	return assignments
 }
 
-// allowed returns the version that a driver may act on until it has activated the assigned one, or 0.
+// allowed returns the version that a driver may act on until it has activated the assigned one, or
+// 0.
 func (v *Version) allowed() Number {
 	switch {
 	case v.Plan.Exclusive || v.Stage.isFinal():
@@ -95,8 +96,8 @@
 	}
 }
 
-// Step returns the record of the next transition that is due, or nil. The caller applies it and calls Step again until
-// it returns nil.
+// Step returns the record of the next transition that is due, or nil. The caller applies it and
+// calls Step again until it returns nil.
 func (c *Controller) Step(now int64, drivers []DriverStatus) []Record {
 	for _, resource := range c.Resources() {
 		v := c.histories[resource].latest()
@@ -138,7 +139,8 @@
 	return next, true
 }
 
-// stepCanaryTrial rolls a version back if its canary trial has failed, and activates it once the trial has passed.
+// stepCanaryTrial rolls a version back if its canary trial has failed, and activates it once the
+// trial has passed.
 func (c *Controller) stepCanaryTrial(now int64, v *Version, drivers []DriverStatus) (Record, bool) {
 	active := 0
 	for _, canary := range v.Canaries {
@@ -185,9 +187,9 @@
 	return next, true
 }
 
-// chooseCanaries returns the canaries of a version: a pseudo-random choice that depends only on the version and the
-// drivers. Voters are chosen last, as a version that crashes its canaries must not cost the council its quorum, which
-// is needed for the rollback.
+// chooseCanaries returns the canaries of a version: a pseudo-random choice that depends only on the
+// version and the drivers. Voters are chosen last, as a version that crashes its canaries must not
+// cost the council its quorum, which is needed for the rollback.
 func chooseCanaries(v *Version, drivers []DriverStatus) (chosen []Instance) {
 	if v.Plan.CanaryFraction <= 0 {
 		return nil
@@ -208,7 +210,8 @@
 	return chosen
 }
 
-// currentReport returns what an instance reported about a version's resource since the last transition.
+// currentReport returns what an instance reported about a version's resource since the last
+// transition.
 func (c *Controller) currentReport(v *Version, instance Instance) (Report, bool) {
 	latest := c.reportsOf(instance)
 	if latest == nil {
@@ -218,7 +221,8 @@
 	return report, isReported && report.Epoch == v.Epoch
 }
 
-// hasFinishedStage reports whether an instance has reported that it finished the version's current stage.
+// hasFinishedStage reports whether an instance has reported that it finished the version's current
+// stage.
 func (c *Controller) hasFinishedStage(v *Version, instance Instance) bool {
 	report, isReported := c.currentReport(v, instance)
 	if !isReported {
@@ -242,8 +246,9 @@
 	return false
 }
 
-// allFinishedStage reports whether all drivers that may act have finished the stage. A driver whose lease has expired
-// need not be waited for: it acts on nothing until it renews its lease, which comes with the current assignment.
+// allFinishedStage reports whether all drivers that may act have finished the stage. A driver whose
+// lease has expired need not be waited for: it acts on nothing until it renews its lease, which
+// comes with the current assignment.
 func (c *Controller) allFinishedStage(v *Version, drivers []DriverStatus) (evidence Evidence, isReady bool) {
 	isReady = true
 	for _, d := range drivers {
--- a/internal/versions/trial.go
+++ b/internal/versions/trial.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// maxStats is the number of versions whose statistics a driver keeps: the current, the previous and the new one.
+// maxStats is the number of versions whose statistics a driver keeps: the current, the previous and
+// the new one.
 const maxStats = 3
 
 // trimStats keeps the statistics of the latest versions.
@@ -65,7 +66,8 @@
 	return RPCStats{Number: number}
 }
 
-// The false alarm rate is divided by the number of tests (Bonferroni): one for each check and measure.
+// The false alarm rate is divided by the number of tests (Bonferroni): one for each check and
+// measure.
 const (
 	trialChecks  = 4 // in the course of a trial
 	measureCount = 2
@@ -80,8 +82,8 @@
 // comparison holds the statistics of one driver before and during a trial.
 type comparison struct{ baseline, during RPCStats }
 
-// measure estimates one property of RPCs with its sampling variance. Values are logarithms (of failure odds, of
-// latencies), as drivers differ by factors.
+// measure estimates one property of RPCs with its sampling variance. Values are logarithms (of
+// failure odds, of latencies), as drivers differ by factors.
 type measure struct {
 	estimate func(s RPCStats) (value, variance float64, isKnown bool)
 	describe func(increase float64) string
@@ -89,7 +91,8 @@
 
 var measures = [measureCount]measure{
 	{func(s RPCStats) (float64, float64, bool) {
-		failed, succeeded := float64(s.Failed)+0.5, float64(s.RPCs-s.Failed)+0.5 // +0.5: no failures in a small sample do not mean odds of 0
+		// Adding 0.5 keeps the odds finite if no RPC, or each, has failed.
+		failed, succeeded := float64(s.Failed)+0.5, float64(s.RPCs-s.Failed)+0.5
 		return math.Log(failed / succeeded), 1/failed + 1/succeeded, s.RPCs >= minRPCs
 	}, func(increase float64) string {
 		return fmt.Sprintf("%.3g times as many RPCs end badly for each that does not", math.Exp(increase))
@@ -101,7 +104,8 @@
 	}, func(increase float64) string { return fmt.Sprintf("RPCs take %.2f times as long", math.Exp(increase)) }},
 }
 
-// change returns the value of a driver during the trial, less its baseline if withBaseline, and the sampling variance.
+// change returns the value of a driver during the trial, less its baseline if withBaseline, and the
+// sampling variance.
 func (m *measure) change(c comparison, withBaseline bool) (increase, variance float64, isKnown bool) {
 	increase, variance, isKnown = m.estimate(c.during)
 	if !isKnown || !withBaseline {
@@ -111,10 +115,11 @@
 	return increase - baseline, variance + baselineVariance, isKnown
 }
 
-// CompareCanaries tests whether the RPCs of canaries fail more often or take longer than those of the other drivers,
-// by more than the tolerated ratio. If all drivers have a baseline, each is compared with its own. Natural differences
-// between drivers are estimated from the others, so that a canary under high load does not fail the test. The finding
-// is empty if nothing is significantly worse; isConclusive is false if there was too little data.
+// CompareCanaries tests whether the RPCs of canaries fail more often or take longer than those of
+// the other drivers, by more than the tolerated ratio. If all drivers have a baseline, each is
+// compared with its own. Natural differences between drivers are estimated from the others, so that
+// a canary under high load does not fail the test. The finding is empty if nothing is significantly
+// worse; isConclusive is false if there was too little data.
 func CompareCanaries(canaries, others []comparison, toleratedRatio, falseAlarmRate float64) (finding string, isConclusive bool) {
 	for i := range measures {
 		m := &measures[i]
@@ -136,9 +141,10 @@
 	return !slices.ContainsFunc(drivers, func(c comparison) bool { _, _, isKnown := m.estimate(c.baseline); return !isKnown })
 }
 
-// compare returns by how much canaries are worse than the others, and the probability of at least that difference if
-// the true one is the tolerated one.
-func (m *measure) compare(canaries, others []comparison, tolerated float64, withBaseline bool) (increase, probability float64, isKnown bool) {
+// compare returns by how much canaries are worse than the others, and the probability of at least
+// that difference if the true one is the tolerated one.
+func (m *measure) compare(canaries, others []comparison, tolerated float64, withBaseline bool) (
+	increase, probability float64, isKnown bool) {
 	canaryChanges, canaryVariances := m.changes(canaries, withBaseline)
 	otherChanges, otherVariances := m.changes(others, withBaseline)
 	if len(canaryChanges) == 0 || len(otherChanges) < minOthers {
@@ -147,8 +153,8 @@
 	canaryCount, otherCount := float64(len(canaryChanges)), float64(len(otherChanges))
 	mean, totalVariance := stat.MeanVariance(otherChanges, nil)
 	increase = stat.Mean(canaryChanges, nil) - mean
-	// The sampling variance is known, while the variance between drivers is estimated from few of them, which lowers the
-	// degrees of freedom (Welch-Satterthwaite equation).
+	// The sampling variance is known, while the variance between drivers is estimated from few of
+	// them, which lowers the degrees of freedom (Welch-Satterthwaite equation).
 	samplingVariance := stat.Mean(canaryVariances, nil)/canaryCount + stat.Mean(otherVariances, nil)/otherCount
 	driverVariance := max(0, totalVariance-stat.Mean(otherVariances, nil)) * (1/canaryCount + 1/otherCount)
 	variance := max(samplingVariance+driverVariance, 1e-12)
@@ -198,9 +204,10 @@
 	return canaries, others
 }
 
-// evaluateTrial runs the next check of a trial if it is due. It returns whether the trial is over, with the problem if
-// the version failed or the result if it passed.
-func (c *Controller) evaluateTrial(now int64, v *Version, tr *trial, drivers []DriverStatus) (isOver bool, problem, result string) {
+// evaluateTrial runs the next check of a trial if it is due. It returns whether the trial is over,
+// with the problem if the version failed or the result if it passed.
+func (c *Controller) evaluateTrial(now int64, v *Version, tr *trial, drivers []DriverStatus) (
+	isOver bool, problem, result string) {
 	if now-tr.startedAt < v.Plan.TrialTime*int64(tr.check)/trialChecks {
 		return false, "", ""
 	}
--- a/internal/versions/trial_test.go
+++ b/internal/versions/trial_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trialSimulation generates statistics of drivers. Each has its own failure rate and latency, which vary over time;
-// those of canaries are worse by extraFailures and slowdown.
+// trialSimulation generates statistics of drivers. Each has its own failure rate and latency, which
+// vary over time; those of canaries are worse by extraFailures and slowdown.
 type trialSimulation struct {
 	rng           *rand.Rand
 	rpcs          int     // of each driver in a trial
@@ -79,7 +79,8 @@
 	return finding != ""
 }
 
-// detectedByFixedRatio is a simple rule: twice the failure rate of the others, or 1.5 times their latency.
+// detectedByFixedRatio is a simple rule: twice the failure rate of the others, or 1.5 times their
+// latency.
 func detectedByFixedRatio(canaries, others []comparison) bool {
 	sum := func(comparisons []comparison) (total RPCStats) {
 		for _, c := range comparisons {
@@ -106,7 +107,8 @@
 	return (float64(a.Failed)/n-float64(b.Failed)/m)/math.Sqrt(p*(1-p)*(1/n+1/m)) > 2.33
 }
 
-// Guards against good versions that fail the test as drivers differ naturally, and bad ones that pass.
+// Guards against good versions that fail the test as drivers differ naturally, and bad ones that
+// pass.
 func TestCanaryComparisonAllowsForDriverDifferences(t *testing.T) {
 	c := &trialSimulation{rng: rand.New(rand.NewSource(1)), rpcs: 400, driverSpread: 0.8, timeSpread: 0.3, failureRate: 0.02, hasBaseline: true}
 	require.Less(t, c.alarmRate(1000, 1, 8, detectedByTest), 0.04, "good version")
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -1,7 +1,7 @@
-// Package versions rolls out versions of resources to drivers and determines when no driver can act on an older
-// version any more. Controller is the council's side: its state changes only through Records, which the council
-// replicates before they are applied. DriverState is the driver's side. The package does no I/O, reads no clock and
-// starts no goroutines.
+// Package versions rolls out versions of resources to drivers and determines when no driver can act
+// on an older version any more. Controller is the council's side: its state changes only through
+// Records, which the council replicates before they are applied. DriverState is the driver's side.
+// The package does no I/O, reads no clock and starts no goroutines.
 package versions
 
 import (
@@ -9,16 +9,19 @@
 	"slices"
 )
 
-// Resource names something versioned that drivers act on: a part of the operator's file, a rulebook, limits, a build.
+// Resource names something versioned that drivers act on: a part of the operator's file, a
+// rulebook, limits, a build.
 type Resource string
 
-// Number is the number of a version within its resource, in the order of the council's records. 0 means no version.
+// Number is the number of a version within its resource, in the order of the council's records. 0
+// means no version.
 type Number uint64
 
 // InitialVersion is what a driver starts with and acts on until it is assigned a version.
 const InitialVersion Number = 1
 
-// Epoch numbers the records of all resources. A driver ignores assignments older than the epoch it knows.
+// Epoch numbers the records of all resources. A driver ignores assignments older than the epoch it
+// knows.
 type Epoch uint64
 
 // Stage is the stage of a version's rollout.
@@ -38,8 +41,9 @@
 //	                   an operator rolls it back                           RollingBack  the base version
 //	RollingBack        all act on the base, nothing is in flight under new RolledBack   the base version
 //
-// "All" means that each driver that may act has reported so in the current epoch and the leases of all others have
-// expired. Without a quorum no transition is recorded; drivers act as assigned until their leases expire.
+// "All" means that each driver that may act has reported so in the current epoch and the leases of
+// all others have expired. Without a quorum no transition is recorded; drivers act as assigned
+// until their leases expire.
 type Stage int
 
 const (
@@ -80,13 +84,13 @@
 
 // Plan describes how a version is rolled out. Times are in nanoseconds.
 type Plan struct {
-	Exclusive       bool    `json:"exclusive,omitempty"` // no two drivers may act on different versions at the same time
+	Exclusive       bool    `json:"exclusive,omitempty"` // no two versions may be active at the same time
 	CanaryFraction  float64 `json:"canaries,omitempty"`  // fraction of the drivers that are canaries; 0 for none
 	TrialTime       int64   `json:"trial,omitempty"`     // duration of the canary trial
-	FalseAlarmRate  float64 `json:"alarm,omitempty"`     // probability of rolling back a good version after its canary trial; 0 for the default
+	FalseAlarmRate  float64 `json:"alarm,omitempty"`     // probability of rolling back a good version; 0 for the default
 	ToleratedRatio  float64 `json:"bears,omitempty"`     // how many times worse canaries may do; 0 for the default
 	AnnounceTimeout int64   `json:"tell"`                // for all drivers to store the version
-	AdoptTimeout    int64   `json:"adopt"`               // for all drivers to activate it, to stop, or to return to the base
+	AdoptTimeout    int64   `json:"adopt"`               // for all drivers to activate it, stop or return to the base
 	DrainTimeout    int64   `json:"close"`               // for requests in flight under other versions to end
 }
 
@@ -101,7 +105,7 @@
 	Stage       Stage      `json:"stage"`
 	Epoch       Epoch      `json:"epoch"` // of the last record
 	Reason      string     `json:"why,omitempty"`
-	UpdatedAt   int64      `json:"when"`             // Unix nanoseconds of the last record, by its proposer's clock; informational
+	UpdatedAt   int64      `json:"when"`             // Unix nanoseconds, by the proposer's clock; informational
 	Evidence    *Evidence  `json:"basis,omitempty"`  // for the last record
 	CompletedAt int64      `json:"closes,omitempty"` // when it was completed, as UpdatedAt
 	Canaries    []Instance `json:"tried,omitempty"`
@@ -134,7 +138,7 @@
 	InFlight []Number   `json:"flight,omitempty"`
 	Failure  string     `json:"ill,omitempty"` // why it can't activate the assigned version
 	Stats    []RPCStats `json:"fares,omitempty"`
-	Digest   string     `json:"digest,omitempty"` // of the active version, for resources that the council does not decide
+	Digest   string     `json:"digest,omitempty"` // of the active version, if the council does not decide it
 }
 
 // Assignment tells a driver which version of one resource to act on and which text to store.
@@ -199,8 +203,8 @@
 		stageStarts: map[Resource]stageStart{}}
 }
 
-// StartLeading is called when this process becomes the leader. It discards reports and stage times: drivers have to
-// report to the new leader before it may rely on them.
+// StartLeading is called when this process becomes the leader. It discards reports and stage times:
+// drivers have to report to the new leader before it may rely on them.
 func (c *Controller) StartLeading() {
 	c.reports, c.stageStarts, c.lags = map[string]*instanceReports{}, map[Resource]stageStart{}, nil
 }
@@ -295,8 +299,8 @@
 	return Record{next}
 }
 
-// Apply applies a record that the council has committed. A record that does not follow from those before it changes
-// nothing and is an error.
+// Apply applies a record that the council has committed. A record that does not follow from those
+// before it changes nothing and is an error.
 func (c *Controller) Apply(record Record) error {
 	v := record.Version
 	h := c.histories[v.Resource]
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -49,7 +49,8 @@
 	return f.states[instance.Name].ApplyGrant(f.now, Grant{Lease: 1000, Assignments: f.controller.Assignments(instance)})
 }
 
-// runUntilStable lets all drivers that may act report and activate, and applies transitions, until nothing changes.
+// runUntilStable lets all drivers that may act report and activate, and applies transitions, until
+// nothing changes.
 func (f *fleet) runUntilStable() {
 	for range 20 {
 		for _, instance := range f.instances {
@@ -70,7 +71,8 @@
 	f.apply(f.controller.Propose(f.now, "x", digest, "text of "+digest, "test", plan))
 }
 
-// Guards against a first version that is never activated, or not assigned to drivers that join later.
+// Guards against a first version that is never activated, or not assigned to drivers that join
+// later.
 func TestVersionIsRolledOut(t *testing.T) {
 	f := newFleet(t, 3)
 	f.propose("a", testPlan)
@@ -92,7 +94,8 @@
 	require.Empty(t, f.controller.Assignments(added)[0].ActiveText)
 }
 
-// Guards against a rollout that waits forever for a disconnected driver, and one that completes before its lease expires.
+// Guards against a rollout that waits forever for a disconnected driver, and one that completes
+// before its lease expires.
 func TestRolloutWaitsForLeaseOfDisconnectedDriver(t *testing.T) {
 	f := newFleet(t, 3)
 	f.propose("a", testPlan)
--- a/internal/versions/walk_test.go
+++ b/internal/versions/walk_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulation is a controller whose leader changes, drivers with their own clocks, and messages that are delayed, lost,
-// duplicated and reordered. It checks on which versions drivers really act.
+// simulation is a controller whose leader changes, drivers with their own clocks, and messages that
+// are delayed, lost, duplicated and reordered. It checks on which versions drivers really act.
 type simulation struct {
 	rng           *rand.Rand
 	fault         fault
@@ -231,7 +231,8 @@
 	})
 }
 
-// check looks for drivers that could act on obsolete versions, or on two exclusive ones, at this moment.
+// check looks for drivers that could act on obsolete versions, or on two exclusive ones, at this
+// moment.
 func (s *simulation) check() {
 	active := map[Number][]string{}
 	for _, d := range s.drivers {
@@ -256,7 +257,8 @@
 	}
 }
 
-// Guards against acts on a version after its rollout or rollback ended, and on two exclusive versions.
+// Guards against acts on a version after its rollout or rollback ended, and on two exclusive
+// versions.
 func TestNobodyActsOnAnOldVersion(t *testing.T) {
 	visitedStages, versions := map[string]bool{}, 0
 	for seed := range int64(150) {
