--- a/internal/versions/trial_test.go
+++ b/internal/versions/trial_test.go
@@ -38,9 +38,11 @@
 }
 
 func (c *trialSimulation) comparison(isCanary bool) (result comparison) {
-	failureRate, latencyFactor := c.failureRate*math.Exp(c.driverSpread*c.rng.NormFloat64()), math.Exp(c.driverSpread*c.rng.NormFloat64())
+	failureRate, latencyFactor := c.failureRate*math.Exp(c.driverSpread*c.rng.NormFloat64()),
+		math.Exp(c.driverSpread*c.rng.NormFloat64())
 	vary := func() (float64, float64) {
-		return min(0.9, failureRate*math.Exp(c.timeSpread*c.rng.NormFloat64())), latencyFactor * math.Exp(c.timeSpread*c.rng.NormFloat64()/4)
+		return min(0.9, failureRate*math.Exp(c.timeSpread*c.rng.NormFloat64())),
+			latencyFactor * math.Exp(c.timeSpread*c.rng.NormFloat64()/4)
 	}
 	if c.hasBaseline {
 		result.baseline = c.stats(vary())
--- a/internal/versions/walk_test.go
+++ b/internal/versions/walk_test.go
@@ -70,7 +70,8 @@
 )
 
 func newSimulation(seed int64, f fault) *simulation {
-	s := &simulation{rng: rand.New(rand.NewSource(seed)), fault: f, leaseExpiry: map[string]int64{}, obsolete: map[Number]bool{},
+	s := &simulation{rng: rand.New(rand.NewSource(seed)), fault: f,
+		leaseExpiry: map[string]int64{}, obsolete: map[Number]bool{},
 		visitedStages: map[string]bool{}, controller: NewController()}
 	for i := range 4 {
 		d := &driver{Instance: Instance{fmt.Sprint("d", i), 0}, clockRate: 1 + 0.02*(2*s.rng.Float64()-1)}
@@ -181,7 +182,8 @@
 	}
 	s.leaseExpiry[request.instance.Name] = s.now + leaseTime + clockMargin
 	s.controller.RecordReports(request.instance, request.reports)
-	s.grants = append(s.grants, pendingGrant{request.instance, request.sentAt, Grant{Lease: leaseTime, Assignments: s.controller.Assignments(request.instance)}, s.now})
+	s.grants = append(s.grants, pendingGrant{request.instance, request.sentAt,
+		Grant{Lease: leaseTime, Assignments: s.controller.Assignments(request.instance)}, s.now})
 }
 
 // deliverGrant delivers a random grant.
