--- a/cmd/sedgespread/cells.go
+++ b/cmd/sedgespread/cells.go
@@ -59,19 +59,19 @@
 
 // Run lists cells.
 func (cellsList) Run(c *commands) error {
-	return ask(c, "list", admin.Wanted{}, func(out *tabwriter.Writer, f *cells.Figures) {
+	return ask(c, "list", admin.Wanted{}, func(out *tabwriter.Writer, f *cells.Stats) {
 		fmt.Fprintln(out, "CELL\tHALL\tGROUPS\tWEIGHT\tRPCS\tSHARE\tLIMIT\tPACE\tCALL-OUTS\tCLIENTS\tTENANTS\tTOOK")
 		for _, k := range f.Cells {
 			fmt.Fprintf(out, "%s\t%s\t%v\t%g\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%v\n", k.Name, k.Hall, k.Groups, k.Weight, k.RPCs, k.Share,
-				k.Limit, k.Pace, k.CallOuts, k.Sockets, k.Crowd, time.Duration(k.Took).Round(time.Millisecond/10))
+				k.Limit, k.ConcurrencyLimit, k.Attempts, k.ClientConnections, k.Tenants, time.Duration(k.Latency).Round(time.Millisecond/10))
 		}
 		fmt.Fprintf(out, "\nepoch %d, lease %s, held %d, turned away:", f.Epoch, lease(f.Lease), f.Held)
-		for w := cells.WhyDriver; w <= cells.WhyLost; w++ {
-			fmt.Fprintf(out, " %s %d", w, f.Turned[w.String()])
+		for w := cells.ReasonDriverFull; w <= cells.ReasonUnknownCell; w++ {
+			fmt.Fprintf(out, " %s %d", w, f.Rejected[w.String()])
 		}
-		fmt.Fprintf(out, "; given up %d\n\nHEAVIEST TENANTS\tRPCS A SECOND\tOF THAT MAYBE OTHERS'\n", f.Lapsed)
-		for _, t := range f.Heavy {
-			fmt.Fprintf(out, "%s\t%.1f\t%.1f\n", t.Tenant, t.Load, t.Over)
+		fmt.Fprintf(out, "; given up %d\n\nHEAVIEST TENANTS\tRPCS A SECOND\tOF THAT MAYBE OTHERS'\n", f.Fenced)
+		for _, t := range f.HeaviestTenants {
+			fmt.Fprintf(out, "%s\t%.1f\t%.1f\n", t.Tenant, t.Load, t.Overestimate)
 		}
 	})
 }
@@ -199,11 +199,11 @@
 		for i := len(s.Entries) - 1; i >= 0; i-- {
 			e := s.Entries[i]
 			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%v\t%s\n", e.Tenant, e.Cell, e.Stage, e.To, e.Epoch,
-				time.Duration(s.Now-e.At).Round(time.Millisecond), e.Why)
+				time.Duration(s.Now-e.DecidedAt).Round(time.Millisecond), e.Reason)
 		}
 		fmt.Fprintln(out, "\nDRIVER\tACTS ON\tLEASE")
 		for _, d := range s.Drivers {
-			fmt.Fprintf(out, "%s\t%d\t%s\n", d.Name, d.Acts, lease(d.Until-s.Now))
+			fmt.Fprintf(out, "%s\t%d\t%s\n", d.Name, d.Epoch, lease(d.LeaseExpiresAt-s.Now))
 		}
 	})
 }
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -89,10 +89,10 @@
 
 	said, good = cellsDo("--json", "list")
 	require.True(t, good, said)
-	var figures cells.Figures
+	var figures cells.Stats
 	require.NoError(t, json.Unmarshal([]byte(said), &figures))
 	require.Len(t, figures.Cells, 2)
-	require.Equal(t, cells.Tenant("club"), figures.Heavy[0].Tenant)
+	require.Equal(t, cells.Tenant("club"), figures.HeaviestTenants[0].Tenant)
 	said, _ = cellsDo("list")
 	require.Contains(t, said, "one")
 	said, _ = cellsDo("show", "club", "--key", "club/1")
@@ -116,7 +116,7 @@
 	eventually(t, "the move is done", func() bool {
 		var s membership.State
 		err := admin.Dial(at[0]).Ask(context.Background(), "moves", admin.Wanted{}, &s)
-		return err == nil && len(s.Entries) == 1 && s.Entries[0].Stage == cells.Resting && s.Entries[0].Cell == "two"
+		return err == nil && len(s.Entries) == 1 && s.Entries[0].Stage == cells.StageIdle && s.Entries[0].Cell == "two"
 	})
 	require.Equal(t, sockets.Served, write())
 	said, _ = cellsDo("show", "club")
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -35,7 +35,7 @@
 	a.l = ledger.New(a.now(), most, quota)
 	a.l.Recover(a.now(), records)
 	if len(records) == 0 {
-		a.l.Blind(a.now() + int64(longest))
+		a.l.MarkRecordsLost(a.now() + int64(longest))
 	}
 	return a, nil
 }
@@ -51,7 +51,7 @@
 
 // Ask decides on an RPC. Once it returns a grant the record that the grant needs is on the disk; where that can't be
 // written the RPC is pushed back, since nobody has the grant, and the error says why.
-func (a *Account) Ask(asked ledger.Ask) (ledger.Decision, error) {
+func (a *Account) Ask(asked ledger.Request) (ledger.Decision, error) {
 	d, record, needed := a.decide(asked)
 	if !needed {
 		return d, nil
@@ -63,16 +63,16 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.l.Report(asked.Caller, record.Epoch, d.Grant, ledger.NeverRan)
-	return ledger.Decision{Act: ledger.PushBack, Why: ledger.WhyJournal}, err
+	return ledger.Decision{Action: ledger.ActionReject, Reason: ledger.ReasonJournalFailed}, err
 }
 
 // decide decides, and counts a grant as out from here on: a repeat that comes while its record is written finds it so.
-func (a *Account) decide(asked ledger.Ask) (d ledger.Decision, r ledger.Record, needed bool) {
+func (a *Account) decide(asked ledger.Request) (d ledger.Decision, r ledger.Record, needed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	a.l.Turn(now)
-	if d = a.l.Decide(now, asked); d.Act != ledger.Give {
+	a.l.Advance(now)
+	if d = a.l.Decide(now, asked); d.Action != ledger.ActionGrant {
 		return d, r, false
 	}
 	r, needed = a.l.Record(now, asked, d.Grant)
@@ -82,7 +82,7 @@
 
 // Report takes what came of a grant, and tells whether it counts. Its record may be lost in a crash: the grant may then
 // have run for all that is known.
-func (a *Account) Report(c ledger.Caller, epoch uint64, g ledger.Grant, f ledger.Fate) (bool, error) {
+func (a *Account) Report(c ledger.Caller, epoch uint64, g ledger.Grant, f ledger.Outcome) (bool, error) {
 	a.mu.Lock()
 	counts := a.l.Report(c, epoch, g, f)
 	now := a.now()
@@ -90,7 +90,7 @@
 	if !counts {
 		return false, nil
 	}
-	return true, a.write(ledger.Record{Grant: g, Fate: f, At: now})
+	return true, a.write(ledger.Record{Grant: g, Outcome: f, At: now})
 }
 
 func (a *Account) write(r ledger.Record) error {
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -22,8 +22,8 @@
 	return a, j
 }
 
-func write(id string) ledger.Ask {
-	return ledger.Ask{ID: ledger.ID(id), Effect: rules.NonIdempotent, Group: 1, Deadline: time.Now().Add(10 * time.Second).UnixNano()}
+func write(id string) ledger.Request {
+	return ledger.Request{ID: ledger.ID(id), Effect: rules.NonIdempotent, Group: 1, Deadline: time.Now().Add(10 * time.Second).UnixNano()}
 }
 
 // Guards against two grants for one write: to many who ask at once, and over a crash.
@@ -40,7 +40,7 @@
 			defer all.Done()
 			id := fmt.Sprint(i % 60)
 			d, err := a.Ask(write(id))
-			if err == nil && d.Act == ledger.Give {
+			if err == nil && d.Action == ledger.ActionGrant {
 				mu.Lock()
 				defer mu.Unlock()
 				given[id] = append(given[id], d.Grant)
@@ -65,14 +65,14 @@
 	require.True(t, joined)
 	for id := range given {
 		again := write(id)
-		again.Caller, again.Again = c, true
+		again.Caller, again.IsRetry = c, true
 		d, err := a.Ask(again)
 		require.NoError(t, err)
-		want := ledger.Abort
+		want := ledger.ActionAbort
 		if id == "7" {
-			want = ledger.Give
+			want = ledger.ActionGrant
 		}
-		require.Equal(t, want, d.Act, id)
+		require.Equal(t, want, d.Action, id)
 	}
 }
 
@@ -85,13 +85,13 @@
 	for range 3 {
 		d, err := a.Ask(write("1"))
 		require.ErrorContains(t, err, "the journal")
-		require.Equal(t, ledger.Decision{Act: ledger.PushBack, Why: ledger.WhyJournal}, d)
+		require.Equal(t, ledger.Decision{Action: ledger.ActionReject, Reason: ledger.ReasonJournalFailed}, d)
 	}
 	read := write("2")
 	read.Effect = rules.Idempotent
 	d, err := a.Ask(read)
 	require.NoError(t, err)
-	require.Equal(t, ledger.Give, d.Act, "it needs no record")
+	require.Equal(t, ledger.ActionGrant, d.Action, "it needs no record")
 }
 
 // Guards against a journal that was lost: repeats may be of what ran.
@@ -100,11 +100,11 @@
 	defer j.Close()
 	a.Join("proxy", 1)
 	again := write("1")
-	again.Again = true
+	again.IsRetry = true
 	d, err := a.Ask(again)
 	require.NoError(t, err)
-	require.Equal(t, ledger.WhyBlind, d.Why)
+	require.Equal(t, ledger.ReasonRecordsLost, d.Reason)
 	d, err = a.Ask(write("2"))
 	require.NoError(t, err)
-	require.Equal(t, ledger.Give, d.Act)
+	require.Equal(t, ledger.ActionGrant, d.Action)
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 
 // Desk is what an instance lets its operator see and do.
 type Desk interface {
-	Cells() cells.Figures
+	Cells() cells.Stats
 	Where(t cells.Tenant, key string) Place
 	State(ctx context.Context) (membership.State, error)
 	Move(ctx context.Context, moves []membership.Move) error
@@ -78,7 +78,7 @@
 func Serve(ctx context.Context, l net.Listener, d Desk) error {
 	mux := http.NewServeMux()
 	handle := func(what string, answer http.HandlerFunc) { mux.Handle("POST /"+what, answer) }
-	handle("cells/list", jsonhttp.Tells(func(context.Context) (cells.Figures, error) { return d.Cells(), nil }))
+	handle("cells/list", jsonhttp.Tells(func(context.Context) (cells.Stats, error) { return d.Cells(), nil }))
 	handle("cells/show", jsonhttp.Answers(func(_ context.Context, w Wanted) (Place, error) { return d.Where(w.Tenant, w.Key), nil }))
 	handle("cells/moves", jsonhttp.Tells(d.State))
 	handle("cells/plan", jsonhttp.Answers(func(ctx context.Context, w Wanted) (Plan, error) { return d.Plan(ctx, w.Most) }))
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -50,7 +50,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), lookWithin)
 	defer stop()
-	for why, n := range f.desk.Cells().Turned {
+	for why, n := range f.desk.Cells().Rejected {
 		out <- prometheus.MustNewConstMetric(tenantsAway, prometheus.CounterValue, float64(n), why)
 	}
 	if s, err := f.desk.Council(ctx); err == nil {
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -22,7 +22,7 @@
 	err   error
 }
 
-func (s still) Cells() cells.Figures { return cells.Figures{Turned: map[string]int64{"lease": 3}} }
+func (s still) Cells() cells.Stats { return cells.Stats{Rejected: map[string]int64{"lease": 3}} }
 
 func (s still) Council(context.Context) (chamber.State, error) {
 	return chamber.State{Term: 7, Acts: true}, s.err
--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -13,30 +13,30 @@
 
 // Explained makes a plan and says why tenants are where they are in it.
 func Explained(tenants []planner.Tenant, rooms []planner.Cell, most int) Plan {
-	p := planner.Make(tenants, rooms, most)
+	p := planner.NewPlan(tenants, rooms, most)
 	now := make([]int, len(tenants))
 	for i, t := range tenants {
-		now[i] = t.At
+		now[i] = t.CurrentCell
 	}
-	before := planner.Measure(tenants, rooms, now)
-	plan := Plan{Worst: p.Worst, Mean: p.Mean, Bound: p.Bound, Before: before.Worst, Exact: p.Exact}
+	before := planner.Evaluate(tenants, rooms, now)
+	plan := Plan{Worst: p.MaxLoad, Mean: p.MeanLoad, Bound: p.LowerBound, Before: before.MaxLoad, Exact: p.IsBoundTight}
 	for i, r := range rooms {
 		plan.Cells = append(plan.Cells, CellPlan{Name: r.Name, Before: before.Loads[i], After: p.Loads[i]})
 	}
 	name := func(c int) string {
-		if c == planner.Nowhere {
+		if c == planner.NoCell {
 			return ""
 		}
 		return rooms[c].Name
 	}
 	for _, t := range p.Moves {
-		why := fmt.Sprintf("plan: %s at %.2f of its capacity, worst cell %.2f to %.2f", name(tenants[t].At),
-			before.Loads[tenants[t].At], before.Worst, p.Worst)
-		plan.Moves = append(plan.Moves, membership.Move{Tenant: cells.Tenant(tenants[t].Name), To: name(p.Place[t]), Why: why})
+		why := fmt.Sprintf("plan: %s at %.2f of its capacity, worst cell %.2f to %.2f", name(tenants[t].CurrentCell),
+			before.Loads[tenants[t].CurrentCell], before.MaxLoad, p.MaxLoad)
+		plan.Moves = append(plan.Moves, membership.Move{Tenant: cells.Tenant(tenants[t].Name), To: name(p.Placement[t]), Why: why})
 	}
 	for i, t := range tenants {
 		if len(plan.Tenants) < explainedMost {
-			plan.Tenants = append(plan.Tenants, explain(t, p.Place[i], &p, rooms, name))
+			plan.Tenants = append(plan.Tenants, explain(t, p.Placement[i], &p, rooms, name))
 		}
 	}
 	return plan
@@ -44,18 +44,18 @@
 
 // explain says why a tenant is where it is in a plan, and what the worst load would be were it elsewhere.
 func explain(t planner.Tenant, at int, p *planner.Plan, rooms []planner.Cell, name func(int) string) TenantPlan {
-	e := TenantPlan{Tenant: cells.Tenant(t.Name), Load: t.Load, From: name(t.At), To: name(at), Else: map[string]float64{}}
+	e := TenantPlan{Tenant: cells.Tenant(t.Name), Load: t.Load, From: name(t.CurrentCell), To: name(at), Else: map[string]float64{}}
 	switch {
-	case t.Stay:
+	case t.Pinned:
 		e.Why = "it is pinned, or being moved"
-	case at == t.At:
+	case at == t.CurrentCell:
 		e.Why = "it can stay: moving it would not lower the worst load"
-	case at == planner.Nowhere:
+	case at == planner.NoCell:
 		e.Why = "no cell stands in its hall"
 	default:
 		e.Why = "its cell is relieved by it"
 	}
-	if t.Stay || at == planner.Nowhere {
+	if t.Pinned || at == planner.NoCell {
 		return e
 	}
 	for c := range rooms {
@@ -66,9 +66,9 @@
 		for o, load := range p.Loads {
 			switch o {
 			case at:
-				load -= t.Load / rooms[o].Able
+				load -= t.Load / rooms[o].Capacity
 			case c:
-				load += t.Load / rooms[o].Able
+				load += t.Load / rooms[o].Capacity
 			}
 			worst = max(worst, load)
 		}
--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -57,7 +57,7 @@
 		prefix string
 		tenant Tenant
 	}
-	trie, trieBytes := heap(func() *Prefixes { return NewPrefixes(tenants) })
+	trie, trieBytes := heap(func() *PrefixTrie { return NewPrefixTrie(tenants) })
 	plain, plainBytes := heap(func() (all []pair) {
 		for p, tenant := range tenants {
 			all = append(all, pair{p, tenant})
@@ -139,10 +139,10 @@
 	})
 	var b strings.Builder
 	b.WriteString("| a million tenants, three million RPCs | KiB | of the 100 heaviest found | mean error of those, parts of their load | ns an RPC |\n| --- | --- | --- | --- | --- |\n")
-	heaviest := func(all []Weighed) []Weighed { return heaviest(all)[:shown] }
-	var exact []Weighed
+	heaviest := func(all []TenantLoad) []TenantLoad { return heaviest(all)[:shown] }
+	var exact []TenantLoad
 	for tenant, load := range plain {
-		exact = append(exact, Weighed{tenant, load, 0})
+		exact = append(exact, TenantLoad{tenant, load, 0})
 	}
 	exact = heaviest(exact)
 	cost := func(add func(Tenant)) int64 {
@@ -153,8 +153,8 @@
 		}).NsPerOp()
 	}
 	for _, places := range []int{512, heavyKept, 8192} {
-		h, bytes := heap(func() *Heavy {
-			h := NewHeavy(places)
+		h, bytes := heap(func() *HeavyHitters {
+			h := NewHeavyHitters(places)
 			for i := range names {
 				h.Add(names[i], 1)
 			}
--- a/internal/cells/book.go
+++ b/internal/cells/book.go
@@ -24,13 +24,13 @@
 type Stage int
 
 const (
-	Resting Stage = iota
-	Prepared
-	Holding
-	Catching
-	Closing
-	Switched
-	Returning
+	StageIdle Stage = iota
+	StagePrepared
+	StageHoldingWrites
+	StageCatchingUp
+	StageHoldingAll
+	StageSwitched
+	StageRollingBack
 )
 
 var stageNames = [...]string{"resting", "prepared", "holding", "catching", "closing", "switched", "returning"}
@@ -44,32 +44,32 @@
 
 // before lists, for each stage, those that it may follow.
 var before = map[Stage][]Stage{
-	Prepared:  {Resting},
-	Holding:   {Prepared},
-	Catching:  {Holding},
-	Closing:   {Catching},
-	Switched:  {Closing},
-	Returning: {Prepared, Holding, Catching, Closing},
-	Resting:   {Switched, Returning},
+	StagePrepared:      {StageIdle},
+	StageHoldingWrites: {StagePrepared},
+	StageCatchingUp:    {StageHoldingWrites},
+	StageHoldingAll:    {StageCatchingUp},
+	StageSwitched:      {StageHoldingAll},
+	StageRollingBack:   {StagePrepared, StageHoldingWrites, StageCatchingUp, StageHoldingAll},
+	StageIdle:          {StageSwitched, StageRollingBack},
 }
 
 // Entry is where one tenant is, by a decision of its own. It is what is written down and what drivers are sent.
 // Times and positions are Unix time in nanoseconds.
 type Entry struct {
-	Epoch  Epoch  `json:"epoch"`
-	Tenant Tenant `json:"tenant"`
-	Cell   string `json:"cell"` // where it is; the old cell until Switched
-	Stage  Stage  `json:"stage"`
-	To     string `json:"to,omitempty"`    // of a move under way: the new cell, or the one it came from where it returns
-	Floor  int64  `json:"floor,omitempty"` // position that a member must have reached to be read from
-	Cut    int64  `json:"cut,omitempty"`   // position that the new cell has to reach
-	At     int64  `json:"at"`              // when it was decided
-	Begun  int64  `json:"begun,omitempty"` // when the move began to hold writes, 0 for not yet
-	Why    string `json:"why,omitempty"`
-}
-
-// Book is where tenants are that are not where their names hash to, by the newest epoch known here.
-type Book struct {
+	Epoch           Epoch  `json:"epoch"`
+	Tenant          Tenant `json:"tenant"`
+	Cell            string `json:"cell"` // where it is; the old cell until Switched
+	Stage           Stage  `json:"stage"`
+	To              string `json:"to,omitempty"`    // of a move under way: the new cell, or the one it came from where it returns
+	MinPosition     int64  `json:"floor,omitempty"` // position that a member must have reached to be read from
+	CutoverPosition int64  `json:"cut,omitempty"`   // position that the new cell has to reach
+	DecidedAt       int64  `json:"at"`              // when it was decided
+	HoldStartedAt   int64  `json:"begun,omitempty"` // when the move began to hold writes, 0 for not yet
+	Reason          string `json:"why,omitempty"`
+}
+
+// Directory is where tenants are that are not where their names hash to, by the newest epoch known here.
+type Directory struct {
 	layout  *Layout
 	pins    map[Tenant]Cell
 	entries map[Tenant]Entry
@@ -77,47 +77,47 @@
 	newest  Epoch
 }
 
-// NewBook makes a book in which nothing but pins is known.
-func NewBook(l *Layout, pins map[Tenant]Cell) *Book {
-	return &Book{layout: l, pins: pins, entries: map[Tenant]Entry{}, moving: map[Tenant]bool{}}
+// NewDirectory makes a book in which nothing but pins is known.
+func NewDirectory(l *Layout, pins map[Tenant]Cell) *Directory {
+	return &Directory{layout: l, pins: pins, entries: map[Tenant]Entry{}, moving: map[Tenant]bool{}}
 }
 
-// Seat is what a driver goes by for a tenant's RPCs.
-type Seat struct {
-	Cell  Cell
-	Epoch Epoch
-	Stage Stage
-	Floor int64
+// Placement is what a driver goes by for a tenant's RPCs.
+type Placement struct {
+	Cell        Cell
+	Epoch       Epoch
+	Stage       Stage
+	MinPosition int64
 }
 
-// Seat is where a tenant is: where a move has put it, else where it is pinned, else where its name hashes to.
-func (b *Book) Seat(t Tenant) Seat {
+// Placement is where a tenant is: where a move has put it, else where it is pinned, else where its name hashes to.
+func (b *Directory) Placement(t Tenant) Placement {
 	if len(b.entries) > 0 {
 		if e, known := b.entries[t]; known {
-			return Seat{Cell: b.layout.Find(e.Cell), Epoch: e.Epoch, Stage: e.Stage, Floor: e.Floor}
+			return Placement{Cell: b.layout.Find(e.Cell), Epoch: e.Epoch, Stage: e.Stage, MinPosition: e.MinPosition}
 		}
 	}
 	if c, pinned := b.pins[t]; pinned {
-		return Seat{Cell: c}
+		return Placement{Cell: c}
 	}
-	return Seat{Cell: b.layout.Home(t)}
+	return Placement{Cell: b.layout.HomeCell(t)}
 }
 
 // Entry is what a decision of its own says of a tenant.
-func (b *Book) Entry(t Tenant) (e Entry, known bool) {
+func (b *Directory) Entry(t Tenant) (e Entry, known bool) {
 	e, known = b.entries[t]
 	return e, known
 }
 
 // Layout is the cells that there are.
-func (b *Book) Layout() *Layout { return b.layout }
+func (b *Directory) Layout() *Layout { return b.layout }
 
-// Newest is the newest epoch that the book knows.
-func (b *Book) Newest() Epoch { return b.newest }
+// LatestEpoch is the newest epoch that the book knows.
+func (b *Directory) LatestEpoch() Epoch { return b.newest }
 
 // Apply takes in an entry. One whose epoch is not newer than what is known of its tenant changes nothing, and applied is
 // false. One that does not follow from what is known is an error: the book would not be what its writer held.
-func (b *Book) Apply(e Entry) (applied bool, err error) {
+func (b *Directory) Apply(e Entry) (applied bool, err error) {
 	held, known := b.entries[e.Tenant]
 	if known && e.Epoch <= held.Epoch {
 		return false, nil
@@ -133,9 +133,9 @@
 }
 
 // take takes in an entry that is newer than what is known of its tenant.
-func (b *Book) take(e Entry) {
+func (b *Directory) take(e Entry) {
 	b.entries[e.Tenant] = e
-	if e.Stage == Resting {
+	if e.Stage == StageIdle {
 		delete(b.moving, e.Tenant)
 	} else {
 		b.moving[e.Tenant] = true
@@ -144,12 +144,12 @@
 }
 
 // follows tells whether an entry is a step of the table from what the book holds.
-func (b *Book) follows(e Entry) bool {
+func (b *Directory) follows(e Entry) bool {
 	return slices.Contains(before[e.Stage], b.entries[e.Tenant].Stage) && e.Epoch > b.newest
 }
 
 // Since gives the entries with epochs above one, the oldest first.
-func (b *Book) Since(known Epoch) (newer []Entry) {
+func (b *Directory) Since(known Epoch) (newer []Entry) {
 	if known >= b.newest {
 		return nil
 	}
@@ -167,15 +167,15 @@
 }
 
 // Moving are the entries of moves under way, the oldest first.
-func (b *Book) Moving() (moving []Entry) {
+func (b *Directory) Moving() (moving []Entry) {
 	for t := range b.moving {
 		moving = append(moving, b.entries[t])
 	}
 	return byEpoch(moving)
 }
 
-// Seats are the cells of the tenants that are not where their names hash to.
-func (b *Book) Seats() map[Tenant]Cell {
+// Overrides are the cells of the tenants that are not where their names hash to.
+func (b *Directory) Overrides() map[Tenant]Cell {
 	seats := make(map[Tenant]Cell, len(b.pins)+len(b.entries))
 	for t, c := range b.pins {
 		seats[t] = c
@@ -186,13 +186,13 @@
 	return seats
 }
 
-// Become takes over the cells and the pins of a file read again: all of it, or an error and nothing. A tenant that has not
+// Update takes over the cells and the pins of a file read again: all of it, or an error and nothing. A tenant that has not
 // been moved must stay where it is.
-func (b *Book) Become(l *Layout, pins map[Tenant]string) error {
+func (b *Directory) Update(l *Layout, pins map[Tenant]string) error {
 	if err := b.repinnable(b.places(l, pins)); err != nil {
 		return err
 	}
-	if err := b.layout.Become(l, b.Seats()); err != nil {
+	if err := b.layout.Update(l, b.Overrides()); err != nil {
 		return err
 	}
 	b.pins = b.places(b.layout, pins)
@@ -200,7 +200,7 @@
 }
 
 // places are the pins with the places of their cells here; one in a cell that is new here has the place that it will get.
-func (b *Book) places(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
+func (b *Directory) places(l *Layout, pins map[Tenant]string) map[Tenant]Cell {
 	placed := make(map[Tenant]Cell, len(pins))
 	for t, name := range pins {
 		if placed[t] = b.layout.Find(name); placed[t] == NoCell {
@@ -211,7 +211,7 @@
 }
 
 // repinnable tells whether other pins leave every tenant where it is.
-func (b *Book) repinnable(pins map[Tenant]Cell) error {
+func (b *Directory) repinnable(pins map[Tenant]Cell) error {
 	var both []Tenant
 	for t := range pins {
 		both = append(both, t)
@@ -226,9 +226,9 @@
 		}
 		next, pinned := pins[t]
 		if !pinned {
-			next = b.layout.Home(t)
+			next = b.layout.HomeCell(t)
 		}
-		if now := b.Seat(t).Cell; now != next {
+		if now := b.Placement(t).Cell; now != next {
 			return fmt.Errorf("tenant %q is in cell %q, and a file can't bring it into another: move it", t, b.layout.Name(now))
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // Pinned tells whether the file pins a tenant.
-func (b *Book) Pinned(t Tenant) bool {
+func (b *Directory) Pinned(t Tenant) bool {
 	_, pinned := b.pins[t]
 	return pinned
 }
--- a/internal/cells/bulkheads.go
+++ b/internal/cells/bulkheads.go
@@ -1,24 +1,24 @@
 package cells
 
-// Kind is something that a driver owns and divides between cells.
-type Kind int
+// Resource is something that a driver owns and divides between cells.
+type Resource int
 
 const (
-	RPCs     Kind = iota // open, those held included
-	CallOuts             // out, those whose RPC has ended included
-	Answers              // bytes of answers held at once
-	Sockets              // of clients, by the cell of their last RPC
+	RPCs              Resource = iota // open, those held included
+	Attempts                          // out, those whose RPC has ended included
+	ResponseBytes                     // bytes of answers held at once
+	ClientConnections                 // of clients, by the cell of their last RPC
 	kinds
 )
 
-// Amounts are how much there is of each kind; 0 for no limit.
-type Amounts [kinds]int64
+// Budget are how much there is of each kind; 0 for no limit.
+type Budget [kinds]int64
 
 // Bulkheads divide what a driver owns between cells, by their weights. A cell may always use its share. What is idle of
 // the others' it may borrow, up to the part that they lend; from the moment that an owner wants its own, nothing is lent
 // that it could use, so that what was borrowed comes back as it ends. What is not lent at all is there at once.
 type Bulkheads struct {
-	all    Amounts
+	all    Budget
 	lend   float64
 	shares [kinds][]float64
 	used   [kinds][]int64
@@ -30,14 +30,14 @@
 const wantedFor = second / 2
 
 // NewBulkheads divides what there is. A cell's weight says what part is its own.
-func NewBulkheads(all Amounts, lend float64, weights []float64) *Bulkheads {
+func NewBulkheads(all Budget, lend float64, weights []float64) *Bulkheads {
 	b := &Bulkheads{all: all, lend: lend}
-	b.Divide(weights)
+	b.SetWeights(weights)
 	return b
 }
 
-// Divide divides anew. What is in use stays counted; cells keep their places.
-func (b *Bulkheads) Divide(weights []float64) {
+// SetWeights divides anew. What is in use stays counted; cells keep their places.
+func (b *Bulkheads) SetWeights(weights []float64) {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -54,13 +54,13 @@
 }
 
 // Share is a cell's own part.
-func (b *Bulkheads) Share(k Kind, c Cell) int64 { return max(1, int64(b.shares[k][c])) }
+func (b *Bulkheads) Share(k Resource, c Cell) int64 { return max(1, int64(b.shares[k][c])) }
 
 // Used is what a cell uses.
-func (b *Bulkheads) Used(k Kind, c Cell) int64 { return b.used[k][c] }
+func (b *Bulkheads) Used(k Resource, c Cell) int64 { return b.used[k][c] }
 
 // Limit is what a cell may use just now: its share, and what others lend it.
-func (b *Bulkheads) Limit(k Kind, c Cell, now int64) int64 {
+func (b *Bulkheads) Limit(k Resource, c Cell, now int64) int64 {
 	if b.all[k] == 0 {
 		return 1 << 40
 	}
@@ -73,7 +73,7 @@
 
 // lent is what others lend a cell just now: of each the part of its share that it neither uses nor wants nor keeps, less
 // what third ones have borrowed already.
-func (b *Bulkheads) lent(k Kind, c Cell, now int64) int64 {
+func (b *Bulkheads) lent(k Resource, c Cell, now int64) int64 {
 	var idle, out float64
 	for o := range b.shares[k] {
 		used, share := float64(b.used[k][o]), b.shares[k][o]
@@ -88,9 +88,9 @@
 	return min(int64(idle-out), b.all[k]-b.sum[k]+max(0, b.used[k][c]-b.Share(k, c)))
 }
 
-// Fits tells whether a cell may use so much more. Where it may not though it is within its share, others have borrowed
+// CanUse tells whether a cell may use so much more. Where it may not though it is within its share, others have borrowed
 // what is its own: from here on nothing is lent for a while.
-func (b *Bulkheads) Fits(k Kind, c Cell, more, now int64) bool {
+func (b *Bulkheads) CanUse(k Resource, c Cell, more, now int64) bool {
 	if b.all[k] == 0 {
 		return true
 	}
@@ -104,14 +104,14 @@
 	return used <= b.Limit(k, c, now)
 }
 
-// Use notes that a cell uses so much more, or less.
-func (b *Bulkheads) Use(k Kind, c Cell, more int64) {
+// Add notes that a cell uses so much more, or less.
+func (b *Bulkheads) Add(k Resource, c Cell, more int64) {
 	b.used[k][c] += more
 	b.sum[k] += more
 }
 
-// Over is the cell that is most over its share of something, as a part of that, or NoCell where none is.
-func (b *Bulkheads) Over(k Kind) Cell {
+// MostOverShare is the cell that is most over its share of something, as a part of that, or NoCell where none is.
+func (b *Bulkheads) MostOverShare(k Resource) Cell {
 	over, most := NoCell, 1.0
 	if b.all[k] == 0 {
 		return over
--- a/internal/cells/gate.go
+++ b/internal/cells/gate.go
@@ -7,31 +7,31 @@
 	"sedgespread/rules"
 )
 
-// Ask is one RPC, as far as its place and its room depend on it. Times are nanoseconds.
-type Ask struct {
-	Tenant  Tenant
-	Key     string
-	Write   bool
-	Soft    int64 // soft deadline
-	Left    int64 // its client's time
-	Utility float64
+// Request is one RPC, as far as its place and its room depend on it. Times are nanoseconds.
+type Request struct {
+	Tenant       Tenant
+	Key          string
+	Write        bool
+	SoftDeadline int64 // soft deadline
+	TimeLeft     int64 // its client's time
+	Utility      float64
 }
 
-// Verdict is what a gate decides on an RPC.
-type Verdict struct {
-	Group    rules.GroupID
-	Floor    int64 // position that a member must have reached to answer it
-	Why      Why   // it is turned away, unless WhyNot
-	ComeBack int64 // of one that is turned away
+// Decision is what a gate decides on an RPC.
+type Decision struct {
+	Group       rules.GroupID
+	MinPosition int64  // position that a member must have reached to answer it
+	Reason      Reason // it is turned away, unless WhyNot
+	RetryAfter  int64  // of one that is turned away
 }
 
 // Ticket is an RPC that a gate knows of, from Ask to Settle.
 type Ticket struct {
-	Ask
+	Request
 	at       int64
-	seat     Seat
+	seat     Placement
 	presence *presence
-	then     func(Verdict)
+	then     func(Decision)
 	calls    int   // call-outs made
 	bytes    int64 // of answers
 	let      bool  // it was let in
@@ -47,11 +47,11 @@
 	commit  int64
 }
 
-// Gate is a driver's side of cells: it lets RPCs in, holds them while their tenant is moved, or turns them away.
-type Gate struct {
+// AdmissionController is a driver's side of cells: it lets RPCs in, holds them while their tenant is moved, or turns them away.
+type AdmissionController struct {
 	layout  *Layout
-	tenancy *Tenancy
-	book    *Book
+	tenancy *TenantResolver
+	book    *Directory
 	limits  *Limits // nil for none
 	lease   int64   // it may act until then, by its own clock
 	most    int     // RPCs held
@@ -66,9 +66,9 @@
 // heldShare is the part of its client's time that an RPC is held at the most: the rest is for asking again.
 const heldShare = 0.45
 
-// NewGate makes a driver's gate, which may hold so many RPCs. Where leased is false the file alone says where tenants are.
-func NewGate(b *Book, y *Tenancy, limits *Limits, leased bool, most int) *Gate {
-	g := &Gate{layout: b.layout, tenancy: y, book: b, limits: limits, most: most, tenants: map[Tenant]*present{}}
+// NewAdmissionController makes a driver's gate, which may hold so many RPCs. Where leased is false the file alone says where tenants are.
+func NewAdmissionController(b *Directory, y *TenantResolver, limits *Limits, leased bool, most int) *AdmissionController {
+	g := &AdmissionController{layout: b.layout, tenancy: y, book: b, limits: limits, most: most, tenants: map[Tenant]*present{}}
 	if !leased {
 		g.lease = math.MaxInt64
 	}
@@ -76,86 +76,88 @@
 }
 
 // Tenant is whom an RPC is done for.
-func (g *Gate) Tenant(key, user, database string) Tenant { return g.tenancy.Of(key, user, database) }
+func (g *AdmissionController) Tenant(key, user, database string) Tenant {
+	return g.tenancy.Resolve(key, user, database)
+}
 
 // Admit decides on an RPC. Where it is held, decided is false, and then takes the verdict later. Of one that was let in
 // and has had no call-out, then may be told that its room is taken back: it is to be turned away. A ticket that was let
 // in must be ended and settled.
-func (g *Gate) Admit(now int64, a Ask, then func(Verdict)) (t *Ticket, v Verdict, decided bool) {
-	t = &Ticket{Ask: a, at: now, seat: g.book.Seat(a.Tenant), then: then}
+func (g *AdmissionController) Admit(now int64, a Request, then func(Decision)) (t *Ticket, v Decision, decided bool) {
+	t = &Ticket{Request: a, at: now, seat: g.book.Placement(a.Tenant), then: then}
 	switch {
 	case now >= g.lease:
-		return t, g.turn(t, WhyLease), true
+		return t, g.turn(t, ReasonNoLease), true
 	case t.seat.Cell == NoCell:
-		return t, g.turn(t, WhyLost), true
+		return t, g.turn(t, ReasonUnknownCell), true
 	case g.holds(t) && g.holding >= g.most:
-		return t, g.turn(t, WhyMove), true
+		return t, g.turn(t, ReasonMoving), true
 	case g.holds(t):
 		p := g.present(a.Tenant)
 		p.held = append(p.held, t)
 		g.holding++
-		return t, Verdict{}, false
+		return t, Decision{}, false
 	}
 	return t, g.let(t, now), true
 }
 
 // holds tells whether an RPC has to wait for its tenant's move.
-func (g *Gate) holds(t *Ticket) bool {
+func (g *AdmissionController) holds(t *Ticket) bool {
 	switch t.seat.Stage {
-	case Holding, Catching:
+	case StageHoldingWrites, StageCatchingUp:
 		return t.Write
-	case Closing:
+	case StageHoldingAll:
 		return true
 	}
 	return false
 }
 
-// HeldUntil is when an RPC that is held has to be let go of.
-func (t *Ticket) HeldUntil() int64 { return t.at + int64(heldShare*float64(t.Left)) }
+// HoldDeadline is when an RPC that is held has to be let go of.
+func (t *Ticket) HoldDeadline() int64 { return t.at + int64(heldShare*float64(t.TimeLeft)) }
 
 // let lets an RPC in if there is room.
-func (g *Gate) let(t *Ticket, now int64) Verdict {
+func (g *AdmissionController) let(t *Ticket, now int64) Decision {
 	if g.limits != nil {
 		why := g.limits.admit(t, now)
-		if why == WhyDriver && g.reclaim(now) {
+		if why == ReasonDriverFull && g.reclaim(now) {
 			why = g.limits.admit(t, now)
 		}
-		if why != WhyNot {
+		if why != ReasonNone {
 			return g.turn(t, why)
 		}
 		g.limits.enter(t, now)
 	}
 	t.let = true
 	g.present(t.Tenant).tickets[t] = true
-	return Verdict{Group: g.layout.Group(t.Tenant, t.Key, t.seat.Cell), Floor: t.seat.Floor}
+	return Decision{Group: g.layout.Group(t.Tenant, t.Key, t.seat.Cell), MinPosition: t.seat.MinPosition}
 }
 
 // reclaim takes room back that a cell has borrowed, from the RPC let in last of those that no member got.
-func (g *Gate) reclaim(now int64) bool {
+func (g *AdmissionController) reclaim(now int64) bool {
 	t := g.limits.borrower()
 	if t == nil {
 		return false
 	}
 	then := t.then
 	t.then = nil
-	v := g.turn(t, WhyDriver)
-	g.Ended(t, false, now)
+	v := g.turn(t, ReasonDriverFull)
+	g.Finished(t, false, now)
 	g.Settle(t, now)
 	then(v)
 	return true
 }
 
 // turn turns an RPC away.
-func (g *Gate) turn(t *Ticket, why Why) Verdict {
+func (g *AdmissionController) turn(t *Ticket, why Reason) Decision {
 	g.turned[why]++
-	v := Verdict{Why: why, ComeBack: shortWait}
+	v := Decision{Reason: why, RetryAfter: shortWait}
 	if g.limits != nil && t.seat.Cell != NoCell {
-		v.ComeBack = g.limits.comeBack(t.seat.Cell)
+		v.RetryAfter = g.limits.comeBack(t.seat.Cell)
 	}
 	return v
 }
 
-func (g *Gate) present(t Tenant) *present {
+func (g *AdmissionController) present(t Tenant) *present {
 	p := g.tenants[t]
 	if p == nil {
 		p = &present{tickets: map[*Ticket]bool{}}
@@ -165,17 +167,17 @@
 }
 
 // Expire turns away an RPC that is held, if it still is: it can't be served in its time.
-func (g *Gate) Expire(t *Ticket) {
+func (g *AdmissionController) Expire(t *Ticket) {
 	if g.unhold(t) {
-		t.then(g.turn(t, WhyMove))
+		t.then(g.turn(t, ReasonMoving))
 	}
 }
 
-// Leave forgets an RPC that is held, whose client has gone.
-func (g *Gate) Leave(t *Ticket) { g.unhold(t) }
+// Cancel forgets an RPC that is held, whose client has gone.
+func (g *AdmissionController) Cancel(t *Ticket) { g.unhold(t) }
 
 // unhold takes an RPC out of those held, and tells whether it was one.
-func (g *Gate) unhold(t *Ticket) bool {
+func (g *AdmissionController) unhold(t *Ticket) bool {
 	p := g.tenants[t.Tenant]
 	if p == nil {
 		return false
@@ -190,27 +192,27 @@
 	return true
 }
 
-// May tells whether anything more may be done for an RPC: another call-out, or passing on its answer. Guards against
+// MayProceed tells whether anything more may be done for an RPC: another call-out, or passing on its answer. Guards against
 // drivers that stood still, or were cut off, while their tenants were moved.
-func (g *Gate) May(t *Ticket, now int64) bool {
-	seat := g.book.Seat(t.Tenant) // a move there and back has raised its floor
-	if now < g.lease && seat.Cell == t.seat.Cell && seat.Floor == t.seat.Floor {
+func (g *AdmissionController) MayProceed(t *Ticket, now int64) bool {
+	seat := g.book.Placement(t.Tenant) // a move there and back has raised its floor
+	if now < g.lease && seat.Cell == t.seat.Cell && seat.MinPosition == t.seat.MinPosition {
 		return true
 	}
 	g.lapsed++
 	return false
 }
 
-// CallOut notes that a call-out is made for an RPC.
-func (g *Gate) CallOut(t *Ticket, now int64) {
+// AttemptStarted notes that a call-out is made for an RPC.
+func (g *AdmissionController) AttemptStarted(t *Ticket, now int64) {
 	t.calls++
 	if g.limits != nil {
 		g.limits.callOut(t, now)
 	}
 }
 
-// Returned notes that a call-out has ended. One that may still run does so until a time, 0 for one that does not.
-func (g *Gate) Returned(t *Ticket, until int64, bytes int, now int64) {
+// AttemptEnded notes that a call-out has ended. One that may still run does so until a time, 0 for one that does not.
+func (g *AdmissionController) AttemptEnded(t *Ticket, until int64, bytes int, now int64) {
 	t.until = max(t.until, until)
 	if g.limits != nil {
 		g.limits.returned(t, int64(bytes))
@@ -218,14 +220,14 @@
 }
 
 // Committed notes the position that the answer to a write told.
-func (g *Gate) Committed(t *Ticket, position int64) {
+func (g *AdmissionController) Committed(t *Ticket, position int64) {
 	if p := g.tenants[t.Tenant]; p != nil && t.Write {
 		p.commit = max(p.commit, position)
 	}
 }
 
-// Ended notes that an RPC has its final answer.
-func (g *Gate) Ended(t *Ticket, served bool, now int64) {
+// Finished notes that an RPC has its final answer.
+func (g *AdmissionController) Finished(t *Ticket, served bool, now int64) {
 	if !t.let || t.ended {
 		return
 	}
@@ -243,30 +245,30 @@
 	return t.seat.Cell
 }
 
-// Seat notes that a client's connection counts for another cell than before, NoCell for none.
-func (g *Gate) Seat(from, to Cell) {
+// MoveConnection notes that a client's connection counts for another cell than before, NoCell for none.
+func (g *AdmissionController) MoveConnection(from, to Cell) {
 	if g.limits == nil || from == to {
 		return
 	}
 	if from != NoCell {
-		g.limits.heads.Use(Sockets, from, -1)
+		g.limits.heads.Add(ClientConnections, from, -1)
 	}
 	if to != NoCell {
-		g.limits.heads.Use(Sockets, to, 1)
+		g.limits.heads.Add(ClientConnections, to, 1)
 	}
 }
 
-// Crowded is the cell whose clients have to go first where connections are short, NoCell for no matter which. Guards
+// MostOverConnectionShare is the cell whose clients have to go first where connections are short, NoCell for no matter which. Guards
 // the clients of other cells against one cell's that hold connections by hundreds.
-func (g *Gate) Crowded() Cell {
+func (g *AdmissionController) MostOverConnectionShare() Cell {
 	if g.limits == nil {
 		return NoCell
 	}
-	return g.limits.heads.Over(Sockets)
+	return g.limits.heads.MostOverShare(ClientConnections)
 }
 
 // Settle notes that an RPC has ended and nothing is out for it; what it held of an answer has been passed on.
-func (g *Gate) Settle(t *Ticket, now int64) {
+func (g *AdmissionController) Settle(t *Ticket, now int64) {
 	p := g.tenants[t.Tenant]
 	if !t.let || p == nil || !p.tickets[t] {
 		return
@@ -282,7 +284,7 @@
 }
 
 // tidy forgets a tenant of whom nothing is here any more.
-func (g *Gate) tidy(t Tenant, p *present) {
+func (g *AdmissionController) tidy(t Tenant, p *present) {
 	if len(p.tickets) == 0 && len(p.held) == 0 && len(p.ghosts) == 0 && p.commit == 0 && g.tenants[t] == p {
 		delete(g.tenants, t)
 	}
@@ -293,14 +295,14 @@
 
 // Sweep forgets what is over: ghosts whose time is past, and commits of tenants that are not being moved, which are long
 // known to all members by the time that a move begins to need them.
-func (g *Gate) Sweep(now int64) {
+func (g *AdmissionController) Sweep(now int64) {
 	looked := 0
 	for t, p := range g.tenants {
 		if looked++; looked > sweepEvery {
 			return
 		}
 		p.lay(now)
-		if p.commit != 0 && now-p.commit > commitKept && g.book.Seat(t).Stage == Resting {
+		if p.commit != 0 && now-p.commit > commitKept && g.book.Placement(t).Stage == StageIdle {
 			p.commit = 0
 		}
 		g.tidy(t, p)
@@ -314,10 +316,10 @@
 	p.ghosts = slices.DeleteFunc(p.ghosts, func(until int64) bool { return until <= now })
 }
 
-// Granted takes in what the coordinator granted to a report that was made at a time. It gives the tenants whose entries
+// ApplyGrant takes in what the coordinator granted to a report that was made at a time. It gives the tenants whose entries
 // are new here.
-func (g *Gate) Granted(asked int64, grant Grant) (changed []Tenant, err error) {
-	if grant.Lease == 0 || grant.Newest < g.book.Newest() {
+func (g *AdmissionController) ApplyGrant(asked int64, grant Grant) (changed []Tenant, err error) {
+	if grant.Lease == 0 || grant.LatestEpoch < g.book.LatestEpoch() {
 		g.stale++
 		return nil, nil
 	}
@@ -334,8 +336,8 @@
 	return changed, nil
 }
 
-// Release goes on with what is held for a tenant, as far as its move allows now.
-func (g *Gate) Release(t Tenant, now int64) {
+// ResumeHeld goes on with what is held for a tenant, as far as its move allows now.
+func (g *AdmissionController) ResumeHeld(t Tenant, now int64) {
 	p := g.tenants[t]
 	if p == nil {
 		return
@@ -343,7 +345,7 @@
 	held := p.held
 	p.held = nil
 	for _, k := range held {
-		k.seat = g.book.Seat(t)
+		k.seat = g.book.Placement(t)
 		if g.holds(k) {
 			again := g.present(t)
 			again.held = append(again.held, k)
@@ -352,9 +354,9 @@
 		g.holding--
 		switch {
 		case now >= g.lease:
-			k.then(g.turn(k, WhyLease))
+			k.then(g.turn(k, ReasonNoLease))
 		case k.seat.Cell == NoCell:
-			k.then(g.turn(k, WhyLost))
+			k.then(g.turn(k, ReasonUnknownCell))
 		default:
 			k.then(g.let(k, now))
 		}
@@ -369,8 +371,8 @@
 
 // Report is what this driver tells of the moves that it knows to be under way. Reached tells whether the members of a
 // group have been seen at a position.
-func (g *Gate) Report(now int64, name string, incarnation uint64, reached func(rules.GroupID, int64) bool) Report {
-	r := Report{Driver: name, Incarnation: incarnation, Epoch: g.book.Newest()}
+func (g *AdmissionController) Report(now int64, name string, incarnation uint64, reached func(rules.GroupID, int64) bool) Report {
+	r := Report{Driver: name, Incarnation: incarnation, Epoch: g.book.LatestEpoch()}
 	if g.limits != nil && now-g.weighed >= weighEvery {
 		g.weighed, r.Loads = now, g.limits.rates(now, weighMost)
 	}
@@ -378,17 +380,17 @@
 		m := MoveReport{Tenant: e.Tenant, Epoch: e.Epoch}
 		if p := g.tenants[e.Tenant]; p != nil {
 			p.lay(now)
-			m.Writes, m.Open, m.Commit = len(p.ghosts), len(p.ghosts)+len(p.tickets), p.commit
+			m.Writes, m.OpenRPCs, m.LastCommit = len(p.ghosts), len(p.ghosts)+len(p.tickets), p.commit
 			for t := range p.tickets {
 				if t.Write {
 					m.Writes++
 				}
 			}
 		}
-		if to := g.layout.Find(e.To); e.Stage == Catching && to != NoCell {
-			m.Reached = true
-			for _, group := range g.layout.Shard(e.Tenant, to) {
-				m.Reached = m.Reached && reached(group, e.Cut)
+		if to := g.layout.Find(e.To); e.Stage == StageCatchingUp && to != NoCell {
+			m.CaughtUp = true
+			for _, group := range g.layout.TenantGroups(e.Tenant, to) {
+				m.CaughtUp = m.CaughtUp && reached(group, e.CutoverPosition)
 			}
 		}
 		r.Moves = append(r.Moves, m)
@@ -396,95 +398,95 @@
 	return r
 }
 
-// Targets are the groups that moves under way need the positions of.
-func (g *Gate) Targets() (groups []rules.GroupID) {
+// CatchUpGroups are the groups that moves under way need the positions of.
+func (g *AdmissionController) CatchUpGroups() (groups []rules.GroupID) {
 	for _, e := range g.book.Moving() {
-		if to := g.layout.Find(e.To); e.Stage == Catching && to != NoCell {
-			groups = append(groups, g.layout.Shard(e.Tenant, to)...)
+		if to := g.layout.Find(e.To); e.Stage == StageCatchingUp && to != NoCell {
+			groups = append(groups, g.layout.TenantGroups(e.Tenant, to)...)
 		}
 	}
 	return groups
 }
 
-// Figures are what a gate has counted and holds.
-type Figures struct {
-	Turned  map[string]int64 `json:"turned"`
-	Lapsed  int64            `json:"lapsed"` // call-outs and answers given up because the lease had run out or the tenant had moved
-	Stale   int64            `json:"stale"`  // grants older than what is known
-	Held    int              `json:"held"`
-	Tenants int              `json:"tenants"` // that have RPCs here
-	Epoch   Epoch            `json:"epoch"`
-	Lease   int64            `json:"lease_ns"` // what is left of it
-	Cells   []CellFigures    `json:"cells"`
-	Heavy   []Weighed        `json:"heavy"`
-}
-
-// CellFigures are those of one cell at this driver.
-type CellFigures struct {
-	Name     string  `json:"name"`
-	Groups   Groups  `json:"groups"`
-	Weight   float64 `json:"weight"`
-	Hall     string  `json:"hall,omitempty"`
-	RPCs     int64   `json:"rpcs"`
-	Share    int64   `json:"share"`
-	Limit    int64   `json:"limit"`
-	Pace     float64 `json:"pace"`
-	CallOuts int64   `json:"call_outs"`
-	Answers  int64   `json:"answer_bytes"`
-	Sockets  int64   `json:"client_sockets"`
-	Took     int64   `json:"took_ns"`
-	Crowd    int     `json:"tenants"`
-}
-
-// Figures tells what this gate has counted and holds, with the heaviest tenants.
-func (g *Gate) Figures(now int64, heaviest int) Figures {
-	f := Figures{Turned: map[string]int64{}, Lapsed: g.lapsed, Stale: g.stale, Held: g.holding, Tenants: len(g.tenants),
-		Epoch: g.book.Newest(), Lease: g.lease - now}
-	for w := WhyDriver; w < whys; w++ {
-		f.Turned[w.String()] = g.turned[w]
+// Stats are what a gate has counted and holds.
+type Stats struct {
+	Rejected        map[string]int64 `json:"turned"`
+	Fenced          int64            `json:"lapsed"` // call-outs and answers given up because the lease had run out or the tenant had moved
+	StaleGrants     int64            `json:"stale"`  // grants older than what is known
+	Held            int              `json:"held"`
+	Tenants         int              `json:"tenants"` // that have RPCs here
+	Epoch           Epoch            `json:"epoch"`
+	Lease           int64            `json:"lease_ns"` // what is left of it
+	Cells           []CellStats      `json:"cells"`
+	HeaviestTenants []TenantLoad     `json:"heavy"`
+}
+
+// CellStats are those of one cell at this driver.
+type CellStats struct {
+	Name              string  `json:"name"`
+	Groups            Groups  `json:"groups"`
+	Weight            float64 `json:"weight"`
+	Hall              string  `json:"hall,omitempty"`
+	RPCs              int64   `json:"rpcs"`
+	Share             int64   `json:"share"`
+	Limit             int64   `json:"limit"`
+	ConcurrencyLimit  float64 `json:"pace"`
+	Attempts          int64   `json:"call_outs"`
+	ResponseBytes     int64   `json:"answer_bytes"`
+	ClientConnections int64   `json:"client_sockets"`
+	Latency           int64   `json:"took_ns"`
+	Tenants           int     `json:"tenants"`
+}
+
+// Stats tells what this gate has counted and holds, with the heaviest tenants.
+func (g *AdmissionController) Stats(now int64, heaviest int) Stats {
+	f := Stats{Rejected: map[string]int64{}, Fenced: g.lapsed, StaleGrants: g.stale, Held: g.holding, Tenants: len(g.tenants),
+		Epoch: g.book.LatestEpoch(), Lease: g.lease - now}
+	for w := ReasonDriverFull; w < whys; w++ {
+		f.Rejected[w.String()] = g.turned[w]
 	}
 	for c, name := range g.layout.names {
 		if g.layout.gone[c] {
 			continue
 		}
-		figures := CellFigures{Name: name, Groups: g.layout.groups[c], Weight: g.layout.weight[c], Hall: g.layout.hall[c]}
+		figures := CellStats{Name: name, Groups: g.layout.groups[c], Weight: g.layout.weight[c], Hall: g.layout.hall[c]}
 		if m := g.limits; m != nil {
 			at := Cell(c)
-			figures.RPCs, figures.CallOuts = m.heads.Used(RPCs, at), m.heads.Used(CallOuts, at)
-			figures.Answers, figures.Sockets = m.heads.Used(Answers, at), m.heads.Used(Sockets, at)
-			figures.Share, figures.Limit, figures.Pace = m.heads.Share(RPCs, at), m.room(at, now), m.pace[c]
-			figures.Took, figures.Crowd = int64(m.took[c]), len(m.shares.cells[c].present)
+			figures.RPCs, figures.Attempts = m.heads.Used(RPCs, at), m.heads.Used(Attempts, at)
+			figures.ResponseBytes, figures.ClientConnections = m.heads.Used(ResponseBytes, at), m.heads.Used(ClientConnections, at)
+			figures.Share, figures.Limit, figures.ConcurrencyLimit = m.heads.Share(RPCs, at), m.room(at, now), m.pace[c]
+			figures.Latency, figures.Tenants = int64(m.took[c]), len(m.shares.cells[c].present)
 		}
 		f.Cells = append(f.Cells, figures)
 	}
 	if g.limits != nil {
-		f.Heavy = g.limits.rates(now, heaviest)
+		f.HeaviestTenants = g.limits.rates(now, heaviest)
 	}
 	return f
 }
 
 // Load is a tenant's RPCs a second here, 0 for one that is not among the heaviest.
-func (g *Gate) Load(t Tenant, now int64) float64 {
+func (g *AdmissionController) Load(t Tenant, now int64) float64 {
 	if g.limits == nil {
 		return 0
 	}
 	return g.limits.rate(t, now)
 }
 
-// Book is where tenants are, as this driver knows.
-func (g *Gate) Book() *Book { return g.book }
+// Directory is where tenants are, as this driver knows.
+func (g *AdmissionController) Directory() *Directory { return g.book }
 
 // Layout is the cells that there are.
-func (g *Gate) Layout() *Layout { return g.layout }
+func (g *AdmissionController) Layout() *Layout { return g.layout }
 
-// Become takes over a file read again: all of it, or an error and nothing.
-func (g *Gate) Become(l *Layout, y *Tenancy, pins map[Tenant]string, weights map[Tenant]float64) error {
-	if err := g.book.Become(l, pins); err != nil {
+// Update takes over a file read again: all of it, or an error and nothing.
+func (g *AdmissionController) Update(l *Layout, y *TenantResolver, pins map[Tenant]string, weights map[Tenant]float64) error {
+	if err := g.book.Update(l, pins); err != nil {
 		return err
 	}
 	g.tenancy = y
 	if g.limits != nil {
-		g.limits.Divide(g.layout, weights)
+		g.limits.Update(g.layout, weights)
 	}
 	return nil
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -24,12 +24,12 @@
 	spread int // groups that a tenant uses, at most
 }
 
-// MostSpread is the most groups of a cell that one tenant can use.
-const MostSpread = 16
+// MaxGroupsPerTenant is the most groups of a cell that one tenant can use.
+const MaxGroupsPerTenant = 16
 
 // NewLayout makes a layout without cells, in which a tenant uses up to spread groups of its cell.
 func NewLayout(spread int) *Layout {
-	return &Layout{index: map[string]Cell{}, spread: min(max(1, spread), MostSpread)}
+	return &Layout{index: map[string]Cell{}, spread: min(max(1, spread), MaxGroupsPerTenant)}
 }
 
 // Add adds a cell. Its name must be new and its groups nobody else's.
@@ -75,9 +75,9 @@
 // drawn is the chance in (0,1) that a hash stands for.
 func drawn(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
 
-// Home is the cell that a tenant's name hashes to, by weighted rendezvous: each cell draws a score from its own name
+// HomeCell is the cell that a tenant's name hashes to, by weighted rendezvous: each cell draws a score from its own name
 // and the tenant's, and the highest wins. A cell that comes or goes so moves only the tenants that it wins or had.
-func (l *Layout) Home(t Tenant) Cell {
+func (l *Layout) HomeCell(t Tenant) Cell {
 	hash, home, best := xxhash.Sum64String(string(t)), NoCell, math.Inf(-1)
 	for c := range l.names {
 		if l.weight[c] <= 0 || l.gone[c] {
@@ -90,16 +90,16 @@
 	return home
 }
 
-// Shard is the choice of a cell's groups that a tenant uses, the same at every driver: two tenants rarely have all of
+// TenantGroups is the choice of a cell's groups that a tenant uses, the same at every driver: two tenants rarely have all of
 // theirs in common, so that one that harms its own harms few others wholly.
-func (l *Layout) Shard(t Tenant, c Cell) Groups {
-	var at [MostSpread]rules.GroupID
+func (l *Layout) TenantGroups(t Tenant, c Cell) Groups {
+	var at [MaxGroupsPerTenant]rules.GroupID
 	return slices.Clone(l.shard(&at, xxhash.Sum64String(string(t)), c))
 }
 
 // shard draws a tenant's groups into room that the caller has, the best first.
-func (l *Layout) shard(room *[MostSpread]rules.GroupID, hash uint64, c Cell) Groups {
-	var scores [MostSpread]uint64
+func (l *Layout) shard(room *[MaxGroupsPerTenant]rules.GroupID, hash uint64, c Cell) Groups {
+	var scores [MaxGroupsPerTenant]uint64
 	n := 0
 	for _, g := range l.groups[c] {
 		score := mixed(hash, uint64(g)+0x517cc1b727220a95)
@@ -120,7 +120,7 @@
 
 // Group is the group of a cell that holds a tenant's key.
 func (l *Layout) Group(t Tenant, key string, c Cell) rules.GroupID {
-	var room [MostSpread]rules.GroupID
+	var room [MaxGroupsPerTenant]rules.GroupID
 	groups := l.shard(&room, xxhash.Sum64String(string(t)), c)
 	if len(groups) == 1 {
 		return groups[0]
@@ -134,9 +134,9 @@
 	return groups[best]
 }
 
-// Become takes over what another layout says, for drivers that run: seats are the tenants that are not where their
+// Update takes over what another layout says, for drivers that run: seats are the tenants that are not where their
 // names hash to. It changes nothing and names the cause where a tenant would be elsewhere without having been moved.
-func (l *Layout) Become(next *Layout, seats map[Tenant]Cell) error {
+func (l *Layout) Update(next *Layout, seats map[Tenant]Cell) error {
 	if next.spread != l.spread {
 		return fmt.Errorf("groups_a_tenant: %d, was %d: tenants would change their groups without a move", next.spread, l.spread)
 	}
--- a/internal/cells/leases.go
+++ b/internal/cells/leases.go
@@ -8,24 +8,24 @@
 	Incarnation uint64       `json:"incarnation"` // newer after each start
 	Epoch       Epoch        `json:"epoch"`       // the newest that it acts on
 	Moves       []MoveReport `json:"moves,omitempty"`
-	Loads       []Weighed    `json:"loads,omitempty"` // RPCs a second of its heaviest tenants, now and then
+	Loads       []TenantLoad `json:"loads,omitempty"` // RPCs a second of its heaviest tenants, now and then
 }
 
 // MoveReport is a driver's part of a move under way, as far as it knows the stage of that epoch.
 type MoveReport struct {
-	Tenant  Tenant `json:"tenant"`
-	Epoch   Epoch  `json:"epoch"`
-	Writes  int    `json:"writes"`  // that are in flight, or may still run
-	Open    int    `json:"open"`    // RPCs, the writes among them
-	Commit  int64  `json:"commit"`  // the newest that an answer told, Unix time in nanoseconds
-	Reached bool   `json:"reached"` // the new cell's members were seen at the cut or past it
+	Tenant     Tenant `json:"tenant"`
+	Epoch      Epoch  `json:"epoch"`
+	Writes     int    `json:"writes"`  // that are in flight, or may still run
+	OpenRPCs   int    `json:"open"`    // RPCs, the writes among them
+	LastCommit int64  `json:"commit"`  // the newest that an answer told, Unix time in nanoseconds
+	CaughtUp   bool   `json:"reached"` // the new cell's members were seen at the cut or past it
 }
 
 // Grant is what the coordinator answers.
 type Grant struct {
-	Lease   int64   `json:"lease_ns"`          // it may act on what it knows for so long after it asked; 0 for a driver that is out of date
-	Newest  Epoch   `json:"newest"`            // of all entries, those that follow included
-	Entries []Entry `json:"entries,omitempty"` // newer than what it acts on
+	Lease       int64   `json:"lease_ns"`          // it may act on what it knows for so long after it asked; 0 for a driver that is out of date
+	LatestEpoch Epoch   `json:"newest"`            // of all entries, those that follow included
+	Entries     []Entry `json:"entries,omitempty"` // newer than what it acts on
 }
 
 // leases is which drivers may act, on what, and until when. Names of drivers and their starts are written down before the
@@ -44,7 +44,7 @@
 	before      int64 // so may an earlier start of its name, which can't be told from one that was killed
 	acts        Epoch // on all up to there
 	moves       map[Tenant]MoveReport
-	loads       []Weighed
+	loads       []TenantLoad
 }
 
 // rateShare is the part of a lease by which it is waited for longer than it lasts: two clocks may differ in rate by as much.
@@ -97,7 +97,7 @@
 func (l *leases) passed(now int64) (all []Record) {
 	for _, name := range l.holders() {
 		if h := l.drivers[name]; h.shaded && h.before < now {
-			all = append(all, Record{Driver: name, Start: h.started, Alone: true})
+			all = append(all, Record{Driver: name, Incarnation: h.started, PredecessorsExpired: true})
 		}
 	}
 	return all
@@ -153,17 +153,17 @@
 }
 
 // loads are the loads that drivers told of, summed over those that may act.
-func (l *leases) loads(now int64) []Weighed {
-	sums := map[Tenant]Weighed{}
+func (l *leases) loads(now int64) []TenantLoad {
+	sums := map[Tenant]TenantLoad{}
 	for _, h := range l.drivers {
 		for _, w := range h.loads {
 			if h.until >= now {
 				sum := sums[w.Tenant]
-				sums[w.Tenant] = Weighed{w.Tenant, sum.Load + w.Load, sum.Over + w.Over}
+				sums[w.Tenant] = TenantLoad{w.Tenant, sum.Load + w.Load, sum.Overestimate + w.Overestimate}
 			}
 		}
 	}
-	all := make([]Weighed, 0, len(sums))
+	all := make([]TenantLoad, 0, len(sums))
 	for _, w := range sums {
 		all = append(all, w)
 	}
--- a/internal/cells/limits.go
+++ b/internal/cells/limits.go
@@ -7,7 +7,7 @@
 type Limits struct {
 	heads  *Bulkheads
 	shares *shares
-	heavy  *Heavy
+	heavy  *HeavyHitters
 	// by cell
 	pace   []float64   // RPCs that may be open and still be answered in time, as learned
 	took   []float64   // smoothed time of an RPC that was served
@@ -33,8 +33,8 @@
 )
 
 // NewLimits makes the limits of a driver that has so much.
-func NewLimits(all Amounts, lend float64, l *Layout, weights map[Tenant]float64) *Limits {
-	m := &Limits{heads: NewBulkheads(all, lend, l.parts()), shares: newShares(weights, l.Cells()), heavy: NewHeavy(heavyKept)}
+func NewLimits(all Budget, lend float64, l *Layout, weights map[Tenant]float64) *Limits {
+	m := &Limits{heads: NewBulkheads(all, lend, l.parts()), shares: newShares(weights, l.Cells()), heavy: NewHeavyHitters(heavyKept)}
 	m.grow(l.Cells())
 	return m
 }
@@ -73,31 +73,31 @@
 	m.shares.grow(cells)
 }
 
-// Divide follows a changed layout.
-func (m *Limits) Divide(l *Layout, weights map[Tenant]float64) {
-	m.heads.Divide(l.parts())
+// Update follows a changed layout.
+func (m *Limits) Update(l *Layout, weights map[Tenant]float64) {
+	m.heads.SetWeights(l.parts())
 	m.shares.weights = weights
 	m.grow(l.Cells())
 }
 
-// Why is the reason that an RPC was turned away for.
-type Why int
+// Reason is the reason that an RPC was turned away for.
+type Reason int
 
 const (
-	WhyNot    Why = iota // it was not
-	WhyDriver            // the driver has no room
-	WhyCell              // the cell has no room
-	WhyTenant            // the tenant has used up its part
-	WhyWorth             // the last of the room is for RPCs of higher utility
-	WhyMove              // its tenant is being moved, and it can't be held
-	WhyLease             // this driver does not know where its tenant is now
-	WhyLost              // its tenant's cell is not in the file
+	ReasonNone            Reason = iota // it was not
+	ReasonDriverFull                    // the driver has no room
+	ReasonCellFull                      // the cell has no room
+	ReasonTenantOverShare               // the tenant has used up its part
+	ReasonLowUtility                    // the last of the room is for RPCs of higher utility
+	ReasonMoving                        // its tenant is being moved, and it can't be held
+	ReasonNoLease                       // this driver does not know where its tenant is now
+	ReasonUnknownCell                   // its tenant's cell is not in the file
 	whys
 )
 
 var whyNames = [whys]string{"not", "driver", "cell", "tenant", "worth", "move", "lease", "lost"}
 
-func (w Why) String() string { return whyNames[w] }
+func (w Reason) String() string { return whyNames[w] }
 
 // room is how many RPCs a cell may have open just now.
 func (m *Limits) room(c Cell, now int64) int64 {
@@ -110,7 +110,7 @@
 
 // admit decides whether an RPC has room, and whom it counts for. Guards the other cells against a flood into one, and a
 // cell's tenants against one another; could harm where a cell's members bear far more than its share lets in.
-func (m *Limits) admit(t *Ticket, now int64) Why {
+func (m *Limits) admit(t *Ticket, now int64) Reason {
 	m.fade(now)
 	m.heavy.Add(t.Tenant, 1)
 	m.most = max(m.most, t.Utility)
@@ -119,26 +119,26 @@
 	room, used := m.room(c, now), m.heads.Used(RPCs, c)
 	t.presence = m.shares.enter(c, t.Tenant, now)
 	switch {
-	case !m.heads.Fits(RPCs, c, 1, now):
+	case !m.heads.CanUse(RPCs, c, 1, now):
 		if used < m.heads.Share(RPCs, c) {
-			return WhyDriver
+			return ReasonDriverFull
 		}
-		return m.blame(t, room, WhyCell)
-	case !m.heads.Fits(CallOuts, c, 1, now), !m.heads.Fits(Answers, c, 1, now), used >= room:
-		return m.blame(t, room, WhyCell)
+		return m.blame(t, room, ReasonCellFull)
+	case !m.heads.CanUse(Attempts, c, 1, now), !m.heads.CanUse(ResponseBytes, c, 1, now), used >= room:
+		return m.blame(t, room, ReasonCellFull)
 	case float64(used) >= contended*float64(room) && t.presence.used >= m.shares.cells[c].fair(t.presence, room):
-		return WhyTenant
+		return ReasonTenantOverShare
 	case float64(used) >= float64(room)*(1-graded*(1-t.Utility/max(m.most, 1e-9))):
-		return WhyWorth
+		return ReasonLowUtility
 	}
 	m.eager[c] = max(1, m.eager[c]*(1-smoothing))
-	return WhyNot
+	return ReasonNone
 }
 
 // blame tells a tenant that fills the cell from one that meets it full.
-func (m *Limits) blame(t *Ticket, room int64, other Why) Why {
+func (m *Limits) blame(t *Ticket, room int64, other Reason) Reason {
 	if t.presence.used >= m.shares.cells[t.seat.Cell].fair(t.presence, room) {
-		return WhyTenant
+		return ReasonTenantOverShare
 	}
 	return other
 }
@@ -146,7 +146,7 @@
 // enter notes that an RPC was let in.
 func (m *Limits) enter(t *Ticket, now int64) {
 	c := t.seat.Cell
-	m.heads.Use(RPCs, c, 1)
+	m.heads.Add(RPCs, c, 1)
 	m.shares.cells[c].use(t.presence, t.Tenant, 1, now)
 	if len(m.unsent[c]) > 2*int(m.heads.Used(RPCs, c))+64 {
 		m.unsent[c] = slices.DeleteFunc(m.unsent[c], func(o *Ticket) bool { return !o.waits() })
@@ -186,7 +186,7 @@
 
 // callOut notes a call-out. A further one counts as a further RPC of its tenant until the RPC is settled.
 func (m *Limits) callOut(t *Ticket, now int64) {
-	m.heads.Use(CallOuts, t.seat.Cell, 1)
+	m.heads.Add(Attempts, t.seat.Cell, 1)
 	if t.calls > 1 {
 		m.shares.cells[t.seat.Cell].use(t.presence, t.Tenant, 1, now)
 	}
@@ -194,20 +194,20 @@
 
 // returned notes that a call-out has ended, with so many bytes.
 func (m *Limits) returned(t *Ticket, bytes int64) {
-	m.heads.Use(CallOuts, t.seat.Cell, -1)
-	m.heads.Use(Answers, t.seat.Cell, bytes)
+	m.heads.Add(Attempts, t.seat.Cell, -1)
+	m.heads.Add(ResponseBytes, t.seat.Cell, bytes)
 	t.bytes += bytes
 }
 
 // ended notes that an RPC has its final answer.
 func (m *Limits) ended(t *Ticket, served bool, now int64) {
-	m.heads.Use(RPCs, t.seat.Cell, -1)
+	m.heads.Add(RPCs, t.seat.Cell, -1)
 	m.answered(t, served, now)
 }
 
 // settled notes that nothing is left of an RPC.
 func (m *Limits) settled(t *Ticket, now int64) {
-	m.heads.Use(Answers, t.seat.Cell, -t.bytes)
+	m.heads.Add(ResponseBytes, t.seat.Cell, -t.bytes)
 	m.shares.cells[t.seat.Cell].use(t.presence, t.Tenant, -int64(max(1, t.calls)), now)
 }
 
@@ -218,7 +218,7 @@
 		m.pace[c] = float64(m.heads.Share(RPCs, c))
 	}
 	switch {
-	case served && took <= t.Soft:
+	case served && took <= t.SoftDeadline:
 		m.took[c] += (float64(took) - m.took[c]) * smoothing
 		if most := float64(m.heads.all[RPCs]); float64(m.heads.Used(RPCs, c)) >= m.pace[c]/2 && (most == 0 || m.pace[c] < most) {
 			m.pace[c] += quicken
@@ -240,7 +240,7 @@
 		m.faded = now
 	}
 	if passed := now - m.faded; passed >= fadeEvery {
-		m.heavy.Fade(0.5)
+		m.heavy.Decay(0.5)
 		m.span, m.faded = (m.span+float64(passed)/float64(second))/2, now
 	}
 }
@@ -260,10 +260,10 @@
 }
 
 // rates are the heaviest tenants in RPCs a second.
-func (m *Limits) rates(now int64, most int) []Weighed {
+func (m *Limits) rates(now int64, most int) []TenantLoad {
 	top, over := m.heavy.Top(most), m.seconds(now)
 	for i := range top {
-		top[i].Load, top[i].Over = top[i].Load/over, top[i].Over/over
+		top[i].Load, top[i].Overestimate = top[i].Load/over, top[i].Overestimate/over
 	}
 	return top
 }
--- a/internal/cells/limits_test.go
+++ b/internal/cells/limits_test.go
@@ -11,48 +11,48 @@
 const ms = second / 1000
 
 // trialGate is a gate over two cells with a budget of RPCs; tenant a0… are pinned to the first, b0… to the second.
-func trialGate(rpcs int64, lend float64) *Gate {
+func trialGate(rpcs int64, lend float64) *AdmissionController {
 	l := layoutOf(1, 1, 1, 1)
 	pins := map[Tenant]Cell{}
 	for i := range 50 {
 		pins[Tenant(fmt.Sprint("a", i))], pins[Tenant(fmt.Sprint("b", i))] = 0, 1
 	}
-	y := NewTenancy(nil, nil, nil, OwnUser, "rest")
-	m := NewLimits(Amounts{RPCs: rpcs, CallOuts: 4 * rpcs, Answers: 1 << 20}, lend, l, map[Tenant]float64{"a1": 3})
-	return NewGate(NewBook(l, pins), y, m, false, 100)
+	y := NewTenantResolver(nil, nil, nil, DefaultUser, "rest")
+	m := NewLimits(Budget{RPCs: rpcs, Attempts: 4 * rpcs, ResponseBytes: 1 << 20}, lend, l, map[Tenant]float64{"a1": 3})
+	return NewAdmissionController(NewDirectory(l, pins), y, m, false, 100)
 }
 
-func ask(tenant string, utility float64) Ask {
-	return Ask{Tenant: Tenant(tenant), Key: tenant, Soft: 100 * ms, Left: second, Utility: utility}
+func ask(tenant string, utility float64) Request {
+	return Request{Tenant: Tenant(tenant), Key: tenant, SoftDeadline: 100 * ms, TimeLeft: second, Utility: utility}
 }
 
 // fill asks for so many RPCs and gives those that were let in.
-func fill(g *Gate, tenant string, count int, now int64) (in []*Ticket, turned map[Why]int) {
-	turned = map[Why]int{}
+func fill(g *AdmissionController, tenant string, count int, now int64) (in []*Ticket, turned map[Reason]int) {
+	turned = map[Reason]int{}
 	for range count {
-		t, v, decided := g.Admit(now, ask(tenant, 1), func(Verdict) {})
-		if decided && v.Why == WhyNot {
+		t, v, decided := g.Admit(now, ask(tenant, 1), func(Decision) {})
+		if decided && v.Reason == ReasonNone {
 			in = append(in, t)
 		} else {
-			turned[v.Why]++
+			turned[v.Reason]++
 		}
 	}
 	return in, turned
 }
 
-func end(g *Gate, in []*Ticket, now int64) {
+func end(g *AdmissionController, in []*Ticket, now int64) {
 	for _, t := range in {
-		g.Ended(t, true, now)
+		g.Finished(t, true, now)
 		g.Settle(t, now)
 	}
 }
 
 // Guards the other cells against a flood into one: it may borrow what is idle, and no more than is lent.
-func TestACellBorrowsWhatIsIdleAndNoMore(t *testing.T) {
+func TestCellBorrowsOnlyLentCapacity(t *testing.T) {
 	g := trialGate(100, 0.5)
 	in, turned := fill(g, "a0", 200, second)
 	require.Len(t, in, 75, "its own 50 and half of the other's")
-	require.Equal(t, 125, turned[WhyTenant]+turned[WhyCell])
+	require.Equal(t, 125, turned[ReasonTenantOverShare]+turned[ReasonCellFull])
 	own, _ := fill(g, "b0", 30, second)
 	require.GreaterOrEqual(t, len(own), 25, "what is not lent is there at once")
 	end(g, append(in, own...), second)
@@ -60,22 +60,22 @@
 }
 
 // Guards against a lender that has to wait for its own.
-func TestWhatIsLentComesBackAtOnce(t *testing.T) {
+func TestLentCapacityIsReclaimed(t *testing.T) {
 	g := trialGate(100, 1)
-	var back []Why
+	var back []Reason
 	var in []*Ticket
 	for range 100 {
-		tk, v, _ := g.Admit(second, ask("a0", 1), func(v Verdict) { back = append(back, v.Why) })
-		require.Equal(t, WhyNot, v.Why)
+		tk, v, _ := g.Admit(second, ask("a0", 1), func(v Decision) { back = append(back, v.Reason) })
+		require.Equal(t, ReasonNone, v.Reason)
 		in = append(in, tk)
 	}
 	for _, tk := range in[:90] { // members have these
-		g.CallOut(tk, second)
+		g.AttemptStarted(tk, second)
 	}
 	own, turned := fill(g, "b0", 20, second)
 	require.Len(t, own, 10, "all that no member got was taken back")
-	require.Equal(t, []Why{WhyDriver, WhyDriver, WhyDriver, WhyDriver, WhyDriver, WhyDriver, WhyDriver, WhyDriver, WhyDriver, WhyDriver}, back)
-	require.Equal(t, 10, turned[WhyDriver])
+	require.Equal(t, []Reason{ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull}, back)
+	require.Equal(t, 10, turned[ReasonDriverFull])
 	end(g, in[:20], second+ms)
 	more, _ := fill(g, "a0", 20, second+2*ms)
 	require.Empty(t, more, "nothing is lent while its owner wants it")
@@ -84,7 +84,7 @@
 }
 
 // Guards a cell's tenants against a neighbour: it has what is idle, and its fair share once they come.
-func TestTenantsShareACell(t *testing.T) {
+func TestTenantFairShare(t *testing.T) {
 	g := trialGate(40, 0) // 20 of them the first cell's
 	in, _ := fill(g, "a0", 100, second)
 	require.Len(t, in, 20, "alone it has all of the cell")
@@ -103,20 +103,20 @@
 }
 
 // Guards against RPCs of little worth that take the last of the room.
-func TestTheLastRoomIsForWorth(t *testing.T) {
+func TestRemainingCapacityIsReservedForHighUtility(t *testing.T) {
 	g := trialGate(200, 0)
-	g.Admit(second, ask("a0", 10), func(Verdict) {})
+	g.Admit(second, ask("a0", 10), func(Decision) {})
 	for i := range 50 {
 		fill(g, fmt.Sprint("a", i), 5, second)
 	}
-	_, v, _ := g.Admit(second, ask("a40", 1), func(Verdict) {})
-	require.Equal(t, WhyWorth, v.Why)
-	_, v, _ = g.Admit(second, ask("a40", 10), func(Verdict) {})
-	require.Equal(t, WhyNot, v.Why)
+	_, v, _ := g.Admit(second, ask("a40", 1), func(Decision) {})
+	require.Equal(t, ReasonLowUtility, v.Reason)
+	_, v, _ = g.Admit(second, ask("a40", 10), func(Decision) {})
+	require.Equal(t, ReasonNone, v.Reason)
 }
 
 // Guards against work in vain: a cell that answers late gets less, and more again once it is in time.
-func TestTheRoomFollowsAnswers(t *testing.T) {
+func TestConcurrencyLimitFollowsLatency(t *testing.T) {
 	g := trialGate(200, 0)
 	now := second
 	late := func(took int64) int64 {
@@ -141,12 +141,12 @@
 }
 
 // Guards against memory that grows with names, and against a share for each name of a flood.
-func TestAFloodOfNames(t *testing.T) {
+func TestManyTenantNamesUseBoundedMemory(t *testing.T) {
 	g := trialGate(40, 0)
 	y := 0
 	for i := range 20_000 {
 		name := fmt.Sprint("name-", i)
-		for g.layout.Home(Tenant(name)) != 0 {
+		for g.layout.HomeCell(Tenant(name)) != 0 {
 			y++
 			name = fmt.Sprint("name-", i, "-", y)
 		}
@@ -163,53 +163,53 @@
 }
 
 // A further call-out counts as a further RPC of its tenant; an answer counts until it is passed on.
-func TestWhatCounts(t *testing.T) {
+func TestAttemptAndResponseAccounting(t *testing.T) {
 	g := trialGate(40, 0)
 	in, _ := fill(g, "a0", 1, second)
 	tk := in[0]
-	g.CallOut(tk, second)
+	g.AttemptStarted(tk, second)
 	require.EqualValues(t, 1, tk.presence.used)
-	g.CallOut(tk, second)
+	g.AttemptStarted(tk, second)
 	require.EqualValues(t, 2, tk.presence.used)
-	g.Returned(tk, 0, 1000, second)
-	g.Returned(tk, 0, 0, second)
-	require.EqualValues(t, 1000, g.limits.heads.Used(Answers, 0))
-	g.Ended(tk, true, second)
-	require.EqualValues(t, 1000, g.limits.heads.Used(Answers, 0))
+	g.AttemptEnded(tk, 0, 1000, second)
+	g.AttemptEnded(tk, 0, 0, second)
+	require.EqualValues(t, 1000, g.limits.heads.Used(ResponseBytes, 0))
+	g.Finished(tk, true, second)
+	require.EqualValues(t, 1000, g.limits.heads.Used(ResponseBytes, 0))
 	g.Settle(tk, second)
-	require.Zero(t, g.limits.heads.Used(Answers, 0))
+	require.Zero(t, g.limits.heads.Used(ResponseBytes, 0))
 	require.Zero(t, tk.presence.used)
 }
 
 // Guards the clients of other cells against one cell's that hold connections by hundreds.
-func TestWhoseClientsGoFirst(t *testing.T) {
+func TestMostOverConnectionShare(t *testing.T) {
 	l := layoutOf(1, 1, 1, 3)
-	m := NewLimits(Amounts{RPCs: 10, CallOuts: 10, Sockets: 40}, 0, l, nil) // 10 and 30
-	g := NewGate(NewBook(l, nil), NewTenancy(nil, nil, nil, OwnNobody, "t"), m, false, 1)
+	m := NewLimits(Budget{RPCs: 10, Attempts: 10, ClientConnections: 40}, 0, l, nil) // 10 and 30
+	g := NewAdmissionController(NewDirectory(l, nil), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), m, false, 1)
 	seat := func(c Cell, n int) {
 		for range n {
-			g.Seat(NoCell, c)
+			g.MoveConnection(NoCell, c)
 		}
 	}
 	seat(0, 10)
 	seat(1, 30)
-	require.Equal(t, NoCell, g.Crowded(), "each has its share")
+	require.Equal(t, NoCell, g.MostOverConnectionShare(), "each has its share")
 	seat(1, 3)
-	require.Equal(t, Cell(1), g.Crowded())
+	require.Equal(t, Cell(1), g.MostOverConnectionShare())
 	seat(0, 5)
-	require.Equal(t, Cell(0), g.Crowded())
+	require.Equal(t, Cell(0), g.MostOverConnectionShare())
 	for range 6 {
-		g.Seat(0, 1)
+		g.MoveConnection(0, 1)
 	}
-	require.Equal(t, Cell(1), g.Crowded())
+	require.Equal(t, Cell(1), g.MostOverConnectionShare())
 	for range 10 {
-		g.Seat(1, NoCell)
+		g.MoveConnection(1, NoCell)
 	}
-	require.Equal(t, NoCell, g.Crowded())
+	require.Equal(t, NoCell, g.MostOverConnectionShare())
 }
 
 // Whatever comes, all that is used is given back, and no cell below its share is turned away while there is room.
-func TestLimitsBalance(t *testing.T) {
+func TestResourceUseIsReturned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := trialGate(int64(rapid.IntRange(2, 60).Draw(t, "rpcs")), rapid.Float64Range(0, 1).Draw(t, "lend"))
 		var open []*Ticket
@@ -223,8 +223,8 @@
 				open = append(open, in...)
 			case 2:
 				if len(open) > 0 && !open[0].ended {
-					g.CallOut(open[0], now)
-					g.Returned(open[0], 0, rapid.IntRange(0, 5000).Draw(t, "bytes"), now)
+					g.AttemptStarted(open[0], now)
+					g.AttemptEnded(open[0], 0, rapid.IntRange(0, 5000).Draw(t, "bytes"), now)
 				}
 			case 3:
 				if len(open) > 0 {
--- a/internal/cells/place_test.go
+++ b/internal/cells/place_test.go
@@ -27,13 +27,13 @@
 
 func homes(l *Layout, tenants int) (at []Cell) {
 	for t := range tenants {
-		at = append(at, l.Home(Tenant(fmt.Sprintf("tenant-%d", t))))
+		at = append(at, l.HomeCell(Tenant(fmt.Sprintf("tenant-%d", t))))
 	}
 	return at
 }
 
 // Guards against a cell that comes or goes and moves tenants of others.
-func TestHomesFollowWeightsAndMoveTheirShare(t *testing.T) {
+func TestHomeCellsFollowWeights(t *testing.T) {
 	const tenants = 20_000
 	before := homes(layoutOf(1, 1, 1, 2, 1, 0), tenants)
 	count := map[Cell]int{}
@@ -53,22 +53,22 @@
 	require.InDelta(t, 0.2, float64(moved)/tenants, 0.02)
 }
 
-func TestShards(t *testing.T) {
+func TestTenantGroups(t *testing.T) {
 	l := layoutOf(2, 8, 1)
 	alike := 0
 	for i := range 2000 {
 		a, b := Tenant(fmt.Sprintf("a%d", i)), Tenant(fmt.Sprintf("b%d", i))
-		s := l.Shard(a, 0)
+		s := l.TenantGroups(a, 0)
 		require.Len(t, s, 2)
 		require.NotEqual(t, s[0], s[1])
 		require.Contains(t, s, l.Group(a, fmt.Sprint("key", i), 0))
-		o := l.Shard(b, 0)
+		o := l.TenantGroups(b, 0)
 		if (s[0] == o[0] || s[0] == o[1]) && (s[1] == o[0] || s[1] == o[1]) {
 			alike++
 		}
 	}
 	require.InDelta(t, 1.0/28, float64(alike)/2000, 0.015, "two of eight are 28 pairs")
-	require.Len(t, layoutOf(4, 2, 1).Shard("a", 0), 2, "no more than there are")
+	require.Len(t, layoutOf(4, 2, 1).TenantGroups("a", 0), 2, "no more than there are")
 }
 
 // Against a plain scan of all prefixes.
@@ -86,29 +86,29 @@
 				longest, want, found = len(p), tenant, true
 			}
 		}
-		got, is := NewPrefixes(tenants).Longest(key)
+		got, is := NewPrefixTrie(tenants).Longest(key)
 		require.Equal(t, found, is)
 		require.Equal(t, want, got)
 	})
 }
 
-func TestTenancy(t *testing.T) {
-	y := NewTenancy(map[string]Tenant{"club/": "club", "club/bots/": "bots"}, map[string]Tenant{"eve": "hall"},
-		map[string]Tenant{"store": "shop"}, OwnUser, "rest")
+func TestTenantResolver(t *testing.T) {
+	y := NewTenantResolver(map[string]Tenant{"club/": "club", "club/bots/": "bots"}, map[string]Tenant{"eve": "hall"},
+		map[string]Tenant{"store": "shop"}, DefaultUser, "rest")
 	for _, c := range []struct {
 		key, user, database string
 		want                Tenant
 	}{{"club/bots/1", "eve", "store", "bots"}, {"club/x", "", "", "club"}, {"x", "eve", "store", "hall"},
 		{"x", "ann", "store", "shop"}, {"x", "ann", "y", "ann"}, {"x", "", "y", "rest"}} {
-		require.Equal(t, c.want, y.Of(c.key, c.user, c.database), "%+v", c)
+		require.Equal(t, c.want, y.Resolve(c.key, c.user, c.database), "%+v", c)
 	}
-	require.Equal(t, Tenant("y"), NewTenancy(nil, nil, nil, OwnDatabase, "rest").Of("x", "ann", "y"))
+	require.Equal(t, Tenant("y"), NewTenantResolver(nil, nil, nil, DefaultDatabase, "rest").Resolve("x", "ann", "y"))
 }
 
 // The promise of space-saving: never too little, and too much by no more than the total over the places.
-func TestHeavyKeepsItsBound(t *testing.T) {
+func TestHeavyHittersErrorBound(t *testing.T) {
 	const places = 100
-	h, plain := NewHeavy(places), map[Tenant]float64{}
+	h, plain := NewHeavyHitters(places), map[Tenant]float64{}
 	rng := rand.New(rand.NewSource(1))
 	zipf := rand.NewZipf(rng, 1.1, 1, 100_000)
 	for range 200_000 {
@@ -123,14 +123,14 @@
 		require.LessOrEqual(t, over, h.total/places)
 	}
 	require.Equal(t, Tenant("0"), h.Top(1)[0].Tenant)
-	h.Fade(0.5)
+	h.Decay(0.5)
 	require.InDelta(t, 100_000, h.total, 1e-6)
 }
 
 // Guards against a file read again that would leave a tenant elsewhere than its data.
-func TestLayoutsThatRunningDriversRefuse(t *testing.T) {
+func TestUpdateRejectsUnsafeLayouts(t *testing.T) {
 	pinned := Tenant("pinned")
-	for layoutOf(1, 1, 1, 1, 0).Home(pinned) != 0 {
+	for layoutOf(1, 1, 1, 1, 0).HomeCell(pinned) != 0 {
 		pinned += "-"
 	}
 	for _, c := range []struct {
@@ -158,17 +158,17 @@
 		{"a pin changes", func() (*Layout, map[Tenant]string) { return layoutOf(1, 1, 1, 1, 0), map[Tenant]string{pinned: "c0"} }, "and a file can't bring it"},
 	} {
 		l := layoutOf(1, 1, 1, 1, 0)
-		b := NewBook(l, map[Tenant]Cell{pinned: 1})
+		b := NewDirectory(l, map[Tenant]Cell{pinned: 1})
 		_, err := b.Apply(Entry{Epoch: 1, Tenant: "moved", Cell: "c2"})
 		require.NoError(t, err)
 		next, pins := c.next()
-		err = b.Become(next, pins)
+		err = b.Update(next, pins)
 		if c.says == "" {
 			require.NoError(t, err, c.name)
 			continue
 		}
 		require.ErrorContains(t, err, c.says, c.name)
 		require.Equal(t, 3, l.Cells(), c.name)
-		require.Equal(t, Cell(1), b.Seat(pinned).Cell, c.name)
+		require.Equal(t, Cell(1), b.Placement(pinned).Cell, c.name)
 	}
 }
--- a/internal/cells/prefixes.go
+++ b/internal/cells/prefixes.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Prefixes finds the longest of many prefixes that a key begins with. It is a radix trie laid out in one array, the
+// PrefixTrie finds the longest of many prefixes that a key begins with. It is a radix trie laid out in one array, the
 // children of a node side by side and ordered by their first byte.
-type Prefixes struct {
+type PrefixTrie struct {
 	nodes []prefixNode
 	names []Tenant
 }
@@ -20,14 +20,14 @@
 	names    int32 // place of its tenant, -1 for none
 }
 
-// NewPrefixes lays out a trie. A prefix that stands twice has the tenant of either.
-func NewPrefixes(tenants map[string]Tenant) *Prefixes {
+// NewPrefixTrie lays out a trie. A prefix that stands twice has the tenant of either.
+func NewPrefixTrie(tenants map[string]Tenant) *PrefixTrie {
 	sorted := make([]string, 0, len(tenants))
 	for prefix := range tenants {
 		sorted = append(sorted, prefix)
 	}
 	slices.Sort(sorted)
-	p := &Prefixes{nodes: []prefixNode{{names: -1}}}
+	p := &PrefixTrie{nodes: []prefixNode{{names: -1}}}
 	numbers := map[Tenant]int32{}
 	p.fill(0, sorted, 0, func(prefix string) int32 {
 		t := tenants[prefix]
@@ -42,7 +42,7 @@
 }
 
 // fill makes the children of a node from the prefixes below it, whose first depth bytes are the node's path.
-func (p *Prefixes) fill(node int, sorted []string, depth int, number func(string) int32) {
+func (p *PrefixTrie) fill(node int, sorted []string, depth int, number func(string) int32) {
 	if len(sorted) > 0 && len(sorted[0]) == depth {
 		p.nodes[node].names = number(sorted[0])
 		sorted = sorted[1:]
@@ -71,7 +71,7 @@
 }
 
 // Longest gives the tenant of the longest prefix that a key begins with.
-func (p *Prefixes) Longest(key string) (t Tenant, found bool) {
+func (p *PrefixTrie) Longest(key string) (t Tenant, found bool) {
 	for node := &p.nodes[0]; ; {
 		if node.names >= 0 {
 			t, found = p.names[node.names], true
@@ -88,7 +88,7 @@
 }
 
 // child is the child of a node whose label begins with a byte, nil where none does.
-func (p *Prefixes) child(node *prefixNode, b byte) *prefixNode {
+func (p *PrefixTrie) child(node *prefixNode, b byte) *prefixNode {
 	children := p.nodes[node.first : node.first+node.children]
 	low, high := 0, len(children)
 	for low < high {
--- a/internal/cells/tenancy.go
+++ b/internal/cells/tenancy.go
@@ -1,31 +1,31 @@
 package cells
 
-// Own says whose name is the tenant's where no rule decides.
-type Own int
+// DefaultTenant says whose name is the tenant's where no rule decides.
+type DefaultTenant int
 
 const (
-	OwnNobody Own = iota
-	OwnUser
-	OwnDatabase
+	DefaultNone DefaultTenant = iota
+	DefaultUser
+	DefaultDatabase
 )
 
-// Tenancy tells which tenant an RPC belongs to: that of the longest prefix of its key, else of the user or the database
+// TenantResolver tells which tenant an RPC belongs to: that of the longest prefix of its key, else of the user or the database
 // that its client named at its start, else what Own says, else Others.
-type Tenancy struct {
-	prefixes  *Prefixes
+type TenantResolver struct {
+	prefixes  *PrefixTrie
 	users     map[string]Tenant
 	databases map[string]Tenant
-	own       Own
+	own       DefaultTenant
 	others    Tenant
 }
 
-// NewTenancy makes a tenancy of its rules.
-func NewTenancy(prefixes, users, databases map[string]Tenant, own Own, others Tenant) *Tenancy {
-	return &Tenancy{prefixes: NewPrefixes(prefixes), users: users, databases: databases, own: own, others: others}
+// NewTenantResolver makes a tenancy of its rules.
+func NewTenantResolver(prefixes, users, databases map[string]Tenant, own DefaultTenant, others Tenant) *TenantResolver {
+	return &TenantResolver{prefixes: NewPrefixTrie(prefixes), users: users, databases: databases, own: own, others: others}
 }
 
-// Of is the tenant of an RPC.
-func (y *Tenancy) Of(key, user, database string) Tenant {
+// Resolve is the tenant of an RPC.
+func (y *TenantResolver) Resolve(key, user, database string) Tenant {
 	if t, found := y.prefixes.Longest(key); found {
 		return t
 	}
@@ -36,9 +36,9 @@
 		return t
 	}
 	switch {
-	case y.own == OwnUser && user != "":
+	case y.own == DefaultUser && user != "":
 		return Tenant(user)
-	case y.own == OwnDatabase && database != "":
+	case y.own == DefaultDatabase && database != "":
 		return Tenant(database)
 	}
 	return y.others
--- a/internal/cells/walk_test.go
+++ b/internal/cells/walk_test.go
@@ -48,7 +48,7 @@
 // walker is a driver.
 type walker struct {
 	name        string
-	gate        *Gate
+	gate        *AdmissionController
 	incarnation uint64
 }
 
@@ -67,7 +67,7 @@
 // flight is an RPC that was let in.
 type flight struct {
 	at       *walker
-	gate     *Gate
+	gate     *AdmissionController
 	ticket   *Ticket
 	cell     int
 	write    int // its number, 0 for a read
@@ -98,8 +98,8 @@
 	return w
 }
 
-func walkBook() *Book {
-	return NewBook(layoutOf(1, 1, 1, 1, 1), map[Tenant]Cell{"t": 0})
+func walkBook() *Directory {
+	return NewDirectory(layoutOf(1, 1, 1, 1, 1), map[Tenant]Cell{"t": 0})
 }
 
 // restart starts the coordinator over what was written down.
@@ -116,7 +116,7 @@
 func (w *walk) begin(d *walker) {
 	w.starts++
 	d.incarnation = w.starts
-	d.gate = NewGate(walkBook(), NewTenancy(nil, nil, nil, OwnNobody, "t"), nil, true, 4)
+	d.gate = NewAdmissionController(walkBook(), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), nil, true, 4)
 	if w.bug == noLease {
 		d.gate.lease = math.MaxInt64
 	}
@@ -146,7 +146,7 @@
 
 // switched lets the store show the new cell what the old one had up to the cut. Writes are dated by their number's time.
 func (w *walk) switched(r Record) {
-	if r.Entry != nil && r.Entry.Stage == Switched {
+	if r.Entry != nil && r.Entry.Stage == StageSwitched {
 		to, from := w.cell(r.Entry.Cell), w.cell(r.Entry.To)
 		maps.Copy(w.store[to], w.store[from])
 	}
@@ -257,7 +257,7 @@
 	if g.incarnation != g.to.incarnation {
 		return
 	}
-	changed, err := g.to.gate.Granted(g.asked, g.grant)
+	changed, err := g.to.gate.ApplyGrant(g.asked, g.grant)
 	if err != nil {
 		w.broken = err.Error()
 	}
@@ -268,7 +268,7 @@
 		}
 	}
 	for _, t := range changed {
-		g.to.gate.Release(t, w.now)
+		g.to.gate.ResumeHeld(t, w.now)
 	}
 }
 
@@ -279,14 +279,14 @@
 		w.writes++
 		f.write = w.writes
 	}
-	let := func(v Verdict) {
-		if v.Why == WhyNot {
+	let := func(v Decision) {
+		if v.Reason == ReasonNone {
 			f.cell = int(v.Group) - 1
-			f.gate.CallOut(f.ticket, w.now)
+			f.gate.AttemptStarted(f.ticket, w.now)
 			w.flights = append(w.flights, f)
 		}
 	}
-	ticket, v, decided := d.gate.Admit(w.now, Ask{Tenant: "t", Key: "k", Write: write, Left: walkLeft}, let)
+	ticket, v, decided := d.gate.Admit(w.now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: walkLeft}, let)
 	f.ticket = ticket
 	if decided {
 		let(v)
@@ -315,8 +315,8 @@
 	case w.now < f.until:
 		return
 	case alive: // it is not waited for any longer
-		f.gate.Returned(f.ticket, f.until, 0, w.now)
-		f.gate.Ended(f.ticket, false, w.now)
+		f.gate.AttemptEnded(f.ticket, f.until, 0, w.now)
+		f.gate.Finished(f.ticket, false, w.now)
 		f.gate.Settle(f.ticket, w.now)
 	}
 	w.flights = slices.Delete(w.flights, i, i+1)
@@ -324,8 +324,8 @@
 
 // answer passes an answer on if the gate lets it.
 func (w *walk) answer(f *flight) {
-	f.gate.Returned(f.ticket, 0, 0, w.now)
-	if f.gate.May(f.ticket, w.now) {
+	f.gate.AttemptEnded(f.ticket, 0, 0, w.now)
+	if f.gate.MayProceed(f.ticket, w.now) {
 		if f.write > 0 {
 			f.gate.Committed(f.ticket, w.now)
 			w.acked[f.write] = true
@@ -336,13 +336,13 @@
 			}
 		}
 	}
-	f.gate.Ended(f.ticket, true, w.now)
+	f.gate.Finished(f.ticket, true, w.now)
 	f.gate.Settle(f.ticket, w.now)
 }
 
 // note checks that the cell where the tenant is shows all that was acknowledged, and what states were met.
 func (w *walk) note() {
-	seat := w.c.book.Seat("t")
+	seat := w.c.book.Placement("t")
 	for id := range w.acked {
 		if !w.store[seat.Cell][id] {
 			w.broken = fmt.Sprintf("acknowledged write %d is not in cell %d, where the tenant is", id, seat.Cell)
@@ -350,7 +350,7 @@
 	}
 	state := fmt.Sprint(seat.Stage)
 	for _, d := range w.drivers {
-		known := d.gate.book.Seat("t")
+		known := d.gate.book.Placement("t")
 		state += fmt.Sprint(" ", known.Stage, known.Cell == seat.Cell, known.Epoch == seat.Epoch, w.now < d.gate.lease, len(d.gate.tenants) > 0)
 	}
 	w.visited[state] = true
@@ -369,7 +369,7 @@
 		}
 		maps.Copy(visited, w.visited)
 		for _, r := range w.journal {
-			if r.Entry != nil && r.Entry.Stage == Switched {
+			if r.Entry != nil && r.Entry.Stage == StageSwitched {
 				moved++
 			}
 		}
@@ -407,24 +407,24 @@
 }
 
 // Each row of the table at Stage, and no other.
-func TestStagesFollowTheTable(t *testing.T) {
-	next := map[Stage][]Stage{Resting: {Prepared}, Prepared: {Holding, Returning}, Holding: {Catching, Returning},
-		Catching: {Closing, Returning}, Closing: {Switched, Returning}, Switched: {Resting}, Returning: {Resting}}
-	for from := Resting; from <= Returning; from++ {
-		for to := Resting; to <= Returning; to++ {
+func TestStageTransitions(t *testing.T) {
+	next := map[Stage][]Stage{StageIdle: {StagePrepared}, StagePrepared: {StageHoldingWrites, StageRollingBack}, StageHoldingWrites: {StageCatchingUp, StageRollingBack},
+		StageCatchingUp: {StageHoldingAll, StageRollingBack}, StageHoldingAll: {StageSwitched, StageRollingBack}, StageSwitched: {StageIdle}, StageRollingBack: {StageIdle}}
+	for from := StageIdle; from <= StageRollingBack; from++ {
+		for to := StageIdle; to <= StageRollingBack; to++ {
 			b := walkBook()
-			if from != Resting {
+			if from != StageIdle {
 				b.entries["t"] = Entry{Epoch: 5, Tenant: "t", Cell: "c0", Stage: from}
 				b.newest = 5
 			}
 			require.Equal(t, slices.Contains(next[from], to), b.follows(Entry{Epoch: 6, Tenant: "t", Cell: "c0", Stage: to}), "%v to %v", from, to)
-			require.False(t, b.follows(Entry{Epoch: 5, Tenant: "t", Cell: "c0", Stage: to}) && from != Resting, "an epoch that is not newer")
+			require.False(t, b.follows(Entry{Epoch: 5, Tenant: "t", Cell: "c0", Stage: to}) && from != StageIdle, "an epoch that is not newer")
 		}
 	}
 }
 
 // A move that goes right, step by step, and what each step waits for.
-func TestAMoveStepByStep(t *testing.T) {
+func TestMoveStages(t *testing.T) {
 	b := walkBook()
 	c, err := NewCoordinator(0, b, second, 2*second, 0, true, []Record{{Driver: "a"}, {Driver: "b"}})
 	require.NoError(t, err)
@@ -460,52 +460,52 @@
 	require.ErrorContains(t, err, "is being moved")
 	report("a", nil)
 	report("b", nil)
-	require.Equal(t, Prepared, steps(), "the store has not begun to fill")
-	c.Filled("t", b.newest)
-	require.Equal(t, Holding, steps())
+	require.Equal(t, StagePrepared, steps(), "the store has not begun to fill")
+	c.MarkFilled("t", b.newest)
+	require.Equal(t, StageHoldingWrites, steps())
 	report("a", nil)
-	require.Equal(t, Holding, steps(), "b has not said that it holds")
+	require.Equal(t, StageHoldingWrites, steps(), "b has not said that it holds")
 	report("b", func(m *MoveReport) { m.Writes = 1 })
-	require.Equal(t, Holding, steps(), "b has a write in flight")
-	report("b", func(m *MoveReport) { m.Commit = now + 5*ms })
+	require.Equal(t, StageHoldingWrites, steps(), "b has a write in flight")
+	report("b", func(m *MoveReport) { m.LastCommit = now + 5*ms })
 	held := now
-	require.Equal(t, Catching, steps())
-	require.Equal(t, held+5*ms, b.entries["t"].Cut, "past what b was told, though its clock is ahead")
+	require.Equal(t, StageCatchingUp, steps())
+	require.Equal(t, held+5*ms, b.entries["t"].CutoverPosition, "past what b was told, though its clock is ahead")
 	report("a", nil)
-	require.Equal(t, Catching, steps())
-	report("a", func(m *MoveReport) { m.Reached = true })
-	require.Equal(t, Closing, steps())
+	require.Equal(t, StageCatchingUp, steps())
+	report("a", func(m *MoveReport) { m.CaughtUp = true })
+	require.Equal(t, StageHoldingAll, steps())
 	report("a", nil)
-	report("b", func(m *MoveReport) { m.Open = 1 })
-	require.Equal(t, Closing, steps())
+	report("b", func(m *MoveReport) { m.OpenRPCs = 1 })
+	require.Equal(t, StageHoldingAll, steps())
 	now += second / 2
 	report("a", nil)
 	now += second/2 + ms // b's lease runs out
-	require.Equal(t, Switched, steps())
+	require.Equal(t, StageSwitched, steps())
 	e := b.entries["t"]
-	require.Equal(t, []any{"c1", "c0", e.Cut}, []any{e.Cell, e.To, e.Floor})
+	require.Equal(t, []any{"c1", "c0", e.CutoverPosition}, []any{e.Cell, e.To, e.MinPosition})
 	_, err = c.Abort(now, "t", "")
 	require.ErrorContains(t, err, "has been switched")
 	_, err = c.Move(now, "t", "c0", "")
 	require.ErrorContains(t, err, "is being moved", "not back before it has settled")
-	c.Filled("t", b.newest)
-	require.Equal(t, Switched, steps(), "a does not act on it yet")
+	c.MarkFilled("t", b.newest)
+	require.Equal(t, StageSwitched, steps(), "a does not act on it yet")
 	report("a", nil)
-	require.Equal(t, Resting, steps())
+	require.Equal(t, StageIdle, steps())
 	do(c.Move(now, "t", "c2", "test"))
 	do(c.Abort(now, "t", "test"))
-	require.Equal(t, Returning, stage())
+	require.Equal(t, StageRollingBack, stage())
 	report("a", nil)
-	c.Filled("t", b.newest)
-	require.Equal(t, Resting, steps())
+	c.MarkFilled("t", b.newest)
+	require.Equal(t, StageIdle, steps())
 	require.Equal(t, "c1", b.entries["t"].Cell)
-	require.NotZero(t, b.entries["t"].Floor, "what it must be read from stays")
+	require.NotZero(t, b.entries["t"].MinPosition, "what it must be read from stays")
 	_, err = c.Abort(now, "t", "")
 	require.ErrorContains(t, err, "is not being moved")
 }
 
 // A move that holds writes too long goes back by itself.
-func TestAMoveThatTakesTooLongGoesBack(t *testing.T) {
+func TestMoveRollsBackAfterMaxHold(t *testing.T) {
 	b := walkBook()
 	c, err := NewCoordinator(0, b, second, second, 0, false, nil)
 	require.NoError(t, err)
@@ -517,72 +517,72 @@
 			require.NoError(t, c.Apply(0, records[0]))
 		}
 	}
-	require.Equal(t, Resting, b.entries["t"].Stage)
+	require.Equal(t, StageIdle, b.entries["t"].Stage)
 	require.Equal(t, "c0", b.entries["t"].Cell)
 }
 
 // Guards against an instance that stood still, or lost touch, while its tenant went elsewhere.
-func TestGates(t *testing.T) {
-	g := NewGate(walkBook(), NewTenancy(nil, nil, nil, OwnNobody, "t"), nil, true, 1)
-	var later []Verdict
-	admit := func(now int64, write bool) (*Ticket, Verdict, bool) {
-		return g.Admit(now, Ask{Tenant: "t", Key: "k", Write: write, Left: second}, func(v Verdict) { later = append(later, v) })
+func TestAdmissionDuringMove(t *testing.T) {
+	g := NewAdmissionController(walkBook(), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), nil, true, 1)
+	var later []Decision
+	admit := func(now int64, write bool) (*Ticket, Decision, bool) {
+		return g.Admit(now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: second}, func(v Decision) { later = append(later, v) })
 	}
 	_, v, _ := admit(0, true)
-	require.Equal(t, WhyLease, v.Why, "without a lease nothing is known")
+	require.Equal(t, ReasonNoLease, v.Reason, "without a lease nothing is known")
 	grant := func(asked int64, e ...Entry) {
 		newest := g.book.newest
 		for _, n := range e {
 			newest = max(newest, n.Epoch)
 		}
-		_, err := g.Granted(asked, Grant{Lease: second, Newest: newest, Entries: e})
+		_, err := g.ApplyGrant(asked, Grant{Lease: second, LatestEpoch: newest, Entries: e})
 		require.NoError(t, err)
-		g.Release("t", asked)
+		g.ResumeHeld("t", asked)
 	}
 	grant(0)
 	early, v, _ := admit(ms, true)
-	require.Equal(t, WhyNot, v.Why)
+	require.Equal(t, ReasonNone, v.Reason)
 	require.EqualValues(t, 1, v.Group)
-	require.True(t, g.May(early, second-1))
-	require.False(t, g.May(early, second), "its lease has run out")
-	grant(second, Entry{Epoch: 4, Tenant: "t", Cell: "c0", Stage: Holding, To: "c1"})
-	require.True(t, g.May(early, second), "it goes on where it is")
+	require.True(t, g.MayProceed(early, second-1))
+	require.False(t, g.MayProceed(early, second), "its lease has run out")
+	grant(second, Entry{Epoch: 4, Tenant: "t", Cell: "c0", Stage: StageHoldingWrites, To: "c1"})
+	require.True(t, g.MayProceed(early, second), "it goes on where it is")
 	r := g.Report(second, "a", 1, nil)
 	require.Equal(t, 1, r.Moves[0].Writes)
-	g.Returned(early, second+50*ms, 0, second)
-	g.Ended(early, false, second)
+	g.AttemptEnded(early, second+50*ms, 0, second)
+	g.Finished(early, false, second)
 	g.Settle(early, second)
 	require.Equal(t, 1, g.Report(second, "a", 1, nil).Moves[0].Writes, "it may still run")
 	require.Zero(t, g.Report(second+50*ms, "a", 1, nil).Moves[0].Writes)
 	_, v, decided := admit(second, false)
-	require.True(t, decided && v.Why == WhyNot, "reads go on")
+	require.True(t, decided && v.Reason == ReasonNone, "reads go on")
 	_, _, decided = admit(second, true)
 	require.False(t, decided)
 	_, v, _ = admit(second, true)
-	require.Equal(t, WhyMove, v.Why, "no more are held than may be")
-	_, err := g.Granted(second, Grant{Lease: 10 * second, Newest: 3, Entries: []Entry{{Epoch: 3, Tenant: "t", Cell: "c2"}}})
+	require.Equal(t, ReasonMoving, v.Reason, "no more are held than may be")
+	_, err := g.ApplyGrant(second, Grant{Lease: 10 * second, LatestEpoch: 3, Entries: []Entry{{Epoch: 3, Tenant: "t", Cell: "c2"}}})
 	require.NoError(t, err)
-	require.Equal(t, Holding, g.book.Seat("t").Stage, "an older grant changes nothing")
+	require.Equal(t, StageHoldingWrites, g.book.Placement("t").Stage, "an older grant changes nothing")
 	require.Equal(t, 2*second, g.lease)
-	grant(second, Entry{Epoch: 6, Tenant: "t", Cell: "c1", Stage: Switched, To: "c0", Floor: 77})
-	require.Equal(t, []Verdict{{Group: 2, Floor: 77}}, later)
-	require.False(t, g.May(early, second), "its tenant is elsewhere")
-	grant(second, Entry{Epoch: 7, Tenant: "t", Cell: "c0", Stage: Closing, To: "c1"})
+	grant(second, Entry{Epoch: 6, Tenant: "t", Cell: "c1", Stage: StageSwitched, To: "c0", MinPosition: 77})
+	require.Equal(t, []Decision{{Group: 2, MinPosition: 77}}, later)
+	require.False(t, g.MayProceed(early, second), "its tenant is elsewhere")
+	grant(second, Entry{Epoch: 7, Tenant: "t", Cell: "c0", Stage: StageHoldingAll, To: "c1"})
 	later = nil
 	tk, _, decided := admit(second, false)
 	require.False(t, decided, "reads wait too")
 	g.Expire(tk)
 	g.Expire(tk)
-	require.Equal(t, []Verdict{{Why: WhyMove, ComeBack: shortWait}}, later, "told once")
+	require.Equal(t, []Decision{{Reason: ReasonMoving, RetryAfter: shortWait}}, later, "told once")
 	tk, _, _ = admit(second, true)
-	g.Leave(tk)
+	g.Cancel(tk)
 	g.Expire(tk)
 	require.Len(t, later, 1, "its client has gone")
 	require.Zero(t, g.holding)
 }
 
 // Guards against an earlier start of a name that may still act when the later one has said that it does.
-func TestAnEarlierStartIsWaitedFor(t *testing.T) {
+func TestMoveWaitsForPredecessorLease(t *testing.T) {
 	l := leases{lease: second, drivers: map[string]*holder{}}
 	e := Entry{Tenant: "t", Epoch: 1}
 	say := func(now int64, incarnation uint64) {
@@ -598,7 +598,7 @@
 
 // Guards against a coordinator that takes over, hears of a name's later start alone, and does not know that the one before it
 // gave an earlier start a lease that still holds.
-func TestAnEarlierStartIsKnownToASuccessor(t *testing.T) {
+func TestPredecessorLeaseSurvivesTakeover(t *testing.T) {
 	first, err := NewCoordinator(0, walkBook(), second, second, 0, false, nil)
 	require.NoError(t, err)
 	next, err := NewCoordinator(0, walkBook(), second, second, 0, false, nil)
@@ -629,8 +629,8 @@
 		return next.Step(now)
 	}
 	require.Empty(t, says(), "the first start may still act on the book before")
-	past := next.Past()
-	require.Equal(t, []string{"a"}, past.Shaded)
+	past := next.Snapshot()
+	require.Equal(t, []string{"a"}, past.WithPredecessors)
 	now += second
 	later := says()
 	require.NotEmpty(t, later)
@@ -638,11 +638,11 @@
 	for records := next.passedOnly(now); len(records) > 0; records = next.passedOnly(now) {
 		require.NoError(t, next.Apply(now, records[0]))
 	}
-	require.Empty(t, next.Past().Shaded, "it is written down that the first is over")
+	require.Empty(t, next.Snapshot().WithPredecessors, "it is written down that the first is over")
 	third, err := NewCoordinator(now, walkBook(), second, second, 0, false, nil)
 	require.NoError(t, err)
 	third.Restore(now, past)
-	require.Equal(t, past.Shaded, third.Past().Shaded)
+	require.Equal(t, past.WithPredecessors, third.Snapshot().WithPredecessors)
 }
 
 func (c *Coordinator) passedOnly(now int64) []Record { return c.leases.passed(now) }
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -206,7 +206,7 @@
 
 func movingOf(s membership.State) (moving []cells.Entry) {
 	for _, e := range s.Entries {
-		if e.Stage != cells.Resting {
+		if e.Stage != cells.StageIdle {
 			moving = append(moving, e)
 		}
 	}
@@ -252,10 +252,10 @@
 		}
 		m.epochs[e.Epoch], stepped = true, true
 		switch e.Stage {
-		case cells.Switched:
+		case cells.StageSwitched:
 			m.result.Done++
-			m.holds = append(m.holds, float64(e.At-e.Begun)/1e9)
-		case cells.Returning:
+			m.holds = append(m.holds, float64(e.DecidedAt-e.HoldStartedAt)/1e9)
+		case cells.StageRollingBack:
 			m.result.Undone++
 		}
 	}
@@ -309,12 +309,12 @@
 	r.Wrote50, r.Wrote99 = quantiles(m.waits)
 	r.RPCs, r.Unexplained = m.rpcs, m.unexplained
 	for _, address := range m.admins {
-		var f cells.Figures
+		var f cells.Stats
 		if admin.Dial(address).Ask(context.Background(), "list", admin.Wanted{}, &f) == nil {
-			for why, n := range f.Turned {
+			for why, n := range f.Rejected {
 				r.Turned[why] += n
 			}
-			r.Lapsed += f.Lapsed
+			r.Lapsed += f.Fenced
 		}
 	}
 	r.PushedBack = float64(m.turned) / float64(max(1, m.writes))
@@ -331,7 +331,7 @@
 	for c := range count {
 		layout.Add(fmt.Sprintf("c%d", c), cells.Groups{}, 1, 0, "")
 	}
-	return int64(layout.Home(cells.Tenant(emulator.TenantOf(key)))) + 1
+	return int64(layout.HomeCell(cells.Tenant(emulator.TenantOf(key)))) + 1
 }
 
 func quantiles(seconds []float64) (half, most time.Duration) {
@@ -442,7 +442,7 @@
 	if r.Leaders > 1 {
 		rows = append(rows, []string{"leaders that coordinated one after another, as seen", fmt.Sprint(r.Leaders)})
 	}
-	for w := cells.WhyDriver; w <= cells.WhyLost; w++ {
+	for w := cells.ReasonDriverFull; w <= cells.ReasonUnknownCell; w++ {
 		rows = append(rows, []string{"turned away by gates: " + w.String(), fmt.Sprint(r.Turned[w.String()])})
 	}
 	rows = append(rows, []string{"call-outs and answers given up by gates", fmt.Sprint(r.Lapsed)})
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,12 +17,12 @@
 	Caller int32
 )
 
-// Fate is what is known of an RPC's effect.
-type Fate int
+// Outcome is what is known of an RPC's effect.
+type Outcome int
 
 const (
-	NeverRan   Fate = iota // every grant of it was reported as never sent, or there was none
-	MayHaveRun             // a grant of it ended in the open, or was never reported
+	NeverRan   Outcome = iota // every grant of it was reported as never sent, or there was none
+	MayHaveRun                // a grant of it ended in the open, or was never reported
 	Ran
 )
 
@@ -49,49 +49,49 @@
 	answered
 )
 
-// Ask is a caller's request to send an RPC.
-type Ask struct {
+// Request is a caller's request to send an RPC.
+type Request struct {
 	ID       ID
 	Caller   Caller
 	Effect   rules.Effect
 	Group    rules.GroupID
 	Window   int64 // of a tokened one: repeats within it, in its group, are dropped
 	Deadline int64 // its client's; nothing is granted past it
-	Again    bool  // its caller knows it to be a repeat
+	IsRetry  bool  // its caller knows it to be a repeat
 }
 
-// Act is what a ledger decides on an Ask.
-type Act int
+// Action is what a ledger decides on an Ask.
+type Action int
 
 const (
-	Give     Act = iota // a grant
-	Former              // the answer that it had already
-	PushBack            // there is no room, and it never ran
-	Abort               // it may have run, and a repeat is not harmless
+	ActionGrant  Action = iota // a grant
+	ActionReplay               // the answer that it had already
+	ActionReject               // there is no room, and it never ran
+	ActionAbort                // it may have run, and a repeat is not harmless
 )
 
 // Decision is what becomes of an Ask.
 type Decision struct {
-	Act   Act
-	Grant Grant
-	Fate  Fate // of a former answer
-	Why   Why
+	Action  Action
+	Grant   Grant
+	Outcome Outcome // of a former answer
+	Reason  Reason
 }
 
-// Why is the reason for a decision that is no grant.
-type Why int
+// Reason is the reason for a decision that is no grant.
+type Reason int
 
 const (
-	WhyNot      Why = iota
-	WhyFull         // the ledger has no room
-	WhyQuota        // the caller has used up its part
-	WhyDoubtful     // an earlier grant of a non-idempotent RPC may have run
-	WhyWindow       // a tokened one's window is over, or its group is another
-	WhyOut          // an earlier grant is still out
-	WhyBlind        // this ledger has lost its records, and can't tell
-	WhyLate         // its deadline is past
-	WhyStranger     // the caller is not known
-	WhyJournal      // its record could not be written
+	ReasonNone             Reason = iota
+	ReasonFull                    // the ledger has no room
+	ReasonQuota                   // the caller has used up its part
+	ReasonMayHaveRun              // an earlier grant of a non-idempotent RPC may have run
+	ReasonOutsideWindow           // a tokened one's window is over, or its group is another
+	ReasonGrantOutstanding        // an earlier grant is still out
+	ReasonRecordsLost             // this ledger has lost its records, and can't tell
+	ReasonDeadlineExceeded        // its deadline is past
+	ReasonUnknownCaller           // the caller is not known
+	ReasonJournalFailed           // its record could not be written
 	whys
 )
 
@@ -106,7 +106,7 @@
 	risk     int64 // when the first grant was given that may have run, 0 for none
 	grant    Grant // the last one
 	state    state
-	fate     Fate
+	fate     Outcome
 	split    bool // grants of it that may have run were for several groups: a report that allowed that was lost in a crash
 }
 
@@ -116,7 +116,7 @@
 	free    []int32
 	byID    map[ID]int32
 	byGrant map[Grant]int32
-	wheel   *Wheel
+	wheel   *TimingWheel
 	last    Grant
 	most    int
 	blind   int64 // it can't tell repeats until then
@@ -131,12 +131,12 @@
 
 // Counts are of what came and what became of it.
 type Counts struct {
-	Grants     int64
-	Refused    [whys]int64
-	Formers    int64
-	Twice      int64 // reports of a grant that was reported already, or is not known any more
-	Foreign    int64 // reports by another than the grant's caller, or by an earlier start of it
-	Unreported int64 // grants whose life ended without a report
+	Grants         int64
+	Rejected       [whys]int64
+	Replayed       int64
+	UnknownReports int64 // reports of a grant that was reported already, or is not known any more
+	ForeignReports int64 // reports by another than the grant's caller, or by an earlier start of it
+	ExpiredGrants  int64 // grants whose life ended without a report
 }
 
 const (
@@ -147,7 +147,7 @@
 // New makes a ledger at a time for so many RPCs, of which one caller may have so many. Its grants are numbered from the
 // time on, so that no report of a grant from before a crash is taken for one of another since.
 func New(now int64, most, quota int) *Ledger {
-	return &Ledger{byID: map[ID]int32{}, byGrant: map[Grant]int32{}, wheel: NewWheel(now, tick), most: most, quota: quota,
+	return &Ledger{byID: map[ID]int32{}, byGrant: map[Grant]int32{}, wheel: NewTimingWheel(now, tick), most: most, quota: quota,
 		index: map[string]Caller{}, last: Grant(now)}
 }
 
@@ -173,25 +173,25 @@
 	return c, true
 }
 
-// Blind says that records were lost: until a time this ledger can't tell whether an RPC was granted before.
-func (l *Ledger) Blind(until int64) { l.blind = max(l.blind, until) }
+// MarkRecordsLost says that records were lost: until a time this ledger can't tell whether an RPC was granted before.
+func (l *Ledger) MarkRecordsLost(until int64) { l.blind = max(l.blind, until) }
 
 // Decide decides on an Ask. A grant is only proposed: Give it with Granted, once its record is written down.
-func (l *Ledger) Decide(now int64, a Ask) Decision {
+func (l *Ledger) Decide(now int64, a Request) Decision {
 	d := l.decide(now, a)
-	if d.Act == Give {
+	if d.Action == ActionGrant {
 		return d
 	}
-	if d.Act == Former {
-		l.counts.Formers++
+	if d.Action == ActionReplay {
+		l.counts.Replayed++
 	}
-	l.counts.Refused[d.Why]++
+	l.counts.Rejected[d.Reason]++
 	return d
 }
 
-func (l *Ledger) decide(now int64, a Ask) Decision {
+func (l *Ledger) decide(now int64, a Request) Decision {
 	if a.Caller < 0 || int(a.Caller) >= len(l.names) {
-		return Decision{Act: PushBack, Why: WhyStranger}
+		return Decision{Action: ActionReject, Reason: ReasonUnknownCaller}
 	}
 	place, known := l.byID[a.ID]
 	if !known {
@@ -200,46 +200,46 @@
 	e := &l.entries[place]
 	switch {
 	case e.state == answered:
-		return Decision{Act: Former, Fate: e.fate}
+		return Decision{Action: ActionReplay, Outcome: e.fate}
 	case now >= e.deadline:
-		return l.refuse(e, WhyLate)
+		return l.refuse(e, ReasonDeadlineExceeded)
 	case e.effect != a.Effect || e.window != a.Window: // not what it was: the stricter account counts
-		return l.refuse(e, WhyDoubtful)
+		return l.refuse(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
 	case e.effect == rules.Tokened && e.mayHaveRun() && (e.risk+e.window <= now || e.group != a.Group || e.split):
-		return l.refuse(e, WhyWindow)
+		return l.refuse(e, ReasonOutsideWindow)
 	case e.effect == rules.NonIdempotent && e.state == granted:
-		return l.refuse(e, WhyOut)
+		return l.refuse(e, ReasonGrantOutstanding)
 	case e.effect == rules.NonIdempotent && e.fate == MayHaveRun:
-		return l.refuse(e, WhyDoubtful)
+		return l.refuse(e, ReasonMayHaveRun)
 	}
-	return Decision{Act: Give, Grant: l.last + 1}
+	return Decision{Action: ActionGrant, Grant: l.last + 1}
 }
 
 // mayHaveRun tells whether some grant of an RPC may have run, one that is out included.
 func (e *entry) mayHaveRun() bool { return e.state == granted || e.fate != NeverRan }
 
 // refuse aborts what may have run, and pushes back what never did.
-func (l *Ledger) refuse(e *entry, why Why) Decision {
+func (l *Ledger) refuse(e *entry, why Reason) Decision {
 	if e.mayHaveRun() {
-		return Decision{Act: Abort, Why: why}
+		return Decision{Action: ActionAbort, Reason: why}
 	}
-	return Decision{Act: PushBack, Why: why}
+	return Decision{Action: ActionReject, Reason: why}
 }
 
 // first decides on an RPC that is not known here.
-func (l *Ledger) first(now int64, a Ask) Decision {
+func (l *Ledger) first(now int64, a Request) Decision {
 	switch {
 	case now >= a.Deadline:
-		return Decision{Act: PushBack, Why: WhyLate}
-	case now < l.blind && a.Again && a.Effect != rules.Idempotent:
-		return Decision{Act: Abort, Why: WhyBlind}
+		return Decision{Action: ActionReject, Reason: ReasonDeadlineExceeded}
+	case now < l.blind && a.IsRetry && a.Effect != rules.Idempotent:
+		return Decision{Action: ActionAbort, Reason: ReasonRecordsLost}
 	case len(l.byID) >= l.most:
-		return Decision{Act: PushBack, Why: WhyFull}
+		return Decision{Action: ActionReject, Reason: ReasonFull}
 	case l.open[a.Caller] >= l.quota:
-		return Decision{Act: PushBack, Why: WhyQuota}
+		return Decision{Action: ActionReject, Reason: ReasonQuota}
 	}
-	return Decision{Act: Give, Grant: l.last + 1}
+	return Decision{Action: ActionGrant, Grant: l.last + 1}
 }
 
 // Record is what has to outlast a crash: a grant of an RPC that is not idempotent, or what came of one.
@@ -253,17 +253,17 @@
 	Window   int64         `json:"window,omitempty"`
 	Deadline int64         `json:"deadline,omitempty"`
 	At       int64         `json:"at"`
-	Fate     Fate          `json:"fate,omitempty"`
+	Outcome  Outcome       `json:"fate,omitempty"`
 }
 
 // Record is what must be written down before a grant may be given; needed is false for an idempotent RPC.
-func (l *Ledger) Record(now int64, a Ask, g Grant) (r Record, needed bool) {
+func (l *Ledger) Record(now int64, a Request, g Grant) (r Record, needed bool) {
 	return Record{Grant: g, ID: a.ID, Caller: l.names[a.Caller], Epoch: l.epochs[a.Caller], Effect: a.Effect, Group: a.Group,
 		Window: a.Window, Deadline: a.Deadline, At: now}, a.Effect != rules.Idempotent
 }
 
 // Granted gives a grant that Decide has proposed just now.
-func (l *Ledger) Granted(now int64, a Ask, g Grant) {
+func (l *Ledger) Granted(now int64, a Request, g Grant) {
 	place, known := l.byID[a.ID]
 	if !known {
 		place = l.place()
@@ -310,15 +310,15 @@
 
 // Report takes what came of a grant, and tells whether it counts: reports of grants that are not out, or are another
 // caller's, don't.
-func (l *Ledger) Report(c Caller, epoch uint64, g Grant, f Fate) bool {
+func (l *Ledger) Report(c Caller, epoch uint64, g Grant, f Outcome) bool {
 	place, out := l.byGrant[g]
 	if !out {
-		l.counts.Twice++
+		l.counts.UnknownReports++
 		return false
 	}
 	e := &l.entries[place]
 	if e.caller != c || l.epochs[c] != epoch {
-		l.counts.Foreign++
+		l.counts.ForeignReports++
 		return false
 	}
 	delete(l.byGrant, g)
@@ -348,12 +348,12 @@
 	}
 }
 
-// Turn goes on to a time: what is past is forgotten. A grant that was never reported has ended in doubt by then.
-func (l *Ledger) Turn(now int64) {
-	for _, place := range l.wheel.Turn(now) {
+// Advance goes on to a time: what is past is forgotten. A grant that was never reported has ended in doubt by then.
+func (l *Ledger) Advance(now int64) {
+	for _, place := range l.wheel.Advance(now) {
 		e := &l.entries[place]
 		if e.state == granted {
-			l.counts.Unreported++
+			l.counts.ExpiredGrants++
 			l.doubt(e)
 		}
 		l.open[e.caller]--
@@ -370,7 +370,7 @@
 		if r.ID == "" {
 			if place, out := l.byGrant[r.Grant]; out {
 				e := &l.entries[place]
-				l.Report(e.caller, l.epochs[e.caller], r.Grant, r.Fate)
+				l.Report(e.caller, l.epochs[e.caller], r.Grant, r.Outcome)
 			}
 			continue
 		}
@@ -378,7 +378,7 @@
 			continue
 		}
 		c, _ := l.Join(r.Caller, r.Epoch)
-		l.Granted(r.At, Ask{ID: r.ID, Caller: c, Effect: r.Effect, Group: r.Group, Window: r.Window, Deadline: r.Deadline}, r.Grant)
+		l.Granted(r.At, Request{ID: r.ID, Caller: c, Effect: r.Effect, Group: r.Group, Window: r.Window, Deadline: r.Deadline}, r.Grant)
 	}
 	for i := range l.entries {
 		if e := &l.entries[i]; e.id != "" && e.state == granted {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -16,11 +16,11 @@
 const ms = int64(1_000_000)
 
 // Against a plain list: everything falls due once, no sooner than asked and up to a tick later, in the order of times.
-func TestWheel(t *testing.T) {
+func TestTimingWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 10
 		now := rapid.Int64Range(0, 1_000_000).Draw(t, "start")
-		w := NewWheel(now, tick)
+		w := NewTimingWheel(now, tick)
 		want := map[int32]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -37,7 +37,7 @@
 			case 3:
 				now += rapid.Int64Range(0, []int64{30, 1000, 100_000, 500_000_000}[rapid.IntRange(0, 3).Draw(t, "far")]).Draw(t, "passes")
 				last := int64(0)
-				for _, place := range w.Turn(now) {
+				for _, place := range w.Advance(now) {
 					at, is := want[place]
 					require.True(t, is, "%d was not set", place)
 					require.LessOrEqual(t, at, now)
@@ -54,18 +54,18 @@
 	})
 }
 
-func open(t *testing.T) (*Ledger, func(now int64, a Ask) Decision) {
+func open(t *testing.T) (*Ledger, func(now int64, a Request) Decision) {
 	l := New(0, 100, 50)
 	for _, name := range []string{"a", "b"} {
 		_, joined := l.Join(name, 1)
 		require.True(t, joined)
 	}
-	return l, func(now int64, a Ask) Decision {
+	return l, func(now int64, a Request) Decision {
 		if a.Deadline == 0 {
 			a.Deadline = 1000 * ms
 		}
 		d := l.Decide(now, a)
-		if d.Act == Give {
+		if d.Action == ActionGrant {
 			l.Granted(now, a, d.Grant)
 		}
 		return d
@@ -73,111 +73,111 @@
 }
 
 // Each row of the table at state, by what an RPC's effect allows.
-func TestRepeats(t *testing.T) {
+func TestRetryDecisions(t *testing.T) {
 	type try struct {
-		report Fate // of the first grant; -1 for none
-		again  Ask
+		report Outcome // of the first grant; -1 for none
+		again  Request
 		at     int64
-		want   Act
-		why    Why
+		want   Action
+		why    Reason
 	}
-	none := Fate(-1)
-	write := Ask{ID: "1", Effect: rules.NonIdempotent, Group: 1}
-	token := Ask{ID: "1", Effect: rules.Tokened, Group: 1, Window: 300 * ms}
-	read := Ask{ID: "1", Effect: rules.Idempotent, Group: 1}
+	none := Outcome(-1)
+	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
+	token := Request{ID: "1", Effect: rules.Tokened, Group: 1, Window: 300 * ms}
+	read := Request{ID: "1", Effect: rules.Idempotent, Group: 1}
 	other := token
 	other.Group = 2
 	for i, c := range []try{
-		{none, write, 10 * ms, Abort, WhyOut},
-		{NeverRan, write, 10 * ms, Give, WhyNot},
-		{MayHaveRun, write, 10 * ms, Abort, WhyDoubtful},
-		{Ran, write, 10 * ms, Former, WhyNot},
-		{NeverRan, write, 1000 * ms, PushBack, WhyLate},
-		{MayHaveRun, write, 1000 * ms, Abort, WhyLate},
-		{none, token, 10 * ms, Give, WhyNot},
-		{MayHaveRun, token, 299 * ms, Give, WhyNot},
-		{MayHaveRun, token, 300 * ms, Abort, WhyWindow},
-		{none, token, 300 * ms, Abort, WhyWindow},
-		{MayHaveRun, other, 10 * ms, Abort, WhyWindow},
-		{NeverRan, other, 10 * ms, Give, WhyNot},
-		{NeverRan, token, 400 * ms, Give, WhyNot},
-		{none, read, 10 * ms, Give, WhyNot},
-		{MayHaveRun, read, 10 * ms, Give, WhyNot},
-		{none, Ask{ID: "1", Effect: rules.Idempotent, Group: 1, Caller: 1}, 10 * ms, Give, WhyNot},
+		{none, write, 10 * ms, ActionAbort, ReasonGrantOutstanding},
+		{NeverRan, write, 10 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, write, 10 * ms, ActionAbort, ReasonMayHaveRun},
+		{Ran, write, 10 * ms, ActionReplay, ReasonNone},
+		{NeverRan, write, 1000 * ms, ActionReject, ReasonDeadlineExceeded},
+		{MayHaveRun, write, 1000 * ms, ActionAbort, ReasonDeadlineExceeded},
+		{none, token, 10 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, token, 299 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, token, 300 * ms, ActionAbort, ReasonOutsideWindow},
+		{none, token, 300 * ms, ActionAbort, ReasonOutsideWindow},
+		{MayHaveRun, other, 10 * ms, ActionAbort, ReasonOutsideWindow},
+		{NeverRan, other, 10 * ms, ActionGrant, ReasonNone},
+		{NeverRan, token, 400 * ms, ActionGrant, ReasonNone},
+		{none, read, 10 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, read, 10 * ms, ActionGrant, ReasonNone},
+		{none, Request{ID: "1", Effect: rules.Idempotent, Group: 1, Caller: 1}, 10 * ms, ActionGrant, ReasonNone},
 	} {
 		l, do := open(t)
 		first := c.again
 		first.Group, first.Caller = 1, 0
 		d := do(0, first)
-		require.Equal(t, Give, d.Act)
+		require.Equal(t, ActionGrant, d.Action)
 		if c.report != none {
 			require.True(t, l.Report(0, 1, d.Grant, c.report))
 		}
 		again := do(c.at, c.again)
-		require.Equal(t, []any{c.want, c.why}, []any{again.Act, again.Why}, "row %d", i)
+		require.Equal(t, []any{c.want, c.why}, []any{again.Action, again.Reason}, "row %d", i)
 	}
 	_, do := open(t)
 	do(0, write)
-	require.Equal(t, Abort, do(ms, read).Act, "one that says now that a repeat is harmless does not make it so")
+	require.Equal(t, ActionAbort, do(ms, read).Action, "one that says now that a repeat is harmless does not make it so")
 }
 
 // Guards against callers that report twice, for others, or after they have started anew.
 func TestReports(t *testing.T) {
 	l, do := open(t)
-	write := Ask{ID: "1", Effect: rules.NonIdempotent, Group: 1}
+	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
 	g := do(0, write).Grant
 	require.False(t, l.Report(1, 1, g, NeverRan), "not its grant")
 	require.False(t, l.Report(0, 2, g, NeverRan), "not its start")
 	require.True(t, l.Report(0, 1, g, MayHaveRun))
 	require.False(t, l.Report(0, 1, g, NeverRan), "twice")
-	require.Equal(t, Abort, do(ms, write).Act)
-	late := Ask{ID: "2", Effect: rules.NonIdempotent, Group: 1}
+	require.Equal(t, ActionAbort, do(ms, write).Action)
+	late := Request{ID: "2", Effect: rules.NonIdempotent, Group: 1}
 	g = do(0, late).Grant
 	_, joined := l.Join("a", 2)
 	require.True(t, joined)
 	require.False(t, l.Report(0, 1, g, NeverRan), "from before it started anew")
-	require.Equal(t, Abort, do(ms, late).Act)
+	require.Equal(t, ActionAbort, do(ms, late).Action)
 	_, joined = l.Join("a", 1)
 	require.False(t, joined, "an older start")
-	require.Equal(t, Counts{Twice: 2, Foreign: 2, Grants: 2, Refused: l.counts.Refused}, l.Counts())
+	require.Equal(t, Counts{UnknownReports: 2, ForeignReports: 2, Grants: 2, Rejected: l.counts.Rejected}, l.Counts())
 	l.Answer("2")
-	require.Equal(t, Former, do(ms, late).Act)
+	require.Equal(t, ActionReplay, do(ms, late).Action)
 }
 
 // Guards against a caller that never reports, and against a full ledger that forgets what may have run.
-func TestRoom(t *testing.T) {
+func TestCapacityAndExpiry(t *testing.T) {
 	l, do := open(t)
 	for i := range 50 {
-		require.Equal(t, Give, do(0, Ask{ID: ID(fmt.Sprint("a", i)), Effect: rules.NonIdempotent}).Act)
+		require.Equal(t, ActionGrant, do(0, Request{ID: ID(fmt.Sprint("a", i)), Effect: rules.NonIdempotent}).Action)
 	}
-	require.Equal(t, WhyQuota, do(0, Ask{ID: "more", Effect: rules.NonIdempotent}).Why)
+	require.Equal(t, ReasonQuota, do(0, Request{ID: "more", Effect: rules.NonIdempotent}).Reason)
 	for i := range 50 {
-		require.Equal(t, Give, do(0, Ask{ID: ID(fmt.Sprint("b", i)), Caller: 1, Effect: rules.NonIdempotent}).Act)
+		require.Equal(t, ActionGrant, do(0, Request{ID: ID(fmt.Sprint("b", i)), Caller: 1, Effect: rules.NonIdempotent}).Action)
 	}
-	require.Equal(t, WhyFull, do(0, Ask{ID: "more", Caller: 1}).Why)
-	require.Equal(t, WhyStranger, do(0, Ask{ID: "more", Caller: 7}).Why)
-	l.Turn(1000 * ms)
-	require.Equal(t, Abort, do(1000*ms, Ask{ID: "a1", Effect: rules.NonIdempotent}).Act, "inside its time nothing is forgotten")
-	l.Turn(1000*ms + grace + tick)
+	require.Equal(t, ReasonFull, do(0, Request{ID: "more", Caller: 1}).Reason)
+	require.Equal(t, ReasonUnknownCaller, do(0, Request{ID: "more", Caller: 7}).Reason)
+	l.Advance(1000 * ms)
+	require.Equal(t, ActionAbort, do(1000*ms, Request{ID: "a1", Effect: rules.NonIdempotent}).Action, "inside its time nothing is forgotten")
+	l.Advance(1000*ms + grace + tick)
 	known, out := l.Open()
 	require.Zero(t, known+out)
-	require.EqualValues(t, 100, l.Counts().Unreported)
-	require.Equal(t, Give, do(2000*ms, Ask{ID: "more", Effect: rules.NonIdempotent, Deadline: 3000 * ms}).Act)
-	l.Blind(2500 * ms)
-	require.Equal(t, WhyBlind, do(2000*ms, Ask{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, Again: true}).Why)
-	require.Equal(t, Give, do(2500*ms, Ask{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, Again: true}).Act)
+	require.EqualValues(t, 100, l.Counts().ExpiredGrants)
+	require.Equal(t, ActionGrant, do(2000*ms, Request{ID: "more", Effect: rules.NonIdempotent, Deadline: 3000 * ms}).Action)
+	l.MarkRecordsLost(2500 * ms)
+	require.Equal(t, ReasonRecordsLost, do(2000*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Reason)
+	require.Equal(t, ActionGrant, do(2500*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Action)
 }
 
 // Whatever is asked and reported, and wherever the records are cut, a non-idempotent RPC is never granted again once it
 // may have run, and a tokened one only in its group and window.
-func TestNothingRunsTwice(t *testing.T) {
+func TestNonIdempotentRPCsRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const begun = 1000 * ms
 		now := begun
 		l := New(now, 40, 30)
 		var records []Record
 		type sent struct {
-			ask   Ask
+			ask   Request
 			grant Grant
 			epoch uint64
 			ran   bool
@@ -197,10 +197,10 @@
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1, 2:
 				n := rapid.IntRange(0, 5).Draw(t, "id")
-				a := Ask{ID: ID(fmt.Sprint(n)), Effect: effects[n%3], Caller: Caller(rapid.IntRange(0, 1).Draw(t, "caller")),
+				a := Request{ID: ID(fmt.Sprint(n)), Effect: effects[n%3], Caller: Caller(rapid.IntRange(0, 1).Draw(t, "caller")),
 					Group: rules.GroupID(rapid.IntRange(1, 2).Draw(t, "group")), Window: 100 * ms * int64(n%3%2), Deadline: begun + 400*ms}
 				d := l.Decide(now, a)
-				if d.Act != Give {
+				if d.Action != ActionGrant {
 					continue
 				}
 				if r, needed := l.Record(now, a, d.Grant); needed {
@@ -228,12 +228,12 @@
 						fate = Ran
 					}
 					if l.Report(s.ask.Caller, s.epoch, s.grant, fate) && s.ask.Effect != rules.Idempotent && rapid.Bool().Draw(t, "recorded") {
-						records = append(records, Record{Grant: s.grant, Fate: fate, At: now})
+						records = append(records, Record{Grant: s.grant, Outcome: fate, At: now})
 					}
 				}
 			case 5:
 				now += rapid.Int64Range(0, 60).Draw(t, "ms") * ms
-				l.Turn(now)
+				l.Advance(now)
 			case 6:
 				c := rapid.IntRange(0, 1).Draw(t, "restarts")
 				epochs[c]++
@@ -284,7 +284,7 @@
 	const openOnes = 1_000_000
 	rng := rand.New(rand.NewSource(1))
 	b.Run("wheel", func(b *testing.B) {
-		w := NewWheel(0, tick)
+		w := NewTimingWheel(0, tick)
 		for i := range openOnes {
 			w.Set(int32(i), 1+rng.Int63n(2000*ms))
 		}
@@ -293,7 +293,7 @@
 		b.ResetTimer()
 		for done := 0; done < b.N; {
 			now += tick
-			for _, place := range w.Turn(now) {
+			for _, place := range w.Advance(now) {
 				w.Set(place, now+1+rng.Int63n(2000*ms))
 				done++
 			}
--- a/internal/ledger/wheel.go
+++ b/internal/ledger/wheel.go
@@ -2,10 +2,10 @@
 
 import "math/bits"
 
-// Wheel keeps what falls due at times, by places that its user gives out from 0. It is a hierarchical timing wheel
+// TimingWheel keeps what falls due at times, by places that its user gives out from 0. It is a hierarchical timing wheel
 // (Varghese and Lauck 1987): six levels of 64 slots, each slot a list that runs through arrays by place, so that setting,
 // moving and calling off cost the same however many wait. What is due in one tick comes in the order in which it was set.
-type Wheel struct {
+type TimingWheel struct {
 	tick  int64
 	now   int64 // in ticks
 	heads [levels][slots]int32
@@ -29,9 +29,9 @@
 	slotsMask = slots - 1
 )
 
-// NewWheel makes a wheel that starts at a time and tells times apart by a tick.
-func NewWheel(now, tick int64) *Wheel {
-	w := &Wheel{tick: tick, now: now / tick}
+// NewTimingWheel makes a wheel that starts at a time and tells times apart by a tick.
+func NewTimingWheel(now, tick int64) *TimingWheel {
+	w := &TimingWheel{tick: tick, now: now / tick}
 	for l := range levels {
 		for s := range slots {
 			w.heads[l][s], w.tails[l][s] = none, none
@@ -41,10 +41,10 @@
 }
 
 // Count is how many places wait.
-func (w *Wheel) Count() int { return w.count }
+func (w *TimingWheel) Count() int { return w.count }
 
 // Set lets a place fall due at a time, in place of when it was to before. It comes no sooner, and up to a tick later.
-func (w *Wheel) Set(place int32, at int64) {
+func (w *TimingWheel) Set(place int32, at int64) {
 	for int(place) >= len(w.at) {
 		w.at, w.next, w.prev = append(w.at, 0), append(w.next, none), append(w.prev, none)
 		w.slot = append(w.slot, off)
@@ -57,7 +57,7 @@
 }
 
 // Clear calls off what a place waits for, if it waits.
-func (w *Wheel) Clear(place int32) {
+func (w *TimingWheel) Clear(place int32) {
 	if int(place) >= len(w.slot) || w.slot[place] == off {
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // hang puts a place into the slot of its time: the level is that of the highest bits in which it differs from now.
-func (w *Wheel) hang(place int32) {
+func (w *TimingWheel) hang(place int32) {
 	level := 0
 	if differ := uint64(w.at[place] ^ w.now); differ > 0 {
 		level = min((63-bits.LeadingZeros64(differ))/slotBits, levels-1)
@@ -83,7 +83,7 @@
 	w.used[level] |= 1 << s
 }
 
-func (w *Wheel) unhang(place int32) {
+func (w *TimingWheel) unhang(place int32) {
 	level, s := int(w.slot[place])/slots, int(w.slot[place])%slots
 	before, after := w.prev[place], w.next[place]
 	if before == none {
@@ -102,8 +102,8 @@
 	w.slot[place] = off
 }
 
-// Turn goes on to a time and gives the places that have fallen due, until the next call.
-func (w *Wheel) Turn(now int64) []int32 {
+// Advance goes on to a time and gives the places that have fallen due, until the next call.
+func (w *TimingWheel) Advance(now int64) []int32 {
 	w.due = w.due[:0]
 	for to := now / w.tick; w.now < to; {
 		w.now = w.skip(to)
@@ -123,7 +123,7 @@
 }
 
 // skip is the next tick at which anything may have to be done, or the last one asked for.
-func (w *Wheel) skip(to int64) int64 {
+func (w *TimingWheel) skip(to int64) int64 {
 	if w.count == 0 {
 		return to
 	}
@@ -134,7 +134,7 @@
 }
 
 // spill hangs what a slot has anew, lower down.
-func (w *Wheel) spill(level, s int) {
+func (w *TimingWheel) spill(level, s int) {
 	place := w.heads[level][s]
 	w.heads[level][s], w.tails[level][s] = none, none
 	w.used[level] &^= 1 << s
--- a/internal/membership/chair.go
+++ b/internal/membership/chair.go
@@ -55,7 +55,7 @@
 )
 
 // NewChair takes up what a journal holds. Leases that were given before are waited for.
-func NewChair(book *cells.Book, j *store.Journal, lease, hold time.Duration, fill Fill, log logrus.FieldLogger) (*Chair, error) {
+func NewChair(book *cells.Directory, j *store.Journal, lease, hold time.Duration, fill Fill, log logrus.FieldLogger) (*Chair, error) {
 	h := newChair(fill, log)
 	records, err := store.All[cells.Record](j)
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 // NewFellow makes a chair that is one of a council's, and Join its place there.
-func NewFellow(book *cells.Book, lease, hold, skew time.Duration, fill Fill, log logrus.FieldLogger) (*Chair, error) {
+func NewFellow(book *cells.Directory, lease, hold, skew time.Duration, fill Fill, log logrus.FieldLogger) (*Chair, error) {
 	h := newChair(fill, log)
 	var err error
 	h.c, err = cells.NewCoordinator(h.now(), book, int64(lease), int64(hold), int64(skew), fill != nil, nil)
@@ -93,7 +93,7 @@
 	}
 	if e := r.Entry; e != nil {
 		h.log.WithFields(logrus.Fields{"tenant": e.Tenant, "stage": e.Stage, "cell": e.Cell, "to": e.To, "epoch": e.Epoch,
-			"why": e.Why}).Info("move")
+			"why": e.Reason}).Info("move")
 		h.changed.ring()
 	}
 	return nil
@@ -125,25 +125,25 @@
 }
 
 // fillSteps are what the store is asked at a stage.
-var fillSteps = map[cells.Stage]string{cells.Prepared: "begin", cells.Switched: "end", cells.Returning: "drop"}
+var fillSteps = map[cells.Stage]string{cells.StagePrepared: "begin", cells.StageSwitched: "end", cells.StageRollingBack: "drop"}
 
 // fillings are what the store has to be asked and has not been. The lock is held.
 func (h *Chair) fillings() (due []Filling) {
-	l := h.c.Book().Layout()
-	for _, e := range h.c.Book().Moving() {
+	l := h.c.Directory().Layout()
+	for _, e := range h.c.Directory().Moving() {
 		step, asks := fillSteps[e.Stage]
 		if !asks || h.asked[e.Tenant] == e.Epoch {
 			continue
 		}
-		f := Filling{Step: step, Tenant: e.Tenant, Epoch: e.Epoch, Cut: e.Cut}
+		f := Filling{Step: step, Tenant: e.Tenant, Epoch: e.Epoch, Cut: e.CutoverPosition}
 		from, to := l.Find(e.Cell), l.Find(e.To)
 		if from == cells.NoCell || to == cells.NoCell {
 			continue // this voter's file does not have it: it must not lead for long
 		}
-		if e.Stage == cells.Switched {
+		if e.Stage == cells.StageSwitched {
 			from, to = to, from
 		}
-		f.From, f.To = l.Shard(e.Tenant, from), l.Shard(e.Tenant, to)
+		f.From, f.To = l.TenantGroups(e.Tenant, from), l.TenantGroups(e.Tenant, to)
 		due = append(due, f)
 	}
 	return due
@@ -159,7 +159,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err == nil {
-		h.c.Filled(f.Tenant, f.Epoch)
+		h.c.MarkFilled(f.Tenant, f.Epoch)
 	} else if h.asked[f.Tenant] == f.Epoch {
 		delete(h.asked, f.Tenant)
 	}
@@ -192,7 +192,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.c.Newer(r), nil
+	return h.c.CurrentGrant(r), nil
 }
 
 // Move begins to move tenants, one after another until one can't be moved.
@@ -221,26 +221,26 @@
 
 // State is what a coordinator tells of itself.
 type State struct {
-	Voter   council.VoterID `json:"voter,omitempty"` // that tells it, of a council
-	Epoch   cells.Epoch     `json:"epoch"`
-	Drivers []cells.Driver  `json:"drivers"`
-	Now     int64           `json:"now"`
-	Loads   []cells.Weighed `json:"loads"`   // RPCs a second, the heaviest tenants first
-	Entries []cells.Entry   `json:"entries"` // of all tenants that were ever moved, the one decided on last last
+	Voter   council.VoterID    `json:"voter,omitempty"` // that tells it, of a council
+	Epoch   cells.Epoch        `json:"epoch"`
+	Drivers []cells.Driver     `json:"drivers"`
+	Now     int64              `json:"now"`
+	Loads   []cells.TenantLoad `json:"loads"`   // RPCs a second, the heaviest tenants first
+	Entries []cells.Entry      `json:"entries"` // of all tenants that were ever moved, the one decided on last last
 }
 
 // State tells where moves stand.
 func (h *Chair) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return State{Voter: h.ledger.voter(), Epoch: h.c.Book().Newest(), Drivers: h.c.Drivers(), Now: h.now(), Loads: h.c.Loads(h.now()), Entries: h.c.Book().Since(0)}
+	return State{Voter: h.ledger.voter(), Epoch: h.c.Directory().LatestEpoch(), Drivers: h.c.Drivers(), Now: h.now(), Loads: h.c.Loads(h.now()), Entries: h.c.Directory().Since(0)}
 }
 
 // Become takes over a file read again.
 func (h *Chair) Become(l *cells.Layout, pins map[cells.Tenant]string) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.c.Book().Become(l, pins)
+	return h.c.Directory().Update(l, pins)
 }
 
 // Handle lets a chair answer drivers and operators, or pass on what they ask to the one that decides.
--- a/internal/membership/chair_test.go
+++ b/internal/membership/chair_test.go
@@ -24,22 +24,22 @@
 	return log
 }
 
-func book() *cells.Book {
+func book() *cells.Directory {
 	l := cells.NewLayout(1)
 	l.Add("old", cells.Groups{1}, 1, 0, "")
 	l.Add("new", cells.Groups{2}, 0, 0, "")
-	return cells.NewBook(l, nil)
+	return cells.NewDirectory(l, nil)
 }
 
 // idle is a driver without RPCs.
 type idle struct {
 	mu   sync.Mutex
-	gate *cells.Gate
+	gate *cells.AdmissionController
 }
 
 func newIdle() *idle {
-	y := cells.NewTenancy(nil, nil, nil, cells.OwnNobody, "t")
-	return &idle{gate: cells.NewGate(book(), y, nil, true, 1)}
+	y := cells.NewTenantResolver(nil, nil, nil, cells.DefaultNone, "t")
+	return &idle{gate: cells.NewAdmissionController(book(), y, nil, true, 1)}
 }
 
 func (d *idle) Report(name string, incarnation uint64) (cells.Report, int64) {
@@ -52,14 +52,14 @@
 func (d *idle) ReportGrant(asked int64, g cells.Grant) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, err := d.gate.Granted(asked, g)
+	_, err := d.gate.ApplyGrant(asked, g)
 	return err
 }
 
-func (d *idle) seat() cells.Seat {
+func (d *idle) seat() cells.Placement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gate.Book().Seat("t")
+	return d.gate.Directory().Placement("t")
 }
 
 // Guards against a coordinator that dies between any two records: the next one goes on from there, the store is asked for
@@ -123,7 +123,7 @@
 			return len(entries) == 1 && entries[0].Epoch > epoch
 		})
 		epoch = entries[0].Epoch
-		if entries[0].Stage == cells.Resting {
+		if entries[0].Stage == cells.StageIdle {
 			break
 		}
 		stop()
@@ -134,9 +134,9 @@
 	defer func() { stop() }()
 	require.GreaterOrEqual(t, deaths, 4)
 	for _, d := range drivers {
-		eventually("the drivers follow", func() bool { return d.seat().Stage == cells.Resting })
+		eventually("the drivers follow", func() bool { return d.seat().Stage == cells.StageIdle })
 		require.Equal(t, "new", drivers[0].gate.Layout().Name(d.seat().Cell))
-		require.NotZero(t, d.seat().Floor)
+		require.NotZero(t, d.seat().MinPosition)
 	}
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/membership/ledger.go
+++ b/internal/membership/ledger.go
@@ -152,12 +152,12 @@
 func (p Place) Snapshot() ([]byte, error) {
 	p.h.mu.Lock()
 	defer p.h.mu.Unlock()
-	return json.Marshal(p.h.c.Past())
+	return json.Marshal(p.h.c.Snapshot())
 }
 
 // Restore takes over a snapshot.
 func (p Place) Restore(data []byte) error {
-	var past cells.Past
+	var past cells.Snapshot
 	if err := json.Unmarshal(data, &past); err != nil {
 		return err
 	}
@@ -174,5 +174,5 @@
 	defer p.h.mu.Unlock()
 	p.h.c.TakeOver(p.h.now())
 	p.h.asked = map[cells.Tenant]cells.Epoch{}
-	p.h.log.WithFields(logrus.Fields{"epoch": p.h.c.Book().Newest(), "drivers": len(p.h.c.Drivers())}).Info("coordinates")
+	p.h.log.WithFields(logrus.Fields{"epoch": p.h.c.Directory().LatestEpoch(), "drivers": len(p.h.c.Drivers())}).Info("coordinates")
 }
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -106,8 +106,8 @@
 	if !hashed {
 		return o.fault("cells.cell", "all weights are 0: no cell takes the tenants that are not pinned")
 	}
-	if o.Cells.GroupsATenant > cells.MostSpread {
-		return o.fault("cells.groups_a_tenant", "%d is more than %d", o.Cells.GroupsATenant, cells.MostSpread)
+	if o.Cells.GroupsATenant > cells.MaxGroupsPerTenant {
+		return o.fault("cells.groups_a_tenant", "%d is more than %d", o.Cells.GroupsATenant, cells.MaxGroupsPerTenant)
 	}
 	return nil
 }
@@ -439,11 +439,11 @@
 	return l
 }
 
-var owns = map[operatorpb.Own]cells.Own{operatorpb.Own_NOBODY: cells.OwnNobody, operatorpb.Own_USER: cells.OwnUser,
-	operatorpb.Own_DATABASE: cells.OwnDatabase}
+var owns = map[operatorpb.Own]cells.DefaultTenant{operatorpb.Own_NOBODY: cells.DefaultNone, operatorpb.Own_USER: cells.DefaultUser,
+	operatorpb.Own_DATABASE: cells.DefaultDatabase}
 
 // Tenancy is the file's rules on whom an RPC belongs to.
-func (o *Orders) Tenancy() *cells.Tenancy {
+func (o *Orders) Tenancy() *cells.TenantResolver {
 	prefixes, users, databases := map[string]cells.Tenant{}, map[string]cells.Tenant{}, map[string]cells.Tenant{}
 	for _, r := range o.Cells.Tenancy.Rule {
 		switch t := cells.Tenant(r.Tenant); {
@@ -455,7 +455,7 @@
 			databases[r.Database] = t
 		}
 	}
-	return cells.NewTenancy(prefixes, users, databases, owns[o.Cells.Tenancy.Own], cells.Tenant(o.Cells.Tenancy.Others))
+	return cells.NewTenantResolver(prefixes, users, databases, owns[o.Cells.Tenancy.Own], cells.Tenant(o.Cells.Tenancy.Others))
 }
 
 // Pins are the cells that tenants are pinned to.
@@ -487,32 +487,32 @@
 	if b == nil {
 		return nil
 	}
-	all := cells.Amounts{cells.RPCs: int64(b.Rpcs), cells.CallOuts: int64(b.CallOuts), cells.Answers: int64(b.AnswerKib) << 10,
-		cells.Sockets: int64(sockets)}
+	all := cells.Budget{cells.RPCs: int64(b.Rpcs), cells.Attempts: int64(b.CallOuts), cells.ResponseBytes: int64(b.AnswerKib) << 10,
+		cells.ClientConnections: int64(sockets)}
 	return cells.NewLimits(all, b.Lend, l, o.Weights())
 }
 
 // Book is where the file alone says that tenants are.
-func (o *Orders) Book() *cells.Book {
+func (o *Orders) Book() *cells.Directory {
 	l := o.Layout()
 	pins := map[cells.Tenant]cells.Cell{}
 	for t, name := range o.Pins() {
 		pins[t] = l.Find(name)
 	}
-	return cells.NewBook(l, pins)
+	return cells.NewDirectory(l, pins)
 }
 
 // Gate is what a driver confines tenants by, at which so many connections of clients may wait.
-func (o *Orders) Gate(sockets int) *cells.Gate {
+func (o *Orders) Gate(sockets int) *cells.AdmissionController {
 	b := o.Book()
 	held := int(o.Cells.GetCoordination().GetHeld())
-	return cells.NewGate(b, o.Tenancy(), o.Limits(b.Layout(), sockets), o.Cells.Coordination != nil, held)
+	return cells.NewAdmissionController(b, o.Tenancy(), o.Limits(b.Layout(), sockets), o.Cells.Coordination != nil, held)
 }
 
 // Rooms are the cells for the planner, in the file's order.
 func (o *Orders) Rooms() (rooms []planner.Cell) {
 	for _, c := range o.Cells.Cell {
-		rooms = append(rooms, planner.Cell{Name: c.Name, Able: c.Capacity, Hall: c.Hall})
+		rooms = append(rooms, planner.Cell{Name: c.Name, Capacity: c.Capacity, Hall: c.Hall})
 	}
 	return rooms
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -10,32 +10,32 @@
 
 // Tenant is a tenant to be placed.
 type Tenant struct {
-	Name string
-	Load float64 // RPCs a second
-	At   int     // place of its cell now, Nowhere for none
-	Stay bool    // it may not be moved
-	Hall string  // its cell must stand there, empty for anywhere
+	Name        string
+	Load        float64 // RPCs a second
+	CurrentCell int     // place of its cell now, Nowhere for none
+	Pinned      bool    // it may not be moved
+	Hall        string  // its cell must stand there, empty for anywhere
 }
 
 // Cell is a cell to place tenants in.
 type Cell struct {
-	Name string
-	Able float64 // RPCs a second that it can bear, above 0
-	Hall string
+	Name     string
+	Capacity float64 // RPCs a second that it can bear, above 0
+	Hall     string
 }
 
-// Nowhere is where a tenant is that has no cell yet.
-const Nowhere = -1
+// NoCell is where a tenant is that has no cell yet.
+const NoCell = -1
 
 // Plan is where tenants should be.
 type Plan struct {
-	Place []int     // by tenant
-	Moves []int     // tenants that are elsewhere now, the heaviest first
-	Loads []float64 // by cell, over what it can bear
-	Worst float64   // of Loads
-	Mean  float64   // of all load over all that cells can bear
-	Bound float64   // no plan has a lower worst
-	Exact bool      // some plan reaches the bound; this one comes within a hundredth of it, for fewer moves
+	Placement    []int     // by tenant
+	Moves        []int     // tenants that are elsewhere now, the heaviest first
+	Loads        []float64 // by cell, over what it can bear
+	MaxLoad      float64   // of Loads
+	MeanLoad     float64   // of all load over all that cells can bear
+	LowerBound   float64   // no plan has a lower worst
+	IsBoundTight bool      // some plan reaches the bound; this one comes within a hundredth of it, for fewer moves
 }
 
 const (
@@ -46,8 +46,8 @@
 	mostNodes  = 1 << 20
 )
 
-// Make makes a plan with at most so many moves, below 0 for any number.
-func Make(tenants []Tenant, cells []Cell, most int) Plan {
+// NewPlan makes a plan with at most so many moves, below 0 for any number.
+func NewPlan(tenants []Tenant, cells []Cell, most int) Plan {
 	w := newWork(tenants, cells)
 	if most < 0 {
 		most = len(tenants)
@@ -79,8 +79,8 @@
 	return w.plan(w.settle(best), bound, exact)
 }
 
-// Measure tells what a placement is worth, such as one that there is.
-func Measure(tenants []Tenant, cells []Cell, place []int) Plan {
+// Evaluate tells what a placement is worth, such as one that there is.
+func Evaluate(tenants []Tenant, cells []Cell, place []int) Plan {
 	w := newWork(tenants, cells)
 	return w.plan(place, w.bound(), false)
 }
@@ -101,17 +101,17 @@
 	}
 	slices.SortStableFunc(w.order, func(a, b int) int { return cmp.Compare(tenants[b].Load, tenants[a].Load) })
 	for _, c := range cells {
-		w.able += c.Able
+		w.able += c.Capacity
 	}
-	w.stays = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Stay })
+	w.stays = slices.ContainsFunc(tenants, func(t Tenant) bool { return t.Pinned })
 	return w
 }
 
 // may tells whether a tenant may be in a cell.
 func (w *work) may(t, c int) bool {
 	tenant := &w.tenants[t]
-	if tenant.Stay && tenant.At != Nowhere {
-		return tenant.At == c
+	if tenant.Pinned && tenant.CurrentCell != NoCell {
+		return tenant.CurrentCell == c
 	}
 	return tenant.Hall == "" || tenant.Hall == w.cells[c].Hall
 }
@@ -119,7 +119,7 @@
 func (w *work) loads(place []int) []float64 {
 	loads := make([]float64, len(w.cells))
 	for t, c := range place {
-		if c != Nowhere {
+		if c != NoCell {
 			loads[c] += w.tenants[t].Load
 		}
 	}
@@ -128,14 +128,14 @@
 
 func (w *work) worst(place []int) (worst float64) {
 	for c, load := range w.loads(place) {
-		worst = max(worst, load/w.cells[c].Able)
+		worst = max(worst, load/w.cells[c].Capacity)
 	}
 	return worst
 }
 
 func (w *work) moves(place []int) (n int) {
 	for t, c := range place {
-		if at := w.tenants[t].At; at != Nowhere && at != c {
+		if at := w.tenants[t].CurrentCell; at != NoCell && at != c {
 			n++
 		}
 	}
@@ -150,21 +150,21 @@
 	halls, stays := map[string]float64{}, make([]float64, len(w.cells))
 	able := map[string]float64{}
 	for _, c := range w.cells {
-		largest = max(largest, c.Able)
-		able[c.Hall] += c.Able
+		largest = max(largest, c.Capacity)
+		able[c.Hall] += c.Capacity
 	}
 	bound := 0.0
 	for t, tenant := range w.tenants {
 		sum += tenant.Load
-		if tenant.Stay && tenant.At != Nowhere {
-			stays[tenant.At] += tenant.Load
+		if tenant.Pinned && tenant.CurrentCell != NoCell {
+			stays[tenant.CurrentCell] += tenant.Load
 		} else if tenant.Hall != "" {
 			halls[tenant.Hall] += tenant.Load
 		}
 		best := 0.0
 		for c := range w.cells {
 			if w.may(t, c) {
-				best = max(best, w.cells[c].Able)
+				best = max(best, w.cells[c].Capacity)
 			}
 		}
 		if best > 0 {
@@ -178,7 +178,7 @@
 		}
 	}
 	for c, load := range stays {
-		bound = max(bound, load/w.cells[c].Able)
+		bound = max(bound, load/w.cells[c].Capacity)
 	}
 	if n := len(w.cells); len(w.order) > n {
 		bound = max(bound, (w.tenants[w.order[n-1]].Load+w.tenants[w.order[n]].Load)/largest)
@@ -191,8 +191,8 @@
 	place, loads := make([]int, len(w.tenants)), make([]float64, len(w.cells))
 	var loose []int
 	for _, t := range w.order {
-		at := w.tenants[t].At
-		if at != Nowhere && w.may(t, at) {
+		at := w.tenants[t].CurrentCell
+		if at != NoCell && w.may(t, at) {
 			place[t] = at
 			loads[at] += w.tenants[t].Load
 		} else {
@@ -201,7 +201,7 @@
 	}
 	for _, t := range loose {
 		place[t] = w.freest(t, loads)
-		if place[t] != Nowhere {
+		if place[t] != NoCell {
 			loads[place[t]] += w.tenants[t].Load
 		}
 	}
@@ -210,9 +210,9 @@
 
 // freest is the cell whose load would be least with a tenant, Nowhere where none may have it.
 func (w *work) freest(t int, loads []float64) int {
-	best, least := Nowhere, math.Inf(1)
+	best, least := NoCell, math.Inf(1)
 	for c := range w.cells {
-		if load := (loads[c] + w.tenants[t].Load) / w.cells[c].Able; w.may(t, c) && load < least {
+		if load := (loads[c] + w.tenants[t].Load) / w.cells[c].Capacity; w.may(t, c) && load < least {
 			best, least = c, load
 		}
 	}
@@ -225,10 +225,10 @@
 func (w *work) within(target float64, most int) []int {
 	place := w.present()
 	loads := w.loads(place)
-	limit := func(c int) float64 { return target*w.cells[c].Able*(1+1e-12) + 1e-12 }
+	limit := func(c int) float64 { return target*w.cells[c].Capacity*(1+1e-12) + 1e-12 }
 	members := make([][]int, len(w.cells)) // the heaviest first
 	for _, t := range w.order {
-		if place[t] == Nowhere {
+		if place[t] == NoCell {
 			return nil
 		}
 		members[place[t]] = append(members[place[t]], t)
@@ -243,20 +243,20 @@
 	heaviestFirst(loose)
 	for _, t := range loose {
 		loads[place[t]] -= w.tenants[t].Load
-		place[t] = Nowhere
+		place[t] = NoCell
 	}
 	for len(loose) > 0 {
 		t := loose[0]
 		loose = loose[1:]
 		c := w.tightest(t, loads, limit)
-		if c == Nowhere {
+		if c == NoCell {
 			var out []int
-			if out, c = w.displace(t, place, loads, limit, members); c == Nowhere {
+			if out, c = w.displace(t, place, loads, limit, members); c == NoCell {
 				return nil
 			}
 			for _, o := range out {
 				loads[c] -= w.tenants[o].Load
-				place[o] = Nowhere
+				place[o] = NoCell
 			}
 			loose = append(loose, out...)
 			heaviestFirst(loose)
@@ -277,13 +277,13 @@
 		if excess <= 0 {
 			return out
 		}
-		if w.tenants[t].Stay {
+		if w.tenants[t].Pinned {
 			continue
 		}
 		if load := w.tenants[t].Load; load >= excess {
 			last := t
 			for _, lighter := range members[i:] {
-				if w.tenants[lighter].Load >= excess && !w.tenants[lighter].Stay {
+				if w.tenants[lighter].Load >= excess && !w.tenants[lighter].Pinned {
 					last = lighter
 				}
 			}
@@ -297,7 +297,7 @@
 
 // tightest is the cell that has least room left with a tenant, Nowhere where it fits in none.
 func (w *work) tightest(t int, loads []float64, limit func(int) float64) int {
-	best, least := Nowhere, math.Inf(1)
+	best, least := NoCell, math.Inf(1)
 	for c := range w.cells {
 		if left := limit(c) - loads[c] - w.tenants[t].Load; left >= 0 && left < least && w.may(t, c) {
 			best, least = c, left
@@ -310,22 +310,22 @@
 // heavier than what it displaces, so that this comes to an end.
 func (w *work) displace(t int, place []int, loads []float64, limit func(int) float64, members [][]int) (out []int, in int) {
 	load := w.tenants[t].Load
-	in = Nowhere
+	in = NoCell
 	for c := range w.cells {
 		if !w.may(t, c) || load > limit(c) {
 			continue
 		}
 		short, some := loads[c]+load-limit(c), []int(nil)
 		for _, o := range members[c] {
-			if short <= 0 || in != Nowhere && len(some) >= len(out) {
+			if short <= 0 || in != NoCell && len(some) >= len(out) {
 				break
 			}
-			if other := &w.tenants[o]; place[o] == c && !other.Stay && other.Load < load {
+			if other := &w.tenants[o]; place[o] == c && !other.Pinned && other.Load < load {
 				some = append(some, o)
 				short -= other.Load
 			}
 		}
-		if short <= 0 && (in == Nowhere || len(some) < len(out)) {
+		if short <= 0 && (in == NoCell || len(some) < len(out)) {
 			out, in = some, c
 		}
 	}
@@ -357,17 +357,17 @@
 	for range mostPolish {
 		from := 0
 		for c := range loads {
-			if loads[c]/w.cells[c].Able > loads[from]/w.cells[from].Able {
+			if loads[c]/w.cells[c].Capacity > loads[from]/w.cells[from].Capacity {
 				from = c
 			}
 		}
 		s := w.bestStep(from, place, loads)
-		if s.out == Nowhere {
+		if s.out == NoCell {
 			break
 		}
 		next := slices.Clone(place)
 		next[s.out] = s.to
-		if s.back != Nowhere {
+		if s.back != NoCell {
 			next[s.back] = from
 		}
 		if w.moves(next) > most {
@@ -385,11 +385,11 @@
 const widest = 64 // tenants of a cell that are looked at for a step
 
 func (w *work) bestStep(from int, place []int, loads []float64) step {
-	worst := loads[from] / w.cells[from].Able
-	best, least := step{Nowhere, Nowhere, Nowhere}, worst*(1-worthwhile)
+	worst := loads[from] / w.cells[from].Capacity
+	best, least := step{NoCell, NoCell, NoCell}, worst*(1-worthwhile)
 	members := make([][]int, len(w.cells))
 	for _, t := range w.order {
-		if c := place[t]; c != Nowhere && len(members[c]) < widest && !w.tenants[t].Stay {
+		if c := place[t]; c != NoCell && len(members[c]) < widest && !w.tenants[t].Pinned {
 			members[c] = append(members[c], t)
 		}
 	}
@@ -400,12 +400,12 @@
 			}
 			try := func(back int, load float64) {
 				shift := w.tenants[out].Load - load
-				higher := max((loads[from]-shift)/w.cells[from].Able, (loads[to]+shift)/w.cells[to].Able)
+				higher := max((loads[from]-shift)/w.cells[from].Capacity, (loads[to]+shift)/w.cells[to].Capacity)
 				if shift > 0 && higher < least {
 					best, least = step{out, to, back}, higher
 				}
 			}
-			try(Nowhere, 0)
+			try(NoCell, 0)
 			for _, back := range members[to] {
 				if w.may(back, from) {
 					try(back, w.tenants[back].Load)
@@ -423,8 +423,8 @@
 	worst := w.worst(place)
 	for i := len(w.order) - 1; i >= 0; i-- {
 		t := w.order[i]
-		at, load := w.tenants[t].At, w.tenants[t].Load
-		if at == Nowhere || at == place[t] || !w.may(t, at) || (loads[at]+load)/w.cells[at].Able > worst {
+		at, load := w.tenants[t].CurrentCell, w.tenants[t].Load
+		if at == NoCell || at == place[t] || !w.may(t, at) || (loads[at]+load)/w.cells[at].Capacity > worst {
 			continue
 		}
 		loads[place[t]] -= load
@@ -456,13 +456,13 @@
 		}
 		tried := map[seen]bool{}
 		for c := range w.cells {
-			alike := seen{loads[c], w.cells[c].Able, w.cells[c].Hall}
+			alike := seen{loads[c], w.cells[c].Capacity, w.cells[c].Hall}
 			if !w.may(t, c) || tried[alike] && !w.stays {
 				continue
 			}
 			tried[alike] = true
 			load := loads[c] + w.tenants[t].Load
-			if load/w.cells[c].Able >= least*(1-1e-9) {
+			if load/w.cells[c].Capacity >= least*(1-1e-9) {
 				continue
 			}
 			was := loads[c]
@@ -476,15 +476,15 @@
 }
 
 func (w *work) plan(place []int, bound float64, exact bool) Plan {
-	p := Plan{Place: place, Loads: w.loads(place), Worst: w.worst(place), Bound: bound, Exact: exact}
+	p := Plan{Placement: place, Loads: w.loads(place), MaxLoad: w.worst(place), LowerBound: bound, IsBoundTight: exact}
 	sum := 0.0
 	for c, load := range p.Loads {
 		sum += load
-		p.Loads[c] = load / w.cells[c].Able
+		p.Loads[c] = load / w.cells[c].Capacity
 	}
-	p.Mean = sum / w.able
+	p.MeanLoad = sum / w.able
 	for _, t := range w.order {
-		if at := w.tenants[t].At; at != Nowhere && at != place[t] {
+		if at := w.tenants[t].CurrentCell; at != NoCell && at != place[t] {
 			p.Moves = append(p.Moves, t)
 		}
 	}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -24,16 +24,16 @@
 	tenants := make([]Tenant, count)
 	sum := 0.0
 	for i := range tenants {
-		tenants[i] = Tenant{Name: fmt.Sprintf("tenant-%d", i), Load: noise.Rand() / math.Pow(float64(i+1), 0.7), At: Nowhere}
+		tenants[i] = Tenant{Name: fmt.Sprintf("tenant-%d", i), Load: noise.Rand() / math.Pow(float64(i+1), 0.7), CurrentCell: NoCell}
 		sum += tenants[i].Load
 	}
 	rooms, able := make([]Cell, cells), 0.0
 	for c := range rooms {
-		rooms[c] = Cell{Name: fmt.Sprintf("cell-%d", c), Able: 1 + float64(c%2), Hall: []string{"milan", "turin"}[c%2]}
-		able += rooms[c].Able
+		rooms[c] = Cell{Name: fmt.Sprintf("cell-%d", c), Capacity: 1 + float64(c%2), Hall: []string{"milan", "turin"}[c%2]}
+		able += rooms[c].Capacity
 	}
 	for c := range rooms {
-		rooms[c].Able *= sum / able / 0.6
+		rooms[c].Capacity *= sum / able / 0.6
 	}
 	return tenants, rooms
 }
@@ -44,7 +44,7 @@
 		best, at := math.Inf(-1), 0
 		for c, cell := range cells {
 			u := (float64(xxhash.Sum64String(t.Name+"/"+cell.Name)>>11) + 0.5) / (1 << 53)
-			if score := -cell.Able / math.Log(u); score > best {
+			if score := -cell.Capacity / math.Log(u); score > best {
 				best, at = score, c
 			}
 		}
@@ -74,7 +74,7 @@
 		for _, t := range order {
 			c := -1
 			for i := range cells {
-				if (loads[i]+tenants[t].Load)/cells[i].Able <= limit {
+				if (loads[i]+tenants[t].Load)/cells[i].Capacity <= limit {
 					c = i
 					break
 				}
@@ -95,44 +95,44 @@
 func check(t require.TestingT, tenants []Tenant, cells []Cell, most int, p Plan) {
 	w := newWork(tenants, cells)
 	moves := 0
-	for i, c := range p.Place {
-		if c == Nowhere {
+	for i, c := range p.Placement {
+		if c == NoCell {
 			continue
 		}
 		require.True(t, w.may(i, c), "tenant %d may not be in cell %d", i, c)
-		if tenants[i].At != Nowhere && tenants[i].At != c && w.may(i, tenants[i].At) {
+		if tenants[i].CurrentCell != NoCell && tenants[i].CurrentCell != c && w.may(i, tenants[i].CurrentCell) {
 			moves++
 		}
 	}
 	if most >= 0 {
 		require.LessOrEqual(t, moves, most)
 	}
-	require.GreaterOrEqual(t, p.Worst, p.Bound*(1-1e-9))
+	require.GreaterOrEqual(t, p.MaxLoad, p.LowerBound*(1-1e-9))
 }
 
 // Whatever is asked, a plan keeps what must be kept; small ones are the best there is.
-func TestPlansKeepTheirTerms(t *testing.T) {
+func TestPlanConstraintsAndOptimality(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := make([]Cell, rapid.IntRange(1, 4).Draw(t, "cells"))
 		for c := range cells {
-			cells[c] = Cell{Name: fmt.Sprint(c), Able: rapid.Float64Range(1, 5).Draw(t, "able"), Hall: rapid.SampledFrom([]string{"m", "t"}).Draw(t, "hall")}
+			cells[c] = Cell{Name: fmt.Sprint(c), Capacity: rapid.Float64Range(1, 5).Draw(t, "able"), Hall: rapid.SampledFrom([]string{"m", "t"}).Draw(t, "hall")}
 		}
 		tenants := make([]Tenant, rapid.IntRange(0, 7).Draw(t, "tenants"))
 		for i := range tenants {
 			tenants[i] = Tenant{Name: fmt.Sprint(i), Load: rapid.Float64Range(0.1, 3).Draw(t, "load"),
-				At: rapid.IntRange(Nowhere, len(cells)-1).Draw(t, "at"), Stay: rapid.Bool().Draw(t, "stay")}
+				CurrentCell: rapid.IntRange(NoCell, len(cells)-1).Draw(t, "at"), Pinned: rapid.Bool().Draw(t, "stay")}
 			if rapid.IntRange(0, 3).Draw(t, "bound") == 0 {
 				tenants[i].Hall = cells[0].Hall
 			}
 		}
 		most := rapid.IntRange(-1, 3).Draw(t, "most")
-		p := Make(tenants, cells, most)
+		p := NewPlan(tenants, cells, most)
 		check(t, tenants, cells, most, p)
 		if most < 0 {
-			require.True(t, p.Exact)
+			require.True(t, p.IsBoundTight)
 			best := bruteForce(tenants, cells)
-			require.InDelta(t, best, p.Bound, 1e-9)
-			require.LessOrEqual(t, p.Worst, best/(1-tolerance)+1e-9)
+			require.InDelta(t, best, p.LowerBound, 1e-9)
+			require.LessOrEqual(t, p.MaxLoad, best/(1-tolerance)+1e-9)
 		}
 	})
 }
@@ -159,22 +159,22 @@
 
 // Guards against plans that move more than they must: one that is asked for again has nothing to move, and one after a
 // small change moves little.
-func TestPlansMoveLittle(t *testing.T) {
+func TestPlanNeedsFewMoves(t *testing.T) {
 	tenants, cells := skewedTenants(1000, 8, 1)
-	p := Make(tenants, cells, -1)
-	require.Less(t, p.Worst, p.Bound*1.02)
-	for i, c := range p.Place {
-		tenants[i].At = c
+	p := NewPlan(tenants, cells, -1)
+	require.Less(t, p.MaxLoad, p.LowerBound*1.02)
+	for i, c := range p.Placement {
+		tenants[i].CurrentCell = c
 	}
-	require.Empty(t, Make(tenants, cells, -1).Moves)
+	require.Empty(t, NewPlan(tenants, cells, -1).Moves)
 	tenants[0].Load *= 1.5
-	again := Make(tenants, cells, -1)
+	again := NewPlan(tenants, cells, -1)
 	require.Less(t, len(again.Moves), 40)
-	require.Less(t, again.Worst, Measure(tenants, cells, p.Place).Worst)
-	require.Len(t, Make(tenants, cells, 0).Moves, 0)
-	few := Make(tenants, cells, 3)
+	require.Less(t, again.MaxLoad, Evaluate(tenants, cells, p.Placement).MaxLoad)
+	require.Len(t, NewPlan(tenants, cells, 0).Moves, 0)
+	few := NewPlan(tenants, cells, 3)
 	check(t, tenants, cells, 3, few)
-	require.Less(t, few.Worst, Measure(tenants, cells, p.Place).Worst)
+	require.Less(t, few.MaxLoad, Evaluate(tenants, cells, p.Placement).MaxLoad)
 }
 
 // measured is where TestMeasure writes its table; it does nothing without.
@@ -192,7 +192,7 @@
 		tenants, cells := skewedTenants(size[0], size[1], 1)
 		now := rendezvous(tenants, cells)
 		for i, c := range now {
-			tenants[i].At = c
+			tenants[i].CurrentCell = c
 		}
 		var plain time.Duration
 		line := func(name string, make func() []int) {
@@ -202,15 +202,15 @@
 			if plain == 0 {
 				plain = took
 			}
-			p := Measure(tenants, cells, place)
-			fmt.Fprintf(&b, "| %d, %d | %s | %.4f | %.4f | %d | %.1f |\n", size[0], size[1], name, p.Worst/p.Mean, p.Worst/p.Bound, len(p.Moves),
+			p := Evaluate(tenants, cells, place)
+			fmt.Fprintf(&b, "| %d, %d | %s | %.4f | %.4f | %d | %.1f |\n", size[0], size[1], name, p.MaxLoad/p.MeanLoad, p.MaxLoad/p.LowerBound, len(p.Moves),
 				float64(took)/float64(plain))
 		}
 		line("first-fit decreasing", func() []int { return firstFit(tenants, cells) })
 		line("random", func() []int { return atRandom(tenants, cells, 1) })
 		line("rendezvous", func() []int { return now })
-		line("plan, any number of moves", func() []int { return Make(tenants, cells, -1).Place })
-		line("plan, at most 20 moves", func() []int { return Make(tenants, cells, 20).Place })
+		line("plan, any number of moves", func() []int { return NewPlan(tenants, cells, -1).Placement })
+		line("plan, at most 20 moves", func() []int { return NewPlan(tenants, cells, 20).Placement })
 	}
 	require.NoError(t, os.WriteFile(path, []byte(b.String()), 0o600))
 }
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -280,8 +280,8 @@
 		err = c.chair.Become(next.Layout(), next.Pins())
 	}
 	if err == nil {
-		err = routing.Cells(c.p.router, func(_ int64, g *cells.Gate) error {
-			return g.Become(next.Layout(), next.Tenancy(), next.Pins(), next.Weights())
+		err = routing.Cells(c.p.router, func(_ int64, g *cells.AdmissionController) error {
+			return g.Update(next.Layout(), next.Tenancy(), next.Pins(), next.Weights())
 		})
 	}
 	if err != nil {
@@ -301,11 +301,11 @@
 const heaviestShown = 20
 
 // Cells tells what the gate has counted and holds.
-func (c *confinement) Cells() cells.Figures {
+func (c *confinement) Cells() cells.Stats {
 	if c.orders().Cells == nil {
-		return cells.Figures{}
+		return cells.Stats{}
 	}
-	return routing.Cells(c.p.router, func(now int64, g *cells.Gate) cells.Figures { return g.Figures(now, heaviestShown) })
+	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, heaviestShown) })
 }
 
 // Where tells where a tenant is.
@@ -313,17 +313,17 @@
 	if c.orders().Cells == nil {
 		return admin.Place{Tenant: t, Why: errNoCells.Error()}
 	}
-	return routing.Cells(c.p.router, func(now int64, g *cells.Gate) admin.Place {
-		l, b := g.Layout(), g.Book()
-		seat, place := b.Seat(t), admin.Place{Tenant: t, Why: "hashed"}
+	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) admin.Place {
+		l, b := g.Layout(), g.Directory()
+		seat, place := b.Placement(t), admin.Place{Tenant: t, Why: "hashed"}
 		if e, moved := b.Entry(t); moved {
-			place.Why, place.To, place.Epoch, place.Floor = "moved", e.To, e.Epoch, e.Floor
+			place.Why, place.To, place.Epoch, place.Floor = "moved", e.To, e.Epoch, e.MinPosition
 		} else if b.Pinned(t) {
 			place.Why = "pinned"
 		}
 		place.Cell, place.Stage = l.Name(seat.Cell), seat.Stage.String()
 		if seat.Cell != cells.NoCell {
-			place.Groups, place.Group = l.Shard(t, seat.Cell), int64(l.Group(t, key, seat.Cell))
+			place.Groups, place.Group = l.TenantGroups(t, seat.Cell), int64(l.Group(t, key, seat.Cell))
 		}
 		place.Load = g.Load(t, now)
 		return place
@@ -389,7 +389,7 @@
 	if c.orders().Cells == nil {
 		return admin.Plan{}, errNoCells
 	}
-	loads := c.Cells().Heavy
+	loads := c.Cells().HeaviestTenants
 	if c.orders().Cells.Coordination != nil {
 		state, err := c.State(ctx)
 		if err != nil {
@@ -399,7 +399,7 @@
 	}
 	rooms, halls := c.orders().Rooms(), c.orders().Halls()
 	for _, r := range rooms {
-		if r.Able <= 0 {
+		if r.Capacity <= 0 {
 			return admin.Plan{}, fmt.Errorf("cell %q: the file does not say its capacity, which a plan needs", r.Name)
 		}
 	}
@@ -412,10 +412,10 @@
 		place := c.Where(w.Tenant, "")
 		at, known := index[place.Cell]
 		if !known {
-			at = planner.Nowhere
+			at = planner.NoCell
 		}
-		tenants = append(tenants, planner.Tenant{Name: string(w.Tenant), Load: w.Load, At: at, Hall: halls[w.Tenant],
-			Stay: place.Why == "pinned" || place.Stage != cells.Resting.String()})
+		tenants = append(tenants, planner.Tenant{Name: string(w.Tenant), Load: w.Load, CurrentCell: at, Hall: halls[w.Tenant],
+			Pinned: place.Why == "pinned" || place.Stage != cells.StageIdle.String()})
 	}
 	return admin.Explained(tenants, rooms, most), nil
 }
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -22,7 +22,7 @@
 }
 
 // Confine lets every RPC from here on pass a gate first. It is called before the first.
-func (r *Router) Confine(g *cells.Gate) {
+func (r *Router) Confine(g *cells.AdmissionController) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gate = g
@@ -43,7 +43,7 @@
 func (t *Trip) ask(rpc rules.RPC, c *Call) {
 	r, now := t.r, t.r.now()
 	m := &r.methods[rpc.Method]
-	a := cells.Ask{Tenant: r.gate.Tenant(c.Key, c.User, c.Base), Key: c.Key, Write: c.Write, Soft: m.SoftDeadline, Left: max(0, rpc.Left),
+	a := cells.Request{Tenant: r.gate.Tenant(c.Key, c.User, c.Base), Key: c.Key, Write: c.Write, SoftDeadline: m.SoftDeadline, TimeLeft: max(0, rpc.Left),
 		Utility: m.Utility}
 	t.pass = &pass{effect: effectOf(m)}
 	if !t.begins() {
@@ -51,7 +51,7 @@
 		t.pushesBack()
 		return
 	}
-	ticket, v, decided := r.gate.Admit(now, a, func(v cells.Verdict) {
+	ticket, v, decided := r.gate.Admit(now, a, func(v cells.Decision) {
 		held := r.now() - now
 		rpc.Left, rpc.Waited = rpc.Left-held, rpc.Waited+held
 		t.decided(rpc, v)
@@ -61,18 +61,18 @@
 		t.decided(rpc, v)
 		return
 	}
-	r.timers.add(ticket.HeldUntil(), func() { r.gate.Expire(ticket) })
+	r.timers.add(ticket.HoldDeadline(), func() { r.gate.Expire(ticket) })
 	r.stir()
 }
 
 // decided goes on with an RPC as its gate has decided. The lock is held.
-func (t *Trip) decided(rpc rules.RPC, v cells.Verdict) {
-	if v.Why != cells.WhyNot {
+func (t *Trip) decided(rpc rules.RPC, v cells.Decision) {
+	if v.Reason != cells.ReasonNone {
 		t.r.driver.Left(t.id)
-		t.finish(Step{Act: PushBack, ComeBack: min(v.ComeBack, t.r.allowed.ComeBack)})
+		t.finish(Step{Act: PushBack, ComeBack: min(v.RetryAfter, t.r.allowed.ComeBack)})
 		return
 	}
-	rpc.Group, rpc.Floor = v.Group, v.Floor
+	rpc.Group, rpc.Floor = v.Group, v.MinPosition
 	t.take(rpc)
 }
 
@@ -81,7 +81,7 @@
 func (t *Trip) attempts(next func(rules.Result)) bool {
 	r := t.r
 	if t.may() && !t.harmed() {
-		r.gate.CallOut(t.pass.ticket, r.now())
+		r.gate.AttemptStarted(t.pass.ticket, r.now())
 		return true
 	}
 	n := len(t.calls)
@@ -121,7 +121,7 @@
 		bytes = o.Answer.Bytes()
 		r.gate.Committed(t.pass.ticket, o.Answer.Position*milli)
 	}
-	r.gate.Returned(t.pass.ticket, until, bytes, r.now())
+	r.gate.AttemptEnded(t.pass.ticket, until, bytes, r.now())
 	if v.proof == rules.OK && !t.ended && !t.may() {
 		t.forsake(true)
 	}
@@ -133,7 +133,7 @@
 // answered tells the gate that an RPC has its final answer. The lock is held.
 func (t *Trip) answered(act Act) {
 	t.pass.held, t.pass.outcome = act == Serve, outcomeOf[act]
-	t.r.gate.Ended(t.pass.ticket, act == Serve, t.r.now())
+	t.r.gate.Finished(t.pass.ticket, act == Serve, t.r.now())
 	t.fared(act)
 }
 
@@ -171,7 +171,7 @@
 	if from != to {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.gate.Seat(from, to)
+		r.gate.MoveConnection(from, to)
 	}
 }
 
@@ -179,19 +179,19 @@
 func (r *Router) Crowded() cells.Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gate.Crowded()
+	return r.gate.MostOverConnectionShare()
 }
 
 // ReportGrant reports what the coordinator granted to what Report told at a time.
 func (r *Router) ReportGrant(asked int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed, err := r.gate.Granted(asked, grant)
+	changed, err := r.gate.ApplyGrant(asked, grant)
 	for _, t := range changed {
-		e, _ := r.gate.Book().Entry(t)
+		e, _ := r.gate.Directory().Entry(t)
 		r.log.WithField("tenant", t).WithField("stage", e.Stage).WithField("cell", e.Cell).WithField("to", e.To).
 			WithField("epoch", e.Epoch).Info("tenant moves")
-		r.gate.Release(t, r.now())
+		r.gate.ResumeHeld(t, r.now())
 	}
 	return err
 }
@@ -203,7 +203,7 @@
 	now := r.now()
 	if now-r.looked >= lookEvery {
 		r.looked = now
-		for _, g := range r.gate.Targets() {
+		for _, g := range r.gate.CatchUpGroups() {
 			r.driver.Look(g)
 		}
 	}
@@ -214,7 +214,7 @@
 const lookEvery = 25 * milli
 
 // Cells gives what a function makes of the gate, which must not be kept.
-func Cells[T any](r *Router, of func(now int64, g *cells.Gate) T) T {
+func Cells[T any](r *Router, of func(now int64, g *cells.AdmissionController) T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return of(r.now(), r.gate)
--- a/internal/routing/confine_test.go
+++ b/internal/routing/confine_test.go
@@ -21,9 +21,9 @@
 	l := cells.NewLayout(1)
 	l.Add("one", cells.Groups{1}, 1, 0, "")
 	l.Add("two", cells.Groups{2}, 0, 0, "")
-	y := cells.NewTenancy(nil, nil, nil, cells.OwnNobody, "t")
-	limits := cells.NewLimits(cells.Amounts{cells.RPCs: 100, cells.CallOuts: 100}, 0.5, l, nil)
-	r.Confine(cells.NewGate(cells.NewBook(l, nil), y, limits, leased, 2))
+	y := cells.NewTenantResolver(nil, nil, nil, cells.DefaultNone, "t")
+	limits := cells.NewLimits(cells.Budget{cells.RPCs: 100, cells.Attempts: 100}, 0.5, l, nil)
+	r.Confine(cells.NewAdmissionController(cells.NewDirectory(l, nil), y, limits, leased, 2))
 	for _, name := range []string{"a", "b"} {
 		id, _ := r.Member(name)
 		r.mu.Lock()
@@ -46,7 +46,7 @@
 func grant(t *testing.T, r *Router, lease time.Duration, e ...cells.Entry) {
 	g := cells.Grant{Lease: int64(lease), Entries: e}
 	for _, n := range e {
-		g.Newest = max(g.Newest, n.Epoch)
+		g.LatestEpoch = max(g.LatestEpoch, n.Epoch)
 	}
 	require.NoError(t, r.ReportGrant(r.now(), g))
 }
@@ -73,12 +73,12 @@
 	require.Equal(t, Attempt, step.Act, "the group is the cell's, not the client's")
 	trip.Report(step.Number, ok(r.now()/milli, true))
 	require.Equal(t, Serve, pick(t, trip).Act)
-	figures := func() cells.Figures {
-		return Cells(r, func(now int64, g *cells.Gate) cells.Figures { return g.Figures(now, 5) })
+	figures := func() cells.Stats {
+		return Cells(r, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, 5) })
 	}
 	require.Equal(t, 1, figures().Tenants, "until its answer is passed on")
 	trip.Passed()
-	require.Zero(t, figures().Cells[0].RPCs+figures().Cells[0].CallOuts)
+	require.Zero(t, figures().Cells[0].RPCs+figures().Cells[0].Attempts)
 	left := admit(t, r, "write")
 	pick(t, left)
 	left.Leave()
@@ -108,7 +108,7 @@
 	grant(t, r, time.Minute)
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
-	grant(t, r, time.Minute, cells.Entry{Epoch: 9, Tenant: "t", Cell: "two", Stage: cells.Resting, Floor: 5})
+	grant(t, r, time.Minute, cells.Entry{Epoch: 9, Tenant: "t", Cell: "two", Stage: cells.StageIdle, MinPosition: 5})
 	trip.Report(step.Number, Outcome{End: transport.DialRefused}) // it never ran, and would be sent again
 	require.Equal(t, PushBack, pick(t, trip).Act)
 	r.turn()
@@ -118,7 +118,7 @@
 // Held RPCs go on in the new cell, or are pushed back while their clients can ask again.
 func TestHeldForAMove(t *testing.T) {
 	r := confined(t, true)
-	grant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.Holding, To: "two"})
+	grant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.StageHoldingWrites, To: "two"})
 	held, gone, over := admit(t, r, "write"), admit(t, r, "write"), admit(t, r, "write")
 	require.Equal(t, PushBack, pick(t, over).Act, "no more than may be held")
 	require.Equal(t, Attempt, pick(t, admit(t, r, "read")).Act, "reads go on")
@@ -126,9 +126,9 @@
 	require.Equal(t, Drop, pick(t, gone).Act)
 	report, _ := r.Report("n", 1)
 	require.Zero(t, report.Moves[0].Writes, "those that are held are not in flight")
-	grant(t, r, time.Minute, cells.Entry{Epoch: 2, Tenant: "t", Cell: "one", Stage: cells.Returning, To: "two"})
+	grant(t, r, time.Minute, cells.Entry{Epoch: 2, Tenant: "t", Cell: "one", Stage: cells.StageRollingBack, To: "two"})
 	require.Equal(t, Attempt, pick(t, held).Act, "the move was called off")
-	grant(t, r, time.Minute, cells.Entry{Epoch: 3, Tenant: "t", Cell: "one", Stage: cells.Closing, To: "two"})
+	grant(t, r, time.Minute, cells.Entry{Epoch: 3, Tenant: "t", Cell: "one", Stage: cells.StageHoldingAll, To: "two"})
 	asked++
 	short, err := r.Admit(&Call{ID: fmt.Sprint(asked), Method: "read", Key: "k", Left: 50 * milli})
 	require.NoError(t, err)
@@ -138,7 +138,7 @@
 // A floor keeps reads from members behind it, the primary included.
 func TestAFloorBinds(t *testing.T) {
 	r := confined(t, true)
-	grant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.Resting, Floor: math.MaxInt64 / 2})
+	grant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.StageIdle, MinPosition: math.MaxInt64 / 2})
 	trip := admit(t, r, "read")
 	select {
 	case s := <-trip.steps:
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -43,11 +43,11 @@
 	stirred  chan struct{} // a timer or a duty has been added
 	log      logrus.FieldLogger
 	trace    trace
-	gate     *cells.Gate           // nil where tenants have no cells
-	drained  int64                 // until when peers' messages are those that waited while this process stood still
-	looked   int64                 // when members were last probed for a move
-	holder   *versions.DriverState // nil where nothing has versions
-	trail    *audit.Trail          // nil until this start has its number
+	gate     *cells.AdmissionController // nil where tenants have no cells
+	drained  int64                      // until when peers' messages are those that waited while this process stood still
+	looked   int64                      // when members were last probed for a move
+	holder   *versions.DriverState      // nil where nothing has versions
+	trail    *audit.Trail               // nil until this start has its number
 
 	whole      wholeList
 	turnedAway int64 // attempts that stores turned away for their versions
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -175,7 +175,7 @@
 	if !t.ended {
 		t.r.driver.Left(t.id)
 		if t.pass != nil {
-			t.r.gate.Leave(t.pass.ticket)
+			t.r.gate.Cancel(t.pass.ticket)
 		}
 		t.finish(Step{Act: Drop})
 	}
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -96,7 +96,7 @@
 // lock is held.
 func (t *Trip) may() bool {
 	now := t.r.now()
-	return t.r.gate.May(t.pass.ticket, now) && (t.r.holder == nil || t.r.holder.MayContinue(now, Rulebook, t.pass.version))
+	return t.r.gate.MayProceed(t.pass.ticket, now) && (t.r.holder == nil || t.r.holder.MayContinue(now, Rulebook, t.pass.version))
 }
 
 // ends says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
