--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -11,9 +11,9 @@
 // positions count from epoch.
 func Message(news []rules.News, key func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
 	for _, n := range news {
-		message = protocol.AppendNews(message, protocol.News{Member: key(n.Member), Role: uint8(n.Role),
-			Position: millis(n.Position - epoch), Took: millis(n.Took), Failed: n.Failed,
-			Ran: n.Ran / int64(time.Second)}, millis(now-epoch))
+		message = protocol.AppendObservation(message, protocol.Observation{Member: key(n.Member), Role: uint8(n.Role),
+			PositionMillis: millis(n.Position - epoch), LatencyMillis: millis(n.Took), Failed: n.Failed,
+			MinUptimeSeconds: n.Ran / int64(time.Second)}, millis(now-epoch))
 	}
 	return message
 }
@@ -21,11 +21,11 @@
 // News reads what a fellow driver sent, heard at a time, and tells whether it is a driver's. What it says of members
 // that are not known here is left out.
 func News(message []byte, member func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (news []rules.News, ok bool) {
-	told, ok := protocol.ParseNews(message, millis(now-epoch))
+	told, ok := protocol.ParseObservations(message, millis(now-epoch))
 	for _, n := range told {
 		if id, known := member(n.Member); known {
-			news = append(news, rules.News{Member: id, Took: nanos(n.Took), Failed: n.Failed, Ran: n.Ran * int64(time.Second),
-				Observation: rules.Observation{Role: rules.Role(n.Role), Position: epoch + nanos(n.Position)}})
+			news = append(news, rules.News{Member: id, Took: nanos(n.LatencyMillis), Failed: n.Failed, Ran: n.MinUptimeSeconds * int64(time.Second),
+				Observation: rules.Observation{Role: rules.Role(n.Role), Position: epoch + nanos(n.PositionMillis)}})
 		}
 	}
 	return news, ok
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -52,7 +52,7 @@
 		p.Wrong("fleetSize=%d is out of range", c.Drivers)
 	}
 	if p.BoolOr("limits.peerMessages", false) {
-		c.News = protocol.NewsPerMessage
+		c.News = protocol.ObservationsPerMessage
 	}
 	return c
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Off names the variable by which trials let a process's clock be off, as a duration such as -2m.
-const Off = "SEDGESPREAD_CLOCK_OFF"
+// OffsetEnv names the variable by which trials let a process's clock be off, as a duration such as -2m.
+const OffsetEnv = "SEDGESPREAD_CLOCK_OFF"
 
 // Clock counts from when it was made.
 type Clock struct {
@@ -18,7 +18,7 @@
 
 // New makes a clock that is right now, or off as trials want it.
 func New() Clock {
-	off, _ := time.ParseDuration(os.Getenv(Off))
+	off, _ := time.ParseDuration(os.Getenv(OffsetEnv))
 	now := time.Now()
 	return Clock{wall: now.UnixNano() + int64(off), begun: now}
 }
--- a/internal/council/chamber/post.go
+++ b/internal/council/chamber/post.go
@@ -84,9 +84,9 @@
 
 // Handle lets a voter answer the others, and whoever asks how the council stands.
 func (c *Chamber) Handle(mux *http.ServeMux) {
-	mux.Handle("POST "+packetPath, jsonhttp.Does(c.Take))
-	mux.Handle("POST /v1/council/state", jsonhttp.Tells(func(context.Context) (State, error) { return c.State(), nil }))
-	mux.Handle("POST /v1/council/change", c.Leader(jsonhttp.Does(c.Change)))
+	mux.Handle("POST "+packetPath, jsonhttp.ActionHandler(c.Take))
+	mux.Handle("POST /v1/council/state", jsonhttp.QueryHandler(func(context.Context) (State, error) { return c.State(), nil }))
+	mux.Handle("POST /v1/council/change", c.Leader(jsonhttp.ActionHandler(c.Change)))
 }
 
 // Leader lets a handler answer where this voter acts for the council, and passes on to the one that does what is asked
--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -73,7 +73,7 @@
 	if !ok {
 		by, stop := context.WithTimeout(ctx, connectWithin)
 		defer stop()
-		var end transport.End
+		var end transport.CloseReason
 		if m, end = protocol.Connect(c.fleet.life, by, c.sockets, address, 1<<20, nil); end != transport.Open {
 			reply.Fate = NoDriver
 			return reply
@@ -82,10 +82,10 @@
 	c.fleet.Sent(reply.ID, r.Key, r.Write)
 	by, stop := context.WithTimeout(ctx, r.Give+clientSlack)
 	defer stop()
-	a, _, end := m.Ask(by, r.statement(reply.ID))
+	a, _, end := m.Query(by, r.statement(reply.ID))
 	reply.Fate = fateOf(a, end)
 	if a != nil && a.Failure == nil {
-		reply.Value = a.Text()
+		reply.Value = a.Value()
 	} else if a != nil {
 		millis, _ := strconv.ParseInt(a.Failure.Detail, 10, 64)
 		reply.ComeBack = time.Duration(millis) * time.Millisecond
@@ -99,11 +99,11 @@
 	return reply
 }
 
-func fateOf(a *protocol.Answer, end transport.End) Fate {
+func fateOf(a *protocol.Answer, end transport.CloseReason) Fate {
 	switch {
 	case a != nil && a.Failure == nil:
 		return Served
-	case a != nil && (a.Failure.State == protocol.StateTooMany || a.Failure.State == protocol.StateNotNow):
+	case a != nil && (a.Failure.SQLState == protocol.StateTooManyConnections || a.Failure.SQLState == protocol.StateCannotConnectNow):
 		return PushedBack
 	case a != nil:
 		return Aborted
@@ -135,7 +135,7 @@
 	for n := len(c.idle[address]); n > 0; n = len(c.idle[address]) {
 		m := c.idle[address][n-1]
 		c.idle[address] = c.idle[address][:n-1]
-		if m.Quiet() {
+		if m.HasNoPendingInput() {
 			return m, true
 		}
 		m.Close(transport.Evicted)
--- a/internal/emulator/sockets/drivers.go
+++ b/internal/emulator/sockets/drivers.go
@@ -187,7 +187,7 @@
 
 func (d *Driver) command(env []string) *exec.Cmd {
 	cmd := exec.Command(d.program, "serve")
-	cmd.Env, cmd.Stdout, cmd.Stderr = append(append([]string(nil), env...), clock.Off+"="+d.off.String()), d, d
+	cmd.Env, cmd.Stdout, cmd.Stderr = append(append([]string(nil), env...), clock.OffsetEnv+"="+d.off.String()), d, d
 	return cmd
 }
 
@@ -249,7 +249,7 @@
 	for by.Err() == nil {
 		m, end := protocol.Connect(by, by, sockets, d.Address, protocol.RingBytes, nil)
 		if end == transport.Open {
-			end = m.Ready(by)
+			end = m.Ping(by)
 			m.Close(transport.ShutDown)
 		}
 		if end == transport.Open {
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -60,7 +60,7 @@
 		f.tasks.Go(func() error { f.accept(l, emulator.MemberID(i)); return nil })
 	}
 	f.discovery = httptest.NewServer(http.HandlerFunc(f.list))
-	f.fillHook = httptest.NewServer(jsonhttp.Does(f.fill))
+	f.fillHook = httptest.NewServer(jsonhttp.ActionHandler(f.fill))
 	return f, nil
 }
 
@@ -146,25 +146,25 @@
 func (f *Fleet) serve(c protocol.Client, m emulator.MemberID) {
 	f.hold(m, c.Conn, true)
 	defer f.hold(m, c.Conn, false)
-	_, end := c.Welcome(protocol.CancelKey{}, func(protocol.CancelKey) {})
+	_, end := c.Handshake(protocol.CancelKey{}, func(protocol.CancelKey) {})
 	for end == transport.Open {
 		var text string
-		if text, _, end = c.Query(); end == transport.Open {
+		if text, _, end = c.ReadQuery(); end == transport.Open {
 			end = f.answer(c, m, text)
 		}
 	}
 	c.Close(end)
 }
 
-func (f *Fleet) answer(c protocol.Client, m emulator.MemberID, text string) transport.End {
+func (f *Fleet) answer(c protocol.Client, m emulator.MemberID, text string) transport.CloseReason {
 	if text == protocol.LoadQuery {
 		return f.look(c, m)
 	}
 	s, err := protocol.ParseStatement(text)
 	if err != nil {
-		return c.Deny(protocol.Failure{State: protocol.StateProtocol, Message: err.Error()})
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateProtocolViolation, Message: err.Error()})
 	}
-	order := emulator.Statement{ID: s.ID, Key: s.Key, Write: s.Write, Within: s.Left * int64(time.Millisecond), Fence: fenceOf(text)}
+	order := emulator.Statement{ID: s.ID, Key: s.Key, Write: s.Write, Within: s.TimeoutMillis * int64(time.Millisecond), Fence: fenceOf(text)}
 	var done int64
 	var refused emulator.Refusal
 	var state emulator.Answer
@@ -176,11 +176,11 @@
 	})
 	switch refused {
 	case emulator.Full:
-		return c.Deny(protocol.Failure{State: protocol.StateTooMany, Message: "the queue is full"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateTooManyConnections, Message: "the queue is full"}, told(state)...)
 	case emulator.ReadOnly:
-		return c.Deny(protocol.Failure{State: protocol.StateReadOnly, Message: "this is no primary"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateReadOnly, Message: "this is no primary"}, told(state)...)
 	case emulator.Fenced:
-		return c.Deny(protocol.Failure{State: protocol.StateFenced, Message: "its version is over"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateFenced, Message: "its version is over"}, told(state)...)
 	}
 	time.Sleep(time.Duration(done - f.Now())) // what a member has begun it finishes, whoever left meanwhile
 	f.Model(func(now int64, model *emulator.Fleet) {
@@ -194,7 +194,7 @@
 	if state.Lost {
 		return c.Await(1)
 	}
-	return c.Give(state.Value, told(state)...)
+	return c.SendRow(state.Value, told(state)...)
 }
 
 // fenceOf is the fence that a statement came with.
@@ -207,22 +207,22 @@
 	return f
 }
 
-func (f *Fleet) look(c protocol.Client, m emulator.MemberID) transport.End {
+func (f *Fleet) look(c protocol.Client, m emulator.MemberID) transport.CloseReason {
 	var a emulator.Answer
 	f.Model(func(now int64, model *emulator.Fleet) { a = model.Look(now, m) })
 	role := 0
 	if a.Primary {
 		role = 1
 	}
-	return c.Give(fmt.Sprintf("x0=%.3f,x1=%d", float64(a.Position/int64(time.Millisecond))/1000, role), told(a)...)
+	return c.SendRow(fmt.Sprintf("x0=%.3f,x1=%d", float64(a.Position/int64(time.Millisecond))/1000, role), told(a)...)
 }
 
-func told(a emulator.Answer) []protocol.Told {
+func told(a emulator.Answer) []protocol.ParameterStatus {
 	role := "follower"
 	if a.Primary {
 		role = "leader"
 	}
-	return []protocol.Told{{Name: "node_role", Value: role},
+	return []protocol.ParameterStatus{{Name: "node_role", Value: role},
 		{Name: "replay_position", Value: strconv.FormatInt(a.Position/int64(time.Millisecond), 10)}}
 }
 
@@ -269,7 +269,7 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	jsonhttp.Write(w, f.List())
+	jsonhttp.WriteJSON(w, f.List())
 }
 
 // fill takes what a coordinator asks of the store. One that is older than what was asked before changes nothing.
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// Answers reads what was asked and answers it. What can't be read is a 400, and what can't be done a 409, if the error says
+// Handler reads what was asked and answers it. What can't be read is a 400, and what can't be done a 409, if the error says
 // no other status.
-func Answers[T, R any](do func(ctx context.Context, asked T) (R, error)) http.HandlerFunc {
+func Handler[T, R any](do func(ctx context.Context, asked T) (R, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var asked T
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBytes)).Decode(&asked); err != nil {
@@ -41,44 +41,44 @@
 		result, err := do(r.Context(), asked)
 		if err != nil {
 			status := http.StatusConflict
-			if told := Told(nil); errors.As(err, &told) {
+			if told := StatusCoder(nil); errors.As(err, &told) {
 				status = told.Status()
 			}
 			http.Error(w, err.Error(), status)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		Write(w, result)
+		WriteJSON(w, result)
 	}
 }
 
-// Does is Answers where there is nothing to tell but that it was done.
-func Does[T any](do func(ctx context.Context, asked T) error) http.HandlerFunc {
-	return Answers(func(ctx context.Context, asked T) (any, error) { return nil, do(ctx, asked) })
+// ActionHandler is Answers where there is nothing to tell but that it was done.
+func ActionHandler[T any](do func(ctx context.Context, asked T) error) http.HandlerFunc {
+	return Handler(func(ctx context.Context, asked T) (any, error) { return nil, do(ctx, asked) })
 }
 
-// Tells is Answers where nothing more is asked.
-func Tells[R any](do func(ctx context.Context) (R, error)) http.HandlerFunc {
-	return Answers(func(ctx context.Context, _ struct{}) (R, error) { return do(ctx) })
+// QueryHandler is Answers where nothing more is asked.
+func QueryHandler[R any](do func(ctx context.Context) (R, error)) http.HandlerFunc {
+	return Handler(func(ctx context.Context, _ struct{}) (R, error) { return do(ctx) })
 }
 
-// Refusal is an answer that is none.
-type Refusal struct {
-	Status int // of HTTP
-	Line   string
+// StatusError is an answer that is none.
+type StatusError struct {
+	Status  int // of HTTP
+	Message string
 }
 
-func (r *Refusal) Error() string { return r.Line }
+func (r *StatusError) Error() string { return r.Message }
 
-// Elsewhere tells whether an error leaves open that another instance does what this one did not: it could not be reached,
+// ShouldTryAnother tells whether an error leaves open that another instance does what this one did not: it could not be reached,
 // or it is not the one to ask.
-func Elsewhere(err error) bool {
-	var r *Refusal
+func ShouldTryAnother(err error) bool {
+	var r *StatusError
 	return err != nil && (!errors.As(err, &r) || r.Status == http.StatusServiceUnavailable)
 }
 
-// Told is an error that says with which status of HTTP Answer tells it.
-type Told interface{ Status() int }
+// StatusCoder is an error that says with which status of HTTP Answer tells it.
+type StatusCoder interface{ Status() int }
 
 // Post sends what is asked and reads the answer, into nil for none. A refusal is an error of its one line.
 func Post(ctx context.Context, client *http.Client, url string, asked, into any) error {
@@ -98,7 +98,7 @@
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		line, _ := io.ReadAll(io.LimitReader(response.Body, mostLine))
-		return &Refusal{Status: response.StatusCode, Line: strings.TrimSpace(string(line))}
+		return &StatusError{Status: response.StatusCode, Message: strings.TrimSpace(string(line))}
 	}
 	if into == nil {
 		return nil
@@ -106,5 +106,5 @@
 	return json.NewDecoder(io.LimitReader(response.Body, mostBytes)).Decode(into)
 }
 
-// Write writes an answer. A far side that has gone does not matter.
-func Write(w http.ResponseWriter, answer any) { json.NewEncoder(w).Encode(answer) }
+// WriteJSON writes an answer. A far side that has gone does not matter.
+func WriteJSON(w http.ResponseWriter, answer any) { json.NewEncoder(w).Encode(answer) }
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -89,10 +89,10 @@
 	if ctx.Err() != nil {
 		return
 	}
-	var refusal *jsonhttp.Refusal
+	var refusal *jsonhttp.StatusError
 	refused := ""
 	if errors.As(err, &refusal) && refusal.Status == http.StatusForbidden {
-		refused = refusal.Line
+		refused = refusal.Message
 	}
 	lost := err != nil
 	switch {
@@ -119,11 +119,11 @@
 	} else {
 		busy, err = r.renew(by, wait)
 	}
-	var refusal *jsonhttp.Refusal
+	var refusal *jsonhttp.StatusError
 	if errors.As(err, &refusal) && refusal.Status == http.StatusConflict {
 		r.start = 0
 	}
-	if jsonhttp.Elsewhere(err) {
+	if jsonhttp.ShouldTryAnother(err) {
 		r.fleet.next()
 	}
 	return busy, err
--- a/internal/membership/chair.go
+++ b/internal/membership/chair.go
@@ -246,12 +246,12 @@
 // Handle lets a chair answer drivers and operators, or pass on what they ask to the one that decides.
 func (h *Chair) Handle(mux *http.ServeMux) {
 	handle := func(what string, answer http.HandlerFunc) { mux.Handle("POST /v1/"+what, h.ledger.leader(answer)) }
-	handle("renew", jsonhttp.Answers(func(ctx context.Context, r renewal) (cells.Grant, error) {
+	handle("renew", jsonhttp.Handler(func(ctx context.Context, r renewal) (cells.Grant, error) {
 		return h.Renew(ctx, r.Report, time.Duration(r.WaitMs)*time.Millisecond)
 	}))
-	handle("move", jsonhttp.Does(h.Move))
-	handle("abort", jsonhttp.Does(func(ctx context.Context, m Move) error { return h.Abort(ctx, m.Tenant, m.Why) }))
-	handle("state", jsonhttp.Tells(func(context.Context) (State, error) { return h.State(), nil }))
+	handle("move", jsonhttp.ActionHandler(h.Move))
+	handle("abort", jsonhttp.ActionHandler(func(ctx context.Context, m Move) error { return h.Abort(ctx, m.Tenant, m.Why) }))
+	handle("state", jsonhttp.QueryHandler(func(context.Context) (State, error) { return h.State(), nil }))
 }
 
 // Serve answers until the context ends.
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -140,7 +140,7 @@
 func (c Coordinator) ask(ctx context.Context, what string, asked, into any) (err error) {
 	for range c.bases {
 		base := c.bases[int(c.at.Load())%len(c.bases)]
-		if err = jsonhttp.Post(ctx, c.client, base+what, asked, into); !jsonhttp.Elsewhere(err) || ctx.Err() != nil {
+		if err = jsonhttp.Post(ctx, c.client, base+what, asked, into); !jsonhttp.ShouldTryAnother(err) || ctx.Err() != nil {
 			return err
 		}
 		c.next()
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -139,10 +139,10 @@
 	handle := func(what string, answer http.HandlerFunc) {
 		mux.Handle("POST /v1/fleet/"+what, m.decisions.ledger.leader(answer))
 	}
-	handle("join", jsonhttp.Answers(m.join))
-	handle("renew", jsonhttp.Answers(m.renew))
-	handle("leave", jsonhttp.Does(m.leave))
-	handle("wish", jsonhttp.Does(m.grant))
-	handle("state", jsonhttp.Tells(func(context.Context) (Fleet, error) { return m.Fleet(), nil }))
+	handle("join", jsonhttp.Handler(m.join))
+	handle("renew", jsonhttp.Handler(m.renew))
+	handle("leave", jsonhttp.ActionHandler(m.leave))
+	handle("wish", jsonhttp.ActionHandler(m.grant))
+	handle("state", jsonhttp.QueryHandler(func(context.Context) (Fleet, error) { return m.Fleet(), nil }))
 	m.handleTrails(mux)
 }
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -164,7 +164,7 @@
 // wish asks again while nobody acts for the council: how long its disk takes is not what is tested.
 func (c *testCouncil) wish(w Wish) (err error) {
 	for begun := time.Now(); time.Since(begun) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
-		if err = Dial(c.at).Wish(context.Background(), w); !jsonhttp.Elsewhere(err) {
+		if err = Dial(c.at).Wish(context.Background(), w); !jsonhttp.ShouldTryAnother(err) {
 			break
 		}
 	}
@@ -261,7 +261,7 @@
 	require.EqualValues(t, versions.InitialVersion, c.acts(later, "r"))
 	err := Dial(c.at).ask(context.Background(), "fleet/renew", asking{Name: "a", Token: "x"}, nil)
 	require.ErrorContains(t, err, "a later start of \"a\", number 2 at at, has taken its name over; end one of the two")
-	require.Equal(t, http.StatusForbidden, err.(*jsonhttp.Refusal).Status)
+	require.Equal(t, http.StatusForbidden, err.(*jsonhttp.StatusError).Status)
 }
 
 // Guards against a driver that holds a version back for ever, and against a version that shuts out everybody.
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -90,7 +90,7 @@
 
 // handleTrails lets this voter tell what it holds, whoever decides.
 func (m *Registration) handleTrails(mux *http.ServeMux) {
-	mux.Handle("POST /v1/fleet/trails", jsonhttp.Tells(func(context.Context) (Trails, error) { return m.trailsHeld(), nil }))
+	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (Trails, error) { return m.trailsHeld(), nil }))
 }
 
 // Question is what is asked of the audit. Times are Unix time in nanoseconds, 0 for no end.
--- a/internal/program/fellows_test.go
+++ b/internal/program/fellows_test.go
@@ -57,7 +57,7 @@
 	go func() {
 		for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 			now := time.Now().UnixMilli()
-			fellow.Write(protocol.AppendNews(nil, protocol.News{Member: key.Sum32(), Role: 1, Position: now}, now))
+			fellow.Write(protocol.AppendObservation(nil, protocol.Observation{Member: key.Sum32(), Role: 1, PositionMillis: now}, now))
 		}
 	}()
 	c := (&driver{address: env["GW_LISTEN"]}).client(t)
--- a/internal/program/follow.go
+++ b/internal/program/follow.go
@@ -171,7 +171,7 @@
 		held, _ := p.source.holds()
 		silent := errors.Is(err, transport.TimedOut)
 		switch {
-		case silent || err == nil && !all && !t.Whole && t.Generation < held:
+		case silent || err == nil && !all && !t.IsFull && t.Generation < held:
 			p.log.WithField("silent", silent).Info("the whole list is asked for")
 			p.source.disown()
 			ask = p.askNow
@@ -201,10 +201,10 @@
 	defer late.Stop()
 	defer ended()
 	if held, listed := p.source.holds(); listed {
-		t, err = d.Since(ctx, ctx, held, 0)
+		t, err = d.FetchChanges(ctx, ctx, held, 0)
 		return t, false, err
 	}
-	t, err = d.Whole(ctx, ctx)
+	t, err = d.FetchAll(ctx, ctx)
 	return t, true, err
 }
 
@@ -214,6 +214,6 @@
 	by, stop := context.WithTimeoutCause(ctx, wait+lateBy, transport.TimedOut)
 	defer stop()
 	held, _ := p.source.holds()
-	t, err = d.Since(ctx, by, held, wait.Milliseconds())
+	t, err = d.FetchChanges(ctx, by, held, wait.Milliseconds())
 	return t, false, err
 }
--- a/internal/program/follow_test.go
+++ b/internal/program/follow_test.go
@@ -36,7 +36,7 @@
 	require.False(t, ok, "one asks at a time")
 	s.accept(stay, protocol.Targets{Generation: 7}, func() { taken++ })
 	require.Equal(t, 2, taken)
-	require.Equal(t, transport.Open, transport.EndOf(stay))
+	require.Equal(t, transport.Open, transport.CloseReasonOf(stay))
 }
 
 // Guards against waits that would let a change be known too late, and against all drivers asking at once.
--- a/internal/program/freshness_soak_test.go
+++ b/internal/program/freshness_soak_test.go
@@ -121,7 +121,7 @@
 			}
 		})
 		if i == 1 && plan.clocks {
-			env[clock.Off] = []string{"-1h", "7s", "1h", "-4s"}[plan.seed/3%4]
+			env[clock.OffsetEnv] = []string{"-1h", "7s", "1h", "-4s"}[plan.seed/3%4]
 		}
 		cmd, stderr := command(t, env)
 		require.NoError(t, cmd.Start())
--- a/internal/program/lobby.go
+++ b/internal/program/lobby.go
@@ -52,7 +52,7 @@
 		room = &l.guests
 	}
 	if l.leaving {
-		c.Part(transport.ShutDown)
+		c.StopIfIdle(transport.ShutDown)
 	}
 	place := room.PushBack(&seat{client: c, cell: cell, since: time.Now()})
 	if room.Len() > l.d.Limit()/roomShare {
@@ -91,7 +91,7 @@
 		if !must && time.Since(s.since) < while {
 			return false
 		}
-		if (cell == cells.NoCell || cell == s.cell) && s.client.Part(transport.Evicted) {
+		if (cell == cells.NoCell || cell == s.cell) && s.client.StopIfIdle(transport.Evicted) {
 			room.Remove(place)
 			return true
 		}
@@ -120,7 +120,7 @@
 	l.mu.Lock()
 	leaving := l.leaving
 	l.mu.Unlock()
-	return leaving && c.PartForGood(transport.ShutDown) && c.Await(1) == transport.ShutDown
+	return leaving && c.ForceStopIfIdle(transport.ShutDown) && c.Await(1) == transport.ShutDown
 }
 
 // sweep lets go of those in a room longer than stay; one that has begun a message then has a rest to finish it. Once clients
@@ -142,10 +142,10 @@
 			s.begun = now
 		}
 		switch {
-		case s.client.Part(end):
+		case s.client.StopIfIdle(end):
 			room.Remove(at)
 		case now.Sub(s.begun) >= rest:
-			s.client.Cut(transport.Stalled)
+			s.client.Interrupt(transport.Stalled)
 			room.Remove(at)
 		}
 	}
@@ -158,7 +158,7 @@
 	l.leaving = true
 	for _, room := range []*list.List{&l.strangers, &l.guests} {
 		for place := room.Front(); place != nil; place = place.Next() {
-			place.Value.(*seat).client.Part(transport.ShutDown)
+			place.Value.(*seat).client.StopIfIdle(transport.ShutDown)
 		}
 	}
 }
--- a/internal/program/looks.go
+++ b/internal/program/looks.go
@@ -63,7 +63,7 @@
 		l.pools.give(to, w, w.since)
 		return routing.Outcome{End: end}
 	}
-	answer, sent, end := w.Ask(by, protocol.LoadQuery)
+	answer, sent, end := w.Query(by, protocol.LoadQuery)
 	l.pools.answered(to, answer != nil, end)
 	if end == transport.Open {
 		l.pools.give(to, w, time.Now())
--- a/internal/program/peers.go
+++ b/internal/program/peers.go
@@ -52,7 +52,7 @@
 	if p.socket == nil {
 		return
 	}
-	buffer := make([]byte, protocol.MessageBytes+1)
+	buffer := make([]byte, protocol.MaxMessageBytes+1)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -45,7 +45,7 @@
 // keptQuiet tells whether nothing came while it was idle. One on which something did is closed: that would be taken for
 // the next answer.
 func (l link) keptQuiet() bool {
-	if l.Quiet() {
+	if l.HasNoPendingInput() {
 		return true
 	}
 	l.Close(transport.Evicted)
@@ -73,7 +73,7 @@
 		return routing.Outcome{End: end}
 	}
 	deadline, _ := by.Deadline()
-	answer, sent, end := l.Ask(by, statement(time.Until(deadline))...)
+	answer, sent, end := l.Query(by, statement(time.Until(deadline))...)
 	p.answered(to, answer != nil, end)
 	if end == transport.Open {
 		p.give(to, l, time.Now())
@@ -82,8 +82,8 @@
 }
 
 // begins tells that what waited for a connection may begin, or the End for which it may not.
-func begins(by context.Context, may func() bool) transport.End {
-	if end := transport.EndOf(by); end != transport.Open {
+func begins(by context.Context, may func() bool) transport.CloseReason {
+	if end := transport.CloseReasonOf(by); end != transport.Open {
 		return end
 	}
 	if !may() {
@@ -99,7 +99,7 @@
 // open opens a connection, if need be in place of one that is idle, or once there is one or a descriptor to spare. It guards
 // against members that are taken for silent where there are more of them than descriptors, and against clients kept out since
 // connections to members that carry nothing hold all.
-func (p *pools) open(by context.Context, to rules.MemberID, address string) (link, transport.End) {
+func (p *pools) open(by context.Context, to rules.MemberID, address string) (link, transport.CloseReason) {
 	within, stop := context.WithTimeoutCause(by, p.connectWithin, transport.DialTimedOut)
 	defer stop()
 	if p.d.Free() <= p.d.Limit()/roomShare { // as much as waiting clients may hold is left to clients
@@ -127,7 +127,7 @@
 }
 
 // answered notes whether a member answered in time.
-func (p *pools) answered(to rules.MemberID, answered bool, end transport.End) {
+func (p *pools) answered(to rules.MemberID, answered bool, end transport.CloseReason) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if answered {
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -141,7 +141,7 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	p.Known.Whole = true
+	p.Known.IsFull = true
 	return p, p.spans()
 }
 
--- a/internal/program/posting_test.go
+++ b/internal/program/posting_test.go
@@ -38,7 +38,7 @@
 		require.True(t, json.Valid([]byte(text)))
 		r, err := routing.New(p.Deployment, p.Seed, p.Known, log)
 		if err == nil {
-			r.ReportList(protocol.Targets{Whole: true})
+			r.ReportList(protocol.Targets{IsFull: true})
 			require.Positive(t, r.LongestLeft())
 		}
 	})
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -28,7 +28,7 @@
 	looks       *looks
 	lobby       *lobby
 	cancels     *cancels
-	spare       *transport.Spare // for what clients send behind open queries
+	spare       *transport.OverflowBudget // for what clients send behind open queries
 	peers       *peers
 	source      *source
 	ready       *readiness
@@ -46,7 +46,7 @@
 	defer die(transport.ShutDown)
 	d := transport.NewDescriptors(int(posting.Sockets))
 	p := &Program{posting: posting, log: log, life: life, lobby: &lobby{d: d}, cancels: newCancels(), descriptors: d,
-		spare:  transport.NewSpare(int(posting.MemoryMB<<20)/behindShare, mostBehind),
+		spare:  transport.NewOverflowBudget(int(posting.MemoryMB<<20)/behindShare, mostBehind),
 		source: &source{address: posting.Discovery, rng: rand.New(rand.NewSource(posting.Seed))}}
 	var err error
 	if p.router, err = routing.New(posting.Deployment, posting.Seed, posting.Known, log); err != nil {
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -16,17 +16,17 @@
 func (p *Program) session(c protocol.Client) {
 	cell := cells.NoCell // of its last RPC, for which its connection counts
 	leave := p.lobby.enter(c, false, cell)
-	c.WriteWithin(longestWrite)
+	c.SetWriteTimeout(longestWrite)
 	h, forget := p.cancels.enter()
 	defer forget()
-	from, end := c.Welcome(h.key, p.cancels.cancel)
+	from, end := c.Handshake(h.key, p.cancels.cancel)
 	for guest := false; end == transport.Open; {
 		var text string
 		var came time.Time
-		if text, came, end = c.Query(); end != transport.Open {
+		if text, came, end = c.ReadQuery(); end != transport.Open {
 			break
 		}
-		if end = c.End(); end != transport.Open { // it asked and went: nothing is begun for it
+		if end = c.CloseReason(); end != transport.Open { // it asked and went: nothing is begun for it
 			break
 		}
 		leave()
@@ -55,7 +55,7 @@
 // lingers is how long, where this side ends a client's connection, the client may take to read what it was sent and to end
 // its own side. What it still sends meanwhile is read and thrown away: unread it would make the close a reset, which takes
 // an answer with it that is on its way. A request among it was never taken: its client, told of the end, asks elsewhere.
-var lingers = map[transport.End]time.Duration{
+var lingers = map[transport.CloseReason]time.Duration{
 	transport.Malformed: lingerFor,
 	transport.TooLong:   lingerFor,
 	transport.Stalled:   lingerFor,
@@ -74,8 +74,8 @@
 
 // query serves a client's query, whose last byte came at a time, and gives the trip of the RPC that it stood for, nil where none
 // was taken.
-func (p *Program) query(c protocol.Client, h *held, from protocol.Origin, text string,
-	came time.Time) (trip *routing.Trip, end transport.End) {
+func (p *Program) query(c protocol.Client, h *held, from protocol.Identity, text string,
+	came time.Time) (trip *routing.Trip, end transport.CloseReason) {
 	if strings.Trim(text, " \t\r\n;") == "" {
 		return nil, p.emptyQuery(c)
 	}
@@ -85,28 +85,28 @@
 		trip, err = p.router.Admit(&asked)
 	}
 	if err != nil {
-		return nil, c.Refuse(protocol.Failure{State: protocol.StateSyntax, Message: err.Error()})
+		return nil, c.SendFailure(protocol.Failure{SQLState: protocol.StateSyntaxError, Message: err.Error()})
 	}
 	return trip, p.rpc(c, h, &s, trip)
 }
 
 // call is the RPC that a statement stands for which came at a time.
-func call(s *protocol.Statement, from protocol.Origin, came time.Time) routing.Call {
+func call(s *protocol.Statement, from protocol.Identity, came time.Time) routing.Call {
 	const milli = int64(time.Millisecond)
-	return routing.Call{ID: s.ID, Method: s.Method, Key: s.Key, Write: s.Write, Repeat: s.Repeat, Group: rules.GroupID(s.Group),
-		Left: s.Left * milli, Came: came, Token: s.After * milli, User: from.User, Base: from.Database}
+	return routing.Call{ID: s.ID, Method: s.Method, Key: s.Key, Write: s.Write, Repeat: s.IsRetry, Group: rules.GroupID(s.Group),
+		Left: s.TimeoutMillis * milli, Came: came, Token: s.MinPositionMillis * milli, User: from.User, Base: from.Database}
 }
 
 // emptyQuery is answered once this driver is ready.
-func (p *Program) emptyQuery(c protocol.Client) transport.End {
+func (p *Program) emptyQuery(c protocol.Client) transport.CloseReason {
 	for _, reached := range append(p.leased(), p.ready.reached) {
 		select {
 		case <-reached:
 		case <-c.Context().Done():
-			return c.End()
+			return c.CloseReason()
 		}
 	}
-	return c.Empty()
+	return c.SendEmpty()
 }
 
 // leased are closed once this driver knows where its tenants are, and what it acts on; none where its file says so.
@@ -119,7 +119,7 @@
 
 // rpc does what the router picks for an RPC until that has its answer, and passes it on. Meanwhile the client is attended
 // to: once it has gone, or cancels, the RPC is left.
-func (p *Program) rpc(c protocol.Client, h *held, s *protocol.Statement, trip *routing.Trip) transport.End {
+func (p *Program) rpc(c protocol.Client, h *held, s *protocol.Statement, trip *routing.Trip) transport.CloseReason {
 	final := p.steps(c, h, s, trip)
 	if final.Act == routing.Serve {
 		defer trip.Passed()
@@ -136,7 +136,7 @@
 func (p *Program) steps(c protocol.Client, h *held, s *protocol.Statement, trip *routing.Trip) routing.Step {
 	defer context.AfterFunc(c.Context(), trip.Leave)()
 	defer p.cancels.open(h, trip.Leave)()
-	defer c.Attend(p.spare)()
+	defer c.WatchForClose(p.spare)()
 	for {
 		step := trip.Pick()
 		if step.Act != routing.Attempt {
@@ -150,25 +150,25 @@
 }
 
 // answer gives a client its final answer.
-func (p *Program) answer(c protocol.Client, final routing.Step) transport.End {
+func (p *Program) answer(c protocol.Client, final routing.Step) transport.CloseReason {
 	switch final.Act {
 	case routing.Serve:
-		return c.Pass(final.Answer)
+		return c.Forward(final.Answer)
 	case routing.PushBack:
-		return c.Refuse(protocol.PushBack(final.ComeBack / int64(time.Millisecond)))
+		return c.SendFailure(protocol.Pushback(final.ComeBack / int64(time.Millisecond)))
 	case routing.Abort:
-		return c.Refuse(protocol.Abort())
+		return c.SendFailure(protocol.Aborted())
 	}
-	if end := c.End(); end != transport.Open {
+	if end := c.CloseReason(); end != transport.Open {
 		return end
 	}
-	return c.Refuse(protocol.Canceled())
+	return c.SendFailure(protocol.Canceled())
 }
 
 // attempt makes an attempt. The member is told how long this driver waits.
 func (p *Program) attempt(step routing.Step, s *protocol.Statement, trip *routing.Trip) routing.Outcome {
 	may := func() bool { return trip.May(step.Number) }
 	return p.pools.ask(step.By, step.Member, step.Address, may, func(within time.Duration) []string {
-		return s.Within(max(1, within.Milliseconds()), step.Fence)
+		return s.WithTimeout(max(1, within.Milliseconds()), step.Fence)
 	})
 }
--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -19,34 +19,34 @@
 // Client is a client's connection, seen from the driver.
 type Client struct{ *transport.Conn }
 
-// Origin is who a client said that it is.
-type Origin struct{ User, Database string }
+// Identity is who a client said that it is.
+type Identity struct{ User, Database string }
 
 // CancelKey is what a client is told at its start, and may name on another connection to cancel what is open on this one.
 type CancelKey struct{ Process, Secret uint32 }
 
-// Welcome reads the startup message and answers it. Encryption is declined. The client is told its key, and cancel is
+// Handshake reads the startup message and answers it. Encryption is declined. The client is told its key, and cancel is
 // called with the one that a connection names which only cancels.
-func (c Client) Welcome(key CancelKey, cancel func(CancelKey)) (Origin, transport.End) {
+func (c Client) Handshake(key CancelKey, cancel func(CancelKey)) (Identity, transport.CloseReason) {
 	for {
 		code, rest, end := c.startup()
 		switch {
 		case end == transport.Malformed || end == transport.TooLong || end == transport.Stalled:
-			return Origin{}, c.reject(StateProtocol, "the startup message can't be followed", end)
+			return Identity{}, c.reject(StateProtocolViolation, "the startup message can't be followed", end)
 		case end != transport.Open:
-			return Origin{}, end
+			return Identity{}, end
 		case code == tlsRequest || code == gssRequest:
 			c.Write("N")
 			if end := c.Flush(); end != transport.Open {
-				return Origin{}, end
+				return Identity{}, end
 			}
 		case code == cancelRequest:
 			if len(rest) == 8 {
 				cancel(CancelKey{binary.BigEndian.Uint32([]byte(rest)), binary.BigEndian.Uint32([]byte(rest[4:]))})
 			}
-			return Origin{}, transport.ClosedByPeer
+			return Identity{}, transport.ClosedByPeer
 		case code>>16 != versionThree>>16:
-			return Origin{}, c.reject(StateNotSupported, "only version 3 of the protocol is spoken here", transport.Malformed)
+			return Identity{}, c.reject(StateNotSupported, "only version 3 of the protocol is spoken here", transport.Malformed)
 		default:
 			return originOf(rest), c.greet(code, key)
 		}
@@ -55,7 +55,7 @@
 
 // originOf reads the names and values of a startup message as far as they can be followed. As in PostgreSQL the
 // database is the user's where none is named.
-func originOf(text string) (o Origin) {
+func originOf(text string) (o Identity) {
 	for text != "" && text[0] != 0 {
 		name, rest, named := strings.Cut(text, "\x00")
 		value, next, whole := strings.Cut(rest, "\x00")
@@ -76,7 +76,7 @@
 }
 
 // startup reads one message of those that have no kind: its code and what follows that.
-func (c Client) startup() (code uint32, rest string, end transport.End) {
+func (c Client) startup() (code uint32, rest string, end transport.CloseReason) {
 	if end := c.Await(8); end != transport.Open {
 		return 0, "", end
 	}
@@ -98,7 +98,7 @@
 }
 
 // greet says that the session may begin.
-func (c Client) greet(code uint32, key CancelKey) transport.End {
+func (c Client) greet(code uint32, key CancelKey) transport.CloseReason {
 	if code > versionThree { // a later minor version: 3.0 is what is spoken
 		put(c.Conn, kindVersion, "\x00\x03\x00\x00", "\x00\x00\x00\x00")
 	}
@@ -112,25 +112,25 @@
 	return c.ready()
 }
 
-// Query waits for the next query, and tells when its last byte came: it may have stood behind others since. Queries of the
+// ReadQuery waits for the next query, and tells when its last byte came: it may have stood behind others since. Queries of the
 // extended kind are answered with an error each.
-func (c Client) Query() (text string, came time.Time, end transport.End) {
+func (c Client) ReadQuery() (text string, came time.Time, end transport.CloseReason) {
 	for {
 		m, end := readMessage(c.Conn, mostStatement)
 		switch {
 		case end == transport.TooLong || end == transport.Malformed || end == transport.Stalled:
-			return "", came, c.reject(StateProtocol, "the message can't be followed", end)
+			return "", came, c.reject(StateProtocolViolation, "the message can't be followed", end)
 		case end != transport.Open:
 			return "", came, end
 		case m.kind == kindQuery:
 			if at := strings.IndexByte(m.body, 0); at < 0 || at != len(m.body)-1 {
-				return "", came, c.reject(StateProtocol, "the query is not one string", transport.Malformed)
+				return "", came, c.reject(StateProtocolViolation, "the query is not one string", transport.Malformed)
 			}
 			return m.body[:len(m.body)-1], m.came, transport.Open
 		case m.kind == kindTerminate:
 			return "", came, transport.ClosedByPeer
 		case m.kind == kindSync || strings.IndexByte(kindsExtended, m.kind) < 0:
-			return "", came, c.reject(StateProtocol, "a message of this kind can't be followed here", transport.Malformed)
+			return "", came, c.reject(StateProtocolViolation, "a message of this kind can't be followed here", transport.Malformed)
 		}
 		if end := c.skipExtended(m.kind); end != transport.Open {
 			return "", came, end
@@ -138,13 +138,15 @@
 	}
 }
 
-// Attend ends the connection as soon as the client has gone, while its query is worked on, until the function it gives is
+// WatchForClose ends the connection as soon as the client has gone, while its query is worked on, until the function it gives is
 // called. A client that says so has gone, as has one that closes, also behind further queries.
-func (c Client) Attend(spare *transport.Spare) (stop func()) { return c.Conn.Attend(spare, behind) }
+func (c Client) WatchForClose(spare *transport.OverflowBudget) (stop func()) {
+	return c.Conn.WatchForClose(spare, behind)
+}
 
 // behind looks at what a client sent behind its query: whether a Terminate is among it, and how much of it can be followed.
 // Of what can't be, the head is kept, to be answered when its turn comes; what stands behind it is nothing.
-func behind(held transport.Held) (gone bool, keep int) {
+func behind(held transport.PeekFunc) (gone bool, keep int) {
 	var head [headerBytes]byte
 	for at := 0; held(at, head[:]); {
 		length := int64(binary.BigEndian.Uint32(head[1:]))
@@ -160,8 +162,8 @@
 }
 
 // skipExtended answers a query of the extended kind, and passes over what belongs to it.
-func (c Client) skipExtended(kind byte) transport.End {
-	putFailure(c.Conn, Failure{State: StateNotSupported, Message: "only simple queries are taken"})
+func (c Client) skipExtended(kind byte) transport.CloseReason {
+	putFailure(c.Conn, Failure{SQLState: StateNotSupported, Message: "only simple queries are taken"})
 	for kind != kindSync && kind != kindFunction {
 		m, end := readMessage(c.Conn, mostStatement)
 		if end != transport.Open {
@@ -173,34 +175,34 @@
 }
 
 // ready says that the next query may come.
-func (c Client) ready() transport.End {
+func (c Client) ready() transport.CloseReason {
 	put(c.Conn, kindReady, "I")
 	return c.Flush()
 }
 
 // reject answers what can't be followed; nothing comes after it.
-func (c Client) reject(state, text string, end transport.End) transport.End {
-	putFailure(c.Conn, Failure{Fatal: true, State: state, Message: text})
+func (c Client) reject(state, text string, end transport.CloseReason) transport.CloseReason {
+	putFailure(c.Conn, Failure{Fatal: true, SQLState: state, Message: text})
 	c.Flush()
 	return end
 }
 
-// Empty answers an empty query.
-func (c Client) Empty() transport.End {
+// SendEmpty answers an empty query.
+func (c Client) SendEmpty() transport.CloseReason {
 	put(c.Conn, kindEmptyQuery)
 	return c.ready()
 }
 
-// Pass passes a member's answer on, as it came.
-func (c Client) Pass(a *Answer) transport.End {
+// Forward passes a member's answer on, as it came.
+func (c Client) Forward(a *Answer) transport.CloseReason {
 	for _, m := range a.messages {
 		c.Write(m.whole)
 	}
 	return c.ready()
 }
 
-// Refuse answers a query with an error.
-func (c Client) Refuse(f Failure) transport.End {
+// SendFailure answers a query with an error.
+func (c Client) SendFailure(f Failure) transport.CloseReason {
 	putFailure(c.Conn, f)
 	return c.ready()
 }
--- a/internal/protocol/descriptors_test.go
+++ b/internal/protocol/descriptors_test.go
@@ -26,14 +26,14 @@
 	}()
 	d := transport.NewDescriptors(1024)
 	for d.Free() > 1 {
-		require.True(t, d.Take(0))
+		require.True(t, d.Acquire(0))
 	}
 	by, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	_, end := Connect(context.Background(), by, d, l.Addr().String(), 1000, nil)
 	require.Equal(t, transport.NoDescriptor, end)
 	require.Equal(t, 1, d.Free())
-	_, err = NewDiscovery(d, l.Addr().String()).Whole(context.Background(), by)
+	_, err = NewDiscovery(d, l.Addr().String()).FetchAll(context.Background(), by)
 	require.Error(t, err, "it closes without an answer")
 	select {
 	case <-asked:
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -24,20 +24,20 @@
 
 // Target is one entry of discovery's list.
 type Target struct {
-	ID        string    `json:"instanceId"`
-	Address   string    `json:"hostPort"`
-	Zone      string    `json:"zone"`
-	Group     int64     `json:"cell"`
-	State     string    `json:"lifecycle"`
-	Started   float64   `json:"startedAtMs"`
-	Weight    float64   `json:"weight"` // its size, 0 where the list does not say
-	Lifecycle Lifecycle `json:"-"`
+	ID              string    `json:"instanceId"`
+	Address         string    `json:"hostPort"`
+	Zone            string    `json:"zone"`
+	Group           int64     `json:"cell"`
+	State           string    `json:"lifecycle"`
+	StartedAtMillis float64   `json:"startedAtMs"`
+	Weight          float64   `json:"weight"` // its size, 0 where the list does not say
+	Lifecycle       Lifecycle `json:"-"`
 }
 
 // Targets is discovery's list or, when Whole is false, what changed in it.
 type Targets struct {
 	Generation int64    `json:"generation"`
-	Whole      bool     `json:"reset"`
+	IsFull     bool     `json:"reset"`
 	Entries    []Target `json:"instances"`
 }
 
@@ -63,8 +63,8 @@
 			return fmt.Errorf("instances.%d.hostPort is missing", i)
 		case e.Weight < 0:
 			return fmt.Errorf("instances.%d.weight=%v is less than nothing", i, e.Weight)
-		case e.Started < 0 || e.Started > mostMillis:
-			return fmt.Errorf("instances.%d.startedAtMs=%v is out of range", i, e.Started)
+		case e.StartedAtMillis < 0 || e.StartedAtMillis > mostMillis:
+			return fmt.Errorf("instances.%d.startedAtMs=%v is out of range", i, e.StartedAtMillis)
 		}
 	}
 	return nil
@@ -82,19 +82,19 @@
 	return &Discovery{d: d, address: address}
 }
 
-// Whole asks for the whole list.
-func (d *Discovery) Whole(life, by context.Context) (Targets, error) {
+// FetchAll asks for the whole list.
+func (d *Discovery) FetchAll(life, by context.Context) (Targets, error) {
 	return d.get(life, by, "/api/targets")
 }
 
-// Since waits up to wait milliseconds for what is newer than a generation.
-func (d *Discovery) Since(life, by context.Context, generation, wait int64) (Targets, error) {
+// FetchChanges waits up to wait milliseconds for what is newer than a generation.
+func (d *Discovery) FetchChanges(life, by context.Context, generation, wait int64) (Targets, error) {
 	q := url.Values{"index": {strconv.FormatInt(generation, 10)}, "wait": {strconv.FormatInt(wait, 10)}}
 	return d.get(life, by, "/api/targets?"+q.Encode())
 }
 
 func (d *Discovery) get(life, by context.Context, path string) (t Targets, err error) {
-	if d.c == nil || !d.c.Quiet() { // what came unasked would be taken for the answer
+	if d.c == nil || !d.c.HasNoPendingInput() { // what came unasked would be taken for the answer
 		d.Close(transport.Evicted)
 		c, end := transport.Dial(life, by, d.d, 0, d.address, RingBytes)
 		if end != transport.Open {
@@ -116,9 +116,9 @@
 	return ParseTargets(r.body)
 }
 
-func (d *Discovery) exchange(by context.Context, path string) (response, transport.End) {
+func (d *Discovery) exchange(by context.Context, path string) (response, transport.CloseReason) {
 	c := d.c
-	stop := context.AfterFunc(by, func() { c.Close(transport.EndOf(by)) })
+	stop := context.AfterFunc(by, func() { c.Close(transport.CloseReasonOf(by)) })
 	defer stop()
 	c.Write(get(d.address, path))
 	if end := c.Flush(); end != transport.Open {
@@ -128,7 +128,7 @@
 }
 
 // Close ends the connection, if there is one.
-func (d *Discovery) Close(end transport.End) {
+func (d *Discovery) Close(end transport.CloseReason) {
 	if d.c != nil {
 		d.c.Close(end)
 		d.c = nil
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -9,24 +9,24 @@
 
 // States that this driver tells its clients or is told by members.
 const (
-	StateTooMany        = "53300" // turned away
-	StateNotNow         = "57P03" // turned away for now
-	StateReadOnly       = "25006" // a write, and this is no primary
-	StateTooOld         = "72000" // the data is too far behind
-	StateProtocol       = "08P01"
-	StateSyntax         = "42601"
-	StateCanceled       = "57014"
-	StateUnknownOutcome = "08007"
-	StateNotSupported   = "0A000"
-	StateFenced         = "VF001" // of ours: its version is over
+	StateTooManyConnections = "53300" // turned away
+	StateCannotConnectNow   = "57P03" // turned away for now
+	StateReadOnly           = "25006" // a write, and this is no primary
+	StateSnapshotTooOld     = "72000" // the data is too far behind
+	StateProtocolViolation  = "08P01"
+	StateSyntaxError        = "42601"
+	StateQueryCanceled      = "57014"
+	StateUnknownOutcome     = "08007"
+	StateNotSupported       = "0A000"
+	StateFenced             = "VF001" // of ours: its version is over
 )
 
 // Failure is what an ErrorResponse says.
 type Failure struct {
-	Fatal   bool
-	State   string
-	Message string
-	Detail  string
+	Fatal    bool
+	SQLState string
+	Message  string
+	Detail   string
 }
 
 func putFailure(c *transport.Conn, f Failure) {
@@ -34,7 +34,7 @@
 	if f.Fatal {
 		severity = "FATAL"
 	}
-	pieces := []string{"S", severity, "\x00V", severity, "\x00C", f.State, "\x00M", f.Message, "\x00"}
+	pieces := []string{"S", severity, "\x00V", severity, "\x00C", f.SQLState, "\x00M", f.Message, "\x00"}
 	if f.Detail != "" {
 		pieces = append(pieces, "D", f.Detail, "\x00")
 	}
@@ -53,19 +53,19 @@
 		case 'S':
 			f.Fatal = text == "FATAL" || text == "PANIC"
 		case 'C':
-			f.State = text
+			f.SQLState = text
 		case 'M':
 			f.Message = text
 		case 'D':
 			f.Detail = text
 		}
 	}
-	return f, body == "\x00" && len(f.State) == 5
+	return f, body == "\x00" && len(f.SQLState) == 5
 }
 
-// PushBack says that trying again is harmless, and when, if that is known.
-func PushBack(comeBackMillis int64) Failure {
-	f := Failure{State: StateTooMany, Message: "pushed back, trying again is harmless"}
+// Pushback says that trying again is harmless, and when, if that is known.
+func Pushback(comeBackMillis int64) Failure {
+	f := Failure{SQLState: StateTooManyConnections, Message: "pushed back, trying again is harmless"}
 	if comeBackMillis > 0 {
 		f.Detail = strconv.FormatInt(comeBackMillis, 10)
 	}
@@ -74,10 +74,10 @@
 
 // Canceled says that an RPC was given up because its client asked for that, and that its effect is not known.
 func Canceled() Failure {
-	return Failure{State: StateCanceled, Message: "canceled, it may or may not have run"}
+	return Failure{SQLState: StateQueryCanceled, Message: "canceled, it may or may not have run"}
 }
 
-// Abort says that an RPC failed, and that its effect is not known.
-func Abort() Failure {
-	return Failure{State: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
+// Aborted says that an RPC failed, and that its effect is not known.
+func Aborted() Failure {
+	return Failure{SQLState: StateUnknownOutcome, Message: "aborted, it may or may not have run"}
 }
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -25,7 +25,7 @@
 }
 
 // readResponse waits for a whole response.
-func readResponse(c *transport.Conn) (r response, end transport.End) {
+func readResponse(c *transport.Conn) (r response, end transport.CloseReason) {
 	line, end := readLine(c)
 	if end != transport.Open {
 		return r, end
@@ -52,7 +52,7 @@
 }
 
 // head reads the header fields; length is -1 where none is given.
-func (r *response) head(c *transport.Conn) (length int, chunked bool, end transport.End) {
+func (r *response) head(c *transport.Conn) (length int, chunked bool, end transport.CloseReason) {
 	length = -1
 	for left := mostHead; left > 0; {
 		line, end := readLine(c)
@@ -81,7 +81,7 @@
 }
 
 // more reads n more bytes of the body.
-func (r *response) more(c *transport.Conn, n int) transport.End {
+func (r *response) more(c *transport.Conn, n int) transport.CloseReason {
 	if len(r.body)+n > mostBody {
 		return transport.TooLong
 	}
@@ -97,7 +97,7 @@
 	return transport.Open
 }
 
-func (r *response) chunks(c *transport.Conn) transport.End {
+func (r *response) chunks(c *transport.Conn) transport.CloseReason {
 	for {
 		line, end := readLine(c)
 		if end != transport.Open {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (r *response) untilEnd(c *transport.Conn) transport.End {
+func (r *response) untilEnd(c *transport.Conn) transport.CloseReason {
 	r.last = true
 	for len(r.body) < mostBody {
 		switch end := c.Await(1); end {
@@ -142,15 +142,15 @@
 	return transport.TooLong
 }
 
-func cutShort(end transport.End) transport.End {
+func cutShort(end transport.CloseReason) transport.CloseReason {
 	if end == transport.ClosedByPeer {
-		return transport.CutShort
+		return transport.Truncated
 	}
 	return end
 }
 
 // readLine waits for a line, and gives it without its end.
-func readLine(c *transport.Conn) (string, transport.End) {
+func readLine(c *transport.Conn) (string, transport.CloseReason) {
 	for n := 1; n <= mostHead; {
 		if end := c.Await(n); end != transport.Open {
 			return "", end
--- a/internal/protocol/member.go
+++ b/internal/protocol/member.go
@@ -18,11 +18,11 @@
 
 // Answer is what a member made of a statement, and what it told of itself.
 type Answer struct {
-	Failure  *Failure // nil for a whole row
-	Primary  bool
-	Replica  bool
-	Position int64     // milliseconds, 0 when not told
-	messages []message // the row as it came
+	Failure        *Failure // nil for a whole row
+	IsPrimary      bool
+	IsReplica      bool
+	PositionMillis int64     // milliseconds, 0 when not told
+	messages       []message // the row as it came
 }
 
 // startup is the startup message: its length, the version, and who asks for what.
@@ -30,7 +30,7 @@
 
 // Connect opens a connection to a member, which may answer with up to most bytes, and waits until it is ready, until
 // by ends. Whenever it says that it is no primary denied is called at once, if it is not nil.
-func Connect(life, by context.Context, d *transport.Descriptors, address string, most int, denied func()) (Member, transport.End) {
+func Connect(life, by context.Context, d *transport.Descriptors, address string, most int, denied func()) (Member, transport.CloseReason) {
 	c, end := transport.Dial(life, by, d, keptForDiscovery, address, RingBytes)
 	if end != transport.Open {
 		return Member{}, end
@@ -54,12 +54,12 @@
 
 // endBy ends the connection when a context ends first; the function it gives calls that off.
 func (m Member) endBy(by context.Context) func() {
-	stop := context.AfterFunc(by, func() { m.Close(transport.EndOf(by)) })
+	stop := context.AfterFunc(by, func() { m.Close(transport.CloseReasonOf(by)) })
 	return func() { stop() }
 }
 
 // greeted reads what a member says before it is ready.
-func (m Member) greeted() transport.End {
+func (m Member) greeted() transport.CloseReason {
 	for {
 		msg, end := readMessage(m.Conn, m.most)
 		if end != transport.Open {
@@ -69,7 +69,7 @@
 		case kindReady:
 			return transport.Open
 		case kindError:
-			return transport.TurnedAway
+			return transport.Rejected
 		case kindAuthentication:
 			if msg.body != "\x00\x00\x00\x00" {
 				return transport.Malformed
@@ -91,9 +91,9 @@
 	}
 }
 
-// Ask sends a statement, given in pieces, and waits for its answer until by ends. Sent tells whether its last byte
+// Query sends a statement, given in pieces, and waits for its answer until by ends. Sent tells whether its last byte
 // was written. The connection is still good when end is Open; an answer may be whole even where it is not.
-func (m Member) Ask(by context.Context, statement ...string) (a *Answer, sent bool, end transport.End) {
+func (m Member) Query(by context.Context, statement ...string) (a *Answer, sent bool, end transport.CloseReason) {
 	defer m.endBy(by)()
 	put(m.Conn, kindQuery, append(statement, "\x00")...)
 	if end = m.Flush(); end != transport.Open {
@@ -102,9 +102,9 @@
 	a = &Answer{}
 	whole := false
 	if end = m.Await(1); end == transport.Open { // an answer that has begun comes whole or not at all
-		m.Hurry(restWithin)
+		m.SetReadTimeout(restWithin)
 		whole, end = a.read(m)
-		m.Hurry(0)
+		m.SetReadTimeout(0)
 	}
 	if end != transport.Open {
 		m.Close(end)
@@ -112,14 +112,14 @@
 	if !whole {
 		a = nil
 	}
-	return a, true, m.End()
+	return a, true, m.CloseReason()
 }
 
 const restWithin = 250 * time.Millisecond // a member may pause within an answer
 
 // read reads an answer up to ReadyForQuery, and tells whether a whole one came. One that breaks off behind its last
 // own message is whole; one that goes on with what can't be read is not.
-func (a *Answer) read(from Member) (whole bool, end transport.End) {
+func (a *Answer) read(from Member) (whole bool, end transport.CloseReason) {
 	for {
 		m, end := readMessage(from.Conn, from.most)
 		if end != transport.Open {
@@ -203,14 +203,14 @@
 	}
 	switch name {
 	case roleParameter:
-		a.Primary, a.Replica = value == primaryRole, value == replicaRole
+		a.IsPrimary, a.IsReplica = value == primaryRole, value == replicaRole
 	case positionParameter:
-		a.Position, _ = millis(value, nil)
+		a.PositionMillis, _ = millis(value, nil)
 	}
 }
 
-// Text is the row's one value.
-func (a *Answer) Text() string {
+// Value is the row's one value.
+func (a *Answer) Value() string {
 	const before = 6 // the number of columns and the value's length
 	if len(a.messages) != len(rowKinds) {
 		return ""
@@ -221,8 +221,8 @@
 // LoadQuery is the probe that brings a load report.
 const LoadQuery = "SHOW server_load"
 
-// Bytes is how long the answer's messages are.
-func (a *Answer) Bytes() (n int) {
+// Size is how long the answer's messages are.
+func (a *Answer) Size() (n int) {
 	for _, m := range a.messages {
 		n += len(m.whole)
 	}
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -50,7 +50,7 @@
 }
 
 // readMessage waits for the next message, of most bytes at the most. Memory is taken as it comes, not as announced.
-func readMessage(c *transport.Conn, most int) (message, transport.End) {
+func readMessage(c *transport.Conn, most int) (message, transport.CloseReason) {
 	if end := c.Await(headerBytes); end != transport.Open {
 		return message{}, end
 	}
--- a/internal/protocol/statement.go
+++ b/internal/protocol/statement.go
@@ -9,17 +9,17 @@
 
 // Statement is what a client asks, with what its comment says.
 type Statement struct {
-	ID      string
-	Method  string
-	Key     string
-	Write   bool
-	Left    int64 // milliseconds that the client waits
-	Group   int64
-	After   int64 // position that the read must see, in milliseconds, 0 for none
-	Repeat  bool
-	before  string // the text up to the value of d
-	behind  string // the text after it
-	entries uint   // of the comment's names, those that came
+	ID                string
+	Method            string
+	Key               string
+	Write             bool
+	TimeoutMillis     int64 // milliseconds that the client waits
+	Group             int64
+	MinPositionMillis int64 // position that the read must see, in milliseconds, 0 for none
+	IsRetry           bool
+	before            string // the text up to the value of d
+	behind            string // the text after it
+	entries           uint   // of the comment's names, those that came
 }
 
 var (
@@ -146,13 +146,13 @@
 	case "c":
 		entry, s.Method, err = hasMethod, value, named(value, errMethod)
 	case "r":
-		entry, s.Repeat = hasRepeat, value == "1"
+		entry, s.IsRetry = hasRepeat, value == "1"
 		if value != "0" && value != "1" {
 			err = errRepeat
 		}
 	case "d":
 		entry = hasLeft
-		s.Left, err = millis(value, errLeft)
+		s.TimeoutMillis, err = millis(value, errLeft)
 		from := at + len("d=")
 		s.before, s.behind = text[:from], text[from+len(value):]
 	case "cluster":
@@ -160,7 +160,7 @@
 		s.Group, err = millis(value, errGroup)
 	case "after":
 		entry = hasAfter
-		s.After, err = millis(value, errAfter)
+		s.MinPositionMillis, err = millis(value, errAfter)
 	}
 	if err == nil && s.entries&entry != 0 {
 		err = errTwice
@@ -186,8 +186,8 @@
 	return n, nil
 }
 
-// Within is the statement as it came, in pieces, but for how long its sender waits, and with a fence if there is one.
-func (s *Statement) Within(millis int64, fence Fence) []string {
+// WithTimeout is the statement as it came, in pieces, but for how long its sender waits, and with a fence if there is one.
+func (s *Statement) WithTimeout(millis int64, fence Fence) []string {
 	parts := []string{s.before, strconv.FormatInt(millis, 10), s.behind}
 	if fence.Version == 0 {
 		return parts
--- a/internal/protocol/statement_test.go
+++ b/internal/protocol/statement_test.go
@@ -17,12 +17,12 @@
 	s, err := ParseStatement(reading)
 	require.NoError(t, err)
 	require.Equal(t, []any{"7f", "basket", "it's", int64(480), int64(2), int64(1767225600123), true, false},
-		[]any{s.ID, s.Method, s.Key, s.Left, s.Group, s.After, s.Repeat, s.Write})
-	require.Equal(t, strings.Replace(reading, "d=480", "d=31", 1), strings.Join(s.Within(31, Fence{}), ""))
+		[]any{s.ID, s.Method, s.Key, s.TimeoutMillis, s.Group, s.MinPositionMillis, s.IsRetry, s.Write})
+	require.Equal(t, strings.Replace(reading, "d=480", "d=31", 1), strings.Join(s.WithTimeout(31, Fence{}), ""))
 	s, err = ParseStatement(writing)
 	require.NoError(t, err)
 	require.True(t, s.Write)
-	require.Equal(t, strings.Replace(writing, "d=480", "d=31", 1), strings.Join(s.Within(31, Fence{}), ""))
+	require.Equal(t, strings.Replace(writing, "d=480", "d=31", 1), strings.Join(s.WithTimeout(31, Fence{}), ""))
 }
 
 // Guards against statements that a member would not take reaching one: in each a single piece is not as it must be.
@@ -85,7 +85,7 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseStatement(strings.Join(s.Within(s.Left, Fence{}), ""))
+		again, err := ParseStatement(strings.Join(s.WithTimeout(s.TimeoutMillis, Fence{}), ""))
 		require.NoError(t, err)
 		require.Equal(t, s, again)
 	})
@@ -96,7 +96,7 @@
 	s, err := ParseStatement(strings.Replace(reading, "d=480", "d=480,fence=9", 1))
 	require.NoError(t, err)
 	f := Fence{Version: 7, Epoch: 19, Valid: []uint64{6, 7}}
-	sent := strings.Join(s.Within(31, f), "")
+	sent := strings.Join(s.WithTimeout(31, f), "")
 	require.Contains(t, sent, ",fence=7@19:6+7 */")
 	require.Equal(t, f, ParseFence(sent))
 	_, err = ParseStatement(sent)
--- a/internal/protocol/stream_test.go
+++ b/internal/protocol/stream_test.go
@@ -48,28 +48,28 @@
 func TestClientStreams(t *testing.T) {
 	for _, c := range []struct {
 		text, query, answer string
-		end                 transport.End
+		end                 transport.CloseReason
 	}{
 		{hello + said('Q', "one\x00"), "one", "", transport.Open},
 		{"\x00\x00\x00\x08\x04\xd2\x16\x2f" + hello + said('Q', "one\x00"), "one", "N", transport.Open},
 		{hello + said('P', "x") + said('B', "") + said('S', "") + said('Q', "two\x00"), "two", StateNotSupported, transport.Open},
 		{hello + said('X', ""), "", "", transport.ClosedByPeer},
-		{hello + said('Q', "one"), "", StateProtocol, transport.Malformed},
-		{hello + said('Q', "o\x00ne\x00"), "", StateProtocol, transport.Malformed},
-		{hello + said('y', ""), "", StateProtocol, transport.Malformed},
-		{hello + "Q\x00\x00\x00\x03", "", StateProtocol, transport.Malformed},
-		{hello + "Q\x7f\x00\x00\x00", "", StateProtocol, transport.TooLong},
-		{hello + "Q\x00\x00\x00\x09one", "", "", transport.CutShort},
-		{"\x00\x00\x00\x07", "", "", transport.CutShort},
-		{"\x00\x00\x00\x07\x00\x03\x00\x00", "", StateProtocol, transport.Malformed},
+		{hello + said('Q', "one"), "", StateProtocolViolation, transport.Malformed},
+		{hello + said('Q', "o\x00ne\x00"), "", StateProtocolViolation, transport.Malformed},
+		{hello + said('y', ""), "", StateProtocolViolation, transport.Malformed},
+		{hello + "Q\x00\x00\x00\x03", "", StateProtocolViolation, transport.Malformed},
+		{hello + "Q\x7f\x00\x00\x00", "", StateProtocolViolation, transport.TooLong},
+		{hello + "Q\x00\x00\x00\x09one", "", "", transport.Truncated},
+		{"\x00\x00\x00\x07", "", "", transport.Truncated},
+		{"\x00\x00\x00\x07\x00\x03\x00\x00", "", StateProtocolViolation, transport.Malformed},
 		{"\x00\x00\x00\x08\x00\x02\x00\x00", "", StateNotSupported, transport.Malformed},
 	} {
 		conn, s := feed(c.text)
 		client := Client{conn}
 		query := ""
-		_, end := client.Welcome(CancelKey{}, func(CancelKey) {})
+		_, end := client.Handshake(CancelKey{}, func(CancelKey) {})
 		if end == transport.Open {
-			query, _, end = client.Query()
+			query, _, end = client.ReadQuery()
 		}
 		require.Equal(t, c.end, end, "%q", c.text)
 		require.Equal(t, c.query, query)
@@ -83,14 +83,14 @@
 	for text, want := range map[string]struct {
 		whole bool
 		state string
-		end   transport.End
+		end   transport.CloseReason
 	}{
 		row + told + ready:                      {true, "", transport.Open},
 		row:                                     {true, "", transport.ClosedByPeer},
 		row + row + ready:                       {false, "", transport.Malformed},
 		row + "noise" + ready:                   {false, "", transport.TooLong},
 		row + said('Z', "?"):                    {false, "", transport.Malformed},
-		row[:len(row)-1]:                        {false, "", transport.CutShort},
+		row[:len(row)-1]:                        {false, "", transport.Truncated},
 		about + ready:                           {false, "", transport.Malformed},
 		ready:                                   {false, "", transport.Malformed},
 		said('N', "x") + refused + told + ready: {true, "25006", transport.Open},
@@ -115,9 +115,9 @@
 		require.Equal(t, want.end, end, "%q", text)
 		if want.whole && want.state == "" {
 			require.Nil(t, a.Failure)
-			require.Equal(t, "x", a.Text())
+			require.Equal(t, "x", a.Value())
 		} else if want.whole {
-			require.Equal(t, want.state, a.Failure.State)
+			require.Equal(t, want.state, a.Failure.SQLState)
 		}
 		conn.Close(transport.ShutDown)
 	}
@@ -131,7 +131,7 @@
 	_, end := whole.read(Member{Conn: from, most: mostValue})
 	require.Equal(t, transport.Open, end)
 	to, far := feed("")
-	require.Equal(t, transport.Open, Client{to}.Pass(whole))
+	require.Equal(t, transport.Open, Client{to}.Forward(whole))
 	require.Equal(t, large+ready, far.heard.String())
 	from, _ = feed(large + ready)
 	_, end = new(Answer).read(Member{Conn: from, most: 1 << 18})
@@ -141,10 +141,10 @@
 	a := &Answer{}
 	_, end = a.read(Member{Conn: conn, most: mostValue})
 	require.Equal(t, transport.Open, end)
-	require.True(t, a.Primary)
-	require.EqualValues(t, 7, a.Position)
+	require.True(t, a.IsPrimary)
+	require.EqualValues(t, 7, a.PositionMillis)
 	conn, client := feed("")
-	require.Equal(t, transport.Open, Client{conn}.Pass(a))
+	require.Equal(t, transport.Open, Client{conn}.Forward(a))
 	require.Equal(t, row+ready, client.heard.String())
 }
 
@@ -153,12 +153,12 @@
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for text, want := range map[string]struct {
 		body string
-		end  transport.End
+		end  transport.CloseReason
 	}{
 		ok + "Content-Length: 2\r\n\r\n{}":                                       {"{}", transport.Open},
 		ok + "Transfer-Encoding: chunked\r\n\r\n1;x\r\n{\r\n1\r\n}\r\n0\r\n\r\n": {"{}", transport.Open},
 		ok + "Connection: close\r\n\r\n{}":                                       {"{}", transport.Open},
-		ok + "Content-Length: 3\r\n\r\n{}":                                       {"{}", transport.CutShort},
+		ok + "Content-Length: 3\r\n\r\n{}":                                       {"{}", transport.Truncated},
 		ok + "Content-Length: -3\r\n\r\n{}":                                      {"", transport.Malformed},
 		ok + "Content-Length: 99999999\r\n\r\n{}":                                {"", transport.TooLong},
 		ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":                          {"", transport.Malformed},
@@ -197,8 +197,8 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		conn, _ := feed(text)
 		client := Client{conn}
-		for _, end := client.Welcome(CancelKey{}, func(CancelKey) {}); end == transport.Open; {
-			_, _, end = client.Query()
+		for _, end := client.Handshake(CancelKey{}, func(CancelKey) {}); end == transport.Open; {
+			_, _, end = client.ReadQuery()
 		}
 	})
 }
@@ -211,7 +211,7 @@
 		a := &Answer{}
 		if whole, _ := a.read(Member{Conn: conn, most: mostValue}); whole && a.Failure == nil {
 			require.Len(t, a.messages, len(rowKinds))
-			a.Text()
+			a.Value()
 		}
 		Member{Conn: conn, most: mostValue}.greeted()
 	})
@@ -230,29 +230,29 @@
 // Guards against news that mean something else at the driver that hears them.
 func FuzzNews(f *testing.F) {
 	const now = 1767225600123
-	one := News{Member: 1<<32 - 1, Role: 2, Position: now - 4711, Took: 88, Ran: 17}
-	f.Add(string(AppendNews(nil, one, now)))
-	f.Add(string(AppendNews(AppendNews(nil, News{Position: now + 20}, now), one, now)))
+	one := Observation{Member: 1<<32 - 1, Role: 2, PositionMillis: now - 4711, LatencyMillis: 88, MinUptimeSeconds: 17}
+	f.Add(string(AppendObservation(nil, one, now)))
+	f.Add(string(AppendObservation(AppendObservation(nil, Observation{PositionMillis: now + 20}, now), one, now)))
 	f.Add("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff")
-	told, ok := ParseNews(AppendNews(AppendNews(nil, News{Position: now - LongestNews - 1}, now), one, now), now+1500)
+	told, ok := ParseObservations(AppendObservation(AppendObservation(nil, Observation{PositionMillis: now - MaxPositionAgeMillis - 1}, now), one, now), now+1500)
 	require.True(f, ok)
-	require.Equal(f, []News{one}, told, "what is too old is left out, and what was told means the same a little later")
+	require.Equal(f, []Observation{one}, told, "what is too old is left out, and what was told means the same a little later")
 	f.Fuzz(func(t *testing.T, text string) {
-		news, ok := ParseNews([]byte(text), now)
+		news, ok := ParseObservations([]byte(text), now)
 		if !ok {
 			return
 		}
 		var again []byte
 		for _, n := range news {
 			before := len(again)
-			again = AppendNews(again, n, now)
+			again = AppendObservation(again, n, now)
 			if len(again) == before { // too far from now to be told
 				return
 			}
 			require.LessOrEqual(t, len(again)-before, newsBytes)
 		}
-		same, ok := ParseNews(again, now)
-		require.True(t, ok || len(again) > MessageBytes)
+		same, ok := ParseObservations(again, now)
+		require.True(t, ok || len(again) > MaxMessageBytes)
 		if ok {
 			require.Equal(t, news, same)
 		}
@@ -262,7 +262,7 @@
 // Guards against a message of another version's form that is taken for one of this.
 func TestMessagesOfAnotherLength(t *testing.T) {
 	for _, length := range []int{1, 7, 9, 257, 264} {
-		_, ok := ParseNews([]byte(strings.Repeat("\x01", length)), 1767225600123)
+		_, ok := ParseObservations([]byte(strings.Repeat("\x01", length)), 1767225600123)
 		require.False(t, ok, length)
 	}
 }
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -118,8 +118,8 @@
 		t.pass.until = max(t.pass.until, until)
 	}
 	if o.Answer != nil {
-		bytes = o.Answer.Bytes()
-		r.gate.Committed(t.pass.ticket, o.Answer.Position*milli)
+		bytes = o.Answer.Size()
+		r.gate.Committed(t.pass.ticket, o.Answer.PositionMillis*milli)
 	}
 	r.gate.AttemptEnded(t.pass.ticket, until, bytes, r.now())
 	if v.proof == rules.OK && !t.ended && !t.may() {
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -35,7 +35,7 @@
 
 // observeList notes the list as it is after what was told. The lock is held.
 func (r *Router) observeList(t protocol.Targets) {
-	if r.whole.entries == nil || t.Whole {
+	if r.whole.entries == nil || t.IsFull {
 		r.whole = wholeList{entries: map[string]uint64{}}
 	}
 	l := &r.whole
@@ -45,7 +45,7 @@
 		if e.Lifecycle == protocol.Deleted {
 			continue
 		}
-		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", e.ID, e.Address, e.Zone, e.Group, e.Lifecycle, e.Started, e.Weight))
+		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", e.ID, e.Address, e.Zone, e.Group, e.Lifecycle, e.StartedAtMillis, e.Weight))
 		l.entries[e.ID] = sum
 		l.sum ^= sum
 	}
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -11,31 +11,31 @@
 
 // Outcome is how an attempt or a probe ended, as the network saw it.
 type Outcome struct {
-	Answer *protocol.Answer // nil where no whole one came
-	Sent   bool             // the last byte of the statement was written
-	End    transport.End    // how the connection ended, or Open
-	Opened time.Time        // when the connection was opened
+	Answer *protocol.Answer      // nil where no whole one came
+	Sent   bool                  // the last byte of the statement was written
+	End    transport.CloseReason // how the connection ended, or Open
+	Opened time.Time             // when the connection was opened
 }
 
 // states maps what a member answers in place of a row.
 var states = map[string]verdict{
-	protocol.StateReadOnly: {rules.NeverRan, rules.Missed},
-	protocol.StateTooOld:   {rules.NeverRan, rules.Missed},
-	protocol.StateTooMany:  {rules.NeverRan, rules.Full},
-	protocol.StateNotNow:   {rules.NeverRan, rules.Full},
-	protocol.StateSyntax:   {rules.MayHaveRun, rules.Moot},
-	protocol.StateFenced:   {rules.NeverRan, rules.Moot},
+	protocol.StateReadOnly:           {rules.NeverRan, rules.Missed},
+	protocol.StateSnapshotTooOld:     {rules.NeverRan, rules.Missed},
+	protocol.StateTooManyConnections: {rules.NeverRan, rules.Full},
+	protocol.StateCannotConnectNow:   {rules.NeverRan, rules.Full},
+	protocol.StateSyntaxError:        {rules.MayHaveRun, rules.Moot},
+	protocol.StateFenced:             {rules.NeverRan, rules.Moot},
 }
 
 // causes maps how a connection ended to why an attempt on it was not ok.
-var causes = map[transport.End]rules.Cause{
+var causes = map[transport.CloseReason]rules.Cause{
 	transport.DialRefused:  rules.NoConnect,
 	transport.DialTimedOut: rules.NoConnect,
 	transport.DialFailed:   rules.NoConnect,
 	transport.NoDescriptor: rules.NoConnect,
-	transport.TurnedAway:   rules.NoConnect,
+	transport.Rejected:     rules.NoConnect,
 	transport.ClosedByPeer: rules.Reset,
-	transport.CutShort:     rules.Reset,
+	transport.Truncated:    rules.Reset,
 	transport.ResetByPeer:  rules.Reset,
 	transport.Malformed:    rules.Errored,
 	transport.TooLong:      rules.Errored,
@@ -58,7 +58,7 @@
 	if a := o.Answer; a != nil && a.Failure == nil {
 		return verdict{rules.OK, rules.NoCause}
 	} else if a != nil {
-		if v, known := states[a.Failure.State]; known {
+		if v, known := states[a.Failure.SQLState]; known {
 			return v
 		}
 		return verdict{rules.MayHaveRun, rules.Errored}
@@ -74,20 +74,20 @@
 }
 
 // unusable tells that the member could not follow the statement: no other will.
-func (o Outcome) unusable() bool { return o.refusedAs(protocol.StateSyntax) }
+func (o Outcome) unusable() bool { return o.refusedAs(protocol.StateSyntaxError) }
 
 // fenced tells that the store turned the version away under which the attempt was made.
 func (o Outcome) fenced() bool { return o.refusedAs(protocol.StateFenced) }
 
 func (o Outcome) refusedAs(state string) bool {
-	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.State == state
+	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.SQLState == state
 }
 
 // found is what a probe found. A member that has no session to spare lives; of one for which this driver has no descriptor
 // to spare nothing is known.
 func (o Outcome) found() rules.ProbeResult {
 	switch o.End {
-	case transport.TurnedAway:
+	case transport.Rejected:
 		return rules.ProbeResult{Cause: rules.Full}
 	case transport.NoDescriptor:
 		return rules.ProbeResult{Cause: rules.Moot}
@@ -101,7 +101,7 @@
 		return s
 	}
 	var load briefing.Parts
-	load.Parse("report,"+o.Answer.Text(), ",", "=")
+	load.Parse("report,"+o.Answer.Value(), ",", "=")
 	if reported := load.Observation(0); load.Err == nil {
 		s = reported
 	}
@@ -114,14 +114,14 @@
 		return s
 	}
 	switch {
-	case o.Answer.Primary:
+	case o.Answer.IsPrimary:
 		s.Role = rules.RolePrimary
-	case o.Answer.Replica:
+	case o.Answer.IsReplica:
 		s.Role = rules.RoleReplica
 	}
 	if o.refusedAs(protocol.StateReadOnly) { // it took the statement for a write, and is no primary
 		s.Role = rules.RoleReplica
 	}
-	s.Position = o.Answer.Position * milli
+	s.Position = o.Answer.PositionMillis * milli
 	return s
 }
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -85,5 +85,5 @@
 		r.known[id].address = t.Address
 	}
 	return rules.Listing{Member: id, Group: rules.GroupID(t.Group), Zone: t.Zone, State: lifecycles[t.Lifecycle],
-		Started: int64(t.Started) * milli, Size: t.Weight}
+		Started: int64(t.StartedAtMillis) * milli, Size: t.Weight}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -92,7 +92,7 @@
 	for _, e := range t.Entries {
 		lines = append(lines, r.registry.listing(e))
 	}
-	r.driver.List(lines, t.Whole)
+	r.driver.List(lines, t.IsFull)
 }
 
 // ReportList reports the list, or what changed in it.
@@ -125,7 +125,7 @@
 }
 
 const (
-	longStandstill = protocol.LongestNews * milli / 2
+	longStandstill = protocol.MaxPositionAgeMillis * milli / 2
 	drainsNews     = 1000 * milli // in which what waited in the socket is read
 )
 
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -21,7 +21,7 @@
 // members blamed for what they did not do.
 func TestVerdicts(t *testing.T) {
 	failed := func(state string) Outcome {
-		return Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{State: state}}}
+		return Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: state}}}
 	}
 	for _, c := range []struct {
 		o     Outcome
@@ -37,14 +37,14 @@
 		{failed("08P01"), rules.MayHaveRun, rules.Errored},
 		{Outcome{End: transport.DialRefused}, rules.NeverRan, rules.NoConnect},
 		{Outcome{End: transport.DialTimedOut}, rules.NeverRan, rules.NoConnect},
-		{Outcome{End: transport.TurnedAway}, rules.NeverRan, rules.NoConnect},
+		{Outcome{End: transport.Rejected}, rules.NeverRan, rules.NoConnect},
 		{Outcome{End: transport.ResetByPeer}, rules.NeverRan, rules.NoConnect},
 		{Outcome{End: transport.Malformed}, rules.NeverRan, rules.NoConnect},
 		{Outcome{End: transport.TimedOut}, rules.NeverRan, rules.TimedOut},
 		{Outcome{End: transport.Cancelled}, rules.NeverRan, rules.Cancelled},
 		{Outcome{Sent: true, End: transport.ResetByPeer}, rules.MayHaveRun, rules.Reset},
 		{Outcome{Sent: true, End: transport.ClosedByPeer}, rules.MayHaveRun, rules.Reset},
-		{Outcome{Sent: true, End: transport.CutShort}, rules.MayHaveRun, rules.Reset},
+		{Outcome{Sent: true, End: transport.Truncated}, rules.MayHaveRun, rules.Reset},
 		{Outcome{Sent: true, End: transport.Malformed}, rules.MayHaveRun, rules.Errored},
 		{Outcome{Sent: true, End: transport.TimedOut}, rules.MayHaveRun, rules.TimedOut},
 		{Outcome{Sent: true, End: transport.Cancelled}, rules.MayHaveRun, rules.Cancelled},
@@ -54,7 +54,7 @@
 	for end := transport.DialRefused; end <= transport.Withheld; end++ {
 		require.Contains(t, causes, end, "each end has its cause")
 	}
-	require.Equal(t, rules.Full, Outcome{End: transport.TurnedAway}.found().Cause, "a full member lives")
+	require.Equal(t, rules.Full, Outcome{End: transport.Rejected}.found().Cause, "a full member lives")
 }
 
 // begin gives a router that knows members a and b of group 1.
@@ -67,7 +67,7 @@
 		"extra":     map[string]any{"readLevel": []any{"loose", "update"}},
 		"limits":    map[string]any{"probing": true, "cancelling": true, "mostTries": 3, "peerMessages": true},
 		"discovery": "subscribe", "fleetSize": 2})
-	known := protocol.Targets{Whole: true}
+	known := protocol.Targets{IsFull: true}
 	for _, name := range names {
 		known.Entries = append(known.Entries, protocol.Target{ID: name, Address: "at-" + name, Group: 1})
 	}
@@ -91,7 +91,7 @@
 }
 
 func ok(position int64, primary bool) Outcome {
-	return Outcome{Sent: true, Answer: &protocol.Answer{Primary: primary, Replica: !primary, Position: position}}
+	return Outcome{Sent: true, Answer: &protocol.Answer{IsPrimary: primary, IsReplica: !primary, PositionMillis: position}}
 }
 
 func take(r *Router, rpc rules.RPC) *Trip {
@@ -158,7 +158,7 @@
 	left.Leave()
 	require.Equal(t, Drop, left.Pick().Act)
 	<-step.By.Done()
-	require.Equal(t, transport.Cancelled, transport.EndOf(step.By))
+	require.Equal(t, transport.Cancelled, transport.CloseReasonOf(step.By))
 	left.Report(step.Number, Outcome{End: transport.Cancelled})
 
 	aborted := take(r, rules.RPC{Group: 1, Method: 1, Left: int64(time.Second)})
@@ -176,7 +176,7 @@
 	numbers := map[rules.MemberID]bool{}
 	gone := 0
 	for turn := range 5 {
-		t := protocol.Targets{Whole: true}
+		t := protocol.Targets{IsFull: true}
 		for i := range 100 {
 			t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint(turn, "-", i), Address: "there", Group: 1})
 		}
@@ -209,7 +209,7 @@
 		case Look:
 			one.ReportLook(duty.Member, ok(position, duty.Address == "at-a"))
 		case Spread:
-			news, _ := protocol.ParseNews(duty.Message, position)
+			news, _ := protocol.ParseObservations(duty.Message, position)
 			told += len(news)
 			require.True(t, other.ReportNews(duty.Message))
 		}
@@ -231,7 +231,7 @@
 	}
 	tell := func(age int64) {
 		position := r.now()/milli - age
-		require.True(t, r.ReportNews(protocol.AppendNews(nil, protocol.News{Member: r.registry.known[a].key, Role: 2, Position: position}, position)))
+		require.True(t, r.ReportNews(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.known[a].key, Role: 2, PositionMillis: position}, position)))
 	}
 	stop(66_000 * milli)
 	tell(66_000)
@@ -263,7 +263,7 @@
 // Guards against a member that turns a session away, on no connection at all, and is taken for one that ran all along.
 func TestNoConnectionIsNoOldOne(t *testing.T) {
 	r := begin(t, "a")
-	require.Zero(t, r.at(Outcome{End: transport.TurnedAway}.Opened))
+	require.Zero(t, r.at(Outcome{End: transport.Rejected}.Opened))
 	require.Positive(t, r.at(time.Now()))
 }
 
@@ -273,7 +273,7 @@
 	a, _ := r.Member("a")
 	r.registry.byKey[r.registry.known[a].key] = 0 // as the second member of that key leaves it
 	now := r.now() / milli
-	message := protocol.AppendNews(nil, protocol.News{Member: r.registry.known[a].key, Role: 1, Position: now}, now)
+	message := protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.known[a].key, Role: 1, PositionMillis: now}, now)
 	require.True(t, r.ReportNews(message))
 	require.False(t, r.Met(a))
 	b := r.registry.number("b")
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -84,7 +84,7 @@
 func TestAStoreTurnsAVersionAway(t *testing.T) {
 	r := confined(t, false)
 	heeds(t, r, false)
-	turned := Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{State: protocol.StateFenced}}}
+	turned := Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: protocol.StateFenced}}}
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
 	trip.Report(step.Number, turned)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -21,36 +21,36 @@
 
 	mu      sync.Mutex
 	moved   *sync.Cond // the in ring or the end has changed
-	in      Ring
-	taken   int64                                 // bytes that were read and taken, or thrown away
-	came    arrivals                              // of those that are held
-	wanted  int                                   // bytes that the reading goroutine waits for
-	parting End                                   // asked to end between messages
-	final   bool                                  // whatever may wait unread
-	parted  bool                                  // and nothing came before reading stopped
-	wasting int                                   // bytes that may still be read to be thrown away
-	heard   func(held Held) (gone bool, keep int) // looks at what is held while nobody takes it; nil else
-	spare   *Spare                                // that the in ring may have beyond its usual bound
-	spilled int                                   // and has
+	in      RingBuffer
+	taken   int64                                     // bytes that were read and taken, or thrown away
+	came    arrivals                                  // of those that are held
+	wanted  int                                       // bytes that the reading goroutine waits for
+	parting CloseReason                               // asked to end between messages
+	final   bool                                      // whatever may wait unread
+	parted  bool                                      // and nothing came before reading stopped
+	wasting int                                       // bytes that may still be read to be thrown away
+	heard   func(held PeekFunc) (gone bool, keep int) // looks at what is held while nobody takes it; nil else
+	spare   *OverflowBudget                           // that the in ring may have beyond its usual bound
+	spilled int                                       // and has
 	hurry   time.Duration
 	stalled *time.Timer // ends the connection once nothing has come for as long as hurry
-	end     End
+	end     CloseReason
 	closed  chan struct{} // closed once the socket is
 
-	out      Ring
+	out      RingBuffer
 	patience time.Duration
 }
 
-// Held copies bytes that were read and not taken, from an offset on, and tells whether so many are there.
-type Held func(at int, into []byte) bool
+// PeekFunc copies bytes that were read and not taken, from an offset on, and tells whether so many are there.
+type PeekFunc func(at int, into []byte) bool
 
 // NewConn starts reading into rings that hold up to bound bytes each. The connection ends with its context, and
 // calls give once it has.
 func NewConn(ctx context.Context, nc net.Conn, bound int, give func()) *Conn {
-	c := &Conn{nc: nc, give: give, in: NewRing(bound), out: NewRing(bound), closed: make(chan struct{})}
+	c := &Conn{nc: nc, give: give, in: NewRingBuffer(bound), out: NewRingBuffer(bound), closed: make(chan struct{})}
 	c.moved = sync.NewCond(&c.mu)
 	c.ctx, c.cancel = context.WithCancelCause(ctx)
-	context.AfterFunc(c.ctx, func() { c.Close(EndOf(c.ctx)) })
+	context.AfterFunc(c.ctx, func() { c.Close(CloseReasonOf(c.ctx)) })
 	go c.pump()
 	return c
 }
@@ -58,8 +58,8 @@
 // Context ends when the connection has, with its End as the cause.
 func (c *Conn) Context() context.Context { return c.ctx }
 
-// End tells how the connection ended, or Open.
-func (c *Conn) End() End {
+// CloseReason tells how the connection ended, or Open.
+func (c *Conn) CloseReason() CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.end
@@ -67,7 +67,7 @@
 
 // Close ends the connection, once. It returns when the socket is closed, whoever closed it: what comes after, such as
 // another attempt, must not cross what is still out on an open connection.
-func (c *Conn) Close(end End) {
+func (c *Conn) Close(end CloseReason) {
 	if c.finish(end) {
 		c.nc.Close()
 		c.give()
@@ -76,7 +76,7 @@
 	<-c.closed
 }
 
-func (c *Conn) finish(end End) bool {
+func (c *Conn) finish(end CloseReason) bool {
 	c.mu.Lock()
 	first := c.end == Open
 	if first {
@@ -226,7 +226,7 @@
 }
 
 // Await waits until n bytes can be read. What came before the connection ended can still be read.
-func (c *Conn) Await(n int) End {
+func (c *Conn) Await(n int) CloseReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n > c.in.bound {
@@ -237,7 +237,7 @@
 			return c.parting
 		}
 		if c.end == ClosedByPeer && c.in.Len() > 0 {
-			return CutShort
+			return Truncated
 		}
 		if c.end != Open {
 			return c.end
@@ -287,8 +287,8 @@
 	return c.end == Open && c.in.Len() == 0
 }
 
-// Quiet tells whether it is idle and nothing waits to be read either, be it the peer's end.
-func (c *Conn) Quiet() bool {
+// HasNoPendingInput tells whether it is idle and nothing waits to be read either, be it the peer's end.
+func (c *Conn) HasNoPendingInput() bool {
 	return c.Idle() && c.nothingWaits() && c.Idle() // what the reader had taken by then is in the ring now
 }
 
@@ -311,11 +311,11 @@
 	return err == nil && nothing
 }
 
-// Attend reads on from the peer while nobody takes what it sends, up to what spare allows, until the function it gives is
+// WatchForClose reads on from the peer while nobody takes what it sends, up to what spare allows, until the function it gives is
 // called. What is held is shown to heard, now and as more comes: once that tells that the peer has gone the connection ends,
 // and what stands behind keep is thrown away, if keep is not negative. It guards against work for a peer whose end stands
 // behind what it sent before. One that sends more than may be held is let go.
-func (c *Conn) Attend(spare *Spare, heard func(held Held) (gone bool, keep int)) (stop func()) {
+func (c *Conn) WatchForClose(spare *OverflowBudget, heard func(held PeekFunc) (gone bool, keep int)) (stop func()) {
 	c.mu.Lock()
 	c.heard, c.spare = heard, spare
 	gone := c.listen()
@@ -346,15 +346,15 @@
 
 func (c *Conn) held(at int, into []byte) bool { return c.in.peekAt(at, into) }
 
-// Part asks whoever reads from an idle connection to end it: reading stops, and Await gives the End. What comes
+// StopIfIdle asks whoever reads from an idle connection to end it: reading stops, and Await gives the End. What comes
 // later stays unread, so that the peer can tell; what came before, be it that nobody has read it yet, calls that off. It tells whether the connection
 // was idle.
-func (c *Conn) Part(end End) bool { return c.stop(end, false) }
+func (c *Conn) StopIfIdle(end CloseReason) bool { return c.stop(end, false) }
 
-// PartForGood is Part that nothing calls off but what was read: it is for a peer that has had its last answer and was told so.
-func (c *Conn) PartForGood(end End) bool { return c.stop(end, true) }
+// ForceStopIfIdle is Part that nothing calls off but what was read: it is for a peer that has had its last answer and was told so.
+func (c *Conn) ForceStopIfIdle(end CloseReason) bool { return c.stop(end, true) }
 
-func (c *Conn) stop(end End, final bool) bool {
+func (c *Conn) stop(end CloseReason, final bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	idle := c.end == Open && c.in.Len() == 0 && c.wasting == 0
@@ -365,8 +365,8 @@
 	return idle
 }
 
-// Cut makes whoever waits for the rest of a message give up: reading stops, and Await gives the End.
-func (c *Conn) Cut(end End) {
+// Interrupt makes whoever waits for the rest of a message give up: reading stops, and Await gives the End.
+func (c *Conn) Interrupt(end CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.end == Open {
@@ -376,8 +376,8 @@
 	}
 }
 
-// Hurry ends the connection as Stalled once the peer has sent nothing for a while, from now on; 0 calls that off.
-func (c *Conn) Hurry(while time.Duration) {
+// SetReadTimeout ends the connection as Stalled once the peer has sent nothing for a while, from now on; 0 calls that off.
+func (c *Conn) SetReadTimeout(while time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stalled != nil {
@@ -419,11 +419,11 @@
 	}
 }
 
-// WriteWithin is how long the peer may take to take what is flushed before that ends the connection.
-func (c *Conn) WriteWithin(patience time.Duration) { c.patience = patience }
+// SetWriteTimeout is how long the peer may take to take what is flushed before that ends the connection.
+func (c *Conn) SetWriteTimeout(patience time.Duration) { c.patience = patience }
 
 // Flush sends what the out ring holds. Open means that its last byte was written.
-func (c *Conn) Flush() End {
+func (c *Conn) Flush() CloseReason {
 	if c.patience > 0 && c.out.Len() > 0 {
 		c.nc.SetWriteDeadline(time.Now().Add(c.patience))
 	}
@@ -432,7 +432,7 @@
 		c.out.discard(n)
 		if err != nil {
 			c.Close(endOfWrite(err))
-			return c.End()
+			return c.CloseReason()
 		}
 	}
 	c.out.relax()
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -32,26 +32,26 @@
 
 // Guards against ends that are taken for one another: what an attempt proves hangs on them.
 func TestEnds(t *testing.T) {
-	for want, act := range map[End]func(c *Conn, far *net.TCPConn) End{
-		ClosedByPeer: func(c *Conn, far *net.TCPConn) End { far.Close(); return c.Await(1) },
-		CutShort: func(c *Conn, far *net.TCPConn) End {
+	for want, act := range map[CloseReason]func(c *Conn, far *net.TCPConn) CloseReason{
+		ClosedByPeer: func(c *Conn, far *net.TCPConn) CloseReason { far.Close(); return c.Await(1) },
+		Truncated: func(c *Conn, far *net.TCPConn) CloseReason {
 			far.Write([]byte("ab"))
 			far.Close()
 			return c.Await(3)
 		},
-		ResetByPeer: func(c *Conn, far *net.TCPConn) End { far.SetLinger(0); far.Close(); return c.Await(1) },
-		TooLong:     func(c *Conn, far *net.TCPConn) End { return c.Await(1<<20 + 1) },
-		TimedOut: func(c *Conn, far *net.TCPConn) End {
+		ResetByPeer: func(c *Conn, far *net.TCPConn) CloseReason { far.SetLinger(0); far.Close(); return c.Await(1) },
+		TooLong:     func(c *Conn, far *net.TCPConn) CloseReason { return c.Await(1<<20 + 1) },
+		TimedOut: func(c *Conn, far *net.TCPConn) CloseReason {
 			time.AfterFunc(time.Millisecond, func() { c.Close(TimedOut) })
 			return c.Await(1)
 		},
-		Evicted: func(c *Conn, far *net.TCPConn) End {
-			time.AfterFunc(time.Millisecond, func() { c.Part(Evicted) })
+		Evicted: func(c *Conn, far *net.TCPConn) CloseReason {
+			time.AfterFunc(time.Millisecond, func() { c.StopIfIdle(Evicted) })
 			return c.Await(1)
 		},
-		WriteStalled: func(c *Conn, far *net.TCPConn) End {
-			c.WriteWithin(20 * time.Millisecond)
-			for c.End() == Open {
+		WriteStalled: func(c *Conn, far *net.TCPConn) CloseReason {
+			c.SetWriteTimeout(20 * time.Millisecond)
+			for c.CloseReason() == Open {
 				c.Write(strings.Repeat("x", 1<<20))
 			}
 			return c.Flush()
@@ -71,7 +71,7 @@
 	address := l.Addr().String()
 	l.Close()
 	d := NewDescriptors(keptDescriptors + 1)
-	dial := func(by context.Context) End {
+	dial := func(by context.Context) CloseReason {
 		_, end := Dial(context.Background(), by, d, 0, address, 1000)
 		return end
 	}
@@ -87,7 +87,7 @@
 	require.Equal(t, Cancelled, dial(gone))
 	_, end := Dial(context.Background(), context.Background(), d, 1, address, 1000)
 	require.Equal(t, NoDescriptor, end, "the last is kept for another")
-	require.True(t, d.Take(0), "a dial that failed holds no descriptor")
+	require.True(t, d.Acquire(0), "a dial that failed holds no descriptor")
 	require.Equal(t, NoDescriptor, dial(context.Background()))
 }
 
@@ -109,18 +109,18 @@
 	}
 	require.Equal(t, ClosedByPeer, c.Await(1))
 	<-c.Context().Done()
-	require.Equal(t, ClosedByPeer, EndOf(c.Context()))
+	require.Equal(t, ClosedByPeer, CloseReasonOf(c.Context()))
 	require.Eventually(t, func() bool { return d.Free() == 1 }, time.Second, time.Millisecond)
 }
 
 // Guards against a connection taken for one that carries nothing while something waits that was not read yet.
 func TestQuiet(t *testing.T) {
 	c, far, _ := pair(t, 1000)
-	require.True(t, c.Quiet())
-	require.True(t, c.Part(Evicted), "nothing is read from here on")
+	require.True(t, c.HasNoPendingInput())
+	require.True(t, c.StopIfIdle(Evicted), "nothing is read from here on")
 	require.Equal(t, Evicted, c.Await(1))
 	far.Write([]byte("q"))
-	require.Eventually(t, func() bool { return !c.Quiet() }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !c.HasNoPendingInput() }, time.Second, time.Millisecond)
 	require.True(t, c.Idle())
 }
 
@@ -130,11 +130,11 @@
 	c, far, _ := pair(t, 1000)
 	far.Write([]byte("ab"))
 	require.Equal(t, Open, c.Await(2))
-	time.AfterFunc(time.Millisecond, func() { c.Cut(Stalled) })
+	time.AfterFunc(time.Millisecond, func() { c.Interrupt(Stalled) })
 	require.Equal(t, Stalled, c.Await(3))
 
 	c, far, _ = pair(t, 1000)
-	c.Hurry(200 * time.Millisecond)
+	c.SetReadTimeout(200 * time.Millisecond)
 	for range 10 { // in pieces, but never as long without any
 		time.Sleep(30 * time.Millisecond)
 		far.Write([]byte("a"))
@@ -162,10 +162,10 @@
 	c, far, _ := pair(t, 1000)
 	far.Write([]byte("q"))
 	require.Equal(t, Open, c.Await(1))
-	require.False(t, c.Part(Evicted))
+	require.False(t, c.StopIfIdle(Evicted))
 	require.Equal(t, Open, c.Await(1))
 	c.Read(make([]byte, 1))
-	require.True(t, c.Part(Evicted))
+	require.True(t, c.StopIfIdle(Evicted))
 	require.Equal(t, Evicted, c.Await(1))
 	far.Write([]byte("q"))
 	c.Close(Evicted)
@@ -192,7 +192,7 @@
 	}
 	close(slow.goes)
 	<-second
-	require.Equal(t, TimedOut, c.End())
+	require.Equal(t, TimedOut, c.CloseReason())
 }
 
 type slowToClose struct {
@@ -210,7 +210,7 @@
 // connection, and against taking that: it comes after reading has stopped, and the peer finds the answer and then the end.
 func TestWhatCrossesTheShutdown(t *testing.T) {
 	c, far, d := pair(t, 1000)
-	require.True(t, c.Part(ShutDown))
+	require.True(t, c.StopIfIdle(ShutDown))
 	require.Equal(t, ShutDown, c.Await(1), "reading has stopped")
 	c.Write("answer")
 	require.Equal(t, Open, c.Flush())
@@ -224,7 +224,7 @@
 	require.Equal(t, "answer", string(got))
 
 	c, far, _ = pair(t, 1000)
-	require.True(t, c.Part(ShutDown))
+	require.True(t, c.StopIfIdle(ShutDown))
 	require.Equal(t, ShutDown, c.Await(1))
 	far.Write([]byte("query"))
 	far.Close()
@@ -239,13 +239,13 @@
 // interrupted, and before that is settled. A driver that had stood still for 130 ms as it let go of clients closed connections over queries that had
 // waited for as long: 18 requests beside 10,288 that were answered, on three of sixteen seeds of TestSignalsSoak. After the last answer nothing more is taken.
 func TestPartLeavesWhatWaits(t *testing.T) {
-	require.Equal(t, Open, partedOverAQuery(t, func(c *Conn) bool { return c.Part(Evicted) }))
-	require.Equal(t, Open, partedOverAQuery(t, func(c *Conn) bool { return c.Part(ShutDown) }))
-	require.Equal(t, ShutDown, partedOverAQuery(t, func(c *Conn) bool { return c.PartForGood(ShutDown) }))
+	require.Equal(t, Open, partedOverAQuery(t, func(c *Conn) bool { return c.StopIfIdle(Evicted) }))
+	require.Equal(t, Open, partedOverAQuery(t, func(c *Conn) bool { return c.StopIfIdle(ShutDown) }))
+	require.Equal(t, ShutDown, partedOverAQuery(t, func(c *Conn) bool { return c.ForceStopIfIdle(ShutDown) }))
 }
 
 // partedOverAQuery lets a connection go just before a query comes, and gives how that ends.
-func partedOverAQuery(t *testing.T, part func(c *Conn) bool) End {
+func partedOverAQuery(t *testing.T, part func(c *Conn) bool) CloseReason {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -285,12 +285,12 @@
 
 // Guards against the spare being lost with connections that end, or kept by those that were read from.
 func TestSpareComesBack(t *testing.T) {
-	spare := NewSpare(6000, 4000)
+	spare := NewOverflowBudget(6000, 4000)
 	var all []*Conn
 	var ends []*net.TCPConn
 	for range 3 {
 		c, far, _ := pair(t, 1000)
-		c.Attend(spare, func(Held) (bool, int) { return false, -1 })
+		c.WatchForClose(spare, func(PeekFunc) (bool, int) { return false, -1 })
 		go far.Write(make([]byte, 3500))
 		all, ends = append(all, c), append(ends, far)
 	}
@@ -301,7 +301,7 @@
 	}
 	held := func() (held, gone int) {
 		for _, c := range all {
-			if c.End() == TooLong {
+			if c.CloseReason() == TooLong {
 				gone++
 			} else if c.Buffered() == 3500 {
 				held++
@@ -311,7 +311,7 @@
 	}
 	require.Eventually(t, func() bool { h, g := held(); return h == 2 && g == 1 }, time.Second, time.Millisecond, "there is enough for two")
 	for i, c := range all {
-		if c.End() != Open {
+		if c.CloseReason() != Open {
 			continue
 		}
 		c.Read(make([]byte, 3500))
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -24,8 +24,8 @@
 	d.mu.Unlock()
 }
 
-// Take counts one more socket if that leaves at least spare ones free.
-func (d *Descriptors) Take(spare int) bool {
+// Acquire counts one more socket if that leaves at least spare ones free.
+func (d *Descriptors) Acquire(spare int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.held+spare >= d.limit {
@@ -35,8 +35,8 @@
 	return true
 }
 
-// Give counts one socket less.
-func (d *Descriptors) Give() {
+// Release counts one socket less.
+func (d *Descriptors) Release() {
 	d.mu.Lock()
 	d.held--
 	d.mu.Unlock()
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -9,17 +9,17 @@
 
 // Dial connects to an address until by ends, if that leaves at least spare descriptors free; the connection itself lives as
 // long as life.
-func Dial(life, by context.Context, d *Descriptors, spare int, address string, bound int) (*Conn, End) {
-	if !d.Take(spare) {
+func Dial(life, by context.Context, d *Descriptors, spare int, address string, bound int) (*Conn, CloseReason) {
+	if !d.Acquire(spare) {
 		return nil, NoDescriptor
 	}
 	var dialer net.Dialer
 	nc, err := dialer.DialContext(by, "tcp", address)
 	if err != nil {
-		d.Give()
+		d.Release()
 		return nil, endOfDial(by, err)
 	}
-	return NewConn(life, nc, bound, d.Give), Open
+	return NewConn(life, nc, bound, d.Release), Open
 }
 
 // Listener accepts connections within the descriptors allowed.
@@ -56,7 +56,7 @@
 		if l.d.Free() <= spare {
 			short(false)
 		}
-		for !l.d.Take(spare / 4) {
+		for !l.d.Acquire(spare / 4) {
 			if life.Err() != nil {
 				nc.Close()
 				return nil, life.Err()
@@ -64,7 +64,7 @@
 			short(true)
 			time.Sleep(acceptRest)
 		}
-		return NewConn(life, nc, l.bound, l.d.Give), nil
+		return NewConn(life, nc, l.bound, l.d.Release), nil
 	}
 }
 
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -1,8 +1,8 @@
 package transport
 
-// Ring is a first-in first-out buffer of bytes. It holds no memory until it is written to, doubles as needed up
+// RingBuffer is a first-in first-out buffer of bytes. It holds no memory until it is written to, doubles as needed up
 // to its bound, and is let go of when a large one has run empty.
-type Ring struct {
+type RingBuffer struct {
 	buf   []byte
 	head  int
 	used  int
@@ -14,17 +14,17 @@
 	keptSize  = 8 << 10 // a larger ring is given back once it is empty
 )
 
-// NewRing makes an empty ring that grows to bound bytes at most.
-func NewRing(bound int) Ring { return Ring{bound: bound} }
+// NewRingBuffer makes an empty ring that grows to bound bytes at most.
+func NewRingBuffer(bound int) RingBuffer { return RingBuffer{bound: bound} }
 
 // Len is the number of bytes held.
-func (r *Ring) Len() int { return r.used }
+func (r *RingBuffer) Len() int { return r.used }
 
-// Room is the number of bytes that may still be written.
-func (r *Ring) Room() int { return r.bound - r.used }
+// Available is the number of bytes that may still be written.
+func (r *RingBuffer) Available() int { return r.bound - r.used }
 
 // grow makes space for n more bytes, as far as the bound allows.
-func (r *Ring) grow(n int) {
+func (r *RingBuffer) grow(n int) {
 	size := max(len(r.buf), min(firstSize, r.bound))
 	for size < min(r.used+n, r.bound) {
 		size = min(2*size, r.bound)
@@ -35,14 +35,14 @@
 }
 
 // move moves what is held to a buffer of another size, which must do for it.
-func (r *Ring) move(size int) {
+func (r *RingBuffer) move(size int) {
 	other := make([]byte, size)
 	r.peek(other[:r.used])
 	r.buf, r.head = other, 0
 }
 
 // relax starts an empty ring afresh, and gives a large one back.
-func (r *Ring) relax() {
+func (r *RingBuffer) relax() {
 	if r.used > 0 {
 		return
 	}
@@ -53,8 +53,8 @@
 }
 
 // Write appends as much of a text as there is room for, and tells how much.
-func (r *Ring) Write(text string) int {
-	text = text[:min(len(text), r.Room())]
+func (r *RingBuffer) Write(text string) int {
+	text = text[:min(len(text), r.Available())]
 	r.grow(len(text))
 	for rest := text; len(rest) > 0; {
 		n := copy(r.free(), rest)
@@ -65,7 +65,7 @@
 }
 
 // free is the longest unused stretch behind what is held.
-func (r *Ring) free() []byte {
+func (r *RingBuffer) free() []byte {
 	if len(r.buf) == 0 || r.used == len(r.buf) {
 		return nil
 	}
@@ -77,7 +77,7 @@
 }
 
 // front is the longest stretch that is held, from the oldest byte on.
-func (r *Ring) front() []byte {
+func (r *RingBuffer) front() []byte {
 	if r.used == 0 {
 		return nil
 	}
@@ -85,13 +85,13 @@
 }
 
 // peek copies the oldest bytes without taking them; they must be held.
-func (r *Ring) peek(into []byte) {
+func (r *RingBuffer) peek(into []byte) {
 	n := copy(into, r.buf[r.head:])
 	copy(into[n:], r.buf)
 }
 
 // peekAt copies bytes from an offset on without taking them, and tells whether so many are held.
-func (r *Ring) peekAt(at int, into []byte) bool {
+func (r *RingBuffer) peekAt(at int, into []byte) bool {
 	if at+len(into) > r.used {
 		return false
 	}
@@ -102,7 +102,7 @@
 }
 
 // discard drops the n oldest bytes. It leaves the free stretch where it is: somebody may be filling it.
-func (r *Ring) discard(n int) {
+func (r *RingBuffer) discard(n int) {
 	if n > 0 {
 		r.head = (r.head + n) % len(r.buf)
 		r.used -= n
--- a/internal/transport/ring_test.go
+++ b/internal/transport/ring_test.go
@@ -11,7 +11,7 @@
 // Guards against bytes lost, doubled or out of order where the ring wraps around or grows.
 func TestRingKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	r, model := NewRing(3000), ""
+	r, model := NewRingBuffer(3000), ""
 	for i := range 20_000 {
 		if rng.Intn(2) == 0 {
 			text := strings.Repeat(string(rune('a'+i%26)), rng.Intn(700))
@@ -32,7 +32,7 @@
 
 // Guards against memory that idle connections hold on to.
 func TestRingIsSmallUntilNeeded(t *testing.T) {
-	r := NewRing(100 << 10)
+	r := NewRingBuffer(100 << 10)
 	require.Zero(t, cap(r.buf))
 	r.Write("a")
 	require.Len(t, r.buf, firstSize)
