--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -206,7 +206,7 @@
 	case e.effect != a.Effect || e.window != a.Window: // not what it was: the stricter account counts
 		return l.refuse(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
-	case e.effect == rules.Tokened && e.mayHaveRun() && (e.risk+e.window <= now || e.group != a.Group || e.split):
+	case e.effect == rules.IdempotentByToken && e.mayHaveRun() && (e.risk+e.window <= now || e.group != a.Group || e.split):
 		return l.refuse(e, ReasonOutsideWindow)
 	case e.effect == rules.NonIdempotent && e.state == granted:
 		return l.refuse(e, ReasonGrantOutstanding)
