--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,7 @@
-// Package audit is the record of which driver acted on which version. A Trail is a driver's own: spans of versions with
-// counts by effect and outcome, single entries for RPCs with effects near a change, and what it learned when, each chained
-// to the one before by its hash. A Collection is the trails of many, as far as they were heard, and answers who acted on
-// what, what acted on a version after it was closed, and what is not known; that is never filled by a guess. The package
-// does no I/O, reads no clock and starts no goroutine.
+// Package audit records which driver acted on which version, and when. A Trail is a driver's own
+// hash-chained audit trail. A Collection holds the trails received from many drivers and finds
+// activity under obsolete versions as well as gaps: times for which there is no record. The package
+// does no I/O, reads no clock and starts no goroutines.
 package audit
 
 import (
@@ -14,15 +13,15 @@
 	"sedgespread/internal/versions"
 )
 
-// Effect is what an RPC does to data.
+// Effect classifies an RPC by what it does to data and whether it may be repeated.
 type Effect int
 
 const (
-	Read          Effect = iota // nothing
-	Idempotent                  // something that does no harm twice
-	Tokened                     // something that its store does once for a token
-	NonIdempotent               // something that must not be done twice
-	effects
+	Read          Effect = iota // changes nothing
+	Idempotent                  // may be repeated
+	Deduplicated                // the store deduplicates it by a token
+	NonIdempotent               // must not be repeated
+	effectCount
 )
 
 // Outcome is how an RPC ended for its client.
@@ -32,8 +31,8 @@
 	Served Outcome = iota
 	PushedBack
 	Aborted
-	Left // the client had gone
-	outcomes
+	ClientLeft // the client disconnected first
+	outcomeCount
 )
 
 var (
@@ -44,117 +43,124 @@
 func (e Effect) String() string  { return effectNames[e] }
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Tally counts RPCs by effect and outcome.
-type Tally [effects][outcomes]uint64
+// Counts counts RPCs by effect and outcome.
+type Counts [effectCount][outcomeCount]uint64
 
-// Total is all of them.
-func (t *Tally) Total() (n uint64) {
-	for _, by := range t {
-		for _, count := range by {
+// Total returns the number of RPCs.
+func (t *Counts) Total() (n uint64) {
+	for _, byOutcome := range t {
+		for _, count := range byOutcome {
 			n += count
 		}
 	}
 	return n
 }
 
-// Of is how many ended in one way.
-func (t *Tally) Of(o Outcome) (n uint64) {
-	for _, by := range t {
-		n += by[o]
+// ByOutcome returns the number of RPCs with an outcome.
+func (t *Counts) ByOutcome(outcome Outcome) (n uint64) {
+	for _, byOutcome := range t {
+		n += byOutcome[outcome]
 	}
 	return n
 }
 
-// add adds another.
-func (t *Tally) add(more *Tally) {
-	for e := range t {
-		for o := range t[e] {
-			t[e][o] += more[e][o]
+func (t *Counts) add(other *Counts) {
+	for effect := range t {
+		for outcome := range t[effect] {
+			t[effect][outcome] += other[effect][outcome]
 		}
 	}
 }
 
-// Kind says what an Entry is of.
+// Kind is the kind of an Entry.
 type Kind string
 
 const (
-	Begins Kind = "begins" // the trail of a start
-	Learns Kind = "learns" // an order: from here on the driver knows of its epoch
-	Spans  Kind = "spans"  // it acted on a version, or might have, from From to To, and this is what came to an end meanwhile; Count were under way at From
-	Single Kind = "single" // one RPC with an effect that had an attempt, the last of which began at From
-	Drops  Kind = "drops"  // so many single entries of a version were not kept, from From to To
-	Has    Kind = "has"    // it acts on a version of a thing that the council does not decide, until the next such entry
+	KindStart Kind = "begins" // first entry of a trail
+	KindEpoch Kind = "learns" // the driver learned of an epoch by an assignment
+	// KindSpan: a version was active or had RPCs in flight between From and To. Counts has the RPCs
+	// that ended in that time, Count is the number of those in flight at From.
+	KindSpan    Kind = "spans"
+	KindRPC     Kind = "single" // an RPC with an effect; its last attempt began at From
+	KindDropped Kind = "drops"  // Count KindRPC entries of a version were dropped between From and To
+	// KindObserved: the driver acts on a version of a resource that the council does not decide,
+	// until the next such entry.
+	KindObserved Kind = "has"
 )
 
-// Entry is one line of a trail. Times are its driver's clock, Unix time in nanoseconds.
+// Entry is an entry of a trail. Times are Unix nanoseconds by the driver's clock.
 type Entry struct {
-	Seq     uint64          `json:"seq"`
-	Kind    Kind            `json:"kind"`
-	At      int64           `json:"at"`
-	Thing   versions.Thing  `json:"thing,omitempty"`
-	Version versions.Number `json:"version,omitempty"`
-	Epoch   versions.Epoch  `json:"epoch,omitempty"`
-	From    int64           `json:"from,omitempty"`
-	To      int64           `json:"to,omitempty"`
-	Tally   *Tally          `json:"tally,omitempty"`
-	RPC     string          `json:"rpc,omitempty"`
-	Effect  Effect          `json:"effect,omitempty"`
-	Outcome Outcome         `json:"outcome,omitempty"`
-	Count   uint64          `json:"count,omitempty"`
-	Hash    string          `json:"hash"`
+	Seq      uint64            `json:"seq"`
+	Kind     Kind              `json:"kind"`
+	At       int64             `json:"at"`
+	Resource versions.Resource `json:"thing,omitempty"`
+	Version  versions.Number   `json:"version,omitempty"`
+	Epoch    versions.Epoch    `json:"epoch,omitempty"`
+	From     int64             `json:"from,omitempty"`
+	To       int64             `json:"to,omitempty"`
+	Counts   *Counts           `json:"tally,omitempty"`
+	RPC      string            `json:"rpc,omitempty"`
+	Effect   Effect            `json:"effect,omitempty"`
+	Outcome  Outcome           `json:"outcome,omitempty"`
+	Count    uint64            `json:"count,omitempty"`
+	Hash     string            `json:"hash"`
 }
 
-// hashed is the entry's hash, which rests on all entries before it.
-func (e Entry) hashed(before string) string {
-	e.Hash = before
-	text, err := json.Marshal(e)
+// computeHash returns the hash of the entry chained to that of the previous one.
+func (e Entry) computeHash(previousHash string) string {
+	e.Hash = previousHash
+	encoded, err := json.Marshal(e)
 	if err != nil {
 		return ""
 	}
-	sum := sha256.Sum256(text)
+	sum := sha256.Sum256(encoded)
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
-// Part is some of a start's trail, in its order. Before is the hash of the entry before the first, or what the trail is
-// rooted in.
-type Part struct {
-	Who     versions.Sign `json:"who"`
-	Token   string        `json:"token"`
-	Before  string        `json:"before"`
-	Entries []Entry       `json:"entries"`
-	Oldest  uint64        `json:"oldest,omitempty"` // entry that its driver still has
-	// What is to be added to its times to have those of whoever heard it, too much by as long as it was on its way.
-	Offset int64 `json:"offset,omitempty"`
-	Placed bool  `json:"placed,omitempty"` // Offset is known
+// Segment is a run of consecutive entries of an instance's trail. PreviousHash is the hash of the
+// entry before the first, or the root hash of the trail.
+type Segment struct {
+	Instance     versions.Instance `json:"who"`
+	Token        string            `json:"token"`
+	PreviousHash string            `json:"before"`
+	Entries      []Entry           `json:"entries"`
+	OldestSeq    uint64            `json:"oldest,omitempty"` // oldest entry that the driver still has
+	// ClockOffset converts times of the driver's clock to the receiver's; it is too large by the
+	// transmission delay.
+	ClockOffset        int64 `json:"offset,omitempty"`
+	IsClockOffsetKnown bool  `json:"placed,omitempty"` // ClockOffset is set
 }
 
-// Heard is the part with what its last entry says of its clock, where that was made just before it was told.
-func (p Part) Heard(now int64) Part {
-	if n := len(p.Entries); n > 0 && p.Entries[n-1].Kind == Spans {
-		p.Offset, p.Placed = now-p.Entries[n-1].At, true
+// WithClockOffset returns the segment with its clock offset, if its last entry is a span, which is
+// recorded just before sending.
+func (s Segment) WithClockOffset(now int64) Segment {
+	if n := len(s.Entries); n > 0 && s.Entries[n-1].Kind == KindSpan {
+		s.ClockOffset, s.IsClockOffsetKnown = now-s.Entries[n-1].At, true
 	}
-	return p
+	return s
 }
 
-// root is what the first entry of a start's trail is chained to.
-func root(who versions.Sign, token string) string {
-	sum := sha256.Sum256(fmt.Appendf(nil, "%q %d %q", who.Name, who.Start, token))
+// rootHash returns the hash that the first entry of a trail is chained to.
+func rootHash(instance versions.Instance, token string) string {
+	sum := sha256.Sum256(fmt.Appendf(nil, "%q %d %q", instance.Name, instance.Start, token))
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
-// Verify checks a part's chain, and gives how many entries hold and what is wrong with the next, nil for nothing.
-func (p *Part) Verify() (holds int, err error) {
-	before := p.Before
-	for i, e := range p.Entries {
+// Verify checks the hash chain. It returns the number of valid entries and what is wrong with the
+// next one, if any.
+func (s *Segment) Verify() (validCount int, err error) {
+	previousHash := s.PreviousHash
+	for i, entry := range s.Entries {
 		switch {
-		case e.Seq == 0 || i > 0 && e.Seq != p.Entries[i-1].Seq+1:
-			return i, fmt.Errorf("%s start %d: entry %d does not follow", p.Who.Name, p.Who.Start, e.Seq)
-		case e.Seq == 1 && before != root(p.Who, p.Token):
-			return i, fmt.Errorf("%s start %d: the trail is not rooted in its start", p.Who.Name, p.Who.Start)
-		case e.hashed(before) != e.Hash:
-			return i, fmt.Errorf("%s start %d: entry %d was changed, or one before it was", p.Who.Name, p.Who.Start, e.Seq)
+		case entry.Seq == 0 || i > 0 && entry.Seq != s.Entries[i-1].Seq+1:
+			return i, fmt.Errorf("%s start %d: entry %d does not follow", s.Instance.Name, s.Instance.Start, entry.Seq)
+		case entry.Seq == 1 && previousHash != rootHash(s.Instance, s.Token):
+			return i, fmt.Errorf("%s start %d: the trail is not rooted in its start", s.Instance.Name, s.Instance.Start)
+		case entry.computeHash(previousHash) != entry.Hash:
+			return i, fmt.Errorf("%s start %d: entry %d was changed, or one before it was", s.Instance.Name,
+				s.Instance.Start, entry.Seq)
 		}
-		before = e.Hash
+		previousHash = entry.Hash
 	}
-	return len(p.Entries), nil
+	return len(s.Entries), nil
 }
--- a/internal/audit/shelf/shelf.go
+++ b/internal/audit/shelf/shelf.go
@@ -1,5 +1,5 @@
-// Package shelf keeps trails on a disk: parts as they came, a line each. A line that was cut off or changed is no part, and
-// what comes after it still is.
+// Package shelf stores audit trails in a file, a line of JSON for each segment. Lines that were cut
+// off or damaged are skipped.
 package shelf
 
 import (
@@ -14,90 +14,90 @@
 	"sedgespread/internal/audit"
 )
 
-// Shelf is a file of parts. What a process has written outlasts it; what the machine lost with its power is missed by the
-// chain.
-type Shelf struct {
-	path  string
-	file  *os.File
-	bytes int64
-	most  int64
+// Store is a file of segments. It is not synced: what a power failure loses shows as a gap in the
+// trail.
+type Store struct {
+	path     string
+	file     *os.File
+	size     int64
+	maxBytes int64
 }
 
 const (
-	mostLine = 32 << 20
-	// Most is how long a file grows before it is written anew with what is still held.
-	Most = 64 << 20
+	maxLineBytes = 32 << 20
+	// MaxBytes is the size beyond which a file should be rewritten with the segments still held.
+	MaxBytes = 64 << 20
 )
 
-// Open opens a shelf that grows to so many bytes, and gives what stands on it and how many lines can't be read.
-func Open(path string, most int64) (s *Shelf, parts []audit.Part, spoilt int, err error) {
+// Open opens or creates a store. It returns the stored segments and the number of unreadable lines.
+func Open(path string, maxBytes int64) (s *Store, segments []audit.Segment, unreadable int, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, 0, err
 	}
 	lines := bufio.NewScanner(bytes.NewReader(text))
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		var p audit.Part
-		if json.Unmarshal(lines.Bytes(), &p) != nil {
-			spoilt++
+		var segment audit.Segment
+		if json.Unmarshal(lines.Bytes(), &segment) != nil {
+			unreadable++
 			continue
 		}
-		parts = append(parts, p)
+		segments = append(segments, segment)
 	}
-	s = &Shelf{path: path, most: most, bytes: int64(len(text))}
+	s = &Store{path: path, maxBytes: maxBytes, size: int64(len(text))}
 	if s.file, err = os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 		return nil, nil, 0, err
 	}
 	if len(text) > 0 && text[len(text)-1] != '\n' { // the last line was cut off
 		err = s.write([]byte("\n"))
 	}
-	return s, parts, spoilt, err
+	return s, segments, unreadable, err
 }
 
-func (s *Shelf) write(text []byte) error {
-	n, err := s.file.Write(text)
-	s.bytes += int64(n)
+func (s *Store) write(line []byte) error {
+	n, err := s.file.Write(line)
+	s.size += int64(n)
 	return err
 }
 
-// Put writes a part down.
-func (s *Shelf) Put(p audit.Part) error {
-	text, err := json.Marshal(p)
+// Append writes a segment.
+func (s *Store) Append(segment audit.Segment) error {
+	line, err := json.Marshal(segment)
 	if err != nil {
 		return err
 	}
-	return s.write(append(text, '\n'))
+	return s.write(append(line, '\n'))
 }
 
-// Full tells whether the file has grown so long that it is to be written anew.
-func (s *Shelf) Full() bool { return s.bytes > s.most }
+// IsFull reports whether the file should be rewritten.
+func (s *Store) IsFull() bool { return s.size > s.maxBytes }
 
-// Renew writes the file anew with what is still held, all of it or nothing.
-func (s *Shelf) Renew(parts []audit.Part) error {
-	next, err := os.CreateTemp(filepath.Dir(s.path), "trails")
+// Rewrite atomically replaces the contents of the file.
+func (s *Store) Rewrite(segments []audit.Segment) error {
+	temporary, err := os.CreateTemp(filepath.Dir(s.path), "trails")
 	if err != nil {
 		return err
 	}
 	old := *s
-	s.file, s.bytes = next, 0
-	for _, p := range parts {
-		if err = s.Put(p); err != nil {
+	s.file, s.size = temporary, 0
+	for _, segment := range segments {
+		if err = s.Append(segment); err != nil {
 			break
 		}
 	}
 	if err == nil {
-		err = os.Rename(next.Name(), s.path)
+		err = os.Rename(temporary.Name(), s.path)
 	}
 	if err != nil {
-		next.Close()
-		os.Remove(next.Name())
+		temporary.Close()
+		os.Remove(temporary.Name())
 		*s = old
-		return fmt.Errorf("%s: not written anew: %w", s.path, err)
+		return fmt.Errorf("%s: rewriting trails: %w", s.path, err)
 	}
 	old.file.Close()
 	return nil
 }
 
-// Close closes the file.
-func (s *Shelf) Close() error { return s.file.Close() }
+// Close closes the store.
+func (s *Store) Close() error { return s.file.Close() }
--- a/internal/versions/holder.go
+++ b/internal/versions/holder.go
@@ -5,175 +5,184 @@
 	"slices"
 )
 
-// Holder is a driver's side: what it holds, what it acts on, and what it has in flight. Times are its own clock's.
-type Holder struct {
-	lease    int64 // it may act until then
-	things   map[Thing]*held
-	observed map[Thing]Sighting
-}
-
-type held struct {
-	epoch  Epoch
-	act    Number // it is told to act on this
-	keep   Number // and may on this until it does
-	acts   Number // and does on this
-	holds  Number
-	texts  map[Number]string
-	valid  []Number // that some driver may act on
-	fares  []Fare
-	flight map[Number]int
-	ill    string
-	fenced int64 // since when it acts on nothing, since a store turned it away; 0 for not
-}
-
-// NewHolder makes the holder of a driver that has just started: it acts on nothing.
-func NewHolder() *Holder { return &Holder{things: map[Thing]*held{}, observed: map[Thing]Sighting{}} }
-
-// thing gives what is held of a thing. With its first lease a driver was told of all that have versions; on any other it acts
-// as it started.
-func (h *Holder) thing(of Thing) *held {
-	t := h.things[of]
-	if t == nil {
-		t = &held{act: Origin, acts: Origin, texts: map[Number]string{}, flight: map[Number]int{}}
-		h.things[of] = t
-	}
-	return t
-}
-
-// Grant is what a driver is given: a lease from when it asked, and orders.
+// DriverState is the driver's side: the versions that it stores, acts on and has requests in flight
+// under. Times are by the driver's clock.
+type DriverState struct {
+	leaseExpiry int64
+	resources   map[Resource]*resourceState
+	observed    map[Resource]Report
+}
+
+// resourceState is the state of one resource at a driver.
+type resourceState struct {
+	epoch    Epoch
+	target   Number // assigned version
+	allowed  Number // may be acted on until target is active
+	active   Number // acted on, 0 for none
+	stored   Number
+	texts    map[Number]string
+	valid    []Number // versions that some driver may act on
+	stats    []RPCStats
+	inFlight map[Number]int
+	failure  string
+	fencedAt int64 // when a store rejected the active version; 0 if none did
+}
+
+// NewDriverState returns the state of a driver that has just started; without a lease it acts on
+// nothing.
+func NewDriverState() *DriverState {
+	return &DriverState{resources: map[Resource]*resourceState{}, observed: map[Resource]Report{}}
+}
+
+// stateOf returns the state of a resource. A driver's first lease comes with assignments for all
+// resources that have versions, so any other resource is at its initial version.
+func (d *DriverState) stateOf(resource Resource) *resourceState {
+	s := d.resources[resource]
+	if s == nil {
+		s = &resourceState{target: InitialVersion, active: InitialVersion, texts: map[Number]string{}, inFlight: map[Number]int{}}
+		d.resources[resource] = s
+	}
+	return s
+}
+
+// Grant answers a driver's request: a lease that runs from the time of the request, and
+// assignments.
 type Grant struct {
-	Lease  int64   `json:"lease_ns"`           // 0 for none: what it would have to be told first has its turn later
-	Again  int64   `json:"again_ns,omitempty"` // it should ask again after so long
-	Orders []Order `json:"orders,omitempty"`
+	Lease       int64        `json:"lease_ns"`           // 0 for none, while the assignments it would need are paced
+	RetryAfter  int64        `json:"again_ns,omitempty"` // when to ask again
+	Assignments []Assignment `json:"orders,omitempty"`
 }
 
-// Adoption is a version that a driver is to act on from now on, without a text for what it started with. Whoever drives the
-// holder does what it takes, and then calls Adopted, or Fails.
+// Adoption is a version that a driver should activate; Text is empty for the initial version. The
+// caller activates it and then calls MarkAdopted or MarkFailed.
 type Adoption struct {
-	Thing  Thing
-	Number Number
-	Text   string
+	Resource Resource
+	Number   Number
+	Text     string
 }
 
-// Granted takes in what was granted to what was asked at a time, and tells what is to be adopted. What it is told to stop
-// acting on it stops acting on at once. Older orders than it knows change nothing.
-func (h *Holder) Granted(asked int64, g Grant) (due []Adoption) {
-	if g.Lease > 0 {
-		h.lease = max(h.lease, asked+g.Lease)
+// ApplyGrant applies the grant for a request and returns the versions to activate. The driver stops
+// acting at once on versions that are not allowed any more. Assignments older than the known epoch
+// are ignored.
+func (d *DriverState) ApplyGrant(requestedAt int64, grant Grant) (adoptions []Adoption) {
+	if grant.Lease > 0 {
+		d.leaseExpiry = max(d.leaseExpiry, requestedAt+grant.Lease)
 	}
-	for _, o := range g.Orders {
-		t := h.thing(o.Thing)
-		if o.Epoch < t.epoch {
+	for _, assignment := range grant.Assignments {
+		s := d.stateOf(assignment.Resource)
+		if assignment.Epoch < s.epoch {
 			continue
 		}
-		t.take(o)
-		if t.acts != t.act && t.acts != t.keep {
-			t.acts = 0 // it has missed that the version was closed, or must not overlap with the next
+		s.apply(assignment)
+		if s.active != s.target && s.active != s.allowed {
+			s.active = 0 // a rollout completed without this driver, or is exclusive
 		}
-		if a, can := t.due(o.Thing); can {
-			due = append(due, a)
+		if adoption, isPending := s.pendingAdoption(assignment.Resource); isPending {
+			adoptions = append(adoptions, adoption)
 		}
 	}
-	if g.Lease > 0 {
-		due = append(due, h.unfenced(asked)...)
+	if grant.Lease > 0 {
+		adoptions = append(adoptions, d.liftFences(requestedAt)...)
 	}
-	return due
+	return adoptions
 }
 
-// due is what a thing's version is that it is told to act on and does not, if it can.
-func (t *held) due(of Thing) (a Adoption, can bool) {
-	text, have := t.texts[t.act]
-	return Adoption{of, t.act, text}, (have || t.act == Origin) && t.acts != t.act
+// pendingAdoption returns the assigned version if its text is stored and it is not active.
+func (s *resourceState) pendingAdoption(resource Resource) (adoption Adoption, isPending bool) {
+	text, isStored := s.texts[s.target]
+	return Adoption{resource, s.target, text}, (isStored || s.target == InitialVersion) && s.active != s.target
 }
 
-// unfenced are versions that stores turned away before a time: what the council has told since then is what counts.
-func (h *Holder) unfenced(asked int64) (due []Adoption) {
-	for _, name := range slices.Sorted(maps.Keys(h.things)) {
-		t := h.things[name]
-		if t.fenced == 0 || asked < t.fenced {
+// liftFences returns the versions to activate again: those that a store rejected before a grant was
+// requested. The assignment is then newer than the rejection.
+func (d *DriverState) liftFences(requestedAt int64) (adoptions []Adoption) {
+	for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
+		s := d.resources[resource]
+		if s.fencedAt == 0 || requestedAt < s.fencedAt {
 			continue
 		}
-		t.fenced = 0
-		if a, can := t.due(name); can {
-			due = append(due, a)
+		s.fencedAt = 0
+		if adoption, isPending := s.pendingAdoption(resource); isPending {
+			adoptions = append(adoptions, adoption)
 		}
 	}
-	return due
+	return adoptions
 }
 
-// take takes an order in.
-func (t *held) take(o Order) {
-	if o.Epoch > t.epoch {
-		t.ill, t.fenced = "", 0
+// apply replaces the assignment, and keeps only the texts that it needs.
+func (s *resourceState) apply(assignment Assignment) {
+	if assignment.Epoch > s.epoch {
+		s.failure, s.fencedAt = "", 0
 	}
-	t.epoch, t.act, t.keep, t.valid = o.Epoch, o.Act, o.Keep, o.Valid
-	t.forgetFares()
-	if o.Text != "" {
-		t.texts[o.Hold] = o.Text
+	s.epoch, s.target, s.allowed, s.valid = assignment.Epoch, assignment.Active, assignment.Allowed, assignment.Valid
+	s.trimStats()
+	if assignment.Text != "" {
+		s.texts[assignment.Stored] = assignment.Text
 	}
-	if o.Before != "" {
-		t.texts[o.Act] = o.Before
+	if assignment.ActiveText != "" {
+		s.texts[assignment.Active] = assignment.ActiveText
 	}
-	if _, have := t.texts[o.Hold]; have {
-		t.holds = o.Hold
+	if _, isStored := s.texts[assignment.Stored]; isStored {
+		s.stored = assignment.Stored
 	}
-	maps.DeleteFunc(t.texts, func(n Number, _ string) bool { return n != o.Hold && n != o.Act })
+	maps.DeleteFunc(s.texts, func(n Number, _ string) bool { return n != assignment.Stored && n != assignment.Active })
 }
 
-// Adopted says that the driver acts on a version from now on, if it is still told to.
-func (h *Holder) Adopted(a Adoption) {
-	if t := h.things[a.Thing]; t != nil && t.act == a.Number {
-		t.acts, t.ill = a.Number, ""
+// MarkAdopted records that the driver has activated a version, if it is still the assigned one.
+func (d *DriverState) MarkAdopted(adoption Adoption) {
+	if s := d.resources[adoption.Resource]; s != nil && s.target == adoption.Number {
+		s.active, s.failure = adoption.Number, ""
 	}
 }
 
-// Fails says that the driver can't act on a version.
-func (h *Holder) Fails(a Adoption, why string) {
-	if t := h.things[a.Thing]; t != nil && t.act == a.Number {
-		t.ill = why
+// MarkFailed records that the driver can't activate a version.
+func (d *DriverState) MarkFailed(adoption Adoption, reason string) {
+	if s := d.resources[adoption.Resource]; s != nil && s.target == adoption.Number {
+		s.failure = reason
 	}
 }
 
-// Begin tells on which version of a thing something that begins now acts, and whether anything may: not once the lease is
-// over. What has begun must be ended.
-func (h *Holder) Begin(now int64, of Thing) (Number, bool) {
-	t := h.thing(of)
-	if t.acts == 0 || now >= h.lease {
+// Begin starts a request under the active version of a resource, and returns that version. It
+// returns false if there is none or the lease has expired. Each request that was begun must be
+// ended by End.
+func (d *DriverState) Begin(now int64, resource Resource) (Number, bool) {
+	s := d.stateOf(resource)
+	if s.active == 0 || now >= d.leaseExpiry {
 		return 0, false
 	}
-	t.flight[t.acts]++
-	return t.acts, true
+	s.inFlight[s.active]++
+	return s.active, true
 }
 
-// May tells whether what has begun under a version may do something more now.
-func (h *Holder) May(now int64, of Thing, n Number) bool {
-	t := h.things[of]
-	return t != nil && now < h.lease && t.flight[n] > 0 && (n == t.act || n == t.keep)
+// MayContinue reports whether a request that began under a version may make another attempt.
+func (d *DriverState) MayContinue(now int64, resource Resource, number Number) bool {
+	s := d.resources[resource]
+	return s != nil && now < d.leaseExpiry && s.inFlight[number] > 0 && (number == s.target || number == s.allowed)
 }
 
-// End says that something that has begun is over.
-func (h *Holder) End(of Thing, n Number) {
-	t := h.things[of]
-	if t == nil || t.flight[n] == 0 {
+// End records the end of a request that began under a version.
+func (d *DriverState) End(resource Resource, number Number) {
+	s := d.resources[resource]
+	if s == nil || s.inFlight[number] == 0 {
 		return
 	}
-	if t.flight[n]--; t.flight[n] == 0 {
-		delete(t.flight, n)
+	if s.inFlight[number]--; s.inFlight[number] == 0 {
+		delete(s.inFlight, number)
 	}
 }
 
-// Lease is until when the driver may act.
-func (h *Holder) Lease() int64 { return h.lease }
+// LeaseExpiry returns the time until which the driver may act.
+func (d *DriverState) LeaseExpiry() int64 { return d.leaseExpiry }
 
-// Sightings are what the council is told: of what it decides first.
-func (h *Holder) Sightings() (all []Sighting) {
-	for _, name := range slices.Sorted(maps.Keys(h.things)) {
-		t := h.things[name]
-		all = append(all, Sighting{Thing: name, Epoch: t.epoch, Holds: t.holds, Acts: t.acts,
-			Flight: slices.Sorted(maps.Keys(t.flight)), Ill: t.ill, Fares: slices.Clone(t.fares)})
+// Reports returns the reports to the council, those of resources that it decides first.
+func (d *DriverState) Reports() (all []Report) {
+	for _, resource := range slices.Sorted(maps.Keys(d.resources)) {
+		s := d.resources[resource]
+		all = append(all, Report{Resource: resource, Epoch: s.epoch, Stored: s.stored, Active: s.active,
+			InFlight: slices.Sorted(maps.Keys(s.inFlight)), Failure: s.failure, Stats: slices.Clone(s.stats)})
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.observed)) {
-		all = append(all, h.observed[name])
+	for _, resource := range slices.Sorted(maps.Keys(d.observed)) {
+		all = append(all, d.observed[resource])
 	}
 	return all
 }
--- a/internal/versions/observed.go
+++ b/internal/versions/observed.go
@@ -6,110 +6,112 @@
 	"slices"
 )
 
-// Things that drivers act on by themselves: the council decides nothing of them, and is told what each driver has.
+// Resources that the council does not decide; drivers only report their versions of these.
 const (
-	List    Thing = "list"    // discovery's, by its generation
-	Program Thing = "program" // the feature level, with the build
-	File    Thing = "file"    // what all should have alike in their operator's files and has no versions
+	DiscoveryList Resource = "list"    // of members, numbered by discovery's generation
+	Build         Resource = "program" // numbered by feature level; the digest is the build
+	OperatorFile  Resource = "file"    // settings that should be the same at all drivers and have no versions
 )
 
-// Observes takes in what the driver acts on of a thing that the council does not decide.
-func (h *Holder) Observes(of Thing, n Number, digest string) {
-	h.observed[of] = Sighting{Thing: of, Holds: n, Acts: n, Digest: digest}
+// Observe sets the driver's version of a resource that the council does not decide.
+func (d *DriverState) Observe(resource Resource, number Number, digest string) {
+	d.observed[resource] = Report{Resource: resource, Stored: number, Active: number, Digest: digest}
 }
 
-// Group is the drivers that act on one and the same of a thing.
-type Group struct {
-	Number Number `json:"number"`
-	Digest string `json:"digest"`
-	Who    []Sign `json:"who"`
+// VersionHolders are the drivers that act on the same version and digest.
+type VersionHolders struct {
+	Number    Number     `json:"number"`
+	Digest    string     `json:"digest"`
+	Instances []Instance `json:"who"`
 }
 
-// Spread is what drivers act on of a thing that the council does not decide.
-type Spread struct {
-	Thing  Thing   `json:"thing"`
-	Groups []Group `json:"groups"` // the newest first
-	Forked bool    `json:"forked"` // two that call themselves the same differ
-	Behind []Late  `json:"behind"` // those that do not act on the newest, the latest first
+// Distribution shows which drivers act on which versions of a resource that the council does not
+// decide.
+type Distribution struct {
+	Resource    Resource         `json:"thing"`
+	Holders     []VersionHolders `json:"groups"` // latest version first
+	HasConflict bool             `json:"forked"` // the same number has two digests
+	Lagging     []LaggingDriver  `json:"behind"` // drivers that do not act on the latest version, longest first
 }
 
-// Late is a driver that is behind.
-type Late struct {
-	Sign
-	Number Number `json:"number"`
-	For    int64  `json:"for_ns"` // since it came nearer last, or something newer was there first
+// LaggingDriver is a driver that does not act on the latest version.
+type LaggingDriver struct {
+	Instance
+	Number   Number `json:"number"`
+	Duration int64  `json:"for_ns"` // nanoseconds that it has lagged at this number
 }
 
-// kind is what sets one group apart from another.
-type kind struct {
+type versionKey struct {
 	number Number
 	digest string
 }
 
-// lagKey is a driver's part of a thing.
 type lagKey struct {
-	thing Thing
-	who   Sign
+	resource Resource
+	instance Instance
 }
 
-// lag is since when a driver has been behind at a number.
+// lag is the version of a lagging driver and when that was first seen.
 type lag struct {
-	at    Number
-	since int64
+	number Number
+	since  int64
 }
 
-// Observed tells what drivers that may act act on of each thing that the council does not decide. It is to be called now and
-// then by whoever acts for the council, who finds out anew since when what is so.
-func (l *Ledger) Observed(now int64, drivers []Present) (all []Spread) {
-	groups := map[Thing]map[kind][]Sign{}
+// Distributions returns a Distribution for each resource that the council does not decide, of the
+// drivers that may act. The leader calls it periodically; lag is measured between calls.
+func (c *Controller) Distributions(now int64, drivers []DriverStatus) (all []Distribution) {
+	holders := map[Resource]map[versionKey][]Instance{}
 	for _, d := range drivers {
-		s := l.heard(d.Sign)
-		if !d.May || s == nil {
+		latest := c.reportsOf(d.Instance)
+		if !d.MayAct || latest == nil {
 			continue
 		}
-		for _, t := range slices.Sorted(maps.Keys(s.sightings)) {
-			seen := s.sightings[t]
-			if seen.Digest == "" || l.lines[t] != nil {
+		for _, resource := range slices.Sorted(maps.Keys(latest.reports)) {
+			report := latest.reports[resource]
+			if report.Digest == "" || c.histories[resource] != nil {
 				continue
 			}
-			if groups[t] == nil {
-				groups[t] = map[kind][]Sign{}
+			if holders[resource] == nil {
+				holders[resource] = map[versionKey][]Instance{}
 			}
-			key := kind{seen.Acts, seen.Digest}
-			groups[t][key] = append(groups[t][key], d.Sign)
+			key := versionKey{report.Active, report.Digest}
+			holders[resource][key] = append(holders[resource][key], d.Instance)
 		}
 	}
 	lags := map[lagKey]lag{}
-	for _, t := range slices.Sorted(maps.Keys(groups)) {
-		all = append(all, l.spread(now, t, groups[t], lags))
+	for _, resource := range slices.Sorted(maps.Keys(holders)) {
+		all = append(all, c.distribution(now, resource, holders[resource], lags))
 	}
-	l.lags = lags
+	c.lags = lags
 	return all
 }
 
-// spread sums one thing up, and keeps since when who is behind.
-func (l *Ledger) spread(now int64, t Thing, groups map[kind][]Sign, lags map[lagKey]lag) Spread {
-	s := Spread{Thing: t}
-	for key, who := range groups {
-		s.Groups = append(s.Groups, Group{key.number, key.digest, who})
+// distribution sums up one resource, and adds its lagging drivers to lags.
+func (c *Controller) distribution(now int64, resource Resource, holders map[versionKey][]Instance,
+	lags map[lagKey]lag) Distribution {
+	d := Distribution{Resource: resource}
+	for key, instances := range holders {
+		d.Holders = append(d.Holders, VersionHolders{key.number, key.digest, instances})
 	}
-	slices.SortFunc(s.Groups, func(a, b Group) int { return cmp.Or(cmp.Compare(b.Number, a.Number), cmp.Compare(a.Digest, b.Digest)) })
-	newest := s.Groups[0].Number
-	for i, g := range s.Groups {
-		s.Forked = s.Forked || i > 0 && s.Groups[i-1].Number == g.Number
-		if g.Number == newest {
+	slices.SortFunc(d.Holders, func(a, b VersionHolders) int {
+		return cmp.Or(cmp.Compare(b.Number, a.Number), cmp.Compare(a.Digest, b.Digest))
+	})
+	newest := d.Holders[0].Number
+	for i, holder := range d.Holders {
+		d.HasConflict = d.HasConflict || i > 0 && d.Holders[i-1].Number == holder.Number
+		if holder.Number == newest {
 			continue
 		}
-		for _, who := range g.Who {
-			key := lagKey{t, who}
-			was, had := l.lags[key]
-			if !had || was.at != g.Number {
-				was = lag{g.Number, now}
+		for _, instance := range holder.Instances {
+			key := lagKey{resource, instance}
+			previous, isKnown := c.lags[key]
+			if !isKnown || previous.number != holder.Number {
+				previous = lag{holder.Number, now}
 			}
-			lags[key] = was
-			s.Behind = append(s.Behind, Late{who, g.Number, now - was.since})
+			lags[key] = previous
+			d.Lagging = append(d.Lagging, LaggingDriver{instance, holder.Number, now - previous.since})
 		}
 	}
-	slices.SortStableFunc(s.Behind, func(a, b Late) int { return cmp.Compare(b.For, a.For) })
-	return s
+	slices.SortStableFunc(d.Lagging, func(a, b LaggingDriver) int { return cmp.Compare(b.Duration, a.Duration) })
+	return d
 }
--- a/internal/versions/observed_test.go
+++ b/internal/versions/observed_test.go
@@ -6,48 +6,49 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a fleet whose drivers act on different lists for long without anybody knowing, against a driver that is
-// called late though it keeps up with a list that changes all the time, and against two lists of one number.
-func TestWhatDriversActOnByThemselves(t *testing.T) {
+// Guards against drivers that act on different lists unnoticed, two lists with the same number, and
+// a driver that is reported as lagging although it keeps up with a list that changes often.
+func TestDistributionsOfObservedResources(t *testing.T) {
 	f := newFleet(t, 4)
-	say := func(i int, n Number, digest string) {
-		h := f.holders[f.signs[i].Name]
-		h.Observes(List, n, digest)
-		f.l.Say(f.signs[i], h.Sightings())
+	report := func(i int, number Number, digest string) {
+		state := f.states[f.instances[i].Name]
+		state.Observe(DiscoveryList, number, digest)
+		f.controller.RecordReports(f.instances[i], state.Reports())
 	}
-	observed := func() Spread {
-		all := f.l.Observed(f.now, f.present())
+	distribution := func() Distribution {
+		all := f.controller.Distributions(f.now, f.statuses())
 		require.Len(t, all, 1)
 		return all[0]
 	}
-	for i := range f.signs {
-		say(i, 7, "seven")
+	for i := range f.instances {
+		report(i, 7, "seven")
 	}
-	require.Empty(t, f.l.Orders(f.signs[0]), "there is nothing to be told of it")
-	require.Empty(t, f.l.Behind(0, f.present()))
-	s := observed()
-	require.Equal(t, []Group{{7, "seven", f.signs}}, s.Groups)
-	require.Empty(t, s.Behind)
-	say(0, 9, "nine")
-	say(1, 8, "eight")
+	require.Empty(t, f.controller.Assignments(f.instances[0]), "nothing is assigned")
+	require.Empty(t, f.controller.StalledVersions(0, f.statuses()))
+	s := distribution()
+	require.Equal(t, []VersionHolders{{7, "seven", f.instances}}, s.Holders)
+	require.Empty(t, s.Lagging)
+	report(0, 9, "nine")
+	report(1, 8, "eight")
 	f.now = 100
-	observed()
+	distribution()
 	f.now = 150
-	say(0, 10, "ten")
-	say(1, 9, "nine")
-	s = observed()
-	require.Equal(t, []Late{{f.signs[2], 7, 50}, {f.signs[3], 7, 50}, {f.signs[1], 9, 0}}, s.Behind, "the second comes nearer")
-	require.False(t, s.Forked)
-	f.may["d3"] = false
-	say(1, 10, "another ten")
-	s = observed()
-	require.True(t, s.Forked)
-	require.Len(t, s.Behind, 1, "one that may not act is not late")
-	say(2, 10, "ten")
-	say(1, 10, "ten")
-	s = observed()
-	require.False(t, s.Forked)
-	require.Empty(t, s.Behind)
-	f.l.TakeOver()
-	require.Empty(t, f.l.Observed(f.now, f.present()), "what was told to another")
+	report(0, 10, "ten")
+	report(1, 9, "nine")
+	s = distribution()
+	require.Equal(t, []LaggingDriver{{f.instances[2], 7, 50}, {f.instances[3], 7, 50}, {f.instances[1], 9, 0}}, s.Lagging,
+		"the second driver catches up")
+	require.False(t, s.HasConflict)
+	f.mayAct["d3"] = false
+	report(1, 10, "another ten")
+	s = distribution()
+	require.True(t, s.HasConflict)
+	require.Len(t, s.Lagging, 1, "drivers that may not act do not lag")
+	report(2, 10, "ten")
+	report(1, 10, "ten")
+	s = distribution()
+	require.False(t, s.HasConflict)
+	require.Empty(t, s.Lagging)
+	f.controller.StartLeading()
+	require.Empty(t, f.controller.Distributions(f.now, f.statuses()), "reports to the previous leader")
 }
--- a/internal/versions/steps.go
+++ b/internal/versions/steps.go
@@ -10,289 +10,301 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Say takes in what a driver's start says of all things.
-func (l *Ledger) Say(who Sign, sightings []Sighting) {
-	s := &saying{start: who.Start, sightings: make(map[Thing]Sighting, len(sightings))}
-	for _, seen := range sightings {
-		s.sightings[seen.Thing] = seen
+// RecordReports replaces the reports of a driver by those of one of its instances.
+func (c *Controller) RecordReports(instance Instance, reports []Report) {
+	latest := &instanceReports{start: instance.Start, reports: make(map[Resource]Report, len(reports))}
+	for _, report := range reports {
+		latest.reports[report.Resource] = report
 	}
-	l.said[who.Name] = s
+	c.reports[instance.Name] = latest
 }
 
-// heard is what a driver's start said last, nil for nothing.
-func (l *Ledger) heard(who Sign) *saying {
-	if s := l.said[who.Name]; s != nil && s.start == who.Start {
-		return s
+// reportsOf returns the last reports of an instance, or nil.
+func (c *Controller) reportsOf(instance Instance) *instanceReports {
+	if latest := c.reports[instance.Name]; latest != nil && latest.start == instance.Start {
+		return latest
 	}
 	return nil
 }
 
-// Orders are what a driver is told, of the things of which it does not follow the newest order; what it said stands in
-// Say. A driver that is new is told of all.
-func (l *Ledger) Orders(who Sign) (orders []Order) {
-	s := l.heard(who)
-	for _, t := range l.Things() {
-		n := l.lines[t]
-		v := n.last()
-		seen := Sighting{}
-		if s != nil {
-			seen = s.sightings[t]
+// Assignments returns the assignments that an instance does not follow yet, according to its last
+// reports. An instance without reports gets those of all resources.
+func (c *Controller) Assignments(instance Instance) (assignments []Assignment) {
+	reported := c.reportsOf(instance)
+	for _, resource := range c.Resources() {
+		h := c.histories[resource]
+		v := h.latest()
+		report := Report{}
+		if reported != nil {
+			report = reported.reports[resource]
 		}
-		if seen.Epoch == v.Epoch && seen.Holds >= l.hold(n) {
+		if report.Epoch == v.Epoch && report.Stored >= c.versionToStore(h) {
 			continue
 		}
-		o := Order{Thing: t, Epoch: v.Epoch, Act: l.act(n, who), Keep: v.keep(), Valid: v.valid(), Hold: l.hold(n)}
-		if h := n.find(o.Hold); h != nil {
-			o.Digest = h.Digest
-			if seen.Holds != o.Hold {
-				o.Text = h.Text
+		assignment := Assignment{Resource: resource, Epoch: v.Epoch, Active: c.activeVersion(h, instance), Allowed: v.allowed(),
+			Valid: v.valid(), Stored: c.versionToStore(h)}
+		if stored := h.find(assignment.Stored); stored != nil {
+			assignment.Digest = stored.Digest
+			if report.Stored != assignment.Stored {
+				assignment.Text = stored.Text
 			}
 		}
-		if a := n.find(o.Act); a != nil && o.Act != o.Hold && seen.Acts != o.Act {
-			o.Before = a.Text
+		if active := h.find(assignment.Active); active != nil && assignment.Active != assignment.Stored &&
+			report.Active != assignment.Active {
+			assignment.ActiveText = active.Text
 		}
-		orders = append(orders, o)
+		assignments = append(assignments, assignment)
 	}
-	return orders
+	return assignments
 }
 
-// keep is the version that a driver may still act on that does not act yet on what it is told to.
-func (v *Version) keep() Number {
+// allowed returns the version that a driver may act on until it has activated the assigned one, or
+// 0.
+func (v *Version) allowed() Number {
 	switch {
-	case v.Plan.Exclusive || v.Stage.over():
+	case v.Plan.Exclusive || v.Stage.isFinal():
 		return 0
-	case v.Stage == Withdrawing:
+	case v.Stage == StageRollingBack:
 		return v.Number
 	}
 	return v.Base
 }
 
-// hold is the version whose text all are to have.
-func (l *Ledger) hold(n *line) Number {
-	v := n.last()
-	if v.Stage == Withdrawing || v.Stage == Withdrawn {
+// versionToStore returns the version whose text all drivers should have.
+func (c *Controller) versionToStore(h *history) Number {
+	v := h.latest()
+	if v.Stage == StageRollingBack || v.Stage == StageRolledBack {
 		return v.Base
 	}
 	return v.Number
 }
 
-// act is the version that a driver is to act on.
-func (l *Ledger) act(n *line, who Sign) Number {
-	switch v := n.last(); v.Stage {
-	case Told, Withdrawing, Withdrawn:
+// activeVersion returns the version that an instance should act on, 0 for none.
+func (c *Controller) activeVersion(h *history, instance Instance) Number {
+	switch v := h.latest(); v.Stage {
+	case StageAnnounced, StageRollingBack, StageRolledBack:
 		return v.Base
-	case Trying:
-		if slices.Contains(v.Tried, who) {
+	case StageCanary:
+		if slices.Contains(v.Canaries, instance) {
 			return v.Number
 		}
 		return v.Base
-	case Stopping:
+	case StageStopping:
 		return 0
 	default:
 		return v.Number
 	}
 }
 
-// Step proposes the next step of a version that is ready for one, or nothing. Whoever drives it calls again until nothing
-// is proposed.
-func (l *Ledger) Step(now int64, drivers []Present) []Record {
-	for _, t := range l.Things() {
-		v := l.lines[t].last()
-		if v.Stage.over() {
+// Step returns the record of the next transition that is due, or nil. The caller applies it and
+// calls Step again until it returns nil.
+func (c *Controller) Step(now int64, drivers []DriverStatus) []Record {
+	for _, resource := range c.Resources() {
+		v := c.histories[resource].latest()
+		if v.Stage.isFinal() {
 			continue
 		}
-		if next, ready := l.step(now, v, drivers); ready {
+		if next, isReady := c.stepVersion(now, v, drivers); isReady {
 			return []Record{next}
 		}
 	}
 	return nil
 }
 
-// step is the step that a version is ready for: the table at Stage.
-func (l *Ledger) step(now int64, v *Version, drivers []Present) (Record, bool) {
-	if l.since[v.Thing].epoch != v.Epoch {
-		l.since[v.Thing] = since{epoch: v.Epoch, at: now}
+// stepVersion returns the transition that is due for a version, by the table at Stage.
+func (c *Controller) stepVersion(now int64, v *Version, drivers []DriverStatus) (Record, bool) {
+	if c.stageStarts[v.Resource].epoch != v.Epoch {
+		c.stageStarts[v.Resource] = stageStart{epoch: v.Epoch, startedAt: now}
 	}
-	if v.Stage == Trying {
-		return l.try(now, v, drivers)
+	if v.Stage == StageCanary {
+		return c.stepCanaryTrial(now, v, drivers)
 	}
-	basis, all := l.all(v, drivers)
-	if !all {
+	evidence, isReady := c.allFinishedStage(v, drivers)
+	if !isReady {
 		return Record{}, false
 	}
-	to := map[Stage]Stage{Told: Opening, Stopping: Opening, Opening: Closing, Closing: Closed, Withdrawing: Withdrawn}[v.Stage]
-	tried := canaries(v, drivers)
+	nextStage := map[Stage]Stage{StageAnnounced: StageActivating, StageStopping: StageActivating, StageActivating: StageDraining,
+		StageDraining: StageCompleted, StageRollingBack: StageRolledBack}[v.Stage]
+	chosen := chooseCanaries(v, drivers)
 	switch {
-	case v.Stage == Told && v.Plan.Exclusive:
-		to = Stopping
-	case v.Stage == Told && len(tried) > 0:
-		to = Trying
+	case v.Stage == StageAnnounced && v.Plan.Exclusive:
+		nextStage = StageStopping
+	case v.Stage == StageAnnounced && len(chosen) > 0:
+		nextStage = StageCanary
 	}
-	next := l.next(now, v, to, v.Why, &basis)
-	if to == Trying {
-		next.Version.Tried = tried
+	next := c.nextRecord(now, v, nextStage, v.Reason, &evidence)
+	if nextStage == StageCanary {
+		next.Version.Canaries = chosen
 	}
 	return next, true
 }
 
-// try sees how canaries fare.
-func (l *Ledger) try(now int64, v *Version, drivers []Present) (Record, bool) {
-	act := 0
-	for _, c := range v.Tried {
-		at := slices.IndexFunc(drivers, func(p Present) bool { return p.Sign == c })
-		if at < 0 || !drivers[at].May {
-			return l.next(now, v, Withdrawing, fmt.Sprintf("canary %s, start %d, has failed: its lease ran out or it started anew", c.Name,
-				c.Start), nil), true
+// stepCanaryTrial rolls a version back if its canary trial has failed, and activates it once the
+// trial has passed.
+func (c *Controller) stepCanaryTrial(now int64, v *Version, drivers []DriverStatus) (Record, bool) {
+	active := 0
+	for _, canary := range v.Canaries {
+		i := slices.IndexFunc(drivers, func(d DriverStatus) bool { return d.Instance == canary })
+		if i < 0 || !drivers[i].MayAct {
+			return c.nextRecord(now, v, StageRollingBack, fmt.Sprintf(
+				"canary %s, start %d, has failed: its lease ran out or it started anew", canary.Name, canary.Start), nil), true
 		}
-		if drivers[at].Silent {
-			return l.next(now, v, Withdrawing, fmt.Sprintf("canary %s, start %d, has failed: most of its fellows do not hear it", c.Name, c.Start),
-				nil), true
+		if drivers[i].IsUnreachable {
+			return c.nextRecord(now, v, StageRollingBack, fmt.Sprintf(
+				"canary %s, start %d, has failed: most of its fellows do not hear it", canary.Name, canary.Start), nil), true
 		}
-		seen, told := l.sighting(v, c)
+		report, isReported := c.currentReport(v, canary)
 		switch {
-		case told && seen.Ill != "":
-			return l.next(now, v, Withdrawing, fmt.Sprintf("canary %s can't act on it: %s", c.Name, seen.Ill), nil), true
-		case told && seen.Acts == v.Number:
-			act++
+		case isReported && report.Failure != "":
+			return c.nextRecord(now, v, StageRollingBack,
+				fmt.Sprintf("canary %s can't act on it: %s", canary.Name, report.Failure), nil), true
+		case isReported && report.Active == v.Number:
+			active++
 		}
 	}
-	if act < len(v.Tried) {
+	if active < len(v.Canaries) {
 		return Record{}, false
 	}
-	s := l.since[v.Thing]
-	if s.trial == nil {
-		s.trial = &trial{began: now, look: 1, first: map[Sign]Fare{}}
+	started := c.stageStarts[v.Resource]
+	if started.trial == nil {
+		started.trial = &trial{startedAt: now, check: 1, baselines: map[Instance]RPCStats{}}
 		for _, d := range drivers {
-			if seen, told := l.sighting(v, d.Sign); told {
-				s.trial.first[d.Sign] = of(seen.Fares, v.Base)
+			if report, isReported := c.currentReport(v, d.Instance); isReported {
+				started.trial.baselines[d.Instance] = statsOf(report.Stats, v.Base)
 			}
 		}
-		l.since[v.Thing] = s
+		c.stageStarts[v.Resource] = started
 	}
-	over, against, judgement := l.watch(now, v, s.trial, drivers)
+	isOver, problem, result := c.evaluateTrial(now, v, started.trial, drivers)
 	switch {
-	case against != "":
-		return l.next(now, v, Withdrawing, against, nil), true
-	case !over:
+	case problem != "":
+		return c.nextRecord(now, v, StageRollingBack, problem, nil), true
+	case !isOver:
 		return Record{}, false
 	}
-	next := l.next(now, v, Opening, v.Why, nil)
-	next.Version.Judged = judgement
+	next := c.nextRecord(now, v, StageActivating, v.Reason, nil)
+	next.Version.TrialResult = result
 	return next, true
 }
 
-// canaries are the drivers that try a version first: a choice of its own for each version, the same whoever makes it. Those
-// that vote come last: a version that ends its canaries must not end the council, which would have to call it off.
-func canaries(v *Version, drivers []Present) (chosen []Sign) {
-	if v.Plan.Canaries <= 0 {
+// chooseCanaries returns the canaries of a version: a pseudo-random choice that depends only on the
+// version and the drivers. Voters are chosen last, as a version that crashes its canaries must not
+// cost the council its quorum, which is needed for the rollback.
+func chooseCanaries(v *Version, drivers []DriverStatus) (chosen []Instance) {
+	if v.Plan.CanaryFraction <= 0 {
 		return nil
 	}
-	may := slices.DeleteFunc(slices.Clone(drivers), func(d Present) bool { return !d.May })
-	score := func(s Sign) uint64 { return xxhash.Sum64String(fmt.Sprintf("%s/%d/%s", v.Thing, v.Number, s.Name)) }
-	slices.SortFunc(may, func(a, b Present) int {
-		if a.Votes != b.Votes {
-			return map[bool]int{true: 1, false: -1}[a.Votes]
+	candidates := slices.DeleteFunc(slices.Clone(drivers), func(d DriverStatus) bool { return !d.MayAct })
+	score := func(instance Instance) uint64 {
+		return xxhash.Sum64String(fmt.Sprintf("%s/%d/%s", v.Resource, v.Number, instance.Name))
+	}
+	slices.SortFunc(candidates, func(a, b DriverStatus) int {
+		if a.IsVoter != b.IsVoter {
+			return map[bool]int{true: 1, false: -1}[a.IsVoter]
 		}
-		return cmp.Or(cmp.Compare(score(a.Sign), score(b.Sign)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(score(a.Instance), score(b.Instance)), cmp.Compare(a.Name, b.Name))
 	})
-	for _, d := range may[:int(math.Ceil(v.Plan.Canaries*float64(len(may))))] {
-		chosen = append(chosen, d.Sign)
+	for _, d := range candidates[:int(math.Ceil(v.Plan.CanaryFraction*float64(len(candidates))))] {
+		chosen = append(chosen, d.Instance)
 	}
 	return chosen
 }
 
-// sighting is what a driver's start said of a version's thing since its last step.
-func (l *Ledger) sighting(v *Version, who Sign) (Sighting, bool) {
-	s := l.heard(who)
-	if s == nil {
-		return Sighting{}, false
+// currentReport returns what an instance reported about a version's resource since the last
+// transition.
+func (c *Controller) currentReport(v *Version, instance Instance) (Report, bool) {
+	latest := c.reportsOf(instance)
+	if latest == nil {
+		return Report{}, false
 	}
-	seen, told := s.sightings[v.Thing]
-	return seen, told && seen.Epoch == v.Epoch
+	report, isReported := latest.reports[v.Resource]
+	return report, isReported && report.Epoch == v.Epoch
 }
 
-// passes tells whether a driver has done its part of a version's stage.
-func (l *Ledger) passes(v *Version, who Sign) bool {
-	seen, told := l.sighting(v, who)
-	if !told {
+// hasFinishedStage reports whether an instance has reported that it finished the version's current
+// stage.
+func (c *Controller) hasFinishedStage(v *Version, instance Instance) bool {
+	report, isReported := c.currentReport(v, instance)
+	if !isReported {
 		return false
 	}
-	only := func(ok func(Number) bool) bool {
-		return !slices.ContainsFunc(seen.Flight, func(n Number) bool { return !ok(n) })
+	onlyInFlight := func(ok func(Number) bool) bool {
+		return !slices.ContainsFunc(report.InFlight, func(n Number) bool { return !ok(n) })
 	}
 	switch v.Stage {
-	case Told:
-		return seen.Holds >= v.Number
-	case Stopping:
-		return seen.Acts == 0 && len(seen.Flight) == 0
-	case Opening:
-		return seen.Acts == v.Number
-	case Closing:
-		return seen.Acts == v.Number && only(func(n Number) bool { return n == v.Number })
-	case Withdrawing:
-		return seen.Acts == v.Base && only(func(n Number) bool { return n != v.Number })
+	case StageAnnounced:
+		return report.Stored >= v.Number
+	case StageStopping:
+		return report.Active == 0 && len(report.InFlight) == 0
+	case StageActivating:
+		return report.Active == v.Number
+	case StageDraining:
+		return report.Active == v.Number && onlyInFlight(func(n Number) bool { return n == v.Number })
+	case StageRollingBack:
+		return report.Active == v.Base && onlyInFlight(func(n Number) bool { return n != v.Number })
 	}
 	return false
 }
 
-// all tells whether each driver that may act has done its part, and on whom that rests. One whose lease has run out acts on
-// nothing until it has asked again, and then on what is told by then.
-func (l *Ledger) all(v *Version, drivers []Present) (b Basis, all bool) {
-	all = true
+// allFinishedStage reports whether all drivers that may act have finished the stage. A driver whose
+// lease has expired need not be waited for: it acts on nothing until it renews its lease, which
+// comes with the current assignment.
+func (c *Controller) allFinishedStage(v *Version, drivers []DriverStatus) (evidence Evidence, isReady bool) {
+	isReady = true
 	for _, d := range drivers {
 		switch {
-		case !d.May:
-			b.Waited = append(b.Waited, d.Sign)
-		case l.passes(v, d.Sign):
-			b.Said = append(b.Said, d.Sign)
+		case !d.MayAct:
+			evidence.Expired = append(evidence.Expired, d.Instance)
+		case c.hasFinishedStage(v, d.Instance):
+			evidence.Confirmed = append(evidence.Confirmed, d.Instance)
 		default:
-			all = false
+			isReady = false
 		}
 	}
-	return b, all
+	return evidence, isReady
 }
 
-// Behind is a version that some hold back.
-type Behind struct {
-	Thing  Thing
-	Number Number
-	Stage  Stage
-	For    int64 // since the stage began, or this ledger began to act
-	Over   bool  // longer than the plan allows
-	Who    []Sign
+// StalledVersion is a rollout that waits for some drivers.
+type StalledVersion struct {
+	Resource  Resource   `json:"Thing"`
+	Number    Number     `json:"Number"`
+	Stage     Stage      `json:"Stage"`
+	Duration  int64      `json:"For"`  // nanoseconds since the stage began or this controller started leading
+	IsOverdue bool       `json:"Over"` // the timeout of the stage has passed
+	Instances []Instance `json:"Who"`
 }
 
-// Behind tells which drivers hold a version back.
-func (l *Ledger) Behind(now int64, drivers []Present) (all []Behind) {
-	for _, t := range l.Things() {
-		v := l.lines[t].last()
-		s := l.since[t]
-		if v.Stage.over() || s.epoch != v.Epoch || v.Stage == Trying {
+// StalledVersions returns the rollouts that wait for drivers, and which drivers those are.
+func (c *Controller) StalledVersions(now int64, drivers []DriverStatus) (all []StalledVersion) {
+	for _, resource := range c.Resources() {
+		v := c.histories[resource].latest()
+		started := c.stageStarts[resource]
+		if v.Stage.isFinal() || started.epoch != v.Epoch || v.Stage == StageCanary {
 			continue
 		}
-		b := Behind{Thing: t, Number: v.Number, Stage: v.Stage, For: now - s.at}
-		allowed := map[Stage]int64{Told: v.Plan.Tell, Closing: v.Plan.Close}[v.Stage]
-		b.Over = b.For > cmp.Or(allowed, v.Plan.Adopt)
+		stalled := StalledVersion{Resource: resource, Number: v.Number, Stage: v.Stage, Duration: now - started.startedAt}
+		timeout := map[Stage]int64{StageAnnounced: v.Plan.AnnounceTimeout, StageDraining: v.Plan.DrainTimeout}[v.Stage]
+		stalled.IsOverdue = stalled.Duration > cmp.Or(timeout, v.Plan.AdoptTimeout)
 		for _, d := range drivers {
-			if d.May && !l.passes(v, d.Sign) {
-				b.Who = append(b.Who, d.Sign)
+			if d.MayAct && !c.hasFinishedStage(v, d.Instance) {
+				stalled.Instances = append(stalled.Instances, d.Instance)
 			}
 		}
-		if len(b.Who) > 0 {
-			all = append(all, b)
+		if len(stalled.Instances) > 0 {
+			all = append(all, stalled)
 		}
 	}
 	return all
 }
 
-// Said is what a driver's start said last.
-func (l *Ledger) Said(who Sign) (all []Sighting) {
-	s := l.heard(who)
-	if s == nil {
+// Reports returns the last reports of an instance, sorted by resource.
+func (c *Controller) Reports(instance Instance) (all []Report) {
+	latest := c.reportsOf(instance)
+	if latest == nil {
 		return nil
 	}
-	for _, t := range slices.Sorted(maps.Keys(s.sightings)) {
-		all = append(all, s.sightings[t])
+	for _, resource := range slices.Sorted(maps.Keys(latest.reports)) {
+		all = append(all, latest.reports[resource])
 	}
 	return all
 }
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -1,6 +1,7 @@
-// Package versions decides how each thing that drivers act on passes from one version to the next, and from which moment on
-// provably no driver acts on an older one. It does no I/O, reads no clock and starts no goroutine. Ledger is the council's
-// side; what must outlast its holder is a Record, written down before it counts. Holder is a driver's side.
+// Package versions rolls out versions of resources to drivers and determines when no driver can act
+// on an older version any more. Controller is the council's side: its state changes only through
+// Records, which the council replicates before they are applied. DriverState is the driver's side.
+// The package does no I/O, reads no clock and starts no goroutines.
 package versions
 
 import (
@@ -8,211 +9,219 @@
 	"slices"
 )
 
-// Thing is what has versions: a part of the operator's file, a book, limits, a program.
-type Thing string
+// Resource names something versioned that drivers act on: a part of the operator's file, a
+// rulebook, limits, a build.
+type Resource string
 
-// Number is a version's within its thing, by the council's order. 0 is none.
+// Number is the number of a version within its resource, in the order of the council's records. 0
+// means no version.
 type Number uint64
 
-// Origin is what each driver acts on that was told of no version: what it started with.
-const Origin Number = 1
+// InitialVersion is what a driver starts with and acts on until it is assigned a version.
+const InitialVersion Number = 1
 
-// Epoch numbers the records of all things. A driver never follows an older one than it knows.
+// Epoch numbers the records of all resources. A driver ignores assignments older than the epoch it
+// knows.
 type Epoch uint64
 
-// Stage is how far a version has come.
+// Stage is the stage of a version's rollout.
 //
-//	from         what has been seen                                        to           drivers then act on
-//	nothing      it is proposed, and none of its thing is under way        Told         the older
-//	Told         all hold it; it is tried first                            Trying       canaries the new, others the older
-//	Told, Trying all hold it (its canaries have acted on it for Trial)     Opening      the new
-//	Told         all hold it; two must not overlap                         Stopping     nothing
-//	Stopping     nobody acts on anything, nothing is in flight             Opening      the new
-//	Opening      all act on it                                             Closing      the new
-//	Closing      nothing is in flight under another                        Closed       the new
-//	Trying       a canary's lease has run out, most of its fellows do not hear it, it started anew, is ill, or RPCs fare worse
-//	             there than at the others (Worse)
-//	                                                                       Withdrawing  the older
-//	Told, Stopping, Trying, and Opening where two may overlap
-//	             it is called off                                          Withdrawing  the older
-//	Withdrawing  all act on the older, nothing is in flight under it       Withdrawn    the older
+//	from               condition                                           to           drivers then act on
+//	(none)             proposed, no other rollout of the resource          Announced    the base version
+//	Announced          all store it; the plan has canaries                 Canary       canaries the new, others the base
+//	Announced, Canary  all store it (and the canary trial has passed)      Activating   the new version
+//	Announced          all store it; the plan is exclusive                 Stopping     nothing
+//	Stopping           no driver acts, nothing is in flight                Activating   the new version
+//	Activating         all act on it                                       Draining     the new version
+//	Draining           nothing is in flight under another version          Completed    the new version
+//	Canary             a canary's lease expired, or it restarted, is       RollingBack  the base version
+//	                   unreachable to most peers, reports a failure or
+//	                   does worse than the others (CompareCanaries)
+//	Announced, Canary, Stopping; Activating unless exclusive
+//	                   an operator rolls it back                           RollingBack  the base version
+//	RollingBack        all act on the base, nothing is in flight under new RolledBack   the base version
 //
-// "All" means: each driver that may act has said so of this very step, and all others' leases have provably run out.
-// Without a quorum no step is recorded; drivers go on as told until their leases are over, and then act on nothing.
+// "All" means that each driver that may act has reported so in the current epoch and the leases of
+// all others have expired. Without a quorum no transition is recorded; drivers act as assigned
+// until their leases expire.
 type Stage int
 
 const (
-	Unknown Stage = iota
-	Told
-	Trying
-	Stopping
-	Opening
-	Closing
-	Closed
-	Withdrawing
-	Withdrawn
+	StageUnknown Stage = iota
+	StageAnnounced
+	StageCanary
+	StageStopping
+	StageActivating
+	StageDraining
+	StageCompleted
+	StageRollingBack
+	StageRolledBack
 )
 
-var stageNames = [...]string{"unknown", "told", "trying", "stopping", "opening", "closing", "closed", "withdrawing", "withdrawn"}
+var stageTexts = [...]string{"unknown", "told", "trying", "stopping", "opening", "closing", "closed", "withdrawing", "withdrawn"}
 
 func (s Stage) String() string {
-	if s < 0 || int(s) >= len(stageNames) {
+	if s < 0 || int(s) >= len(stageTexts) {
 		return fmt.Sprintf("stage %d", int(s))
 	}
-	return stageNames[s]
+	return stageTexts[s]
 }
 
-// before lists, for each stage, those that it may follow.
-var before = map[Stage][]Stage{
-	Told:        {Unknown},
-	Trying:      {Told},
-	Stopping:    {Told},
-	Opening:     {Told, Trying, Stopping},
-	Closing:     {Opening},
-	Closed:      {Closing},
-	Withdrawing: {Told, Trying, Stopping, Opening},
-	Withdrawn:   {Withdrawing},
+// allowedPredecessors lists the stages that each stage may follow.
+var allowedPredecessors = map[Stage][]Stage{
+	StageAnnounced:   {StageUnknown},
+	StageCanary:      {StageAnnounced},
+	StageStopping:    {StageAnnounced},
+	StageActivating:  {StageAnnounced, StageCanary, StageStopping},
+	StageDraining:    {StageActivating},
+	StageCompleted:   {StageDraining},
+	StageRollingBack: {StageAnnounced, StageCanary, StageStopping, StageActivating},
+	StageRolledBack:  {StageRollingBack},
 }
 
-// over tells whether nothing more happens to a version.
-func (s Stage) over() bool { return s == Closed || s == Withdrawn }
+// isFinal reports whether a version in this stage changes no more.
+func (s Stage) isFinal() bool { return s == StageCompleted || s == StageRolledBack }
 
-// Plan is how a version is to come. Times are nanoseconds.
+// Plan describes how a version is rolled out. Times are in nanoseconds.
 type Plan struct {
-	Exclusive bool    `json:"exclusive,omitempty"` // no two drivers may act on different versions at one time
-	Canaries  float64 `json:"canaries,omitempty"`  // the part of the drivers that tries it first, 0 for none
-	Trial     int64   `json:"trial,omitempty"`     // for so long
-	Alarm     float64 `json:"alarm,omitempty"`     // the chance of withdrawing a sound version for how its canaries fare; 0 for 0.01
-	Bears     float64 `json:"bears,omitempty"`     // so many times as bad at its canaries is borne; 0 for 1.25
-	Tell      int64   `json:"tell"`                // in which all must hold it
-	Adopt     int64   `json:"adopt"`               // in which all must act on it, or on nothing, or on the older again
-	Close     int64   `json:"close"`               // in which what is in flight must have ended
+	Exclusive       bool    `json:"exclusive,omitempty"` // no two versions may be active at the same time
+	CanaryFraction  float64 `json:"canaries,omitempty"`  // fraction of the drivers that are canaries; 0 for none
+	TrialTime       int64   `json:"trial,omitempty"`     // duration of the canary trial
+	FalseAlarmRate  float64 `json:"alarm,omitempty"`     // probability of rolling back a good version; 0 for the default
+	ToleratedRatio  float64 `json:"bears,omitempty"`     // how many times worse canaries may do; 0 for the default
+	AnnounceTimeout int64   `json:"tell"`                // for all drivers to store the version
+	AdoptTimeout    int64   `json:"adopt"`               // for all drivers to activate it, stop or return to the base
+	DrainTimeout    int64   `json:"close"`               // for requests in flight under other versions to end
 }
 
-// Version is one version of a thing.
+// Version is one version of a resource with the state of its rollout.
 type Version struct {
-	Thing  Thing  `json:"thing"`
-	Number Number `json:"number"`
-	Base   Number `json:"base"` // the one that is acted on until it opens
-	Digest string `json:"digest"`
-	Text   string `json:"text,omitempty"` // none once it can't be needed any more
-	Plan   Plan   `json:"plan"`
-	Stage  Stage  `json:"stage"`
-	Epoch  Epoch  `json:"epoch"` // of the last record
-	Why    string `json:"why,omitempty"`
-	When   int64  `json:"when"`             // of the last record, by its proposer's clock, for people
-	Basis  *Basis `json:"basis,omitempty"`  // of the last record
-	Closes int64  `json:"closes,omitempty"` // when it was closed, as When
-	Tried  []Sign `json:"tried,omitempty"`  // its canaries with their starts
-	Judged string `json:"judged,omitempty"` // how they fared
+	Resource    Resource   `json:"thing"`
+	Number      Number     `json:"number"`
+	Base        Number     `json:"base"` // the version that drivers act on before activation
+	Digest      string     `json:"digest"`
+	Text        string     `json:"text,omitempty"` // removed once no driver can need it
+	Plan        Plan       `json:"plan"`
+	Stage       Stage      `json:"stage"`
+	Epoch       Epoch      `json:"epoch"` // of the last record
+	Reason      string     `json:"why,omitempty"`
+	UpdatedAt   int64      `json:"when"`             // Unix nanoseconds, by the proposer's clock; informational
+	Evidence    *Evidence  `json:"basis,omitempty"`  // for the last record
+	CompletedAt int64      `json:"closes,omitempty"` // when it was completed, as UpdatedAt
+	Canaries    []Instance `json:"tried,omitempty"`
+	TrialResult string     `json:"judged,omitempty"` // of the canaries
 }
 
-// Sign is a driver's start.
-type Sign struct {
+// Instance identifies one run of a driver by its name and start number.
+type Instance struct {
 	Name  string `json:"name"`
 	Start uint64 `json:"start"`
 }
 
-// Basis is what a step rests on.
-type Basis struct {
-	Said   []Sign `json:"said"`   // drivers that said so
-	Waited []Sign `json:"waited"` // those whose leases had run out
+// Evidence lists the drivers that a transition relied on.
+type Evidence struct {
+	Confirmed []Instance `json:"said"`   // reported that they finished the stage
+	Expired   []Instance `json:"waited"` // had no valid lease
 }
 
-// Record is what the council agrees on: a version as it is from here on.
+// Record is an entry of the council's replication log: the new state of a version.
 type Record struct {
 	Version Version `json:"version"`
 }
 
-// Sighting is what a driver says of one thing.
-type Sighting struct {
-	Thing  Thing    `json:"thing"`
-	Epoch  Epoch    `json:"epoch"` // of the order that it follows
-	Holds  Number   `json:"holds"` // the newest whose text it has
-	Acts   Number   `json:"acts"`  // 0 for nothing
-	Flight []Number `json:"flight,omitempty"`
-	Ill    string   `json:"ill,omitempty"` // why it can't act on what it was told to
-	Fares  []Fare   `json:"fares,omitempty"`
-	Digest string   `json:"digest,omitempty"` // of what it acts on, of things that the council does not decide
+// Report is what a driver reports about one resource.
+type Report struct {
+	Resource Resource   `json:"thing"`
+	Epoch    Epoch      `json:"epoch"` // of the assignment that it follows
+	Stored   Number     `json:"holds"` // latest version whose text it has
+	Active   Number     `json:"acts"`  // 0 for nothing
+	InFlight []Number   `json:"flight,omitempty"`
+	Failure  string     `json:"ill,omitempty"` // why it can't activate the assigned version
+	Stats    []RPCStats `json:"fares,omitempty"`
+	Digest   string     `json:"digest,omitempty"` // of the active version, if the council does not decide it
 }
 
-// Order is what a driver is told of one thing.
-type Order struct {
-	Thing  Thing    `json:"thing"`
-	Epoch  Epoch    `json:"epoch"`
-	Act    Number   `json:"act"`              // on this, 0 for nothing
-	Keep   Number   `json:"keep,omitempty"`   // what acts on this may until it acts on that; 0 for nothing may
-	Valid  []Number `json:"valid,omitempty"`  // that some driver may act on
-	Hold   Number   `json:"hold"`             // have the text of this one ready
-	Text   string   `json:"text,omitempty"`   // of Hold, if the driver does not say that it has it
-	Before string   `json:"before,omitempty"` // text of Act, likewise
-	Digest string   `json:"digest,omitempty"` // of Hold
+// Assignment tells a driver which version of one resource to act on and which text to store.
+type Assignment struct {
+	Resource   Resource `json:"thing"`
+	Epoch      Epoch    `json:"epoch"`
+	Active     Number   `json:"act"`              // version to act on; 0 for none
+	Allowed    Number   `json:"keep,omitempty"`   // version that a driver may act on until it activates Active; 0 for none
+	Valid      []Number `json:"valid,omitempty"`  // versions that some driver may act on
+	Stored     Number   `json:"hold"`             // version whose text to store
+	Text       string   `json:"text,omitempty"`   // of Stored, unless the driver reported that it has it
+	ActiveText string   `json:"before,omitempty"` // of Active, likewise
+	Digest     string   `json:"digest,omitempty"` // of Stored
 }
 
-// Present is a driver as the roster knows it.
-type Present struct {
-	Sign
-	May    bool // it may act, as far as is known
-	Votes  bool // in the council
-	Silent bool // most of its fellows do not hear it
+// DriverStatus is the state of a driver according to the roster.
+type DriverStatus struct {
+	Instance
+	MayAct        bool // its lease may still be valid
+	IsVoter       bool // of the council
+	IsUnreachable bool // most of its peers do not hear it
 }
 
-// Ledger is all things with their versions.
-type Ledger struct {
-	lines  map[Thing]*line
-	newest Epoch
+// Controller holds the versions of all resources and decides their next transitions.
+type Controller struct {
+	histories   map[Resource]*history
+	latestEpoch Epoch
 
-	// What only whoever acts for the council knows, and a successor finds out anew.
-	said  map[string]*saying
-	since map[Thing]since
-	lags  map[lagKey]lag
+	// Known only to the leader; a new leader collects it again.
+	reports     map[string]*instanceReports
+	stageStarts map[Resource]stageStart
+	lags        map[lagKey]lag
 }
 
-type line struct {
-	acted    Number // the newest that was closed
-	versions []*Version
+// history is the versions of one resource, oldest first.
+type history struct {
+	completed Number // latest completed version
+	versions  []*Version
 }
 
-// saying is what a driver said last.
-type saying struct {
-	start     uint64
-	sightings map[Thing]Sighting
+// instanceReports is the last set of reports of a driver.
+type instanceReports struct {
+	start   uint64
+	reports map[Resource]Report
 }
 
-// since is when something began, by the own clock.
-type since struct {
-	epoch Epoch
-	at    int64
-	trial *trial // nil until all canaries act
+// stageStart is when the current stage of a resource began, by the leader's clock.
+type stageStart struct {
+	epoch     Epoch
+	startedAt int64
+	trial     *trial // nil until all canaries act on the version
 }
 
-// mostVersions is how many of a thing are remembered, and mostText how long one may be.
 const (
-	mostVersions = 64
-	mostText     = 1 << 20
+	maxVersions  = 64 // kept for each resource
+	maxTextBytes = 1 << 20
 )
 
-// NewLedger makes an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{lines: map[Thing]*line{}, said: map[string]*saying{}, since: map[Thing]since{}}
+// NewController returns a controller without versions.
+func NewController() *Controller {
+	return &Controller{histories: map[Resource]*history{}, reports: map[string]*instanceReports{},
+		stageStarts: map[Resource]stageStart{}}
 }
 
-// TakeOver says that this ledger begins to be acted by: what drivers told another has to be heard again.
-func (l *Ledger) TakeOver() { l.said, l.since, l.lags = map[string]*saying{}, map[Thing]since{}, nil }
+// StartLeading is called when this process becomes the leader. It discards reports and stage times:
+// drivers have to report to the new leader before it may rely on them.
+func (c *Controller) StartLeading() {
+	c.reports, c.stageStarts, c.lags = map[string]*instanceReports{}, map[Resource]stageStart{}, nil
+}
 
-// Newest is the epoch of the last record.
-func (l *Ledger) Newest() Epoch { return l.newest }
+// LatestEpoch returns the epoch of the last record.
+func (c *Controller) LatestEpoch() Epoch { return c.latestEpoch }
 
-// last is a thing's newest version, nil for none.
-func (n *line) last() *Version {
-	if n == nil || len(n.versions) == 0 {
+// latest returns the latest version, or nil.
+func (h *history) latest() *Version {
+	if h == nil || len(h.versions) == 0 {
 		return nil
 	}
-	return n.versions[len(n.versions)-1]
+	return h.versions[len(h.versions)-1]
 }
 
-func (n *line) find(number Number) *Version {
-	for _, v := range n.versions {
+func (h *history) find(number Number) *Version {
+	for _, v := range h.versions {
 		if v.Number == number {
 			return v
 		}
@@ -220,144 +229,145 @@
 	return nil
 }
 
-// Things are those that have versions, in order.
-func (l *Ledger) Things() []Thing {
-	things := make([]Thing, 0, len(l.lines))
-	for t := range l.lines {
-		things = append(things, t)
+// Resources returns the resources that have versions, sorted by name.
+func (c *Controller) Resources() []Resource {
+	resources := make([]Resource, 0, len(c.histories))
+	for resource := range c.histories {
+		resources = append(resources, resource)
 	}
-	slices.Sort(things)
-	return things
+	slices.Sort(resources)
+	return resources
 }
 
-// Versions are those remembered of a thing, the oldest first.
-func (l *Ledger) Versions(t Thing) (all []Version) {
-	if n := l.lines[t]; n != nil {
-		for _, v := range n.versions {
+// Versions returns the versions kept of a resource, oldest first.
+func (c *Controller) Versions(resource Resource) (all []Version) {
+	if h := c.histories[resource]; h != nil {
+		for _, v := range h.versions {
 			all = append(all, *v)
 		}
 	}
 	return all
 }
 
-// Propose proposes a new version of a thing.
-func (l *Ledger) Propose(now int64, t Thing, digest, text, why string, p Plan) ([]Record, error) {
-	last, number, base := l.lines[t].last(), Origin+1, Origin
+// Propose returns the record that announces a new version of a resource.
+func (c *Controller) Propose(now int64, resource Resource, digest, text, reason string, plan Plan) ([]Record, error) {
+	latest, number, base := c.histories[resource].latest(), InitialVersion+1, InitialVersion
 	switch {
-	case t == "" || digest == "" || text == "":
-		return nil, fmt.Errorf("a version needs a thing, a digest and a text")
-	case len(text) > mostText:
-		return nil, fmt.Errorf("%d bytes are more than %d", len(text), mostText)
-	case p.Tell <= 0 || p.Adopt <= 0 || p.Close <= 0 || p.Trial < 0:
-		return nil, fmt.Errorf("a plan needs a time for each of its steps")
-	case !(p.Alarm >= 0 && p.Alarm < 1):
-		return nil, fmt.Errorf("%v is no chance of a false alarm", p.Alarm)
-	case p.Bears != 0 && !(p.Bears >= 1):
-		return nil, fmt.Errorf("%v times as bad is no worse", p.Bears)
-	case p.Exclusive && p.Canaries > 0:
-		return nil, fmt.Errorf("what must not overlap can't be tried by some first")
-	case !(p.Canaries >= 0 && p.Canaries <= 1):
-		return nil, fmt.Errorf("a part of %v can't try it", p.Canaries)
-	case last != nil && !last.Stage.over():
-		return nil, fmt.Errorf("version %d of %s is under way: %v since epoch %d", last.Number, t, last.Stage, last.Epoch)
+	case resource == "" || digest == "" || text == "":
+		return nil, fmt.Errorf("a version needs a resource name, a digest and a text")
+	case len(text) > maxTextBytes:
+		return nil, fmt.Errorf("text of %d bytes exceeds the limit of %d bytes", len(text), maxTextBytes)
+	case plan.AnnounceTimeout <= 0 || plan.AdoptTimeout <= 0 || plan.DrainTimeout <= 0 || plan.TrialTime < 0:
+		return nil, fmt.Errorf("a plan needs a timeout for each of its stages")
+	case !(plan.FalseAlarmRate >= 0 && plan.FalseAlarmRate < 1):
+		return nil, fmt.Errorf("false alarm rate %v is not in [0, 1)", plan.FalseAlarmRate)
+	case plan.ToleratedRatio != 0 && !(plan.ToleratedRatio >= 1):
+		return nil, fmt.Errorf("tolerated ratio %v is less than 1", plan.ToleratedRatio)
+	case plan.Exclusive && plan.CanaryFraction > 0:
+		return nil, fmt.Errorf("an exclusive rollout can't have canaries")
+	case !(plan.CanaryFraction >= 0 && plan.CanaryFraction <= 1):
+		return nil, fmt.Errorf("canary fraction %v is not in [0, 1]", plan.CanaryFraction)
+	case latest != nil && !latest.Stage.isFinal():
+		return nil, fmt.Errorf("version %d of %s is under way: %v since epoch %d", latest.Number, resource, latest.Stage, latest.Epoch)
 	}
-	if last != nil {
-		number, base = last.Number+1, l.lines[t].acted
+	if latest != nil {
+		number, base = latest.Number+1, c.histories[resource].completed
 	}
-	return []Record{{Version{Thing: t, Number: number, Base: base, Digest: digest, Text: text, Plan: p, Stage: Told,
-		Epoch: l.newest + 1, Why: why, When: now}}}, nil
+	return []Record{{Version{Resource: resource, Number: number, Base: base, Digest: digest, Text: text, Plan: plan,
+		Stage: StageAnnounced, Epoch: c.latestEpoch + 1, Reason: reason, UpdatedAt: now}}}, nil
 }
 
-// CallOff proposes to go back to the older version.
-func (l *Ledger) CallOff(now int64, t Thing, why string) ([]Record, error) {
-	v := l.lines[t].last()
+// RollBack returns the record that starts to roll back the current rollout of a resource.
+func (c *Controller) RollBack(now int64, resource Resource, reason string) ([]Record, error) {
+	v := c.histories[resource].latest()
 	switch {
-	case v == nil || v.Stage.over():
-		return nil, fmt.Errorf("no version of %s is under way", t)
-	case !slices.Contains(before[Withdrawing], v.Stage) || v.Stage == Opening && v.Plan.Exclusive:
-		return nil, fmt.Errorf("version %d of %s is %v: only another version undoes it", v.Number, t, v.Stage)
+	case v == nil || v.Stage.isFinal():
+		return nil, fmt.Errorf("no version of %s is under way", resource)
+	case !slices.Contains(allowedPredecessors[StageRollingBack], v.Stage) || v.Stage == StageActivating && v.Plan.Exclusive:
+		return nil, fmt.Errorf("version %d of %s is %v and can't be rolled back: propose a new version instead", v.Number, resource, v.Stage)
 	}
-	return []Record{l.next(now, v, Withdrawing, why, nil)}, nil
+	return []Record{c.nextRecord(now, v, StageRollingBack, reason, nil)}, nil
 }
 
-// next is a version's next step.
-func (l *Ledger) next(now int64, v *Version, s Stage, why string, b *Basis) Record {
-	n := *v
-	n.Stage, n.Epoch, n.When, n.Why, n.Basis = s, l.newest+1, now, why, b
-	if s == Closed {
-		n.Closes = now
+// nextRecord returns the record that moves a version to a stage.
+func (c *Controller) nextRecord(now int64, v *Version, stage Stage, reason string, evidence *Evidence) Record {
+	next := *v
+	next.Stage, next.Epoch, next.UpdatedAt, next.Reason, next.Evidence = stage, c.latestEpoch+1, now, reason, evidence
+	if stage == StageCompleted {
+		next.CompletedAt = now
 	}
-	return Record{n}
+	return Record{next}
 }
 
-// Apply takes in a record that has been written down. One that does not follow from those before counts for nobody, and is
-// an error.
-func (l *Ledger) Apply(k Record) error {
-	v := k.Version
-	n := l.lines[v.Thing]
-	have := Unknown
-	if n == nil && v.Number != Origin+1 {
-		return fmt.Errorf("version %d of %s does not follow %d", v.Number, v.Thing, Origin)
+// Apply applies a record that the council has committed. A record that does not follow from those
+// before it changes nothing and is an error.
+func (c *Controller) Apply(record Record) error {
+	v := record.Version
+	h := c.histories[v.Resource]
+	current := StageUnknown
+	if h == nil && v.Number != InitialVersion+1 {
+		return fmt.Errorf("version %d of %s does not follow %d", v.Number, v.Resource, InitialVersion)
 	}
-	if n != nil {
-		if last := n.last(); last != nil && last.Number == v.Number {
-			have = last.Stage
-		} else if last != nil && (last.Number+1 != v.Number || !last.Stage.over()) {
-			return fmt.Errorf("version %d of %s does not follow %d, %v", v.Number, v.Thing, last.Number, last.Stage)
+	if h != nil {
+		if latest := h.latest(); latest != nil && latest.Number == v.Number {
+			current = latest.Stage
+		} else if latest != nil && (latest.Number+1 != v.Number || !latest.Stage.isFinal()) {
+			return fmt.Errorf("version %d of %s does not follow %d, %v", v.Number, v.Resource, latest.Number, latest.Stage)
 		}
 	}
-	if !slices.Contains(before[v.Stage], have) || v.Epoch <= l.newest {
-		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Thing, v.Epoch, v.Stage, have,
-			l.newest)
+	if !slices.Contains(allowedPredecessors[v.Stage], current) || v.Epoch <= c.latestEpoch {
+		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Resource, v.Epoch,
+			v.Stage, current, c.latestEpoch)
 	}
-	l.take(v)
+	c.store(v)
 	return nil
 }
 
-func (l *Ledger) take(v Version) {
-	n := l.lines[v.Thing]
-	if n == nil {
-		n = &line{acted: Origin}
-		l.lines[v.Thing] = n
+// store adds or replaces a version, and removes the texts that no driver can need any more.
+func (c *Controller) store(v Version) {
+	h := c.histories[v.Resource]
+	if h == nil {
+		h = &history{completed: InitialVersion}
+		c.histories[v.Resource] = h
 	}
-	if at := n.find(v.Number); at != nil {
-		*at = v
+	if known := h.find(v.Number); known != nil {
+		*known = v
 	} else {
-		n.versions = append(n.versions, &v)
+		h.versions = append(h.versions, &v)
 	}
-	if v.Stage == Closed {
-		n.acted = v.Number
+	if v.Stage == StageCompleted {
+		h.completed = v.Number
 	}
-	l.newest = max(l.newest, v.Epoch)
-	if len(n.versions) > mostVersions {
-		n.versions = slices.Delete(n.versions, 0, len(n.versions)-mostVersions)
+	c.latestEpoch = max(c.latestEpoch, v.Epoch)
+	if len(h.versions) > maxVersions {
+		h.versions = slices.Delete(h.versions, 0, len(h.versions)-maxVersions)
 	}
-	for _, old := range n.versions {
-		if old.Number != n.acted && old.Number != v.Number {
+	for _, old := range h.versions {
+		if old.Number != h.completed && old.Number != v.Number {
 			old.Text = ""
 		}
 	}
 }
 
-// Past is all that records have said, in short.
-type Past struct {
-	Versions []Version `json:"versions"`
-	Newest   Epoch     `json:"newest"`
+// Snapshot is the state that all applied records led to.
+type Snapshot struct {
+	Versions    []Version `json:"versions"`
+	LatestEpoch Epoch     `json:"newest"`
 }
 
-// Past gives it for Restore.
-func (l *Ledger) Past() (p Past) {
-	for _, t := range l.Things() {
-		p.Versions = append(p.Versions, l.Versions(t)...)
+// Snapshot returns the state for Restore.
+func (c *Controller) Snapshot() (snapshot Snapshot) {
+	for _, resource := range c.Resources() {
+		snapshot.Versions = append(snapshot.Versions, c.Versions(resource)...)
 	}
-	p.Newest = l.newest
-	return p
+	snapshot.LatestEpoch = c.latestEpoch
+	return snapshot
 }
 
-// Restore takes a past over in place of what is known.
-func (l *Ledger) Restore(p Past) {
-	l.lines, l.newest = map[Thing]*line{}, p.Newest
-	for _, v := range p.Versions {
-		l.take(v)
+// Restore replaces the state by that of a snapshot.
+func (c *Controller) Restore(snapshot Snapshot) {
+	c.histories, c.latestEpoch = map[Resource]*history{}, snapshot.LatestEpoch
+	for _, v := range snapshot.Versions {
+		c.store(v)
 	}
 }
