--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -14,89 +14,89 @@
 
 // JournaledLedger is a ledger at work. It may be used by many at once.
 type JournaledLedger struct {
-	journal *store.Journal
-	commit  *store.Committer
-	begun   time.Time
+	journal   *store.Journal
+	committer *store.Committer
+	startedAt time.Time
 
-	mu sync.Mutex
-	l  *ledger.Ledger
+	mu     sync.Mutex
+	ledger *ledger.Ledger
 }
 
-const together = 256 // records of one write, at most
+const maxRecordsPerWrite = 256 // records of one write, at most
 
 // Open takes up what a journal holds, for so many RPCs of which one caller may have so many. A journal that holds nothing
 // may be one that was lost: until the longest deadline from now has passed repeats can't be told from first tries.
-func Open(j *store.Journal, most, quota int, longest time.Duration) (*JournaledLedger, error) {
-	a := &JournaledLedger{journal: j, commit: store.NewCommitter(j, together), begun: time.Now()}
-	records, err := store.All[ledger.Record](j)
+func Open(journal *store.Journal, maxRPCs, maxRPCsPerCaller int, maxDeadline time.Duration) (*JournaledLedger, error) {
+	l := &JournaledLedger{journal: journal, committer: store.NewCommitter(journal, maxRecordsPerWrite), startedAt: time.Now()}
+	records, err := store.All[ledger.Record](journal)
 	if err != nil {
 		return nil, err
 	}
-	a.l = ledger.New(a.now(), most, quota)
-	a.l.Recover(a.now(), records)
+	l.ledger = ledger.New(l.now(), maxRPCs, maxRPCsPerCaller)
+	l.ledger.Recover(l.now(), records)
 	if len(records) == 0 {
-		a.l.MarkRecordsLost(a.now() + int64(longest))
+		l.ledger.MarkRecordsLost(l.now() + int64(maxDeadline))
 	}
-	return a, nil
+	return l, nil
 }
 
-func (a *JournaledLedger) now() int64 { return a.begun.UnixNano() + int64(time.Since(a.begun)) }
+func (l *JournaledLedger) now() int64 { return l.startedAt.UnixNano() + int64(time.Since(l.startedAt)) }
 
 // Join makes a caller known, or tells that it has started anew.
-func (a *JournaledLedger) Join(name string, epoch uint64) (ledger.Caller, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.l.Join(name, epoch)
+func (l *JournaledLedger) Join(name string, epoch uint64) (ledger.Caller, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Join(name, epoch)
 }
 
 // Request decides on an RPC. Once it returns a grant the record that the grant needs is on the disk; where that can't be
 // written the RPC is pushed back, since nobody has the grant, and the error says why.
-func (a *JournaledLedger) Request(asked ledger.Request) (ledger.Decision, error) {
-	d, record, needed := a.decide(asked)
-	if !needed {
-		return d, nil
+func (l *JournaledLedger) Request(request ledger.Request) (ledger.Decision, error) {
+	decision, record, isRecordNeeded := l.decide(request)
+	if !isRecordNeeded {
+		return decision, nil
 	}
-	err := a.write(record)
+	err := l.write(record)
 	if err == nil {
-		return d, nil
+		return decision, nil
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.l.Report(asked.Caller, record.Epoch, d.Grant, ledger.NeverRan)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.ledger.Report(request.Caller, record.Epoch, decision.Grant, ledger.NeverRan)
 	return ledger.Decision{Action: ledger.ActionReject, Reason: ledger.ReasonJournalFailed}, err
 }
 
 // decide decides, and counts a grant as out from here on: a repeat that comes while its record is written finds it so.
-func (a *JournaledLedger) decide(asked ledger.Request) (d ledger.Decision, r ledger.Record, needed bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := a.now()
-	a.l.Advance(now)
-	if d = a.l.Decide(now, asked); d.Action != ledger.ActionGrant {
-		return d, r, false
+func (l *JournaledLedger) decide(request ledger.Request) (decision ledger.Decision, record ledger.Record, isRecordNeeded bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.now()
+	l.ledger.Advance(now)
+	if decision = l.ledger.Decide(now, request); decision.Action != ledger.ActionGrant {
+		return decision, record, false
 	}
-	r, needed = a.l.Record(now, asked, d.Grant)
-	a.l.Granted(now, asked, d.Grant)
-	return d, r, needed
+	record, isRecordNeeded = l.ledger.Record(now, request, decision.Grant)
+	l.ledger.Granted(now, request, decision.Grant)
+	return decision, record, isRecordNeeded
 }
 
 // Report takes what came of a grant, and tells whether it counts. Its record may be lost in a crash: the grant may then
 // have run for all that is known.
-func (a *JournaledLedger) Report(c ledger.Caller, epoch uint64, g ledger.Grant, f ledger.Outcome) (bool, error) {
-	a.mu.Lock()
-	counts := a.l.Report(c, epoch, g, f)
-	now := a.now()
-	a.mu.Unlock()
-	if !counts {
+func (l *JournaledLedger) Report(caller ledger.Caller, epoch uint64, grant ledger.Grant, outcome ledger.Outcome) (bool, error) {
+	l.mu.Lock()
+	accepted := l.ledger.Report(caller, epoch, grant, outcome)
+	now := l.now()
+	l.mu.Unlock()
+	if !accepted {
 		return false, nil
 	}
-	return true, a.write(ledger.Record{Grant: g, Outcome: f, At: now})
+	return true, l.write(ledger.Record{Grant: grant, Outcome: outcome, At: now})
 }
 
-func (a *JournaledLedger) write(r ledger.Record) error {
-	text, err := json.Marshal(r)
+func (l *JournaledLedger) write(record ledger.Record) error {
+	text, err := json.Marshal(record)
 	if err == nil {
-		err = a.commit.Append(text)
+		err = l.committer.Append(text)
 	}
 	if err != nil {
 		return fmt.Errorf("the journal: %w", err)
@@ -105,8 +105,8 @@
 }
 
 // Counts are of what came and what became of it.
-func (a *JournaledLedger) Counts() ledger.Counts {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.l.Counts()
+func (l *JournaledLedger) Counts() ledger.Counts {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Counts()
 }
--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -9,27 +9,27 @@
 
 // EncodeObservations is what the fellow drivers are sent for the module's news, at a time. They know a member by its key, and
 // positions count from epoch.
-func EncodeObservations(news []rules.News, key func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
-	for _, n := range news {
-		message = protocol.AppendObservation(message, protocol.Observation{Member: key(n.Member), Role: uint8(n.Role),
-			PositionMillis: millis(n.Position - epoch), LatencyMillis: millis(n.Took), Failed: n.Failed,
-			MinUptimeSeconds: n.Ran / int64(time.Second)}, millis(now-epoch))
+func EncodeObservations(observations []rules.News, keyOfMember func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
+	for _, observation := range observations {
+		message = protocol.AppendObservation(message, protocol.Observation{Member: keyOfMember(observation.Member), Role: uint8(observation.Role),
+			PositionMillis: toMillis(observation.Position - epoch), LatencyMillis: toMillis(observation.Took), Failed: observation.Failed,
+			MinUptimeSeconds: observation.Ran / int64(time.Second)}, toMillis(now-epoch))
 	}
 	return message
 }
 
 // DecodeObservations reads what a fellow driver sent, heard at a time, and tells whether it is a driver's. What it says of members
 // that are not known here is left out.
-func DecodeObservations(message []byte, member func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (news []rules.News, ok bool) {
-	told, ok := protocol.ParseObservations(message, millis(now-epoch))
-	for _, n := range told {
-		if id, known := member(n.Member); known {
-			news = append(news, rules.News{Member: id, Took: nanos(n.LatencyMillis), Failed: n.Failed, Ran: n.MinUptimeSeconds * int64(time.Second),
-				Observation: rules.Observation{Role: rules.Role(n.Role), Position: epoch + nanos(n.PositionMillis)}})
+func DecodeObservations(message []byte, memberOfKey func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (observations []rules.News, ok bool) {
+	peerObservations, ok := protocol.ParseObservations(message, toMillis(now-epoch))
+	for _, peerObservation := range peerObservations {
+		if id, known := memberOfKey(peerObservation.Member); known {
+			observations = append(observations, rules.News{Member: id, Took: toNanos(peerObservation.LatencyMillis), Failed: peerObservation.Failed, Ran: peerObservation.MinUptimeSeconds * int64(time.Second),
+				Observation: rules.Observation{Role: rules.Role(peerObservation.Role), Position: epoch + toNanos(peerObservation.PositionMillis)}})
 		}
 	}
-	return news, ok
+	return observations, ok
 }
 
-func millis(span int64) int64 { return span / int64(time.Millisecond) }
-func nanos(span int64) int64  { return span * int64(time.Millisecond) }
+func toMillis(span int64) int64 { return span / int64(time.Millisecond) }
+func toNanos(span int64) int64  { return span * int64(time.Millisecond) }
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -8,100 +8,100 @@
 )
 
 var (
-	needs = map[string]rules.Need{"loose": rules.NeedAny, "recent": rules.NeedBounded, "own_writes": rules.NeedSession,
+	needByName = map[string]rules.Need{"loose": rules.NeedAny, "recent": rules.NeedBounded, "own_writes": rules.NeedSession,
 		"latest": rules.NeedFresh, "update": rules.NeedPrimary}
-	effects = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.Tokened, "once": rules.NonIdempotent}
-	scopes  = map[string]rules.Scope{"": rules.ScopeGroup, "cell": rules.ScopeGroup, "zone": rules.ScopeZone, "all": rules.ScopeAll}
-	guards  = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
-	asks    = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	effectByName    = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.Tokened, "once": rules.NonIdempotent}
+	scopeByName     = map[string]rules.Scope{"": rules.ScopeGroup, "cell": rules.ScopeGroup, "zone": rules.ScopeZone, "all": rules.ScopeAll}
+	isGuardedByName = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
+	isPushedByName  = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-func (p *Fields) Methods() []rules.Method {
-	read := p.List("extra.readLevel")
-	bounds := p.List("extra.maxAgeUs")
-	count := p.RequiredInteger("classes.count")
+func (f *Fields) Methods() []rules.Method {
+	readLevels := f.List("extra.readLevel")
+	maxAges := f.List("extra.maxAgeUs")
+	count := f.RequiredInteger("classes.count")
 	if count < 0 || count > 10_000 {
-		p.Fail("classes.count=%d is out of range", count)
+		f.Fail("classes.count=%d is out of range", count)
 		return nil
 	}
 	methods := make([]rules.Method, count)
 	for i := range methods {
-		at := fmt.Sprintf("classes.%d.", i)
-		m := &methods[i]
-		m.Name = p.RequiredString(at + "name")
-		m.Effect = Lookup(p, at+"effect", p.RequiredString(at+"effect"), effects)
-		m.Scope = Lookup(p, at+"keyScope", p.Value(at+"keyScope"), scopes)
-		m.Window = p.TimeOrZero(at + "windowUs")
-		m.SoftDeadline = p.RequiredInteger(at+"aimUs") * micro
-		m.Deadline = p.TimeOrZero(at + "giveUpUs")
-		m.Utility = p.NumberOr(at+"worth", 1)
-		m.LateUtility = p.NumberOr(at+"lateWorth", 0)
-		if i < len(read) {
-			m.Need = Lookup(p, "extra.readLevel", read[i], needs)
+		prefix := fmt.Sprintf("classes.%d.", i)
+		method := &methods[i]
+		method.Name = f.RequiredString(prefix + "name")
+		method.Effect = Lookup(f, prefix+"effect", f.RequiredString(prefix+"effect"), effectByName)
+		method.Scope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), scopeByName)
+		method.Window = f.TimeOrZero(prefix + "windowUs")
+		method.SoftDeadline = f.RequiredInteger(prefix+"aimUs") * nanosPerMicro
+		method.Deadline = f.TimeOrZero(prefix + "giveUpUs")
+		method.Utility = f.NumberOr(prefix+"worth", 1)
+		method.LateUtility = f.NumberOr(prefix+"lateWorth", 0)
+		if i < len(readLevels) {
+			method.Need = Lookup(f, "extra.readLevel", readLevels[i], needByName)
 		}
-		if i < len(bounds) {
-			m.Bound = p.ParseInteger("extra.maxAgeUs", bounds[i]) * micro
+		if i < len(maxAges) {
+			method.Bound = f.ParseInteger("extra.maxAgeUs", maxAges[i]) * nanosPerMicro
 		}
 	}
 	return methods
 }
 
-func (p *Fields) Fleet() rules.Fleet {
-	c := rules.Fleet{Drivers: int(p.IntegerOr("fleetSize", 1))}
-	if c.Drivers < 1 {
-		p.Fail("fleetSize=%d is out of range", c.Drivers)
+func (f *Fields) Fleet() rules.Fleet {
+	fleet := rules.Fleet{Drivers: int(f.IntegerOr("fleetSize", 1))}
+	if fleet.Drivers < 1 {
+		f.Fail("fleetSize=%d is out of range", fleet.Drivers)
 	}
-	if p.BoolOr("limits.peerMessages", false) {
-		c.News = protocol.ObservationsPerMessage
+	if f.BoolOr("limits.peerMessages", false) {
+		fleet.News = protocol.ObservationsPerMessage
 	}
-	return c
+	return fleet
 }
 
-func (p *Fields) Store() rules.Store {
+func (f *Fields) Store() rules.Store {
 	return rules.Store{
-		Guarded: Lookup(p, "extra.guards", p.Value("extra.guards"), guards),
-		Carried: p.Value("extra.tokens") == "client",
+		Guarded: Lookup(f, "extra.guards", f.Value("extra.guards"), isGuardedByName),
+		Carried: f.Value("extra.tokens") == "client",
 	}
 }
 
-func (p *Fields) Limits() rules.Allowed {
-	a := rules.Allowed{
-		Attempts: int(p.IntegerOr("limits.mostTries", 1)),
-		Copies:   p.BoolOr("limits.mayDuplicate", false),
-		Cancel:   p.BoolOr("limits.cancelling", false),
-		Probes:   p.BoolOr("limits.probing", false),
+func (f *Fields) Limits() rules.Allowed {
+	limits := rules.Allowed{
+		Attempts: int(f.IntegerOr("limits.mostTries", 1)),
+		Copies:   f.BoolOr("limits.mayDuplicate", false),
+		Cancel:   f.BoolOr("limits.cancelling", false),
+		Probes:   f.BoolOr("limits.probing", false),
 	}
-	if p.BoolOr("limits.retryAfter", false) {
-		a.ComeBack = p.TimeOrZero("limits.maxRetryAfterUs")
+	if f.BoolOr("limits.retryAfter", false) {
+		limits.ComeBack = f.TimeOrZero("limits.maxRetryAfterUs")
 	}
-	return a
+	return limits
 }
 
-func (p *Fields) SlowStart() rules.SlowStart {
+func (f *Fields) SlowStart() rules.SlowStart {
 	return rules.SlowStart{
-		Share:     p.NumberOr("safety.startCapacity", 1),
-		WarmAfter: p.TimeOrZero("safety.warmAfterUs"),
-		Multiple:  p.NumberOr("safety.fallMultiple", 1),
+		Share:     f.NumberOr("safety.startCapacity", 1),
+		WarmAfter: f.TimeOrZero("safety.warmAfterUs"),
+		Multiple:  f.NumberOr("safety.fallMultiple", 1),
 	}
 }
 
-func (p *Fields) Discovery() rules.Notice {
+func (f *Fields) Discovery() rules.Notice {
 	return rules.Notice{
-		Asked:     Lookup(p, "discovery", p.Value("discovery"), asks),
-		DrainOnly: p.BoolOr("safety.softRemoval", false),
-		Grace:     p.TimeOrZero("safety.drainGraceUs"),
+		Asked:     Lookup(f, "discovery", f.Value("discovery"), isPushedByName),
+		DrainOnly: f.BoolOr("safety.softRemoval", false),
+		Grace:     f.TimeOrZero("safety.drainGraceUs"),
 	}
 }
 
 // Observation reads what a load report shows of its member. Positions count from epoch.
-func (p *Fields) Observation(epoch int64) (s rules.Observation) {
-	if _, ok := p.Get("x0"); !ok {
-		return s
+func (f *Fields) Observation(epoch int64) (observation rules.Observation) {
+	if _, ok := f.Get("x0"); !ok {
+		return observation
 	}
-	s.Position = epoch + p.RequiredSeconds("x0")
-	s.Role = rules.RoleReplica
-	if p.NumberOr("x1", 0) >= 0.5 {
-		s.Role = rules.RolePrimary
+	observation.Position = epoch + f.RequiredSeconds("x0")
+	observation.Role = rules.RoleReplica
+	if f.NumberOr("x1", 0) >= 0.5 {
+		observation.Role = rules.RolePrimary
 	}
-	return s
+	return observation
 }
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -93,7 +93,7 @@
 // call is the RPC that a statement stands for which came at a time.
 func call(s *protocol.Statement, from protocol.Identity, came time.Time) routing.Request {
 	const milli = int64(time.Millisecond)
-	return routing.Request{ID: s.ID, Method: s.Method, Key: s.Key, Write: s.Write, IsRetry: s.IsRetry, Group: rules.GroupID(s.Group),
+	return routing.Request{ID: s.ID, Method: s.Method, Key: s.Key, IsWrite: s.Write, IsRetry: s.IsRetry, Group: rules.GroupID(s.Group),
 		TimeLeft: s.TimeoutMillis * milli, ReceivedAt: came, MinPosition: s.MinPositionMillis * milli, User: from.User, Database: from.Database}
 }
 
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -7,163 +7,163 @@
 	"sedgespread/rules"
 )
 
-// pass is what an RPC has of its tenant's cell.
-type pass struct {
-	ticket *cells.Ticket
-	risky  bool // an attempt of it may have run
-	held   bool // the answer has not been passed on yet
+// admission is what an RPC has of its tenant's cell.
+type admission struct {
+	ticket        *cells.Ticket
+	mayHaveRun    bool // an attempt of it may have run
+	answerPending bool // the answer has not been passed on yet
 
-	version versions.Number // of the rulebook, which it acts on; 0 for none
-	until   int64           // an attempt of it may still run until then
-	acted   int64           // when the last attempt was let begin, 0 for none
-	effect  audit.Effect
-	outcome audit.Outcome
-	begun   int64
+	version     versions.Number // of the rulebook, which it acts on; 0 for none
+	runsUntil   int64           // an attempt of it may still run until then
+	lastBeganAt int64           // when the last attempt was let begin, 0 for none
+	effect      audit.Effect
+	outcome     audit.Outcome
+	startedAt   int64
 }
 
 // EnableAdmission lets every RPC from here on pass a gate first. It is called before the first.
-func (r *Router) EnableAdmission(g *cells.AdmissionController) {
+func (r *Router) EnableAdmission(controller *cells.AdmissionController) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gate = g
-	r.sweep()
-}
-
-// sweepEvery is how often a gate forgets what is over.
-const sweepEvery = 100 * milli
-
-// sweep lets the gate forget what is over, again and again. The lock is held.
-func (r *Router) sweep() {
-	r.gate.Sweep(r.now())
-	r.timers.add(r.now()+sweepEvery, r.sweep)
-	r.stir()
-}
-
-// ask asks the gate about an RPC, and goes on with it as soon as that has decided. The lock is held.
-func (t *ActiveRPC) ask(rpc rules.RPC, c *Request) {
-	r, now := t.r, t.r.now()
-	m := &r.methods[rpc.Method]
-	a := cells.Request{Tenant: r.gate.Tenant(c.Key, c.User, c.Database), Key: c.Key, Write: c.Write, SoftDeadline: m.SoftDeadline, TimeLeft: max(0, rpc.Left),
-		Utility: m.Utility}
-	t.pass = &pass{effect: effectOf(m)}
-	if !t.begins() {
-		t.pass = nil
-		t.pushesBack()
+	r.admission = controller
+	r.sweepAdmission()
+}
+
+// sweepInterval is how often a gate forgets what is over.
+const sweepInterval = 100 * nanosPerMilli
+
+// sweepAdmission lets the gate forget what is over, again and again. The lock is held.
+func (r *Router) sweepAdmission() {
+	r.admission.Sweep(r.now())
+	r.timers.add(r.now()+sweepInterval, r.sweepAdmission)
+	r.wake()
+}
+
+// requestAdmission asks the gate about an RPC, and goes on with it as soon as that has decided. The lock is held.
+func (a *ActiveRPC) requestAdmission(rpc rules.RPC, request *Request) {
+	router, now := a.router, a.router.now()
+	method := &router.methods[rpc.Method]
+	admissionRequest := cells.Request{Tenant: router.admission.Tenant(request.Key, request.User, request.Database), Key: request.Key, Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.Left),
+		Utility: method.Utility}
+	a.admission = &admission{effect: auditEffect(method)}
+	if !a.beginVersion() {
+		a.admission = nil
+		a.rejectWithoutVersion()
 		return
 	}
-	ticket, v, decided := r.gate.Admit(now, a, func(v cells.Decision) {
-		held := r.now() - now
+	ticket, decision, decided := router.admission.Admit(now, admissionRequest, func(decision cells.Decision) {
+		held := router.now() - now
 		rpc.Left, rpc.Waited = rpc.Left-held, rpc.Waited+held
-		t.decided(rpc, v)
+		a.applyDecision(rpc, decision)
 	})
-	t.pass.ticket = ticket
+	a.admission.ticket = ticket
 	if decided {
-		t.decided(rpc, v)
+		a.applyDecision(rpc, decision)
 		return
 	}
-	r.timers.add(ticket.HoldDeadline(), func() { r.gate.Expire(ticket) })
-	r.stir()
+	router.timers.add(ticket.HoldDeadline(), func() { router.admission.Expire(ticket) })
+	router.wake()
 }
 
-// decided goes on with an RPC as its gate has decided. The lock is held.
-func (t *ActiveRPC) decided(rpc rules.RPC, v cells.Decision) {
-	if v.Reason != cells.ReasonNone {
-		t.r.driver.Left(t.id)
-		t.finish(Step{Action: ActionReject, RetryAfter: min(v.RetryAfter, t.r.allowed.ComeBack)})
+// applyDecision goes on with an RPC as its gate has decided. The lock is held.
+func (a *ActiveRPC) applyDecision(rpc rules.RPC, decision cells.Decision) {
+	if decision.Reason != cells.ReasonNone {
+		a.router.driver.Left(a.id)
+		a.finish(Step{Action: ActionReject, RetryAfter: min(decision.RetryAfter, a.router.limits.ComeBack)})
 		return
 	}
-	rpc.Group, rpc.Floor = v.Group, v.MinPosition
-	t.take(rpc)
+	rpc.Group, rpc.Floor = decision.Group, decision.MinPosition
+	a.submit(rpc)
 }
 
-// attempts tells the gate of an attempt, and whether it may be made. Where it may not, the RPC ends here: the driver
+// admitAttempt tells the gate of an attempt, and whether it may be made. Where it may not, the RPC ends here: the driver
 // does not know where its tenant is now. The lock is held.
-func (t *ActiveRPC) attempts(next func(rules.Result)) bool {
-	r := t.r
-	if t.may() && !t.harmed() {
-		r.gate.AttemptStarted(t.pass.ticket, r.now())
+func (a *ActiveRPC) admitAttempt(onResult func(rules.Result)) bool {
+	router := a.router
+	if a.mayProceed() && !a.isPlantedFailure() {
+		router.admission.AttemptStarted(a.admission.ticket, router.now())
 		return true
 	}
-	n := len(t.calls)
-	t.calls = append(t.calls, call{})
-	risky := t.out > 0
-	t.out++
-	t.forsake(risky)
-	r.timers.add(r.now(), func() {
-		t.calls[n].next = nil
-		t.out--
-		next(rules.Result{Proof: rules.NeverRan, Cause: rules.Cancelled, Final: true})
-		t.drop()
+	number := len(a.attempts)
+	a.attempts = append(a.attempts, attemptState{})
+	mayHaveRun := a.outstanding > 0
+	a.outstanding++
+	a.rejectOrAbort(mayHaveRun)
+	router.timers.add(router.now(), func() {
+		a.attempts[number].onResult = nil
+		a.outstanding--
+		onResult(rules.Result{Proof: rules.NeverRan, Cause: rules.Cancelled, Final: true})
+		a.removeIfDone()
 	})
-	r.stir()
+	router.wake()
 	return false
 }
 
-// forsake ends an RPC that nothing more may be done for: it is pushed back where trying again is harmless, which it is
+// rejectOrAbort ends an RPC that nothing more may be done for: it is pushed back where trying again is harmless, which it is
 // not of a write that may have run, and else aborted. The lock is held.
-func (t *ActiveRPC) forsake(risky bool) {
-	if t.pass.ticket.Write && (risky || t.pass.risky) {
-		t.finish(Step{Action: ActionAbort})
+func (a *ActiveRPC) rejectOrAbort(mayHaveRun bool) {
+	if a.admission.ticket.Write && (mayHaveRun || a.admission.mayHaveRun) {
+		a.finish(Step{Action: ActionAbort})
 		return
 	}
-	t.finish(Step{Action: ActionReject})
+	a.finish(Step{Action: ActionReject})
 }
 
-// returned tells the gate how an attempt ended. An answer that comes when the lease has run out, or its tenant has been
+// recordAttemptEnd tells the gate how an attempt ended. An answer that comes when the lease has run out, or its tenant has been
 // moved, is not passed on: others may have gone on without it. The lock is held.
-func (t *ActiveRPC) returned(c *call, v verdict, o Outcome) {
-	r, until, bytes := t.r, int64(0), 0
-	if v.proof == rules.MayHaveRun {
-		until, t.pass.risky = c.until+graceOver, true
-		t.pass.until = max(t.pass.until, until)
+func (a *ActiveRPC) recordAttemptEnd(attempt *attemptState, class classification, outcome Outcome) {
+	router, runsUntil, answerBytes := a.router, int64(0), 0
+	if class.proof == rules.MayHaveRun {
+		runsUntil, a.admission.mayHaveRun = attempt.deadline+attemptOverrun, true
+		a.admission.runsUntil = max(a.admission.runsUntil, runsUntil)
 	}
-	if o.Answer != nil {
-		bytes = o.Answer.Size()
-		r.gate.Committed(t.pass.ticket, o.Answer.PositionMillis*milli)
+	if outcome.Answer != nil {
+		answerBytes = outcome.Answer.Size()
+		router.admission.Committed(a.admission.ticket, outcome.Answer.PositionMillis*nanosPerMilli)
 	}
-	r.gate.AttemptEnded(t.pass.ticket, until, bytes, r.now())
-	if v.proof == rules.OK && !t.ended && !t.may() {
-		t.forsake(true)
+	router.admission.AttemptEnded(a.admission.ticket, runsUntil, answerBytes, router.now())
+	if class.proof == rules.OK && !a.isFinished && !a.mayProceed() {
+		a.rejectOrAbort(true)
 	}
 }
 
-// graceOver is how long after its time a member may still finish what it was sent.
-const graceOver = 50 * milli
+// attemptOverrun is how long after its time a member may still finish what it was sent.
+const attemptOverrun = 50 * nanosPerMilli
 
-// answered tells the gate that an RPC has its final answer. The lock is held.
-func (t *ActiveRPC) answered(act Action) {
-	t.pass.held, t.pass.outcome = act == ActionServe, outcomeOf[act]
-	t.r.gate.Finished(t.pass.ticket, act == ActionServe, t.r.now())
-	t.fared(act)
+// recordFinish tells the gate that an RPC has its final answer. The lock is held.
+func (a *ActiveRPC) recordFinish(action Action) {
+	a.admission.answerPending, a.admission.outcome = action == ActionServe, auditOutcomes[action]
+	a.router.admission.Finished(a.admission.ticket, action == ActionServe, a.router.now())
+	a.recordVersionOutcome(action)
 }
 
-// settle tells the gate when nothing is left of an RPC. The lock is held.
-func (t *ActiveRPC) settle() {
-	if t.ended && t.out == 0 && !t.pass.held {
-		t.r.gate.Settle(t.pass.ticket, t.r.now())
-		t.ends()
+// settleIfDone tells the gate when nothing is left of an RPC. The lock is held.
+func (a *ActiveRPC) settleIfDone() {
+	if a.isFinished && a.outstanding == 0 && !a.admission.answerPending {
+		a.router.admission.Settle(a.admission.ticket, a.router.now())
+		a.endVersion()
 	}
 }
 
 // AnswerDelivered says that the answer has been passed on to the client, or can't be.
-func (t *ActiveRPC) AnswerDelivered() {
-	if t.pass == nil {
+func (a *ActiveRPC) AnswerDelivered() {
+	if a.admission == nil {
 		return
 	}
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	t.pass.held = false
-	t.settle()
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	a.admission.answerPending = false
+	a.settleIfDone()
 }
 
 // Cell is the cell that the RPC was let into, NoCell for none.
-func (t *ActiveRPC) Cell() cells.Cell {
-	if t.pass == nil {
+func (a *ActiveRPC) Cell() cells.Cell {
+	if a.admission == nil {
 		return cells.NoCell
 	}
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	return t.pass.ticket.Cell()
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	return a.admission.ticket.Cell()
 }
 
 // MoveConnection notes that a client's connection counts for another cell than before.
@@ -171,7 +171,7 @@
 	if from != to {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.gate.MoveConnection(from, to)
+		r.admission.MoveConnection(from, to)
 	}
 }
 
@@ -179,19 +179,19 @@
 func (r *Router) MostOverConnectionShare() cells.Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gate.MostOverConnectionShare()
+	return r.admission.MostOverConnectionShare()
 }
 
 // ReportGrant reports what the coordinator granted to what Report told at a time.
-func (r *Router) ReportGrant(asked int64, grant cells.Grant) error {
+func (r *Router) ReportGrant(askedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed, err := r.gate.ApplyGrant(asked, grant)
-	for _, t := range changed {
-		e, _ := r.gate.Directory().Entry(t)
-		r.log.WithField("tenant", t).WithField("stage", e.Stage).WithField("cell", e.Cell).WithField("to", e.To).
-			WithField("epoch", e.Epoch).Info("tenant moves")
-		r.gate.ResumeHeld(t, r.now())
+	changed, err := r.admission.ApplyGrant(askedAt, grant)
+	for _, tenant := range changed {
+		entry, _ := r.admission.Directory().Entry(tenant)
+		r.log.WithField("tenant", tenant).WithField("stage", entry.Stage).WithField("cell", entry.Cell).WithField("to", entry.To).
+			WithField("epoch", entry.Epoch).Info("tenant moves")
+		r.admission.ResumeHeld(tenant, r.now())
 	}
 	return err
 }
@@ -201,21 +201,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	if now-r.looked >= lookEvery {
-		r.looked = now
-		for _, g := range r.gate.CatchUpGroups() {
-			r.driver.Look(g)
+	if now-r.lastCatchUpProbe >= catchUpProbeInterval {
+		r.lastCatchUpProbe = now
+		for _, group := range r.admission.CatchUpGroups() {
+			r.driver.Look(group)
 		}
 	}
-	return r.gate.Report(now, name, incarnation, r.driver.Reached), now
+	return r.admission.Report(now, name, incarnation, r.driver.Reached), now
 }
 
-// lookEvery is how often the members are probed that a move waits for.
-const lookEvery = 25 * milli
+// catchUpProbeInterval is how often the members are probed that a move waits for.
+const catchUpProbeInterval = 25 * nanosPerMilli
 
 // ReadAdmission gives what a function makes of the gate, which must not be kept.
-func ReadAdmission[T any](r *Router, of func(now int64, g *cells.AdmissionController) T) T {
+func ReadAdmission[T any](r *Router, read func(now int64, g *cells.AdmissionController) T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return of(r.now(), r.gate)
+	return read(r.now(), r.admission)
 }
--- a/internal/routing/confine_test.go
+++ b/internal/routing/confine_test.go
@@ -38,7 +38,7 @@
 
 func admit(t *testing.T, r *Router, method string) *ActiveRPC {
 	asked++
-	trip, err := r.Admit(&Request{ID: fmt.Sprint(asked), Method: method, Key: "k", Write: method == "write", Group: 77, TimeLeft: 2000 * milli})
+	trip, err := r.Admit(&Request{ID: fmt.Sprint(asked), Method: method, Key: "k", IsWrite: method == "write", Group: 77, TimeLeft: 2000 * nanosPerMilli})
 	require.NoError(t, err)
 	return trip
 }
@@ -58,7 +58,7 @@
 		case s := <-trip.steps:
 			return s
 		default:
-			trip.r.turn()
+			trip.router.runTimers()
 		}
 	}
 	require.Fail(t, "no step comes")
@@ -71,7 +71,7 @@
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
 	require.Equal(t, ActionAttempt, step.Action, "the group is the cell's, not the client's")
-	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/milli, true))
+	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionServe, pick(t, trip).Action)
 	figures := func() cells.Stats {
 		return ReadAdmission(r, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, 5) })
@@ -93,12 +93,12 @@
 	grant(t, r, 150*time.Millisecond)
 	write, read, quick := admit(t, r, "write"), admit(t, r, "read"), admit(t, r, "write")
 	w, d, q := pick(t, write), pick(t, read), pick(t, quick)
-	quick.ReportAttempt(q.AttemptNumber, ok(r.now()/milli, true))
+	quick.ReportAttempt(q.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionServe, pick(t, quick).Action)
 	time.Sleep(200 * time.Millisecond)
-	write.ReportAttempt(w.AttemptNumber, ok(r.now()/milli, true))
+	write.ReportAttempt(w.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, pick(t, write).Action, "it ran, and its tenant may be elsewhere")
-	read.ReportAttempt(d.AttemptNumber, ok(r.now()/milli, true))
+	read.ReportAttempt(d.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionReject, pick(t, read).Action)
 }
 
@@ -111,8 +111,8 @@
 	grant(t, r, time.Minute, cells.Entry{Epoch: 9, Tenant: "t", Cell: "two", Stage: cells.StageIdle, MinPosition: 5})
 	trip.ReportAttempt(step.AttemptNumber, Outcome{CloseReason: transport.DialRefused}) // it never ran, and would be sent again
 	require.Equal(t, ActionReject, pick(t, trip).Action)
-	r.turn()
-	require.Empty(t, r.trips)
+	r.runTimers()
+	require.Empty(t, r.activeRPCs)
 }
 
 // Held RPCs go on in the new cell, or are pushed back while their clients can ask again.
@@ -130,7 +130,7 @@
 	require.Equal(t, ActionAttempt, pick(t, held).Action, "the move was called off")
 	grant(t, r, time.Minute, cells.Entry{Epoch: 3, Tenant: "t", Cell: "one", Stage: cells.StageHoldingAll, To: "two"})
 	asked++
-	short, err := r.Admit(&Request{ID: fmt.Sprint(asked), Method: "read", Key: "k", TimeLeft: 50 * milli})
+	short, err := r.Admit(&Request{ID: fmt.Sprint(asked), Method: "read", Key: "k", TimeLeft: 50 * nanosPerMilli})
 	require.NoError(t, err)
 	require.Equal(t, ActionReject, pick(t, short).Action)
 }
@@ -155,13 +155,13 @@
 			r := confined(b, false)
 			switch on {
 			case "cells off":
-				r.gate = nil
+				r.admission = nil
 			case "cells on":
 			default:
 				heeds(b, r, false)
 			}
 			if near, audited := map[string]int64{"audit on": 0, "audit near a change": math.MaxInt64}[on]; audited {
-				r.trail = audit.NewTrail(r.now(), versions.Sign{Name: "n", Start: 1}, "token", mostEntries, near)
+				r.trail = audit.NewTrail(r.now(), versions.Sign{Name: "n", Start: 1}, "token", maxTrailEntries, near)
 				r.trail.Acts(r.now(), Rulebook, 2)
 			}
 			names := make([]string, b.N)
@@ -171,18 +171,18 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				trip, err := r.Admit(&Request{ID: names[i], Method: "write", Key: "club/7", Write: true, Group: 1, TimeLeft: 2000 * milli})
+				trip, err := r.Admit(&Request{ID: names[i], Method: "write", Key: "club/7", IsWrite: true, Group: 1, TimeLeft: 2000 * nanosPerMilli})
 				if err != nil {
 					b.Fatal(err)
 				}
 				step := trip.NextStep()
-				trip.ReportAttempt(step.AttemptNumber, ok(r.now()/milli, true))
+				trip.ReportAttempt(step.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 				trip.NextStep()
 				trip.AnswerDelivered()
 				for r.timers.Len() > 1000 {
-					r.timers.due(math.MaxInt64)
+					r.timers.popDue(math.MaxInt64)
 				}
-				r.duties = r.duties[:0]
+				r.tasks = r.tasks[:0]
 				if i%256 == 0 && r.trail != nil {
 					r.trail.Flush(r.now())
 				}
--- a/internal/routing/duty.go
+++ b/internal/routing/duty.go
@@ -3,7 +3,7 @@
 import "sedgespread/rules"
 
 // Task is something the network has to do that no RPC asks for.
-type Task interface{ duty() }
+type Task interface{ task() }
 
 // ProbeMember asks for a probe of a member; ReportLook takes what it found.
 type ProbeMember struct {
@@ -23,8 +23,8 @@
 // WatchDiscovery asks to follow discovery's list, until it breaks off.
 type WatchDiscovery struct{}
 
-func (ProbeMember) duty()          {}
-func (CloseIdleConnections) duty() {}
-func (ForgetMember) duty()         {}
-func (SendToPeers) duty()          {}
-func (WatchDiscovery) duty()       {}
+func (ProbeMember) task()          {}
+func (CloseIdleConnections) task() {}
+func (ForgetMember) task()         {}
+func (SendToPeers) task()          {}
+func (WatchDiscovery) task()       {}
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -10,54 +10,54 @@
 
 func (h *host) Now() int64 { return (*Router)(h).now() }
 
-func (h *host) Attempt(id rules.RPCID, to rules.MemberID, within int64, next func(rules.Result)) int {
-	return h.trips[id].attempt((*Router)(h), to, within, next)
+func (h *host) Attempt(id rules.RPCID, member rules.MemberID, timeLimit int64, onResult func(rules.Result)) int {
+	return h.activeRPCs[id].startAttempt((*Router)(h), member, timeLimit, onResult)
 }
 
 func (h *host) Cancel(id rules.RPCID, number int) {
-	if t := h.trips[id]; t != nil {
-		t.calls[number].cancel()
+	if active := h.activeRPCs[id]; active != nil {
+		active.attempts[number].cancel()
 	}
 }
 
-func (h *host) PushBack(id rules.RPCID, comeBack int64) {
-	h.trips[id].finish(Step{Action: ActionReject, RetryAfter: comeBack})
+func (h *host) PushBack(id rules.RPCID, retryAfter int64) {
+	h.activeRPCs[id].finish(Step{Action: ActionReject, RetryAfter: retryAfter})
 }
 
-func (h *host) Abort(id rules.RPCID) { h.trips[id].finish(Step{Action: ActionAbort}) }
+func (h *host) Abort(id rules.RPCID) { h.activeRPCs[id].finish(Step{Action: ActionAbort}) }
 
-func (h *host) CloseIdle(to rules.MemberID) { h.add(CloseIdleConnections{Member: to}) }
+func (h *host) CloseIdle(member rules.MemberID) { h.addTask(CloseIdleConnections{Member: member}) }
 
 func (h *host) Forget(id rules.MemberID) {
 	h.registry.forget(id)
-	h.add(ForgetMember{Member: id})
+	h.addTask(ForgetMember{Member: id})
 }
 
-func (h *host) Probe(to rules.MemberID, next func(rules.ProbeResult)) {
-	h.looks[to] = append(h.looks[to], next)
-	h.add(ProbeMember{Member: to, Address: h.registry.address(to)})
+func (h *host) Probe(member rules.MemberID, onResult func(rules.ProbeResult)) {
+	h.pendingProbes[member] = append(h.pendingProbes[member], onResult)
+	h.addTask(ProbeMember{Member: member, Address: h.registry.address(member)})
 }
 
-func (h *host) After(wait int64, next func()) {
-	at := h.Now() + max(wait, 0)
-	h.timers.add(at, next)
-	if h.timers.queue[0].at == at {
-		(*Router)(h).stir()
+func (h *host) After(delay int64, callback func()) {
+	due := h.Now() + max(delay, 0)
+	h.timers.add(due, callback)
+	if h.timers.queue[0].due == due {
+		(*Router)(h).wake()
 	}
 }
 
-func (h *host) Watch() { h.add(WatchDiscovery{}) }
+func (h *host) Watch() { h.addTask(WatchDiscovery{}) }
 
 // Tell passes news on, but for those that can't be told, of positions from long ago. It guards against messages that say nothing.
-func (h *host) Tell(news []rules.News) {
-	if message := briefing.EncodeObservations(news, h.registry.key, 0, h.driver.StoreNow()); len(message) > 0 {
-		h.add(SendToPeers{Message: message})
+func (h *host) Tell(observations []rules.News) {
+	if message := briefing.EncodeObservations(observations, h.registry.key, 0, h.driver.StoreNow()); len(message) > 0 {
+		h.addTask(SendToPeers{Message: message})
 	}
 }
 
 func (h *host) Log(line string) { h.log.Info(line) }
 
-func (h *host) add(d Task) {
-	h.duties = append(h.duties, d)
-	(*Router)(h).stir()
+func (h *host) addTask(task Task) {
+	h.tasks = append(h.tasks, task)
+	(*Router)(h).wake()
 }
--- a/internal/routing/ids.go
+++ b/internal/routing/ids.go
@@ -3,34 +3,36 @@
 import "time"
 
 const (
-	idKept  = 5 * time.Second // an RPC's id is held so long after its end
-	mostIDs = 1 << 13         // ids held of RPCs that have ended, at most
+	idRetention    = 5 * time.Second // an RPC's id is held so long after its end
+	maxFinishedIDs = 1 << 13         // ids held of RPCs that have ended, at most
 )
 
-// ids are those of the RPCs that are open or ended a short while ago: no two RPCs have the same.
-type ids struct {
-	held  map[string]bool
-	ended []endedID // the oldest first
+// rpcIDs are those of the RPCs that are open or ended a short while ago: no two RPCs have the same.
+type rpcIDs struct {
+	inUse    map[string]bool
+	finished []finishedID // the oldest first
 }
 
-type endedID struct {
-	id string
-	at time.Time
+type finishedID struct {
+	id         string
+	finishedAt time.Time
 }
 
-// open takes an id, and tells whether it was free.
-func (i *ids) open(id string, now time.Time) bool {
-	for len(i.ended) > 0 && (now.Sub(i.ended[0].at) >= idKept || len(i.ended) > mostIDs) {
-		delete(i.held, i.ended[0].id)
-		i.ended[0] = endedID{}
-		i.ended = i.ended[1:]
+// acquire takes an id, and tells whether it was free.
+func (i *rpcIDs) acquire(id string, now time.Time) bool {
+	for len(i.finished) > 0 && (now.Sub(i.finished[0].finishedAt) >= idRetention || len(i.finished) > maxFinishedIDs) {
+		delete(i.inUse, i.finished[0].id)
+		i.finished[0] = finishedID{}
+		i.finished = i.finished[1:]
 	}
-	if i.held[id] {
+	if i.inUse[id] {
 		return false
 	}
-	i.held[id] = true
+	i.inUse[id] = true
 	return true
 }
 
-// end notes that an RPC has ended.
-func (i *ids) end(id string, now time.Time) { i.ended = append(i.ended, endedID{id, now}) }
+// release notes that an RPC has ended.
+func (i *rpcIDs) release(id string, now time.Time) {
+	i.finished = append(i.finished, finishedID{id, now})
+}
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -10,44 +10,44 @@
 )
 
 // ObserveVersion notes what this driver acts on of a thing that the fleet does not decide. It does nothing where nothing has versions.
-func (r *Router) ObserveVersion(of versions.Thing, n versions.Number, digest string) {
+func (r *Router) ObserveVersion(thing versions.Thing, version versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.observe(of, n, digest)
+	r.observeVersion(thing, version, digest)
 }
 
-// observe notes it for the fleet and in the trail. The lock is held.
-func (r *Router) observe(of versions.Thing, n versions.Number, digest string) {
+// observeVersion notes it for the fleet and in the trail. The lock is held.
+func (r *Router) observeVersion(thing versions.Thing, version versions.Number, digest string) {
 	if r.holder == nil {
 		return
 	}
-	r.holder.Observes(of, n, digest)
+	r.holder.Observes(thing, version, digest)
 	if r.trail != nil {
-		r.trail.Has(r.now(), of, n)
+		r.trail.Has(r.now(), thing, version)
 	}
 }
 
-// wholeList is what is known of discovery's list, so that two drivers can be compared that heard of it in different parts.
-type wholeList struct {
-	entries map[string]uint64 // sums by member
-	sum     uint64            // of all, in whatever order
+// listDigest is what is known of discovery's list, so that two drivers can be compared that heard of it in different parts.
+type listDigest struct {
+	sumByMember map[string]uint64 // sums by member
+	total       uint64            // of all, in whatever order
 }
 
-// observeList notes the list as it is after what was told. The lock is held.
-func (r *Router) observeList(t protocol.Targets) {
-	if r.whole.entries == nil || t.IsFull {
-		r.whole = wholeList{entries: map[string]uint64{}}
+// observeListDigest notes the list as it is after what was told. The lock is held.
+func (r *Router) observeListDigest(targets protocol.Targets) {
+	if r.listDigest.sumByMember == nil || targets.IsFull {
+		r.listDigest = listDigest{sumByMember: map[string]uint64{}}
 	}
-	l := &r.whole
-	for _, e := range t.Entries {
-		l.sum ^= l.entries[e.ID]
-		delete(l.entries, e.ID)
-		if e.Lifecycle == protocol.Deleted {
+	digest := &r.listDigest
+	for _, entry := range targets.Entries {
+		digest.total ^= digest.sumByMember[entry.ID]
+		delete(digest.sumByMember, entry.ID)
+		if entry.Lifecycle == protocol.Deleted {
 			continue
 		}
-		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", e.ID, e.Address, e.Zone, e.Group, e.Lifecycle, e.StartedAtMillis, e.Weight))
-		l.entries[e.ID] = sum
-		l.sum ^= sum
+		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", entry.ID, entry.Address, entry.Zone, entry.Group, entry.Lifecycle, entry.StartedAtMillis, entry.Weight))
+		digest.sumByMember[entry.ID] = sum
+		digest.total ^= sum
 	}
-	r.observe(versions.List, versions.Number(t.Generation), fmt.Sprintf("%016x", l.sum))
+	r.observeVersion(versions.List, versions.Number(targets.Generation), fmt.Sprintf("%016x", digest.total))
 }
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -17,8 +17,8 @@
 	OpenedAt    time.Time             // when the connection was opened
 }
 
-// states maps what a member answers in place of a row.
-var states = map[string]verdict{
+// classificationBySQLState maps what a member answers in place of a row.
+var classificationBySQLState = map[string]classification{
 	protocol.StateReadOnly:           {rules.NeverRan, rules.Missed},
 	protocol.StateSnapshotTooOld:     {rules.NeverRan, rules.Missed},
 	protocol.StateTooManyConnections: {rules.NeverRan, rules.Full},
@@ -27,8 +27,8 @@
 	protocol.StateFenced:             {rules.NeverRan, rules.Moot},
 }
 
-// causes maps how a connection ended to why an attempt on it was not ok.
-var causes = map[transport.CloseReason]rules.Cause{
+// causeByCloseReason maps how a connection ended to why an attempt on it was not ok.
+var causeByCloseReason = map[transport.CloseReason]rules.Cause{
 	transport.DialRefused:  rules.NoConnect,
 	transport.DialTimedOut: rules.NoConnect,
 	transport.DialFailed:   rules.NoConnect,
@@ -48,80 +48,80 @@
 	transport.Withheld:     rules.Moot,
 }
 
-type verdict struct {
+type classification struct {
 	proof rules.Proof
 	cause rules.Cause
 }
 
-// verdict is the one place where ends and answers become what the module knows.
-func (o Outcome) verdict() verdict {
-	if a := o.Answer; a != nil && a.Failure == nil {
-		return verdict{rules.OK, rules.NoCause}
-	} else if a != nil {
-		if v, known := states[a.Failure.SQLState]; known {
-			return v
+// classify is the one place where ends and answers become what the module knows.
+func (o Outcome) classify() classification {
+	if answer := o.Answer; answer != nil && answer.Failure == nil {
+		return classification{rules.OK, rules.NoCause}
+	} else if answer != nil {
+		if class, known := classificationBySQLState[answer.Failure.SQLState]; known {
+			return class
 		}
-		return verdict{rules.MayHaveRun, rules.Errored}
+		return classification{rules.MayHaveRun, rules.Errored}
 	}
-	cause := causes[o.CloseReason]
+	cause := causeByCloseReason[o.CloseReason]
 	if o.WasSent {
-		return verdict{rules.MayHaveRun, cause}
+		return classification{rules.MayHaveRun, cause}
 	}
 	if cause == rules.Reset || cause == rules.Errored {
 		cause = rules.NoConnect
 	}
-	return verdict{rules.NeverRan, cause}
+	return classification{rules.NeverRan, cause}
 }
 
-// unusable tells that the member could not follow the statement: no other will.
-func (o Outcome) unusable() bool { return o.refusedAs(protocol.StateSyntaxError) }
+// isSyntaxError tells that the member could not follow the statement: no other will.
+func (o Outcome) isSyntaxError() bool { return o.failedWith(protocol.StateSyntaxError) }
 
-// fenced tells that the store turned the version away under which the attempt was made.
-func (o Outcome) fenced() bool { return o.refusedAs(protocol.StateFenced) }
+// isFenced tells that the store turned the version away under which the attempt was made.
+func (o Outcome) isFenced() bool { return o.failedWith(protocol.StateFenced) }
 
-func (o Outcome) refusedAs(state string) bool {
-	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.SQLState == state
+func (o Outcome) failedWith(sqlState string) bool {
+	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.SQLState == sqlState
 }
 
-// found is what a probe found. A member that has no session to spare lives; of one for which this driver has no descriptor
+// probeResult is what a probe found. A member that has no session to spare lives; of one for which this driver has no descriptor
 // to spare nothing is known.
-func (o Outcome) found() rules.ProbeResult {
+func (o Outcome) probeResult() rules.ProbeResult {
 	switch o.CloseReason {
 	case transport.Rejected:
 		return rules.ProbeResult{Cause: rules.Full}
 	case transport.NoDescriptor:
 		return rules.ProbeResult{Cause: rules.Moot}
 	}
-	return rules.ProbeResult{Cause: o.verdict().cause, Report: o.reported(), Observation: o.observation()}
+	return rules.ProbeResult{Cause: o.classify().cause, Report: o.reportedObservation(), Observation: o.observation()}
 }
 
-// reported is what a probe's load report shows.
-func (o Outcome) reported() (s rules.Observation) {
+// reportedObservation is what a probe's load report shows.
+func (o Outcome) reportedObservation() (observation rules.Observation) {
 	if o.Answer == nil || o.Answer.Failure != nil {
-		return s
+		return observation
 	}
 	var load briefing.Fields
 	load.Parse("report,"+o.Answer.Value(), ",", "=")
 	if reported := load.Observation(0); load.Err == nil {
-		s = reported
+		observation = reported
 	}
-	return s
+	return observation
 }
 
 // observation is what an answer shows of its member.
-func (o Outcome) observation() (s rules.Observation) {
+func (o Outcome) observation() (observation rules.Observation) {
 	if o.Answer == nil {
-		return s
+		return observation
 	}
 	switch {
 	case o.Answer.IsPrimary:
-		s.Role = rules.RolePrimary
+		observation.Role = rules.RolePrimary
 	case o.Answer.IsReplica:
-		s.Role = rules.RoleReplica
+		observation.Role = rules.RoleReplica
 	}
-	if o.refusedAs(protocol.StateReadOnly) { // it took the statement for a write, and is no primary
-		s.Role = rules.RoleReplica
+	if o.failedWith(protocol.StateReadOnly) { // it took the statement for a write, and is no primary
+		observation.Role = rules.RoleReplica
 	}
-	s.Position = o.Answer.PositionMillis * milli
-	return s
+	observation.Position = o.Answer.PositionMillis * nanosPerMilli
+	return observation
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -19,60 +19,60 @@
 	"sedgespread/rules"
 )
 
-const milli = int64(time.Millisecond)
+const nanosPerMilli = int64(time.Millisecond)
 
 // sendDelay is how long after it was allowed the last byte of an attempt may be written, beyond what the rule on the age of data forgives: a
 // driver may be held up for 0.15 s between reading its clock and writing, and the rule adds 0.05 s to every bound.
-const sendDelay = 100 * milli
+const sendDelay = 100 * nanosPerMilli
 
 // Router is the facade.
 type Router struct {
-	mu       sync.Mutex
-	driver   *rules.Driver
-	registry registry
-	timers   timers
-	duties   []Task
-	looks    map[rules.MemberID][]func(rules.ProbeResult)
-	trips    map[rules.RPCID]*ActiveRPC
-	last     rules.RPCID
-	ids      ids
-	methods  []rules.Method
-	numbers  map[string]rules.MethodID // of the methods
-	allowed  rules.Allowed
-	clock    clock.Clock
-	stirred  chan struct{} // a timer or a duty has been added
-	log      logrus.FieldLogger
-	trace    trace
-	gate     *cells.AdmissionController // nil where tenants have no cells
-	drained  int64                      // until when peers' messages are those that waited while this process stood still
-	looked   int64                      // when members were last probed for a move
-	holder   *versions.Holder           // nil where nothing has versions
-	trail    *audit.Trail               // nil until this start has its number
-
-	whole      wholeList
-	turnedAway int64 // attempts that stores turned away for their versions
+	mu               sync.Mutex
+	driver           *rules.Driver
+	registry         registry
+	timers           timers
+	tasks            []Task
+	pendingProbes    map[rules.MemberID][]func(rules.ProbeResult)
+	activeRPCs       map[rules.RPCID]*ActiveRPC
+	lastRPC          rules.RPCID
+	ids              rpcIDs
+	methods          []rules.Method
+	methodIDs        map[string]rules.MethodID // of the methods
+	limits           rules.Allowed
+	clock            clock.Clock
+	woken            chan struct{} // a timer or a duty has been added
+	log              logrus.FieldLogger
+	trace            trace
+	admission        *cells.AdmissionController // nil where tenants have no cells
+	ignorePeersUntil int64                      // until when peers' messages are those that waited while this process stood still
+	lastCatchUpProbe int64                      // when members were last probed for a move
+	holder           *versions.Holder           // nil where nothing has versions
+	trail            *audit.Trail               // nil until this start has its number
+
+	listDigest     listDigest
+	fencedAttempts int64 // attempts that stores turned away for their versions
 }
 
 // New reads what the module is told at its start. The list is the one last known.
-func New(told *briefing.Fields, seed int64, known protocol.Targets, log logrus.FieldLogger) (*Router, error) {
-	r := &Router{registry: newRegistry(), looks: map[rules.MemberID][]func(rules.ProbeResult){},
-		trips: map[rules.RPCID]*ActiveRPC{}, ids: ids{held: map[string]bool{}}, numbers: map[string]rules.MethodID{}, clock: clock.New(),
-		stirred: make(chan struct{}, 1), log: log, trace: newTrace(log)}
-	r.methods = told.Methods()
-	for i, m := range r.methods {
-		r.numbers[m.Name] = rules.MethodID(i)
+func New(settings *briefing.Fields, seed int64, lastList protocol.Targets, log logrus.FieldLogger) (*Router, error) {
+	r := &Router{registry: newRegistry(), pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){},
+		activeRPCs: map[rules.RPCID]*ActiveRPC{}, ids: rpcIDs{inUse: map[string]bool{}}, methodIDs: map[string]rules.MethodID{}, clock: clock.New(),
+		woken: make(chan struct{}, 1), log: log, trace: newTrace(log)}
+	r.methods = settings.Methods()
+	for id, method := range r.methods {
+		r.methodIDs[method.Name] = rules.MethodID(id)
 	}
-	fleet, store, allowed, slowStart, notice := told.Fleet(), told.Store(), told.Limits(), told.SlowStart(), told.Discovery()
-	if told.Err != nil {
-		return nil, told.Err
+	fleet, store, limits, slowStart, discovery := settings.Fleet(), settings.Store(), settings.Limits(), settings.SlowStart(), settings.Discovery()
+	if settings.Err != nil {
+		return nil, settings.Err
 	}
-	r.allowed = allowed
+	r.limits = limits
 	store.SendDelay = sendDelay
-	notice.Agent, notice.Asked = !notice.Asked, true // a list that is pushed is pushed to an agent, which is asked
+	discovery.Agent, discovery.Asked = !discovery.Asked, true // a list that is pushed is pushed to an agent, which is asked
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, allowed, slowStart, notice)
-	r.list(known)
+	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, limits, slowStart, discovery)
+	r.applyList(lastList)
 	return r, nil
 }
 
@@ -87,21 +87,21 @@
 	return r.clock.At(t)
 }
 
-func (r *Router) list(t protocol.Targets) {
-	lines := make([]rules.Listing, 0, len(t.Entries))
-	for _, e := range t.Entries {
-		lines = append(lines, r.registry.listing(e))
+func (r *Router) applyList(targets protocol.Targets) {
+	listings := make([]rules.Listing, 0, len(targets.Entries))
+	for _, entry := range targets.Entries {
+		listings = append(listings, r.registry.update(entry))
 	}
-	r.driver.List(lines, t.IsFull)
+	r.driver.List(listings, targets.IsFull)
 }
 
 // ApplyList reports the list, or what changed in it.
-func (r *Router) ApplyList(t protocol.Targets) {
+func (r *Router) ApplyList(targets protocol.Targets) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list(t)
+	r.applyList(targets)
 	if r.holder != nil {
-		r.observeList(t)
+		r.observeListDigest(targets)
 	}
 }
 
@@ -117,53 +117,53 @@
 func (r *Router) ReceiveObservations(message []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, ok := briefing.DecodeObservations(message, r.registry.member, 0, r.driver.StoreNow())
-	if ok && !r.stoodStill() {
-		r.driver.Told(news)
+	observations, ok := briefing.DecodeObservations(message, r.registry.idOfKey, 0, r.driver.StoreNow())
+	if ok && !r.detectStall() {
+		r.driver.Told(observations)
 	}
 	return ok
 }
 
 const (
-	longStandstill = protocol.MaxPositionAgeMillis * milli / 2
-	drainsNews     = 1000 * milli // in which what waited in the socket is read
+	stallThreshold = protocol.MaxPositionAgeMillis * nanosPerMilli / 2
+	stallDrainTime = 1000 * nanosPerMilli // in which what waited in the socket is read
 )
 
-// stoodStill tells whether this process has just stood still for long, which shows in timers that are overdue. The lock is held.
-func (r *Router) stoodStill() bool {
+// detectStall tells whether this process has just stood still for long, which shows in timers that are overdue. The lock is held.
+func (r *Router) detectStall() bool {
 	now := r.now()
-	if len(r.timers.queue) > 0 && now-r.timers.queue[0].at > longStandstill {
-		r.drained = now + drainsNews
+	if len(r.timers.queue) > 0 && now-r.timers.queue[0].due > stallThreshold {
+		r.ignorePeersUntil = now + stallDrainTime
 	}
-	return now < r.drained
+	return now < r.ignorePeersUntil
 }
 
 // ReportProbe reports what a probe found.
-func (r *Router) ReportProbe(to rules.MemberID, o Outcome) {
+func (r *Router) ReportProbe(member rules.MemberID, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	waiting := r.looks[to]
-	if r.looks[to] = waiting[1:]; len(waiting) == 1 {
-		delete(r.looks, to)
+	waiting := r.pendingProbes[member]
+	if r.pendingProbes[member] = waiting[1:]; len(waiting) == 1 {
+		delete(r.pendingProbes, member)
 	}
-	found := o.found()
-	found.Opened = r.at(o.OpenedAt)
-	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", to, o.CloseReason, roleNames[max(found.Role, found.Report.Role)], max(found.Position, found.Report.Position)/milli)
-	waiting[0](found)
+	result := outcome.probeResult()
+	result.Opened = r.at(outcome.OpenedAt)
+	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", member, outcome.CloseReason, roleNames[max(result.Role, result.Report.Role)], max(result.Position, result.Report.Position)/nanosPerMilli)
+	waiting[0](result)
 }
 
 // ReportNotPrimary reports that a member has said that it is no primary, in what may yet turn out to be no whole answer.
-func (r *Router) ReportNotPrimary(by rules.MemberID) {
+func (r *Router) ReportNotPrimary(member rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver.Denied(by)
+	r.driver.Denied(member)
 }
 
 // MayProbe tells whether a probe may still begin. It is asked just before its first byte is written.
-func (r *Router) MayProbe(to rules.MemberID) bool {
+func (r *Router) MayProbe(member rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.driver.MayLook(to)
+	return r.driver.MayLook(member)
 }
 
 // NextTask waits until something falls due that no RPC asks for, and gives it. Meanwhile the module's timers run.
@@ -171,43 +171,43 @@
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	for {
-		duty, ok, wait := r.turn()
+		task, ok, wait := r.runTimers()
 		if ok {
-			return duty, nil
+			return task, nil
 		}
 		alarm.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-alarm.C:
-		case <-r.stirred:
+		case <-r.woken:
 		}
 	}
 }
 
-// turn runs the timers that are due, and gives the next duty or how long to wait for one.
-func (r *Router) turn() (Task, bool, time.Duration) {
+// runTimers runs the timers that are due, and gives the next duty or how long to wait for one.
+func (r *Router) runTimers() (Task, bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stoodStill()
-	for next, ok := r.timers.due(r.now()); ok; next, ok = r.timers.due(r.now()) {
-		next()
+	r.detectStall()
+	for callback, ok := r.timers.popDue(r.now()); ok; callback, ok = r.timers.popDue(r.now()) {
+		callback()
 	}
-	if len(r.duties) > 0 {
-		duty := r.duties[0]
-		r.duties = r.duties[1:]
-		return duty, true, 0
+	if len(r.tasks) > 0 {
+		task := r.tasks[0]
+		r.tasks = r.tasks[1:]
+		return task, true, 0
 	}
 	if len(r.timers.queue) == 0 {
 		return nil, false, time.Hour
 	}
-	return nil, false, time.Duration(r.timers.queue[0].at - r.now())
+	return nil, false, time.Duration(r.timers.queue[0].due - r.now())
 }
 
-// stir wakes Tick.
-func (r *Router) stir() {
+// wake wakes Tick.
+func (r *Router) wake() {
 	select {
-	case r.stirred <- struct{}{}:
+	case r.woken <- struct{}{}:
 	default:
 	}
 }
@@ -216,7 +216,7 @@
 func (r *Router) MemberID(name string) (id rules.MemberID, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, known = r.registry.numbers[name]
+	id, known = r.registry.idByName[name]
 	return id, known
 }
 
@@ -228,4 +228,4 @@
 }
 
 // ProbesMembers tells whether members are probed.
-func (r *Router) ProbesMembers() bool { return r.allowed.Probes }
+func (r *Router) ProbesMembers() bool { return r.limits.Probes }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -49,12 +49,12 @@
 		{Outcome{WasSent: true, CloseReason: transport.TimedOut}, rules.MayHaveRun, rules.TimedOut},
 		{Outcome{WasSent: true, CloseReason: transport.Cancelled}, rules.MayHaveRun, rules.Cancelled},
 	} {
-		require.Equal(t, verdict{c.proof, c.cause}, c.o.verdict(), "%+v", c.o)
+		require.Equal(t, classification{c.proof, c.cause}, c.o.classify(), "%+v", c.o)
 	}
 	for end := transport.DialRefused; end <= transport.Withheld; end++ {
-		require.Contains(t, causes, end, "each end has its cause")
+		require.Contains(t, causeByCloseReason, end, "each end has its cause")
 	}
-	require.Equal(t, rules.Full, Outcome{CloseReason: transport.Rejected}.found().Cause, "a full member lives")
+	require.Equal(t, rules.Full, Outcome{CloseReason: transport.Rejected}.probeResult().Cause, "a full member lives")
 }
 
 // begin gives a router that knows members a and b of group 1.
@@ -97,8 +97,8 @@
 func take(r *Router, rpc rules.RPC) *ActiveRPC {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	trip := r.open("")
-	trip.take(rpc)
+	trip := r.newActiveRPC("")
+	trip.submit(rpc)
 	return trip
 }
 
@@ -106,31 +106,31 @@
 // member would take; an id must be free again in the end.
 func TestAdmits(t *testing.T) {
 	r := begin(t, "a")
-	s := Request{ID: "7", Method: "read", TimeLeft: 4000 * milli, Group: 9}
+	s := Request{ID: "7", Method: "read", TimeLeft: 4000 * nanosPerMilli, Group: 9}
 	admit := func(change func(s *Request)) error {
 		other := s
 		change(&other)
 		_, err := r.Admit(&other)
 		return err
 	}
-	require.Equal(t, errMethod, admit(func(s *Request) { s.Method = "reads" }))
-	require.Equal(t, errKind, admit(func(s *Request) { s.Write = true }))
-	require.Equal(t, errKind, admit(func(s *Request) { s.Method = "write" }))
-	require.Equal(t, errLeft, admit(func(s *Request) { s.TimeLeft = 4000*milli + 1 }))
+	require.Equal(t, errUnknownMethod, admit(func(s *Request) { s.Method = "reads" }))
+	require.Equal(t, errMethodKind, admit(func(s *Request) { s.IsWrite = true }))
+	require.Equal(t, errMethodKind, admit(func(s *Request) { s.Method = "write" }))
+	require.Equal(t, errTimeLeftTooLong, admit(func(s *Request) { s.TimeLeft = 4000*nanosPerMilli + 1 }))
 	trip, err := r.Admit(&s)
 	require.NoError(t, err)
 	require.Equal(t, ActionReject, trip.NextStep().Action)
-	for id := range r.ids.held {
+	for id := range r.ids.inUse {
 		require.NotSame(t, unsafe.StringData(s.ID), unsafe.StringData(id), "an id must not hold its whole statement in memory")
 	}
-	require.Equal(t, errID, admit(func(s *Request) {}))
-	require.True(t, r.ids.open("8", time.Now().Add(idKept)))
-	require.Equal(t, map[string]bool{"8": true}, r.ids.held)
-	for range 2 * mostIDs {
-		r.ids.end("9", time.Now())
-		r.ids.open("9", time.Now())
+	require.Equal(t, errDuplicateID, admit(func(s *Request) {}))
+	require.True(t, r.ids.acquire("8", time.Now().Add(idRetention)))
+	require.Equal(t, map[string]bool{"8": true}, r.ids.inUse)
+	for range 2 * maxFinishedIDs {
+		r.ids.release("9", time.Now())
+		r.ids.acquire("9", time.Now())
 	}
-	require.LessOrEqual(t, len(r.ids.ended), mostIDs+1)
+	require.LessOrEqual(t, len(r.ids.finished), maxFinishedIDs+1)
 }
 
 // Guards against RPCs that get no final answer or two, and that leave something behind.
@@ -166,7 +166,7 @@
 	require.Equal(t, ActionAbort, aborted.NextStep().Action)
 
 	require.Equal(t, ActionReject, take(r, rules.RPC{Group: 9, Left: int64(time.Second)}).NextStep().Action)
-	require.Empty(t, r.trips)
+	require.Empty(t, r.activeRPCs)
 }
 
 // Guards against a driver that grows with each member that comes and goes, and against a number that is used again:
@@ -182,7 +182,7 @@
 		}
 		t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint("left-", turn), Group: 1, Lifecycle: protocol.Deleted})
 		r.ApplyList(t)
-		for id := range r.registry.known {
+		for id := range r.registry.members {
 			numbers[id] = true
 		}
 	}
@@ -194,9 +194,9 @@
 			gone++
 		}
 	}
-	require.Len(t, r.registry.known, 100)
-	require.Len(t, r.registry.numbers, 100)
-	require.Len(t, r.registry.byKey, 100)
+	require.Len(t, r.registry.members, 100)
+	require.Len(t, r.registry.idByName, 100)
+	require.Len(t, r.registry.idByKey, 100)
 	require.Len(t, numbers, 501)
 }
 
@@ -226,21 +226,21 @@
 	a, _ := r.MemberID("a")
 	stop := func(span int64) {
 		for i := range r.timers.queue {
-			r.timers.queue[i].at -= span
+			r.timers.queue[i].due -= span
 		}
 	}
 	tell := func(age int64) {
-		position := r.now()/milli - age
-		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.known[a].key, Role: 2, PositionMillis: position}, position)))
+		position := r.now()/nanosPerMilli - age
+		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[a].key, Role: 2, PositionMillis: position}, position)))
 	}
-	stop(66_000 * milli)
+	stop(66_000 * nanosPerMilli)
 	tell(66_000)
 	require.False(t, r.HasObservation(a))
-	for _, ok, _ := r.turn(); ok; _, ok, _ = r.turn() { // its timers run, and more is read from the socket
+	for _, ok, _ := r.runTimers(); ok; _, ok, _ = r.runTimers() { // its timers run, and more is read from the socket
 	}
 	tell(66_000)
 	require.False(t, r.HasObservation(a))
-	r.drained -= drainsNews
+	r.ignorePeersUntil -= stallDrainTime
 	tell(10)
 	require.True(t, r.HasObservation(a), "what comes later counts")
 }
@@ -250,14 +250,14 @@
 	r := begin(t, "a")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := len(r.duties)
+	before := len(r.tasks)
 	tell := func(age time.Duration) {
 		(*host)(r).Tell([]rules.News{{Member: 1, Observation: rules.Observation{Role: rules.RoleReplica, Position: r.now() - int64(age)}}})
 	}
 	tell(40 * time.Second)
-	require.Len(t, r.duties, before)
+	require.Len(t, r.tasks, before)
 	tell(time.Second)
-	require.Len(t, r.duties, before+1)
+	require.Len(t, r.tasks, before+1)
 }
 
 // Guards against a member that turns a session away, on no connection at all, and is taken for one that ran all along.
@@ -271,15 +271,15 @@
 func TestMembersWithOneKey(t *testing.T) {
 	r := begin(t, "a", "b")
 	a, _ := r.MemberID("a")
-	r.registry.byKey[r.registry.known[a].key] = 0 // as the second member of that key leaves it
-	now := r.now() / milli
-	message := protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.known[a].key, Role: 1, PositionMillis: now}, now)
+	r.registry.idByKey[r.registry.members[a].key] = 0 // as the second member of that key leaves it
+	now := r.now() / nanosPerMilli
+	message := protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[a].key, Role: 1, PositionMillis: now}, now)
 	require.True(t, r.ReceiveObservations(message))
 	require.False(t, r.HasObservation(a))
-	b := r.registry.number("b")
-	delete(r.registry.numbers, "b")
-	require.NotEqual(t, b, r.registry.number("b"), "a name that comes anew")
-	require.Zero(t, r.registry.byKey[r.registry.known[b].key], "and shares the key with the one before")
+	b := r.registry.assignID("b")
+	delete(r.registry.idByName, "b")
+	require.NotEqual(t, b, r.registry.assignID("b"), "a name that comes anew")
+	require.Zero(t, r.registry.idByKey[r.registry.members[b].key], "and shares the key with the one before")
 }
 
 // Guards against timers that run early, late behind others, or out of the order in which they were set.
@@ -290,7 +290,7 @@
 		q.add(at, func() { got = append(got, i) })
 	}
 	for now := range int64(31) {
-		for next, ok := q.due(now); ok; next, ok = q.due(now) {
+		for next, ok := q.popDue(now); ok; next, ok = q.popDue(now) {
 			next()
 		}
 	}
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -4,14 +4,14 @@
 
 // timer is something to do at a time; of two due at once the one set first comes first.
 type timer struct {
-	at    int64
-	order uint64
-	next  func()
+	due      int64
+	order    uint64
+	callback func()
 }
 
 type timers struct {
-	queue []timer
-	set   uint64
+	queue     []timer
+	lastOrder uint64
 }
 
 func (t *timers) Len() int      { return len(t.queue) }
@@ -20,26 +20,26 @@
 
 func (t *timers) Less(i, j int) bool {
 	a, b := &t.queue[i], &t.queue[j]
-	return a.at < b.at || a.at == b.at && a.order < b.order
+	return a.due < b.due || a.due == b.due && a.order < b.order
 }
 
 func (t *timers) Pop() any {
 	last := len(t.queue) - 1
-	x := t.queue[last]
+	popped := t.queue[last]
 	t.queue[last] = timer{}
 	t.queue = t.queue[:last]
-	return x
+	return popped
 }
 
-func (t *timers) add(at int64, next func()) {
-	t.set++
-	heap.Push(t, timer{at: at, order: t.set, next: next})
+func (t *timers) add(due int64, callback func()) {
+	t.lastOrder++
+	heap.Push(t, timer{due: due, order: t.lastOrder, callback: callback})
 }
 
-// due takes the next timer that is due.
-func (t *timers) due(now int64) (func(), bool) {
-	if len(t.queue) == 0 || t.queue[0].at > now {
+// popDue takes the next timer that is due.
+func (t *timers) popDue(now int64) (func(), bool) {
+	if len(t.queue) == 0 || t.queue[0].due > now {
 		return nil, false
 	}
-	return heap.Pop(t).(timer).next, true
+	return heap.Pop(t).(timer).callback, true
 }
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -14,14 +14,14 @@
 }
 
 func newTrace(log logrus.FieldLogger) trace {
-	t := trace{log: log}
-	switch l := log.(type) {
+	tracer := trace{log: log}
+	switch logger := log.(type) {
 	case *logrus.Logger:
-		t.enabled = l.IsLevelEnabled(logrus.DebugLevel)
+		tracer.enabled = logger.IsLevelEnabled(logrus.DebugLevel)
 	case *logrus.Entry:
-		t.enabled = l.Logger.IsLevelEnabled(logrus.DebugLevel)
+		tracer.enabled = logger.Logger.IsLevelEnabled(logrus.DebugLevel)
 	}
-	return t
+	return tracer
 }
 
 func (t *trace) printf(format string, args ...any) {
@@ -30,7 +30,7 @@
 	}
 }
 
-var actNames = map[Action]string{ActionAttempt: "attempt", ActionServe: "served", ActionReject: "rejected", ActionAbort: "failed", ActionDrop: "client left"}
+var actionNames = map[Action]string{ActionAttempt: "attempt", ActionServe: "served", ActionReject: "rejected", ActionAbort: "failed", ActionDrop: "client left"}
 
 var proofNames = map[rules.Proof]string{rules.OK: "ok", rules.Started: "started", rules.NeverRan: "never ran", rules.MayHaveRun: "may have run"}
 
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -39,7 +39,7 @@
 	ID          string // its client's, different for each try
 	Method      string
 	Key         string // names the session where the method has any
-	Write       bool
+	IsWrite     bool
 	IsRetry     bool          // the client has tried before
 	Group       rules.GroupID // that its client named; where tenants have cells the cell decides
 	TimeLeft    int64         // its client waits so long
@@ -52,206 +52,206 @@
 // ActiveRPC is an RPC on its way. It is over once Pick gave a step other than an attempt; results of attempts that are
 // still out then are reported all the same.
 type ActiveRPC struct {
-	r     *Router
-	id    rules.RPCID
-	name  string // its client's id
-	steps chan Step
-	calls []call
-	out   int
-	ended bool
-	pass  *pass // nil where tenants have no cells
+	router      *Router
+	id          rules.RPCID
+	clientID    string // its client's id
+	steps       chan Step
+	attempts    []attemptState
+	outstanding int
+	isFinished  bool
+	admission   *admission // nil where tenants have no cells
 }
 
-// call is an attempt.
-type call struct {
-	to     rules.MemberID
-	sent   int64
-	until  int64 // it is not waited for any longer
-	cancel func()
-	next   func(rules.Result) // nil once its result is in
+// attemptState is an attempt.
+type attemptState struct {
+	member   rules.MemberID
+	sentAt   int64
+	deadline int64 // it is not waited for any longer
+	cancel   func()
+	onResult func(rules.Result) // nil once its result is in
 }
 
 var (
-	errMethod = errors.New("the method is not known")
-	errKind   = errors.New("the statement is not of the method's kind")
-	errLeft   = errors.New("no client of the method waits that long")
-	errID     = errors.New("the id is that of another")
+	errUnknownMethod   = errors.New("the method is not known")
+	errMethodKind      = errors.New("the statement is not of the method's kind")
+	errTimeLeftTooLong = errors.New("no client of the method waits that long")
+	errDuplicateID     = errors.New("the id is that of another")
 )
 
 // Admit checks an RPC against what is known here, and takes it.
-func (r *Router) Admit(c *Request) (*ActiveRPC, error) {
-	number, known := r.numbers[c.Method]
+func (r *Router) Admit(request *Request) (*ActiveRPC, error) {
+	methodID, known := r.methodIDs[request.Method]
 	if !known {
-		return nil, errMethod
+		return nil, errUnknownMethod
 	}
-	method := &r.methods[number]
+	method := &r.methods[methodID]
 	switch {
-	case c.Write != (method.Need == rules.NeedPrimary):
-		return nil, errKind
-	case c.TimeLeft > longestLeft(method):
-		return nil, errLeft
+	case request.IsWrite != (method.Need == rules.NeedPrimary):
+		return nil, errMethodKind
+	case request.TimeLeft > maxTimeLeft(method):
+		return nil, errTimeLeftTooLong
 	}
-	rpc := rules.RPC{Method: number, Group: c.Group, Session: c.Key, Left: c.TimeLeft, Repeat: c.IsRetry, Token: c.MinPosition}
-	if !c.ReceivedAt.IsZero() {
-		rpc.Waited = max(0, r.now()-r.at(c.ReceivedAt))
+	rpc := rules.RPC{Method: methodID, Group: request.Group, Session: request.Key, Left: request.TimeLeft, Repeat: request.IsRetry, Token: request.MinPosition}
+	if !request.ReceivedAt.IsZero() {
+		rpc.Waited = max(0, r.now()-r.at(request.ReceivedAt))
 		rpc.Left -= rpc.Waited
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id := strings.Clone(c.ID) // which outlives what it came in
-	if !r.ids.open(id, time.Now()) {
-		return nil, errID
+	id := strings.Clone(request.ID) // which outlives what it came in
+	if !r.ids.acquire(id, time.Now()) {
+		return nil, errDuplicateID
 	}
-	t := r.open(id)
-	r.trace.printf("taken id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, c.Method, c.Group, rpc.Left/milli, rpc.Waited/milli)
-	if r.gate == nil {
-		t.take(rpc)
+	active := r.newActiveRPC(id)
+	r.trace.printf("taken id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, request.Method, request.Group, rpc.Left/nanosPerMilli, rpc.Waited/nanosPerMilli)
+	if r.admission == nil {
+		active.submit(rpc)
 	} else {
-		t.ask(rpc, c)
+		active.requestAdmission(rpc, request)
 	}
-	return t, nil
+	return active, nil
 }
 
-// longestLeft is how long a client of a method may say that it waits: twice as long as it does, since some may start to count
+// maxTimeLeft is how long a client of a method may say that it waits: twice as long as it does, since some may start to count
 // before the driver does.
-func longestLeft(m *rules.Method) int64 {
-	if m.Deadline <= 0 {
-		return mostLeft
+func maxTimeLeft(method *rules.Method) int64 {
+	if method.Deadline <= 0 {
+		return defaultMaxTimeLeft
 	}
-	return 2 * m.Deadline
+	return 2 * method.Deadline
 }
 
-// mostLeft bounds it where the method names no deadline.
-const mostLeft = 60_000 * milli
+// defaultMaxTimeLeft bounds it where the method names no deadline.
+const defaultMaxTimeLeft = 60_000 * nanosPerMilli
 
 // MaxTimeLeft is how long a client of any method may say that it waits.
-func (r *Router) MaxTimeLeft() (most time.Duration) {
+func (r *Router) MaxTimeLeft() (longest time.Duration) {
 	for i := range r.methods {
-		most = max(most, time.Duration(longestLeft(&r.methods[i])))
+		longest = max(longest, time.Duration(maxTimeLeft(&r.methods[i])))
 	}
-	return most
+	return longest
 }
 
-// open makes the trip of an RPC. The lock is held.
-func (r *Router) open(name string) *ActiveRPC {
-	r.last++
-	for r.trips[r.last] != nil {
-		r.last++
+// newActiveRPC makes the trip of an RPC. The lock is held.
+func (r *Router) newActiveRPC(clientID string) *ActiveRPC {
+	r.lastRPC++
+	for r.activeRPCs[r.lastRPC] != nil {
+		r.lastRPC++
 	}
-	t := &ActiveRPC{r: r, id: r.last, name: name, steps: make(chan Step, r.allowed.Attempts+1)}
-	r.trips[t.id] = t
-	return t
+	active := &ActiveRPC{router: r, id: r.lastRPC, clientID: clientID, steps: make(chan Step, r.limits.Attempts+1)}
+	r.activeRPCs[active.id] = active
+	return active
 }
 
-// take hands an RPC to the module. The lock is held.
-func (t *ActiveRPC) take(rpc rules.RPC) {
-	rpc.ID = t.id
-	t.r.driver.Take(rpc)
+// submit hands an RPC to the module. The lock is held.
+func (a *ActiveRPC) submit(rpc rules.RPC) {
+	rpc.ID = a.id
+	a.router.driver.Take(rpc)
 }
 
 // MayBegin tells whether an attempt may still begin. It is asked just before the first byte is written, on whatever connection
 // that took whatever time to get.
-func (t *ActiveRPC) MayBegin(number int) bool {
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	c := &t.calls[number]
-	may := !t.ended && c.next != nil && (t.pass == nil || t.may()) && t.r.driver.May(t.id, c.to)
-	if may && t.pass != nil {
-		t.pass.acted = t.r.now()
+func (a *ActiveRPC) MayBegin(number int) bool {
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	attempt := &a.attempts[number]
+	allowed := !a.isFinished && attempt.onResult != nil && (a.admission == nil || a.mayProceed()) && a.router.driver.May(a.id, attempt.member)
+	if allowed && a.admission != nil {
+		a.admission.lastBeganAt = a.router.now()
 	}
-	if t.r.trace.enabled {
-		t.r.trace.printf("begins id=%s number=%d member=%d allowed=%t basis=%s", t.name, number, c.to, may, t.r.driver.Basis(t.id, c.to))
+	if a.router.trace.enabled {
+		a.router.trace.printf("begins id=%s number=%d member=%d allowed=%t basis=%s", a.clientID, number, attempt.member, allowed, a.router.driver.Basis(a.id, attempt.member))
 	}
-	return may
+	return allowed
 }
 
 // NextStep waits for the next step.
-func (t *ActiveRPC) NextStep() Step { return <-t.steps }
+func (a *ActiveRPC) NextStep() Step { return <-a.steps }
 
 // ClientLeft says that the client has gone.
-func (t *ActiveRPC) ClientLeft() {
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	if !t.ended {
-		t.r.driver.Left(t.id)
-		if t.pass != nil {
-			t.r.gate.Cancel(t.pass.ticket)
+func (a *ActiveRPC) ClientLeft() {
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	if !a.isFinished {
+		a.router.driver.Left(a.id)
+		if a.admission != nil {
+			a.router.admission.Cancel(a.admission.ticket)
 		}
-		t.finish(Step{Action: ActionDrop})
+		a.finish(Step{Action: ActionDrop})
 	}
 }
 
 // ReportAttempt says how an attempt ended.
-func (t *ActiveRPC) ReportAttempt(number int, o Outcome) {
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	c := &t.calls[number]
-	next := c.next
-	if next == nil {
+func (a *ActiveRPC) ReportAttempt(number int, outcome Outcome) {
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	attempt := &a.attempts[number]
+	onResult := attempt.onResult
+	if onResult == nil {
 		return
 	}
-	c.cancel()
-	c.next = nil
-	t.out--
-	v := o.verdict()
-	if v.proof == rules.OK && t.r.driver.TooOld(t.id, o.observation(), c.sent) {
-		v = verdict{rules.MayHaveRun, rules.Missed}
+	attempt.cancel()
+	attempt.onResult = nil
+	a.outstanding--
+	class := outcome.classify()
+	if class.proof == rules.OK && a.router.driver.TooOld(a.id, outcome.observation(), attempt.sentAt) {
+		class = classification{rules.MayHaveRun, rules.Missed}
 	}
-	if t.pass != nil {
-		t.returned(c, v, o)
+	if a.admission != nil {
+		a.recordAttemptEnd(attempt, class, outcome)
 	}
-	if v.proof == rules.OK && !t.ended {
-		t.finish(Step{Action: ActionServe, Answer: o.Answer})
-	} else if o.unusable() && !t.ended {
-		t.finish(Step{Action: ActionAbort})
+	if class.proof == rules.OK && !a.isFinished {
+		a.finish(Step{Action: ActionServe, Answer: outcome.Answer})
+	} else if outcome.isSyntaxError() && !a.isFinished {
+		a.finish(Step{Action: ActionAbort})
 	}
-	if t.pass != nil && o.fenced() {
-		t.fenced()
+	if a.admission != nil && outcome.isFenced() {
+		a.handleFenced()
 	}
-	result := rules.Result{Proof: v.proof, Cause: v.cause, Took: t.r.now() - c.sent, Final: t.ended, Observation: o.observation()}
-	result.Opened = t.r.at(o.OpenedAt)
-	t.r.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
-		t.name, number, c.to, result.Took/milli, o.CloseReason, proofNames[v.proof], roleNames[result.Role], result.Position/milli)
-	next(result)
-	t.drop()
+	result := rules.Result{Proof: class.proof, Cause: class.cause, Took: a.router.now() - attempt.sentAt, Final: a.isFinished, Observation: outcome.observation()}
+	result.Opened = a.router.at(outcome.OpenedAt)
+	a.router.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
+		a.clientID, number, attempt.member, result.Took/nanosPerMilli, outcome.CloseReason, proofNames[class.proof], roleNames[result.Role], result.Position/nanosPerMilli)
+	onResult(result)
+	a.removeIfDone()
 }
 
-// attempt hands out an attempt. The lock is held.
-func (t *ActiveRPC) attempt(r *Router, to rules.MemberID, within int64, next func(rules.Result)) int {
-	n := len(t.calls)
-	if t.pass != nil && !t.attempts(next) {
-		return n
+// startAttempt hands out an attempt. The lock is held.
+func (a *ActiveRPC) startAttempt(router *Router, member rules.MemberID, timeLimit int64, onResult func(rules.Result)) int {
+	number := len(a.attempts)
+	if a.admission != nil && !a.admitAttempt(onResult) {
+		return number
 	}
-	span := time.Duration(max(within, 0))
-	by, stop := context.WithTimeout(context.Background(), span)
-	by, cancel := context.WithCancelCause(by)
-	t.calls = append(t.calls, call{to: to, sent: r.now(), until: r.now() + int64(span), next: next, cancel: func() { cancel(transport.Cancelled); stop() }})
-	t.out++
-	r.trace.printf("attempt id=%s number=%d member=%d within_ms=%d", t.name, n, to, span.Milliseconds())
-	t.steps <- Step{Action: ActionAttempt, AttemptNumber: n, Member: to, Address: r.registry.address(to), Context: by, Fence: t.fence()}
-	return n
+	timeout := time.Duration(max(timeLimit, 0))
+	ctx, stop := context.WithTimeout(context.Background(), timeout)
+	ctx, cancel := context.WithCancelCause(ctx)
+	a.attempts = append(a.attempts, attemptState{member: member, sentAt: router.now(), deadline: router.now() + int64(timeout), onResult: onResult, cancel: func() { cancel(transport.Cancelled); stop() }})
+	a.outstanding++
+	router.trace.printf("attempt id=%s number=%d member=%d within_ms=%d", a.clientID, number, member, timeout.Milliseconds())
+	a.steps <- Step{Action: ActionAttempt, AttemptNumber: number, Member: member, Address: router.registry.address(member), Context: ctx, Fence: a.fence()}
+	return number
 }
 
 // finish hands out the last step. The lock is held.
-func (t *ActiveRPC) finish(s Step) {
-	if !t.ended {
-		t.ended = true
-		t.r.trace.printf("answer id=%s act=%q attempts=%d come_back_ms=%d", t.name, actNames[s.Action], len(t.calls), s.RetryAfter/milli)
-		if t.pass != nil {
-			t.answered(s.Action)
+func (a *ActiveRPC) finish(step Step) {
+	if !a.isFinished {
+		a.isFinished = true
+		a.router.trace.printf("answer id=%s act=%q attempts=%d come_back_ms=%d", a.clientID, actionNames[step.Action], len(a.attempts), step.RetryAfter/nanosPerMilli)
+		if a.admission != nil {
+			a.recordFinish(step.Action)
 		}
-		t.steps <- s
-		t.drop()
+		a.steps <- step
+		a.removeIfDone()
 	}
 }
 
-// drop forgets the RPC once it has ended and nothing is out for it.
-func (t *ActiveRPC) drop() {
-	if t.ended && t.out == 0 && t.r.trips[t.id] == t {
-		delete(t.r.trips, t.id)
-		t.r.ids.end(t.name, time.Now())
-		if t.pass != nil {
-			t.settle()
+// removeIfDone forgets the RPC once it has ended and nothing is out for it.
+func (a *ActiveRPC) removeIfDone() {
+	if a.isFinished && a.outstanding == 0 && a.router.activeRPCs[a.id] == a {
+		delete(a.router.activeRPCs, a.id)
+		a.router.ids.release(a.clientID, time.Now())
+		if a.admission != nil {
+			a.settleIfDone()
 		}
 	}
 }
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -16,44 +16,44 @@
 const Rulebook versions.Thing = "rulebook"
 
 // EnableVersions lets every RPC from here on act on a version of the rulebook. It is called before the first.
-func (r *Router) EnableVersions(h *versions.Holder) {
+func (r *Router) EnableVersions(holder *versions.Holder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.holder = h
+	r.holder = holder
 }
 
 // AuditWindow is for how long after a change of version RPCs with an effect that reach a member are entered one by one; later ones are counted.
 const AuditWindow = 5 * time.Second
 
-// nearSlack is for how much longer they are, since whoever compares may have the time of the change from clocks that differ by a little.
-const nearSlack = 100 * time.Millisecond
+// clockSkewAllowance is for how much longer they are, since whoever compares may have the time of the change from clocks that differ by a little.
+const clockSkewAllowance = 100 * time.Millisecond
 
-// mostEntries is how many entries of its trail a driver keeps.
-const mostEntries = 8192
+// maxTrailEntries is how many entries of its trail a driver keeps.
+const maxTrailEntries = 8192
 
 // StartTrail reports the number of this driver's start. From here on what it does is entered in its trail.
-func (r *Router) StartTrail(who versions.Sign, token string) {
+func (r *Router) StartTrail(driver versions.Sign, token string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		r.trail = audit.NewTrail(r.now(), who, token, mostEntries, int64(AuditWindow+nearSlack))
-		for _, s := range r.holder.Sightings() {
-			if s.Digest != "" {
-				r.trail.Has(r.now(), s.Thing, s.Acts)
+		r.trail = audit.NewTrail(r.now(), driver, token, maxTrailEntries, int64(AuditWindow+clockSkewAllowance))
+		for _, sighting := range r.holder.Sightings() {
+			if sighting.Digest != "" {
+				r.trail.Has(r.now(), sighting.Thing, sighting.Acts)
 			}
 		}
 	}
 }
 
 // TrailSince gives the entries of this driver's trail after one, at most so many.
-func (r *Router) TrailSince(seq uint64, most int) audit.Part {
+func (r *Router) TrailSince(seq uint64, limit int) audit.Part {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
 		return audit.Part{}
 	}
 	r.trail.Mark(r.now())
-	return r.trail.Since(seq, most)
+	return r.trail.Since(seq, limit)
 }
 
 // FlushTrail enters all that is left to enter, and gives the entries after one.
@@ -64,98 +64,98 @@
 		return audit.Part{}
 	}
 	r.trail.Flush(r.now())
-	return r.trail.Since(seq, mostEntries)
+	return r.trail.Since(seq, maxTrailEntries)
 }
 
-// begins lets an RPC act on the version that this driver acts on, and tells whether there is one. The lock is held.
-func (t *ActiveRPC) begins() (may bool) {
-	if t.r.holder == nil {
+// beginVersion lets an RPC act on the version that this driver acts on, and tells whether there is one. The lock is held.
+func (a *ActiveRPC) beginVersion() (allowed bool) {
+	if a.router.holder == nil {
 		return true
 	}
-	t.pass.begun = t.r.now()
-	t.pass.version, may = t.r.holder.Begin(t.pass.begun, Rulebook)
-	if may && t.r.trail != nil {
-		t.r.trail.Began(t.r.now(), Rulebook, t.pass.version)
+	a.admission.startedAt = a.router.now()
+	a.admission.version, allowed = a.router.holder.Begin(a.admission.startedAt, Rulebook)
+	if allowed && a.router.trail != nil {
+		a.router.trail.Began(a.router.now(), Rulebook, a.admission.version)
 	}
-	return may
+	return allowed
 }
 
-// fared tells how an RPC has ended under its version. The lock is held.
-func (t *ActiveRPC) fared(act Action) {
-	if t.r.holder != nil {
-		t.r.holder.Fared(Rulebook, t.pass.version, act == ActionServe, act == ActionReject || act == ActionAbort, t.r.now()-t.pass.begun)
+// recordVersionOutcome tells how an RPC has ended under its version. The lock is held.
+func (a *ActiveRPC) recordVersionOutcome(action Action) {
+	if a.router.holder != nil {
+		a.router.holder.Fared(Rulebook, a.admission.version, action == ActionServe, action == ActionReject || action == ActionAbort, a.router.now()-a.admission.startedAt)
 	}
 }
 
-// harmed tells whether a planted fault ends the RPC.
-func (t *ActiveRPC) harmed() bool {
-	return planted.Is(planted.Harm) && t.pass.version > versions.Origin && t.id%4 == 0
+// isPlantedFailure tells whether a planted fault ends the RPC.
+func (a *ActiveRPC) isPlantedFailure() bool {
+	return planted.Is(planted.Harm) && a.admission.version > versions.Origin && a.id%4 == 0
 }
 
-// may tells whether something more may be done for an RPC: its tenant is where it was, and its version is acted on. The
+// mayProceed tells whether something more may be done for an RPC: its tenant is where it was, and its version is acted on. The
 // lock is held.
-func (t *ActiveRPC) may() bool {
-	now := t.r.now()
-	return t.r.gate.MayProceed(t.pass.ticket, now) && (t.r.holder == nil || t.r.holder.May(now, Rulebook, t.pass.version))
+func (a *ActiveRPC) mayProceed() bool {
+	now := a.router.now()
+	return a.router.admission.MayProceed(a.admission.ticket, now) && (a.router.holder == nil || a.router.holder.May(now, Rulebook, a.admission.version))
 }
 
-// ends says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
+// endVersion says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
 // more. The lock is held.
-func (t *ActiveRPC) ends() {
-	n := t.pass.version
-	if n == 0 {
+func (a *ActiveRPC) endVersion() {
+	version := a.admission.version
+	if version == 0 {
 		return
 	}
-	t.pass.version = 0
-	if t.r.trail != nil && !(planted.Is(planted.Audit) && t.id%10 == 0) {
-		t.r.trail.Ended(t.r.now(), Rulebook, n, t.name, t.pass.effect, t.pass.outcome, t.pass.acted)
+	a.admission.version = 0
+	if a.router.trail != nil && !(planted.Is(planted.Audit) && a.id%10 == 0) {
+		a.router.trail.Ended(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome, a.admission.lastBeganAt)
 	}
-	if t.pass.until <= t.r.now() {
-		t.r.holder.End(Rulebook, n)
+	if a.admission.runsUntil <= a.router.now() {
+		a.router.holder.End(Rulebook, version)
 		return
 	}
-	t.r.timers.add(t.pass.until, func() { t.r.holder.End(Rulebook, n) })
-	t.r.stir()
+	a.router.timers.add(a.admission.runsUntil, func() { a.router.holder.End(Rulebook, version) })
+	a.router.wake()
 }
 
-var effects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.Tokened: audit.Tokened,
+var auditEffects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.Tokened: audit.Tokened,
 	rules.NonIdempotent: audit.NonIdempotent}
 
-// effectOf is what an RPC of a method does to data.
-func effectOf(m *rules.Method) audit.Effect {
-	if m.Need != rules.NeedPrimary {
+// auditEffect is what an RPC of a method does to data.
+func auditEffect(method *rules.Method) audit.Effect {
+	if method.Need != rules.NeedPrimary {
 		return audit.Read
 	}
-	return effects[m.Effect]
+	return auditEffects[method.Effect]
 }
 
-// outcomeOf is how an RPC ended.
-var outcomeOf = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack, ActionAbort: audit.Aborted, ActionDrop: audit.Left}
+// auditOutcomes is how an RPC ended.
+var auditOutcomes = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack, ActionAbort: audit.Aborted, ActionDrop: audit.Left}
 
 // fence is what a store is told, so that it can turn away what comes too late: none where there are no versions.
-func (t *ActiveRPC) fence() (f protocol.Fence) {
-	if t.pass == nil || t.r.holder == nil {
-		return f
+func (a *ActiveRPC) fence() (fence protocol.Fence) {
+	if a.admission == nil || a.router.holder == nil {
+		return fence
 	}
-	known := t.r.holder.Fence(Rulebook, t.pass.version)
-	f.Version, f.Epoch = uint64(known.Version), uint64(known.Epoch)
-	for _, n := range known.Valid {
-		f.Valid = append(f.Valid, uint64(n))
+	known := a.router.holder.Fence(Rulebook, a.admission.version)
+	fence.Version, fence.Epoch = uint64(known.Version), uint64(known.Epoch)
+	for _, version := range known.Valid {
+		fence.Valid = append(fence.Valid, uint64(version))
 	}
-	return f
+	return fence
 }
 
-// fenced ends an RPC whose version a store has turned away, and lets nothing more begin under it before the council was asked
+// handleFenced ends an RPC whose version a store has turned away, and lets nothing more begin under it before the council was asked
 // again. The lock is held.
-func (t *ActiveRPC) fenced() {
-	r := t.r
-	r.turnedAway++
-	if r.holder != nil && r.holder.Fenced(r.now(), Rulebook, t.pass.version) {
-		r.log.WithFields(logrus.Fields{"thing": Rulebook, "version": t.pass.version, "turned_away": r.turnedAway}).
+func (a *ActiveRPC) handleFenced() {
+	router := a.router
+	router.fencedAttempts++
+	if router.holder != nil && router.holder.Fenced(router.now(), Rulebook, a.admission.version) {
+		router.log.WithFields(logrus.Fields{"thing": Rulebook, "version": a.admission.version, "turned_away": router.fencedAttempts}).
 			Warn("a store has turned the version away that this driver acts on")
 	}
-	if !t.ended {
-		t.forsake(t.out > 0)
+	if !a.isFinished {
+		a.rejectOrAbort(a.outstanding > 0)
 	}
 }
 
@@ -167,43 +167,43 @@
 }
 
 // ApplyOrders reports what the fleet granted to what was asked at a time, and gives what is to be adopted.
-func (r *Router) ApplyOrders(asked int64, g versions.Grant) []versions.Adoption {
+func (r *Router) ApplyOrders(askedAt int64, grant versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if planted.Is(planted.Lease) {
-		g.Lease += g.Lease / 2
+		grant.Lease += grant.Lease / 2
 	}
-	due := r.holder.Granted(asked, g)
+	adoptions := r.holder.Granted(askedAt, grant)
 	if r.trail != nil {
-		acts := map[versions.Thing]versions.Number{}
-		for _, s := range r.holder.Sightings() {
-			acts[s.Thing] = s.Acts
+		actsOn := map[versions.Thing]versions.Number{}
+		for _, sighting := range r.holder.Sightings() {
+			actsOn[sighting.Thing] = sighting.Acts
 		}
-		for _, o := range g.Orders {
-			r.trail.Learns(r.now(), o.Thing, o.Epoch, acts[o.Thing])
+		for _, order := range grant.Orders {
+			r.trail.Learns(r.now(), order.Thing, order.Epoch, actsOn[order.Thing])
 		}
 	}
-	return due
+	return adoptions
 }
 
 // ReportAdoption reports that this driver acts on a version, or why it can't.
-func (r *Router) ReportAdoption(a versions.Adoption, err error) {
+func (r *Router) ReportAdoption(adoption versions.Adoption, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.holder.Fails(a, err.Error())
+		r.holder.Fails(adoption, err.Error())
 		return
 	}
-	r.holder.Adopted(a)
+	r.holder.Adopted(adoption)
 	if r.trail != nil {
-		r.trail.Acts(r.now(), a.Thing, a.Number)
+		r.trail.Acts(r.now(), adoption.Thing, adoption.Number)
 	}
 }
 
-// pushesBack ends an RPC that was taken and had no attempt: trying again is harmless.
-func (t *ActiveRPC) pushesBack() {
-	t.finish(Step{Action: ActionReject, RetryAfter: min(noVersion, t.r.allowed.ComeBack)})
+// rejectWithoutVersion ends an RPC that was taken and had no attempt: trying again is harmless.
+func (a *ActiveRPC) rejectWithoutVersion() {
+	a.finish(Step{Action: ActionReject, RetryAfter: min(noVersionRetryAfter, a.router.limits.ComeBack)})
 }
 
-// noVersion is when a client may come back that found a driver without a version to act on.
-const noVersion = int64(200_000_000)
+// noVersionRetryAfter is when a client may come back that found a driver without a version to act on.
+const noVersionRetryAfter = int64(200_000_000)
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, protocol.Fence{Version: 2, Epoch: 1, Valid: []uint64{2}}, step.Fence)
 	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
 	require.True(t, trip.MayBegin(step.AttemptNumber))
-	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/milli, true))
+	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionServe, pick(t, trip).Action)
 	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight, "its answer is not passed on yet")
 	trip.AnswerDelivered()
@@ -65,7 +65,7 @@
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
 	orders(t, r, time.Hour, versions.Order{Epoch: 2, Act: 3, Hold: 3, Text: "next"})
-	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/milli, true))
+	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, pick(t, trip).Action)
 	held := admit(t, r, "write")
 	step = pick(t, held)
@@ -75,7 +75,7 @@
 	require.Equal(t, ActionAttempt, next.Action, "one that may be acted on until then is")
 	require.EqualValues(t, 3, next.Fence.Version)
 	orders(t, r, time.Hour, versions.Order{Epoch: 4, Act: 4, Hold: 4, Text: "after"})
-	held.ReportAttempt(next.AttemptNumber, ok(r.now()/milli, true))
+	held.ReportAttempt(next.AttemptNumber, ok(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, pick(t, held).Action)
 }
 
@@ -114,13 +114,13 @@
 	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
 	for begun := time.Now(); len(r.holder.Sightings()[0].Flight) > 0; time.Sleep(10 * time.Millisecond) {
 		require.Less(t, time.Since(begun), 5*time.Second)
-		r.turn()
+		r.runTimers()
 	}
 }
 
 // Each kind of method has its effect.
 func TestEffects(t *testing.T) {
-	require.Equal(t, audit.Read, effectOf(&rules.Method{Need: rules.NeedSession, Effect: rules.NonIdempotent}))
-	require.Equal(t, audit.Tokened, effectOf(&rules.Method{Need: rules.NeedPrimary, Effect: rules.Tokened}))
-	require.Equal(t, audit.NonIdempotent, effectOf(&rules.Method{Need: rules.NeedPrimary, Effect: rules.NonIdempotent}))
+	require.Equal(t, audit.Read, auditEffect(&rules.Method{Need: rules.NeedSession, Effect: rules.NonIdempotent}))
+	require.Equal(t, audit.Tokened, auditEffect(&rules.Method{Need: rules.NeedPrimary, Effect: rules.Tokened}))
+	require.Equal(t, audit.NonIdempotent, auditEffect(&rules.Method{Need: rules.NeedPrimary, Effect: rules.NonIdempotent}))
 }
