--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -31,5 +31,5 @@
 	return observations, ok
 }
 
-func toMillis(span int64) int64 { return span / int64(time.Millisecond) }
-func toNanos(span int64) int64  { return span * int64(time.Millisecond) }
+func toMillis(duration int64) int64 { return duration / int64(time.Millisecond) }
+func toNanos(duration int64) int64  { return duration * int64(time.Millisecond) }
--- a/internal/briefing/object.go
+++ b/internal/briefing/object.go
@@ -34,17 +34,17 @@
 }
 
 func (f *Fields) addList(path string, list []any) {
-	var plain []string
+	var scalars []string
 	for i, v := range list {
 		if object, ok := v.(map[string]any); ok {
 			f.flatten(fmt.Sprintf("%s.%d.", path, i), object)
 		} else {
-			plain = append(plain, fmt.Sprint(v))
+			scalars = append(scalars, fmt.Sprint(v))
 		}
 	}
-	if len(plain) == 0 {
+	if len(scalars) == 0 {
 		f.fields = append(f.fields, field{path + ".count", fmt.Sprint(len(list))})
 		return
 	}
-	f.fields = append(f.fields, field{path, strings.Join(plain, ",")})
+	f.fields = append(f.fields, field{path, strings.Join(scalars, ",")})
 }
--- a/internal/briefing/parts.go
+++ b/internal/briefing/parts.go
@@ -24,12 +24,12 @@
 func (f *Fields) Parse(line, separator, assign string) {
 	f.Name, line, _ = strings.Cut(line, separator)
 	f.fields, f.Err = f.fields[:0], nil
-	for more := line != ""; more; {
-		var text string
-		text, line, more = strings.Cut(line, separator)
-		name, value, ok := strings.Cut(text, assign)
+	for hasMore := line != ""; hasMore; {
+		var part string
+		part, line, hasMore = strings.Cut(line, separator)
+		name, value, ok := strings.Cut(part, assign)
 		if !ok || name == "" {
-			f.Fail("part %q is not name%svalue", text, assign)
+			f.Fail("part %q is not name%svalue", part, assign)
 			continue
 		}
 		f.fields = append(f.fields, field{name, value})
@@ -77,19 +77,19 @@
 }
 
 func (f *Fields) ParseInteger(name, value string) int64 {
-	n, err := strconv.ParseInt(value, 10, 64)
+	number, err := strconv.ParseInt(value, 10, 64)
 	if err != nil && f.Err == nil {
 		f.Fail("%s=%q is not a whole number", name, value)
 	}
-	return n
+	return number
 }
 
 func (f *Fields) RequiredID(name string) uint32 {
-	n := f.RequiredInteger(name)
-	if n < 0 || n > math.MaxUint32 {
-		f.Fail("%s=%d is out of range", name, n)
+	number := f.RequiredInteger(name)
+	if number < 0 || number > math.MaxUint32 {
+		f.Fail("%s=%d is out of range", name, number)
 	}
-	return uint32(n)
+	return uint32(number)
 }
 
 func (f *Fields) IntegerOr(name string, fallback int64) int64 {
@@ -128,25 +128,25 @@
 
 // TimeOrZero reads microseconds as nanoseconds, 0 when absent.
 func (f *Fields) TimeOrZero(name string) int64 {
-	n := f.IntegerOr(name, 0)
-	if n > math.MaxInt64/nanosPerMicro || n < math.MinInt64/nanosPerMicro {
-		f.Fail("%s=%d is out of range", name, n)
+	micros := f.IntegerOr(name, 0)
+	if micros > math.MaxInt64/nanosPerMicro || micros < math.MinInt64/nanosPerMicro {
+		f.Fail("%s=%d is out of range", name, micros)
 		return 0
 	}
-	return n * nanosPerMicro
+	return micros * nanosPerMicro
 }
 
 // RequiredSeconds reads a decimal number of seconds as nanoseconds, exactly; what is finer is cut off. A float64 has not the digits for a Unix time.
 func (f *Fields) RequiredSeconds(name string) int64 {
-	const digits = 9
+	const fractionDigits = 9
 	text := f.RequiredString(name)
 	whole, fraction, _ := strings.Cut(text, ".")
-	fraction = fraction[:min(len(fraction), digits)]
-	n, err := strconv.ParseInt(whole+fraction+strings.Repeat("0", digits-len(fraction)), 10, 64)
+	fraction = fraction[:min(len(fraction), fractionDigits)]
+	nanos, err := strconv.ParseInt(whole+fraction+strings.Repeat("0", fractionDigits-len(fraction)), 10, 64)
 	if err != nil || strings.ContainsAny(fraction, "+-") {
 		return int64(f.NumberOr(name, 0) * 1e9) // of another form, or no number
 	}
-	return n
+	return nanos
 }
 
 func (f *Fields) List(name string) []string {
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -7,8 +7,8 @@
 	"sedgespread/rules"
 )
 
-// admission is what an RPC has of its tenant's cell.
-type admission struct {
+// admissionState is what an RPC has of its tenant's cell.
+type admissionState struct {
 	ticket        *cells.Ticket
 	mayHaveRun    bool // an attempt of it may have run
 	answerPending bool // the answer has not been passed on yet
@@ -25,7 +25,7 @@
 func (r *Router) EnableAdmission(controller *cells.AdmissionController) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.admission = controller
+	r.admissionController = controller
 	r.sweepAdmission()
 }
 
@@ -34,7 +34,7 @@
 
 // sweepAdmission lets the gate forget what is over, again and again. The lock is held.
 func (r *Router) sweepAdmission() {
-	r.admission.Sweep(r.now())
+	r.admissionController.Sweep(r.now())
 	r.timers.add(r.now()+sweepInterval, r.sweepAdmission)
 	r.wake()
 }
@@ -43,17 +43,17 @@
 func (a *ActiveRPC) requestAdmission(rpc rules.RPC, request *Request) {
 	router, now := a.router, a.router.now()
 	method := &router.methods[rpc.Method]
-	admissionRequest := cells.Request{Tenant: router.admission.Tenant(request.Key, request.User, request.Database), Key: request.Key, Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.Left),
+	admissionRequest := cells.Request{Tenant: router.admissionController.Tenant(request.Key, request.User, request.Database), Key: request.Key, Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.Left),
 		Utility: method.Utility}
-	a.admission = &admission{effect: auditEffect(method)}
+	a.admission = &admissionState{effect: auditEffect(method)}
 	if !a.beginVersion() {
 		a.admission = nil
 		a.rejectWithoutVersion()
 		return
 	}
-	ticket, decision, decided := router.admission.Admit(now, admissionRequest, func(decision cells.Decision) {
-		held := router.now() - now
-		rpc.Left, rpc.Waited = rpc.Left-held, rpc.Waited+held
+	ticket, decision, decided := router.admissionController.Admit(now, admissionRequest, func(decision cells.Decision) {
+		heldFor := router.now() - now
+		rpc.Left, rpc.Waited = rpc.Left-heldFor, rpc.Waited+heldFor
 		a.applyDecision(rpc, decision)
 	})
 	a.admission.ticket = ticket
@@ -61,7 +61,7 @@
 		a.applyDecision(rpc, decision)
 		return
 	}
-	router.timers.add(ticket.HoldDeadline(), func() { router.admission.Expire(ticket) })
+	router.timers.add(ticket.HoldDeadline(), func() { router.admissionController.Expire(ticket) })
 	router.wake()
 }
 
@@ -81,7 +81,7 @@
 func (a *ActiveRPC) admitAttempt(onResult func(rules.Result)) bool {
 	router := a.router
 	if a.mayProceed() && !a.isPlantedFailure() {
-		router.admission.AttemptStarted(a.admission.ticket, router.now())
+		router.admissionController.AttemptStarted(a.admission.ticket, router.now())
 		return true
 	}
 	number := len(a.attempts)
@@ -119,9 +119,9 @@
 	}
 	if outcome.Answer != nil {
 		answerBytes = outcome.Answer.Size()
-		router.admission.Committed(a.admission.ticket, outcome.Answer.PositionMillis*nanosPerMilli)
+		router.admissionController.Committed(a.admission.ticket, outcome.Answer.PositionMillis*nanosPerMilli)
 	}
-	router.admission.AttemptEnded(a.admission.ticket, runsUntil, answerBytes, router.now())
+	router.admissionController.AttemptEnded(a.admission.ticket, runsUntil, answerBytes, router.now())
 	if class.proof == rules.OK && !a.isFinished && !a.mayProceed() {
 		a.rejectOrAbort(true)
 	}
@@ -133,14 +133,14 @@
 // recordFinish tells the gate that an RPC has its final answer. The lock is held.
 func (a *ActiveRPC) recordFinish(action Action) {
 	a.admission.answerPending, a.admission.outcome = action == ActionServe, auditOutcomes[action]
-	a.router.admission.Finished(a.admission.ticket, action == ActionServe, a.router.now())
+	a.router.admissionController.Finished(a.admission.ticket, action == ActionServe, a.router.now())
 	a.recordVersionOutcome(action)
 }
 
 // settleIfDone tells the gate when nothing is left of an RPC. The lock is held.
 func (a *ActiveRPC) settleIfDone() {
 	if a.isFinished && a.outstanding == 0 && !a.admission.answerPending {
-		a.router.admission.Settle(a.admission.ticket, a.router.now())
+		a.router.admissionController.Settle(a.admission.ticket, a.router.now())
 		a.endVersion()
 	}
 }
@@ -171,7 +171,7 @@
 	if from != to {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.admission.MoveConnection(from, to)
+		r.admissionController.MoveConnection(from, to)
 	}
 }
 
@@ -179,19 +179,19 @@
 func (r *Router) MostOverConnectionShare() cells.Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.admission.MostOverConnectionShare()
+	return r.admissionController.MostOverConnectionShare()
 }
 
 // ReportGrant reports what the coordinator granted to what Report told at a time.
 func (r *Router) ReportGrant(askedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed, err := r.admission.ApplyGrant(askedAt, grant)
+	changed, err := r.admissionController.ApplyGrant(askedAt, grant)
 	for _, tenant := range changed {
-		entry, _ := r.admission.Directory().Entry(tenant)
+		entry, _ := r.admissionController.Directory().Entry(tenant)
 		r.log.WithField("tenant", tenant).WithField("stage", entry.Stage).WithField("cell", entry.Cell).WithField("to", entry.To).
 			WithField("epoch", entry.Epoch).Info("tenant moves")
-		r.admission.ResumeHeld(tenant, r.now())
+		r.admissionController.ResumeHeld(tenant, r.now())
 	}
 	return err
 }
@@ -203,19 +203,19 @@
 	now := r.now()
 	if now-r.lastCatchUpProbe >= catchUpProbeInterval {
 		r.lastCatchUpProbe = now
-		for _, group := range r.admission.CatchUpGroups() {
+		for _, group := range r.admissionController.CatchUpGroups() {
 			r.driver.Look(group)
 		}
 	}
-	return r.admission.Report(now, name, incarnation, r.driver.Reached), now
+	return r.admissionController.Report(now, name, incarnation, r.driver.Reached), now
 }
 
 // catchUpProbeInterval is how often the members are probed that a move waits for.
 const catchUpProbeInterval = 25 * nanosPerMilli
 
 // ReadAdmission gives what a function makes of the gate, which must not be kept.
-func ReadAdmission[T any](r *Router, read func(now int64, g *cells.AdmissionController) T) T {
+func ReadAdmission[T any](r *Router, read func(now int64, controller *cells.AdmissionController) T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return read(r.now(), r.admission)
+	return read(r.now(), r.admissionController)
 }
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -50,7 +50,7 @@
 
 // Tell passes news on, but for those that can't be told, of positions from long ago. It guards against messages that say nothing.
 func (h *host) Tell(observations []rules.News) {
-	if message := briefing.EncodeObservations(observations, h.registry.key, 0, h.driver.StoreNow()); len(message) > 0 {
+	if message := briefing.EncodeObservations(observations, h.registry.keyOf, 0, h.driver.StoreNow()); len(message) > 0 {
 		h.addTask(SendToPeers{Message: message})
 	}
 }
--- a/internal/routing/ids.go
+++ b/internal/routing/ids.go
@@ -19,20 +19,20 @@
 }
 
 // acquire takes an id, and tells whether it was free.
-func (i *rpcIDs) acquire(id string, now time.Time) bool {
-	for len(i.finished) > 0 && (now.Sub(i.finished[0].finishedAt) >= idRetention || len(i.finished) > maxFinishedIDs) {
-		delete(i.inUse, i.finished[0].id)
-		i.finished[0] = finishedID{}
-		i.finished = i.finished[1:]
+func (r *rpcIDs) acquire(id string, now time.Time) bool {
+	for len(r.finished) > 0 && (now.Sub(r.finished[0].finishedAt) >= idRetention || len(r.finished) > maxFinishedIDs) {
+		delete(r.inUse, r.finished[0].id)
+		r.finished[0] = finishedID{}
+		r.finished = r.finished[1:]
 	}
-	if i.inUse[id] {
+	if r.inUse[id] {
 		return false
 	}
-	i.inUse[id] = true
+	r.inUse[id] = true
 	return true
 }
 
 // release notes that an RPC has ended.
-func (i *rpcIDs) release(id string, now time.Time) {
-	i.finished = append(i.finished, finishedID{id, now})
+func (r *rpcIDs) release(id string, now time.Time) {
+	r.finished = append(r.finished, finishedID{id, now})
 }
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -47,8 +47,8 @@
 	return id
 }
 
-// key is what all drivers call a member that is known here.
-func (r *registry) key(id rules.MemberID) uint32 { return r.members[id].key }
+// keyOf is what all drivers call a member that is known here.
+func (r *registry) keyOf(id rules.MemberID) uint32 { return r.members[id].key }
 
 // idOfKey is the member of a key, if it is the only one known here.
 func (r *registry) idOfKey(key uint32) (id rules.MemberID, known bool) {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -27,27 +27,27 @@
 
 // Router is the facade.
 type Router struct {
-	mu               sync.Mutex
-	driver           *rules.Driver
-	registry         registry
-	timers           timers
-	tasks            []Task
-	pendingProbes    map[rules.MemberID][]func(rules.ProbeResult)
-	activeRPCs       map[rules.RPCID]*ActiveRPC
-	lastRPC          rules.RPCID
-	ids              rpcIDs
-	methods          []rules.Method
-	methodIDs        map[string]rules.MethodID // of the methods
-	limits           rules.Allowed
-	clock            clock.Clock
-	woken            chan struct{} // a timer or a duty has been added
-	log              logrus.FieldLogger
-	trace            trace
-	admission        *cells.AdmissionController // nil where tenants have no cells
-	ignorePeersUntil int64                      // until when peers' messages are those that waited while this process stood still
-	lastCatchUpProbe int64                      // when members were last probed for a move
-	holder           *versions.Holder           // nil where nothing has versions
-	trail            *audit.Trail               // nil until this start has its number
+	mu                  sync.Mutex
+	driver              *rules.Driver
+	registry            registry
+	timers              timers
+	tasks               []Task
+	pendingProbes       map[rules.MemberID][]func(rules.ProbeResult)
+	activeRPCs          map[rules.RPCID]*ActiveRPC
+	lastRPC             rules.RPCID
+	ids                 rpcIDs
+	methods             []rules.Method
+	methodIDs           map[string]rules.MethodID // of the methods
+	limits              rules.Allowed
+	clock               clock.Clock
+	wakeup              chan struct{} // a timer or a duty has been added
+	log                 logrus.FieldLogger
+	trace               trace
+	admissionController *cells.AdmissionController // nil where tenants have no cells
+	ignorePeersUntil    int64                      // until when peers' messages are those that waited while this process stood still
+	lastCatchUpProbe    int64                      // when members were last probed for a move
+	holder              *versions.Holder           // nil where nothing has versions
+	trail               *audit.Trail               // nil until this start has its number
 
 	listDigest     listDigest
 	fencedAttempts int64 // attempts that stores turned away for their versions
@@ -57,7 +57,7 @@
 func New(settings *briefing.Fields, seed int64, lastList protocol.Targets, log logrus.FieldLogger) (*Router, error) {
 	r := &Router{registry: newRegistry(), pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){},
 		activeRPCs: map[rules.RPCID]*ActiveRPC{}, ids: rpcIDs{inUse: map[string]bool{}}, methodIDs: map[string]rules.MethodID{}, clock: clock.New(),
-		woken: make(chan struct{}, 1), log: log, trace: newTrace(log)}
+		wakeup: make(chan struct{}, 1), log: log, trace: newTrace(log)}
 	r.methods = settings.Methods()
 	for id, method := range r.methods {
 		r.methodIDs[method.Name] = rules.MethodID(id)
@@ -79,8 +79,8 @@
 // now is Unix time in nanoseconds that never goes back. The lock need not be held.
 func (r *Router) now() int64 { return r.clock.Now() }
 
-// at is a moment on the module's clock, 0 for none.
-func (r *Router) at(t time.Time) int64 {
+// clockTime is a moment on the module's clock, 0 for none.
+func (r *Router) clockTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
@@ -147,7 +147,7 @@
 		delete(r.pendingProbes, member)
 	}
 	result := outcome.probeResult()
-	result.Opened = r.at(outcome.OpenedAt)
+	result.Opened = r.clockTime(outcome.OpenedAt)
 	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", member, outcome.CloseReason, roleNames[max(result.Role, result.Report.Role)], max(result.Position, result.Report.Position)/nanosPerMilli)
 	waiting[0](result)
 }
@@ -168,19 +168,19 @@
 
 // NextTask waits until something falls due that no RPC asks for, and gives it. Meanwhile the module's timers run.
 func (r *Router) NextTask(ctx context.Context) (Task, error) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		task, ok, wait := r.runTimers()
 		if ok {
 			return task, nil
 		}
-		alarm.Reset(wait)
+		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-alarm.C:
-		case <-r.woken:
+		case <-timer.C:
+		case <-r.wakeup:
 		}
 	}
 }
@@ -207,7 +207,7 @@
 // wake wakes Tick.
 func (r *Router) wake() {
 	select {
-	case r.woken <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -19,22 +19,22 @@
 
 // Guards against an effect done twice because an end was taken for a proof that it never ran, and against
 // members blamed for what they did not do.
-func TestVerdicts(t *testing.T) {
-	failed := func(state string) Outcome {
+func TestClassifyOutcome(t *testing.T) {
+	failedWith := func(state string) Outcome {
 		return Outcome{WasSent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: state}}}
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		o     Outcome
 		proof rules.Proof
 		cause rules.Cause
 	}{
 		{Outcome{WasSent: true, Answer: &protocol.Answer{}}, rules.OK, rules.NoCause},
 		{Outcome{WasSent: true, Answer: &protocol.Answer{}, CloseReason: transport.ResetByPeer}, rules.OK, rules.NoCause},
-		{failed("25006"), rules.NeverRan, rules.Missed},
-		{failed("72000"), rules.NeverRan, rules.Missed},
-		{failed("53300"), rules.NeverRan, rules.Full},
-		{failed("XX000"), rules.MayHaveRun, rules.Errored},
-		{failed("08P01"), rules.MayHaveRun, rules.Errored},
+		{failedWith("25006"), rules.NeverRan, rules.Missed},
+		{failedWith("72000"), rules.NeverRan, rules.Missed},
+		{failedWith("53300"), rules.NeverRan, rules.Full},
+		{failedWith("XX000"), rules.MayHaveRun, rules.Errored},
+		{failedWith("08P01"), rules.MayHaveRun, rules.Errored},
 		{Outcome{CloseReason: transport.DialRefused}, rules.NeverRan, rules.NoConnect},
 		{Outcome{CloseReason: transport.DialTimedOut}, rules.NeverRan, rules.NoConnect},
 		{Outcome{CloseReason: transport.Rejected}, rules.NeverRan, rules.NoConnect},
@@ -49,17 +49,17 @@
 		{Outcome{WasSent: true, CloseReason: transport.TimedOut}, rules.MayHaveRun, rules.TimedOut},
 		{Outcome{WasSent: true, CloseReason: transport.Cancelled}, rules.MayHaveRun, rules.Cancelled},
 	} {
-		require.Equal(t, classification{c.proof, c.cause}, c.o.classify(), "%+v", c.o)
+		require.Equal(t, classification{testCase.proof, testCase.cause}, testCase.o.classify(), "%+v", testCase.o)
 	}
-	for end := transport.DialRefused; end <= transport.Withheld; end++ {
-		require.Contains(t, causeByCloseReason, end, "each end has its cause")
+	for reason := transport.DialRefused; reason <= transport.Withheld; reason++ {
+		require.Contains(t, causeByCloseReason, reason, "each end has its cause")
 	}
 	require.Equal(t, rules.Full, Outcome{CloseReason: transport.Rejected}.probeResult().Cause, "a full member lives")
 }
 
-// begin gives a router that knows members a and b of group 1.
-func begin(t testing.TB, names ...string) *Router {
-	told := briefing.Flatten("settings", map[string]any{
+// newTestRouter gives a router that knows members a and b of group 1.
+func newTestRouter(t testing.TB, names ...string) *Router {
+	settings := briefing.Flatten("settings", map[string]any{
 		"classes": []any{
 			map[string]any{"name": "read", "effect": "repeatable", "aimUs": 200_000, "giveUpUs": 2_000_000},
 			map[string]any{"name": "write", "effect": "once", "aimUs": 200_000, "giveUpUs": 2_000_000},
@@ -67,63 +67,63 @@
 		"extra":     map[string]any{"readLevel": []any{"loose", "update"}},
 		"limits":    map[string]any{"probing": true, "cancelling": true, "mostTries": 3, "peerMessages": true},
 		"discovery": "subscribe", "fleetSize": 2})
-	known := protocol.Targets{IsFull: true}
+	list := protocol.Targets{IsFull: true}
 	for _, name := range names {
-		known.Entries = append(known.Entries, protocol.Target{ID: name, Address: "at-" + name, Group: 1})
+		list.Entries = append(list.Entries, protocol.Target{ID: name, Address: "at-" + name, Group: 1})
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r, err := New(told, 1, known, log)
+	r, err := New(settings, 1, list, log)
 	require.NoError(t, err)
 	return r
 }
 
-func next[T Task](t *testing.T, r *Router) T {
+func nextTask[T Task](t *testing.T, r *Router) T {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	for {
-		duty, err := r.NextTask(ctx)
+		task, err := r.NextTask(ctx)
 		require.NoError(t, err)
-		if d, ok := duty.(T); ok {
-			return d
+		if wanted, ok := task.(T); ok {
+			return wanted
 		}
 	}
 }
 
-func ok(position int64, primary bool) Outcome {
-	return Outcome{WasSent: true, Answer: &protocol.Answer{IsPrimary: primary, IsReplica: !primary, PositionMillis: position}}
+func answered(position int64, isPrimary bool) Outcome {
+	return Outcome{WasSent: true, Answer: &protocol.Answer{IsPrimary: isPrimary, IsReplica: !isPrimary, PositionMillis: position}}
 }
 
-func take(r *Router, rpc rules.RPC) *ActiveRPC {
+func submitRPC(r *Router, rpc rules.RPC) *ActiveRPC {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	trip := r.newActiveRPC("")
-	trip.submit(rpc)
-	return trip
+	active := r.newActiveRPC("")
+	active.submit(rpc)
+	return active
 }
 
 // Guards against clients that pass for others, by an id that is open or was a moment ago, and against RPCs that no
 // member would take; an id must be free again in the end.
-func TestAdmits(t *testing.T) {
-	r := begin(t, "a")
-	s := Request{ID: "7", Method: "read", TimeLeft: 4000 * nanosPerMilli, Group: 9}
-	admit := func(change func(s *Request)) error {
-		other := s
+func TestAdmitChecksRequests(t *testing.T) {
+	r := newTestRouter(t, "a")
+	request := Request{ID: "7", Method: "read", TimeLeft: 4000 * nanosPerMilli, Group: 9}
+	admit := func(change func(request *Request)) error {
+		other := request
 		change(&other)
 		_, err := r.Admit(&other)
 		return err
 	}
-	require.Equal(t, errUnknownMethod, admit(func(s *Request) { s.Method = "reads" }))
-	require.Equal(t, errMethodKind, admit(func(s *Request) { s.IsWrite = true }))
-	require.Equal(t, errMethodKind, admit(func(s *Request) { s.Method = "write" }))
-	require.Equal(t, errTimeLeftTooLong, admit(func(s *Request) { s.TimeLeft = 4000*nanosPerMilli + 1 }))
-	trip, err := r.Admit(&s)
+	require.Equal(t, errUnknownMethod, admit(func(request *Request) { request.Method = "reads" }))
+	require.Equal(t, errMethodKind, admit(func(request *Request) { request.IsWrite = true }))
+	require.Equal(t, errMethodKind, admit(func(request *Request) { request.Method = "write" }))
+	require.Equal(t, errTimeLeftTooLong, admit(func(request *Request) { request.TimeLeft = 4000*nanosPerMilli + 1 }))
+	active, err := r.Admit(&request)
 	require.NoError(t, err)
-	require.Equal(t, ActionReject, trip.NextStep().Action)
+	require.Equal(t, ActionReject, active.NextStep().Action)
 	for id := range r.ids.inUse {
-		require.NotSame(t, unsafe.StringData(s.ID), unsafe.StringData(id), "an id must not hold its whole statement in memory")
+		require.NotSame(t, unsafe.StringData(request.ID), unsafe.StringData(id), "an id must not hold its whole statement in memory")
 	}
-	require.Equal(t, errDuplicateID, admit(func(s *Request) {}))
+	require.Equal(t, errDuplicateID, admit(func(request *Request) {}))
 	require.True(t, r.ids.acquire("8", time.Now().Add(idRetention)))
 	require.Equal(t, map[string]bool{"8": true}, r.ids.inUse)
 	for range 2 * maxFinishedIDs {
@@ -134,25 +134,25 @@
 }
 
 // Guards against RPCs that get no final answer or two, and that leave something behind.
-func TestTrips(t *testing.T) {
-	r := begin(t, "a")
-	require.NotNil(t, next[WatchDiscovery](t, r))
-	look := next[ProbeMember](t, r)
-	require.Equal(t, "at-a", look.Address)
-	r.ReportProbe(look.Member, ok(time.Now().UnixMilli(), true))
+func TestActiveRPCLifecycle(t *testing.T) {
+	r := newTestRouter(t, "a")
+	require.NotNil(t, nextTask[WatchDiscovery](t, r))
+	probe := nextTask[ProbeMember](t, r)
+	require.Equal(t, "at-a", probe.Address)
+	r.ReportProbe(probe.Member, answered(time.Now().UnixMilli(), true))
 
-	served := take(r, rules.RPC{Group: 1, Left: int64(time.Second)})
+	served := submitRPC(r, rules.RPC{Group: 1, Left: int64(time.Second)})
 	step := served.NextStep()
 	require.Equal(t, ActionAttempt, step.Action)
 	require.Equal(t, "at-a", step.Address)
-	answer := ok(time.Now().UnixMilli(), true)
+	answer := answered(time.Now().UnixMilli(), true)
 	served.ReportAttempt(step.AttemptNumber, answer)
 	served.ReportAttempt(step.AttemptNumber, answer)
 	last := served.NextStep()
 	require.Equal(t, ActionServe, last.Action)
 	require.Same(t, answer.Answer, last.Answer)
 
-	left := take(r, rules.RPC{Group: 1, Left: int64(time.Second)})
+	left := submitRPC(r, rules.RPC{Group: 1, Left: int64(time.Second)})
 	step = left.NextStep()
 	left.ClientLeft()
 	left.ClientLeft()
@@ -161,115 +161,115 @@
 	require.Equal(t, transport.Cancelled, transport.CloseReasonOf(step.Context))
 	left.ReportAttempt(step.AttemptNumber, Outcome{CloseReason: transport.Cancelled})
 
-	aborted := take(r, rules.RPC{Group: 1, Method: 1, Left: int64(time.Second)})
+	aborted := submitRPC(r, rules.RPC{Group: 1, Method: 1, Left: int64(time.Second)})
 	aborted.ReportAttempt(aborted.NextStep().AttemptNumber, Outcome{WasSent: true, CloseReason: transport.ResetByPeer})
 	require.Equal(t, ActionAbort, aborted.NextStep().Action)
 
-	require.Equal(t, ActionReject, take(r, rules.RPC{Group: 9, Left: int64(time.Second)}).NextStep().Action)
+	require.Equal(t, ActionReject, submitRPC(r, rules.RPC{Group: 9, Left: int64(time.Second)}).NextStep().Action)
 	require.Empty(t, r.activeRPCs)
 }
 
 // Guards against a driver that grows with each member that comes and goes, and against a number that is used again:
 // what is late and names the one that had it would be taken for the newcomer's.
-func TestMembersComeAndGo(t *testing.T) {
-	r := begin(t, "a")
-	numbers := map[rules.MemberID]bool{}
-	gone := 0
-	for turn := range 5 {
+func TestMemberChurn(t *testing.T) {
+	r := newTestRouter(t, "a")
+	ids := map[rules.MemberID]bool{}
+	forgotten := 0
+	for round := range 5 {
 		t := protocol.Targets{IsFull: true}
 		for i := range 100 {
-			t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint(turn, "-", i), Address: "there", Group: 1})
+			t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint(round, "-", i), Address: "there", Group: 1})
 		}
-		t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint("left-", turn), Group: 1, Lifecycle: protocol.Deleted})
+		t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint("left-", round), Group: 1, Lifecycle: protocol.Deleted})
 		r.ApplyList(t)
 		for id := range r.registry.members {
-			numbers[id] = true
+			ids[id] = true
 		}
 	}
-	for gone < 406 { // 5 were never more than leaving
-		switch duty := next[Task](t, r).(type) {
+	for forgotten < 406 { // 5 were never more than leaving
+		switch task := nextTask[Task](t, r).(type) {
 		case ProbeMember:
-			r.ReportProbe(duty.Member, Outcome{CloseReason: transport.DialRefused})
+			r.ReportProbe(task.Member, Outcome{CloseReason: transport.DialRefused})
 		case ForgetMember:
-			gone++
+			forgotten++
 		}
 	}
 	require.Len(t, r.registry.members, 100)
 	require.Len(t, r.registry.idByName, 100)
 	require.Len(t, r.registry.idByKey, 100)
-	require.Len(t, numbers, 501)
+	require.Len(t, ids, 501)
 }
 
 // Guards against news that name another member at a driver that knows the members in another order.
-func TestNewsMeanTheSameEverywhere(t *testing.T) {
-	one, other := begin(t, "a", "b"), begin(t, "c", "b", "a")
+func TestObservationsIdentifyMembersByKey(t *testing.T) {
+	sender, receiver := newTestRouter(t, "a", "b"), newTestRouter(t, "c", "b", "a")
 	position := time.Now().UnixMilli()
-	for told := 0; told < 2; {
-		switch duty := next[Task](t, one).(type) {
+	for received := 0; received < 2; {
+		switch task := nextTask[Task](t, sender).(type) {
 		case ProbeMember:
-			one.ReportProbe(duty.Member, ok(position, duty.Address == "at-a"))
+			sender.ReportProbe(task.Member, answered(position, task.Address == "at-a"))
 		case SendToPeers:
-			news, _ := protocol.ParseObservations(duty.Message, position)
-			told += len(news)
-			require.True(t, other.ReceiveObservations(duty.Message))
+			observations, _ := protocol.ParseObservations(task.Message, position)
+			received += len(observations)
+			require.True(t, receiver.ReceiveObservations(task.Message))
 		}
 	}
-	trip := take(other, rules.RPC{Group: 1, Method: 1, Left: int64(time.Second)})
-	require.Equal(t, "at-a", trip.NextStep().Address)
-	require.False(t, other.ReceiveObservations([]byte("\xff")))
+	active := submitRPC(receiver, rules.RPC{Group: 1, Method: 1, Left: int64(time.Second)})
+	require.Equal(t, "at-a", active.NextStep().Address)
+	require.False(t, receiver.ReceiveObservations([]byte("\xff")))
 }
 
 // Guards against reads at a replica of which a peer's message tells that is new though it waited for a minute. A message holds 16 bits of a position,
 // in milliseconds: a process that was stopped for 66 s and goes on reads what waited in its socket, and took a position of 66 s before for one of 0.5 s.
-func TestNewsThatWaitedDoNotCount(t *testing.T) {
-	r := begin(t, "a")
+func TestObservationsDroppedAfterStall(t *testing.T) {
+	r := newTestRouter(t, "a")
 	a, _ := r.MemberID("a")
-	stop := func(span int64) {
+	stall := func(span int64) {
 		for i := range r.timers.queue {
 			r.timers.queue[i].due -= span
 		}
 	}
-	tell := func(age int64) {
+	receive := func(age int64) {
 		position := r.now()/nanosPerMilli - age
 		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[a].key, Role: 2, PositionMillis: position}, position)))
 	}
-	stop(66_000 * nanosPerMilli)
-	tell(66_000)
+	stall(66_000 * nanosPerMilli)
+	receive(66_000)
 	require.False(t, r.HasObservation(a))
 	for _, ok, _ := r.runTimers(); ok; _, ok, _ = r.runTimers() { // its timers run, and more is read from the socket
 	}
-	tell(66_000)
+	receive(66_000)
 	require.False(t, r.HasObservation(a))
 	r.ignorePeersUntil -= stallDrainTime
-	tell(10)
+	receive(10)
 	require.True(t, r.HasObservation(a), "what comes later counts")
 }
 
 // Guards against datagrams that say nothing: a position over 30 s old can't be told.
-func TestNothingToTell(t *testing.T) {
-	r := begin(t, "a")
+func TestStaleObservationsNotSent(t *testing.T) {
+	r := newTestRouter(t, "a")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := len(r.tasks)
-	tell := func(age time.Duration) {
+	send := func(age time.Duration) {
 		(*host)(r).Tell([]rules.News{{Member: 1, Observation: rules.Observation{Role: rules.RoleReplica, Position: r.now() - int64(age)}}})
 	}
-	tell(40 * time.Second)
+	send(40 * time.Second)
 	require.Len(t, r.tasks, before)
-	tell(time.Second)
+	send(time.Second)
 	require.Len(t, r.tasks, before+1)
 }
 
 // Guards against a member that turns a session away, on no connection at all, and is taken for one that ran all along.
-func TestNoConnectionIsNoOldOne(t *testing.T) {
-	r := begin(t, "a")
-	require.Zero(t, r.at(Outcome{CloseReason: transport.Rejected}.OpenedAt))
-	require.Positive(t, r.at(time.Now()))
+func TestMissingConnectionHasNoOpenTime(t *testing.T) {
+	r := newTestRouter(t, "a")
+	require.Zero(t, r.clockTime(Outcome{CloseReason: transport.Rejected}.OpenedAt))
+	require.Positive(t, r.clockTime(time.Now()))
 }
 
 // Guards against news of one member that are taken for another's, where both have the same key.
-func TestMembersWithOneKey(t *testing.T) {
-	r := begin(t, "a", "b")
+func TestMembersWithCollidingKeys(t *testing.T) {
+	r := newTestRouter(t, "a", "b")
 	a, _ := r.MemberID("a")
 	r.registry.idByKey[r.registry.members[a].key] = 0 // as the second member of that key leaves it
 	now := r.now() / nanosPerMilli
@@ -284,21 +284,21 @@
 
 // Guards against timers that run early, late behind others, or out of the order in which they were set.
 func TestTimersRunInOrder(t *testing.T) {
-	var q timers
-	var got []int
+	var queue timers
+	var order []int
 	for i, at := range []int64{30, 10, 20, 10, 30} {
-		q.add(at, func() { got = append(got, i) })
+		queue.add(at, func() { order = append(order, i) })
 	}
 	for now := range int64(31) {
-		for next, ok := q.popDue(now); ok; next, ok = q.popDue(now) {
-			next()
+		for callback, ok := queue.popDue(now); ok; callback, ok = queue.popDue(now) {
+			callback()
 		}
 	}
-	require.Equal(t, []int{1, 3, 2, 0, 4}, got)
+	require.Equal(t, []int{1, 3, 2, 0, 4}, order)
 }
 
 // Guards against a driver that starts on less than it has to know.
-func TestStartIsRefused(t *testing.T) {
+func TestNewRejectsIncompleteSettings(t *testing.T) {
 	_, err := New(briefing.Flatten("settings", map[string]any{"classes": []any{map[string]any{"name": "x"}}}), 1,
 		protocol.Targets{}, logrus.New())
 	require.ErrorContains(t, err, "settings: classes.0.effect is missing")
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -19,8 +19,8 @@
 func (t *timers) Push(x any)    { t.queue = append(t.queue, x.(timer)) }
 
 func (t *timers) Less(i, j int) bool {
-	a, b := &t.queue[i], &t.queue[j]
-	return a.due < b.due || a.due == b.due && a.order < b.order
+	first, second := &t.queue[i], &t.queue[j]
+	return first.due < second.due || first.due == second.due && first.order < second.order
 }
 
 func (t *timers) Pop() any {
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -59,7 +59,7 @@
 	attempts    []attemptState
 	outstanding int
 	isFinished  bool
-	admission   *admission // nil where tenants have no cells
+	admission   *admissionState // nil where tenants have no cells
 }
 
 // attemptState is an attempt.
@@ -93,7 +93,7 @@
 	}
 	rpc := rules.RPC{Method: methodID, Group: request.Group, Session: request.Key, Left: request.TimeLeft, Repeat: request.IsRetry, Token: request.MinPosition}
 	if !request.ReceivedAt.IsZero() {
-		rpc.Waited = max(0, r.now()-r.at(request.ReceivedAt))
+		rpc.Waited = max(0, r.now()-r.clockTime(request.ReceivedAt))
 		rpc.Left -= rpc.Waited
 	}
 	r.mu.Lock()
@@ -104,7 +104,7 @@
 	}
 	active := r.newActiveRPC(id)
 	r.trace.printf("taken id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, request.Method, request.Group, rpc.Left/nanosPerMilli, rpc.Waited/nanosPerMilli)
-	if r.admission == nil {
+	if r.admissionController == nil {
 		active.submit(rpc)
 	} else {
 		active.requestAdmission(rpc, request)
@@ -175,7 +175,7 @@
 	if !a.isFinished {
 		a.router.driver.Left(a.id)
 		if a.admission != nil {
-			a.router.admission.Cancel(a.admission.ticket)
+			a.router.admissionController.Cancel(a.admission.ticket)
 		}
 		a.finish(Step{Action: ActionDrop})
 	}
@@ -209,7 +209,7 @@
 		a.handleFenced()
 	}
 	result := rules.Result{Proof: class.proof, Cause: class.cause, Took: a.router.now() - attempt.sentAt, Final: a.isFinished, Observation: outcome.observation()}
-	result.Opened = a.router.at(outcome.OpenedAt)
+	result.Opened = a.router.clockTime(outcome.OpenedAt)
 	a.router.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
 		a.clientID, number, attempt.member, result.Took/nanosPerMilli, outcome.CloseReason, proofNames[class.proof], roleNames[result.Role], result.Position/nanosPerMilli)
 	onResult(result)
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -96,7 +96,7 @@
 // lock is held.
 func (a *ActiveRPC) mayProceed() bool {
 	now := a.router.now()
-	return a.router.admission.MayProceed(a.admission.ticket, now) && (a.router.holder == nil || a.router.holder.May(now, Rulebook, a.admission.version))
+	return a.router.admissionController.MayProceed(a.admission.ticket, now) && (a.router.holder == nil || a.router.holder.May(now, Rulebook, a.admission.version))
 }
 
 // endVersion says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -12,44 +12,44 @@
 	"sedgespread/rules"
 )
 
-// heeds lets a router act on version 2 of the rulebook, with a trail if asked.
-func heeds(t testing.TB, r *Router, trail bool) {
+// enableVersions lets a router act on version 2 of the rulebook, with a trail if asked.
+func enableVersions(t testing.TB, r *Router, withTrail bool) {
 	r.EnableVersions(versions.NewHolder())
-	if trail {
+	if withTrail {
 		r.StartTrail(versions.Sign{Name: "n", Start: 1}, "token")
 	}
-	orders(t, r, time.Hour, versions.Order{Epoch: 1, Act: 2, Valid: []versions.Number{2}, Hold: 2, Text: "text"})
+	applyOrder(t, r, time.Hour, versions.Order{Epoch: 1, Act: 2, Valid: []versions.Number{2}, Hold: 2, Text: "text"})
 }
 
-func orders(t testing.TB, r *Router, lease time.Duration, o versions.Order) {
-	o.Thing = Rulebook
-	for _, a := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Orders: []versions.Order{o}}) {
-		r.ReportAdoption(a, nil)
+func applyOrder(t testing.TB, r *Router, lease time.Duration, order versions.Order) {
+	order.Thing = Rulebook
+	for _, adoption := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Orders: []versions.Order{order}}) {
+		r.ReportAdoption(adoption, nil)
 	}
-	require.Equal(t, o.Act, r.holder.Sightings()[0].Acts)
+	require.Equal(t, order.Act, r.holder.Sightings()[0].Acts)
 }
 
 // Guards against RPCs that begin without a version to act on, and attempts that do not say under which they are made.
-func TestRPCsActOnAVersion(t *testing.T) {
-	r := confined(t, false)
+func TestRPCsRequireVersion(t *testing.T) {
+	r := newRouterWithCells(t, false)
 	r.EnableVersions(versions.NewHolder())
-	require.Equal(t, ActionReject, pick(t, admit(t, r, "write")).Action, "no lease")
-	heeds(t, r, true)
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
+	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action, "no lease")
+	enableVersions(t, r, true)
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
 	require.Equal(t, ActionAttempt, step.Action)
 	require.Equal(t, protocol.Fence{Version: 2, Epoch: 1, Valid: []uint64{2}}, step.Fence)
 	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
-	require.True(t, trip.MayBegin(step.AttemptNumber))
-	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/nanosPerMilli, true))
-	require.Equal(t, ActionServe, pick(t, trip).Action)
+	require.True(t, active.MayBegin(step.AttemptNumber))
+	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
+	require.Equal(t, ActionServe, nextStep(t, active).Action)
 	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight, "its answer is not passed on yet")
-	trip.AnswerDelivered()
+	active.AnswerDelivered()
 	require.Empty(t, r.holder.Sightings()[0].Flight)
 	var single *audit.Entry
-	for _, e := range r.FlushTrail(0).Entries {
-		if e.Kind == audit.Single {
-			single = &e
+	for _, entry := range r.FlushTrail(0).Entries {
+		if entry.Kind == audit.Single {
+			single = &entry
 		}
 	}
 	require.NotNil(t, single)
@@ -59,67 +59,67 @@
 }
 
 // Guards against an answer that is passed on, or a further attempt, under a version that was closed meanwhile.
-func TestAClosedVersionIsNotActedOn(t *testing.T) {
-	r := confined(t, false)
-	heeds(t, r, false)
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
-	orders(t, r, time.Hour, versions.Order{Epoch: 2, Act: 3, Hold: 3, Text: "next"})
-	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/nanosPerMilli, true))
-	require.Equal(t, ActionAbort, pick(t, trip).Action)
-	held := admit(t, r, "write")
-	step = pick(t, held)
-	orders(t, r, time.Hour, versions.Order{Epoch: 3, Act: 4, Hold: 4, Text: "after", Keep: 3})
+func TestClosedVersionEndsRPCs(t *testing.T) {
+	r := newRouterWithCells(t, false)
+	enableVersions(t, r, false)
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
+	applyOrder(t, r, time.Hour, versions.Order{Epoch: 2, Act: 3, Hold: 3, Text: "next"})
+	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
+	require.Equal(t, ActionAbort, nextStep(t, active).Action)
+	held := admitRPC(t, r, "write")
+	step = nextStep(t, held)
+	applyOrder(t, r, time.Hour, versions.Order{Epoch: 3, Act: 4, Hold: 4, Text: "after", Keep: 3})
 	held.ReportAttempt(step.AttemptNumber, Outcome{Answer: nil, CloseReason: 0, WasSent: false})
-	next := pick(t, held)
-	require.Equal(t, ActionAttempt, next.Action, "one that may be acted on until then is")
-	require.EqualValues(t, 3, next.Fence.Version)
-	orders(t, r, time.Hour, versions.Order{Epoch: 4, Act: 4, Hold: 4, Text: "after"})
-	held.ReportAttempt(next.AttemptNumber, ok(r.now()/nanosPerMilli, true))
-	require.Equal(t, ActionAbort, pick(t, held).Action)
+	nextAttempt := nextStep(t, held)
+	require.Equal(t, ActionAttempt, nextAttempt.Action, "one that may be acted on until then is")
+	require.EqualValues(t, 3, nextAttempt.Fence.Version)
+	applyOrder(t, r, time.Hour, versions.Order{Epoch: 4, Act: 4, Hold: 4, Text: "after"})
+	held.ReportAttempt(nextAttempt.AttemptNumber, answered(r.now()/nanosPerMilli, true))
+	require.Equal(t, ActionAbort, nextStep(t, held).Action)
 }
 
 // Guards against a driver that goes on under a version which a store knows to be over: the RPC ends honestly, nothing more
 // begins before the council was asked again, and then it does.
-func TestAStoreTurnsAVersionAway(t *testing.T) {
-	r := confined(t, false)
-	heeds(t, r, false)
-	turned := Outcome{WasSent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: protocol.StateFenced}}}
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
-	trip.ReportAttempt(step.AttemptNumber, turned)
-	require.Equal(t, ActionReject, pick(t, trip).Action, "it never ran")
-	require.Equal(t, ActionReject, pick(t, admit(t, r, "write")).Action)
-	asked := r.now()
-	for _, a := range r.ApplyOrders(asked, versions.Grant{Lease: int64(time.Hour)}) {
-		r.ReportAdoption(a, nil)
+func TestFencedVersion(t *testing.T) {
+	r := newRouterWithCells(t, false)
+	enableVersions(t, r, false)
+	fenced := Outcome{WasSent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: protocol.StateFenced}}}
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
+	active.ReportAttempt(step.AttemptNumber, fenced)
+	require.Equal(t, ActionReject, nextStep(t, active).Action, "it never ran")
+	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action)
+	askedAt := r.now()
+	for _, adoption := range r.ApplyOrders(askedAt, versions.Grant{Lease: int64(time.Hour)}) {
+		r.ReportAdoption(adoption, nil)
 	}
-	trip = admit(t, r, "write")
-	step = pick(t, trip)
+	active = admitRPC(t, r, "write")
+	step = nextStep(t, active)
 	require.Equal(t, ActionAttempt, step.Action, "the council still holds it valid")
-	trip.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
-	next := pick(t, trip)
-	require.NotEqual(t, ActionReject, next.Action, "a write that may have run")
+	active.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
+	last := nextStep(t, active)
+	require.NotEqual(t, ActionReject, last.Action, "a write that may have run")
 }
 
 // Guards against a version that is said to have nothing in flight while an attempt that was given up may still run.
-func TestWhatMayStillRunIsInFlight(t *testing.T) {
-	r := confined(t, false)
-	heeds(t, r, false)
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
-	trip.ClientLeft()
-	trip.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
-	require.Equal(t, ActionDrop, pick(t, trip).Action)
+func TestAbandonedAttemptKeepsVersionInFlight(t *testing.T) {
+	r := newRouterWithCells(t, false)
+	enableVersions(t, r, false)
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
+	active.ClientLeft()
+	active.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
+	require.Equal(t, ActionDrop, nextStep(t, active).Action)
 	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
-	for begun := time.Now(); len(r.holder.Sightings()[0].Flight) > 0; time.Sleep(10 * time.Millisecond) {
-		require.Less(t, time.Since(begun), 5*time.Second)
+	for startedAt := time.Now(); len(r.holder.Sightings()[0].Flight) > 0; time.Sleep(10 * time.Millisecond) {
+		require.Less(t, time.Since(startedAt), 5*time.Second)
 		r.runTimers()
 	}
 }
 
 // Each kind of method has its effect.
-func TestEffects(t *testing.T) {
+func TestAuditEffect(t *testing.T) {
 	require.Equal(t, audit.Read, auditEffect(&rules.Method{Need: rules.NeedSession, Effect: rules.NonIdempotent}))
 	require.Equal(t, audit.Tokened, auditEffect(&rules.Method{Need: rules.NeedPrimary, Effect: rules.Tokened}))
 	require.Equal(t, audit.NonIdempotent, auditEffect(&rules.Method{Need: rules.NeedPrimary, Effect: rules.NonIdempotent}))
