--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -7,21 +7,21 @@
 	"sedgespread/rules"
 )
 
-// admissionState is what an RPC has of its tenant's cell.
+// admissionState is the state of an RPC's admission to its tenant's cell.
 type admissionState struct {
 	ticket        *cells.Ticket
-	mayHaveRun    bool // an attempt of it may have run
-	answerPending bool // the answer has not been passed on yet
+	mayHaveRun    bool // one of its attempts may have run
+	answerPending bool // the answer has not been delivered yet
 
-	version     versions.Number // of the rulebook, which it acts on; 0 for none
-	runsUntil   int64           // an attempt of it may still run until then
-	lastBeganAt int64           // when the last attempt was let begin, 0 for none
+	version     versions.Number // version of the rulebook that applies to the RPC, 0 for none
+	runsUntil   int64           // until when one of its attempts may still run
+	lastBeganAt int64           // when the last attempt began, 0 for none
 	effect      audit.Effect
 	outcome     audit.Outcome
 	startedAt   int64
 }
 
-// EnableAdmission lets every RPC from here on pass a gate first. It is called before the first.
+// EnableAdmission puts admission control in front of all RPCs. It must be called before the first Admit.
 func (r *Router) EnableAdmission(controller *cells.AdmissionController) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,22 +29,25 @@
 	r.sweepAdmission()
 }
 
-// sweepInterval is how often a gate forgets what is over.
+// sweepInterval is how often the admission controller drops expired state.
 const sweepInterval = 100 * nanosPerMilli
 
-// sweepAdmission lets the gate forget what is over, again and again. The lock is held.
+// sweepAdmission drops expired state of the admission controller and schedules the next sweep. r.mu
+// must be held.
 func (r *Router) sweepAdmission() {
 	r.admissionController.Sweep(r.now())
 	r.timers.add(r.now()+sweepInterval, r.sweepAdmission)
 	r.wake()
 }
 
-// requestAdmission asks the gate about an RPC, and goes on with it as soon as that has decided. The lock is held.
+// requestAdmission asks the admission controller for a decision, which may come later. The router's
+// lock must be held.
 func (a *ActiveRPC) requestAdmission(rpc rules.RPC, request *Request) {
 	router, now := a.router, a.router.now()
 	method := &router.methods[rpc.Method]
-	admissionRequest := cells.Request{Tenant: router.admissionController.Tenant(request.Key, request.User, request.Database), Key: request.Key, Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.Left),
-		Utility: method.Utility}
+	admissionRequest := cells.Request{
+		Tenant: router.admissionController.Tenant(request.Key, request.User, request.Database), Key: request.Key,
+		Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.Left), Utility: method.Utility}
 	a.admission = &admissionState{effect: auditEffect(method)}
 	if !a.beginVersion() {
 		a.admission = nil
@@ -65,7 +68,8 @@
 	router.wake()
 }
 
-// applyDecision goes on with an RPC as its gate has decided. The lock is held.
+// applyDecision submits or rejects an RPC as admission control has decided. The router's lock must be
+// held.
 func (a *ActiveRPC) applyDecision(rpc rules.RPC, decision cells.Decision) {
 	if decision.Reason != cells.ReasonNone {
 		a.router.driver.Left(a.id)
@@ -76,8 +80,8 @@
 	a.submit(rpc)
 }
 
-// admitAttempt tells the gate of an attempt, and whether it may be made. Where it may not, the RPC ends here: the driver
-// does not know where its tenant is now. The lock is held.
+// admitAttempt registers a new attempt with admission control and reports whether it may be made. If
+// not, the RPC ends, since its tenant may be in another cell by now. The router's lock must be held.
 func (a *ActiveRPC) admitAttempt(onResult func(rules.Result)) bool {
 	router := a.router
 	if a.mayProceed() && !a.isPlantedFailure() {
@@ -99,8 +103,8 @@
 	return false
 }
 
-// rejectOrAbort ends an RPC that nothing more may be done for: it is pushed back where trying again is harmless, which it is
-// not of a write that may have run, and else aborted. The lock is held.
+// rejectOrAbort ends an RPC that may not proceed: a write that may have run is aborted, anything else
+// is rejected because retrying it is safe. The router's lock must be held.
 func (a *ActiveRPC) rejectOrAbort(mayHaveRun bool) {
 	if a.admission.ticket.Write && (mayHaveRun || a.admission.mayHaveRun) {
 		a.finish(Step{Action: ActionAbort})
@@ -109,8 +113,9 @@
 	a.finish(Step{Action: ActionReject})
 }
 
-// recordAttemptEnd tells the gate how an attempt ended. An answer that comes when the lease has run out, or its tenant has been
-// moved, is not passed on: others may have gone on without it. The lock is held.
+// recordAttemptEnd tells admission control that an attempt has ended. An answer that arrives after the
+// lease has expired or the tenant has moved is not delivered: other drivers may have written in the
+// meantime. The router's lock must be held.
 func (a *ActiveRPC) recordAttemptEnd(attempt *attemptState, class classification, outcome Outcome) {
 	router, runsUntil, answerBytes := a.router, int64(0), 0
 	if class.proof == rules.MayHaveRun {
@@ -127,17 +132,18 @@
 	}
 }
 
-// attemptOverrun is how long after its time a member may still finish what it was sent.
+// attemptOverrun is how long a member may still run an attempt after its deadline.
 const attemptOverrun = 50 * nanosPerMilli
 
-// recordFinish tells the gate that an RPC has its final answer. The lock is held.
+// recordFinish tells admission control how the RPC was answered. The router's lock must be held.
 func (a *ActiveRPC) recordFinish(action Action) {
 	a.admission.answerPending, a.admission.outcome = action == ActionServe, auditOutcomes[action]
 	a.router.admissionController.Finished(a.admission.ticket, action == ActionServe, a.router.now())
 	a.recordVersionOutcome(action)
 }
 
-// settleIfDone tells the gate when nothing is left of an RPC. The lock is held.
+// settleIfDone releases the RPC's ticket once the RPC is finished, no attempt is outstanding and the
+// answer has been delivered. The router's lock must be held.
 func (a *ActiveRPC) settleIfDone() {
 	if a.isFinished && a.outstanding == 0 && !a.admission.answerPending {
 		a.router.admissionController.Settle(a.admission.ticket, a.router.now())
@@ -145,7 +151,7 @@
 	}
 }
 
-// AnswerDelivered says that the answer has been passed on to the client, or can't be.
+// AnswerDelivered reports that the answer has been sent to the client or cannot be.
 func (a *ActiveRPC) AnswerDelivered() {
 	if a.admission == nil {
 		return
@@ -156,7 +162,7 @@
 	a.settleIfDone()
 }
 
-// Cell is the cell that the RPC was let into, NoCell for none.
+// Cell returns the cell that the RPC was admitted to, or NoCell.
 func (a *ActiveRPC) Cell() cells.Cell {
 	if a.admission == nil {
 		return cells.NoCell
@@ -166,7 +172,7 @@
 	return a.admission.ticket.Cell()
 }
 
-// MoveConnection notes that a client's connection counts for another cell than before.
+// MoveConnection counts a client's connection for the cell to instead of from.
 func (r *Router) MoveConnection(from, to cells.Cell) {
 	if from != to {
 		r.mu.Lock()
@@ -175,14 +181,14 @@
 	}
 }
 
-// MostOverConnectionShare is the cell whose clients have to go first where connections are short.
+// MostOverConnectionShare returns the cell whose connections are closed first when the limit is reached.
 func (r *Router) MostOverConnectionShare() cells.Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admissionController.MostOverConnectionShare()
 }
 
-// ReportGrant reports what the coordinator granted to what Report told at a time.
+// ReportGrant applies the coordinator's answer to the report that was made at askedAt.
 func (r *Router) ReportGrant(askedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,13 +196,13 @@
 	for _, tenant := range changed {
 		entry, _ := r.admissionController.Directory().Entry(tenant)
 		r.log.WithField("tenant", tenant).WithField("stage", entry.Stage).WithField("cell", entry.Cell).WithField("to", entry.To).
-			WithField("epoch", entry.Epoch).Info("tenant moves")
+			WithField("epoch", entry.Epoch).Info("stage of tenant's move changed")
 		r.admissionController.ResumeHeld(tenant, r.now())
 	}
 	return err
 }
 
-// Report is what the coordinator is told, and when that was.
+// Report returns the report for the coordinator and the time at which it was made.
 func (r *Router) Report(name string, incarnation uint64) (cells.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,10 +216,11 @@
 	return r.admissionController.Report(now, name, incarnation, r.driver.Reached), now
 }
 
-// catchUpProbeInterval is how often the members are probed that a move waits for.
+// catchUpProbeInterval is how often members are probed while a move waits for them to catch up.
 const catchUpProbeInterval = 25 * nanosPerMilli
 
-// ReadAdmission gives what a function makes of the gate, which must not be kept.
+// ReadAdmission calls read with the admission controller under the router's lock. read must not retain
+// the controller.
 func ReadAdmission[T any](r *Router, read func(now int64, controller *cells.AdmissionController) T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -5,7 +5,7 @@
 	"sedgespread/rules"
 )
 
-// host is the Router as the module sees it. The lock is held whenever the module runs.
+// host implements rules.Host for a Router. The router's lock is held whenever the driver runs.
 type host Router
 
 func (h *host) Now() int64 { return (*Router)(h).now() }
@@ -48,7 +48,8 @@
 
 func (h *host) Watch() { h.addTask(WatchDiscovery{}) }
 
-// Tell passes news on, but for those that can't be told, of positions from long ago. It guards against messages that say nothing.
+// Tell sends observations to the peers. Positions too old to be encoded are left out, and an empty
+// message is not sent.
 func (h *host) Tell(observations []rules.News) {
 	if message := briefing.EncodeObservations(observations, h.registry.keyOf, 0, h.driver.StoreNow()); len(message) > 0 {
 		h.addTask(SendToPeers{Message: message})
--- a/internal/routing/ids.go
+++ b/internal/routing/ids.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	idRetention    = 5 * time.Second // an RPC's id is held so long after its end
-	maxFinishedIDs = 1 << 13         // ids held of RPCs that have ended, at most
+	idRetention    = 5 * time.Second // how long an id stays in use after its RPC has finished
+	maxFinishedIDs = 1 << 13         // beyond this the oldest ids of finished RPCs expire early
 )
 
-// rpcIDs are those of the RPCs that are open or ended a short while ago: no two RPCs have the same.
+// rpcIDs are the client-chosen ids of active and recently finished RPCs, which must be unique.
 type rpcIDs struct {
 	inUse    map[string]bool
-	finished []finishedID // the oldest first
+	finished []finishedID // oldest first
 }
 
 type finishedID struct {
@@ -18,7 +18,7 @@
 	finishedAt time.Time
 }
 
-// acquire takes an id, and tells whether it was free.
+// acquire marks an id as in use and reports whether it was free.
 func (r *rpcIDs) acquire(id string, now time.Time) bool {
 	for len(r.finished) > 0 && (now.Sub(r.finished[0].finishedAt) >= idRetention || len(r.finished) > maxFinishedIDs) {
 		delete(r.inUse, r.finished[0].id)
@@ -32,7 +32,7 @@
 	return true
 }
 
-// release notes that an RPC has ended.
+// release lets the id of a finished RPC expire after idRetention.
 func (r *rpcIDs) release(id string, now time.Time) {
 	r.finished = append(r.finished, finishedID{id, now})
 }
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -9,14 +9,15 @@
 	"sedgespread/internal/versions"
 )
 
-// ObserveVersion notes what this driver acts on of a thing that the fleet does not decide. It does nothing where nothing has versions.
+// ObserveVersion records this driver's version of a thing that is versioned outside the fleet. It has no
+// effect if nothing is versioned.
 func (r *Router) ObserveVersion(thing versions.Thing, version versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observeVersion(thing, version, digest)
 }
 
-// observeVersion notes it for the fleet and in the trail. The lock is held.
+// observeVersion records a version for the fleet and in the audit trail. r.mu must be held.
 func (r *Router) observeVersion(thing versions.Thing, version versions.Number, digest string) {
 	if r.holder == nil {
 		return
@@ -27,13 +28,14 @@
 	}
 }
 
-// listDigest is what is known of discovery's list, so that two drivers can be compared that heard of it in different parts.
+// listDigest is a digest of discovery's list that does not depend on the order of updates, so that
+// drivers can be compared that received the list in different parts.
 type listDigest struct {
-	sumByMember map[string]uint64 // sums by member
-	total       uint64            // of all, in whatever order
+	sumByMember map[string]uint64 // checksums by member name
+	total       uint64            // XOR of all checksums
 }
 
-// observeListDigest notes the list as it is after what was told. The lock is held.
+// observeListDigest updates the digest of the list and records it. r.mu must be held.
 func (r *Router) observeListDigest(targets protocol.Targets) {
 	if r.listDigest.sumByMember == nil || targets.IsFull {
 		r.listDigest = listDigest{sumByMember: map[string]uint64{}}
@@ -45,7 +47,8 @@
 		if entry.Lifecycle == protocol.Deleted {
 			continue
 		}
-		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", entry.ID, entry.Address, entry.Zone, entry.Group, entry.Lifecycle, entry.StartedAtMillis, entry.Weight))
+		sum := xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %d %v %v", entry.ID, entry.Address, entry.Zone, entry.Group,
+			entry.Lifecycle, entry.StartedAtMillis, entry.Weight))
 		digest.sumByMember[entry.ID] = sum
 		digest.total ^= sum
 	}
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -9,15 +9,15 @@
 	"sedgespread/rules"
 )
 
-// Outcome is how an attempt or a probe ended, as the network saw it.
+// Outcome is how an attempt or a probe ended on the network.
 type Outcome struct {
-	Answer      *protocol.Answer      // nil where no whole one came
+	Answer      *protocol.Answer      // nil if no complete answer arrived
 	WasSent     bool                  // the last byte of the statement was written
 	CloseReason transport.CloseReason // how the connection ended, or Open
 	OpenedAt    time.Time             // when the connection was opened
 }
 
-// classificationBySQLState maps what a member answers in place of a row.
+// classificationBySQLState classifies the error answers of members; others count as rules.Errored.
 var classificationBySQLState = map[string]classification{
 	protocol.StateReadOnly:           {rules.NeverRan, rules.Missed},
 	protocol.StateSnapshotTooOld:     {rules.NeverRan, rules.Missed},
@@ -27,7 +27,7 @@
 	protocol.StateFenced:             {rules.NeverRan, rules.Moot},
 }
 
-// causeByCloseReason maps how a connection ended to why an attempt on it was not ok.
+// causeByCloseReason maps how a connection was closed to why an attempt on it failed.
 var causeByCloseReason = map[transport.CloseReason]rules.Cause{
 	transport.DialRefused:  rules.NoConnect,
 	transport.DialTimedOut: rules.NoConnect,
@@ -48,12 +48,13 @@
 	transport.Withheld:     rules.Moot,
 }
 
+// classification is whether an attempt ran, and why it failed.
 type classification struct {
 	proof rules.Proof
 	cause rules.Cause
 }
 
-// classify is the one place where ends and answers become what the module knows.
+// classify translates the outcome for the rules.
 func (o Outcome) classify() classification {
 	if answer := o.Answer; answer != nil && answer.Failure == nil {
 		return classification{rules.OK, rules.NoCause}
@@ -73,18 +74,18 @@
 	return classification{rules.NeverRan, cause}
 }
 
-// isSyntaxError tells that the member could not follow the statement: no other will.
+// isSyntaxError reports whether the member could not parse the statement, which no other member will.
 func (o Outcome) isSyntaxError() bool { return o.failedWith(protocol.StateSyntaxError) }
 
-// isFenced tells that the store turned the version away under which the attempt was made.
+// isFenced reports whether the store rejected the version under which the attempt was made.
 func (o Outcome) isFenced() bool { return o.failedWith(protocol.StateFenced) }
 
 func (o Outcome) failedWith(sqlState string) bool {
 	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.SQLState == sqlState
 }
 
-// probeResult is what a probe found. A member that has no session to spare lives; of one for which this driver has no descriptor
-// to spare nothing is known.
+// probeResult returns the result of a probe. A member that rejects the session because it is full is
+// alive; if this driver ran out of descriptors, nothing is known of the member.
 func (o Outcome) probeResult() rules.ProbeResult {
 	switch o.CloseReason {
 	case transport.Rejected:
@@ -95,7 +96,7 @@
 	return rules.ProbeResult{Cause: o.classify().cause, Report: o.reportedObservation(), Observation: o.observation()}
 }
 
-// reportedObservation is what a probe's load report shows.
+// reportedObservation returns what a probe's load report shows of the member.
 func (o Outcome) reportedObservation() (observation rules.Observation) {
 	if o.Answer == nil || o.Answer.Failure != nil {
 		return observation
@@ -108,7 +109,7 @@
 	return observation
 }
 
-// observation is what an answer shows of its member.
+// observation returns what the answer itself shows of the member.
 func (o Outcome) observation() (observation rules.Observation) {
 	if o.Answer == nil {
 		return observation
@@ -119,7 +120,7 @@
 	case o.Answer.IsReplica:
 		observation.Role = rules.RoleReplica
 	}
-	if o.failedWith(protocol.StateReadOnly) { // it took the statement for a write, and is no primary
+	if o.failedWith(protocol.StateReadOnly) { // only a replica rejects a write
 		observation.Role = rules.RoleReplica
 	}
 	observation.Position = o.Answer.PositionMillis * nanosPerMilli
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -7,19 +7,19 @@
 	"sedgespread/rules"
 )
 
-// registry knows the members by the names that discovery has for them. A number is never used again, so that
-// nothing which is late and names a member that has gone is taken for another's.
+// registry maps discovery's names of members to numbers. A number is never reused, so that late
+// messages about a removed member are not taken for another's.
 type registry struct {
 	idByName map[string]rules.MemberID
 	members  map[rules.MemberID]*memberEntry
-	idByKey  map[uint32]rules.MemberID // 0 where two members have one key: news of them are passed over
+	idByKey  map[uint32]rules.MemberID // 0 if members share the key: peers' observations of them are ignored
 	lastID   rules.MemberID
 }
 
-// memberEntry is what the list says of a member.
+// memberEntry is what the registry keeps for a member.
 type memberEntry struct {
 	name    string
-	key     uint32 // the same at every driver
+	key     uint32 // hash of the name, the same on every driver
 	address string
 }
 
@@ -28,7 +28,7 @@
 		idByKey: map[uint32]rules.MemberID{}}
 }
 
-// assignID gives a member's number, a new one for a member not known.
+// assignID returns a member's number, a new one if the member is unknown.
 func (r *registry) assignID(name string) rules.MemberID {
 	id, known := r.idByName[name]
 	if !known {
@@ -47,16 +47,16 @@
 	return id
 }
 
-// keyOf is what all drivers call a member that is known here.
+// keyOf returns the key by which all drivers identify a known member.
 func (r *registry) keyOf(id rules.MemberID) uint32 { return r.members[id].key }
 
-// idOfKey is the member of a key, if it is the only one known here.
+// idOfKey returns the member with a key, unless none or several have it.
 func (r *registry) idOfKey(key uint32) (id rules.MemberID, known bool) {
 	id = r.idByKey[key]
 	return id, id != 0
 }
 
-// forget forgets a member.
+// forget removes a member.
 func (r *registry) forget(id rules.MemberID) {
 	if entry := r.members[id]; entry != nil {
 		delete(r.idByName, entry.name)
@@ -67,7 +67,7 @@
 	}
 }
 
-// address is where a member is, empty for one not known.
+// address returns a member's address, empty if it is unknown.
 func (r *registry) address(id rules.MemberID) string {
 	if entry := r.members[id]; entry != nil {
 		return entry.address
@@ -78,7 +78,7 @@
 var stateByLifecycle = map[protocol.Lifecycle]rules.State{protocol.Serving: rules.Healthy, protocol.Draining: rules.Draining,
 	protocol.Deleted: rules.Gone}
 
-// update takes in an entry of discovery's list.
+// update applies an entry of discovery's list and converts it for the rules.
 func (r *registry) update(target protocol.Target) rules.Listing {
 	id := r.assignID(target.ID)
 	if target.Address != "" {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,6 +1,6 @@
-// Package routing puts a blocking facade on the module: an RPC is taken and its next step picked, what the network
-// found is reported, and Tick hands out what falls due without an RPC. It has the one lock, the timers, the clock
-// and the one mapping of ends to outcomes; nobody else calls the module.
+// Package routing wraps the single-threaded rules.Driver for concurrent use: it adds the lock, timers
+// and clock, and translates network outcomes into what the driver understands. Callers admit RPCs, carry
+// out their steps and the router's tasks, and report the outcomes.
 package routing
 
 import (
@@ -21,11 +21,11 @@
 
 const nanosPerMilli = int64(time.Millisecond)
 
-// sendDelay is how long after it was allowed the last byte of an attempt may be written, beyond what the rule on the age of data forgives: a
-// driver may be held up for 0.15 s between reading its clock and writing, and the rule adds 0.05 s to every bound.
+// sendDelay is how long after an attempt was allowed its last byte may be written, beyond the 0.05 s by
+// which the rules extend every staleness bound: 0.15 s in all between reading the clock and writing.
 const sendDelay = 100 * nanosPerMilli
 
-// Router is the facade.
+// Router gives concurrent callers access to a rules.Driver.
 type Router struct {
 	mu                  sync.Mutex
 	driver              *rules.Driver
@@ -37,38 +37,39 @@
 	lastRPC             rules.RPCID
 	ids                 rpcIDs
 	methods             []rules.Method
-	methodIDs           map[string]rules.MethodID // of the methods
+	methodIDs           map[string]rules.MethodID // by method name
 	limits              rules.Allowed
 	clock               clock.Clock
-	wakeup              chan struct{} // a timer or a duty has been added
+	wakeup              chan struct{} // signalled when a timer or a task is added
 	log                 logrus.FieldLogger
 	trace               trace
-	admissionController *cells.AdmissionController // nil where tenants have no cells
-	ignorePeersUntil    int64                      // until when peers' messages are those that waited while this process stood still
+	admissionController *cells.AdmissionController // nil if tenants have no cells
+	ignorePeersUntil    int64                      // peers' messages are ignored until then, after a stall of the process
 	lastCatchUpProbe    int64                      // when members were last probed for a move
-	holder              *versions.Holder           // nil where nothing has versions
-	trail               *audit.Trail               // nil until this start has its number
+	holder              *versions.Holder           // nil if nothing is versioned
+	trail               *audit.Trail               // nil before StartTrail
 
 	listDigest     listDigest
-	fencedAttempts int64 // attempts that stores turned away for their versions
+	fencedAttempts int64 // attempts that stores rejected because of their version
 }
 
-// New reads what the module is told at its start. The list is the one last known.
+// New creates a router from the settings and the last known list of members.
 func New(settings *briefing.Fields, seed int64, lastList protocol.Targets, log logrus.FieldLogger) (*Router, error) {
 	r := &Router{registry: newRegistry(), pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){},
-		activeRPCs: map[rules.RPCID]*ActiveRPC{}, ids: rpcIDs{inUse: map[string]bool{}}, methodIDs: map[string]rules.MethodID{}, clock: clock.New(),
-		wakeup: make(chan struct{}, 1), log: log, trace: newTrace(log)}
+		activeRPCs: map[rules.RPCID]*ActiveRPC{}, ids: rpcIDs{inUse: map[string]bool{}}, methodIDs: map[string]rules.MethodID{},
+		clock: clock.New(), wakeup: make(chan struct{}, 1), log: log, trace: newTrace(log)}
 	r.methods = settings.Methods()
 	for id, method := range r.methods {
 		r.methodIDs[method.Name] = rules.MethodID(id)
 	}
-	fleet, store, limits, slowStart, discovery := settings.Fleet(), settings.Store(), settings.Limits(), settings.SlowStart(), settings.Discovery()
+	fleet, store, limits, slowStart, discovery := settings.Fleet(), settings.Store(), settings.Limits(), settings.SlowStart(),
+		settings.Discovery()
 	if settings.Err != nil {
 		return nil, settings.Err
 	}
 	r.limits = limits
 	store.SendDelay = sendDelay
-	discovery.Agent, discovery.Asked = !discovery.Asked, true // a list that is pushed is pushed to an agent, which is asked
+	discovery.Agent, discovery.Asked = !discovery.Asked, true // a pushed list goes to an agent beside the driver, which is asked
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, limits, slowStart, discovery)
@@ -76,10 +77,10 @@
 	return r, nil
 }
 
-// now is Unix time in nanoseconds that never goes back. The lock need not be held.
+// now returns the Unix time in nanoseconds, which never goes back. The lock need not be held.
 func (r *Router) now() int64 { return r.clock.Now() }
 
-// clockTime is a moment on the module's clock, 0 for none.
+// clockTime converts a time to the router's clock, the zero time to 0.
 func (r *Router) clockTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -87,6 +88,7 @@
 	return r.clock.At(t)
 }
 
+// applyList passes the list, or what changed in it, to the driver. r.mu must be held.
 func (r *Router) applyList(targets protocol.Targets) {
 	listings := make([]rules.Listing, 0, len(targets.Entries))
 	for _, entry := range targets.Entries {
@@ -95,7 +97,7 @@
 	r.driver.List(listings, targets.IsFull)
 }
 
-// ApplyList reports the list, or what changed in it.
+// ApplyList applies discovery's list of members, or what changed in it.
 func (r *Router) ApplyList(targets protocol.Targets) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,15 +107,15 @@
 	}
 }
 
-// ReportListFailure reports that discovery could not be asked, or that a watch broke off.
+// ReportListFailure reports that a request to discovery or a watch has failed.
 func (r *Router) ReportListFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver.ListFailed()
 }
 
-// ReceiveObservations reports a peer's message, and tells whether it was one. After this process stood still it may have waited for so long that its positions
-// mean others: what was waiting then does not count.
+// ReceiveObservations applies a peer's message and reports whether it was valid. After a stall of this
+// process messages may have waited so long that their truncated positions are ambiguous: they are ignored.
 func (r *Router) ReceiveObservations(message []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,10 +128,11 @@
 
 const (
 	stallThreshold = protocol.MaxPositionAgeMillis * nanosPerMilli / 2
-	stallDrainTime = 1000 * nanosPerMilli // in which what waited in the socket is read
+	stallDrainTime = 1000 * nanosPerMilli // long enough to read what waited in the socket
 )
 
-// detectStall tells whether this process has just stood still for long, which shows in timers that are overdue. The lock is held.
+// detectStall reports whether this process has recently been stalled, which overdue timers show. r.mu
+// must be held.
 func (r *Router) detectStall() bool {
 	now := r.now()
 	if len(r.timers.queue) > 0 && now-r.timers.queue[0].due > stallThreshold {
@@ -138,7 +141,7 @@
 	return now < r.ignorePeersUntil
 }
 
-// ReportProbe reports what a probe found.
+// ReportProbe reports the outcome of a probe.
 func (r *Router) ReportProbe(member rules.MemberID, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,25 +151,27 @@
 	}
 	result := outcome.probeResult()
 	result.Opened = r.clockTime(outcome.OpenedAt)
-	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", member, outcome.CloseReason, roleNames[max(result.Role, result.Report.Role)], max(result.Position, result.Report.Position)/nanosPerMilli)
+	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", member, outcome.CloseReason,
+		roleNames[max(result.Role, result.Report.Role)], max(result.Position, result.Report.Position)/nanosPerMilli)
 	waiting[0](result)
 }
 
-// ReportNotPrimary reports that a member has said that it is no primary, in what may yet turn out to be no whole answer.
+// ReportNotPrimary reports that a member has said that it is not the primary. It may be called before
+// the whole answer has arrived.
 func (r *Router) ReportNotPrimary(member rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver.Denied(member)
 }
 
-// MayProbe tells whether a probe may still begin. It is asked just before its first byte is written.
+// MayProbe reports whether a probe may still begin. It is called just before its first byte is written.
 func (r *Router) MayProbe(member rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.driver.MayLook(member)
 }
 
-// NextTask waits until something falls due that no RPC asks for, and gives it. Meanwhile the module's timers run.
+// NextTask runs due timers until there is a task or ctx is done, and returns the task.
 func (r *Router) NextTask(ctx context.Context) (Task, error) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -185,7 +190,7 @@
 	}
 }
 
-// runTimers runs the timers that are due, and gives the next duty or how long to wait for one.
+// runTimers runs the due timers and returns the next task, or how long to wait until a timer is due.
 func (r *Router) runTimers() (Task, bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,7 +209,7 @@
 	return nil, false, time.Duration(r.timers.queue[0].due - r.now())
 }
 
-// wake wakes Tick.
+// wake makes NextTask look for tasks and due timers again.
 func (r *Router) wake() {
 	select {
 	case r.wakeup <- struct{}{}:
@@ -212,7 +217,7 @@
 	}
 }
 
-// MemberID is the number of a member that discovery knows by a name, if it is known here.
+// MemberID returns the number of the member that discovery lists under a name, if it is known.
 func (r *Router) MemberID(name string) (id rules.MemberID, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,12 +225,12 @@
 	return id, known
 }
 
-// HasObservation tells whether anything was heard of a member, from itself or from a fellow driver.
+// HasObservation reports whether there is an observation of a member, its own or from a peer.
 func (r *Router) HasObservation(id rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.driver.Met(id)
 }
 
-// ProbesMembers tells whether members are probed.
+// ProbesMembers reports whether members are probed.
 func (r *Router) ProbesMembers() bool { return r.limits.Probes }
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -2,13 +2,15 @@
 
 import "container/heap"
 
-// timer is something to do at a time; of two due at once the one set first comes first.
+// timer is a callback due at a time. Timers due at the same time run in the order in which they were
+// added.
 type timer struct {
 	due      int64
 	order    uint64
 	callback func()
 }
 
+// timers is a queue of timers, ordered by heap.Interface.
 type timers struct {
 	queue     []timer
 	lastOrder uint64
@@ -36,7 +38,7 @@
 	heap.Push(t, timer{due: due, order: t.lastOrder, callback: callback})
 }
 
-// popDue takes the next timer that is due.
+// popDue removes the next timer that is due and returns its callback.
 func (t *timers) popDue(now int64) (func(), bool) {
 	if len(t.queue) == 0 || t.queue[0].due > now {
 		return nil, false
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -6,11 +6,11 @@
 	"sedgespread/rules"
 )
 
-// trace writes, at debug level, what became of each request: when it was taken, why each of its attempts was allowed, why one was
-// withheld, how each ended, and its final answer. Requests are named by the ids of their clients, members by this driver's numbers.
+// trace logs the course of each RPC at debug level: its start, whether and why each attempt was allowed,
+// how it ended, and the final answer. RPCs are identified by their clients' ids, members by number.
 type trace struct {
 	log     logrus.FieldLogger
-	enabled bool // at debug level; what is dear to find out is found out only then
+	enabled bool // lets callers skip costly arguments if false
 }
 
 func newTrace(log logrus.FieldLogger) trace {
@@ -30,8 +30,10 @@
 	}
 }
 
-var actionNames = map[Action]string{ActionAttempt: "attempt", ActionServe: "served", ActionReject: "rejected", ActionAbort: "failed", ActionDrop: "client left"}
+var actionNames = map[Action]string{ActionAttempt: "attempt", ActionServe: "served", ActionReject: "rejected",
+	ActionAbort: "failed", ActionDrop: "client left"}
 
-var proofNames = map[rules.Proof]string{rules.OK: "ok", rules.Started: "started", rules.NeverRan: "never ran", rules.MayHaveRun: "may have run"}
+var proofNames = map[rules.Proof]string{rules.OK: "ok", rules.Started: "started", rules.NeverRan: "never ran",
+	rules.MayHaveRun: "may have run"}
 
 var roleNames = map[rules.Role]string{rules.RoleUnknown: "none", rules.RolePrimary: "primary", rules.RoleReplica: "replica"}
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -11,64 +11,65 @@
 	"sedgespread/rules"
 )
 
-// Action is what comes next for an RPC.
+// Action is the kind of a Step.
 type Action int
 
 const (
-	ActionAttempt Action = iota // make an attempt, and report how it ended
-	ActionServe                 // pass on the answer
-	ActionReject                // answer that trying again is harmless
-	ActionAbort                 // answer that it failed
-	ActionDrop                  // nothing: its client has gone
+	ActionAttempt Action = iota // make an attempt and report its outcome
+	ActionServe                 // send the answer to the client
+	ActionReject                // answer that retrying the RPC is safe
+	ActionAbort                 // answer that the RPC failed
+	ActionDrop                  // answer nothing, the client has left
 )
 
-// Step is what comes next for an RPC.
+// Step is the next thing to do for an RPC.
 type Step struct {
 	Action        Action
-	AttemptNumber int // of the attempt
+	AttemptNumber int // passed to MayBegin and ReportAttempt
 	Member        rules.MemberID
 	Address       string
-	RetryAfter    int64
-	Context       context.Context // ends when the attempt is no longer waited for
+	RetryAfter    int64           // nanoseconds, 0 for no hint
+	Context       context.Context // done when the attempt is cancelled or times out
 	Answer        *protocol.Answer
-	Fence         protocol.Fence // that an attempt is made with, for the store
+	Fence         protocol.Fence // sent to the store with the attempt
 }
 
-// Request is an RPC as a front hands it over, whatever its clients speak. Times and positions are nanoseconds.
+// Request is an RPC as received from a client, independent of the client protocol. Durations and
+// positions are in nanoseconds.
 type Request struct {
-	ID          string // its client's, different for each try
+	ID          string // chosen by the client, unique to each try
 	Method      string
-	Key         string // names the session where the method has any
+	Key         string // identifies the session, for methods that have one
 	IsWrite     bool
-	IsRetry     bool          // the client has tried before
-	Group       rules.GroupID // that its client named; where tenants have cells the cell decides
-	TimeLeft    int64         // its client waits so long
-	ReceivedAt  time.Time     // and counts from then; zero for now
-	MinPosition int64         // position that the read must see, 0 for none
-	User        string        // as whom its client came, and for which database
+	IsRetry     bool          // the client has sent this RPC before
+	Group       rules.GroupID // named by the client; ignored if tenants are assigned to cells
+	TimeLeft    int64         // how long the client waits, from ReceivedAt
+	ReceivedAt  time.Time     // zero for now
+	MinPosition int64         // position that a read must see, 0 for none
+	User        string        // user and database of the client's connection
 	Database    string
 }
 
-// ActiveRPC is an RPC on its way. It is over once Pick gave a step other than an attempt; results of attempts that are
-// still out then are reported all the same.
+// ActiveRPC is an admitted RPC. It is finished once NextStep has returned a step other than
+// ActionAttempt; attempts still outstanding then are reported nevertheless.
 type ActiveRPC struct {
 	router      *Router
 	id          rules.RPCID
-	clientID    string // its client's id
+	clientID    string // Request.ID
 	steps       chan Step
 	attempts    []attemptState
-	outstanding int
+	outstanding int // attempts not reported yet
 	isFinished  bool
 	admission   *admissionState // nil where tenants have no cells
 }
 
-// attemptState is an attempt.
+// attemptState is the state of one attempt. Times are in nanoseconds of the router's clock.
 type attemptState struct {
 	member   rules.MemberID
 	sentAt   int64
-	deadline int64 // it is not waited for any longer
+	deadline int64
 	cancel   func()
-	onResult func(rules.Result) // nil once its result is in
+	onResult func(rules.Result) // nil once the attempt has been reported
 }
 
 var (
@@ -78,7 +79,7 @@
 	errDuplicateID     = errors.New("the id is that of another")
 )
 
-// Admit checks an RPC against what is known here, and takes it.
+// Admit validates a request and starts routing it. An error means that the request was not taken.
 func (r *Router) Admit(request *Request) (*ActiveRPC, error) {
 	methodID, known := r.methodIDs[request.Method]
 	if !known {
@@ -91,19 +92,21 @@
 	case request.TimeLeft > maxTimeLeft(method):
 		return nil, errTimeLeftTooLong
 	}
-	rpc := rules.RPC{Method: methodID, Group: request.Group, Session: request.Key, Left: request.TimeLeft, Repeat: request.IsRetry, Token: request.MinPosition}
+	rpc := rules.RPC{Method: methodID, Group: request.Group, Session: request.Key, Left: request.TimeLeft,
+		Repeat: request.IsRetry, Token: request.MinPosition}
 	if !request.ReceivedAt.IsZero() {
 		rpc.Waited = max(0, r.now()-r.clockTime(request.ReceivedAt))
 		rpc.Left -= rpc.Waited
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id := strings.Clone(request.ID) // which outlives what it came in
+	id := strings.Clone(request.ID) // the id outlives the statement that it is a slice of
 	if !r.ids.acquire(id, time.Now()) {
 		return nil, errDuplicateID
 	}
 	active := r.newActiveRPC(id)
-	r.trace.printf("taken id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, request.Method, request.Group, rpc.Left/nanosPerMilli, rpc.Waited/nanosPerMilli)
+	r.trace.printf("rpc accepted id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, request.Method, request.Group,
+		rpc.Left/nanosPerMilli, rpc.Waited/nanosPerMilli)
 	if r.admissionController == nil {
 		active.submit(rpc)
 	} else {
@@ -112,8 +115,8 @@
 	return active, nil
 }
 
-// maxTimeLeft is how long a client of a method may say that it waits: twice as long as it does, since some may start to count
-// before the driver does.
+// maxTimeLeft returns the longest TimeLeft accepted for a method. It is twice the deadline because
+// clients may start counting before the driver does.
 func maxTimeLeft(method *rules.Method) int64 {
 	if method.Deadline <= 0 {
 		return defaultMaxTimeLeft
@@ -121,10 +124,10 @@
 	return 2 * method.Deadline
 }
 
-// defaultMaxTimeLeft bounds it where the method names no deadline.
+// defaultMaxTimeLeft is the longest TimeLeft accepted for a method without a deadline.
 const defaultMaxTimeLeft = 60_000 * nanosPerMilli
 
-// MaxTimeLeft is how long a client of any method may say that it waits.
+// MaxTimeLeft returns the longest TimeLeft accepted for any method.
 func (r *Router) MaxTimeLeft() (longest time.Duration) {
 	for i := range r.methods {
 		longest = max(longest, time.Duration(maxTimeLeft(&r.methods[i])))
@@ -132,7 +135,7 @@
 	return longest
 }
 
-// newActiveRPC makes the trip of an RPC. The lock is held.
+// newActiveRPC registers an RPC under a new number. r.mu must be held.
 func (r *Router) newActiveRPC(clientID string) *ActiveRPC {
 	r.lastRPC++
 	for r.activeRPCs[r.lastRPC] != nil {
@@ -143,32 +146,34 @@
 	return active
 }
 
-// submit hands an RPC to the module. The lock is held.
+// submit hands the RPC to the rules driver. The router's lock must be held.
 func (a *ActiveRPC) submit(rpc rules.RPC) {
 	rpc.ID = a.id
 	a.router.driver.Take(rpc)
 }
 
-// MayBegin tells whether an attempt may still begin. It is asked just before the first byte is written, on whatever connection
-// that took whatever time to get.
+// MayBegin reports whether an attempt may still begin. It is called just before the first byte is
+// written, since getting a connection may have taken long.
 func (a *ActiveRPC) MayBegin(number int) bool {
 	a.router.mu.Lock()
 	defer a.router.mu.Unlock()
 	attempt := &a.attempts[number]
-	allowed := !a.isFinished && attempt.onResult != nil && (a.admission == nil || a.mayProceed()) && a.router.driver.May(a.id, attempt.member)
+	allowed := !a.isFinished && attempt.onResult != nil && (a.admission == nil || a.mayProceed()) &&
+		a.router.driver.May(a.id, attempt.member)
 	if allowed && a.admission != nil {
 		a.admission.lastBeganAt = a.router.now()
 	}
 	if a.router.trace.enabled {
-		a.router.trace.printf("begins id=%s number=%d member=%d allowed=%t basis=%s", a.clientID, number, attempt.member, allowed, a.router.driver.Basis(a.id, attempt.member))
+		a.router.trace.printf("attempt begins id=%s number=%d member=%d allowed=%t basis=%s", a.clientID, number,
+			attempt.member, allowed, a.router.driver.Basis(a.id, attempt.member))
 	}
 	return allowed
 }
 
-// NextStep waits for the next step.
+// NextStep blocks until the next step is known.
 func (a *ActiveRPC) NextStep() Step { return <-a.steps }
 
-// ClientLeft says that the client has gone.
+// ClientLeft ends the RPC because its client has disconnected or cancelled it.
 func (a *ActiveRPC) ClientLeft() {
 	a.router.mu.Lock()
 	defer a.router.mu.Unlock()
@@ -181,7 +186,7 @@
 	}
 }
 
-// ReportAttempt says how an attempt ended.
+// ReportAttempt reports the outcome of an attempt. Only the first report of an attempt counts.
 func (a *ActiveRPC) ReportAttempt(number int, outcome Outcome) {
 	a.router.mu.Lock()
 	defer a.router.mu.Unlock()
@@ -208,15 +213,17 @@
 	if a.admission != nil && outcome.isFenced() {
 		a.handleFenced()
 	}
-	result := rules.Result{Proof: class.proof, Cause: class.cause, Took: a.router.now() - attempt.sentAt, Final: a.isFinished, Observation: outcome.observation()}
+	result := rules.Result{Proof: class.proof, Cause: class.cause, Took: a.router.now() - attempt.sentAt, Final: a.isFinished,
+		Observation: outcome.observation()}
 	result.Opened = a.router.clockTime(outcome.OpenedAt)
 	a.router.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
-		a.clientID, number, attempt.member, result.Took/nanosPerMilli, outcome.CloseReason, proofNames[class.proof], roleNames[result.Role], result.Position/nanosPerMilli)
+		a.clientID, number, attempt.member, result.Took/nanosPerMilli, outcome.CloseReason, proofNames[class.proof],
+		roleNames[result.Role], result.Position/nanosPerMilli)
 	onResult(result)
 	a.removeIfDone()
 }
 
-// startAttempt hands out an attempt. The lock is held.
+// startAttempt emits a step for a new attempt and returns its number. The router's lock must be held.
 func (a *ActiveRPC) startAttempt(router *Router, member rules.MemberID, timeLimit int64, onResult func(rules.Result)) int {
 	number := len(a.attempts)
 	if a.admission != nil && !a.admitAttempt(onResult) {
@@ -225,18 +232,21 @@
 	timeout := time.Duration(max(timeLimit, 0))
 	ctx, stop := context.WithTimeout(context.Background(), timeout)
 	ctx, cancel := context.WithCancelCause(ctx)
-	a.attempts = append(a.attempts, attemptState{member: member, sentAt: router.now(), deadline: router.now() + int64(timeout), onResult: onResult, cancel: func() { cancel(transport.Cancelled); stop() }})
+	a.attempts = append(a.attempts, attemptState{member: member, sentAt: router.now(), deadline: router.now() + int64(timeout),
+		onResult: onResult, cancel: func() { cancel(transport.Cancelled); stop() }})
 	a.outstanding++
-	router.trace.printf("attempt id=%s number=%d member=%d within_ms=%d", a.clientID, number, member, timeout.Milliseconds())
-	a.steps <- Step{Action: ActionAttempt, AttemptNumber: number, Member: member, Address: router.registry.address(member), Context: ctx, Fence: a.fence()}
+	router.trace.printf("attempt chosen id=%s number=%d member=%d within_ms=%d", a.clientID, number, member, timeout.Milliseconds())
+	a.steps <- Step{Action: ActionAttempt, AttemptNumber: number, Member: member, Address: router.registry.address(member),
+		Context: ctx, Fence: a.fence()}
 	return number
 }
 
-// finish hands out the last step. The lock is held.
+// finish emits the last step, unless one was emitted before. The router's lock must be held.
 func (a *ActiveRPC) finish(step Step) {
 	if !a.isFinished {
 		a.isFinished = true
-		a.router.trace.printf("answer id=%s act=%q attempts=%d come_back_ms=%d", a.clientID, actionNames[step.Action], len(a.attempts), step.RetryAfter/nanosPerMilli)
+		a.router.trace.printf("rpc finished id=%s act=%q attempts=%d come_back_ms=%d", a.clientID, actionNames[step.Action],
+			len(a.attempts), step.RetryAfter/nanosPerMilli)
 		if a.admission != nil {
 			a.recordFinish(step.Action)
 		}
@@ -245,7 +255,8 @@
 	}
 }
 
-// removeIfDone forgets the RPC once it has ended and nothing is out for it.
+// removeIfDone removes the RPC once it is finished and no attempt is outstanding. The router's lock
+// must be held.
 func (a *ActiveRPC) removeIfDone() {
 	if a.isFinished && a.outstanding == 0 && a.router.activeRPCs[a.id] == a {
 		delete(a.router.activeRPCs, a.id)
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -12,26 +12,29 @@
 	"sedgespread/rules"
 )
 
-// Rulebook is what decides on an RPC's way and has versions: the part of the operator's file that all drivers share.
+// Rulebook is the versioned configuration that routing depends on: the part of the operator's file that
+// all drivers share.
 const Rulebook versions.Thing = "rulebook"
 
-// EnableVersions lets every RPC from here on act on a version of the rulebook. It is called before the first.
+// EnableVersions ties every RPC to a version of the rulebook. It must be called before the first Admit.
 func (r *Router) EnableVersions(holder *versions.Holder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.holder = holder
 }
 
-// AuditWindow is for how long after a change of version RPCs with an effect that reach a member are entered one by one; later ones are counted.
+// AuditWindow is how long after a change of version the audit trail records writes one by one; later
+// ones are only counted.
 const AuditWindow = 5 * time.Second
 
-// clockSkewAllowance is for how much longer they are, since whoever compares may have the time of the change from clocks that differ by a little.
+// clockSkewAllowance extends AuditWindow, since the clocks of the drivers that are compared may differ.
 const clockSkewAllowance = 100 * time.Millisecond
 
-// maxTrailEntries is how many entries of its trail a driver keeps.
+// maxTrailEntries is how many entries of the audit trail are kept.
 const maxTrailEntries = 8192
 
-// StartTrail reports the number of this driver's start. From here on what it does is entered in its trail.
+// StartTrail starts the audit trail of this driver, which is identified by its name and start number.
+// Later calls have no effect.
 func (r *Router) StartTrail(driver versions.Sign, token string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +48,7 @@
 	}
 }
 
-// TrailSince gives the entries of this driver's trail after one, at most so many.
+// TrailSince returns up to limit entries of the audit trail that follow entry seq.
 func (r *Router) TrailSince(seq uint64, limit int) audit.Part {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +59,8 @@
 	return r.trail.Since(seq, limit)
 }
 
-// FlushTrail enters all that is left to enter, and gives the entries after one.
+// FlushTrail records all pending counts and returns the entries of the audit trail that follow entry
+// seq.
 func (r *Router) FlushTrail(seq uint64) audit.Part {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +71,8 @@
 	return r.trail.Since(seq, maxTrailEntries)
 }
 
-// beginVersion lets an RPC act on the version that this driver acts on, and tells whether there is one. The lock is held.
+// beginVersion ties the RPC to the version in force on this driver and reports whether there is one.
+// The router's lock must be held.
 func (a *ActiveRPC) beginVersion() (allowed bool) {
 	if a.router.holder == nil {
 		return true
@@ -80,27 +85,30 @@
 	return allowed
 }
 
-// recordVersionOutcome tells how an RPC has ended under its version. The lock is held.
+// recordVersionOutcome counts how the RPC has ended under its version. The router's lock must be held.
 func (a *ActiveRPC) recordVersionOutcome(action Action) {
 	if a.router.holder != nil {
-		a.router.holder.Fared(Rulebook, a.admission.version, action == ActionServe, action == ActionReject || action == ActionAbort, a.router.now()-a.admission.startedAt)
+		a.router.holder.Fared(Rulebook, a.admission.version, action == ActionServe,
+			action == ActionReject || action == ActionAbort, a.router.now()-a.admission.startedAt)
 	}
 }
 
-// isPlantedFailure tells whether a planted fault ends the RPC.
+// isPlantedFailure reports whether a planted fault, of which only builds for trials have any, ends the
+// RPC.
 func (a *ActiveRPC) isPlantedFailure() bool {
 	return planted.Is(planted.Harm) && a.admission.version > versions.Origin && a.id%4 == 0
 }
 
-// mayProceed tells whether something more may be done for an RPC: its tenant is where it was, and its version is acted on. The
-// lock is held.
+// mayProceed reports whether the RPC's tenant is still in the same cell and its version still in force.
+// The router's lock must be held.
 func (a *ActiveRPC) mayProceed() bool {
 	now := a.router.now()
-	return a.router.admissionController.MayProceed(a.admission.ticket, now) && (a.router.holder == nil || a.router.holder.May(now, Rulebook, a.admission.version))
+	return a.router.admissionController.MayProceed(a.admission.ticket, now) &&
+		(a.router.holder == nil || a.router.holder.May(now, Rulebook, a.admission.version))
 }
 
-// endVersion says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
-// more. The lock is held.
+// endVersion releases the RPC's version once none of its attempts can still be running. The router's
+// lock must be held.
 func (a *ActiveRPC) endVersion() {
 	version := a.admission.version
 	if version == 0 {
@@ -108,7 +116,8 @@
 	}
 	a.admission.version = 0
 	if a.router.trail != nil && !(planted.Is(planted.Audit) && a.id%10 == 0) {
-		a.router.trail.Ended(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome, a.admission.lastBeganAt)
+		a.router.trail.Ended(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome,
+			a.admission.lastBeganAt)
 	}
 	if a.admission.runsUntil <= a.router.now() {
 		a.router.holder.End(Rulebook, version)
@@ -121,7 +130,7 @@
 var auditEffects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.Tokened: audit.Tokened,
 	rules.NonIdempotent: audit.NonIdempotent}
 
-// auditEffect is what an RPC of a method does to data.
+// auditEffect returns the effect that the audit trail records for RPCs of a method.
 func auditEffect(method *rules.Method) audit.Effect {
 	if method.Need != rules.NeedPrimary {
 		return audit.Read
@@ -129,10 +138,12 @@
 	return auditEffects[method.Effect]
 }
 
-// auditOutcomes is how an RPC ended.
-var auditOutcomes = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack, ActionAbort: audit.Aborted, ActionDrop: audit.Left}
+// auditOutcomes maps an RPC's last action to the outcome that the audit trail records.
+var auditOutcomes = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack,
+	ActionAbort: audit.Aborted, ActionDrop: audit.Left}
 
-// fence is what a store is told, so that it can turn away what comes too late: none where there are no versions.
+// fence returns the fence by which a store rejects attempts of closed versions. It is empty if nothing
+// is versioned.
 func (a *ActiveRPC) fence() (fence protocol.Fence) {
 	if a.admission == nil || a.router.holder == nil {
 		return fence
@@ -145,28 +156,28 @@
 	return fence
 }
 
-// handleFenced ends an RPC whose version a store has turned away, and lets nothing more begin under it before the council was asked
-// again. The lock is held.
+// handleFenced ends an RPC whose version a store has rejected. Nothing more begins under that version
+// until the council has confirmed it. The router's lock must be held.
 func (a *ActiveRPC) handleFenced() {
 	router := a.router
 	router.fencedAttempts++
 	if router.holder != nil && router.holder.Fenced(router.now(), Rulebook, a.admission.version) {
 		router.log.WithFields(logrus.Fields{"thing": Rulebook, "version": a.admission.version, "turned_away": router.fencedAttempts}).
-			Warn("a store has turned the version away that this driver acts on")
+			Warn("store rejected the version in force on this driver")
 	}
 	if !a.isFinished {
 		a.rejectOrAbort(a.outstanding > 0)
 	}
 }
 
-// VersionSightings is what the fleet is told of this driver's versions, and when that was.
+// VersionSightings returns what this driver reports of its versions, and the time of the report.
 func (r *Router) VersionSightings() ([]versions.Sighting, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holder.Sightings(), r.now()
 }
 
-// ApplyOrders reports what the fleet granted to what was asked at a time, and gives what is to be adopted.
+// ApplyOrders applies the grant for the report made at askedAt and returns the versions to adopt.
 func (r *Router) ApplyOrders(askedAt int64, grant versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,7 +197,7 @@
 	return adoptions
 }
 
-// ReportAdoption reports that this driver acts on a version, or why it can't.
+// ReportAdoption reports that a version is now in force on this driver, or why it could not be adopted.
 func (r *Router) ReportAdoption(adoption versions.Adoption, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,10 +211,11 @@
 	}
 }
 
-// rejectWithoutVersion ends an RPC that was taken and had no attempt: trying again is harmless.
+// rejectWithoutVersion rejects an RPC because no version is in force. The router's lock must be held.
 func (a *ActiveRPC) rejectWithoutVersion() {
 	a.finish(Step{Action: ActionReject, RetryAfter: min(noVersionRetryAfter, a.router.limits.ComeBack)})
 }
 
-// noVersionRetryAfter is when a client may come back that found a driver without a version to act on.
+// noVersionRetryAfter is the retry hint, in nanoseconds, for RPCs rejected because no version is in
+// force.
 const noVersionRetryAfter = int64(200_000_000)
