--- a/internal/briefing/parts.go
+++ b/internal/briefing/parts.go
@@ -37,13 +37,13 @@
 }
 
 // Equal tells whether two say the same.
-func Equal(a, b *Fields) bool { return slices.Equal(a.fields, b.fields) }
+func Equal(first, second *Fields) bool { return slices.Equal(first.fields, second.fields) }
 
 // Get finds a part; lines are short, so that a look along them beats a map.
 func (f *Fields) Get(name string) (string, bool) {
-	for _, field := range f.fields {
-		if field.name == name {
-			return field.value, true
+	for _, entry := range f.fields {
+		if entry.name == name {
+			return entry.value, true
 		}
 	}
 	return "", false
@@ -126,8 +126,8 @@
 	}
 }
 
-// TimeOrZero reads microseconds as nanoseconds, 0 when absent.
-func (f *Fields) TimeOrZero(name string) int64 {
+// MicrosOrZero reads microseconds as nanoseconds, 0 when absent.
+func (f *Fields) MicrosOrZero(name string) int64 {
 	micros := f.IntegerOr(name, 0)
 	if micros > math.MaxInt64/nanosPerMicro || micros < math.MinInt64/nanosPerMicro {
 		f.Fail("%s=%d is out of range", name, micros)
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -31,9 +31,9 @@
 		method.Name = f.RequiredString(prefix + "name")
 		method.Effect = Lookup(f, prefix+"effect", f.RequiredString(prefix+"effect"), effectByName)
 		method.Scope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), scopeByName)
-		method.Window = f.TimeOrZero(prefix + "windowUs")
+		method.Window = f.MicrosOrZero(prefix + "windowUs")
 		method.SoftDeadline = f.RequiredInteger(prefix+"aimUs") * nanosPerMicro
-		method.Deadline = f.TimeOrZero(prefix + "giveUpUs")
+		method.Deadline = f.MicrosOrZero(prefix + "giveUpUs")
 		method.Utility = f.NumberOr(prefix+"worth", 1)
 		method.LateUtility = f.NumberOr(prefix+"lateWorth", 0)
 		if i < len(readLevels) {
@@ -72,7 +72,7 @@
 		Probes:   f.BoolOr("limits.probing", false),
 	}
 	if f.BoolOr("limits.retryAfter", false) {
-		limits.ComeBack = f.TimeOrZero("limits.maxRetryAfterUs")
+		limits.ComeBack = f.MicrosOrZero("limits.maxRetryAfterUs")
 	}
 	return limits
 }
@@ -80,7 +80,7 @@
 func (f *Fields) SlowStart() rules.SlowStart {
 	return rules.SlowStart{
 		Share:     f.NumberOr("safety.startCapacity", 1),
-		WarmAfter: f.TimeOrZero("safety.warmAfterUs"),
+		WarmAfter: f.MicrosOrZero("safety.warmAfterUs"),
 		Multiple:  f.NumberOr("safety.fallMultiple", 1),
 	}
 }
@@ -89,7 +89,7 @@
 	return rules.Notice{
 		Asked:     Lookup(f, "discovery", f.Value("discovery"), isPushedByName),
 		DrainOnly: f.BoolOr("safety.softRemoval", false),
-		Grace:     f.TimeOrZero("safety.drainGraceUs"),
+		Grace:     f.MicrosOrZero("safety.drainGraceUs"),
 	}
 }
 
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -148,7 +148,7 @@
 // spans reads how long the network may take.
 func (p *Posting) spans() error {
 	span := func(name string, usual time.Duration) time.Duration {
-		if t := p.Deployment.TimeOrZero(name); t > 0 {
+		if t := p.Deployment.MicrosOrZero(name); t > 0 {
 			return time.Duration(t)
 		}
 		return usual
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -36,7 +36,7 @@
 		Group:   rules.GroupID(f.IntegerOr("group", 0)),
 		Zone:    f.Value("hall"),
 		State:   briefing.Lookup(f, "stageState", f.RequiredString("stageState"), states),
-		Started: f.TimeOrZero("bootTimeUs"),
+		Started: f.MicrosOrZero("bootTimeUs"),
 		Primary: f.NumberOr("head", 0) == 1,
 		Size:    f.NumberOr("size", 0),
 	}
@@ -44,7 +44,7 @@
 
 func result(f *briefing.Fields, epoch int64) rules.Result {
 	end := briefing.Lookup(f, "outcome", f.RequiredString("outcome"), endings)
-	r := rules.Result{Proof: end.proof, Cause: end.cause, Took: f.TimeOrZero("waitTimeUs"), Final: f.BoolOr("final", false)}
+	r := rules.Result{Proof: end.proof, Cause: end.cause, Took: f.MicrosOrZero("waitTimeUs"), Final: f.BoolOr("final", false)}
 	note := f.IntegerOr("posRole", 0)
 	if note < 0 || note%4 == 3 {
 		f.Fail("posRole=%d is not a position and role", note)
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -99,7 +99,7 @@
 	if f.Name != "BEGIN_BATCH" {
 		return fmt.Errorf("%q where a batch should begin", f.Name)
 	}
-	w.now = f.TimeOrZero("simTimeUs")
+	w.now = f.MicrosOrZero("simTimeUs")
 	n := f.RequiredInteger("n")
 	if f.RequiredString("simTimeUs"); f.Err != nil {
 		return f.Err
@@ -141,7 +141,7 @@
 	case "REQUEST":
 		d.request(f)
 	case "FIRST":
-		d.resolved(f, false, rules.Result{Proof: rules.Started, Took: f.TimeOrZero("waitTimeUs")})
+		d.resolved(f, false, rules.Result{Proof: rules.Started, Took: f.MicrosOrZero("waitTimeUs")})
 	case "RESOLVED":
 		d.resolved(f, true, result(f, d.epoch))
 	case "VANISHED":
@@ -186,7 +186,7 @@
 }
 
 func (w *wire) newInstance(f *briefing.Fields) error {
-	d := &driver{w: w, who: f.RequiredInteger("who"), epoch: f.TimeOrZero("extra.countedFromUs"), methods: map[string]rules.MethodID{},
+	d := &driver{w: w, who: f.RequiredInteger("who"), epoch: f.MicrosOrZero("extra.countedFromUs"), methods: map[string]rules.MethodID{},
 		rpcs: map[rules.RPCID]*pending{}, probes: map[rules.MemberID][]func(rules.ProbeResult){}}
 	methods := f.Methods()
 	for i, m := range methods {
