--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -7,24 +7,28 @@
 	"sedgespread/rules"
 )
 
-// EncodeObservations is what the fellow drivers are sent for the module's news, at a time. They know a member by its key, and
-// positions count from epoch.
-func EncodeObservations(observations []rules.News, keyOfMember func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
+// EncodeObservations encodes observations for the peers, which identify a member by its key. Times are
+// nanoseconds; positions are sent relative to epoch.
+func EncodeObservations(observations []rules.News, keyOfMember func(rules.MemberID) uint32,
+	epoch, now int64) (message []byte) {
 	for _, observation := range observations {
-		message = protocol.AppendObservation(message, protocol.Observation{Member: keyOfMember(observation.Member), Role: uint8(observation.Role),
-			PositionMillis: toMillis(observation.Position - epoch), LatencyMillis: toMillis(observation.Took), Failed: observation.Failed,
+		message = protocol.AppendObservation(message, protocol.Observation{Member: keyOfMember(observation.Member),
+			Role: uint8(observation.Role), PositionMillis: toMillis(observation.Position - epoch),
+			LatencyMillis: toMillis(observation.Took), Failed: observation.Failed,
 			MinUptimeSeconds: observation.Ran / int64(time.Second)}, toMillis(now-epoch))
 	}
 	return message
 }
 
-// DecodeObservations reads what a fellow driver sent, heard at a time, and tells whether it is a driver's. What it says of members
-// that are not known here is left out.
-func DecodeObservations(message []byte, memberOfKey func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (observations []rules.News, ok bool) {
+// DecodeObservations decodes a peer's message that was received at now, and reports whether it is valid.
+// Observations of unknown members are left out.
+func DecodeObservations(message []byte, memberOfKey func(key uint32) (id rules.MemberID, known bool),
+	epoch, now int64) (observations []rules.News, ok bool) {
 	peerObservations, ok := protocol.ParseObservations(message, toMillis(now-epoch))
 	for _, peerObservation := range peerObservations {
 		if id, known := memberOfKey(peerObservation.Member); known {
-			observations = append(observations, rules.News{Member: id, Took: toNanos(peerObservation.LatencyMillis), Failed: peerObservation.Failed, Ran: peerObservation.MinUptimeSeconds * int64(time.Second),
+			observations = append(observations, rules.News{Member: id, Took: toNanos(peerObservation.LatencyMillis),
+				Failed: peerObservation.Failed, Ran: peerObservation.MinUptimeSeconds * int64(time.Second),
 				Observation: rules.Observation{Role: rules.Role(peerObservation.Role), Position: epoch + toNanos(peerObservation.PositionMillis)}})
 		}
 	}
--- a/internal/briefing/object.go
+++ b/internal/briefing/object.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Flatten makes parts of a JSON object as the simulator does: nested names are joined by dots, lists of plain
-// values by commas, and a list of objects has its length under .count and its items under .0, .1 and onward.
+// Flatten converts a JSON object to fields as the simulator does. Nested names are joined by dots, lists
+// of scalars by commas; a list of objects has its length under .count and its items under .0, .1 and so on.
 func Flatten(name string, object map[string]any) *Fields {
 	fields := &Fields{Name: name}
 	fields.flatten("", object)
--- a/internal/briefing/parts.go
+++ b/internal/briefing/parts.go
@@ -1,4 +1,5 @@
-// Package briefing reads what a driver is told when it starts, the same from the simulator and from a file.
+// Package briefing parses the settings that a driver starts with, which come from the simulator or from a
+// file, and encodes the observations that drivers exchange.
 package briefing
 
 import (
@@ -11,16 +12,16 @@
 
 const nanosPerMicro = int64(1000)
 
-// Fields are the name=value parts of one line. The first thing found wrong with them is kept in Err.
+// Fields are the name=value fields of a line or an object. Err keeps the first error found in them.
 type Fields struct {
-	Name   string
+	Name   string // of the line or object, for error messages
 	Err    error
 	fields []field
 }
 
 type field struct{ name, value string }
 
-// Parse reads a line, or a report's parts, into p, which is used again for each line.
+// Parse replaces the fields by those of a line, which starts with its name.
 func (f *Fields) Parse(line, separator, assign string) {
 	f.Name, line, _ = strings.Cut(line, separator)
 	f.fields, f.Err = f.fields[:0], nil
@@ -36,10 +37,10 @@
 	}
 }
 
-// Equal tells whether two say the same.
+// Equal reports whether two have the same fields in the same order.
 func Equal(first, second *Fields) bool { return slices.Equal(first.fields, second.fields) }
 
-// Get finds a part; lines are short, so that a look along them beats a map.
+// Get returns the value of a field, if present. Lines are so short that a linear search beats a map.
 func (f *Fields) Get(name string) (string, bool) {
 	for _, entry := range f.fields {
 		if entry.name == name {
@@ -49,20 +50,20 @@
 	return "", false
 }
 
-// Value gives a part, or nothing where it is absent.
+// Value returns the value of a field, empty if absent.
 func (f *Fields) Value(name string) string {
 	value, _ := f.Get(name)
 	return value
 }
 
-// Fail notes what is wrong, unless something was before.
+// Fail sets Err unless it is set already.
 func (f *Fields) Fail(format string, args ...any) {
 	if f.Err == nil {
 		f.Err = fmt.Errorf("%s: %s", f.Name, fmt.Sprintf(format, args...))
 	}
 }
 
-// RequiredString gives a part that must be there.
+// RequiredString returns the value of a field that must be present.
 func (f *Fields) RequiredString(name string) string {
 	value, ok := f.Get(name)
 	if !ok {
@@ -71,11 +72,12 @@
 	return value
 }
 
-// RequiredInteger reads a whole number that must be there.
+// RequiredInteger parses a field that must be present.
 func (f *Fields) RequiredInteger(name string) int64 {
 	return f.ParseInteger(name, f.RequiredString(name))
 }
 
+// ParseInteger parses a value that belongs to the named field.
 func (f *Fields) ParseInteger(name, value string) int64 {
 	number, err := strconv.ParseInt(value, 10, 64)
 	if err != nil && f.Err == nil {
@@ -84,6 +86,7 @@
 	return number
 }
 
+// RequiredID parses a field that must be present and hold a number of 32 bits.
 func (f *Fields) RequiredID(name string) uint32 {
 	number := f.RequiredInteger(name)
 	if number < 0 || number > math.MaxUint32 {
@@ -92,6 +95,7 @@
 	return uint32(number)
 }
 
+// IntegerOr parses a field, or returns fallback if it is absent.
 func (f *Fields) IntegerOr(name string, fallback int64) int64 {
 	if value, ok := f.Get(name); ok {
 		return f.ParseInteger(name, value)
@@ -99,6 +103,7 @@
 	return fallback
 }
 
+// NumberOr parses a finite decimal number, or returns fallback if the field is absent or invalid.
 func (f *Fields) NumberOr(name string, fallback float64) float64 {
 	value, ok := f.Get(name)
 	if !ok {
@@ -112,6 +117,7 @@
 	return number
 }
 
+// BoolOr parses 0, 1, false or true, or returns fallback if the field is absent or invalid.
 func (f *Fields) BoolOr(name string, fallback bool) bool {
 	switch value, ok := f.Get(name); {
 	case !ok:
@@ -126,7 +132,7 @@
 	}
 }
 
-// MicrosOrZero reads microseconds as nanoseconds, 0 when absent.
+// MicrosOrZero parses microseconds and returns nanoseconds, 0 if the field is absent.
 func (f *Fields) MicrosOrZero(name string) int64 {
 	micros := f.IntegerOr(name, 0)
 	if micros > math.MaxInt64/nanosPerMicro || micros < math.MinInt64/nanosPerMicro {
@@ -136,7 +142,8 @@
 	return micros * nanosPerMicro
 }
 
-// RequiredSeconds reads a decimal number of seconds as nanoseconds, exactly; what is finer is cut off. A float64 has not the digits for a Unix time.
+// RequiredSeconds parses decimal seconds and returns nanoseconds, truncated. It avoids float64, which is
+// too imprecise for a Unix time, unless the number has another form.
 func (f *Fields) RequiredSeconds(name string) int64 {
 	const fractionDigits = 9
 	text := f.RequiredString(name)
@@ -144,11 +151,12 @@
 	fraction = fraction[:min(len(fraction), fractionDigits)]
 	nanos, err := strconv.ParseInt(whole+fraction+strings.Repeat("0", fractionDigits-len(fraction)), 10, 64)
 	if err != nil || strings.ContainsAny(fraction, "+-") {
-		return int64(f.NumberOr(name, 0) * 1e9) // of another form, or no number
+		return int64(f.NumberOr(name, 0) * 1e9) // an exponent, for example, or an invalid number
 	}
 	return nanos
 }
 
+// List returns the items of a field that is separated by commas.
 func (f *Fields) List(name string) []string {
 	if f.Value(name) == "" {
 		return nil
@@ -156,7 +164,7 @@
 	return strings.Split(f.Value(name), ",")
 }
 
-// Lookup reads one of the words of a table.
+// Lookup returns the table's entry for the value of the named field. An unknown value is an error.
 func Lookup[T any](fields *Fields, name, value string, table map[string]T) T {
 	found, ok := table[value]
 	if !ok {
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -16,6 +16,7 @@
 	isPushedByName  = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
+// Methods parses the methods (classes) of the settings.
 func (f *Fields) Methods() []rules.Method {
 	readLevels := f.List("extra.readLevel")
 	maxAges := f.List("extra.maxAgeUs")
@@ -46,6 +47,7 @@
 	return methods
 }
 
+// Fleet parses the number of drivers and whether they exchange observations.
 func (f *Fields) Fleet() rules.Fleet {
 	fleet := rules.Fleet{Drivers: int(f.IntegerOr("fleetSize", 1))}
 	if fleet.Drivers < 1 {
@@ -57,6 +59,7 @@
 	return fleet
 }
 
+// Store parses how the store protects session reads.
 func (f *Fields) Store() rules.Store {
 	return rules.Store{
 		Guarded: Lookup(f, "extra.guards", f.Value("extra.guards"), isGuardedByName),
@@ -64,6 +67,7 @@
 	}
 }
 
+// Limits parses what the driver may do for an RPC.
 func (f *Fields) Limits() rules.Allowed {
 	limits := rules.Allowed{
 		Attempts: int(f.IntegerOr("limits.mostTries", 1)),
@@ -77,6 +81,7 @@
 	return limits
 }
 
+// SlowStart parses how members that have just started are ramped up.
 func (f *Fields) SlowStart() rules.SlowStart {
 	return rules.SlowStart{
 		Share:     f.NumberOr("safety.startCapacity", 1),
@@ -85,6 +90,7 @@
 	}
 }
 
+// Discovery parses how discovery announces members that leave.
 func (f *Fields) Discovery() rules.Notice {
 	return rules.Notice{
 		Asked:     Lookup(f, "discovery", f.Value("discovery"), isPushedByName),
@@ -93,7 +99,7 @@
 	}
 }
 
-// Observation reads what a load report shows of its member. Positions count from epoch.
+// Observation parses what a load report shows of its member. Its position is relative to epoch.
 func (f *Fields) Observation(epoch int64) (observation rules.Observation) {
 	if _, ok := f.Get("x0"); !ok {
 		return observation
