--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,5 +1,5 @@
-// Package account joins the ledger to its journal: a grant of an RPC that must not run twice is on the disk before anybody
-// has it. What is decided is decided in package ledger.
+// Package account makes a ledger durable: the grant of an RPC that must not run twice is written to the
+// journal before it is returned. The decisions themselves are made by package ledger.
 package account
 
 import (
@@ -12,7 +12,7 @@
 	"sedgespread/internal/store"
 )
 
-// JournaledLedger is a ledger at work. It may be used by many at once.
+// JournaledLedger is a ledger backed by a journal. It is safe for concurrent use.
 type JournaledLedger struct {
 	journal   *store.Journal
 	committer *store.Committer
@@ -22,10 +22,10 @@
 	ledger *ledger.Ledger
 }
 
-const maxRecordsPerWrite = 256 // records of one write, at most
+const maxRecordsPerWrite = 256
 
-// Open takes up what a journal holds, for so many RPCs of which one caller may have so many. A journal that holds nothing
-// may be one that was lost: until the longest deadline from now has passed repeats can't be told from first tries.
+// Open recovers a ledger from a journal. An empty journal may have been lost: until maxDeadline has passed
+// a retry may be of an RPC that has run, and is not granted.
 func Open(journal *store.Journal, maxRPCs, maxRPCsPerCaller int, maxDeadline time.Duration) (*JournaledLedger, error) {
 	l := &JournaledLedger{journal: journal, committer: store.NewCommitter(journal, maxRecordsPerWrite), startedAt: time.Now()}
 	records, err := store.All[ledger.Record](journal)
@@ -42,15 +42,15 @@
 
 func (l *JournaledLedger) now() int64 { return l.startedAt.UnixNano() + int64(time.Since(l.startedAt)) }
 
-// Join makes a caller known, or tells that it has started anew.
+// Join registers a caller. It returns false for an earlier start of a known caller.
 func (l *JournaledLedger) Join(name string, epoch uint64) (ledger.Caller, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ledger.Join(name, epoch)
 }
 
-// Request decides on an RPC. Once it returns a grant the record that the grant needs is on the disk; where that can't be
-// written the RPC is pushed back, since nobody has the grant, and the error says why.
+// Request decides on an RPC. The record that a grant needs is on disk when Request returns it. If the
+// record cannot be written, the RPC is rejected and the error returned.
 func (l *JournaledLedger) Request(request ledger.Request) (ledger.Decision, error) {
 	decision, record, isRecordNeeded := l.decide(request)
 	if !isRecordNeeded {
@@ -66,7 +66,8 @@
 	return ledger.Decision{Action: ledger.ActionReject, Reason: ledger.ReasonJournalFailed}, err
 }
 
-// decide decides, and counts a grant as out from here on: a repeat that comes while its record is written finds it so.
+// decide decides on an RPC. A grant counts as given from here on, so that a retry that arrives while the
+// record is being written is not granted too.
 func (l *JournaledLedger) decide(request ledger.Request) (decision ledger.Decision, record ledger.Record, isRecordNeeded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,8 +81,8 @@
 	return decision, record, isRecordNeeded
 }
 
-// Report takes what came of a grant, and tells whether it counts. Its record may be lost in a crash: the grant may then
-// have run for all that is known.
+// Report records the outcome of a grant and reports whether it was accepted. If a crash loses the record,
+// the RPC counts as one that may have run.
 func (l *JournaledLedger) Report(caller ledger.Caller, epoch uint64, grant ledger.Grant, outcome ledger.Outcome) (bool, error) {
 	l.mu.Lock()
 	accepted := l.ledger.Report(caller, epoch, grant, outcome)
@@ -99,12 +100,12 @@
 		err = l.committer.Append(text)
 	}
 	if err != nil {
-		return fmt.Errorf("the journal: %w", err)
+		return fmt.Errorf("writing record to ledger journal: %w", err)
 	}
 	return nil
 }
 
-// Counts are of what came and what became of it.
+// Counts returns the counters of the ledger.
 func (l *JournaledLedger) Counts() ledger.Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -26,7 +26,7 @@
 	return ledger.Request{ID: ledger.ID(id), Effect: rules.NonIdempotent, Group: 1, Deadline: time.Now().Add(10 * time.Second).UnixNano()}
 }
 
-// Guards against two grants for one write: to many who ask at once, and over a crash.
+// Guards against two grants for one write, to concurrent callers or after a crash.
 func TestSingleGrantPerWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	l, journal := openLedger(t, path)
@@ -57,7 +57,7 @@
 	require.NoError(t, err)
 	accepted, _ = l.Report(0, 1, grantsByID["7"][0], ledger.NeverRan)
 	require.False(t, accepted)
-	require.NoError(t, journal.Close()) // it dies
+	require.NoError(t, journal.Close()) // crash
 
 	l, journal = openLedger(t, path)
 	defer journal.Close()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Guards against a grant without its record: where the disk fails the RPC is pushed back, and can be granted later.
+// Guards against a grant without its record: if the disk fails, the RPC is rejected and can be granted later.
 func TestNoGrantWithoutRecord(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	l, journal := openLedger(t, path)
@@ -84,17 +84,17 @@
 	require.NoError(t, journal.Close())
 	for range 3 {
 		decision, err := l.Request(writeRequest("1"))
-		require.ErrorContains(t, err, "the journal")
+		require.ErrorContains(t, err, "writing record to ledger journal")
 		require.Equal(t, ledger.Decision{Action: ledger.ActionReject, Reason: ledger.ReasonJournalFailed}, decision)
 	}
 	read := writeRequest("2")
 	read.Effect = rules.Idempotent
 	decision, err := l.Request(read)
 	require.NoError(t, err)
-	require.Equal(t, ledger.ActionGrant, decision.Action, "it needs no record")
+	require.Equal(t, ledger.ActionGrant, decision.Action, "an idempotent RPC needs no record")
 }
 
-// Guards against a journal that was lost: repeats may be of what ran.
+// Guards against granting retries of RPCs that ran before the journal was lost.
 func TestLostJournalBlocksRetries(t *testing.T) {
 	l, journal := openLedger(t, filepath.Join(t.TempDir(), "journal"))
 	defer journal.Close()
