--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -14,6 +14,7 @@
 	"sedgespread/rules"
 )
 
+// openLedger opens the journal at path and recovers a ledger from it.
 func openLedger(t *testing.T, path string) (*JournaledLedger, *store.Journal) {
 	journal, err := store.Open(path)
 	require.NoError(t, err)
--- a/internal/routing/confine_test.go
+++ b/internal/routing/confine_test.go
@@ -15,7 +15,8 @@
 	"sedgespread/rules"
 )
 
-// newRouterWithCells gives a router whose tenants have cells: t is in the first, which is group 1, until it is moved.
+// newRouterWithCells returns a router with cells one (group 1) and two (group 2). Tenant t starts in cell
+// one.
 func newRouterWithCells(t testing.TB, leased bool) *Router {
 	r := newTestRouter(t, "a", "b")
 	layout := cells.NewLayout(1)
@@ -27,8 +28,8 @@
 	for _, name := range []string{"a", "b"} {
 		id, _ := r.MemberID(name)
 		r.mu.Lock()
-		r.driver.Told([]rules.News{{Member: id, Observation: rules.Observation{Role: map[string]rules.Role{"a": rules.RolePrimary, "b": rules.RoleReplica}[name],
-			Position: r.now()}}})
+		r.driver.Told([]rules.News{{Member: id, Observation: rules.Observation{
+			Role: map[string]rules.Role{"a": rules.RolePrimary, "b": rules.RoleReplica}[name], Position: r.now()}}})
 		r.mu.Unlock()
 	}
 	return r
@@ -36,13 +37,16 @@
 
 var requestCount int
 
+// admitRPC admits an RPC of the only tenant under a new id.
 func admitRPC(t *testing.T, r *Router, method string) *ActiveRPC {
 	requestCount++
-	active, err := r.Admit(&Request{ID: fmt.Sprint(requestCount), Method: method, Key: "k", IsWrite: method == "write", Group: 77, TimeLeft: 2000 * nanosPerMilli})
+	active, err := r.Admit(&Request{ID: fmt.Sprint(requestCount), Method: method, Key: "k", IsWrite: method == "write",
+		Group: 77, TimeLeft: 2000 * nanosPerMilli})
 	require.NoError(t, err)
 	return active
 }
 
+// applyGrant applies a grant of the coordinator with a lease from now on.
 func applyGrant(t *testing.T, r *Router, lease time.Duration, entries ...cells.Entry) {
 	grant := cells.Grant{Lease: int64(lease), Entries: entries}
 	for _, entry := range entries {
@@ -51,7 +55,7 @@
 	require.NoError(t, r.ReportGrant(r.now(), grant))
 }
 
-// nextStep waits for a trip's next step while what falls due is done.
+// nextStep waits for an RPC's next step and runs due timers meanwhile.
 func nextStep(t *testing.T, active *ActiveRPC) Step {
 	for startedAt := time.Now(); time.Since(startedAt) < 3*time.Second; time.Sleep(time.Millisecond) {
 		select {
@@ -61,22 +65,24 @@
 			active.router.runTimers()
 		}
 	}
-	require.Fail(t, "no step comes")
+	require.Fail(t, "timed out waiting for the next step")
 	return Step{}
 }
 
-// Guards against RPCs that are lost between the gate and the module.
+// Guards against RPCs that are lost between admission control and routing.
 func TestRPCAdmittedToItsCell(t *testing.T) {
 	r := newRouterWithCells(t, false)
 	active := admitRPC(t, r, "write")
 	step := nextStep(t, active)
-	require.Equal(t, ActionAttempt, step.Action, "the group is the cell's, not the client's")
+	require.Equal(t, ActionAttempt, step.Action, "the cell must decide the group, not the client")
 	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionServe, nextStep(t, active).Action)
 	stats := func() cells.Stats {
-		return ReadAdmission(r, func(now int64, controller *cells.AdmissionController) cells.Stats { return controller.Stats(now, 5) })
+		return ReadAdmission(r, func(now int64, controller *cells.AdmissionController) cells.Stats {
+			return controller.Stats(now, 5)
+		})
 	}
-	require.Equal(t, 1, stats().Tenants, "until its answer is passed on")
+	require.Equal(t, 1, stats().Tenants, "the RPC counts until its answer is delivered")
 	active.AnswerDelivered()
 	require.Zero(t, stats().Cells[0].RPCs+stats().Cells[0].Attempts)
 	left := admitRPC(t, r, "write")
@@ -85,8 +91,8 @@
 	require.Equal(t, ActionDrop, nextStep(t, left).Action)
 }
 
-// Guards against a driver that does not know where its tenant is: RPCs are pushed back before an attempt; after one, a
-// read is, and a write that may have run is aborted, whatever its answer says.
+// Guards against a driver that goes on after its lease has expired: RPCs are rejected, and writes that may
+// have run aborted whatever their answer.
 func TestExpiredLeaseEndsRPCs(t *testing.T) {
 	r := newRouterWithCells(t, true)
 	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action)
@@ -97,37 +103,38 @@
 	require.Equal(t, ActionServe, nextStep(t, quick).Action)
 	time.Sleep(200 * time.Millisecond)
 	write.ReportAttempt(writeStep.AttemptNumber, answered(r.now()/nanosPerMilli, true))
-	require.Equal(t, ActionAbort, nextStep(t, write).Action, "it ran, and its tenant may be elsewhere")
+	require.Equal(t, ActionAbort, nextStep(t, write).Action, "the write ran, but its tenant may be in another cell")
 	read.ReportAttempt(readStep.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionReject, nextStep(t, read).Action)
 }
 
-// Guards against a second attempt in the old cell once its tenant is in the new one.
+// Guards against another attempt in the old cell after its tenant has switched to the new one.
 func TestNoAttemptAfterCellSwitch(t *testing.T) {
 	r := newRouterWithCells(t, true)
 	applyGrant(t, r, time.Minute)
 	active := admitRPC(t, r, "write")
 	step := nextStep(t, active)
 	applyGrant(t, r, time.Minute, cells.Entry{Epoch: 9, Tenant: "t", Cell: "two", Stage: cells.StageIdle, MinPosition: 5})
-	active.ReportAttempt(step.AttemptNumber, Outcome{CloseReason: transport.DialRefused}) // it never ran, and would be sent again
+	// The attempt never ran and would be retried.
+	active.ReportAttempt(step.AttemptNumber, Outcome{CloseReason: transport.DialRefused})
 	require.Equal(t, ActionReject, nextStep(t, active).Action)
 	r.runTimers()
 	require.Empty(t, r.activeRPCs)
 }
 
-// Held RPCs go on in the new cell, or are pushed back while their clients can ask again.
+// Guards against RPCs held for a move that are neither resumed nor rejected in time for a retry.
 func TestRPCsHeldDuringMove(t *testing.T) {
 	r := newRouterWithCells(t, true)
 	applyGrant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.StageHoldingWrites, To: "two"})
 	held, cancelled, overLimit := admitRPC(t, r, "write"), admitRPC(t, r, "write"), admitRPC(t, r, "write")
-	require.Equal(t, ActionReject, nextStep(t, overLimit).Action, "no more than may be held")
-	require.Equal(t, ActionAttempt, nextStep(t, admitRPC(t, r, "read")).Action, "reads go on")
+	require.Equal(t, ActionReject, nextStep(t, overLimit).Action, "over the limit of held RPCs")
+	require.Equal(t, ActionAttempt, nextStep(t, admitRPC(t, r, "read")).Action, "reads must not be held yet")
 	cancelled.ClientLeft()
 	require.Equal(t, ActionDrop, nextStep(t, cancelled).Action)
 	report, _ := r.Report("n", 1)
-	require.Zero(t, report.Moves[0].Writes, "those that are held are not in flight")
+	require.Zero(t, report.Moves[0].Writes, "held writes are not in flight")
 	applyGrant(t, r, time.Minute, cells.Entry{Epoch: 2, Tenant: "t", Cell: "one", Stage: cells.StageRollingBack, To: "two"})
-	require.Equal(t, ActionAttempt, nextStep(t, held).Action, "the move was called off")
+	require.Equal(t, ActionAttempt, nextStep(t, held).Action, "held writes must resume after a rollback")
 	applyGrant(t, r, time.Minute, cells.Entry{Epoch: 3, Tenant: "t", Cell: "one", Stage: cells.StageHoldingAll, To: "two"})
 	requestCount++
 	short, err := r.Admit(&Request{ID: fmt.Sprint(requestCount), Method: "read", Key: "k", TimeLeft: 50 * nanosPerMilli})
@@ -135,10 +142,11 @@
 	require.Equal(t, ActionReject, nextStep(t, short).Action)
 }
 
-// A floor keeps reads from members behind it, the primary included.
+// Guards against reads from members behind the tenant's minimum position, the primary included.
 func TestMinPositionRestrictsReads(t *testing.T) {
 	r := newRouterWithCells(t, true)
-	applyGrant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.StageIdle, MinPosition: math.MaxInt64 / 2})
+	applyGrant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.StageIdle,
+		MinPosition: math.MaxInt64 / 2})
 	active := admitRPC(t, r, "read")
 	select {
 	case step := <-active.steps:
@@ -148,7 +156,7 @@
 	active.ClientLeft()
 }
 
-// Cost of the ordinary path: `make results-cost` keeps the figures.
+// BenchmarkRouting measures an RPC served at the first attempt. `make results-cost` records the results.
 func BenchmarkRouting(b *testing.B) {
 	for _, mode := range []string{"cells off", "cells on", "versions on", "audit on", "audit near a change"} {
 		b.Run(mode, func(b *testing.B) {
@@ -164,14 +172,15 @@
 				r.trail = audit.NewTrail(r.now(), versions.Sign{Name: "n", Start: 1}, "token", maxTrailEntries, near)
 				r.trail.Acts(r.now(), Rulebook, 2)
 			}
-			names := make([]string, b.N)
-			for i := range names {
-				names[i] = fmt.Sprint(i)
+			ids := make([]string, b.N)
+			for i := range ids {
+				ids[i] = fmt.Sprint(i)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				active, err := r.Admit(&Request{ID: names[i], Method: "write", Key: "club/7", IsWrite: true, Group: 1, TimeLeft: 2000 * nanosPerMilli})
+				active, err := r.Admit(&Request{ID: ids[i], Method: "write", Key: "club/7", IsWrite: true, Group: 1,
+					TimeLeft: 2000 * nanosPerMilli})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -17,16 +17,16 @@
 	"sedgespread/rules"
 )
 
-// Guards against an effect done twice because an end was taken for a proof that it never ran, and against
-// members blamed for what they did not do.
+// Guards against writes that are retried although they may have run, and failures that are attributed to
+// the wrong cause.
 func TestClassifyOutcome(t *testing.T) {
 	failedWith := func(state string) Outcome {
 		return Outcome{WasSent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: state}}}
 	}
 	for _, testCase := range []struct {
-		o     Outcome
-		proof rules.Proof
-		cause rules.Cause
+		outcome Outcome
+		proof   rules.Proof
+		cause   rules.Cause
 	}{
 		{Outcome{WasSent: true, Answer: &protocol.Answer{}}, rules.OK, rules.NoCause},
 		{Outcome{WasSent: true, Answer: &protocol.Answer{}, CloseReason: transport.ResetByPeer}, rules.OK, rules.NoCause},
@@ -49,15 +49,15 @@
 		{Outcome{WasSent: true, CloseReason: transport.TimedOut}, rules.MayHaveRun, rules.TimedOut},
 		{Outcome{WasSent: true, CloseReason: transport.Cancelled}, rules.MayHaveRun, rules.Cancelled},
 	} {
-		require.Equal(t, classification{testCase.proof, testCase.cause}, testCase.o.classify(), "%+v", testCase.o)
+		require.Equal(t, classification{testCase.proof, testCase.cause}, testCase.outcome.classify(), "%+v", testCase.outcome)
 	}
 	for reason := transport.DialRefused; reason <= transport.Withheld; reason++ {
-		require.Contains(t, causeByCloseReason, reason, "each end has its cause")
+		require.Contains(t, causeByCloseReason, reason, "every close reason must have a cause")
 	}
-	require.Equal(t, rules.Full, Outcome{CloseReason: transport.Rejected}.probeResult().Cause, "a full member lives")
+	require.Equal(t, rules.Full, Outcome{CloseReason: transport.Rejected}.probeResult().Cause, "a full member is alive")
 }
 
-// newTestRouter gives a router that knows members a and b of group 1.
+// newTestRouter returns a router that knows the named members of group 1.
 func newTestRouter(t testing.TB, names ...string) *Router {
 	settings := briefing.Flatten("settings", map[string]any{
 		"classes": []any{
@@ -78,6 +78,7 @@
 	return r
 }
 
+// nextTask returns the router's next task of type T and drops all others before it.
 func nextTask[T Task](t *testing.T, r *Router) T {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
@@ -90,10 +91,13 @@
 	}
 }
 
+// answered returns the outcome of an attempt or a probe that a member answered.
 func answered(position int64, isPrimary bool) Outcome {
-	return Outcome{WasSent: true, Answer: &protocol.Answer{IsPrimary: isPrimary, IsReplica: !isPrimary, PositionMillis: position}}
+	return Outcome{WasSent: true,
+		Answer: &protocol.Answer{IsPrimary: isPrimary, IsReplica: !isPrimary, PositionMillis: position}}
 }
 
+// submitRPC starts an RPC without the checks and the admission control of Admit.
 func submitRPC(r *Router, rpc rules.RPC) *ActiveRPC {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,8 +106,8 @@
 	return active
 }
 
-// Guards against clients that pass for others, by an id that is open or was a moment ago, and against RPCs that no
-// member would take; an id must be free again in the end.
+// Guards against RPCs with the id of an active or recently finished one, against invalid RPCs, and
+// against ids that are never released.
 func TestAdmitChecksRequests(t *testing.T) {
 	r := newTestRouter(t, "a")
 	request := Request{ID: "7", Method: "read", TimeLeft: 4000 * nanosPerMilli, Group: 9}
@@ -121,7 +125,7 @@
 	require.NoError(t, err)
 	require.Equal(t, ActionReject, active.NextStep().Action)
 	for id := range r.ids.inUse {
-		require.NotSame(t, unsafe.StringData(request.ID), unsafe.StringData(id), "an id must not hold its whole statement in memory")
+		require.NotSame(t, unsafe.StringData(request.ID), unsafe.StringData(id), "an id must not keep its whole statement in memory")
 	}
 	require.Equal(t, errDuplicateID, admit(func(request *Request) {}))
 	require.True(t, r.ids.acquire("8", time.Now().Add(idRetention)))
@@ -133,7 +137,7 @@
 	require.LessOrEqual(t, len(r.ids.finished), maxFinishedIDs+1)
 }
 
-// Guards against RPCs that get no final answer or two, and that leave something behind.
+// Guards against RPCs that get no final answer or more than one, and against leaks.
 func TestActiveRPCLifecycle(t *testing.T) {
 	r := newTestRouter(t, "a")
 	require.NotNil(t, nextTask[WatchDiscovery](t, r))
@@ -169,38 +173,37 @@
 	require.Empty(t, r.activeRPCs)
 }
 
-// Guards against a driver that grows with each member that comes and goes, and against a number that is used again:
-// what is late and names the one that had it would be taken for the newcomer's.
-func TestMemberChurn(t *testing.T) {
-	r := newTestRouter(t, "a")
+// Guards against leaks of removed members, and against reused numbers, which late messages could confuse.
+func TestMemberChurn(targets *testing.T) {
+	r := newTestRouter(targets, "a")
 	ids := map[rules.MemberID]bool{}
 	forgotten := 0
 	for round := range 5 {
-		t := protocol.Targets{IsFull: true}
+		targets := protocol.Targets{IsFull: true}
 		for i := range 100 {
-			t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint(round, "-", i), Address: "there", Group: 1})
+			targets.Entries = append(targets.Entries, protocol.Target{ID: fmt.Sprint(round, "-", i), Address: "there", Group: 1})
 		}
-		t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint("left-", round), Group: 1, Lifecycle: protocol.Deleted})
-		r.ApplyList(t)
+		targets.Entries = append(targets.Entries, protocol.Target{ID: fmt.Sprint("left-", round), Group: 1, Lifecycle: protocol.Deleted})
+		r.ApplyList(targets)
 		for id := range r.registry.members {
 			ids[id] = true
 		}
 	}
-	for forgotten < 406 { // 5 were never more than leaving
-		switch task := nextTask[Task](t, r).(type) {
+	for forgotten < 406 { // 401 former members, and 5 that were only ever listed as deleted
+		switch task := nextTask[Task](targets, r).(type) {
 		case ProbeMember:
 			r.ReportProbe(task.Member, Outcome{CloseReason: transport.DialRefused})
 		case ForgetMember:
 			forgotten++
 		}
 	}
-	require.Len(t, r.registry.members, 100)
-	require.Len(t, r.registry.idByName, 100)
-	require.Len(t, r.registry.idByKey, 100)
-	require.Len(t, ids, 501)
+	require.Len(targets, r.registry.members, 100)
+	require.Len(targets, r.registry.idByName, 100)
+	require.Len(targets, r.registry.idByKey, 100)
+	require.Len(targets, ids, 501)
 }
 
-// Guards against news that name another member at a driver that knows the members in another order.
+// Guards against observations that mean another member on a driver that numbers the members differently.
 func TestObservationsIdentifyMembersByKey(t *testing.T) {
 	sender, receiver := newTestRouter(t, "a", "b"), newTestRouter(t, "c", "b", "a")
 	position := time.Now().UnixMilli()
@@ -219,11 +222,11 @@
 	require.False(t, receiver.ReceiveObservations([]byte("\xff")))
 }
 
-// Guards against reads at a replica of which a peer's message tells that is new though it waited for a minute. A message holds 16 bits of a position,
-// in milliseconds: a process that was stopped for 66 s and goes on reads what waited in its socket, and took a position of 66 s before for one of 0.5 s.
+// Guards against stale reads after a stall. Messages hold 16 bits of a position in milliseconds, so that
+// one that waited in the socket for 66 s seems to be 0.5 s old.
 func TestObservationsDroppedAfterStall(t *testing.T) {
 	r := newTestRouter(t, "a")
-	a, _ := r.MemberID("a")
+	member, _ := r.MemberID("a")
 	stall := func(span int64) {
 		for i := range r.timers.queue {
 			r.timers.queue[i].due -= span
@@ -231,28 +234,29 @@
 	}
 	receive := func(age int64) {
 		position := r.now()/nanosPerMilli - age
-		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[a].key, Role: 2, PositionMillis: position}, position)))
+		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[member].key, Role: 2, PositionMillis: position}, position)))
 	}
 	stall(66_000 * nanosPerMilli)
 	receive(66_000)
-	require.False(t, r.HasObservation(a))
-	for _, ok, _ := r.runTimers(); ok; _, ok, _ = r.runTimers() { // its timers run, and more is read from the socket
+	require.False(t, r.HasObservation(member))
+	for _, ok, _ := r.runTimers(); ok; _, ok, _ = r.runTimers() { // run the timers that are overdue
 	}
 	receive(66_000)
-	require.False(t, r.HasObservation(a))
+	require.False(t, r.HasObservation(member))
 	r.ignorePeersUntil -= stallDrainTime
 	receive(10)
-	require.True(t, r.HasObservation(a), "what comes later counts")
+	require.True(t, r.HasObservation(member), "later messages must be applied")
 }
 
-// Guards against datagrams that say nothing: a position over 30 s old can't be told.
+// Guards against empty datagrams: a position over 30 s old cannot be encoded.
 func TestStaleObservationsNotSent(t *testing.T) {
 	r := newTestRouter(t, "a")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := len(r.tasks)
 	send := func(age time.Duration) {
-		(*host)(r).Tell([]rules.News{{Member: 1, Observation: rules.Observation{Role: rules.RoleReplica, Position: r.now() - int64(age)}}})
+		(*host)(r).Tell([]rules.News{{Member: 1,
+			Observation: rules.Observation{Role: rules.RoleReplica, Position: r.now() - int64(age)}}})
 	}
 	send(40 * time.Second)
 	require.Len(t, r.tasks, before)
@@ -260,29 +264,30 @@
 	require.Len(t, r.tasks, before+1)
 }
 
-// Guards against a member that turns a session away, on no connection at all, and is taken for one that ran all along.
+// Guards against an unset connection time being taken for a very old connection, and its member for one
+// that has run since.
 func TestMissingConnectionHasNoOpenTime(t *testing.T) {
 	r := newTestRouter(t, "a")
 	require.Zero(t, r.clockTime(Outcome{CloseReason: transport.Rejected}.OpenedAt))
 	require.Positive(t, r.clockTime(time.Now()))
 }
 
-// Guards against news of one member that are taken for another's, where both have the same key.
+// Guards against observations of a member that are applied to another with the same key.
 func TestMembersWithCollidingKeys(t *testing.T) {
 	r := newTestRouter(t, "a", "b")
-	a, _ := r.MemberID("a")
-	r.registry.idByKey[r.registry.members[a].key] = 0 // as the second member of that key leaves it
+	memberA, _ := r.MemberID("a")
+	r.registry.idByKey[r.registry.members[memberA].key] = 0 // as after a second member with this key
 	now := r.now() / nanosPerMilli
-	message := protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[a].key, Role: 1, PositionMillis: now}, now)
+	message := protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[memberA].key, Role: 1, PositionMillis: now}, now)
 	require.True(t, r.ReceiveObservations(message))
-	require.False(t, r.HasObservation(a))
-	b := r.registry.assignID("b")
+	require.False(t, r.HasObservation(memberA))
+	oldMemberB := r.registry.assignID("b")
 	delete(r.registry.idByName, "b")
-	require.NotEqual(t, b, r.registry.assignID("b"), "a name that comes anew")
-	require.Zero(t, r.registry.idByKey[r.registry.members[b].key], "and shares the key with the one before")
+	require.NotEqual(t, oldMemberB, r.registry.assignID("b"), "a name that is added again gets a new number")
+	require.Zero(t, r.registry.idByKey[r.registry.members[oldMemberB].key], "both numbers share a key")
 }
 
-// Guards against timers that run early, late behind others, or out of the order in which they were set.
+// Guards against timers that run early, or in another order than by due time and then by addition.
 func TestTimersRunInOrder(t *testing.T) {
 	var queue timers
 	var order []int
@@ -297,7 +302,7 @@
 	require.Equal(t, []int{1, 3, 2, 0, 4}, order)
 }
 
-// Guards against a driver that starts on less than it has to know.
+// Guards against a router that starts with incomplete settings.
 func TestNewRejectsIncompleteSettings(t *testing.T) {
 	_, err := New(briefing.Flatten("settings", map[string]any{"classes": []any{map[string]any{"name": "x"}}}), 1,
 		protocol.Targets{}, logrus.New())
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -12,7 +12,7 @@
 	"sedgespread/rules"
 )
 
-// enableVersions lets a router act on version 2 of the rulebook, with a trail if asked.
+// enableVersions puts version 2 of the rulebook in force on a router, optionally with an audit trail.
 func enableVersions(t testing.TB, r *Router, withTrail bool) {
 	r.EnableVersions(versions.NewHolder())
 	if withTrail {
@@ -21,6 +21,7 @@
 	applyOrder(t, r, time.Hour, versions.Order{Epoch: 1, Act: 2, Valid: []versions.Number{2}, Hold: 2, Text: "text"})
 }
 
+// applyOrder applies an order for the rulebook and adopts its version.
 func applyOrder(t testing.TB, r *Router, lease time.Duration, order versions.Order) {
 	order.Thing = Rulebook
 	for _, adoption := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Orders: []versions.Order{order}}) {
@@ -29,7 +30,7 @@
 	require.Equal(t, order.Act, r.holder.Sightings()[0].Acts)
 }
 
-// Guards against RPCs that begin without a version to act on, and attempts that do not say under which they are made.
+// Guards against RPCs that begin without a version in force, and attempts without its fence.
 func TestRPCsRequireVersion(t *testing.T) {
 	r := newRouterWithCells(t, false)
 	r.EnableVersions(versions.NewHolder())
@@ -43,22 +44,22 @@
 	require.True(t, active.MayBegin(step.AttemptNumber))
 	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionServe, nextStep(t, active).Action)
-	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight, "its answer is not passed on yet")
+	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight, "the RPC is in flight until its answer is delivered")
 	active.AnswerDelivered()
 	require.Empty(t, r.holder.Sightings()[0].Flight)
-	var single *audit.Entry
+	var writeEntry *audit.Entry
 	for _, entry := range r.FlushTrail(0).Entries {
 		if entry.Kind == audit.Single {
-			single = &entry
+			writeEntry = &entry
 		}
 	}
-	require.NotNil(t, single)
-	require.Equal(t, audit.Served, single.Outcome)
-	require.NotZero(t, single.From, "when its attempt began")
-	require.EqualValues(t, 2, single.Version)
+	require.NotNil(t, writeEntry)
+	require.Equal(t, audit.Served, writeEntry.Outcome)
+	require.NotZero(t, writeEntry.From, "the entry must hold when the attempt began")
+	require.EqualValues(t, 2, writeEntry.Version)
 }
 
-// Guards against an answer that is passed on, or a further attempt, under a version that was closed meanwhile.
+// Guards against answers delivered or attempts made under a version that has been closed meanwhile.
 func TestClosedVersionEndsRPCs(t *testing.T) {
 	r := newRouterWithCells(t, false)
 	enableVersions(t, r, false)
@@ -72,15 +73,15 @@
 	applyOrder(t, r, time.Hour, versions.Order{Epoch: 3, Act: 4, Hold: 4, Text: "after", Keep: 3})
 	held.ReportAttempt(step.AttemptNumber, Outcome{Answer: nil, CloseReason: 0, WasSent: false})
 	nextAttempt := nextStep(t, held)
-	require.Equal(t, ActionAttempt, nextAttempt.Action, "one that may be acted on until then is")
+	require.Equal(t, ActionAttempt, nextAttempt.Action, "a version that is kept may still be used")
 	require.EqualValues(t, 3, nextAttempt.Fence.Version)
 	applyOrder(t, r, time.Hour, versions.Order{Epoch: 4, Act: 4, Hold: 4, Text: "after"})
 	held.ReportAttempt(nextAttempt.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, nextStep(t, held).Action)
 }
 
-// Guards against a driver that goes on under a version which a store knows to be over: the RPC ends honestly, nothing more
-// begins before the council was asked again, and then it does.
+// Guards against a driver that goes on under a version that a store has rejected, before the council has
+// confirmed it, or that does not resume afterwards.
 func TestFencedVersion(t *testing.T) {
 	r := newRouterWithCells(t, false)
 	enableVersions(t, r, false)
@@ -88,7 +89,7 @@
 	active := admitRPC(t, r, "write")
 	step := nextStep(t, active)
 	active.ReportAttempt(step.AttemptNumber, fenced)
-	require.Equal(t, ActionReject, nextStep(t, active).Action, "it never ran")
+	require.Equal(t, ActionReject, nextStep(t, active).Action, "the attempt never ran")
 	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action)
 	askedAt := r.now()
 	for _, adoption := range r.ApplyOrders(askedAt, versions.Grant{Lease: int64(time.Hour)}) {
@@ -96,13 +97,13 @@
 	}
 	active = admitRPC(t, r, "write")
 	step = nextStep(t, active)
-	require.Equal(t, ActionAttempt, step.Action, "the council still holds it valid")
+	require.Equal(t, ActionAttempt, step.Action, "the council still considers the version valid")
 	active.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
 	last := nextStep(t, active)
-	require.NotEqual(t, ActionReject, last.Action, "a write that may have run")
+	require.NotEqual(t, ActionReject, last.Action, "a write that may have run must not be rejected as safe to retry")
 }
 
-// Guards against a version that is said to have nothing in flight while an attempt that was given up may still run.
+// Guards against reporting a version as idle while an abandoned attempt may still be running.
 func TestAbandonedAttemptKeepsVersionInFlight(t *testing.T) {
 	r := newRouterWithCells(t, false)
 	enableVersions(t, r, false)
@@ -118,7 +119,7 @@
 	}
 }
 
-// Each kind of method has its effect.
+// Guards against methods recorded in the audit trail with the wrong effect.
 func TestAuditEffect(t *testing.T) {
 	require.Equal(t, audit.Read, auditEffect(&rules.Method{Need: rules.NeedSession, Effect: rules.NonIdempotent}))
 	require.Equal(t, audit.Tokened, auditEffect(&rules.Method{Need: rules.NeedPrimary, Effect: rules.Tokened}))
