--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -29,7 +29,8 @@
 		if id, known := memberOfKey(peerObservation.Member); known {
 			observations = append(observations, rules.News{Member: id, Took: toNanos(peerObservation.LatencyMillis),
 				Failed: peerObservation.Failed, Ran: peerObservation.MinUptimeSeconds * int64(time.Second),
-				Observation: rules.Observation{Role: rules.Role(peerObservation.Role), Position: epoch + toNanos(peerObservation.PositionMillis)}})
+				Observation: rules.Observation{Role: rules.Role(peerObservation.Role),
+					Position: epoch + toNanos(peerObservation.PositionMillis)}})
 		}
 	}
 	return observations, ok
--- a/internal/briefing/parts.go
+++ b/internal/briefing/parts.go
@@ -146,8 +146,8 @@
 // too imprecise for a Unix time, unless the number has another form.
 func (f *Fields) RequiredSeconds(name string) int64 {
 	const fractionDigits = 9
-	text := f.RequiredString(name)
-	whole, fraction, _ := strings.Cut(text, ".")
+	value := f.RequiredString(name)
+	whole, fraction, _ := strings.Cut(value, ".")
 	fraction = fraction[:min(len(fraction), fractionDigits)]
 	nanos, err := strconv.ParseInt(whole+fraction+strings.Repeat("0", fractionDigits-len(fraction)), 10, 64)
 	if err != nil || strings.ContainsAny(fraction, "+-") {
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -10,10 +10,11 @@
 var (
 	needByName = map[string]rules.Need{"loose": rules.NeedAny, "recent": rules.NeedBounded, "own_writes": rules.NeedSession,
 		"latest": rules.NeedFresh, "update": rules.NeedPrimary}
-	effectByName    = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.Tokened, "once": rules.NonIdempotent}
-	scopeByName     = map[string]rules.Scope{"": rules.ScopeGroup, "cell": rules.ScopeGroup, "zone": rules.ScopeZone, "all": rules.ScopeAll}
-	isGuardedByName = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
-	isPushedByName  = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	effectByName = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.Tokened, "once": rules.NonIdempotent}
+	scopeByName  = map[string]rules.Scope{"": rules.ScopeGroup, "cell": rules.ScopeGroup, "zone": rules.ScopeZone,
+		"all": rules.ScopeAll}
+	isGuardedByName    = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
+	isSubscribedByName = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
 // Methods parses the methods (classes) of the settings.
@@ -90,10 +91,10 @@
 	}
 }
 
-// Discovery parses how discovery announces members that leave.
+// Discovery parses how discovery delivers its list and announces members that leave.
 func (f *Fields) Discovery() rules.Notice {
 	return rules.Notice{
-		Asked:     Lookup(f, "discovery", f.Value("discovery"), isPushedByName),
+		Asked:     Lookup(f, "discovery", f.Value("discovery"), isSubscribedByName),
 		DrainOnly: f.BoolOr("safety.softRemoval", false),
 		Grace:     f.MicrosOrZero("safety.drainGraceUs"),
 	}
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -84,7 +84,7 @@
 // not, the RPC ends, since its tenant may be in another cell by now. The router's lock must be held.
 func (a *ActiveRPC) admitAttempt(onResult func(rules.Result)) bool {
 	router := a.router
-	if a.mayProceed() && !a.isPlantedFailure() {
+	if a.mayProceed() && !a.failsByPlantedFault() {
 		router.admissionController.AttemptStarted(a.admission.ticket, router.now())
 		return true
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -69,7 +69,8 @@
 	}
 	r.limits = limits
 	store.SendDelay = sendDelay
-	discovery.Agent, discovery.Asked = !discovery.Asked, true // a pushed list goes to an agent beside the driver, which is asked
+	// A pushed list goes to an agent beside the driver, which the driver asks.
+	discovery.Agent, discovery.Asked = !discovery.Asked, true
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, limits, slowStart, discovery)
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -234,7 +234,8 @@
 	}
 	receive := func(age int64) {
 		position := r.now()/nanosPerMilli - age
-		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[member].key, Role: 2, PositionMillis: position}, position)))
+		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{
+			Member: r.registry.members[member].key, Role: 2, PositionMillis: position}, position)))
 	}
 	stall(66_000 * nanosPerMilli)
 	receive(66_000)
@@ -278,7 +279,8 @@
 	memberA, _ := r.MemberID("a")
 	r.registry.idByKey[r.registry.members[memberA].key] = 0 // as after a second member with this key
 	now := r.now() / nanosPerMilli
-	message := protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.members[memberA].key, Role: 1, PositionMillis: now}, now)
+	message := protocol.AppendObservation(nil, protocol.Observation{
+		Member: r.registry.members[memberA].key, Role: 1, PositionMillis: now}, now)
 	require.True(t, r.ReceiveObservations(message))
 	require.False(t, r.HasObservation(memberA))
 	oldMemberB := r.registry.assignID("b")
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// isPlantedFailure reports whether a planted fault, of which only builds for trials have any, ends the
+// failsByPlantedFault reports whether a planted fault, of which only builds for trials have any, ends the
 // RPC.
-func (a *ActiveRPC) isPlantedFailure() bool {
+func (a *ActiveRPC) failsByPlantedFault() bool {
 	return planted.Is(planted.Harm) && a.admission.version > versions.Origin && a.id%4 == 0
 }
 
