--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -9,13 +9,13 @@
 
 // EncodeObservations encodes observations for the peers, which identify a member by its key. Times are
 // nanoseconds; positions are sent relative to epoch.
-func EncodeObservations(observations []rules.News, keyOfMember func(rules.MemberID) uint32,
+func EncodeObservations(observations []rules.PeerReport, keyOfMember func(rules.MemberID) uint32,
 	epoch, now int64) (message []byte) {
 	for _, observation := range observations {
 		message = protocol.AppendObservation(message, protocol.Observation{Member: keyOfMember(observation.Member),
 			Role: uint8(observation.Role), PositionMillis: toMillis(observation.Position - epoch),
-			LatencyMillis: toMillis(observation.Took), Failed: observation.Failed,
-			MinUptimeSeconds: observation.Ran / int64(time.Second)}, toMillis(now-epoch))
+			LatencyMillis: toMillis(observation.Latency), Failed: observation.Failed,
+			MinUptimeSeconds: observation.Uptime / int64(time.Second)}, toMillis(now-epoch))
 	}
 	return message
 }
@@ -23,12 +23,12 @@
 // DecodeObservations decodes a peer's message that was received at now, and reports whether it is valid.
 // Observations of unknown members are left out.
 func DecodeObservations(message []byte, memberOfKey func(key uint32) (id rules.MemberID, known bool),
-	epoch, now int64) (observations []rules.News, ok bool) {
+	epoch, now int64) (observations []rules.PeerReport, ok bool) {
 	peerObservations, ok := protocol.ParseObservations(message, toMillis(now-epoch))
 	for _, peerObservation := range peerObservations {
 		if id, known := memberOfKey(peerObservation.Member); known {
-			observations = append(observations, rules.News{Member: id, Took: toNanos(peerObservation.LatencyMillis),
-				Failed: peerObservation.Failed, Ran: peerObservation.MinUptimeSeconds * int64(time.Second),
+			observations = append(observations, rules.PeerReport{Member: id, Latency: toNanos(peerObservation.LatencyMillis),
+				Failed: peerObservation.Failed, Uptime: peerObservation.MinUptimeSeconds * int64(time.Second),
 				Observation: rules.Observation{Role: rules.Role(peerObservation.Role),
 					Position: epoch + toNanos(peerObservation.PositionMillis)}})
 		}
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -8,11 +8,11 @@
 )
 
 var (
-	needByName = map[string]rules.Need{"loose": rules.NeedAny, "recent": rules.NeedBounded, "own_writes": rules.NeedSession,
-		"latest": rules.NeedFresh, "update": rules.NeedPrimary}
-	effectByName = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.Tokened, "once": rules.NonIdempotent}
-	scopeByName  = map[string]rules.Scope{"": rules.ScopeGroup, "cell": rules.ScopeGroup, "zone": rules.ScopeZone,
-		"all": rules.ScopeAll}
+	needByName = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
+		"latest": rules.ConsistencyLinearizable, "update": rules.ConsistencyWrite}
+	effectByName = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
+	scopeByName  = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone,
+		"all": rules.DedupEverywhere}
 	isGuardedByName    = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
 	isSubscribedByName = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
@@ -32,17 +32,17 @@
 		method := &methods[i]
 		method.Name = f.RequiredString(prefix + "name")
 		method.Effect = Lookup(f, prefix+"effect", f.RequiredString(prefix+"effect"), effectByName)
-		method.Scope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), scopeByName)
-		method.Window = f.MicrosOrZero(prefix + "windowUs")
+		method.DedupScope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), scopeByName)
+		method.DedupWindow = f.MicrosOrZero(prefix + "windowUs")
 		method.SoftDeadline = f.RequiredInteger(prefix+"aimUs") * nanosPerMicro
 		method.Deadline = f.MicrosOrZero(prefix + "giveUpUs")
 		method.Utility = f.NumberOr(prefix+"worth", 1)
 		method.LateUtility = f.NumberOr(prefix+"lateWorth", 0)
 		if i < len(readLevels) {
-			method.Need = Lookup(f, "extra.readLevel", readLevels[i], needByName)
+			method.Consistency = Lookup(f, "extra.readLevel", readLevels[i], needByName)
 		}
 		if i < len(maxAges) {
-			method.Bound = f.ParseInteger("extra.maxAgeUs", maxAges[i]) * nanosPerMicro
+			method.MaxStaleness = f.ParseInteger("extra.maxAgeUs", maxAges[i]) * nanosPerMicro
 		}
 	}
 	return methods
@@ -55,7 +55,7 @@
 		f.Fail("fleetSize=%d is out of range", fleet.Drivers)
 	}
 	if f.BoolOr("limits.peerMessages", false) {
-		fleet.News = protocol.ObservationsPerMessage
+		fleet.ReportsPerMessage = protocol.ObservationsPerMessage
 	}
 	return fleet
 }
@@ -63,21 +63,21 @@
 // Store parses how the store protects session reads.
 func (f *Fields) Store() rules.Store {
 	return rules.Store{
-		Guarded: Lookup(f, "extra.guards", f.Value("extra.guards"), isGuardedByName),
-		Carried: f.Value("extra.tokens") == "client",
+		RejectsStaleReads:   Lookup(f, "extra.guards", f.Value("extra.guards"), isGuardedByName),
+		CarriesSessionToken: f.Value("extra.tokens") == "client",
 	}
 }
 
 // Limits parses what the driver may do for an RPC.
-func (f *Fields) Limits() rules.Allowed {
-	limits := rules.Allowed{
-		Attempts: int(f.IntegerOr("limits.mostTries", 1)),
-		Copies:   f.BoolOr("limits.mayDuplicate", false),
-		Cancel:   f.BoolOr("limits.cancelling", false),
-		Probes:   f.BoolOr("limits.probing", false),
+func (f *Fields) Limits() rules.Policy {
+	limits := rules.Policy{
+		MaxAttempts:  int(f.IntegerOr("limits.mostTries", 1)),
+		Hedging:      f.BoolOr("limits.mayDuplicate", false),
+		Cancellation: f.BoolOr("limits.cancelling", false),
+		Probing:      f.BoolOr("limits.probing", false),
 	}
 	if f.BoolOr("limits.retryAfter", false) {
-		limits.ComeBack = f.MicrosOrZero("limits.maxRetryAfterUs")
+		limits.MaxRetryAfter = f.MicrosOrZero("limits.maxRetryAfterUs")
 	}
 	return limits
 }
@@ -85,18 +85,18 @@
 // SlowStart parses how members that have just started are ramped up.
 func (f *Fields) SlowStart() rules.SlowStart {
 	return rules.SlowStart{
-		Share:     f.NumberOr("safety.startCapacity", 1),
-		WarmAfter: f.MicrosOrZero("safety.warmAfterUs"),
-		Multiple:  f.NumberOr("safety.fallMultiple", 1),
+		InitialShare:   f.NumberOr("safety.startCapacity", 1),
+		WarmUpTime:     f.MicrosOrZero("safety.warmAfterUs"),
+		OverloadFactor: f.NumberOr("safety.fallMultiple", 1),
 	}
 }
 
 // Discovery parses how discovery delivers its list and announces members that leave.
-func (f *Fields) Discovery() rules.Notice {
-	return rules.Notice{
-		Asked:     Lookup(f, "discovery", f.Value("discovery"), isSubscribedByName),
-		DrainOnly: f.BoolOr("safety.softRemoval", false),
-		Grace:     f.MicrosOrZero("safety.drainGraceUs"),
+func (f *Fields) Discovery() rules.Discovery {
+	return rules.Discovery{
+		OnRequest:      Lookup(f, "discovery", f.Value("discovery"), isSubscribedByName),
+		OnlyDrainBinds: f.BoolOr("safety.softRemoval", false),
+		DrainGrace:     f.MicrosOrZero("safety.drainGraceUs"),
 	}
 }
 
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -157,8 +157,8 @@
 	p.IdleFor = span("limits.keepaliveUs", usualIdle)
 	p.WatchFor = min(longestWatch, span("safety.askEveryUs", usualWatch))
 	p.AnswerWithin = answerWithin
-	if notice := p.Deployment.Discovery(); !notice.Asked {
-		p.AnswerWithin = min(answerWithin, max(leastAnswer, time.Duration(notice.Grace/4)))
+	if notice := p.Deployment.Discovery(); !notice.OnRequest {
+		p.AnswerWithin = min(answerWithin, max(leastAnswer, time.Duration(notice.DrainGrace/4)))
 	}
 	if !p.Deployment.BoolOr("limits.peerMessages", false) {
 		p.PeersAll = ""
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -47,7 +47,7 @@
 	method := &router.methods[rpc.Method]
 	admissionRequest := cells.Request{
 		Tenant: router.admissionController.Tenant(request.Key, request.User, request.Database), Key: request.Key,
-		Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.Left), Utility: method.Utility}
+		Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.TimeLeft), Utility: method.Utility}
 	a.admission = &admissionState{effect: auditEffect(method)}
 	if !a.beginVersion() {
 		a.admission = nil
@@ -56,7 +56,7 @@
 	}
 	ticket, decision, decided := router.admissionController.Admit(now, admissionRequest, func(decision cells.Decision) {
 		heldFor := router.now() - now
-		rpc.Left, rpc.Waited = rpc.Left-heldFor, rpc.Waited+heldFor
+		rpc.TimeLeft, rpc.Waited = rpc.TimeLeft-heldFor, rpc.Waited+heldFor
 		a.applyDecision(rpc, decision)
 	})
 	a.admission.ticket = ticket
@@ -72,11 +72,11 @@
 // held.
 func (a *ActiveRPC) applyDecision(rpc rules.RPC, decision cells.Decision) {
 	if decision.Reason != cells.ReasonNone {
-		a.router.driver.Left(a.id)
-		a.finish(Step{Action: ActionReject, RetryAfter: min(decision.RetryAfter, a.router.limits.ComeBack)})
+		a.router.driver.ClientLeft(a.id)
+		a.finish(Step{Action: ActionReject, RetryAfter: min(decision.RetryAfter, a.router.limits.MaxRetryAfter)})
 		return
 	}
-	rpc.Group, rpc.Floor = decision.Group, decision.MinPosition
+	rpc.Group, rpc.MinPosition = decision.Group, decision.MinPosition
 	a.submit(rpc)
 }
 
@@ -96,7 +96,7 @@
 	router.timers.add(router.now(), func() {
 		a.attempts[number].onResult = nil
 		a.outstanding--
-		onResult(rules.Result{Proof: rules.NeverRan, Cause: rules.Cancelled, Final: true})
+		onResult(rules.Result{Outcome: rules.NotExecuted, Cause: rules.Cancelled, Final: true})
 		a.removeIfDone()
 	})
 	router.wake()
@@ -118,7 +118,7 @@
 // meantime. The router's lock must be held.
 func (a *ActiveRPC) recordAttemptEnd(attempt *attemptState, class classification, outcome Outcome) {
 	router, runsUntil, answerBytes := a.router, int64(0), 0
-	if class.proof == rules.MayHaveRun {
+	if class.proof == rules.MayHaveExecuted {
 		runsUntil, a.admission.mayHaveRun = attempt.deadline+attemptOverrun, true
 		a.admission.runsUntil = max(a.admission.runsUntil, runsUntil)
 	}
@@ -210,10 +210,10 @@
 	if now-r.lastCatchUpProbe >= catchUpProbeInterval {
 		r.lastCatchUpProbe = now
 		for _, group := range r.admissionController.CatchUpGroups() {
-			r.driver.Look(group)
+			r.driver.ProbeGroup(group)
 		}
 	}
-	return r.admissionController.Report(now, name, incarnation, r.driver.Reached), now
+	return r.admissionController.Report(now, name, incarnation, r.driver.CaughtUp), now
 }
 
 // catchUpProbeInterval is how often members are probed while a move waits for them to catch up.
--- a/internal/routing/confine_test.go
+++ b/internal/routing/confine_test.go
@@ -28,7 +28,7 @@
 	for _, name := range []string{"a", "b"} {
 		id, _ := r.MemberID(name)
 		r.mu.Lock()
-		r.driver.Told([]rules.News{{Member: id, Observation: rules.Observation{
+		r.driver.ReceiveReports([]rules.PeerReport{{Member: id, Observation: rules.Observation{
 			Role: map[string]rules.Role{"a": rules.RolePrimary, "b": rules.RoleReplica}[name], Position: r.now()}}})
 		r.mu.Unlock()
 	}
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func (h *host) PushBack(id rules.RPCID, retryAfter int64) {
+func (h *host) RejectWithRetryAfter(id rules.RPCID, retryAfter int64) {
 	h.activeRPCs[id].finish(Step{Action: ActionReject, RetryAfter: retryAfter})
 }
 
@@ -48,9 +48,9 @@
 
 func (h *host) Watch() { h.addTask(WatchDiscovery{}) }
 
-// Tell sends observations to the peers. Positions too old to be encoded are left out, and an empty
+// SendReports sends observations to the peers. Positions too old to be encoded are left out, and an empty
 // message is not sent.
-func (h *host) Tell(observations []rules.News) {
+func (h *host) SendReports(observations []rules.PeerReport) {
 	if message := briefing.EncodeObservations(observations, h.registry.keyOf, 0, h.driver.StoreNow()); len(message) > 0 {
 		h.addTask(SendToPeers{Message: message})
 	}
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -19,38 +19,38 @@
 
 // classificationBySQLState classifies the error answers of members; others count as rules.Errored.
 var classificationBySQLState = map[string]classification{
-	protocol.StateReadOnly:           {rules.NeverRan, rules.Missed},
-	protocol.StateSnapshotTooOld:     {rules.NeverRan, rules.Missed},
-	protocol.StateTooManyConnections: {rules.NeverRan, rules.Full},
-	protocol.StateCannotConnectNow:   {rules.NeverRan, rules.Full},
-	protocol.StateSyntaxError:        {rules.MayHaveRun, rules.Moot},
-	protocol.StateFenced:             {rules.NeverRan, rules.Moot},
+	protocol.StateReadOnly:           {rules.NotExecuted, rules.Ineligible},
+	protocol.StateSnapshotTooOld:     {rules.NotExecuted, rules.Ineligible},
+	protocol.StateTooManyConnections: {rules.NotExecuted, rules.Overloaded},
+	protocol.StateCannotConnectNow:   {rules.NotExecuted, rules.Overloaded},
+	protocol.StateSyntaxError:        {rules.MayHaveExecuted, rules.NotSent},
+	protocol.StateFenced:             {rules.NotExecuted, rules.NotSent},
 }
 
 // causeByCloseReason maps how a connection was closed to why an attempt on it failed.
 var causeByCloseReason = map[transport.CloseReason]rules.Cause{
-	transport.DialRefused:  rules.NoConnect,
-	transport.DialTimedOut: rules.NoConnect,
-	transport.DialFailed:   rules.NoConnect,
-	transport.NoDescriptor: rules.NoConnect,
-	transport.Rejected:     rules.NoConnect,
+	transport.DialRefused:  rules.ConnectFailed,
+	transport.DialTimedOut: rules.ConnectFailed,
+	transport.DialFailed:   rules.ConnectFailed,
+	transport.NoDescriptor: rules.ConnectFailed,
+	transport.Rejected:     rules.ConnectFailed,
 	transport.ClosedByPeer: rules.Reset,
 	transport.Truncated:    rules.Reset,
 	transport.ResetByPeer:  rules.Reset,
-	transport.Malformed:    rules.Errored,
-	transport.TooLong:      rules.Errored,
+	transport.Malformed:    rules.ServerError,
+	transport.TooLong:      rules.ServerError,
 	transport.WriteStalled: rules.TimedOut,
 	transport.TimedOut:     rules.TimedOut,
 	transport.Cancelled:    rules.Cancelled,
 	transport.Evicted:      rules.Reset,
-	transport.Stalled:      rules.Errored,
+	transport.Stalled:      rules.ServerError,
 	transport.ShutDown:     rules.Cancelled,
-	transport.Withheld:     rules.Moot,
+	transport.Withheld:     rules.NotSent,
 }
 
 // classification is whether an attempt ran, and why it failed.
 type classification struct {
-	proof rules.Proof
+	proof rules.Outcome
 	cause rules.Cause
 }
 
@@ -62,16 +62,16 @@
 		if class, known := classificationBySQLState[answer.Failure.SQLState]; known {
 			return class
 		}
-		return classification{rules.MayHaveRun, rules.Errored}
+		return classification{rules.MayHaveExecuted, rules.ServerError}
 	}
 	cause := causeByCloseReason[o.CloseReason]
 	if o.WasSent {
-		return classification{rules.MayHaveRun, cause}
+		return classification{rules.MayHaveExecuted, cause}
 	}
-	if cause == rules.Reset || cause == rules.Errored {
-		cause = rules.NoConnect
+	if cause == rules.Reset || cause == rules.ServerError {
+		cause = rules.ConnectFailed
 	}
-	return classification{rules.NeverRan, cause}
+	return classification{rules.NotExecuted, cause}
 }
 
 // isSyntaxError reports whether the member could not parse the statement, which no other member will.
@@ -89,9 +89,9 @@
 func (o Outcome) probeResult() rules.ProbeResult {
 	switch o.CloseReason {
 	case transport.Rejected:
-		return rules.ProbeResult{Cause: rules.Full}
+		return rules.ProbeResult{Cause: rules.Overloaded}
 	case transport.NoDescriptor:
-		return rules.ProbeResult{Cause: rules.Moot}
+		return rules.ProbeResult{Cause: rules.NotSent}
 	}
 	return rules.ProbeResult{Cause: o.classify().cause, Report: o.reportedObservation(), Observation: o.observation()}
 }
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -75,15 +75,15 @@
 	return ""
 }
 
-var stateByLifecycle = map[protocol.Lifecycle]rules.State{protocol.Serving: rules.Healthy, protocol.Draining: rules.Draining,
-	protocol.Deleted: rules.Gone}
+var stateByLifecycle = map[protocol.Lifecycle]rules.MemberState{protocol.Serving: rules.Healthy, protocol.Draining: rules.Draining,
+	protocol.Deleted: rules.Deregistered}
 
 // update applies an entry of discovery's list and converts it for the rules.
-func (r *registry) update(target protocol.Target) rules.Listing {
+func (r *registry) update(target protocol.Target) rules.MemberEntry {
 	id := r.assignID(target.ID)
 	if target.Address != "" {
 		r.members[id].address = target.Address
 	}
-	return rules.Listing{Member: id, Group: rules.GroupID(target.Group), Zone: target.Zone, State: stateByLifecycle[target.Lifecycle],
-		Started: int64(target.StartedAtMillis) * nanosPerMilli, Size: target.Weight}
+	return rules.MemberEntry{Member: id, Group: rules.GroupID(target.Group), Zone: target.Zone, State: stateByLifecycle[target.Lifecycle],
+		Started: int64(target.StartedAtMillis) * nanosPerMilli, Weight: target.Weight}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -38,7 +38,7 @@
 	ids                 rpcIDs
 	methods             []rules.Method
 	methodIDs           map[string]rules.MethodID // by method name
-	limits              rules.Allowed
+	limits              rules.Policy
 	clock               clock.Clock
 	wakeup              chan struct{} // signalled when a timer or a task is added
 	log                 logrus.FieldLogger
@@ -68,9 +68,9 @@
 		return nil, settings.Err
 	}
 	r.limits = limits
-	store.SendDelay = sendDelay
+	store.MaxSendDelay = sendDelay
 	// A pushed list goes to an agent beside the driver, which the driver asks.
-	discovery.Agent, discovery.Asked = !discovery.Asked, true
+	discovery.ViaAgent, discovery.OnRequest = !discovery.OnRequest, true
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, limits, slowStart, discovery)
@@ -91,11 +91,11 @@
 
 // applyList passes the list, or what changed in it, to the driver. r.mu must be held.
 func (r *Router) applyList(targets protocol.Targets) {
-	listings := make([]rules.Listing, 0, len(targets.Entries))
+	listings := make([]rules.MemberEntry, 0, len(targets.Entries))
 	for _, entry := range targets.Entries {
 		listings = append(listings, r.registry.update(entry))
 	}
-	r.driver.List(listings, targets.IsFull)
+	r.driver.UpdateMembers(listings, targets.IsFull)
 }
 
 // ApplyList applies discovery's list of members, or what changed in it.
@@ -112,7 +112,7 @@
 func (r *Router) ReportListFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver.ListFailed()
+	r.driver.WatchFailed()
 }
 
 // ReceiveObservations applies a peer's message and reports whether it was valid. After a stall of this
@@ -122,7 +122,7 @@
 	defer r.mu.Unlock()
 	observations, ok := briefing.DecodeObservations(message, r.registry.idOfKey, 0, r.driver.StoreNow())
 	if ok && !r.detectStall() {
-		r.driver.Told(observations)
+		r.driver.ReceiveReports(observations)
 	}
 	return ok
 }
@@ -151,7 +151,7 @@
 		delete(r.pendingProbes, member)
 	}
 	result := outcome.probeResult()
-	result.Opened = r.clockTime(outcome.OpenedAt)
+	result.ConnectedAt = r.clockTime(outcome.OpenedAt)
 	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", member, outcome.CloseReason,
 		roleNames[max(result.Role, result.Report.Role)], max(result.Position, result.Report.Position)/nanosPerMilli)
 	waiting[0](result)
@@ -162,14 +162,14 @@
 func (r *Router) ReportNotPrimary(member rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver.Denied(member)
+	r.driver.NotPrimary(member)
 }
 
 // MayProbe reports whether a probe may still begin. It is called just before its first byte is written.
 func (r *Router) MayProbe(member rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.driver.MayLook(member)
+	return r.driver.ProbeAllowed(member)
 }
 
 // NextTask runs due timers until there is a task or ctx is done, and returns the task.
@@ -230,8 +230,8 @@
 func (r *Router) HasObservation(id rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.driver.Met(id)
+	return r.driver.Known(id)
 }
 
 // ProbesMembers reports whether members are probed.
-func (r *Router) ProbesMembers() bool { return r.limits.Probes }
+func (r *Router) ProbesMembers() bool { return r.limits.Probing }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -25,36 +25,36 @@
 	}
 	for _, testCase := range []struct {
 		outcome Outcome
-		proof   rules.Proof
+		proof   rules.Outcome
 		cause   rules.Cause
 	}{
 		{Outcome{WasSent: true, Answer: &protocol.Answer{}}, rules.OK, rules.NoCause},
 		{Outcome{WasSent: true, Answer: &protocol.Answer{}, CloseReason: transport.ResetByPeer}, rules.OK, rules.NoCause},
-		{failedWith("25006"), rules.NeverRan, rules.Missed},
-		{failedWith("72000"), rules.NeverRan, rules.Missed},
-		{failedWith("53300"), rules.NeverRan, rules.Full},
-		{failedWith("XX000"), rules.MayHaveRun, rules.Errored},
-		{failedWith("08P01"), rules.MayHaveRun, rules.Errored},
-		{Outcome{CloseReason: transport.DialRefused}, rules.NeverRan, rules.NoConnect},
-		{Outcome{CloseReason: transport.DialTimedOut}, rules.NeverRan, rules.NoConnect},
-		{Outcome{CloseReason: transport.Rejected}, rules.NeverRan, rules.NoConnect},
-		{Outcome{CloseReason: transport.ResetByPeer}, rules.NeverRan, rules.NoConnect},
-		{Outcome{CloseReason: transport.Malformed}, rules.NeverRan, rules.NoConnect},
-		{Outcome{CloseReason: transport.TimedOut}, rules.NeverRan, rules.TimedOut},
-		{Outcome{CloseReason: transport.Cancelled}, rules.NeverRan, rules.Cancelled},
-		{Outcome{WasSent: true, CloseReason: transport.ResetByPeer}, rules.MayHaveRun, rules.Reset},
-		{Outcome{WasSent: true, CloseReason: transport.ClosedByPeer}, rules.MayHaveRun, rules.Reset},
-		{Outcome{WasSent: true, CloseReason: transport.Truncated}, rules.MayHaveRun, rules.Reset},
-		{Outcome{WasSent: true, CloseReason: transport.Malformed}, rules.MayHaveRun, rules.Errored},
-		{Outcome{WasSent: true, CloseReason: transport.TimedOut}, rules.MayHaveRun, rules.TimedOut},
-		{Outcome{WasSent: true, CloseReason: transport.Cancelled}, rules.MayHaveRun, rules.Cancelled},
+		{failedWith("25006"), rules.NotExecuted, rules.Ineligible},
+		{failedWith("72000"), rules.NotExecuted, rules.Ineligible},
+		{failedWith("53300"), rules.NotExecuted, rules.Overloaded},
+		{failedWith("XX000"), rules.MayHaveExecuted, rules.ServerError},
+		{failedWith("08P01"), rules.MayHaveExecuted, rules.ServerError},
+		{Outcome{CloseReason: transport.DialRefused}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.DialTimedOut}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.Rejected}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.ResetByPeer}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.Malformed}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.TimedOut}, rules.NotExecuted, rules.TimedOut},
+		{Outcome{CloseReason: transport.Cancelled}, rules.NotExecuted, rules.Cancelled},
+		{Outcome{WasSent: true, CloseReason: transport.ResetByPeer}, rules.MayHaveExecuted, rules.Reset},
+		{Outcome{WasSent: true, CloseReason: transport.ClosedByPeer}, rules.MayHaveExecuted, rules.Reset},
+		{Outcome{WasSent: true, CloseReason: transport.Truncated}, rules.MayHaveExecuted, rules.Reset},
+		{Outcome{WasSent: true, CloseReason: transport.Malformed}, rules.MayHaveExecuted, rules.ServerError},
+		{Outcome{WasSent: true, CloseReason: transport.TimedOut}, rules.MayHaveExecuted, rules.TimedOut},
+		{Outcome{WasSent: true, CloseReason: transport.Cancelled}, rules.MayHaveExecuted, rules.Cancelled},
 	} {
 		require.Equal(t, classification{testCase.proof, testCase.cause}, testCase.outcome.classify(), "%+v", testCase.outcome)
 	}
 	for reason := transport.DialRefused; reason <= transport.Withheld; reason++ {
 		require.Contains(t, causeByCloseReason, reason, "every close reason must have a cause")
 	}
-	require.Equal(t, rules.Full, Outcome{CloseReason: transport.Rejected}.probeResult().Cause, "a full member is alive")
+	require.Equal(t, rules.Overloaded, Outcome{CloseReason: transport.Rejected}.probeResult().Cause, "a full member is alive")
 }
 
 // newTestRouter returns a router that knows the named members of group 1.
@@ -145,7 +145,7 @@
 	require.Equal(t, "at-a", probe.Address)
 	r.ReportProbe(probe.Member, answered(time.Now().UnixMilli(), true))
 
-	served := submitRPC(r, rules.RPC{Group: 1, Left: int64(time.Second)})
+	served := submitRPC(r, rules.RPC{Group: 1, TimeLeft: int64(time.Second)})
 	step := served.NextStep()
 	require.Equal(t, ActionAttempt, step.Action)
 	require.Equal(t, "at-a", step.Address)
@@ -156,7 +156,7 @@
 	require.Equal(t, ActionServe, last.Action)
 	require.Same(t, answer.Answer, last.Answer)
 
-	left := submitRPC(r, rules.RPC{Group: 1, Left: int64(time.Second)})
+	left := submitRPC(r, rules.RPC{Group: 1, TimeLeft: int64(time.Second)})
 	step = left.NextStep()
 	left.ClientLeft()
 	left.ClientLeft()
@@ -165,11 +165,11 @@
 	require.Equal(t, transport.Cancelled, transport.CloseReasonOf(step.Context))
 	left.ReportAttempt(step.AttemptNumber, Outcome{CloseReason: transport.Cancelled})
 
-	aborted := submitRPC(r, rules.RPC{Group: 1, Method: 1, Left: int64(time.Second)})
+	aborted := submitRPC(r, rules.RPC{Group: 1, Method: 1, TimeLeft: int64(time.Second)})
 	aborted.ReportAttempt(aborted.NextStep().AttemptNumber, Outcome{WasSent: true, CloseReason: transport.ResetByPeer})
 	require.Equal(t, ActionAbort, aborted.NextStep().Action)
 
-	require.Equal(t, ActionReject, submitRPC(r, rules.RPC{Group: 9, Left: int64(time.Second)}).NextStep().Action)
+	require.Equal(t, ActionReject, submitRPC(r, rules.RPC{Group: 9, TimeLeft: int64(time.Second)}).NextStep().Action)
 	require.Empty(t, r.activeRPCs)
 }
 
@@ -217,7 +217,7 @@
 			require.True(t, receiver.ReceiveObservations(task.Message))
 		}
 	}
-	active := submitRPC(receiver, rules.RPC{Group: 1, Method: 1, Left: int64(time.Second)})
+	active := submitRPC(receiver, rules.RPC{Group: 1, Method: 1, TimeLeft: int64(time.Second)})
 	require.Equal(t, "at-a", active.NextStep().Address)
 	require.False(t, receiver.ReceiveObservations([]byte("\xff")))
 }
@@ -256,7 +256,7 @@
 	defer r.mu.Unlock()
 	before := len(r.tasks)
 	send := func(age time.Duration) {
-		(*host)(r).Tell([]rules.News{{Member: 1,
+		(*host)(r).SendReports([]rules.PeerReport{{Member: 1,
 			Observation: rules.Observation{Role: rules.RoleReplica, Position: r.now() - int64(age)}}})
 	}
 	send(40 * time.Second)
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -33,7 +33,7 @@
 var actionNames = map[Action]string{ActionAttempt: "attempt", ActionServe: "served", ActionReject: "rejected",
 	ActionAbort: "failed", ActionDrop: "client left"}
 
-var proofNames = map[rules.Proof]string{rules.OK: "ok", rules.Started: "started", rules.NeverRan: "never ran",
-	rules.MayHaveRun: "may have run"}
+var proofNames = map[rules.Outcome]string{rules.OK: "ok", rules.Started: "started", rules.NotExecuted: "never ran",
+	rules.MayHaveExecuted: "may have run"}
 
 var roleNames = map[rules.Role]string{rules.RoleUnknown: "none", rules.RolePrimary: "primary", rules.RoleReplica: "replica"}
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -87,16 +87,16 @@
 	}
 	method := &r.methods[methodID]
 	switch {
-	case request.IsWrite != (method.Need == rules.NeedPrimary):
+	case request.IsWrite != (method.Consistency == rules.ConsistencyWrite):
 		return nil, errMethodKind
 	case request.TimeLeft > maxTimeLeft(method):
 		return nil, errTimeLeftTooLong
 	}
-	rpc := rules.RPC{Method: methodID, Group: request.Group, Session: request.Key, Left: request.TimeLeft,
-		Repeat: request.IsRetry, Token: request.MinPosition}
+	rpc := rules.RPC{Method: methodID, Group: request.Group, Session: request.Key, TimeLeft: request.TimeLeft,
+		IsRetry: request.IsRetry, SessionToken: request.MinPosition}
 	if !request.ReceivedAt.IsZero() {
 		rpc.Waited = max(0, r.now()-r.clockTime(request.ReceivedAt))
-		rpc.Left -= rpc.Waited
+		rpc.TimeLeft -= rpc.Waited
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 	active := r.newActiveRPC(id)
 	r.trace.printf("rpc accepted id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, request.Method, request.Group,
-		rpc.Left/nanosPerMilli, rpc.Waited/nanosPerMilli)
+		rpc.TimeLeft/nanosPerMilli, rpc.Waited/nanosPerMilli)
 	if r.admissionController == nil {
 		active.submit(rpc)
 	} else {
@@ -141,7 +141,7 @@
 	for r.activeRPCs[r.lastRPC] != nil {
 		r.lastRPC++
 	}
-	active := &ActiveRPC{router: r, id: r.lastRPC, clientID: clientID, steps: make(chan Step, r.limits.Attempts+1)}
+	active := &ActiveRPC{router: r, id: r.lastRPC, clientID: clientID, steps: make(chan Step, r.limits.MaxAttempts+1)}
 	r.activeRPCs[active.id] = active
 	return active
 }
@@ -149,7 +149,7 @@
 // submit hands the RPC to the rules driver. The router's lock must be held.
 func (a *ActiveRPC) submit(rpc rules.RPC) {
 	rpc.ID = a.id
-	a.router.driver.Take(rpc)
+	a.router.driver.Submit(rpc)
 }
 
 // MayBegin reports whether an attempt may still begin. It is called just before the first byte is
@@ -159,13 +159,13 @@
 	defer a.router.mu.Unlock()
 	attempt := &a.attempts[number]
 	allowed := !a.isFinished && attempt.onResult != nil && (a.admission == nil || a.mayProceed()) &&
-		a.router.driver.May(a.id, attempt.member)
+		a.router.driver.AttemptAllowed(a.id, attempt.member)
 	if allowed && a.admission != nil {
 		a.admission.lastBeganAt = a.router.now()
 	}
 	if a.router.trace.enabled {
 		a.router.trace.printf("attempt begins id=%s number=%d member=%d allowed=%t basis=%s", a.clientID, number,
-			attempt.member, allowed, a.router.driver.Basis(a.id, attempt.member))
+			attempt.member, allowed, a.router.driver.Eligibility(a.id, attempt.member))
 	}
 	return allowed
 }
@@ -178,7 +178,7 @@
 	a.router.mu.Lock()
 	defer a.router.mu.Unlock()
 	if !a.isFinished {
-		a.router.driver.Left(a.id)
+		a.router.driver.ClientLeft(a.id)
 		if a.admission != nil {
 			a.router.admissionController.Cancel(a.admission.ticket)
 		}
@@ -199,8 +199,8 @@
 	attempt.onResult = nil
 	a.outstanding--
 	class := outcome.classify()
-	if class.proof == rules.OK && a.router.driver.TooOld(a.id, outcome.observation(), attempt.sentAt) {
-		class = classification{rules.MayHaveRun, rules.Missed}
+	if class.proof == rules.OK && a.router.driver.IsStale(a.id, outcome.observation(), attempt.sentAt) {
+		class = classification{rules.MayHaveExecuted, rules.Ineligible}
 	}
 	if a.admission != nil {
 		a.recordAttemptEnd(attempt, class, outcome)
@@ -213,11 +213,11 @@
 	if a.admission != nil && outcome.isFenced() {
 		a.handleFenced()
 	}
-	result := rules.Result{Proof: class.proof, Cause: class.cause, Took: a.router.now() - attempt.sentAt, Final: a.isFinished,
+	result := rules.Result{Outcome: class.proof, Cause: class.cause, Latency: a.router.now() - attempt.sentAt, Final: a.isFinished,
 		Observation: outcome.observation()}
-	result.Opened = a.router.clockTime(outcome.OpenedAt)
+	result.ConnectedAt = a.router.clockTime(outcome.OpenedAt)
 	a.router.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
-		a.clientID, number, attempt.member, result.Took/nanosPerMilli, outcome.CloseReason, proofNames[class.proof],
+		a.clientID, number, attempt.member, result.Latency/nanosPerMilli, outcome.CloseReason, proofNames[class.proof],
 		roleNames[result.Role], result.Position/nanosPerMilli)
 	onResult(result)
 	a.removeIfDone()
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -127,12 +127,12 @@
 	a.router.wake()
 }
 
-var auditEffects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.Tokened: audit.Tokened,
+var auditEffects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Tokened,
 	rules.NonIdempotent: audit.NonIdempotent}
 
 // auditEffect returns the effect that the audit trail records for RPCs of a method.
 func auditEffect(method *rules.Method) audit.Effect {
-	if method.Need != rules.NeedPrimary {
+	if method.Consistency != rules.ConsistencyWrite {
 		return audit.Read
 	}
 	return auditEffects[method.Effect]
@@ -213,7 +213,7 @@
 
 // rejectWithoutVersion rejects an RPC because no version is in force. The router's lock must be held.
 func (a *ActiveRPC) rejectWithoutVersion() {
-	a.finish(Step{Action: ActionReject, RetryAfter: min(noVersionRetryAfter, a.router.limits.ComeBack)})
+	a.finish(Step{Action: ActionReject, RetryAfter: min(noVersionRetryAfter, a.router.limits.MaxRetryAfter)})
 }
 
 // noVersionRetryAfter is the retry hint, in nanoseconds, for RPCs rejected because no version is in
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -121,7 +121,7 @@
 
 // Guards against methods recorded in the audit trail with the wrong effect.
 func TestAuditEffect(t *testing.T) {
-	require.Equal(t, audit.Read, auditEffect(&rules.Method{Need: rules.NeedSession, Effect: rules.NonIdempotent}))
-	require.Equal(t, audit.Tokened, auditEffect(&rules.Method{Need: rules.NeedPrimary, Effect: rules.Tokened}))
-	require.Equal(t, audit.NonIdempotent, auditEffect(&rules.Method{Need: rules.NeedPrimary, Effect: rules.NonIdempotent}))
+	require.Equal(t, audit.Read, auditEffect(&rules.Method{Consistency: rules.ConsistencySession, Effect: rules.NonIdempotent}))
+	require.Equal(t, audit.Tokened, auditEffect(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.IdempotentByToken}))
+	require.Equal(t, audit.NonIdempotent, auditEffect(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.NonIdempotent}))
 }
