--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -15,7 +15,7 @@
 // JournaledLedger is a ledger backed by a journal. It is safe for concurrent use.
 type JournaledLedger struct {
 	journal   *store.Journal
-	committer *store.Committer
+	committer *store.BatchWriter
 	startedAt time.Time
 
 	mu     sync.Mutex
@@ -27,8 +27,8 @@
 // Open recovers a ledger from a journal. An empty journal may have been lost: until maxDeadline has passed
 // a retry may be of an RPC that has run, and is not granted.
 func Open(journal *store.Journal, maxRPCs, maxRPCsPerCaller int, maxDeadline time.Duration) (*JournaledLedger, error) {
-	l := &JournaledLedger{journal: journal, committer: store.NewCommitter(journal, maxRecordsPerWrite), startedAt: time.Now()}
-	records, err := store.All[ledger.Record](journal)
+	l := &JournaledLedger{journal: journal, committer: store.NewBatchWriter(journal, maxRecordsPerWrite), startedAt: time.Now()}
+	records, err := store.ReadAll[ledger.Record](journal)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -32,7 +32,7 @@
 	p            *Program
 	chair        *membership.Chair
 	journal      *store.Journal
-	chamber      *chamber.Chamber         // nil where this is no voter of a council
+	chamber      *chamber.Server          // nil where this is no voter of a council
 	registration *membership.Registration // the fleet's machine there, nil for none
 	agent        *membership.Agent        // nil where nothing has versions
 	ring         *gossip.Ring             // nil where drivers do not gossip
@@ -127,7 +127,7 @@
 func (c *confinement) convene() (err error) {
 	o := c.orders()
 	k := o.Council
-	machines := map[string]chamber.Machine{}
+	machines := map[string]chamber.StateMachine{}
 	if l := o.Cells.GetCoordination(); l != nil {
 		c.chair, err = membership.NewFellow(o.Book(), millis(l.LeaseMs), millis(l.HoldMs), millis(k.ClockErrorMs), c.fill(), c.p.log)
 		if err != nil {
@@ -143,11 +143,11 @@
 			return o.Reject("council.disk", err)
 		}
 	}
-	peers := chamber.Peers{}
+	peers := chamber.VoterAddresses{}
 	for _, v := range k.Voter {
 		peers[council.VoterID(v.Id)] = v.At
 	}
-	pace := council.Pace{Tick: int64(millis(o.TickMs())), Election: electionTicks, Drift: clockDrift}
+	pace := council.Timing{Tick: int64(millis(o.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
 	if c.chamber, err = chamber.Open(council.VoterID(k.Id), peers, k.Join, k.Disk, pace, machines, c.p.log); err != nil {
 		return o.Reject("council.disk", err)
 	}
@@ -237,7 +237,7 @@
 		c.registration.Handle(mux)
 	}
 	if c.chamber != nil {
-		c.chamber.Handle(mux)
+		c.chamber.RegisterHandlers(mux)
 	}
 	return mux
 }
@@ -350,7 +350,7 @@
 }
 
 // ChangeCouncil asks the council's leader for other voters.
-func (c *confinement) ChangeCouncil(ctx context.Context, change chamber.Change) error {
+func (c *confinement) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
 	if c.orders().Council == nil {
 		return errNoCouncil
 	}
