--- a/internal/routing/confine_test.go
+++ b/internal/routing/confine_test.go
@@ -169,8 +169,8 @@
 				enableVersions(b, r, false)
 			}
 			if near, audited := map[string]int64{"audit on": 0, "audit near a change": math.MaxInt64}[mode]; audited {
-				r.trail = audit.NewTrail(r.now(), versions.Sign{Name: "n", Start: 1}, "token", maxTrailEntries, near)
-				r.trail.Acts(r.now(), Rulebook, 2)
+				r.trail = audit.NewTrail(r.now(), versions.Instance{Name: "n", Start: 1}, "token", maxTrailEntries, near)
+				r.trail.RecordActive(r.now(), Rulebook, 2)
 			}
 			ids := make([]string, b.N)
 			for i := range ids {
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -11,20 +11,20 @@
 
 // ObserveVersion records this driver's version of a thing that is versioned outside the fleet. It has no
 // effect if nothing is versioned.
-func (r *Router) ObserveVersion(thing versions.Thing, version versions.Number, digest string) {
+func (r *Router) ObserveVersion(thing versions.Resource, version versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observeVersion(thing, version, digest)
 }
 
 // observeVersion records a version for the fleet and in the audit trail. r.mu must be held.
-func (r *Router) observeVersion(thing versions.Thing, version versions.Number, digest string) {
+func (r *Router) observeVersion(thing versions.Resource, version versions.Number, digest string) {
 	if r.holder == nil {
 		return
 	}
-	r.holder.Observes(thing, version, digest)
+	r.holder.Observe(thing, version, digest)
 	if r.trail != nil {
-		r.trail.Has(r.now(), thing, version)
+		r.trail.RecordObserved(r.now(), thing, version)
 	}
 }
 
@@ -52,5 +52,5 @@
 		digest.sumByMember[entry.ID] = sum
 		digest.total ^= sum
 	}
-	r.observeVersion(versions.List, versions.Number(targets.Generation), fmt.Sprintf("%016x", digest.total))
+	r.observeVersion(versions.DiscoveryList, versions.Number(targets.Generation), fmt.Sprintf("%016x", digest.total))
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -46,7 +46,7 @@
 	admissionController *cells.AdmissionController // nil if tenants have no cells
 	ignorePeersUntil    int64                      // peers' messages are ignored until then, after a stall of the process
 	lastCatchUpProbe    int64                      // when members were last probed for a move
-	holder              *versions.Holder           // nil if nothing is versioned
+	holder              *versions.DriverState      // nil if nothing is versioned
 	trail               *audit.Trail               // nil before StartTrail
 
 	listDigest     listDigest
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -14,10 +14,10 @@
 
 // Rulebook is the versioned configuration that routing depends on: the part of the operator's file that
 // all drivers share.
-const Rulebook versions.Thing = "rulebook"
+const Rulebook versions.Resource = "rulebook"
 
 // EnableVersions ties every RPC to a version of the rulebook. It must be called before the first Admit.
-func (r *Router) EnableVersions(holder *versions.Holder) {
+func (r *Router) EnableVersions(holder *versions.DriverState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.holder = holder
@@ -35,37 +35,37 @@
 
 // StartTrail starts the audit trail of this driver, which is identified by its name and start number.
 // Later calls have no effect.
-func (r *Router) StartTrail(driver versions.Sign, token string) {
+func (r *Router) StartTrail(driver versions.Instance, token string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
 		r.trail = audit.NewTrail(r.now(), driver, token, maxTrailEntries, int64(AuditWindow+clockSkewAllowance))
-		for _, sighting := range r.holder.Sightings() {
+		for _, sighting := range r.holder.Reports() {
 			if sighting.Digest != "" {
-				r.trail.Has(r.now(), sighting.Thing, sighting.Acts)
+				r.trail.RecordObserved(r.now(), sighting.Resource, sighting.Active)
 			}
 		}
 	}
 }
 
 // TrailSince returns up to limit entries of the audit trail that follow entry seq.
-func (r *Router) TrailSince(seq uint64, limit int) audit.Part {
+func (r *Router) TrailSince(seq uint64, limit int) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		return audit.Part{}
+		return audit.Segment{}
 	}
-	r.trail.Mark(r.now())
+	r.trail.FlushBeforeSend(r.now())
 	return r.trail.Since(seq, limit)
 }
 
 // FlushTrail records all pending counts and returns the entries of the audit trail that follow entry
 // seq.
-func (r *Router) FlushTrail(seq uint64) audit.Part {
+func (r *Router) FlushTrail(seq uint64) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		return audit.Part{}
+		return audit.Segment{}
 	}
 	r.trail.Flush(r.now())
 	return r.trail.Since(seq, maxTrailEntries)
@@ -80,7 +80,7 @@
 	a.admission.startedAt = a.router.now()
 	a.admission.version, allowed = a.router.holder.Begin(a.admission.startedAt, Rulebook)
 	if allowed && a.router.trail != nil {
-		a.router.trail.Began(a.router.now(), Rulebook, a.admission.version)
+		a.router.trail.BeginRPC(a.router.now(), Rulebook, a.admission.version)
 	}
 	return allowed
 }
@@ -88,7 +88,7 @@
 // recordVersionOutcome counts how the RPC has ended under its version. The router's lock must be held.
 func (a *ActiveRPC) recordVersionOutcome(action Action) {
 	if a.router.holder != nil {
-		a.router.holder.Fared(Rulebook, a.admission.version, action == ActionServe,
+		a.router.holder.RecordOutcome(Rulebook, a.admission.version, action == ActionServe,
 			action == ActionReject || action == ActionAbort, a.router.now()-a.admission.startedAt)
 	}
 }
@@ -96,7 +96,7 @@
 // failsByPlantedFault reports whether a planted fault, of which only builds for trials have any, ends the
 // RPC.
 func (a *ActiveRPC) failsByPlantedFault() bool {
-	return planted.Is(planted.Harm) && a.admission.version > versions.Origin && a.id%4 == 0
+	return planted.Is(planted.Harm) && a.admission.version > versions.InitialVersion && a.id%4 == 0
 }
 
 // mayProceed reports whether the RPC's tenant is still in the same cell and its version still in force.
@@ -104,7 +104,7 @@
 func (a *ActiveRPC) mayProceed() bool {
 	now := a.router.now()
 	return a.router.admissionController.MayProceed(a.admission.ticket, now) &&
-		(a.router.holder == nil || a.router.holder.May(now, Rulebook, a.admission.version))
+		(a.router.holder == nil || a.router.holder.MayContinue(now, Rulebook, a.admission.version))
 }
 
 // endVersion releases the RPC's version once none of its attempts can still be running. The router's
@@ -116,7 +116,7 @@
 	}
 	a.admission.version = 0
 	if a.router.trail != nil && !(planted.Is(planted.Audit) && a.id%10 == 0) {
-		a.router.trail.Ended(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome,
+		a.router.trail.EndRPC(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome,
 			a.admission.lastBeganAt)
 	}
 	if a.admission.runsUntil <= a.router.now() {
@@ -127,7 +127,7 @@
 	a.router.wake()
 }
 
-var auditEffects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Tokened,
+var auditEffects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Deduplicated,
 	rules.NonIdempotent: audit.NonIdempotent}
 
 // auditEffect returns the effect that the audit trail records for RPCs of a method.
@@ -140,7 +140,7 @@
 
 // auditOutcomes maps an RPC's last action to the outcome that the audit trail records.
 var auditOutcomes = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack,
-	ActionAbort: audit.Aborted, ActionDrop: audit.Left}
+	ActionAbort: audit.Aborted, ActionDrop: audit.ClientLeft}
 
 // fence returns the fence by which a store rejects attempts of closed versions. It is empty if nothing
 // is versioned.
@@ -161,7 +161,7 @@
 func (a *ActiveRPC) handleFenced() {
 	router := a.router
 	router.fencedAttempts++
-	if router.holder != nil && router.holder.Fenced(router.now(), Rulebook, a.admission.version) {
+	if router.holder != nil && router.holder.MarkFenced(router.now(), Rulebook, a.admission.version) {
 		router.log.WithFields(logrus.Fields{"thing": Rulebook, "version": a.admission.version, "turned_away": router.fencedAttempts}).
 			Warn("store rejected the version in force on this driver")
 	}
@@ -171,10 +171,10 @@
 }
 
 // VersionSightings returns what this driver reports of its versions, and the time of the report.
-func (r *Router) VersionSightings() ([]versions.Sighting, int64) {
+func (r *Router) VersionSightings() ([]versions.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.holder.Sightings(), r.now()
+	return r.holder.Reports(), r.now()
 }
 
 // ApplyOrders applies the grant for the report made at askedAt and returns the versions to adopt.
@@ -184,14 +184,14 @@
 	if planted.Is(planted.Lease) {
 		grant.Lease += grant.Lease / 2
 	}
-	adoptions := r.holder.Granted(askedAt, grant)
+	adoptions := r.holder.ApplyGrant(askedAt, grant)
 	if r.trail != nil {
-		actsOn := map[versions.Thing]versions.Number{}
-		for _, sighting := range r.holder.Sightings() {
-			actsOn[sighting.Thing] = sighting.Acts
+		actsOn := map[versions.Resource]versions.Number{}
+		for _, sighting := range r.holder.Reports() {
+			actsOn[sighting.Resource] = sighting.Active
 		}
-		for _, order := range grant.Orders {
-			r.trail.Learns(r.now(), order.Thing, order.Epoch, actsOn[order.Thing])
+		for _, order := range grant.Assignments {
+			r.trail.RecordEpoch(r.now(), order.Resource, order.Epoch, actsOn[order.Resource])
 		}
 	}
 	return adoptions
@@ -202,12 +202,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.holder.Fails(adoption, err.Error())
+		r.holder.MarkFailed(adoption, err.Error())
 		return
 	}
-	r.holder.Adopted(adoption)
+	r.holder.MarkAdopted(adoption)
 	if r.trail != nil {
-		r.trail.Acts(r.now(), adoption.Thing, adoption.Number)
+		r.trail.RecordActive(r.now(), adoption.Resource, adoption.Number)
 	}
 }
 
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -14,42 +14,42 @@
 
 // enableVersions puts version 2 of the rulebook in force on a router, optionally with an audit trail.
 func enableVersions(t testing.TB, r *Router, withTrail bool) {
-	r.EnableVersions(versions.NewHolder())
+	r.EnableVersions(versions.NewDriverState())
 	if withTrail {
-		r.StartTrail(versions.Sign{Name: "n", Start: 1}, "token")
+		r.StartTrail(versions.Instance{Name: "n", Start: 1}, "token")
 	}
-	applyOrder(t, r, time.Hour, versions.Order{Epoch: 1, Act: 2, Valid: []versions.Number{2}, Hold: 2, Text: "text"})
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 1, Active: 2, Valid: []versions.Number{2}, Stored: 2, Text: "text"})
 }
 
 // applyOrder applies an order for the rulebook and adopts its version.
-func applyOrder(t testing.TB, r *Router, lease time.Duration, order versions.Order) {
-	order.Thing = Rulebook
-	for _, adoption := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Orders: []versions.Order{order}}) {
+func applyOrder(t testing.TB, r *Router, lease time.Duration, order versions.Assignment) {
+	order.Resource = Rulebook
+	for _, adoption := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{order}}) {
 		r.ReportAdoption(adoption, nil)
 	}
-	require.Equal(t, order.Act, r.holder.Sightings()[0].Acts)
+	require.Equal(t, order.Active, r.holder.Reports()[0].Active)
 }
 
 // Guards against RPCs that begin without a version in force, and attempts without its fence.
 func TestRPCsRequireVersion(t *testing.T) {
 	r := newRouterWithCells(t, false)
-	r.EnableVersions(versions.NewHolder())
+	r.EnableVersions(versions.NewDriverState())
 	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action, "no lease")
 	enableVersions(t, r, true)
 	active := admitRPC(t, r, "write")
 	step := nextStep(t, active)
 	require.Equal(t, ActionAttempt, step.Action)
 	require.Equal(t, protocol.Fence{Version: 2, Epoch: 1, Valid: []uint64{2}}, step.Fence)
-	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
+	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
 	require.True(t, active.MayBegin(step.AttemptNumber))
 	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionServe, nextStep(t, active).Action)
-	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight, "the RPC is in flight until its answer is delivered")
+	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight, "the RPC is in flight until its answer is delivered")
 	active.AnswerDelivered()
-	require.Empty(t, r.holder.Sightings()[0].Flight)
+	require.Empty(t, r.holder.Reports()[0].InFlight)
 	var writeEntry *audit.Entry
 	for _, entry := range r.FlushTrail(0).Entries {
-		if entry.Kind == audit.Single {
+		if entry.Kind == audit.KindRPC {
 			writeEntry = &entry
 		}
 	}
@@ -65,17 +65,17 @@
 	enableVersions(t, r, false)
 	active := admitRPC(t, r, "write")
 	step := nextStep(t, active)
-	applyOrder(t, r, time.Hour, versions.Order{Epoch: 2, Act: 3, Hold: 3, Text: "next"})
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 2, Active: 3, Stored: 3, Text: "next"})
 	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, nextStep(t, active).Action)
 	held := admitRPC(t, r, "write")
 	step = nextStep(t, held)
-	applyOrder(t, r, time.Hour, versions.Order{Epoch: 3, Act: 4, Hold: 4, Text: "after", Keep: 3})
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 3, Active: 4, Stored: 4, Text: "after", Allowed: 3})
 	held.ReportAttempt(step.AttemptNumber, Outcome{Answer: nil, CloseReason: 0, WasSent: false})
 	nextAttempt := nextStep(t, held)
 	require.Equal(t, ActionAttempt, nextAttempt.Action, "a version that is kept may still be used")
 	require.EqualValues(t, 3, nextAttempt.Fence.Version)
-	applyOrder(t, r, time.Hour, versions.Order{Epoch: 4, Act: 4, Hold: 4, Text: "after"})
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 4, Active: 4, Stored: 4, Text: "after"})
 	held.ReportAttempt(nextAttempt.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, nextStep(t, held).Action)
 }
@@ -112,8 +112,8 @@
 	active.ClientLeft()
 	active.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
 	require.Equal(t, ActionDrop, nextStep(t, active).Action)
-	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
-	for startedAt := time.Now(); len(r.holder.Sightings()[0].Flight) > 0; time.Sleep(10 * time.Millisecond) {
+	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
+	for startedAt := time.Now(); len(r.holder.Reports()[0].InFlight) > 0; time.Sleep(10 * time.Millisecond) {
 		require.Less(t, time.Since(startedAt), 5*time.Second)
 		r.runTimers()
 	}
@@ -122,6 +122,6 @@
 // Guards against methods recorded in the audit trail with the wrong effect.
 func TestAuditEffect(t *testing.T) {
 	require.Equal(t, audit.Read, auditEffect(&rules.Method{Consistency: rules.ConsistencySession, Effect: rules.NonIdempotent}))
-	require.Equal(t, audit.Tokened, auditEffect(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.IdempotentByToken}))
+	require.Equal(t, audit.Deduplicated, auditEffect(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.IdempotentByToken}))
 	require.Equal(t, audit.NonIdempotent, auditEffect(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.NonIdempotent}))
 }
