--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,5 +1,5 @@
-// Package account joins the ledger to its journal: a grant of an RPC that must not run twice is on the disk before anybody
-// has it. What is decided is decided in package ledger.
+// Package account makes a ledger durable: the grant of an RPC that must not run twice is written to the
+// journal before it is returned. The decisions themselves are made by package ledger.
 package account
 
 import (
@@ -12,101 +12,102 @@
 	"sedgespread/internal/store"
 )
 
-// Account is a ledger at work. It may be used by many at once.
-type Account struct {
-	journal *store.Journal
-	commit  *store.BatchWriter
-	begun   time.Time
+// JournaledLedger is a ledger backed by a journal. It is safe for concurrent use.
+type JournaledLedger struct {
+	journal   *store.Journal
+	committer *store.BatchWriter
+	startedAt time.Time
 
-	mu sync.Mutex
-	l  *ledger.Ledger
+	mu     sync.Mutex
+	ledger *ledger.Ledger
 }
 
-const together = 256 // records of one write, at most
+const maxRecordsPerWrite = 256
 
-// Open takes up what a journal holds, for so many RPCs of which one caller may have so many. A journal that holds nothing
-// may be one that was lost: until the longest deadline from now has passed repeats can't be told from first tries.
-func Open(j *store.Journal, most, quota int, longest time.Duration) (*Account, error) {
-	a := &Account{journal: j, commit: store.NewBatchWriter(j, together), begun: time.Now()}
-	records, err := store.ReadAll[ledger.Record](j)
+// Open recovers a ledger from a journal. An empty journal may have been lost: until maxDeadline has passed
+// a retry may be of an RPC that has run, and is not granted.
+func Open(journal *store.Journal, maxRPCs, maxRPCsPerCaller int, maxDeadline time.Duration) (*JournaledLedger, error) {
+	l := &JournaledLedger{journal: journal, committer: store.NewBatchWriter(journal, maxRecordsPerWrite), startedAt: time.Now()}
+	records, err := store.ReadAll[ledger.Record](journal)
 	if err != nil {
 		return nil, err
 	}
-	a.l = ledger.New(a.now(), most, quota)
-	a.l.Recover(a.now(), records)
+	l.ledger = ledger.New(l.now(), maxRPCs, maxRPCsPerCaller)
+	l.ledger.Recover(l.now(), records)
 	if len(records) == 0 {
-		a.l.MarkRecordsLost(a.now() + int64(longest))
+		l.ledger.MarkRecordsLost(l.now() + int64(maxDeadline))
 	}
-	return a, nil
+	return l, nil
 }
 
-func (a *Account) now() int64 { return a.begun.UnixNano() + int64(time.Since(a.begun)) }
+func (l *JournaledLedger) now() int64 { return l.startedAt.UnixNano() + int64(time.Since(l.startedAt)) }
 
-// Join makes a caller known, or tells that it has started anew.
-func (a *Account) Join(name string, epoch uint64) (ledger.Caller, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.l.Join(name, epoch)
+// Join registers a caller. It returns false for an earlier start of a known caller.
+func (l *JournaledLedger) Join(name string, epoch uint64) (ledger.Caller, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Join(name, epoch)
 }
 
-// Ask decides on an RPC. Once it returns a grant the record that the grant needs is on the disk; where that can't be
-// written the RPC is pushed back, since nobody has the grant, and the error says why.
-func (a *Account) Ask(asked ledger.Request) (ledger.Decision, error) {
-	d, record, needed := a.decide(asked)
-	if !needed {
-		return d, nil
+// Request decides on an RPC. The record that a grant needs is on disk when Request returns it. If the
+// record cannot be written, the RPC is rejected and the error returned.
+func (l *JournaledLedger) Request(request ledger.Request) (ledger.Decision, error) {
+	decision, record, isRecordNeeded := l.decide(request)
+	if !isRecordNeeded {
+		return decision, nil
 	}
-	err := a.write(record)
+	err := l.write(record)
 	if err == nil {
-		return d, nil
+		return decision, nil
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.l.Report(asked.Caller, record.Epoch, d.Grant, ledger.NeverRan)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.ledger.Report(request.Caller, record.Epoch, decision.Grant, ledger.NeverRan)
 	return ledger.Decision{Action: ledger.ActionReject, Reason: ledger.ReasonJournalFailed}, err
 }
 
-// decide decides, and counts a grant as out from here on: a repeat that comes while its record is written finds it so.
-func (a *Account) decide(asked ledger.Request) (d ledger.Decision, r ledger.Record, needed bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := a.now()
-	a.l.Advance(now)
-	if d = a.l.Decide(now, asked); d.Action != ledger.ActionGrant {
-		return d, r, false
+// decide decides on an RPC. A grant counts as given from here on, so that a retry that arrives while the
+// record is being written is not granted too.
+func (l *JournaledLedger) decide(request ledger.Request) (decision ledger.Decision, record ledger.Record, isRecordNeeded bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.now()
+	l.ledger.Advance(now)
+	if decision = l.ledger.Decide(now, request); decision.Action != ledger.ActionGrant {
+		return decision, record, false
 	}
-	r, needed = a.l.Record(now, asked, d.Grant)
-	a.l.Granted(now, asked, d.Grant)
-	return d, r, needed
+	record, isRecordNeeded = l.ledger.Record(now, request, decision.Grant)
+	l.ledger.Granted(now, request, decision.Grant)
+	return decision, record, isRecordNeeded
 }
 
-// Report takes what came of a grant, and tells whether it counts. Its record may be lost in a crash: the grant may then
-// have run for all that is known.
-func (a *Account) Report(c ledger.Caller, epoch uint64, g ledger.Grant, f ledger.Outcome) (bool, error) {
-	a.mu.Lock()
-	counts := a.l.Report(c, epoch, g, f)
-	now := a.now()
-	a.mu.Unlock()
-	if !counts {
+// Report records the outcome of a grant and reports whether it was accepted. If a crash loses the record,
+// the RPC counts as one that may have run.
+func (l *JournaledLedger) Report(caller ledger.Caller, epoch uint64, grant ledger.Grant, outcome ledger.Outcome) (bool, error) {
+	l.mu.Lock()
+	accepted := l.ledger.Report(caller, epoch, grant, outcome)
+	now := l.now()
+	l.mu.Unlock()
+	if !accepted {
 		return false, nil
 	}
-	return true, a.write(ledger.Record{Grant: g, Outcome: f, At: now})
+	return true, l.write(ledger.Record{Grant: grant, Outcome: outcome, At: now})
 }
 
-func (a *Account) write(r ledger.Record) error {
-	text, err := json.Marshal(r)
+func (l *JournaledLedger) write(record ledger.Record) error {
+	text, err := json.Marshal(record)
 	if err == nil {
-		err = a.commit.Append(text)
+		err = l.committer.Append(text)
 	}
 	if err != nil {
-		return fmt.Errorf("the journal: %w", err)
+		return fmt.Errorf("writing record to ledger journal: %w", err)
 	}
 	return nil
 }
 
-// Counts are of what came and what became of it.
-func (a *Account) Counts() ledger.Counts {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.l.Counts()
+// Counts returns the counters of the ledger.
+func (l *JournaledLedger) Counts() ledger.Counts {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Counts()
 }
--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -7,29 +7,34 @@
 	"sedgespread/rules"
 )
 
-// Message is what the fellow drivers are sent for the module's news, at a time. They know a member by its key, and
-// positions count from epoch.
-func Message(news []rules.PeerReport, key func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
-	for _, n := range news {
-		message = protocol.AppendObservation(message, protocol.Observation{Member: key(n.Member), Role: uint8(n.Role),
-			PositionMillis: millis(n.Position - epoch), LatencyMillis: millis(n.Latency), Failed: n.Failed,
-			MinUptimeSeconds: n.Uptime / int64(time.Second)}, millis(now-epoch))
+// EncodeObservations encodes observations for the peers, which identify a member by its key. Times are
+// nanoseconds; positions are sent relative to epoch.
+func EncodeObservations(observations []rules.PeerReport, keyOfMember func(rules.MemberID) uint32,
+	epoch, now int64) (message []byte) {
+	for _, observation := range observations {
+		message = protocol.AppendObservation(message, protocol.Observation{Member: keyOfMember(observation.Member),
+			Role: uint8(observation.Role), PositionMillis: toMillis(observation.Position - epoch),
+			LatencyMillis: toMillis(observation.Latency), Failed: observation.Failed,
+			MinUptimeSeconds: observation.Uptime / int64(time.Second)}, toMillis(now-epoch))
 	}
 	return message
 }
 
-// News reads what a fellow driver sent, heard at a time, and tells whether it is a driver's. What it says of members
-// that are not known here is left out.
-func News(message []byte, member func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (news []rules.PeerReport, ok bool) {
-	told, ok := protocol.ParseObservations(message, millis(now-epoch))
-	for _, n := range told {
-		if id, known := member(n.Member); known {
-			news = append(news, rules.PeerReport{Member: id, Latency: nanos(n.LatencyMillis), Failed: n.Failed, Uptime: n.MinUptimeSeconds * int64(time.Second),
-				Observation: rules.Observation{Role: rules.Role(n.Role), Position: epoch + nanos(n.PositionMillis)}})
+// DecodeObservations decodes a peer's message that was received at now, and reports whether it is valid.
+// Observations of unknown members are left out.
+func DecodeObservations(message []byte, memberOfKey func(key uint32) (id rules.MemberID, known bool),
+	epoch, now int64) (observations []rules.PeerReport, ok bool) {
+	peerObservations, ok := protocol.ParseObservations(message, toMillis(now-epoch))
+	for _, peerObservation := range peerObservations {
+		if id, known := memberOfKey(peerObservation.Member); known {
+			observations = append(observations, rules.PeerReport{Member: id, Latency: toNanos(peerObservation.LatencyMillis),
+				Failed: peerObservation.Failed, Uptime: peerObservation.MinUptimeSeconds * int64(time.Second),
+				Observation: rules.Observation{Role: rules.Role(peerObservation.Role),
+					Position: epoch + toNanos(peerObservation.PositionMillis)}})
 		}
 	}
-	return news, ok
+	return observations, ok
 }
 
-func millis(span int64) int64 { return span / int64(time.Millisecond) }
-func nanos(span int64) int64  { return span * int64(time.Millisecond) }
+func toMillis(duration int64) int64 { return duration / int64(time.Millisecond) }
+func toNanos(duration int64) int64  { return duration * int64(time.Millisecond) }
--- a/internal/briefing/parts.go
+++ b/internal/briefing/parts.go
@@ -1,4 +1,5 @@
-// Package briefing reads what a driver is told when it starts, the same from the simulator and from a file.
+// Package briefing parses the settings that a driver starts with, which come from the simulator or from a
+// file, and encodes the observations that drivers exchange.
 package briefing
 
 import (
@@ -9,158 +10,165 @@
 	"strings"
 )
 
-const micro = int64(1000)
+const nanosPerMicro = int64(1000)
 
-// Parts are the name=value parts of one line. The first thing found wrong with them is kept in Err.
-type Parts struct {
-	Name  string
-	Err   error
-	parts []part
+// Fields are the name=value fields of a line or an object. Err keeps the first error found in them.
+type Fields struct {
+	Name   string // of the line or object, for error messages
+	Err    error
+	fields []field
 }
 
-type part struct{ name, value string }
+type field struct{ name, value string }
 
-// Parse reads a line, or a report's parts, into p, which is used again for each line.
-func (p *Parts) Parse(line, between, equals string) {
-	p.Name, line, _ = strings.Cut(line, between)
-	p.parts, p.Err = p.parts[:0], nil
-	for more := line != ""; more; {
-		var text string
-		text, line, more = strings.Cut(line, between)
-		name, value, ok := strings.Cut(text, equals)
+// Parse replaces the fields by those of a line, which starts with its name.
+func (f *Fields) Parse(line, separator, assign string) {
+	f.Name, line, _ = strings.Cut(line, separator)
+	f.fields, f.Err = f.fields[:0], nil
+	for hasMore := line != ""; hasMore; {
+		var part string
+		part, line, hasMore = strings.Cut(line, separator)
+		name, value, ok := strings.Cut(part, assign)
 		if !ok || name == "" {
-			p.Wrong("part %q is not name%svalue", text, equals)
+			f.Fail("part %q is not name%svalue", part, assign)
 			continue
 		}
-		p.parts = append(p.parts, part{name, value})
+		f.fields = append(f.fields, field{name, value})
 	}
 }
 
-// Equal tells whether two say the same.
-func Equal(a, b *Parts) bool { return slices.Equal(a.parts, b.parts) }
+// Equal reports whether two have the same fields in the same order.
+func Equal(first, second *Fields) bool { return slices.Equal(first.fields, second.fields) }
 
-// Get finds a part; lines are short, so that a look along them beats a map.
-func (p *Parts) Get(name string) (string, bool) {
-	for _, part := range p.parts {
-		if part.name == name {
-			return part.value, true
+// Get returns the value of a field, if present. Lines are so short that a linear search beats a map.
+func (f *Fields) Get(name string) (string, bool) {
+	for _, entry := range f.fields {
+		if entry.name == name {
+			return entry.value, true
 		}
 	}
 	return "", false
 }
 
-// At gives a part, or nothing where it is absent.
-func (p *Parts) At(name string) string {
-	value, _ := p.Get(name)
+// Value returns the value of a field, empty if absent.
+func (f *Fields) Value(name string) string {
+	value, _ := f.Get(name)
 	return value
 }
 
-// Wrong notes what is wrong, unless something was before.
-func (p *Parts) Wrong(format string, args ...any) {
-	if p.Err == nil {
-		p.Err = fmt.Errorf("%s: %s", p.Name, fmt.Sprintf(format, args...))
+// Fail sets Err unless it is set already.
+func (f *Fields) Fail(format string, args ...any) {
+	if f.Err == nil {
+		f.Err = fmt.Errorf("%s: %s", f.Name, fmt.Sprintf(format, args...))
 	}
 }
 
-// Text gives a part that must be there.
-func (p *Parts) Text(name string) string {
-	value, ok := p.Get(name)
+// RequiredString returns the value of a field that must be present.
+func (f *Fields) RequiredString(name string) string {
+	value, ok := f.Get(name)
 	if !ok {
-		p.Wrong("%s is missing", name)
+		f.Fail("%s is missing", name)
 	}
 	return value
 }
 
-// Integer reads a whole number that must be there.
-func (p *Parts) Integer(name string) int64 {
-	return p.AsInteger(name, p.Text(name))
+// RequiredInteger parses a field that must be present.
+func (f *Fields) RequiredInteger(name string) int64 {
+	return f.ParseInteger(name, f.RequiredString(name))
 }
 
-func (p *Parts) AsInteger(name, value string) int64 {
-	n, err := strconv.ParseInt(value, 10, 64)
-	if err != nil && p.Err == nil {
-		p.Wrong("%s=%q is not a whole number", name, value)
+// ParseInteger parses a value that belongs to the named field.
+func (f *Fields) ParseInteger(name, value string) int64 {
+	number, err := strconv.ParseInt(value, 10, 64)
+	if err != nil && f.Err == nil {
+		f.Fail("%s=%q is not a whole number", name, value)
 	}
-	return n
+	return number
 }
 
-func (p *Parts) ID(name string) uint32 {
-	n := p.Integer(name)
-	if n < 0 || n > math.MaxUint32 {
-		p.Wrong("%s=%d is out of range", name, n)
+// RequiredID parses a field that must be present and hold a number of 32 bits.
+func (f *Fields) RequiredID(name string) uint32 {
+	number := f.RequiredInteger(name)
+	if number < 0 || number > math.MaxUint32 {
+		f.Fail("%s=%d is out of range", name, number)
 	}
-	return uint32(n)
+	return uint32(number)
 }
 
-func (p *Parts) IntegerOr(name string, other int64) int64 {
-	if value, ok := p.Get(name); ok {
-		return p.AsInteger(name, value)
+// IntegerOr parses a field, or returns fallback if it is absent.
+func (f *Fields) IntegerOr(name string, fallback int64) int64 {
+	if value, ok := f.Get(name); ok {
+		return f.ParseInteger(name, value)
 	}
-	return other
+	return fallback
 }
 
-func (p *Parts) NumberOr(name string, other float64) float64 {
-	value, ok := p.Get(name)
+// NumberOr parses a finite decimal number, or returns fallback if the field is absent or invalid.
+func (f *Fields) NumberOr(name string, fallback float64) float64 {
+	value, ok := f.Get(name)
 	if !ok {
-		return other
+		return fallback
 	}
-	x, err := strconv.ParseFloat(value, 64)
-	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		p.Wrong("%s=%q is not a number", name, value)
-		return other
+	number, err := strconv.ParseFloat(value, 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		f.Fail("%s=%q is not a number", name, value)
+		return fallback
 	}
-	return x
+	return number
 }
 
-func (p *Parts) BoolOr(name string, other bool) bool {
-	switch value, ok := p.Get(name); {
+// BoolOr parses 0, 1, false or true, or returns fallback if the field is absent or invalid.
+func (f *Fields) BoolOr(name string, fallback bool) bool {
+	switch value, ok := f.Get(name); {
 	case !ok:
-		return other
+		return fallback
 	case value == "1" || value == "true":
 		return true
 	case value == "0" || value == "false":
 		return false
 	default:
-		p.Wrong("%s=%q is neither true nor false", name, value)
-		return other
+		f.Fail("%s=%q is neither true nor false", name, value)
+		return fallback
 	}
 }
 
-// Time reads microseconds as nanoseconds, 0 when absent.
-func (p *Parts) Time(name string) int64 {
-	n := p.IntegerOr(name, 0)
-	if n > math.MaxInt64/micro || n < math.MinInt64/micro {
-		p.Wrong("%s=%d is out of range", name, n)
+// MicrosOrZero parses microseconds and returns nanoseconds, 0 if the field is absent.
+func (f *Fields) MicrosOrZero(name string) int64 {
+	micros := f.IntegerOr(name, 0)
+	if micros > math.MaxInt64/nanosPerMicro || micros < math.MinInt64/nanosPerMicro {
+		f.Fail("%s=%d is out of range", name, micros)
 		return 0
 	}
-	return n * micro
+	return micros * nanosPerMicro
 }
 
-// Seconds reads a decimal number of seconds as nanoseconds, exactly; what is finer is cut off. A float64 has not the digits for a Unix time.
-func (p *Parts) Seconds(name string) int64 {
-	const digits = 9
-	text := p.Text(name)
-	whole, fraction, _ := strings.Cut(text, ".")
-	fraction = fraction[:min(len(fraction), digits)]
-	n, err := strconv.ParseInt(whole+fraction+strings.Repeat("0", digits-len(fraction)), 10, 64)
+// RequiredSeconds parses decimal seconds and returns nanoseconds, truncated. It avoids float64, which is
+// too imprecise for a Unix time, unless the number has another form.
+func (f *Fields) RequiredSeconds(name string) int64 {
+	const fractionDigits = 9
+	value := f.RequiredString(name)
+	whole, fraction, _ := strings.Cut(value, ".")
+	fraction = fraction[:min(len(fraction), fractionDigits)]
+	nanos, err := strconv.ParseInt(whole+fraction+strings.Repeat("0", fractionDigits-len(fraction)), 10, 64)
 	if err != nil || strings.ContainsAny(fraction, "+-") {
-		return int64(p.NumberOr(name, 0) * 1e9) // of another form, or no number
+		return int64(f.NumberOr(name, 0) * 1e9) // an exponent, for example, or an invalid number
 	}
-	return n
+	return nanos
 }
 
-func (p *Parts) List(name string) []string {
-	if p.At(name) == "" {
+// List returns the items of a field that is separated by commas.
+func (f *Fields) List(name string) []string {
+	if f.Value(name) == "" {
 		return nil
 	}
-	return strings.Split(p.At(name), ",")
+	return strings.Split(f.Value(name), ",")
 }
 
-// Choice reads one of the words of a table.
-func Choice[T any](p *Parts, name, value string, table map[string]T) T {
-	got, ok := table[value]
+// Lookup returns the table's entry for the value of the named field. An unknown value is an error.
+func Lookup[T any](fields *Fields, name, value string, table map[string]T) T {
+	found, ok := table[value]
 	if !ok {
-		p.Wrong("%s=%q is not known", name, value)
+		fields.Fail("%s=%q is not known", name, value)
 	}
-	return got
+	return found
 }
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -8,100 +8,107 @@
 )
 
 var (
-	needs = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
+	needByName = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
 		"latest": rules.ConsistencyLinearizable, "update": rules.ConsistencyWrite}
-	effects = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
-	scopes  = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone, "all": rules.DedupEverywhere}
-	guards  = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
-	asks    = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	effectByName = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
+	scopeByName  = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone,
+		"all": rules.DedupEverywhere}
+	isGuardedByName    = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
+	isSubscribedByName = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-func (p *Parts) Methods() []rules.Method {
-	read := p.List("extra.readLevel")
-	bounds := p.List("extra.maxAgeUs")
-	count := p.Integer("classes.count")
+// Methods parses the methods (classes) of the settings.
+func (f *Fields) Methods() []rules.Method {
+	readLevels := f.List("extra.readLevel")
+	maxAges := f.List("extra.maxAgeUs")
+	count := f.RequiredInteger("classes.count")
 	if count < 0 || count > 10_000 {
-		p.Wrong("classes.count=%d is out of range", count)
+		f.Fail("classes.count=%d is out of range", count)
 		return nil
 	}
 	methods := make([]rules.Method, count)
 	for i := range methods {
-		at := fmt.Sprintf("classes.%d.", i)
-		m := &methods[i]
-		m.Name = p.Text(at + "name")
-		m.Effect = Choice(p, at+"effect", p.Text(at+"effect"), effects)
-		m.DedupScope = Choice(p, at+"keyScope", p.At(at+"keyScope"), scopes)
-		m.DedupWindow = p.Time(at + "windowUs")
-		m.SoftDeadline = p.Integer(at+"aimUs") * micro
-		m.Deadline = p.Time(at + "giveUpUs")
-		m.Utility = p.NumberOr(at+"worth", 1)
-		m.LateUtility = p.NumberOr(at+"lateWorth", 0)
-		if i < len(read) {
-			m.Consistency = Choice(p, "extra.readLevel", read[i], needs)
+		prefix := fmt.Sprintf("classes.%d.", i)
+		method := &methods[i]
+		method.Name = f.RequiredString(prefix + "name")
+		method.Effect = Lookup(f, prefix+"effect", f.RequiredString(prefix+"effect"), effectByName)
+		method.DedupScope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), scopeByName)
+		method.DedupWindow = f.MicrosOrZero(prefix + "windowUs")
+		method.SoftDeadline = f.RequiredInteger(prefix+"aimUs") * nanosPerMicro
+		method.Deadline = f.MicrosOrZero(prefix + "giveUpUs")
+		method.Utility = f.NumberOr(prefix+"worth", 1)
+		method.LateUtility = f.NumberOr(prefix+"lateWorth", 0)
+		if i < len(readLevels) {
+			method.Consistency = Lookup(f, "extra.readLevel", readLevels[i], needByName)
 		}
-		if i < len(bounds) {
-			m.MaxStaleness = p.AsInteger("extra.maxAgeUs", bounds[i]) * micro
+		if i < len(maxAges) {
+			method.MaxStaleness = f.ParseInteger("extra.maxAgeUs", maxAges[i]) * nanosPerMicro
 		}
 	}
 	return methods
 }
 
-func (p *Parts) Fleet() rules.Fleet {
-	c := rules.Fleet{Drivers: int(p.IntegerOr("fleetSize", 1))}
-	if c.Drivers < 1 {
-		p.Wrong("fleetSize=%d is out of range", c.Drivers)
+// Fleet parses the number of drivers and whether they exchange observations.
+func (f *Fields) Fleet() rules.Fleet {
+	fleet := rules.Fleet{Drivers: int(f.IntegerOr("fleetSize", 1))}
+	if fleet.Drivers < 1 {
+		f.Fail("fleetSize=%d is out of range", fleet.Drivers)
 	}
-	if p.BoolOr("limits.peerMessages", false) {
-		c.ReportsPerMessage = protocol.ObservationsPerMessage
+	if f.BoolOr("limits.peerMessages", false) {
+		fleet.ReportsPerMessage = protocol.ObservationsPerMessage
 	}
-	return c
+	return fleet
 }
 
-func (p *Parts) Store() rules.Store {
+// Store parses how the store protects session reads.
+func (f *Fields) Store() rules.Store {
 	return rules.Store{
-		RejectsStaleReads:   Choice(p, "extra.guards", p.At("extra.guards"), guards),
-		CarriesSessionToken: p.At("extra.tokens") == "client",
+		RejectsStaleReads:   Lookup(f, "extra.guards", f.Value("extra.guards"), isGuardedByName),
+		CarriesSessionToken: f.Value("extra.tokens") == "client",
 	}
 }
 
-func (p *Parts) Allowed() rules.Policy {
-	a := rules.Policy{
-		MaxAttempts:  int(p.IntegerOr("limits.mostTries", 1)),
-		Hedging:      p.BoolOr("limits.mayDuplicate", false),
-		Cancellation: p.BoolOr("limits.cancelling", false),
-		Probing:      p.BoolOr("limits.probing", false),
+// Limits parses what the driver may do for an RPC.
+func (f *Fields) Limits() rules.Policy {
+	limits := rules.Policy{
+		MaxAttempts:  int(f.IntegerOr("limits.mostTries", 1)),
+		Hedging:      f.BoolOr("limits.mayDuplicate", false),
+		Cancellation: f.BoolOr("limits.cancelling", false),
+		Probing:      f.BoolOr("limits.probing", false),
 	}
-	if p.BoolOr("limits.retryAfter", false) {
-		a.MaxRetryAfter = p.Time("limits.maxRetryAfterUs")
+	if f.BoolOr("limits.retryAfter", false) {
+		limits.MaxRetryAfter = f.MicrosOrZero("limits.maxRetryAfterUs")
 	}
-	return a
+	return limits
 }
 
-func (p *Parts) SlowStart() rules.SlowStart {
+// SlowStart parses how members that have just started are ramped up.
+func (f *Fields) SlowStart() rules.SlowStart {
 	return rules.SlowStart{
-		InitialShare:   p.NumberOr("safety.startCapacity", 1),
-		WarmUpTime:     p.Time("safety.warmAfterUs"),
-		OverloadFactor: p.NumberOr("safety.fallMultiple", 1),
+		InitialShare:   f.NumberOr("safety.startCapacity", 1),
+		WarmUpTime:     f.MicrosOrZero("safety.warmAfterUs"),
+		OverloadFactor: f.NumberOr("safety.fallMultiple", 1),
 	}
 }
 
-func (p *Parts) Notice() rules.Discovery {
+// Discovery parses how discovery delivers its list and announces members that leave.
+func (f *Fields) Discovery() rules.Discovery {
 	return rules.Discovery{
-		OnRequest:      Choice(p, "discovery", p.At("discovery"), asks),
-		OnlyDrainBinds: p.BoolOr("safety.softRemoval", false),
-		DrainGrace:     p.Time("safety.drainGraceUs"),
+		OnRequest:      Lookup(f, "discovery", f.Value("discovery"), isSubscribedByName),
+		OnlyDrainBinds: f.BoolOr("safety.softRemoval", false),
+		DrainGrace:     f.MicrosOrZero("safety.drainGraceUs"),
 	}
 }
 
-// Observation reads what a load report shows of its member. Positions count from epoch.
-func (p *Parts) Observation(epoch int64) (s rules.Observation) {
-	if _, ok := p.Get("x0"); !ok {
-		return s
+// Observation parses what a load report shows of its member. Its position is relative to epoch.
+func (f *Fields) Observation(epoch int64) (observation rules.Observation) {
+	if _, ok := f.Get("x0"); !ok {
+		return observation
 	}
-	s.Position = epoch + p.Seconds("x0")
-	s.Role = rules.RoleReplica
-	if p.NumberOr("x1", 0) >= 0.5 {
-		s.Role = rules.RolePrimary
+	observation.Position = epoch + f.RequiredSeconds("x0")
+	observation.Role = rules.RoleReplica
+	if f.NumberOr("x1", 0) >= 0.5 {
+		observation.Role = rules.RolePrimary
 	}
-	return s
+	return observation
 }
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -7,215 +7,222 @@
 	"sedgespread/rules"
 )
 
-// pass is what an RPC has of its tenant's cell.
-type pass struct {
-	ticket *cells.Ticket
-	risky  bool // an attempt of it may have run
-	held   bool // the answer has not been passed on yet
-
-	version versions.Number // of the rulebook, which it acts on; 0 for none
-	until   int64           // an attempt of it may still run until then
-	acted   int64           // when the last attempt was let begin, 0 for none
-	effect  audit.Effect
-	outcome audit.Outcome
-	begun   int64
-}
-
-// Confine lets every RPC from here on pass a gate first. It is called before the first.
-func (r *Router) Confine(g *cells.AdmissionController) {
+// admissionState is the state of an RPC's admission to its tenant's cell.
+type admissionState struct {
+	ticket        *cells.Ticket
+	mayHaveRun    bool // one of its attempts may have run
+	answerPending bool // the answer has not been delivered yet
+
+	version     versions.Number // version of the rulebook that applies to the RPC, 0 for none
+	runsUntil   int64           // until when one of its attempts may still run
+	lastBeganAt int64           // when the last attempt began, 0 for none
+	effect      audit.Effect
+	outcome     audit.Outcome
+	startedAt   int64
+}
+
+// EnableAdmission puts admission control in front of all RPCs. It must be called before the first Admit.
+func (r *Router) EnableAdmission(controller *cells.AdmissionController) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gate = g
-	r.sweep()
-}
-
-// sweepEvery is how often a gate forgets what is over.
-const sweepEvery = 100 * milli
-
-// sweep lets the gate forget what is over, again and again. The lock is held.
-func (r *Router) sweep() {
-	r.gate.Sweep(r.now())
-	r.timers.add(r.now()+sweepEvery, r.sweep)
-	r.stir()
-}
-
-// ask asks the gate about an RPC, and goes on with it as soon as that has decided. The lock is held.
-func (t *Trip) ask(rpc rules.RPC, c *Call) {
-	r, now := t.r, t.r.now()
-	m := &r.methods[rpc.Method]
-	a := cells.Request{Tenant: r.gate.Tenant(c.Key, c.User, c.Base), Key: c.Key, Write: c.Write, SoftDeadline: m.SoftDeadline, TimeLeft: max(0, rpc.TimeLeft),
-		Utility: m.Utility}
-	t.pass = &pass{effect: effectOf(m)}
-	if !t.begins() {
-		t.pass = nil
-		t.pushesBack()
+	r.admissionController = controller
+	r.sweepAdmission()
+}
+
+// sweepInterval is how often the admission controller drops expired state.
+const sweepInterval = 100 * nanosPerMilli
+
+// sweepAdmission drops expired state of the admission controller and schedules the next sweep. r.mu
+// must be held.
+func (r *Router) sweepAdmission() {
+	r.admissionController.Sweep(r.now())
+	r.timers.add(r.now()+sweepInterval, r.sweepAdmission)
+	r.wake()
+}
+
+// requestAdmission asks the admission controller for a decision, which may come later. The router's
+// lock must be held.
+func (a *ActiveRPC) requestAdmission(rpc rules.RPC, request *Request) {
+	router, now := a.router, a.router.now()
+	method := &router.methods[rpc.Method]
+	admissionRequest := cells.Request{
+		Tenant: router.admissionController.Tenant(request.Key, request.User, request.Database), Key: request.Key,
+		Write: request.IsWrite, SoftDeadline: method.SoftDeadline, TimeLeft: max(0, rpc.TimeLeft), Utility: method.Utility}
+	a.admission = &admissionState{effect: auditEffect(method)}
+	if !a.beginVersion() {
+		a.admission = nil
+		a.rejectWithoutVersion()
 		return
 	}
-	ticket, v, decided := r.gate.Admit(now, a, func(v cells.Decision) {
-		held := r.now() - now
-		rpc.TimeLeft, rpc.Waited = rpc.TimeLeft-held, rpc.Waited+held
-		t.decided(rpc, v)
+	ticket, decision, decided := router.admissionController.Admit(now, admissionRequest, func(decision cells.Decision) {
+		heldFor := router.now() - now
+		rpc.TimeLeft, rpc.Waited = rpc.TimeLeft-heldFor, rpc.Waited+heldFor
+		a.applyDecision(rpc, decision)
 	})
-	t.pass.ticket = ticket
+	a.admission.ticket = ticket
 	if decided {
-		t.decided(rpc, v)
+		a.applyDecision(rpc, decision)
 		return
 	}
-	r.timers.add(ticket.HoldDeadline(), func() { r.gate.Expire(ticket) })
-	r.stir()
+	router.timers.add(ticket.HoldDeadline(), func() { router.admissionController.Expire(ticket) })
+	router.wake()
 }
 
-// decided goes on with an RPC as its gate has decided. The lock is held.
-func (t *Trip) decided(rpc rules.RPC, v cells.Decision) {
-	if v.Reason != cells.ReasonNone {
-		t.r.driver.ClientLeft(t.id)
-		t.finish(Step{Act: PushBack, ComeBack: min(v.RetryAfter, t.r.allowed.MaxRetryAfter)})
+// applyDecision submits or rejects an RPC as admission control has decided. The router's lock must be
+// held.
+func (a *ActiveRPC) applyDecision(rpc rules.RPC, decision cells.Decision) {
+	if decision.Reason != cells.ReasonNone {
+		a.router.driver.ClientLeft(a.id)
+		a.finish(Step{Action: ActionReject, RetryAfter: min(decision.RetryAfter, a.router.limits.MaxRetryAfter)})
 		return
 	}
-	rpc.Group, rpc.MinPosition = v.Group, v.MinPosition
-	t.take(rpc)
+	rpc.Group, rpc.MinPosition = decision.Group, decision.MinPosition
+	a.submit(rpc)
 }
 
-// attempts tells the gate of an attempt, and whether it may be made. Where it may not, the RPC ends here: the driver
-// does not know where its tenant is now. The lock is held.
-func (t *Trip) attempts(next func(rules.Result)) bool {
-	r := t.r
-	if t.may() && !t.harmed() {
-		r.gate.AttemptStarted(t.pass.ticket, r.now())
+// admitAttempt registers a new attempt with admission control and reports whether it may be made. If
+// not, the RPC ends, since its tenant may be in another cell by now. The router's lock must be held.
+func (a *ActiveRPC) admitAttempt(onResult func(rules.Result)) bool {
+	router := a.router
+	if a.mayProceed() && !a.failsByPlantedFault() {
+		router.admissionController.AttemptStarted(a.admission.ticket, router.now())
 		return true
 	}
-	n := len(t.calls)
-	t.calls = append(t.calls, call{})
-	risky := t.out > 0
-	t.out++
-	t.forsake(risky)
-	r.timers.add(r.now(), func() {
-		t.calls[n].next = nil
-		t.out--
-		next(rules.Result{Outcome: rules.NotExecuted, Cause: rules.Cancelled, Final: true})
-		t.drop()
+	number := len(a.attempts)
+	a.attempts = append(a.attempts, attemptState{})
+	mayHaveRun := a.outstanding > 0
+	a.outstanding++
+	a.rejectOrAbort(mayHaveRun)
+	router.timers.add(router.now(), func() {
+		a.attempts[number].onResult = nil
+		a.outstanding--
+		onResult(rules.Result{Outcome: rules.NotExecuted, Cause: rules.Cancelled, Final: true})
+		a.removeIfDone()
 	})
-	r.stir()
+	router.wake()
 	return false
 }
 
-// forsake ends an RPC that nothing more may be done for: it is pushed back where trying again is harmless, which it is
-// not of a write that may have run, and else aborted. The lock is held.
-func (t *Trip) forsake(risky bool) {
-	if t.pass.ticket.Write && (risky || t.pass.risky) {
-		t.finish(Step{Act: Abort})
+// rejectOrAbort ends an RPC that may not proceed: a write that may have run is aborted, anything else
+// is rejected because retrying it is safe. The router's lock must be held.
+func (a *ActiveRPC) rejectOrAbort(mayHaveRun bool) {
+	if a.admission.ticket.Write && (mayHaveRun || a.admission.mayHaveRun) {
+		a.finish(Step{Action: ActionAbort})
 		return
 	}
-	t.finish(Step{Act: PushBack})
+	a.finish(Step{Action: ActionReject})
 }
 
-// returned tells the gate how an attempt ended. An answer that comes when the lease has run out, or its tenant has been
-// moved, is not passed on: others may have gone on without it. The lock is held.
-func (t *Trip) returned(c *call, v verdict, o Outcome) {
-	r, until, bytes := t.r, int64(0), 0
-	if v.proof == rules.MayHaveExecuted {
-		until, t.pass.risky = c.until+graceOver, true
-		t.pass.until = max(t.pass.until, until)
+// recordAttemptEnd tells admission control that an attempt has ended. An answer that arrives after the
+// lease has expired or the tenant has moved is not delivered: other drivers may have written in the
+// meantime. The router's lock must be held.
+func (a *ActiveRPC) recordAttemptEnd(attempt *attemptState, class classification, outcome Outcome) {
+	router, runsUntil, answerBytes := a.router, int64(0), 0
+	if class.proof == rules.MayHaveExecuted {
+		runsUntil, a.admission.mayHaveRun = attempt.deadline+attemptOverrun, true
+		a.admission.runsUntil = max(a.admission.runsUntil, runsUntil)
 	}
-	if o.Answer != nil {
-		bytes = o.Answer.Size()
-		r.gate.Committed(t.pass.ticket, o.Answer.PositionMillis*milli)
+	if outcome.Answer != nil {
+		answerBytes = outcome.Answer.Size()
+		router.admissionController.Committed(a.admission.ticket, outcome.Answer.PositionMillis*nanosPerMilli)
 	}
-	r.gate.AttemptEnded(t.pass.ticket, until, bytes, r.now())
-	if v.proof == rules.OK && !t.ended && !t.may() {
-		t.forsake(true)
+	router.admissionController.AttemptEnded(a.admission.ticket, runsUntil, answerBytes, router.now())
+	if class.proof == rules.OK && !a.isFinished && !a.mayProceed() {
+		a.rejectOrAbort(true)
 	}
 }
 
-// graceOver is how long after its time a member may still finish what it was sent.
-const graceOver = 50 * milli
+// attemptOverrun is how long a member may still run an attempt after its deadline.
+const attemptOverrun = 50 * nanosPerMilli
 
-// answered tells the gate that an RPC has its final answer. The lock is held.
-func (t *Trip) answered(act Act) {
-	t.pass.held, t.pass.outcome = act == Serve, outcomeOf[act]
-	t.r.gate.Finished(t.pass.ticket, act == Serve, t.r.now())
-	t.fared(act)
+// recordFinish tells admission control how the RPC was answered. The router's lock must be held.
+func (a *ActiveRPC) recordFinish(action Action) {
+	a.admission.answerPending, a.admission.outcome = action == ActionServe, auditOutcomes[action]
+	a.router.admissionController.Finished(a.admission.ticket, action == ActionServe, a.router.now())
+	a.recordVersionOutcome(action)
 }
 
-// settle tells the gate when nothing is left of an RPC. The lock is held.
-func (t *Trip) settle() {
-	if t.ended && t.out == 0 && !t.pass.held {
-		t.r.gate.Settle(t.pass.ticket, t.r.now())
-		t.ends()
+// settleIfDone releases the RPC's ticket once the RPC is finished, no attempt is outstanding and the
+// answer has been delivered. The router's lock must be held.
+func (a *ActiveRPC) settleIfDone() {
+	if a.isFinished && a.outstanding == 0 && !a.admission.answerPending {
+		a.router.admissionController.Settle(a.admission.ticket, a.router.now())
+		a.endVersion()
 	}
 }
 
-// Passed says that the answer has been passed on to the client, or can't be.
-func (t *Trip) Passed() {
-	if t.pass == nil {
+// AnswerDelivered reports that the answer has been sent to the client or cannot be.
+func (a *ActiveRPC) AnswerDelivered() {
+	if a.admission == nil {
 		return
 	}
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	t.pass.held = false
-	t.settle()
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	a.admission.answerPending = false
+	a.settleIfDone()
 }
 
-// Cell is the cell that the RPC was let into, NoCell for none.
-func (t *Trip) Cell() cells.Cell {
-	if t.pass == nil {
+// Cell returns the cell that the RPC was admitted to, or NoCell.
+func (a *ActiveRPC) Cell() cells.Cell {
+	if a.admission == nil {
 		return cells.NoCell
 	}
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	return t.pass.ticket.Cell()
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	return a.admission.ticket.Cell()
 }
 
-// Seat notes that a client's connection counts for another cell than before.
-func (r *Router) Seat(from, to cells.Cell) {
+// MoveConnection counts a client's connection for the cell to instead of from.
+func (r *Router) MoveConnection(from, to cells.Cell) {
 	if from != to {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.gate.MoveConnection(from, to)
+		r.admissionController.MoveConnection(from, to)
 	}
 }
 
-// Crowded is the cell whose clients have to go first where connections are short.
-func (r *Router) Crowded() cells.Cell {
+// MostOverConnectionShare returns the cell whose connections are closed first when the limit is reached.
+func (r *Router) MostOverConnectionShare() cells.Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gate.MostOverConnectionShare()
+	return r.admissionController.MostOverConnectionShare()
 }
 
-// ReportGrant reports what the coordinator granted to what Report told at a time.
-func (r *Router) ReportGrant(asked int64, grant cells.Grant) error {
+// ReportGrant applies the coordinator's answer to the report that was made at askedAt.
+func (r *Router) ReportGrant(askedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed, err := r.gate.ApplyGrant(asked, grant)
-	for _, t := range changed {
-		e, _ := r.gate.Directory().Entry(t)
-		r.log.WithField("tenant", t).WithField("stage", e.Stage).WithField("cell", e.Cell).WithField("to", e.To).
-			WithField("epoch", e.Epoch).Info("tenant moves")
-		r.gate.ResumeHeld(t, r.now())
+	changed, err := r.admissionController.ApplyGrant(askedAt, grant)
+	for _, tenant := range changed {
+		entry, _ := r.admissionController.Directory().Entry(tenant)
+		r.log.WithField("tenant", tenant).WithField("stage", entry.Stage).WithField("cell", entry.Cell).WithField("to", entry.To).
+			WithField("epoch", entry.Epoch).Info("stage of tenant's move changed")
+		r.admissionController.ResumeHeld(tenant, r.now())
 	}
 	return err
 }
 
-// Report is what the coordinator is told, and when that was.
+// Report returns the report for the coordinator and the time at which it was made.
 func (r *Router) Report(name string, incarnation uint64) (cells.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	if now-r.looked >= lookEvery {
-		r.looked = now
-		for _, g := range r.gate.CatchUpGroups() {
-			r.driver.ProbeGroup(g)
+	if now-r.lastCatchUpProbe >= catchUpProbeInterval {
+		r.lastCatchUpProbe = now
+		for _, group := range r.admissionController.CatchUpGroups() {
+			r.driver.ProbeGroup(group)
 		}
 	}
-	return r.gate.Report(now, name, incarnation, r.driver.CaughtUp), now
+	return r.admissionController.Report(now, name, incarnation, r.driver.CaughtUp), now
 }
 
-// lookEvery is how often the members are probed that a move waits for.
-const lookEvery = 25 * milli
+// catchUpProbeInterval is how often members are probed while a move waits for them to catch up.
+const catchUpProbeInterval = 25 * nanosPerMilli
 
-// Cells gives what a function makes of the gate, which must not be kept.
-func Cells[T any](r *Router, of func(now int64, g *cells.AdmissionController) T) T {
+// ReadAdmission calls read with the admission controller under the router's lock. read must not retain
+// the controller.
+func ReadAdmission[T any](r *Router, read func(now int64, controller *cells.AdmissionController) T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return of(r.now(), r.gate)
+	return read(r.now(), r.admissionController)
 }
--- a/internal/routing/duty.go
+++ b/internal/routing/duty.go
@@ -2,29 +2,29 @@
 
 import "sedgespread/rules"
 
-// Duty is something the network has to do that no RPC asks for.
-type Duty interface{ duty() }
+// Task is work for the network layer that does not belong to an RPC.
+type Task interface{ task() }
 
-// Look asks for a probe of a member; ReportLook takes what it found.
-type Look struct {
+// ProbeMember asks for a probe of a member. Its outcome goes to Router.ReportProbe.
+type ProbeMember struct {
 	Member  rules.MemberID
 	Address string
 }
 
-// Shed asks to close the connections to a member that carry nothing.
-type Shed struct{ Member rules.MemberID }
+// CloseIdleConnections asks to close the idle connections to a member.
+type CloseIdleConnections struct{ Member rules.MemberID }
 
-// Forget asks to let go of all that is kept for a member: it will not be heard of under this number again.
-type Forget struct{ Member rules.MemberID }
+// ForgetMember asks to release everything kept for a member. Its number is not used again.
+type ForgetMember struct{ Member rules.MemberID }
 
-// Spread asks to send a message to all fellow drivers.
-type Spread struct{ Message []byte }
+// SendToPeers asks to send a message to all peers.
+type SendToPeers struct{ Message []byte }
 
-// Follow asks to follow discovery's list, until it breaks off.
-type Follow struct{}
+// WatchDiscovery asks to watch discovery's list of members until the watch fails.
+type WatchDiscovery struct{}
 
-func (Look) duty()   {}
-func (Shed) duty()   {}
-func (Forget) duty() {}
-func (Spread) duty() {}
-func (Follow) duty() {}
+func (ProbeMember) task()          {}
+func (CloseIdleConnections) task() {}
+func (ForgetMember) task()         {}
+func (SendToPeers) task()          {}
+func (WatchDiscovery) task()       {}
--- a/internal/routing/ids.go
+++ b/internal/routing/ids.go
@@ -3,34 +3,36 @@
 import "time"
 
 const (
-	idKept  = 5 * time.Second // an RPC's id is held so long after its end
-	mostIDs = 1 << 13         // ids held of RPCs that have ended, at most
+	idRetention    = 5 * time.Second // how long an id stays in use after its RPC has finished
+	maxFinishedIDs = 1 << 13         // beyond this the oldest ids of finished RPCs expire early
 )
 
-// ids are those of the RPCs that are open or ended a short while ago: no two RPCs have the same.
-type ids struct {
-	held  map[string]bool
-	ended []endedID // the oldest first
+// rpcIDs are the client-chosen ids of active and recently finished RPCs, which must be unique.
+type rpcIDs struct {
+	inUse    map[string]bool
+	finished []finishedID // oldest first
 }
 
-type endedID struct {
-	id string
-	at time.Time
+type finishedID struct {
+	id         string
+	finishedAt time.Time
 }
 
-// open takes an id, and tells whether it was free.
-func (i *ids) open(id string, now time.Time) bool {
-	for len(i.ended) > 0 && (now.Sub(i.ended[0].at) >= idKept || len(i.ended) > mostIDs) {
-		delete(i.held, i.ended[0].id)
-		i.ended[0] = endedID{}
-		i.ended = i.ended[1:]
+// acquire marks an id as in use and reports whether it was free.
+func (r *rpcIDs) acquire(id string, now time.Time) bool {
+	for len(r.finished) > 0 && (now.Sub(r.finished[0].finishedAt) >= idRetention || len(r.finished) > maxFinishedIDs) {
+		delete(r.inUse, r.finished[0].id)
+		r.finished[0] = finishedID{}
+		r.finished = r.finished[1:]
 	}
-	if i.held[id] {
+	if r.inUse[id] {
 		return false
 	}
-	i.held[id] = true
+	r.inUse[id] = true
 	return true
 }
 
-// end notes that an RPC has ended.
-func (i *ids) end(id string, now time.Time) { i.ended = append(i.ended, endedID{id, now}) }
+// release lets the id of a finished RPC expire after idRetention.
+func (r *rpcIDs) release(id string, now time.Time) {
+	r.finished = append(r.finished, finishedID{id, now})
+}
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -9,16 +9,16 @@
 	"sedgespread/rules"
 )
 
-// Outcome is how an attempt or a probe ended, as the network saw it.
+// Outcome is how an attempt or a probe ended on the network.
 type Outcome struct {
-	Answer *protocol.Answer      // nil where no whole one came
-	Sent   bool                  // the last byte of the statement was written
-	End    transport.CloseReason // how the connection ended, or Open
-	Opened time.Time             // when the connection was opened
+	Answer      *protocol.Answer      // nil if no complete answer arrived
+	WasSent     bool                  // the last byte of the statement was written
+	CloseReason transport.CloseReason // how the connection ended, or Open
+	OpenedAt    time.Time             // when the connection was opened
 }
 
-// states maps what a member answers in place of a row.
-var states = map[string]verdict{
+// classificationBySQLState classifies the error answers of members; others count as rules.Errored.
+var classificationBySQLState = map[string]classification{
 	protocol.StateReadOnly:           {rules.NotExecuted, rules.Ineligible},
 	protocol.StateSnapshotTooOld:     {rules.NotExecuted, rules.Ineligible},
 	protocol.StateTooManyConnections: {rules.NotExecuted, rules.Overloaded},
@@ -27,8 +27,8 @@
 	protocol.StateFenced:             {rules.NotExecuted, rules.NotSent},
 }
 
-// causes maps how a connection ended to why an attempt on it was not ok.
-var causes = map[transport.CloseReason]rules.Cause{
+// causeByCloseReason maps how a connection was closed to why an attempt on it failed.
+var causeByCloseReason = map[transport.CloseReason]rules.Cause{
 	transport.DialRefused:  rules.ConnectFailed,
 	transport.DialTimedOut: rules.ConnectFailed,
 	transport.DialFailed:   rules.ConnectFailed,
@@ -48,80 +48,81 @@
 	transport.Withheld:     rules.NotSent,
 }
 
-type verdict struct {
+// classification is whether an attempt ran, and why it failed.
+type classification struct {
 	proof rules.Outcome
 	cause rules.Cause
 }
 
-// verdict is the one place where ends and answers become what the module knows.
-func (o Outcome) verdict() verdict {
-	if a := o.Answer; a != nil && a.Failure == nil {
-		return verdict{rules.OK, rules.NoCause}
-	} else if a != nil {
-		if v, known := states[a.Failure.SQLState]; known {
-			return v
+// classify translates the outcome for the rules.
+func (o Outcome) classify() classification {
+	if answer := o.Answer; answer != nil && answer.Failure == nil {
+		return classification{rules.OK, rules.NoCause}
+	} else if answer != nil {
+		if class, known := classificationBySQLState[answer.Failure.SQLState]; known {
+			return class
 		}
-		return verdict{rules.MayHaveExecuted, rules.ServerError}
+		return classification{rules.MayHaveExecuted, rules.ServerError}
 	}
-	cause := causes[o.End]
-	if o.Sent {
-		return verdict{rules.MayHaveExecuted, cause}
+	cause := causeByCloseReason[o.CloseReason]
+	if o.WasSent {
+		return classification{rules.MayHaveExecuted, cause}
 	}
 	if cause == rules.Reset || cause == rules.ServerError {
 		cause = rules.ConnectFailed
 	}
-	return verdict{rules.NotExecuted, cause}
+	return classification{rules.NotExecuted, cause}
 }
 
-// unusable tells that the member could not follow the statement: no other will.
-func (o Outcome) unusable() bool { return o.refusedAs(protocol.StateSyntaxError) }
+// isSyntaxError reports whether the member could not parse the statement, which no other member will.
+func (o Outcome) isSyntaxError() bool { return o.failedWith(protocol.StateSyntaxError) }
 
-// fenced tells that the store turned the version away under which the attempt was made.
-func (o Outcome) fenced() bool { return o.refusedAs(protocol.StateFenced) }
+// isFenced reports whether the store rejected the version under which the attempt was made.
+func (o Outcome) isFenced() bool { return o.failedWith(protocol.StateFenced) }
 
-func (o Outcome) refusedAs(state string) bool {
-	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.SQLState == state
+func (o Outcome) failedWith(sqlState string) bool {
+	return o.Answer != nil && o.Answer.Failure != nil && o.Answer.Failure.SQLState == sqlState
 }
 
-// found is what a probe found. A member that has no session to spare lives; of one for which this driver has no descriptor
-// to spare nothing is known.
-func (o Outcome) found() rules.ProbeResult {
-	switch o.End {
+// probeResult returns the result of a probe. A member that rejects the session because it is full is
+// alive; if this driver ran out of descriptors, nothing is known of the member.
+func (o Outcome) probeResult() rules.ProbeResult {
+	switch o.CloseReason {
 	case transport.Rejected:
 		return rules.ProbeResult{Cause: rules.Overloaded}
 	case transport.NoDescriptor:
 		return rules.ProbeResult{Cause: rules.NotSent}
 	}
-	return rules.ProbeResult{Cause: o.verdict().cause, Report: o.reported(), Observation: o.observation()}
+	return rules.ProbeResult{Cause: o.classify().cause, Report: o.reportedObservation(), Observation: o.observation()}
 }
 
-// reported is what a probe's load report shows.
-func (o Outcome) reported() (s rules.Observation) {
+// reportedObservation returns what a probe's load report shows of the member.
+func (o Outcome) reportedObservation() (observation rules.Observation) {
 	if o.Answer == nil || o.Answer.Failure != nil {
-		return s
+		return observation
 	}
-	var load briefing.Parts
+	var load briefing.Fields
 	load.Parse("report,"+o.Answer.Value(), ",", "=")
 	if reported := load.Observation(0); load.Err == nil {
-		s = reported
+		observation = reported
 	}
-	return s
+	return observation
 }
 
-// observation is what an answer shows of its member.
-func (o Outcome) observation() (s rules.Observation) {
+// observation returns what the answer itself shows of the member.
+func (o Outcome) observation() (observation rules.Observation) {
 	if o.Answer == nil {
-		return s
+		return observation
 	}
 	switch {
 	case o.Answer.IsPrimary:
-		s.Role = rules.RolePrimary
+		observation.Role = rules.RolePrimary
 	case o.Answer.IsReplica:
-		s.Role = rules.RoleReplica
+		observation.Role = rules.RoleReplica
 	}
-	if o.refusedAs(protocol.StateReadOnly) { // it took the statement for a write, and is no primary
-		s.Role = rules.RoleReplica
+	if o.failedWith(protocol.StateReadOnly) { // only a replica rejects a write
+		observation.Role = rules.RoleReplica
 	}
-	s.Position = o.Answer.PositionMillis * milli
-	return s
+	observation.Position = o.Answer.PositionMillis * nanosPerMilli
+	return observation
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,6 +1,6 @@
-// Package routing puts a blocking facade on the module: an RPC is taken and its next step picked, what the network
-// found is reported, and Tick hands out what falls due without an RPC. It has the one lock, the timers, the clock
-// and the one mapping of ends to outcomes; nobody else calls the module.
+// Package routing wraps the single-threaded rules.Driver for concurrent use: it adds the lock, timers
+// and clock, and translates network outcomes into what the driver understands. Callers admit RPCs, carry
+// out their steps and the router's tasks, and report the outcomes.
 package routing
 
 import (
@@ -19,213 +19,219 @@
 	"sedgespread/rules"
 )
 
-const milli = int64(time.Millisecond)
+const nanosPerMilli = int64(time.Millisecond)
 
-// sendDelay is how long after it was allowed the last byte of an attempt may be written, beyond what the rule on the age of data forgives: a
-// driver may be held up for 0.15 s between reading its clock and writing, and the rule adds 0.05 s to every bound.
-const sendDelay = 100 * milli
+// sendDelay is how long after an attempt was allowed its last byte may be written, beyond the 0.05 s by
+// which the rules extend every staleness bound: 0.15 s in all between reading the clock and writing.
+const sendDelay = 100 * nanosPerMilli
 
-// Router is the facade.
+// Router gives concurrent callers access to a rules.Driver.
 type Router struct {
-	mu       sync.Mutex
-	driver   *rules.Driver
-	registry registry
-	timers   timers
-	duties   []Duty
-	looks    map[rules.MemberID][]func(rules.ProbeResult)
-	trips    map[rules.RPCID]*Trip
-	last     rules.RPCID
-	ids      ids
-	methods  []rules.Method
-	numbers  map[string]rules.MethodID // of the methods
-	allowed  rules.Policy
-	clock    clock.Clock
-	stirred  chan struct{} // a timer or a duty has been added
-	log      logrus.FieldLogger
-	trace    trace
-	gate     *cells.AdmissionController // nil where tenants have no cells
-	drained  int64                      // until when peers' messages are those that waited while this process stood still
-	looked   int64                      // when members were last probed for a move
-	holder   *versions.DriverState      // nil where nothing has versions
-	trail    *audit.Trail               // nil until this start has its number
-
-	whole      wholeList
-	turnedAway int64 // attempts that stores turned away for their versions
-}
-
-// New reads what the module is told at its start. The list is the one last known.
-func New(told *briefing.Parts, seed int64, known protocol.Targets, log logrus.FieldLogger) (*Router, error) {
-	r := &Router{registry: newRegistry(), looks: map[rules.MemberID][]func(rules.ProbeResult){},
-		trips: map[rules.RPCID]*Trip{}, ids: ids{held: map[string]bool{}}, numbers: map[string]rules.MethodID{}, clock: clock.New(),
-		stirred: make(chan struct{}, 1), log: log, trace: newTrace(log)}
-	r.methods = told.Methods()
-	for i, m := range r.methods {
-		r.numbers[m.Name] = rules.MethodID(i)
+	mu                  sync.Mutex
+	driver              *rules.Driver
+	registry            registry
+	timers              timers
+	tasks               []Task
+	pendingProbes       map[rules.MemberID][]func(rules.ProbeResult)
+	activeRPCs          map[rules.RPCID]*ActiveRPC
+	lastRPC             rules.RPCID
+	ids                 rpcIDs
+	methods             []rules.Method
+	methodIDs           map[string]rules.MethodID // by method name
+	limits              rules.Policy
+	clock               clock.Clock
+	wakeup              chan struct{} // signalled when a timer or a task is added
+	log                 logrus.FieldLogger
+	trace               trace
+	admissionController *cells.AdmissionController // nil if tenants have no cells
+	ignorePeersUntil    int64                      // peers' messages are ignored until then, after a stall of the process
+	lastCatchUpProbe    int64                      // when members were last probed for a move
+	holder              *versions.DriverState      // nil if nothing is versioned
+	trail               *audit.Trail               // nil before StartTrail
+
+	listDigest     listDigest
+	fencedAttempts int64 // attempts that stores rejected because of their version
+}
+
+// New creates a router from the settings and the last known list of members.
+func New(settings *briefing.Fields, seed int64, lastList protocol.Targets, log logrus.FieldLogger) (*Router, error) {
+	r := &Router{registry: newRegistry(), pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){},
+		activeRPCs: map[rules.RPCID]*ActiveRPC{}, ids: rpcIDs{inUse: map[string]bool{}}, methodIDs: map[string]rules.MethodID{},
+		clock: clock.New(), wakeup: make(chan struct{}, 1), log: log, trace: newTrace(log)}
+	r.methods = settings.Methods()
+	for id, method := range r.methods {
+		r.methodIDs[method.Name] = rules.MethodID(id)
 	}
-	fleet, store, allowed, slowStart, notice := told.Fleet(), told.Store(), told.Allowed(), told.SlowStart(), told.Notice()
-	if told.Err != nil {
-		return nil, told.Err
+	fleet, store, limits, slowStart, discovery := settings.Fleet(), settings.Store(), settings.Limits(), settings.SlowStart(),
+		settings.Discovery()
+	if settings.Err != nil {
+		return nil, settings.Err
 	}
-	r.allowed = allowed
+	r.limits = limits
 	store.MaxSendDelay = sendDelay
-	notice.ViaAgent, notice.OnRequest = !notice.OnRequest, true // a list that is pushed is pushed to an agent, which is asked
+	// A pushed list goes to an agent beside the driver, which the driver asks.
+	discovery.ViaAgent, discovery.OnRequest = !discovery.OnRequest, true
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, allowed, slowStart, notice)
-	r.list(known)
+	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, limits, slowStart, discovery)
+	r.applyList(lastList)
 	return r, nil
 }
 
-// now is Unix time in nanoseconds that never goes back. The lock need not be held.
+// now returns the Unix time in nanoseconds, which never goes back. The lock need not be held.
 func (r *Router) now() int64 { return r.clock.Now() }
 
-// at is a moment on the module's clock, 0 for none.
-func (r *Router) at(t time.Time) int64 {
+// clockTime converts a time to the router's clock, the zero time to 0.
+func (r *Router) clockTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return r.clock.At(t)
 }
 
-func (r *Router) list(t protocol.Targets) {
-	lines := make([]rules.MemberEntry, 0, len(t.Entries))
-	for _, e := range t.Entries {
-		lines = append(lines, r.registry.listing(e))
+// applyList passes the list, or what changed in it, to the driver. r.mu must be held.
+func (r *Router) applyList(targets protocol.Targets) {
+	listings := make([]rules.MemberEntry, 0, len(targets.Entries))
+	for _, entry := range targets.Entries {
+		listings = append(listings, r.registry.update(entry))
 	}
-	r.driver.UpdateMembers(lines, t.IsFull)
+	r.driver.UpdateMembers(listings, targets.IsFull)
 }
 
-// ReportList reports the list, or what changed in it.
-func (r *Router) ReportList(t protocol.Targets) {
+// ApplyList applies discovery's list of members, or what changed in it.
+func (r *Router) ApplyList(targets protocol.Targets) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list(t)
+	r.applyList(targets)
 	if r.holder != nil {
-		r.observeList(t)
+		r.observeListDigest(targets)
 	}
 }
 
-// ReportNoList reports that discovery could not be asked, or that a watch broke off.
-func (r *Router) ReportNoList() {
+// ReportListFailure reports that a request to discovery or a watch has failed.
+func (r *Router) ReportListFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver.WatchFailed()
 }
 
-// ReportNews reports a peer's message, and tells whether it was one. After this process stood still it may have waited for so long that its positions
-// mean others: what was waiting then does not count.
-func (r *Router) ReportNews(message []byte) bool {
+// ReceiveObservations applies a peer's message and reports whether it was valid. After a stall of this
+// process messages may have waited so long that their truncated positions are ambiguous: they are ignored.
+func (r *Router) ReceiveObservations(message []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, ok := briefing.News(message, r.registry.member, 0, r.driver.StoreNow())
-	if ok && !r.stoodStill() {
-		r.driver.ReceiveReports(news)
+	observations, ok := briefing.DecodeObservations(message, r.registry.idOfKey, 0, r.driver.StoreNow())
+	if ok && !r.detectStall() {
+		r.driver.ReceiveReports(observations)
 	}
 	return ok
 }
 
 const (
-	longStandstill = protocol.MaxPositionAgeMillis * milli / 2
-	drainsNews     = 1000 * milli // in which what waited in the socket is read
+	stallThreshold = protocol.MaxPositionAgeMillis * nanosPerMilli / 2
+	stallDrainTime = 1000 * nanosPerMilli // long enough to read what waited in the socket
 )
 
-// stoodStill tells whether this process has just stood still for long, which shows in timers that are overdue. The lock is held.
-func (r *Router) stoodStill() bool {
+// detectStall reports whether this process has recently been stalled, which overdue timers show. r.mu
+// must be held.
+func (r *Router) detectStall() bool {
 	now := r.now()
-	if len(r.timers.queue) > 0 && now-r.timers.queue[0].at > longStandstill {
-		r.drained = now + drainsNews
+	if len(r.timers.queue) > 0 && now-r.timers.queue[0].due > stallThreshold {
+		r.ignorePeersUntil = now + stallDrainTime
 	}
-	return now < r.drained
+	return now < r.ignorePeersUntil
 }
 
-// ReportLook reports what a probe found.
-func (r *Router) ReportLook(to rules.MemberID, o Outcome) {
+// ReportProbe reports the outcome of a probe.
+func (r *Router) ReportProbe(member rules.MemberID, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	waiting := r.looks[to]
-	if r.looks[to] = waiting[1:]; len(waiting) == 1 {
-		delete(r.looks, to)
+	waiting := r.pendingProbes[member]
+	if r.pendingProbes[member] = waiting[1:]; len(waiting) == 1 {
+		delete(r.pendingProbes, member)
 	}
-	found := o.found()
-	found.ConnectedAt = r.at(o.Opened)
-	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", to, o.End, roleNames[max(found.Role, found.Report.Role)], max(found.Position, found.Report.Position)/milli)
-	waiting[0](found)
+	result := outcome.probeResult()
+	result.ConnectedAt = r.clockTime(outcome.OpenedAt)
+	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", member, outcome.CloseReason,
+		roleNames[max(result.Role, result.Report.Role)], max(result.Position, result.Report.Position)/nanosPerMilli)
+	waiting[0](result)
 }
 
-// ReportDenied reports that a member has said that it is no primary, in what may yet turn out to be no whole answer.
-func (r *Router) ReportDenied(by rules.MemberID) {
+// ReportNotPrimary reports that a member has said that it is not the primary. It may be called before
+// the whole answer has arrived.
+func (r *Router) ReportNotPrimary(member rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver.NotPrimary(by)
+	r.driver.NotPrimary(member)
 }
 
-// MayLook tells whether a probe may still begin. It is asked just before its first byte is written.
-func (r *Router) MayLook(to rules.MemberID) bool {
+// MayProbe reports whether a probe may still begin. It is called just before its first byte is written.
+func (r *Router) MayProbe(member rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.driver.ProbeAllowed(to)
+	return r.driver.ProbeAllowed(member)
 }
 
-// Tick waits until something falls due that no RPC asks for, and gives it. Meanwhile the module's timers run.
-func (r *Router) Tick(ctx context.Context) (Duty, error) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+// NextTask runs due timers until there is a task or ctx is done, and returns the task.
+func (r *Router) NextTask(ctx context.Context) (Task, error) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
-		duty, ok, wait := r.turn()
+		task, ok, wait := r.runTimers()
 		if ok {
-			return duty, nil
+			return task, nil
 		}
-		alarm.Reset(wait)
+		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-alarm.C:
-		case <-r.stirred:
+		case <-timer.C:
+		case <-r.wakeup:
 		}
 	}
 }
 
-// turn runs the timers that are due, and gives the next duty or how long to wait for one.
-func (r *Router) turn() (Duty, bool, time.Duration) {
+// runTimers runs the due timers and returns the next task, or how long to wait until a timer is due.
+func (r *Router) runTimers() (Task, bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stoodStill()
-	for next, ok := r.timers.due(r.now()); ok; next, ok = r.timers.due(r.now()) {
-		next()
+	r.detectStall()
+	for callback, ok := r.timers.popDue(r.now()); ok; callback, ok = r.timers.popDue(r.now()) {
+		callback()
 	}
-	if len(r.duties) > 0 {
-		duty := r.duties[0]
-		r.duties = r.duties[1:]
-		return duty, true, 0
+	if len(r.tasks) > 0 {
+		task := r.tasks[0]
+		r.tasks = r.tasks[1:]
+		return task, true, 0
 	}
 	if len(r.timers.queue) == 0 {
 		return nil, false, time.Hour
 	}
-	return nil, false, time.Duration(r.timers.queue[0].at - r.now())
+	return nil, false, time.Duration(r.timers.queue[0].due - r.now())
 }
 
-// stir wakes Tick.
-func (r *Router) stir() {
+// wake makes NextTask look for tasks and due timers again.
+func (r *Router) wake() {
 	select {
-	case r.stirred <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Member is the number of a member that discovery knows by a name, if it is known here.
-func (r *Router) Member(name string) (id rules.MemberID, known bool) {
+// MemberID returns the number of the member that discovery lists under a name, if it is known.
+func (r *Router) MemberID(name string) (id rules.MemberID, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, known = r.registry.numbers[name]
+	id, known = r.registry.idByName[name]
 	return id, known
 }
 
-// Met tells whether anything was heard of a member, from itself or from a fellow driver.
-func (r *Router) Met(id rules.MemberID) bool {
+// HasObservation reports whether there is an observation of a member, its own or from a peer.
+func (r *Router) HasObservation(id rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.driver.Known(id)
 }
 
-// Probes tells whether members are probed.
-func (r *Router) Probes() bool { return r.allowed.Probing }
+// ProbesMembers reports whether members are probed.
+func (r *Router) ProbesMembers() bool { return r.limits.Probing }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -17,49 +17,49 @@
 	"sedgespread/rules"
 )
 
-// Guards against an effect done twice because an end was taken for a proof that it never ran, and against
-// members blamed for what they did not do.
-func TestVerdicts(t *testing.T) {
-	failed := func(state string) Outcome {
-		return Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: state}}}
+// Guards against writes that are retried although they may have run, and failures that are attributed to
+// the wrong cause.
+func TestClassifyOutcome(t *testing.T) {
+	failedWith := func(state string) Outcome {
+		return Outcome{WasSent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: state}}}
 	}
-	for _, c := range []struct {
-		o     Outcome
-		proof rules.Outcome
-		cause rules.Cause
+	for _, testCase := range []struct {
+		outcome Outcome
+		proof   rules.Outcome
+		cause   rules.Cause
 	}{
-		{Outcome{Sent: true, Answer: &protocol.Answer{}}, rules.OK, rules.NoCause},
-		{Outcome{Sent: true, Answer: &protocol.Answer{}, End: transport.ResetByPeer}, rules.OK, rules.NoCause},
-		{failed("25006"), rules.NotExecuted, rules.Ineligible},
-		{failed("72000"), rules.NotExecuted, rules.Ineligible},
-		{failed("53300"), rules.NotExecuted, rules.Overloaded},
-		{failed("XX000"), rules.MayHaveExecuted, rules.ServerError},
-		{failed("08P01"), rules.MayHaveExecuted, rules.ServerError},
-		{Outcome{End: transport.DialRefused}, rules.NotExecuted, rules.ConnectFailed},
-		{Outcome{End: transport.DialTimedOut}, rules.NotExecuted, rules.ConnectFailed},
-		{Outcome{End: transport.Rejected}, rules.NotExecuted, rules.ConnectFailed},
-		{Outcome{End: transport.ResetByPeer}, rules.NotExecuted, rules.ConnectFailed},
-		{Outcome{End: transport.Malformed}, rules.NotExecuted, rules.ConnectFailed},
-		{Outcome{End: transport.TimedOut}, rules.NotExecuted, rules.TimedOut},
-		{Outcome{End: transport.Cancelled}, rules.NotExecuted, rules.Cancelled},
-		{Outcome{Sent: true, End: transport.ResetByPeer}, rules.MayHaveExecuted, rules.Reset},
-		{Outcome{Sent: true, End: transport.ClosedByPeer}, rules.MayHaveExecuted, rules.Reset},
-		{Outcome{Sent: true, End: transport.Truncated}, rules.MayHaveExecuted, rules.Reset},
-		{Outcome{Sent: true, End: transport.Malformed}, rules.MayHaveExecuted, rules.ServerError},
-		{Outcome{Sent: true, End: transport.TimedOut}, rules.MayHaveExecuted, rules.TimedOut},
-		{Outcome{Sent: true, End: transport.Cancelled}, rules.MayHaveExecuted, rules.Cancelled},
+		{Outcome{WasSent: true, Answer: &protocol.Answer{}}, rules.OK, rules.NoCause},
+		{Outcome{WasSent: true, Answer: &protocol.Answer{}, CloseReason: transport.ResetByPeer}, rules.OK, rules.NoCause},
+		{failedWith("25006"), rules.NotExecuted, rules.Ineligible},
+		{failedWith("72000"), rules.NotExecuted, rules.Ineligible},
+		{failedWith("53300"), rules.NotExecuted, rules.Overloaded},
+		{failedWith("XX000"), rules.MayHaveExecuted, rules.ServerError},
+		{failedWith("08P01"), rules.MayHaveExecuted, rules.ServerError},
+		{Outcome{CloseReason: transport.DialRefused}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.DialTimedOut}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.Rejected}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.ResetByPeer}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.Malformed}, rules.NotExecuted, rules.ConnectFailed},
+		{Outcome{CloseReason: transport.TimedOut}, rules.NotExecuted, rules.TimedOut},
+		{Outcome{CloseReason: transport.Cancelled}, rules.NotExecuted, rules.Cancelled},
+		{Outcome{WasSent: true, CloseReason: transport.ResetByPeer}, rules.MayHaveExecuted, rules.Reset},
+		{Outcome{WasSent: true, CloseReason: transport.ClosedByPeer}, rules.MayHaveExecuted, rules.Reset},
+		{Outcome{WasSent: true, CloseReason: transport.Truncated}, rules.MayHaveExecuted, rules.Reset},
+		{Outcome{WasSent: true, CloseReason: transport.Malformed}, rules.MayHaveExecuted, rules.ServerError},
+		{Outcome{WasSent: true, CloseReason: transport.TimedOut}, rules.MayHaveExecuted, rules.TimedOut},
+		{Outcome{WasSent: true, CloseReason: transport.Cancelled}, rules.MayHaveExecuted, rules.Cancelled},
 	} {
-		require.Equal(t, verdict{c.proof, c.cause}, c.o.verdict(), "%+v", c.o)
+		require.Equal(t, classification{testCase.proof, testCase.cause}, testCase.outcome.classify(), "%+v", testCase.outcome)
 	}
-	for end := transport.DialRefused; end <= transport.Withheld; end++ {
-		require.Contains(t, causes, end, "each end has its cause")
+	for reason := transport.DialRefused; reason <= transport.Withheld; reason++ {
+		require.Contains(t, causeByCloseReason, reason, "every close reason must have a cause")
 	}
-	require.Equal(t, rules.Overloaded, Outcome{End: transport.Rejected}.found().Cause, "a full member lives")
+	require.Equal(t, rules.Overloaded, Outcome{CloseReason: transport.Rejected}.probeResult().Cause, "a full member is alive")
 }
 
-// begin gives a router that knows members a and b of group 1.
-func begin(t testing.TB, names ...string) *Router {
-	told := briefing.Flatten("settings", map[string]any{
+// newTestRouter returns a router that knows the named members of group 1.
+func newTestRouter(t testing.TB, names ...string) *Router {
+	settings := briefing.Flatten("settings", map[string]any{
 		"classes": []any{
 			map[string]any{"name": "read", "effect": "repeatable", "aimUs": 200_000, "giveUpUs": 2_000_000},
 			map[string]any{"name": "write", "effect": "once", "aimUs": 200_000, "giveUpUs": 2_000_000},
@@ -67,238 +67,245 @@
 		"extra":     map[string]any{"readLevel": []any{"loose", "update"}},
 		"limits":    map[string]any{"probing": true, "cancelling": true, "mostTries": 3, "peerMessages": true},
 		"discovery": "subscribe", "fleetSize": 2})
-	known := protocol.Targets{IsFull: true}
+	list := protocol.Targets{IsFull: true}
 	for _, name := range names {
-		known.Entries = append(known.Entries, protocol.Target{ID: name, Address: "at-" + name, Group: 1})
+		list.Entries = append(list.Entries, protocol.Target{ID: name, Address: "at-" + name, Group: 1})
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r, err := New(told, 1, known, log)
+	r, err := New(settings, 1, list, log)
 	require.NoError(t, err)
 	return r
 }
 
-func next[T Duty](t *testing.T, r *Router) T {
+// nextTask returns the router's next task of type T and drops all others before it.
+func nextTask[T Task](t *testing.T, r *Router) T {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	for {
-		duty, err := r.Tick(ctx)
+		task, err := r.NextTask(ctx)
 		require.NoError(t, err)
-		if d, ok := duty.(T); ok {
-			return d
+		if wanted, ok := task.(T); ok {
+			return wanted
 		}
 	}
 }
 
-func ok(position int64, primary bool) Outcome {
-	return Outcome{Sent: true, Answer: &protocol.Answer{IsPrimary: primary, IsReplica: !primary, PositionMillis: position}}
+// answered returns the outcome of an attempt or a probe that a member answered.
+func answered(position int64, isPrimary bool) Outcome {
+	return Outcome{WasSent: true,
+		Answer: &protocol.Answer{IsPrimary: isPrimary, IsReplica: !isPrimary, PositionMillis: position}}
 }
 
-func take(r *Router, rpc rules.RPC) *Trip {
+// submitRPC starts an RPC without the checks and the admission control of Admit.
+func submitRPC(r *Router, rpc rules.RPC) *ActiveRPC {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	trip := r.open("")
-	trip.take(rpc)
-	return trip
+	active := r.newActiveRPC("")
+	active.submit(rpc)
+	return active
 }
 
-// Guards against clients that pass for others, by an id that is open or was a moment ago, and against RPCs that no
-// member would take; an id must be free again in the end.
-func TestAdmits(t *testing.T) {
-	r := begin(t, "a")
-	s := Call{ID: "7", Method: "read", Left: 4000 * milli, Group: 9}
-	admit := func(change func(s *Call)) error {
-		other := s
+// Guards against RPCs with the id of an active or recently finished one, against invalid RPCs, and
+// against ids that are never released.
+func TestAdmitChecksRequests(t *testing.T) {
+	r := newTestRouter(t, "a")
+	request := Request{ID: "7", Method: "read", TimeLeft: 4000 * nanosPerMilli, Group: 9}
+	admit := func(change func(request *Request)) error {
+		other := request
 		change(&other)
 		_, err := r.Admit(&other)
 		return err
 	}
-	require.Equal(t, errMethod, admit(func(s *Call) { s.Method = "reads" }))
-	require.Equal(t, errKind, admit(func(s *Call) { s.Write = true }))
-	require.Equal(t, errKind, admit(func(s *Call) { s.Method = "write" }))
-	require.Equal(t, errLeft, admit(func(s *Call) { s.Left = 4000*milli + 1 }))
-	trip, err := r.Admit(&s)
+	require.Equal(t, errUnknownMethod, admit(func(request *Request) { request.Method = "reads" }))
+	require.Equal(t, errMethodKind, admit(func(request *Request) { request.IsWrite = true }))
+	require.Equal(t, errMethodKind, admit(func(request *Request) { request.Method = "write" }))
+	require.Equal(t, errTimeLeftTooLong, admit(func(request *Request) { request.TimeLeft = 4000*nanosPerMilli + 1 }))
+	active, err := r.Admit(&request)
 	require.NoError(t, err)
-	require.Equal(t, PushBack, trip.Pick().Act)
-	for id := range r.ids.held {
-		require.NotSame(t, unsafe.StringData(s.ID), unsafe.StringData(id), "an id must not hold its whole statement in memory")
+	require.Equal(t, ActionReject, active.NextStep().Action)
+	for id := range r.ids.inUse {
+		require.NotSame(t, unsafe.StringData(request.ID), unsafe.StringData(id), "an id must not keep its whole statement in memory")
 	}
-	require.Equal(t, errID, admit(func(s *Call) {}))
-	require.True(t, r.ids.open("8", time.Now().Add(idKept)))
-	require.Equal(t, map[string]bool{"8": true}, r.ids.held)
-	for range 2 * mostIDs {
-		r.ids.end("9", time.Now())
-		r.ids.open("9", time.Now())
+	require.Equal(t, errDuplicateID, admit(func(request *Request) {}))
+	require.True(t, r.ids.acquire("8", time.Now().Add(idRetention)))
+	require.Equal(t, map[string]bool{"8": true}, r.ids.inUse)
+	for range 2 * maxFinishedIDs {
+		r.ids.release("9", time.Now())
+		r.ids.acquire("9", time.Now())
 	}
-	require.LessOrEqual(t, len(r.ids.ended), mostIDs+1)
+	require.LessOrEqual(t, len(r.ids.finished), maxFinishedIDs+1)
 }
 
-// Guards against RPCs that get no final answer or two, and that leave something behind.
-func TestTrips(t *testing.T) {
-	r := begin(t, "a")
-	require.NotNil(t, next[Follow](t, r))
-	look := next[Look](t, r)
-	require.Equal(t, "at-a", look.Address)
-	r.ReportLook(look.Member, ok(time.Now().UnixMilli(), true))
+// Guards against RPCs that get no final answer or more than one, and against leaks.
+func TestActiveRPCLifecycle(t *testing.T) {
+	r := newTestRouter(t, "a")
+	require.NotNil(t, nextTask[WatchDiscovery](t, r))
+	probe := nextTask[ProbeMember](t, r)
+	require.Equal(t, "at-a", probe.Address)
+	r.ReportProbe(probe.Member, answered(time.Now().UnixMilli(), true))
 
-	served := take(r, rules.RPC{Group: 1, TimeLeft: int64(time.Second)})
-	step := served.Pick()
-	require.Equal(t, Attempt, step.Act)
+	served := submitRPC(r, rules.RPC{Group: 1, TimeLeft: int64(time.Second)})
+	step := served.NextStep()
+	require.Equal(t, ActionAttempt, step.Action)
 	require.Equal(t, "at-a", step.Address)
-	answer := ok(time.Now().UnixMilli(), true)
-	served.Report(step.Number, answer)
-	served.Report(step.Number, answer)
-	last := served.Pick()
-	require.Equal(t, Serve, last.Act)
+	answer := answered(time.Now().UnixMilli(), true)
+	served.ReportAttempt(step.AttemptNumber, answer)
+	served.ReportAttempt(step.AttemptNumber, answer)
+	last := served.NextStep()
+	require.Equal(t, ActionServe, last.Action)
 	require.Same(t, answer.Answer, last.Answer)
 
-	left := take(r, rules.RPC{Group: 1, TimeLeft: int64(time.Second)})
-	step = left.Pick()
-	left.Leave()
-	left.Leave()
-	require.Equal(t, Drop, left.Pick().Act)
-	<-step.By.Done()
-	require.Equal(t, transport.Cancelled, transport.CloseReasonOf(step.By))
-	left.Report(step.Number, Outcome{End: transport.Cancelled})
+	left := submitRPC(r, rules.RPC{Group: 1, TimeLeft: int64(time.Second)})
+	step = left.NextStep()
+	left.ClientLeft()
+	left.ClientLeft()
+	require.Equal(t, ActionDrop, left.NextStep().Action)
+	<-step.Context.Done()
+	require.Equal(t, transport.Cancelled, transport.CloseReasonOf(step.Context))
+	left.ReportAttempt(step.AttemptNumber, Outcome{CloseReason: transport.Cancelled})
 
-	aborted := take(r, rules.RPC{Group: 1, Method: 1, TimeLeft: int64(time.Second)})
-	aborted.Report(aborted.Pick().Number, Outcome{Sent: true, End: transport.ResetByPeer})
-	require.Equal(t, Abort, aborted.Pick().Act)
+	aborted := submitRPC(r, rules.RPC{Group: 1, Method: 1, TimeLeft: int64(time.Second)})
+	aborted.ReportAttempt(aborted.NextStep().AttemptNumber, Outcome{WasSent: true, CloseReason: transport.ResetByPeer})
+	require.Equal(t, ActionAbort, aborted.NextStep().Action)
 
-	require.Equal(t, PushBack, take(r, rules.RPC{Group: 9, TimeLeft: int64(time.Second)}).Pick().Act)
-	require.Empty(t, r.trips)
+	require.Equal(t, ActionReject, submitRPC(r, rules.RPC{Group: 9, TimeLeft: int64(time.Second)}).NextStep().Action)
+	require.Empty(t, r.activeRPCs)
 }
 
-// Guards against a driver that grows with each member that comes and goes, and against a number that is used again:
-// what is late and names the one that had it would be taken for the newcomer's.
-func TestMembersComeAndGo(t *testing.T) {
-	r := begin(t, "a")
-	numbers := map[rules.MemberID]bool{}
-	gone := 0
-	for turn := range 5 {
-		t := protocol.Targets{IsFull: true}
+// Guards against leaks of removed members, and against reused numbers, which late messages could confuse.
+func TestMemberChurn(targets *testing.T) {
+	r := newTestRouter(targets, "a")
+	ids := map[rules.MemberID]bool{}
+	forgotten := 0
+	for round := range 5 {
+		targets := protocol.Targets{IsFull: true}
 		for i := range 100 {
-			t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint(turn, "-", i), Address: "there", Group: 1})
+			targets.Entries = append(targets.Entries, protocol.Target{ID: fmt.Sprint(round, "-", i), Address: "there", Group: 1})
 		}
-		t.Entries = append(t.Entries, protocol.Target{ID: fmt.Sprint("left-", turn), Group: 1, Lifecycle: protocol.Deleted})
-		r.ReportList(t)
-		for id := range r.registry.known {
-			numbers[id] = true
+		targets.Entries = append(targets.Entries, protocol.Target{ID: fmt.Sprint("left-", round), Group: 1, Lifecycle: protocol.Deleted})
+		r.ApplyList(targets)
+		for id := range r.registry.members {
+			ids[id] = true
 		}
 	}
-	for gone < 406 { // 5 were never more than leaving
-		switch duty := next[Duty](t, r).(type) {
-		case Look:
-			r.ReportLook(duty.Member, Outcome{End: transport.DialRefused})
-		case Forget:
-			gone++
+	for forgotten < 406 { // 401 former members, and 5 that were only ever listed as deleted
+		switch task := nextTask[Task](targets, r).(type) {
+		case ProbeMember:
+			r.ReportProbe(task.Member, Outcome{CloseReason: transport.DialRefused})
+		case ForgetMember:
+			forgotten++
 		}
 	}
-	require.Len(t, r.registry.known, 100)
-	require.Len(t, r.registry.numbers, 100)
-	require.Len(t, r.registry.byKey, 100)
-	require.Len(t, numbers, 501)
+	require.Len(targets, r.registry.members, 100)
+	require.Len(targets, r.registry.idByName, 100)
+	require.Len(targets, r.registry.idByKey, 100)
+	require.Len(targets, ids, 501)
 }
 
-// Guards against news that name another member at a driver that knows the members in another order.
-func TestNewsMeanTheSameEverywhere(t *testing.T) {
-	one, other := begin(t, "a", "b"), begin(t, "c", "b", "a")
+// Guards against observations that mean another member on a driver that numbers the members differently.
+func TestObservationsIdentifyMembersByKey(t *testing.T) {
+	sender, receiver := newTestRouter(t, "a", "b"), newTestRouter(t, "c", "b", "a")
 	position := time.Now().UnixMilli()
-	for told := 0; told < 2; {
-		switch duty := next[Duty](t, one).(type) {
-		case Look:
-			one.ReportLook(duty.Member, ok(position, duty.Address == "at-a"))
-		case Spread:
-			news, _ := protocol.ParseObservations(duty.Message, position)
-			told += len(news)
-			require.True(t, other.ReportNews(duty.Message))
+	for received := 0; received < 2; {
+		switch task := nextTask[Task](t, sender).(type) {
+		case ProbeMember:
+			sender.ReportProbe(task.Member, answered(position, task.Address == "at-a"))
+		case SendToPeers:
+			observations, _ := protocol.ParseObservations(task.Message, position)
+			received += len(observations)
+			require.True(t, receiver.ReceiveObservations(task.Message))
 		}
 	}
-	trip := take(other, rules.RPC{Group: 1, Method: 1, TimeLeft: int64(time.Second)})
-	require.Equal(t, "at-a", trip.Pick().Address)
-	require.False(t, other.ReportNews([]byte("\xff")))
+	active := submitRPC(receiver, rules.RPC{Group: 1, Method: 1, TimeLeft: int64(time.Second)})
+	require.Equal(t, "at-a", active.NextStep().Address)
+	require.False(t, receiver.ReceiveObservations([]byte("\xff")))
 }
 
-// Guards against reads at a replica of which a peer's message tells that is new though it waited for a minute. A message holds 16 bits of a position,
-// in milliseconds: a process that was stopped for 66 s and goes on reads what waited in its socket, and took a position of 66 s before for one of 0.5 s.
-func TestNewsThatWaitedDoNotCount(t *testing.T) {
-	r := begin(t, "a")
-	a, _ := r.Member("a")
-	stop := func(span int64) {
+// Guards against stale reads after a stall. Messages hold 16 bits of a position in milliseconds, so that
+// one that waited in the socket for 66 s seems to be 0.5 s old.
+func TestObservationsDroppedAfterStall(t *testing.T) {
+	r := newTestRouter(t, "a")
+	member, _ := r.MemberID("a")
+	stall := func(span int64) {
 		for i := range r.timers.queue {
-			r.timers.queue[i].at -= span
+			r.timers.queue[i].due -= span
 		}
 	}
-	tell := func(age int64) {
-		position := r.now()/milli - age
-		require.True(t, r.ReportNews(protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.known[a].key, Role: 2, PositionMillis: position}, position)))
+	receive := func(age int64) {
+		position := r.now()/nanosPerMilli - age
+		require.True(t, r.ReceiveObservations(protocol.AppendObservation(nil, protocol.Observation{
+			Member: r.registry.members[member].key, Role: 2, PositionMillis: position}, position)))
 	}
-	stop(66_000 * milli)
-	tell(66_000)
-	require.False(t, r.Met(a))
-	for _, ok, _ := r.turn(); ok; _, ok, _ = r.turn() { // its timers run, and more is read from the socket
+	stall(66_000 * nanosPerMilli)
+	receive(66_000)
+	require.False(t, r.HasObservation(member))
+	for _, ok, _ := r.runTimers(); ok; _, ok, _ = r.runTimers() { // run the timers that are overdue
 	}
-	tell(66_000)
-	require.False(t, r.Met(a))
-	r.drained -= drainsNews
-	tell(10)
-	require.True(t, r.Met(a), "what comes later counts")
+	receive(66_000)
+	require.False(t, r.HasObservation(member))
+	r.ignorePeersUntil -= stallDrainTime
+	receive(10)
+	require.True(t, r.HasObservation(member), "later messages must be applied")
 }
 
-// Guards against datagrams that say nothing: a position over 30 s old can't be told.
-func TestNothingToTell(t *testing.T) {
-	r := begin(t, "a")
+// Guards against empty datagrams: a position over 30 s old cannot be encoded.
+func TestStaleObservationsNotSent(t *testing.T) {
+	r := newTestRouter(t, "a")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := len(r.duties)
-	tell := func(age time.Duration) {
-		(*host)(r).SendReports([]rules.PeerReport{{Member: 1, Observation: rules.Observation{Role: rules.RoleReplica, Position: r.now() - int64(age)}}})
+	before := len(r.tasks)
+	send := func(age time.Duration) {
+		(*host)(r).SendReports([]rules.PeerReport{{Member: 1,
+			Observation: rules.Observation{Role: rules.RoleReplica, Position: r.now() - int64(age)}}})
 	}
-	tell(40 * time.Second)
-	require.Len(t, r.duties, before)
-	tell(time.Second)
-	require.Len(t, r.duties, before+1)
+	send(40 * time.Second)
+	require.Len(t, r.tasks, before)
+	send(time.Second)
+	require.Len(t, r.tasks, before+1)
 }
 
-// Guards against a member that turns a session away, on no connection at all, and is taken for one that ran all along.
-func TestNoConnectionIsNoOldOne(t *testing.T) {
-	r := begin(t, "a")
-	require.Zero(t, r.at(Outcome{End: transport.Rejected}.Opened))
-	require.Positive(t, r.at(time.Now()))
+// Guards against an unset connection time being taken for a very old connection, and its member for one
+// that has run since.
+func TestMissingConnectionHasNoOpenTime(t *testing.T) {
+	r := newTestRouter(t, "a")
+	require.Zero(t, r.clockTime(Outcome{CloseReason: transport.Rejected}.OpenedAt))
+	require.Positive(t, r.clockTime(time.Now()))
 }
 
-// Guards against news of one member that are taken for another's, where both have the same key.
-func TestMembersWithOneKey(t *testing.T) {
-	r := begin(t, "a", "b")
-	a, _ := r.Member("a")
-	r.registry.byKey[r.registry.known[a].key] = 0 // as the second member of that key leaves it
-	now := r.now() / milli
-	message := protocol.AppendObservation(nil, protocol.Observation{Member: r.registry.known[a].key, Role: 1, PositionMillis: now}, now)
-	require.True(t, r.ReportNews(message))
-	require.False(t, r.Met(a))
-	b := r.registry.number("b")
-	delete(r.registry.numbers, "b")
-	require.NotEqual(t, b, r.registry.number("b"), "a name that comes anew")
-	require.Zero(t, r.registry.byKey[r.registry.known[b].key], "and shares the key with the one before")
+// Guards against observations of a member that are applied to another with the same key.
+func TestMembersWithCollidingKeys(t *testing.T) {
+	r := newTestRouter(t, "a", "b")
+	memberA, _ := r.MemberID("a")
+	r.registry.idByKey[r.registry.members[memberA].key] = 0 // as after a second member with this key
+	now := r.now() / nanosPerMilli
+	message := protocol.AppendObservation(nil, protocol.Observation{
+		Member: r.registry.members[memberA].key, Role: 1, PositionMillis: now}, now)
+	require.True(t, r.ReceiveObservations(message))
+	require.False(t, r.HasObservation(memberA))
+	oldMemberB := r.registry.assignID("b")
+	delete(r.registry.idByName, "b")
+	require.NotEqual(t, oldMemberB, r.registry.assignID("b"), "a name that is added again gets a new number")
+	require.Zero(t, r.registry.idByKey[r.registry.members[oldMemberB].key], "both numbers share a key")
 }
 
-// Guards against timers that run early, late behind others, or out of the order in which they were set.
+// Guards against timers that run early, or in another order than by due time and then by addition.
 func TestTimersRunInOrder(t *testing.T) {
-	var q timers
-	var got []int
+	var queue timers
+	var order []int
 	for i, at := range []int64{30, 10, 20, 10, 30} {
-		q.add(at, func() { got = append(got, i) })
+		queue.add(at, func() { order = append(order, i) })
 	}
 	for now := range int64(31) {
-		for next, ok := q.due(now); ok; next, ok = q.due(now) {
-			next()
+		for callback, ok := queue.popDue(now); ok; callback, ok = queue.popDue(now) {
+			callback()
 		}
 	}
-	require.Equal(t, []int{1, 3, 2, 0, 4}, got)
+	require.Equal(t, []int{1, 3, 2, 0, 4}, order)
 }
 
-// Guards against a driver that starts on less than it has to know.
-func TestStartIsRefused(t *testing.T) {
+// Guards against a router that starts with incomplete settings.
+func TestNewRejectsIncompleteSettings(t *testing.T) {
 	_, err := New(briefing.Flatten("settings", map[string]any{"classes": []any{map[string]any{"name": "x"}}}), 1,
 		protocol.Targets{}, logrus.New())
 	require.ErrorContains(t, err, "settings: classes.0.effect is missing")
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -2,16 +2,18 @@
 
 import "container/heap"
 
-// timer is something to do at a time; of two due at once the one set first comes first.
+// timer is a callback due at a time. Timers due at the same time run in the order in which they were
+// added.
 type timer struct {
-	at    int64
-	order uint64
-	next  func()
+	due      int64
+	order    uint64
+	callback func()
 }
 
+// timers is a queue of timers, ordered by heap.Interface.
 type timers struct {
-	queue []timer
-	set   uint64
+	queue     []timer
+	lastOrder uint64
 }
 
 func (t *timers) Len() int      { return len(t.queue) }
@@ -19,27 +21,27 @@
 func (t *timers) Push(x any)    { t.queue = append(t.queue, x.(timer)) }
 
 func (t *timers) Less(i, j int) bool {
-	a, b := &t.queue[i], &t.queue[j]
-	return a.at < b.at || a.at == b.at && a.order < b.order
+	first, second := &t.queue[i], &t.queue[j]
+	return first.due < second.due || first.due == second.due && first.order < second.order
 }
 
 func (t *timers) Pop() any {
 	last := len(t.queue) - 1
-	x := t.queue[last]
+	popped := t.queue[last]
 	t.queue[last] = timer{}
 	t.queue = t.queue[:last]
-	return x
+	return popped
 }
 
-func (t *timers) add(at int64, next func()) {
-	t.set++
-	heap.Push(t, timer{at: at, order: t.set, next: next})
+func (t *timers) add(due int64, callback func()) {
+	t.lastOrder++
+	heap.Push(t, timer{due: due, order: t.lastOrder, callback: callback})
 }
 
-// due takes the next timer that is due.
-func (t *timers) due(now int64) (func(), bool) {
-	if len(t.queue) == 0 || t.queue[0].at > now {
+// popDue removes the next timer that is due and returns its callback.
+func (t *timers) popDue(now int64) (func(), bool) {
+	if len(t.queue) == 0 || t.queue[0].due > now {
 		return nil, false
 	}
-	return heap.Pop(t).(timer).next, true
+	return heap.Pop(t).(timer).callback, true
 }
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -11,247 +11,258 @@
 	"sedgespread/rules"
 )
 
-// Act is what comes next for an RPC.
-type Act int
+// Action is the kind of a Step.
+type Action int
 
 const (
-	Attempt  Act = iota // make an attempt, and report how it ended
-	Serve               // pass on the answer
-	PushBack            // answer that trying again is harmless
-	Abort               // answer that it failed
-	Drop                // nothing: its client has gone
+	ActionAttempt Action = iota // make an attempt and report its outcome
+	ActionServe                 // send the answer to the client
+	ActionReject                // answer that retrying the RPC is safe
+	ActionAbort                 // answer that the RPC failed
+	ActionDrop                  // answer nothing, the client has left
 )
 
-// Step is what comes next for an RPC.
+// Step is the next thing to do for an RPC.
 type Step struct {
-	Act      Act
-	Number   int // of the attempt
-	Member   rules.MemberID
-	Address  string
-	ComeBack int64
-	By       context.Context // ends when the attempt is no longer waited for
-	Answer   *protocol.Answer
-	Fence    protocol.Fence // that an attempt is made with, for the store
+	Action        Action
+	AttemptNumber int // passed to MayBegin and ReportAttempt
+	Member        rules.MemberID
+	Address       string
+	RetryAfter    int64           // nanoseconds, 0 for no hint
+	Context       context.Context // done when the attempt is cancelled or times out
+	Answer        *protocol.Answer
+	Fence         protocol.Fence // sent to the store with the attempt
 }
 
-// Call is an RPC as a front hands it over, whatever its clients speak. Times and positions are nanoseconds.
-type Call struct {
-	ID     string // its client's, different for each try
-	Method string
-	Key    string // names the session where the method has any
-	Write  bool
-	Repeat bool          // the client has tried before
-	Group  rules.GroupID // that its client named; where tenants have cells the cell decides
-	Left   int64         // its client waits so long
-	Came   time.Time     // and counts from then; zero for now
-	Token  int64         // position that the read must see, 0 for none
-	User   string        // as whom its client came, and for which database
-	Base   string
+// Request is an RPC as received from a client, independent of the client protocol. Durations and
+// positions are in nanoseconds.
+type Request struct {
+	ID          string // chosen by the client, unique to each try
+	Method      string
+	Key         string // identifies the session, for methods that have one
+	IsWrite     bool
+	IsRetry     bool          // the client has sent this RPC before
+	Group       rules.GroupID // named by the client; ignored if tenants are assigned to cells
+	TimeLeft    int64         // how long the client waits, from ReceivedAt
+	ReceivedAt  time.Time     // zero for now
+	MinPosition int64         // position that a read must see, 0 for none
+	User        string        // user and database of the client's connection
+	Database    string
 }
 
-// Trip is an RPC on its way. It is over once Pick gave a step other than an attempt; results of attempts that are
-// still out then are reported all the same.
-type Trip struct {
-	r     *Router
-	id    rules.RPCID
-	name  string // its client's id
-	steps chan Step
-	calls []call
-	out   int
-	ended bool
-	pass  *pass // nil where tenants have no cells
+// ActiveRPC is an admitted RPC. It is finished once NextStep has returned a step other than
+// ActionAttempt; attempts still outstanding then are reported nevertheless.
+type ActiveRPC struct {
+	router      *Router
+	id          rules.RPCID
+	clientID    string // Request.ID
+	steps       chan Step
+	attempts    []attemptState
+	outstanding int // attempts not reported yet
+	isFinished  bool
+	admission   *admissionState // nil where tenants have no cells
 }
 
-// call is an attempt.
-type call struct {
-	to     rules.MemberID
-	sent   int64
-	until  int64 // it is not waited for any longer
-	cancel func()
-	next   func(rules.Result) // nil once its result is in
+// attemptState is the state of one attempt. Times are in nanoseconds of the router's clock.
+type attemptState struct {
+	member   rules.MemberID
+	sentAt   int64
+	deadline int64
+	cancel   func()
+	onResult func(rules.Result) // nil once the attempt has been reported
 }
 
 var (
-	errMethod = errors.New("the method is not known")
-	errKind   = errors.New("the statement is not of the method's kind")
-	errLeft   = errors.New("no client of the method waits that long")
-	errID     = errors.New("the id is that of another")
+	errUnknownMethod   = errors.New("the method is not known")
+	errMethodKind      = errors.New("the statement is not of the method's kind")
+	errTimeLeftTooLong = errors.New("no client of the method waits that long")
+	errDuplicateID     = errors.New("the id is that of another")
 )
 
-// Admit checks an RPC against what is known here, and takes it.
-func (r *Router) Admit(c *Call) (*Trip, error) {
-	number, known := r.numbers[c.Method]
+// Admit validates a request and starts routing it. An error means that the request was not taken.
+func (r *Router) Admit(request *Request) (*ActiveRPC, error) {
+	methodID, known := r.methodIDs[request.Method]
 	if !known {
-		return nil, errMethod
+		return nil, errUnknownMethod
 	}
-	method := &r.methods[number]
+	method := &r.methods[methodID]
 	switch {
-	case c.Write != (method.Consistency == rules.ConsistencyWrite):
-		return nil, errKind
-	case c.Left > longestLeft(method):
-		return nil, errLeft
+	case request.IsWrite != (method.Consistency == rules.ConsistencyWrite):
+		return nil, errMethodKind
+	case request.TimeLeft > maxTimeLeft(method):
+		return nil, errTimeLeftTooLong
 	}
-	rpc := rules.RPC{Method: number, Group: c.Group, Session: c.Key, TimeLeft: c.Left, IsRetry: c.Repeat, SessionToken: c.Token}
-	if !c.Came.IsZero() {
-		rpc.Waited = max(0, r.now()-r.at(c.Came))
+	rpc := rules.RPC{Method: methodID, Group: request.Group, Session: request.Key, TimeLeft: request.TimeLeft,
+		IsRetry: request.IsRetry, SessionToken: request.MinPosition}
+	if !request.ReceivedAt.IsZero() {
+		rpc.Waited = max(0, r.now()-r.clockTime(request.ReceivedAt))
 		rpc.TimeLeft -= rpc.Waited
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id := strings.Clone(c.ID) // which outlives what it came in
-	if !r.ids.open(id, time.Now()) {
-		return nil, errID
+	id := strings.Clone(request.ID) // the id outlives the statement that it is a slice of
+	if !r.ids.acquire(id, time.Now()) {
+		return nil, errDuplicateID
 	}
-	t := r.open(id)
-	r.trace.printf("taken id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, c.Method, c.Group, rpc.TimeLeft/milli, rpc.Waited/milli)
-	if r.gate == nil {
-		t.take(rpc)
+	active := r.newActiveRPC(id)
+	r.trace.printf("rpc accepted id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, request.Method, request.Group,
+		rpc.TimeLeft/nanosPerMilli, rpc.Waited/nanosPerMilli)
+	if r.admissionController == nil {
+		active.submit(rpc)
 	} else {
-		t.ask(rpc, c)
+		active.requestAdmission(rpc, request)
 	}
-	return t, nil
+	return active, nil
 }
 
-// longestLeft is how long a client of a method may say that it waits: twice as long as it does, since some may start to count
-// before the driver does.
-func longestLeft(m *rules.Method) int64 {
-	if m.Deadline <= 0 {
-		return mostLeft
+// maxTimeLeft returns the longest TimeLeft accepted for a method. It is twice the deadline because
+// clients may start counting before the driver does.
+func maxTimeLeft(method *rules.Method) int64 {
+	if method.Deadline <= 0 {
+		return defaultMaxTimeLeft
 	}
-	return 2 * m.Deadline
+	return 2 * method.Deadline
 }
 
-// mostLeft bounds it where the method names no deadline.
-const mostLeft = 60_000 * milli
+// defaultMaxTimeLeft is the longest TimeLeft accepted for a method without a deadline.
+const defaultMaxTimeLeft = 60_000 * nanosPerMilli
 
-// LongestLeft is how long a client of any method may say that it waits.
-func (r *Router) LongestLeft() (most time.Duration) {
+// MaxTimeLeft returns the longest TimeLeft accepted for any method.
+func (r *Router) MaxTimeLeft() (longest time.Duration) {
 	for i := range r.methods {
-		most = max(most, time.Duration(longestLeft(&r.methods[i])))
+		longest = max(longest, time.Duration(maxTimeLeft(&r.methods[i])))
 	}
-	return most
+	return longest
 }
 
-// open makes the trip of an RPC. The lock is held.
-func (r *Router) open(name string) *Trip {
-	r.last++
-	for r.trips[r.last] != nil {
-		r.last++
+// newActiveRPC registers an RPC under a new number. r.mu must be held.
+func (r *Router) newActiveRPC(clientID string) *ActiveRPC {
+	r.lastRPC++
+	for r.activeRPCs[r.lastRPC] != nil {
+		r.lastRPC++
 	}
-	t := &Trip{r: r, id: r.last, name: name, steps: make(chan Step, r.allowed.MaxAttempts+1)}
-	r.trips[t.id] = t
-	return t
+	active := &ActiveRPC{router: r, id: r.lastRPC, clientID: clientID, steps: make(chan Step, r.limits.MaxAttempts+1)}
+	r.activeRPCs[active.id] = active
+	return active
 }
 
-// take hands an RPC to the module. The lock is held.
-func (t *Trip) take(rpc rules.RPC) {
-	rpc.ID = t.id
-	t.r.driver.Submit(rpc)
+// submit hands the RPC to the rules driver. The router's lock must be held.
+func (a *ActiveRPC) submit(rpc rules.RPC) {
+	rpc.ID = a.id
+	a.router.driver.Submit(rpc)
 }
 
-// May tells whether an attempt may still begin. It is asked just before the first byte is written, on whatever connection
-// that took whatever time to get.
-func (t *Trip) May(number int) bool {
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	c := &t.calls[number]
-	may := !t.ended && c.next != nil && (t.pass == nil || t.may()) && t.r.driver.AttemptAllowed(t.id, c.to)
-	if may && t.pass != nil {
-		t.pass.acted = t.r.now()
+// MayBegin reports whether an attempt may still begin. It is called just before the first byte is
+// written, since getting a connection may have taken long.
+func (a *ActiveRPC) MayBegin(number int) bool {
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	attempt := &a.attempts[number]
+	allowed := !a.isFinished && attempt.onResult != nil && (a.admission == nil || a.mayProceed()) &&
+		a.router.driver.AttemptAllowed(a.id, attempt.member)
+	if allowed && a.admission != nil {
+		a.admission.lastBeganAt = a.router.now()
 	}
-	if t.r.trace.enabled {
-		t.r.trace.printf("begins id=%s number=%d member=%d allowed=%t basis=%s", t.name, number, c.to, may, t.r.driver.Eligibility(t.id, c.to))
+	if a.router.trace.enabled {
+		a.router.trace.printf("attempt begins id=%s number=%d member=%d allowed=%t basis=%s", a.clientID, number,
+			attempt.member, allowed, a.router.driver.Eligibility(a.id, attempt.member))
 	}
-	return may
+	return allowed
 }
 
-// Pick waits for the next step.
-func (t *Trip) Pick() Step { return <-t.steps }
+// NextStep blocks until the next step is known.
+func (a *ActiveRPC) NextStep() Step { return <-a.steps }
 
-// Leave says that the client has gone.
-func (t *Trip) Leave() {
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	if !t.ended {
-		t.r.driver.ClientLeft(t.id)
-		if t.pass != nil {
-			t.r.gate.Cancel(t.pass.ticket)
+// ClientLeft ends the RPC because its client has disconnected or cancelled it.
+func (a *ActiveRPC) ClientLeft() {
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	if !a.isFinished {
+		a.router.driver.ClientLeft(a.id)
+		if a.admission != nil {
+			a.router.admissionController.Cancel(a.admission.ticket)
 		}
-		t.finish(Step{Act: Drop})
+		a.finish(Step{Action: ActionDrop})
 	}
 }
 
-// Report says how an attempt ended.
-func (t *Trip) Report(number int, o Outcome) {
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	c := &t.calls[number]
-	next := c.next
-	if next == nil {
+// ReportAttempt reports the outcome of an attempt. Only the first report of an attempt counts.
+func (a *ActiveRPC) ReportAttempt(number int, outcome Outcome) {
+	a.router.mu.Lock()
+	defer a.router.mu.Unlock()
+	attempt := &a.attempts[number]
+	onResult := attempt.onResult
+	if onResult == nil {
 		return
 	}
-	c.cancel()
-	c.next = nil
-	t.out--
-	v := o.verdict()
-	if v.proof == rules.OK && t.r.driver.IsStale(t.id, o.observation(), c.sent) {
-		v = verdict{rules.MayHaveExecuted, rules.Ineligible}
+	attempt.cancel()
+	attempt.onResult = nil
+	a.outstanding--
+	class := outcome.classify()
+	if class.proof == rules.OK && a.router.driver.IsStale(a.id, outcome.observation(), attempt.sentAt) {
+		class = classification{rules.MayHaveExecuted, rules.Ineligible}
 	}
-	if t.pass != nil {
-		t.returned(c, v, o)
+	if a.admission != nil {
+		a.recordAttemptEnd(attempt, class, outcome)
 	}
-	if v.proof == rules.OK && !t.ended {
-		t.finish(Step{Act: Serve, Answer: o.Answer})
-	} else if o.unusable() && !t.ended {
-		t.finish(Step{Act: Abort})
+	if class.proof == rules.OK && !a.isFinished {
+		a.finish(Step{Action: ActionServe, Answer: outcome.Answer})
+	} else if outcome.isSyntaxError() && !a.isFinished {
+		a.finish(Step{Action: ActionAbort})
 	}
-	if t.pass != nil && o.fenced() {
-		t.fenced()
+	if a.admission != nil && outcome.isFenced() {
+		a.handleFenced()
 	}
-	result := rules.Result{Outcome: v.proof, Cause: v.cause, Latency: t.r.now() - c.sent, Final: t.ended, Observation: o.observation()}
-	result.ConnectedAt = t.r.at(o.Opened)
-	t.r.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
-		t.name, number, c.to, result.Latency/milli, o.End, proofNames[v.proof], roleNames[result.Role], result.Position/milli)
-	next(result)
-	t.drop()
+	result := rules.Result{Outcome: class.proof, Cause: class.cause, Latency: a.router.now() - attempt.sentAt, Final: a.isFinished,
+		Observation: outcome.observation()}
+	result.ConnectedAt = a.router.clockTime(outcome.OpenedAt)
+	a.router.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
+		a.clientID, number, attempt.member, result.Latency/nanosPerMilli, outcome.CloseReason, proofNames[class.proof],
+		roleNames[result.Role], result.Position/nanosPerMilli)
+	onResult(result)
+	a.removeIfDone()
 }
 
-// attempt hands out an attempt. The lock is held.
-func (t *Trip) attempt(r *Router, to rules.MemberID, within int64, next func(rules.Result)) int {
-	n := len(t.calls)
-	if t.pass != nil && !t.attempts(next) {
-		return n
+// startAttempt emits a step for a new attempt and returns its number. The router's lock must be held.
+func (a *ActiveRPC) startAttempt(router *Router, member rules.MemberID, timeLimit int64, onResult func(rules.Result)) int {
+	number := len(a.attempts)
+	if a.admission != nil && !a.admitAttempt(onResult) {
+		return number
 	}
-	span := time.Duration(max(within, 0))
-	by, stop := context.WithTimeout(context.Background(), span)
-	by, cancel := context.WithCancelCause(by)
-	t.calls = append(t.calls, call{to: to, sent: r.now(), until: r.now() + int64(span), next: next, cancel: func() { cancel(transport.Cancelled); stop() }})
-	t.out++
-	r.trace.printf("attempt id=%s number=%d member=%d within_ms=%d", t.name, n, to, span.Milliseconds())
-	t.steps <- Step{Act: Attempt, Number: n, Member: to, Address: r.registry.address(to), By: by, Fence: t.fence()}
-	return n
+	timeout := time.Duration(max(timeLimit, 0))
+	ctx, stop := context.WithTimeout(context.Background(), timeout)
+	ctx, cancel := context.WithCancelCause(ctx)
+	a.attempts = append(a.attempts, attemptState{member: member, sentAt: router.now(), deadline: router.now() + int64(timeout),
+		onResult: onResult, cancel: func() { cancel(transport.Cancelled); stop() }})
+	a.outstanding++
+	router.trace.printf("attempt chosen id=%s number=%d member=%d within_ms=%d", a.clientID, number, member, timeout.Milliseconds())
+	a.steps <- Step{Action: ActionAttempt, AttemptNumber: number, Member: member, Address: router.registry.address(member),
+		Context: ctx, Fence: a.fence()}
+	return number
 }
 
-// finish hands out the last step. The lock is held.
-func (t *Trip) finish(s Step) {
-	if !t.ended {
-		t.ended = true
-		t.r.trace.printf("answer id=%s act=%q attempts=%d come_back_ms=%d", t.name, actNames[s.Act], len(t.calls), s.ComeBack/milli)
-		if t.pass != nil {
-			t.answered(s.Act)
+// finish emits the last step, unless one was emitted before. The router's lock must be held.
+func (a *ActiveRPC) finish(step Step) {
+	if !a.isFinished {
+		a.isFinished = true
+		a.router.trace.printf("rpc finished id=%s act=%q attempts=%d come_back_ms=%d", a.clientID, actionNames[step.Action],
+			len(a.attempts), step.RetryAfter/nanosPerMilli)
+		if a.admission != nil {
+			a.recordFinish(step.Action)
 		}
-		t.steps <- s
-		t.drop()
+		a.steps <- step
+		a.removeIfDone()
 	}
 }
 
-// drop forgets the RPC once it has ended and nothing is out for it.
-func (t *Trip) drop() {
-	if t.ended && t.out == 0 && t.r.trips[t.id] == t {
-		delete(t.r.trips, t.id)
-		t.r.ids.end(t.name, time.Now())
-		if t.pass != nil {
-			t.settle()
+// removeIfDone removes the RPC once it is finished and no attempt is outstanding. The router's lock
+// must be held.
+func (a *ActiveRPC) removeIfDone() {
+	if a.isFinished && a.outstanding == 0 && a.router.activeRPCs[a.id] == a {
+		delete(a.router.activeRPCs, a.id)
+		a.router.ids.release(a.clientID, time.Now())
+		if a.admission != nil {
+			a.settleIfDone()
 		}
 	}
 }
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -12,198 +12,210 @@
 	"sedgespread/rules"
 )
 
-// Rulebook is what decides on an RPC's way and has versions: the part of the operator's file that all drivers share.
+// Rulebook is the versioned configuration that routing depends on: the part of the operator's file that
+// all drivers share.
 const Rulebook versions.Resource = "rulebook"
 
-// Heed lets every RPC from here on act on a version of the rulebook. It is called before the first.
-func (r *Router) Heed(h *versions.DriverState) {
+// EnableVersions ties every RPC to a version of the rulebook. It must be called before the first Admit.
+func (r *Router) EnableVersions(holder *versions.DriverState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.holder = h
+	r.holder = holder
 }
 
-// NearChange is for how long after a change of version RPCs with an effect that reach a member are entered one by one; later ones are counted.
-const NearChange = 5 * time.Second
+// AuditWindow is how long after a change of version the audit trail records writes one by one; later
+// ones are only counted.
+const AuditWindow = 5 * time.Second
 
-// nearSlack is for how much longer they are, since whoever compares may have the time of the change from clocks that differ by a little.
-const nearSlack = 100 * time.Millisecond
+// clockSkewAllowance extends AuditWindow, since the clocks of the drivers that are compared may differ.
+const clockSkewAllowance = 100 * time.Millisecond
 
-// mostEntries is how many entries of its trail a driver keeps.
-const mostEntries = 8192
+// maxTrailEntries is how many entries of the audit trail are kept.
+const maxTrailEntries = 8192
 
-// ReportStart reports the number of this driver's start. From here on what it does is entered in its trail.
-func (r *Router) ReportStart(who versions.Instance, token string) {
+// StartTrail starts the audit trail of this driver, which is identified by its name and start number.
+// Later calls have no effect.
+func (r *Router) StartTrail(driver versions.Instance, token string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		r.trail = audit.NewTrail(r.now(), who, token, mostEntries, int64(NearChange+nearSlack))
-		for _, s := range r.holder.Reports() {
-			if s.Digest != "" {
-				r.trail.RecordObserved(r.now(), s.Resource, s.Active)
+		r.trail = audit.NewTrail(r.now(), driver, token, maxTrailEntries, int64(AuditWindow+clockSkewAllowance))
+		for _, sighting := range r.holder.Reports() {
+			if sighting.Digest != "" {
+				r.trail.RecordObserved(r.now(), sighting.Resource, sighting.Active)
 			}
 		}
 	}
 }
 
-// Trail gives the entries of this driver's trail after one, at most so many.
-func (r *Router) Trail(seq uint64, most int) audit.Segment {
+// TrailSince returns up to limit entries of the audit trail that follow entry seq.
+func (r *Router) TrailSince(seq uint64, limit int) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
 		return audit.Segment{}
 	}
 	r.trail.FlushBeforeSend(r.now())
-	return r.trail.Since(seq, most)
+	return r.trail.Since(seq, limit)
 }
 
-// LastTrail enters all that is left to enter, and gives the entries after one.
-func (r *Router) LastTrail(seq uint64) audit.Segment {
+// FlushTrail records all pending counts and returns the entries of the audit trail that follow entry
+// seq.
+func (r *Router) FlushTrail(seq uint64) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
 		return audit.Segment{}
 	}
 	r.trail.Flush(r.now())
-	return r.trail.Since(seq, mostEntries)
+	return r.trail.Since(seq, maxTrailEntries)
 }
 
-// begins lets an RPC act on the version that this driver acts on, and tells whether there is one. The lock is held.
-func (t *Trip) begins() (may bool) {
-	if t.r.holder == nil {
+// beginVersion ties the RPC to the version in force on this driver and reports whether there is one.
+// The router's lock must be held.
+func (a *ActiveRPC) beginVersion() (allowed bool) {
+	if a.router.holder == nil {
 		return true
 	}
-	t.pass.begun = t.r.now()
-	t.pass.version, may = t.r.holder.Begin(t.pass.begun, Rulebook)
-	if may && t.r.trail != nil {
-		t.r.trail.BeginRPC(t.r.now(), Rulebook, t.pass.version)
+	a.admission.startedAt = a.router.now()
+	a.admission.version, allowed = a.router.holder.Begin(a.admission.startedAt, Rulebook)
+	if allowed && a.router.trail != nil {
+		a.router.trail.BeginRPC(a.router.now(), Rulebook, a.admission.version)
 	}
-	return may
+	return allowed
 }
 
-// fared tells how an RPC has ended under its version. The lock is held.
-func (t *Trip) fared(act Act) {
-	if t.r.holder != nil {
-		t.r.holder.RecordOutcome(Rulebook, t.pass.version, act == Serve, act == PushBack || act == Abort, t.r.now()-t.pass.begun)
+// recordVersionOutcome counts how the RPC has ended under its version. The router's lock must be held.
+func (a *ActiveRPC) recordVersionOutcome(action Action) {
+	if a.router.holder != nil {
+		a.router.holder.RecordOutcome(Rulebook, a.admission.version, action == ActionServe,
+			action == ActionReject || action == ActionAbort, a.router.now()-a.admission.startedAt)
 	}
 }
 
-// harmed tells whether a planted fault ends the RPC.
-func (t *Trip) harmed() bool {
-	return planted.Is(planted.Harm) && t.pass.version > versions.InitialVersion && t.id%4 == 0
+// failsByPlantedFault reports whether a planted fault, of which only builds for trials have any, ends the
+// RPC.
+func (a *ActiveRPC) failsByPlantedFault() bool {
+	return planted.Is(planted.Harm) && a.admission.version > versions.InitialVersion && a.id%4 == 0
 }
 
-// may tells whether something more may be done for an RPC: its tenant is where it was, and its version is acted on. The
-// lock is held.
-func (t *Trip) may() bool {
-	now := t.r.now()
-	return t.r.gate.MayProceed(t.pass.ticket, now) && (t.r.holder == nil || t.r.holder.MayContinue(now, Rulebook, t.pass.version))
+// mayProceed reports whether the RPC's tenant is still in the same cell and its version still in force.
+// The router's lock must be held.
+func (a *ActiveRPC) mayProceed() bool {
+	now := a.router.now()
+	return a.router.admissionController.MayProceed(a.admission.ticket, now) &&
+		(a.router.holder == nil || a.router.holder.MayContinue(now, Rulebook, a.admission.version))
 }
 
-// ends says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
-// more. The lock is held.
-func (t *Trip) ends() {
-	n := t.pass.version
-	if n == 0 {
+// endVersion releases the RPC's version once none of its attempts can still be running. The router's
+// lock must be held.
+func (a *ActiveRPC) endVersion() {
+	version := a.admission.version
+	if version == 0 {
 		return
 	}
-	t.pass.version = 0
-	if t.r.trail != nil && !(planted.Is(planted.Audit) && t.id%10 == 0) {
-		t.r.trail.EndRPC(t.r.now(), Rulebook, n, t.name, t.pass.effect, t.pass.outcome, t.pass.acted)
+	a.admission.version = 0
+	if a.router.trail != nil && !(planted.Is(planted.Audit) && a.id%10 == 0) {
+		a.router.trail.EndRPC(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome,
+			a.admission.lastBeganAt)
 	}
-	if t.pass.until <= t.r.now() {
-		t.r.holder.End(Rulebook, n)
+	if a.admission.runsUntil <= a.router.now() {
+		a.router.holder.End(Rulebook, version)
 		return
 	}
-	t.r.timers.add(t.pass.until, func() { t.r.holder.End(Rulebook, n) })
-	t.r.stir()
+	a.router.timers.add(a.admission.runsUntil, func() { a.router.holder.End(Rulebook, version) })
+	a.router.wake()
 }
 
-var effects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Deduplicated,
+var auditEffects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Deduplicated,
 	rules.NonIdempotent: audit.NonIdempotent}
 
-// effectOf is what an RPC of a method does to data.
-func effectOf(m *rules.Method) audit.Effect {
-	if m.Consistency != rules.ConsistencyWrite {
+// auditEffect returns the effect that the audit trail records for RPCs of a method.
+func auditEffect(method *rules.Method) audit.Effect {
+	if method.Consistency != rules.ConsistencyWrite {
 		return audit.Read
 	}
-	return effects[m.Effect]
+	return auditEffects[method.Effect]
 }
 
-// outcomeOf is how an RPC ended.
-var outcomeOf = map[Act]audit.Outcome{Serve: audit.Served, PushBack: audit.PushedBack, Abort: audit.Aborted, Drop: audit.ClientLeft}
+// auditOutcomes maps an RPC's last action to the outcome that the audit trail records.
+var auditOutcomes = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack,
+	ActionAbort: audit.Aborted, ActionDrop: audit.ClientLeft}
 
-// fence is what a store is told, so that it can turn away what comes too late: none where there are no versions.
-func (t *Trip) fence() (f protocol.Fence) {
-	if t.pass == nil || t.r.holder == nil {
-		return f
+// fence returns the fence by which a store rejects attempts of closed versions. It is empty if nothing
+// is versioned.
+func (a *ActiveRPC) fence() (fence protocol.Fence) {
+	if a.admission == nil || a.router.holder == nil {
+		return fence
 	}
-	known := t.r.holder.Fence(Rulebook, t.pass.version)
-	f.Version, f.Epoch = uint64(known.Version), uint64(known.Epoch)
-	for _, n := range known.Valid {
-		f.Valid = append(f.Valid, uint64(n))
+	known := a.router.holder.Fence(Rulebook, a.admission.version)
+	fence.Version, fence.Epoch = uint64(known.Version), uint64(known.Epoch)
+	for _, version := range known.Valid {
+		fence.Valid = append(fence.Valid, uint64(version))
 	}
-	return f
+	return fence
 }
 
-// fenced ends an RPC whose version a store has turned away, and lets nothing more begin under it before the council was asked
-// again. The lock is held.
-func (t *Trip) fenced() {
-	r := t.r
-	r.turnedAway++
-	if r.holder != nil && r.holder.MarkFenced(r.now(), Rulebook, t.pass.version) {
-		r.log.WithFields(logrus.Fields{"thing": Rulebook, "version": t.pass.version, "turned_away": r.turnedAway}).
-			Warn("a store has turned the version away that this driver acts on")
+// handleFenced ends an RPC whose version a store has rejected. Nothing more begins under that version
+// until the council has confirmed it. The router's lock must be held.
+func (a *ActiveRPC) handleFenced() {
+	router := a.router
+	router.fencedAttempts++
+	if router.holder != nil && router.holder.MarkFenced(router.now(), Rulebook, a.admission.version) {
+		router.log.WithFields(logrus.Fields{"thing": Rulebook, "version": a.admission.version, "turned_away": router.fencedAttempts}).
+			Warn("store rejected the version in force on this driver")
 	}
-	if !t.ended {
-		t.forsake(t.out > 0)
+	if !a.isFinished {
+		a.rejectOrAbort(a.outstanding > 0)
 	}
 }
 
-// Sightings is what the fleet is told of this driver's versions, and when that was.
-func (r *Router) Sightings() ([]versions.Report, int64) {
+// VersionSightings returns what this driver reports of its versions, and the time of the report.
+func (r *Router) VersionSightings() ([]versions.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holder.Reports(), r.now()
 }
 
-// ReportOrders reports what the fleet granted to what was asked at a time, and gives what is to be adopted.
-func (r *Router) ReportOrders(asked int64, g versions.Grant) []versions.Adoption {
+// ApplyOrders applies the grant for the report made at askedAt and returns the versions to adopt.
+func (r *Router) ApplyOrders(askedAt int64, grant versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if planted.Is(planted.Lease) {
-		g.Lease += g.Lease / 2
+		grant.Lease += grant.Lease / 2
 	}
-	due := r.holder.ApplyGrant(asked, g)
+	adoptions := r.holder.ApplyGrant(askedAt, grant)
 	if r.trail != nil {
-		acts := map[versions.Resource]versions.Number{}
-		for _, s := range r.holder.Reports() {
-			acts[s.Resource] = s.Active
+		actsOn := map[versions.Resource]versions.Number{}
+		for _, sighting := range r.holder.Reports() {
+			actsOn[sighting.Resource] = sighting.Active
 		}
-		for _, o := range g.Assignments {
-			r.trail.RecordEpoch(r.now(), o.Resource, o.Epoch, acts[o.Resource])
+		for _, order := range grant.Assignments {
+			r.trail.RecordEpoch(r.now(), order.Resource, order.Epoch, actsOn[order.Resource])
 		}
 	}
-	return due
+	return adoptions
 }
 
-// ReportAdopted reports that this driver acts on a version, or why it can't.
-func (r *Router) ReportAdopted(a versions.Adoption, err error) {
+// ReportAdoption reports that a version is now in force on this driver, or why it could not be adopted.
+func (r *Router) ReportAdoption(adoption versions.Adoption, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.holder.MarkFailed(a, err.Error())
+		r.holder.MarkFailed(adoption, err.Error())
 		return
 	}
-	r.holder.MarkAdopted(a)
+	r.holder.MarkAdopted(adoption)
 	if r.trail != nil {
-		r.trail.RecordActive(r.now(), a.Resource, a.Number)
+		r.trail.RecordActive(r.now(), adoption.Resource, adoption.Number)
 	}
 }
 
-// pushesBack ends an RPC that was taken and had no attempt: trying again is harmless.
-func (t *Trip) pushesBack() {
-	t.finish(Step{Act: PushBack, ComeBack: min(noVersion, t.r.allowed.MaxRetryAfter)})
+// rejectWithoutVersion rejects an RPC because no version is in force. The router's lock must be held.
+func (a *ActiveRPC) rejectWithoutVersion() {
+	a.finish(Step{Action: ActionReject, RetryAfter: min(noVersionRetryAfter, a.router.limits.MaxRetryAfter)})
 }
 
-// noVersion is when a client may come back that found a driver without a version to act on.
-const noVersion = int64(200_000_000)
+// noVersionRetryAfter is the retry hint, in nanoseconds, for RPCs rejected because no version is in
+// force.
+const noVersionRetryAfter = int64(200_000_000)
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -12,115 +12,116 @@
 	"sedgespread/rules"
 )
 
-// heeds lets a router act on version 2 of the rulebook, with a trail if asked.
-func heeds(t testing.TB, r *Router, trail bool) {
-	r.Heed(versions.NewDriverState())
-	if trail {
-		r.ReportStart(versions.Instance{Name: "n", Start: 1}, "token")
+// enableVersions puts version 2 of the rulebook in force on a router, optionally with an audit trail.
+func enableVersions(t testing.TB, r *Router, withTrail bool) {
+	r.EnableVersions(versions.NewDriverState())
+	if withTrail {
+		r.StartTrail(versions.Instance{Name: "n", Start: 1}, "token")
 	}
-	orders(t, r, time.Hour, versions.Assignment{Epoch: 1, Active: 2, Valid: []versions.Number{2}, Stored: 2, Text: "text"})
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 1, Active: 2, Valid: []versions.Number{2}, Stored: 2, Text: "text"})
 }
 
-func orders(t testing.TB, r *Router, lease time.Duration, o versions.Assignment) {
-	o.Resource = Rulebook
-	for _, a := range r.ReportOrders(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{o}}) {
-		r.ReportAdopted(a, nil)
+// applyOrder applies an order for the rulebook and adopts its version.
+func applyOrder(t testing.TB, r *Router, lease time.Duration, order versions.Assignment) {
+	order.Resource = Rulebook
+	for _, adoption := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{order}}) {
+		r.ReportAdoption(adoption, nil)
 	}
-	require.Equal(t, o.Active, r.holder.Reports()[0].Active)
+	require.Equal(t, order.Active, r.holder.Reports()[0].Active)
 }
 
-// Guards against RPCs that begin without a version to act on, and attempts that do not say under which they are made.
-func TestRPCsActOnAVersion(t *testing.T) {
-	r := confined(t, false)
-	r.Heed(versions.NewDriverState())
-	require.Equal(t, PushBack, pick(t, admit(t, r, "write")).Act, "no lease")
-	heeds(t, r, true)
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
-	require.Equal(t, Attempt, step.Act)
+// Guards against RPCs that begin without a version in force, and attempts without its fence.
+func TestRPCsRequireVersion(t *testing.T) {
+	r := newRouterWithCells(t, false)
+	r.EnableVersions(versions.NewDriverState())
+	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action, "no lease")
+	enableVersions(t, r, true)
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
+	require.Equal(t, ActionAttempt, step.Action)
 	require.Equal(t, protocol.Fence{Version: 2, Epoch: 1, Valid: []uint64{2}}, step.Fence)
 	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
-	require.True(t, trip.May(step.Number))
-	trip.Report(step.Number, ok(r.now()/milli, true))
-	require.Equal(t, Serve, pick(t, trip).Act)
-	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight, "its answer is not passed on yet")
-	trip.Passed()
+	require.True(t, active.MayBegin(step.AttemptNumber))
+	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
+	require.Equal(t, ActionServe, nextStep(t, active).Action)
+	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight, "the RPC is in flight until its answer is delivered")
+	active.AnswerDelivered()
 	require.Empty(t, r.holder.Reports()[0].InFlight)
-	var single *audit.Entry
-	for _, e := range r.LastTrail(0).Entries {
-		if e.Kind == audit.KindRPC {
-			single = &e
+	var writeEntry *audit.Entry
+	for _, entry := range r.FlushTrail(0).Entries {
+		if entry.Kind == audit.KindRPC {
+			writeEntry = &entry
 		}
 	}
-	require.NotNil(t, single)
-	require.Equal(t, audit.Served, single.Outcome)
-	require.NotZero(t, single.From, "when its attempt began")
-	require.EqualValues(t, 2, single.Version)
+	require.NotNil(t, writeEntry)
+	require.Equal(t, audit.Served, writeEntry.Outcome)
+	require.NotZero(t, writeEntry.From, "the entry must hold when the attempt began")
+	require.EqualValues(t, 2, writeEntry.Version)
 }
 
-// Guards against an answer that is passed on, or a further attempt, under a version that was closed meanwhile.
-func TestAClosedVersionIsNotActedOn(t *testing.T) {
-	r := confined(t, false)
-	heeds(t, r, false)
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
-	orders(t, r, time.Hour, versions.Assignment{Epoch: 2, Active: 3, Stored: 3, Text: "next"})
-	trip.Report(step.Number, ok(r.now()/milli, true))
-	require.Equal(t, Abort, pick(t, trip).Act)
-	held := admit(t, r, "write")
-	step = pick(t, held)
-	orders(t, r, time.Hour, versions.Assignment{Epoch: 3, Active: 4, Stored: 4, Text: "after", Allowed: 3})
-	held.Report(step.Number, Outcome{Answer: nil, End: 0, Sent: false})
-	next := pick(t, held)
-	require.Equal(t, Attempt, next.Act, "one that may be acted on until then is")
-	require.EqualValues(t, 3, next.Fence.Version)
-	orders(t, r, time.Hour, versions.Assignment{Epoch: 4, Active: 4, Stored: 4, Text: "after"})
-	held.Report(next.Number, ok(r.now()/milli, true))
-	require.Equal(t, Abort, pick(t, held).Act)
+// Guards against answers delivered or attempts made under a version that has been closed meanwhile.
+func TestClosedVersionEndsRPCs(t *testing.T) {
+	r := newRouterWithCells(t, false)
+	enableVersions(t, r, false)
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 2, Active: 3, Stored: 3, Text: "next"})
+	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
+	require.Equal(t, ActionAbort, nextStep(t, active).Action)
+	held := admitRPC(t, r, "write")
+	step = nextStep(t, held)
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 3, Active: 4, Stored: 4, Text: "after", Allowed: 3})
+	held.ReportAttempt(step.AttemptNumber, Outcome{Answer: nil, CloseReason: 0, WasSent: false})
+	nextAttempt := nextStep(t, held)
+	require.Equal(t, ActionAttempt, nextAttempt.Action, "a version that is kept may still be used")
+	require.EqualValues(t, 3, nextAttempt.Fence.Version)
+	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 4, Active: 4, Stored: 4, Text: "after"})
+	held.ReportAttempt(nextAttempt.AttemptNumber, answered(r.now()/nanosPerMilli, true))
+	require.Equal(t, ActionAbort, nextStep(t, held).Action)
 }
 
-// Guards against a driver that goes on under a version which a store knows to be over: the RPC ends honestly, nothing more
-// begins before the council was asked again, and then it does.
-func TestAStoreTurnsAVersionAway(t *testing.T) {
-	r := confined(t, false)
-	heeds(t, r, false)
-	turned := Outcome{Sent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: protocol.StateFenced}}}
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
-	trip.Report(step.Number, turned)
-	require.Equal(t, PushBack, pick(t, trip).Act, "it never ran")
-	require.Equal(t, PushBack, pick(t, admit(t, r, "write")).Act)
-	asked := r.now()
-	for _, a := range r.ReportOrders(asked, versions.Grant{Lease: int64(time.Hour)}) {
-		r.ReportAdopted(a, nil)
+// Guards against a driver that goes on under a version that a store has rejected, before the council has
+// confirmed it, or that does not resume afterwards.
+func TestFencedVersion(t *testing.T) {
+	r := newRouterWithCells(t, false)
+	enableVersions(t, r, false)
+	fenced := Outcome{WasSent: true, Answer: &protocol.Answer{Failure: &protocol.Failure{SQLState: protocol.StateFenced}}}
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
+	active.ReportAttempt(step.AttemptNumber, fenced)
+	require.Equal(t, ActionReject, nextStep(t, active).Action, "the attempt never ran")
+	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action)
+	askedAt := r.now()
+	for _, adoption := range r.ApplyOrders(askedAt, versions.Grant{Lease: int64(time.Hour)}) {
+		r.ReportAdoption(adoption, nil)
 	}
-	trip = admit(t, r, "write")
-	step = pick(t, trip)
-	require.Equal(t, Attempt, step.Act, "the council still holds it valid")
-	trip.Report(step.Number, Outcome{Sent: true, End: 1})
-	next := pick(t, trip)
-	require.NotEqual(t, PushBack, next.Act, "a write that may have run")
+	active = admitRPC(t, r, "write")
+	step = nextStep(t, active)
+	require.Equal(t, ActionAttempt, step.Action, "the council still considers the version valid")
+	active.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
+	last := nextStep(t, active)
+	require.NotEqual(t, ActionReject, last.Action, "a write that may have run must not be rejected as safe to retry")
 }
 
-// Guards against a version that is said to have nothing in flight while an attempt that was given up may still run.
-func TestWhatMayStillRunIsInFlight(t *testing.T) {
-	r := confined(t, false)
-	heeds(t, r, false)
-	trip := admit(t, r, "write")
-	step := pick(t, trip)
-	trip.Leave()
-	trip.Report(step.Number, Outcome{Sent: true, End: 1})
-	require.Equal(t, Drop, pick(t, trip).Act)
+// Guards against reporting a version as idle while an abandoned attempt may still be running.
+func TestAbandonedAttemptKeepsVersionInFlight(t *testing.T) {
+	r := newRouterWithCells(t, false)
+	enableVersions(t, r, false)
+	active := admitRPC(t, r, "write")
+	step := nextStep(t, active)
+	active.ClientLeft()
+	active.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
+	require.Equal(t, ActionDrop, nextStep(t, active).Action)
 	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
-	for begun := time.Now(); len(r.holder.Reports()[0].InFlight) > 0; time.Sleep(10 * time.Millisecond) {
-		require.Less(t, time.Since(begun), 5*time.Second)
-		r.turn()
+	for startedAt := time.Now(); len(r.holder.Reports()[0].InFlight) > 0; time.Sleep(10 * time.Millisecond) {
+		require.Less(t, time.Since(startedAt), 5*time.Second)
+		r.runTimers()
 	}
 }
 
-// Each kind of method has its effect.
-func TestEffects(t *testing.T) {
-	require.Equal(t, audit.Read, effectOf(&rules.Method{Consistency: rules.ConsistencySession, Effect: rules.NonIdempotent}))
-	require.Equal(t, audit.Deduplicated, effectOf(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.IdempotentByToken}))
-	require.Equal(t, audit.NonIdempotent, effectOf(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.NonIdempotent}))
+// Guards against methods recorded in the audit trail with the wrong effect.
+func TestAuditEffect(t *testing.T) {
+	require.Equal(t, audit.Read, auditEffect(&rules.Method{Consistency: rules.ConsistencySession, Effect: rules.NonIdempotent}))
+	require.Equal(t, audit.Deduplicated, auditEffect(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.IdempotentByToken}))
+	require.Equal(t, audit.NonIdempotent, auditEffect(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.NonIdempotent}))
 }
