--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 type ring struct {
 	t       *testing.T
 	at      []string
-	rings   []*Ring
+	rings   []*Gossiper
 	ends    []func()
 	fellows []string
 }
