--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -18,24 +18,24 @@
 
 // FleetAgent is a driver's side of the fleet: it asks for a number under its name, and then for its lease again and again.
 type FleetAgent struct {
-	fleet   Client
-	claim   roster.Claim
-	start   roster.StartNumber // 0 while it has none
-	lease   time.Duration
-	actor   FleetDriver
-	log     logrus.FieldLogger
-	lost    bool
-	refused string
-	again   time.Duration // it is to ask again after so long
-	held    uint64        // entry up to which the trail was told
-	fellows PeerMonitor   // nil where drivers do not gossip
+	client         Client
+	claim          roster.Claim
+	start          roster.StartNumber // 0 while it has none
+	lease          time.Duration
+	driver         FleetDriver
+	log            logrus.FieldLogger
+	isDisconnected bool
+	refusalReason  string
+	retryAfter     time.Duration // it is to ask again after so long
+	storedTrailSeq uint64        // entry up to which the trail was told
+	peerMonitor    PeerMonitor   // nil where drivers do not gossip
 }
 
 // PeerMonitor tells which other drivers were heard and are not any more.
 type PeerMonitor interface{ Unheard() []string }
 
 // SetPeerMonitor lets the fleet be told whom this driver does not hear. It is called before Run.
-func (r *FleetAgent) SetPeerMonitor(f PeerMonitor) { r.fellows = f }
+func (a *FleetAgent) SetPeerMonitor(monitor PeerMonitor) { a.peerMonitor = monitor }
 
 // FleetDriver is what an agent asks of the driver that it stands for.
 type FleetDriver interface {
@@ -52,30 +52,30 @@
 }
 
 // NewFleetAgent makes a driver's agent, which asks any of the voters at some addresses.
-func NewFleetAgent(at []string, c roster.Claim, lease time.Duration, a FleetDriver, log logrus.FieldLogger) *FleetAgent {
+func NewFleetAgent(addresses []string, claim roster.Claim, lease time.Duration, driver FleetDriver, log logrus.FieldLogger) *FleetAgent {
 	var token [16]byte
 	rand.Read(token[:])
-	c.Token = hex.EncodeToString(token[:])
-	return &FleetAgent{fleet: NewClient(at...), claim: c, lease: lease, actor: a, log: log}
+	claim.Token = hex.EncodeToString(token[:])
+	return &FleetAgent{client: NewClient(addresses...), claim: claim, lease: lease, driver: driver, log: log}
 }
 
 // Run asks until the context ends, and then tells that this driver leaves: it must not act any more by then.
-func (r *FleetAgent) Run(ctx context.Context) {
-	defer r.fleet.close()
-	defer r.leave()
+func (a *FleetAgent) Run(ctx context.Context) {
+	defer a.client.close()
+	defer a.leave()
 	for ctx.Err() == nil {
-		busy, err := r.ask(ctx)
-		r.note(ctx, err)
+		isBusy, err := a.registerOrRenew(ctx)
+		a.logConnectivity(ctx, err)
 		pause := time.Duration(0)
 		switch {
-		case r.refused != "":
-			pause = r.lease / waitShare
+		case a.refusalReason != "":
+			pause = a.lease / leaseWaitDivisor
 		case err != nil:
-			pause = lostEvery
-		case r.again > 0:
-			pause = r.again
-		case busy:
-			pause = movingEvery
+			pause = reconnectInterval
+		case a.retryAfter > 0:
+			pause = a.retryAfter
+		case isBusy:
+			pause = busyReportInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -84,92 +84,92 @@
 	}
 }
 
-// note logs when no lease is to be had any more, why, and when there is one again.
-func (r *FleetAgent) note(ctx context.Context, err error) {
+// logConnectivity logs when no lease is to be had any more, why, and when there is one again.
+func (a *FleetAgent) logConnectivity(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	var refusal *jsonhttp.StatusError
-	refused := ""
+	reason := ""
 	if errors.As(err, &refusal) && refusal.Status == http.StatusForbidden {
-		refused = refusal.Message
+		reason = refusal.Message
 	}
-	lost := err != nil
+	isDisconnected := err != nil
 	switch {
-	case refused != "" && refused != r.refused:
-		r.log.WithField("why", refused).Error("the fleet gives this driver no lease")
-	case lost && !r.lost && refused == "":
-		r.log.WithError(err).Warn("no lease from the fleet")
-	case !lost && r.lost:
-		r.log.WithField("start", r.start).Info("leases from the fleet again")
-	}
-	r.lost, r.refused = lost, refused
+	case reason != "" && reason != a.refusalReason:
+		a.log.WithField("why", reason).Error("the fleet gives this driver no lease")
+	case isDisconnected && !a.isDisconnected && reason == "":
+		a.log.WithError(err).Warn("no lease from the fleet")
+	case !isDisconnected && a.isDisconnected:
+		a.log.WithField("start", a.start).Info("leases from the fleet again")
+	}
+	a.isDisconnected, a.refusalReason = isDisconnected, reason
 }
 
-// ask asks for a number, or for a lease, and tells whether there is something to report soon.
-func (r *FleetAgent) ask(ctx context.Context) (busy bool, err error) {
-	wait := r.lease / waitShare
-	if r.lost || r.start == 0 {
+// registerOrRenew asks for a number, or for a lease, and tells whether there is something to report soon.
+func (a *FleetAgent) registerOrRenew(ctx context.Context) (isBusy bool, err error) {
+	wait := a.lease / leaseWaitDivisor
+	if a.isDisconnected || a.start == 0 {
 		wait = 0
 	}
-	by, stop := context.WithTimeout(ctx, wait+slackOf(r.lease))
-	defer stop()
-	if r.start == 0 {
-		err = r.join(by)
+	requestCtx, cancel := context.WithTimeout(ctx, wait+fallbackResponseMargin(a.lease))
+	defer cancel()
+	if a.start == 0 {
+		err = a.join(requestCtx)
 	} else {
-		busy, err = r.renew(by, wait)
+		isBusy, err = a.renew(requestCtx, wait)
 	}
 	var refusal *jsonhttp.StatusError
 	if errors.As(err, &refusal) && refusal.Status == http.StatusConflict {
-		r.start = 0
+		a.start = 0
 	}
 	if jsonhttp.ShouldTryAnother(err) {
-		r.fleet.next()
+		a.client.rotate()
 	}
-	return busy, err
+	return isBusy, err
 }
 
 // join takes a number, in two steps.
-func (r *FleetAgent) join(by context.Context) error {
-	var offered, taken roster.StartNumber
-	if err := r.fleet.ask(by, "fleet/join", joining{Claim: r.claim}, &offered); err != nil {
+func (a *FleetAgent) join(ctx context.Context) error {
+	var offered, confirmed roster.StartNumber
+	if err := a.client.post(ctx, "fleet/join", joinRequest{Claim: a.claim}, &offered); err != nil {
 		return err
 	}
-	if err := r.fleet.ask(by, "fleet/join", joining{Claim: r.claim, Start: offered}, &taken); err != nil {
+	if err := a.client.post(ctx, "fleet/join", joinRequest{Claim: a.claim, Start: offered}, &confirmed); err != nil {
 		return err
 	}
-	r.start = taken
-	r.actor.Joined(versions.Sign{Name: r.claim.Name, Start: uint64(taken)}, r.claim.Token)
+	a.start = confirmed
+	a.driver.Joined(versions.Sign{Name: a.claim.Name, Start: uint64(confirmed)}, a.claim.Token)
 	return nil
 }
 
-func (r *FleetAgent) renew(by context.Context, wait time.Duration) (busy bool, err error) {
-	seen, at := r.actor.Sightings()
-	var g granted
-	asked := asking{Name: r.claim.Name, Token: r.claim.Token, Seen: seen, WaitMs: wait.Milliseconds()}
-	if r.fellows != nil {
-		asked.Hears = &hears{r.fellows.Unheard()}
+func (a *FleetAgent) renew(ctx context.Context, wait time.Duration) (isBusy bool, err error) {
+	sightings, observedAt := a.driver.Sightings()
+	var response leaseResponse
+	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Sightings: sightings, WaitMs: wait.Milliseconds()}
+	if a.peerMonitor != nil {
+		request.Gossip = &gossipReport{a.peerMonitor.Unheard()}
 	}
-	part := r.actor.Trail(r.held, mostTold)
+	part := a.driver.Trail(a.storedTrailSeq, maxEntriesPerRequest)
 	if len(part.Entries) > 0 {
-		asked.Trails = []audit.Part{part}
+		request.Trails = []audit.Part{part}
 	}
-	if len(part.Entries) == mostTold {
-		asked.WaitMs = 0 // there may be more
+	if len(part.Entries) == maxEntriesPerRequest {
+		request.WaitMs = 0 // there may be more
 	}
-	err = r.fleet.ask(by, "fleet/renew", asked, &g)
+	err = a.client.post(ctx, "fleet/renew", request, &response)
 	if err != nil {
 		return false, err
 	}
-	r.held = g.Held // a successor may hold less, and is told again
-	r.again = time.Duration(g.Again)
-	r.actor.Granted(at, g.Grant)
-	return len(g.Orders) > 0 || under(seen), nil
+	a.storedTrailSeq = response.StoredTrailSeq // a successor may hold less, and is told again
+	a.retryAfter = time.Duration(response.Again)
+	a.driver.Granted(observedAt, response.Grant)
+	return len(response.Orders) > 0 || hasOtherVersionInFlight(sightings), nil
 }
 
-// under tells whether something is in flight under another version than what is acted on, whose end is waited for.
-func under(seen []versions.Sighting) bool {
-	for _, s := range seen {
+// hasOtherVersionInFlight tells whether something is in flight under another version than what is acted on, whose end is waited for.
+func hasOtherVersionInFlight(sightings []versions.Sighting) bool {
+	for _, s := range sightings {
 		for _, n := range s.Flight {
 			if n != s.Acts {
 				return true
@@ -179,19 +179,19 @@
 	return false
 }
 
-// leaveWithin is how long a driver that leaves tries to say so.
-const leaveWithin = 500 * time.Millisecond
+// leaveTimeout is how long a driver that leaves tries to say so.
+const leaveTimeout = 500 * time.Millisecond
 
 // leave tells the fleet that this driver acts no more, with what is left to tell of its trail. Where that can't be told its
 // lease runs out.
-func (r *FleetAgent) leave() {
-	if r.start == 0 {
+func (a *FleetAgent) leave() {
+	if a.start == 0 {
 		return
 	}
-	by, stop := context.WithTimeout(context.Background(), leaveWithin)
-	defer stop()
-	asked := asking{Name: r.claim.Name, Token: r.claim.Token, Trails: []audit.Part{r.actor.LastTrail(r.held)}}
-	if err := r.fleet.ask(by, "fleet/leave", asked, nil); err != nil {
-		r.log.WithError(err).Warn("the fleet could not be told that this driver leaves")
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	defer cancel()
+	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Trails: []audit.Part{a.driver.LastTrail(a.storedTrailSeq)}}
+	if err := a.client.post(ctx, "fleet/leave", request, nil); err != nil {
+		a.log.WithError(err).Warn("the fleet could not be told that this driver leaves")
 	}
 }
--- a/internal/membership/bell.go
+++ b/internal/membership/bell.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// bell lets those know who wait for something new. The lock of whoever has it guards it.
-type bell struct{ rings chan struct{} }
+// changeSignal lets those know who wait for something new. The lock of whoever has it guards it.
+type changeSignal struct{ channel chan struct{} }
 
-func newBell() bell { return bell{make(chan struct{})} }
+func newChangeSignal() changeSignal { return changeSignal{make(chan struct{})} }
 
-func (b *bell) ring() {
-	close(b.rings)
-	b.rings = make(chan struct{})
+func (s *changeSignal) broadcast() {
+	close(s.channel)
+	s.channel = make(chan struct{})
 }
 
-// await waits until what was taken from a bell rings, or a wait is over. The lock is not held.
-func await(ctx context.Context, rings <-chan struct{}, wait time.Duration) error {
-	timer := time.NewTimer(min(wait, mostWait))
+// waitForChange waits until what was taken from a bell rings, or a wait is over. The lock is not held.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) error {
+	timer := time.NewTimer(min(timeout, maxWait))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-timer.C:
-	case <-rings:
+	case <-changed:
 	}
 	return nil
 }
--- a/internal/membership/chair.go
+++ b/internal/membership/chair.go
@@ -22,15 +22,15 @@
 // CoordinatorServer is the coordinator at work: it answers drivers and takes moves on. All that it tells anybody was written down
 // before. It has a journal of its own, or is one of several on a council's log of which one decides.
 type CoordinatorServer struct {
-	decisions[cells.Record]
+	proposer[cells.Record]
 	fill  FillFunc
 	log   logrus.FieldLogger
 	clock clock.Clock
 
-	mu      sync.Mutex
-	c       *cells.Coordinator
-	changed bell // rings at the next entry
-	asked   map[cells.Tenant]cells.Epoch
+	mu             sync.Mutex
+	coordinator    *cells.Coordinator
+	changed        changeSignal // rings at the next entry
+	requestedFills map[cells.Tenant]cells.Epoch
 }
 
 // FillFunc asks the store for one step, and returns once it has taken it: to begin filling a tenant's new groups with what
@@ -49,65 +49,65 @@
 }
 
 const (
-	stepEvery = 10 * time.Millisecond
-	fillAgain = 500 * time.Millisecond
-	mostWait  = time.Minute
+	stepInterval   = 10 * time.Millisecond
+	fillRetryDelay = 500 * time.Millisecond
+	maxWait        = time.Minute
 )
 
 // NewCoordinatorServer takes up what a journal holds. Leases that were given before are waited for.
-func NewCoordinatorServer(book *cells.Directory, j *store.Journal, lease, hold time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
-	h := newChair(fill, log)
-	records, err := store.ReadAll[cells.Record](j)
+func NewCoordinatorServer(directory *cells.Directory, journal *store.Journal, lease, hold time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
+	s := newUnattachedServer(fill, log)
+	records, err := store.ReadAll[cells.Record](journal)
 	if err != nil {
 		return nil, err
 	}
-	h.ledger = &alone{h: h, journal: j}
-	h.c, err = cells.NewCoordinator(h.now(), book, int64(lease), int64(hold), 0, fill != nil, records)
-	return h, err
+	s.recorder = &journalRecorder{server: s, journal: journal}
+	s.coordinator, err = cells.NewCoordinator(s.now(), directory, int64(lease), int64(hold), 0, fill != nil, records)
+	return s, err
 }
 
 // NewReplicatedCoordinatorServer makes a chair that is one of a council's, and Join its place there.
-func NewReplicatedCoordinatorServer(book *cells.Directory, lease, hold, skew time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
-	h := newChair(fill, log)
+func NewReplicatedCoordinatorServer(directory *cells.Directory, lease, hold, maxClockSkew time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
+	s := newUnattachedServer(fill, log)
 	var err error
-	h.c, err = cells.NewCoordinator(h.now(), book, int64(lease), int64(hold), int64(skew), fill != nil, nil)
-	return h, err
+	s.coordinator, err = cells.NewCoordinator(s.now(), directory, int64(lease), int64(hold), int64(maxClockSkew), fill != nil, nil)
+	return s, err
 }
 
 // StateMachine is what the council's chamber is to be opened with.
-func (h *CoordinatorServer) StateMachine() CoordinatorStateMachine { return CoordinatorStateMachine{h} }
+func (s *CoordinatorServer) StateMachine() CoordinatorStateMachine { return CoordinatorStateMachine{s} }
 
 // AttachCouncil says where the council is, before anything is asked of the chair.
-func (h *CoordinatorServer) AttachCouncil(c *chamber.Server) {
-	h.ledger = together[cells.Record]{c, CoordinatorStateMachineName}
+func (s *CoordinatorServer) AttachCouncil(c *chamber.Server) {
+	s.recorder = councilRecorder[cells.Record]{c, CoordinatorStateMachineName}
 }
 
-func newChair(fill FillFunc, log logrus.FieldLogger) *CoordinatorServer {
-	return &CoordinatorServer{fill: fill, log: log, clock: clock.New(), changed: newBell(), asked: map[cells.Tenant]cells.Epoch{}}
+func newUnattachedServer(fill FillFunc, log logrus.FieldLogger) *CoordinatorServer {
+	return &CoordinatorServer{fill: fill, log: log, clock: clock.New(), changed: newChangeSignal(), requestedFills: map[cells.Tenant]cells.Epoch{}}
 }
 
-func (h *CoordinatorServer) now() int64 { return h.clock.Now() }
+func (s *CoordinatorServer) now() int64 { return s.clock.Now() }
 
 // apply lets a record count that was written down. The lock is held.
-func (h *CoordinatorServer) apply(r cells.Record) error {
-	if err := h.c.Apply(h.now(), r); err != nil {
+func (s *CoordinatorServer) apply(record cells.Record) error {
+	if err := s.coordinator.Apply(s.now(), record); err != nil {
 		return err
 	}
-	if e := r.Entry; e != nil {
-		h.log.WithFields(logrus.Fields{"tenant": e.Tenant, "stage": e.Stage, "cell": e.Cell, "to": e.To, "epoch": e.Epoch,
-			"why": e.Reason}).Info("move")
-		h.changed.ring()
+	if entry := record.Entry; entry != nil {
+		s.log.WithFields(logrus.Fields{"tenant": entry.Tenant, "stage": entry.Stage, "cell": entry.Cell, "to": entry.To, "epoch": entry.Epoch,
+			"why": entry.Reason}).Info("move")
+		s.changed.broadcast()
 	}
 	return nil
 }
 
 // Run takes moves on until the context ends.
-func (h *CoordinatorServer) Run(ctx context.Context) { again(ctx, h.step) }
+func (s *CoordinatorServer) Run(ctx context.Context) { runPeriodically(ctx, s.step) }
 
 // step takes all moves on as far as they can go now.
-func (h *CoordinatorServer) step(ctx context.Context) {
+func (s *CoordinatorServer) step(ctx context.Context) {
 	for {
-		recorded, err := h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Step(h.now()), nil })
+		recorded, err := s.propose(ctx, &s.mu, func() ([]cells.Record, error) { return s.coordinator.Step(s.now()), nil })
 		if err != nil {
 			return
 		}
@@ -115,92 +115,92 @@
 			break
 		}
 	}
-	if h.fill == nil {
+	if s.fill == nil {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, f := range h.fillings() {
-		h.asked[f.Tenant] = f.Epoch
-		go h.filling(ctx, f)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, f := range s.dueFills() {
+		s.requestedFills[f.Tenant] = f.Epoch
+		go s.requestFill(ctx, f)
 	}
 }
 
 // fillSteps are what the store is asked at a stage.
 var fillSteps = map[cells.Stage]string{cells.StagePrepared: "begin", cells.StageSwitched: "end", cells.StageRollingBack: "drop"}
 
-// fillings are what the store has to be asked and has not been. The lock is held.
-func (h *CoordinatorServer) fillings() (due []FillRequest) {
-	l := h.c.Directory().Layout()
-	for _, e := range h.c.Directory().Moving() {
-		step, asks := fillSteps[e.Stage]
-		if !asks || h.asked[e.Tenant] == e.Epoch {
+// dueFills are what the store has to be asked and has not been. The lock is held.
+func (s *CoordinatorServer) dueFills() (due []FillRequest) {
+	layout := s.coordinator.Directory().Layout()
+	for _, entry := range s.coordinator.Directory().Moving() {
+		step, needsFill := fillSteps[entry.Stage]
+		if !needsFill || s.requestedFills[entry.Tenant] == entry.Epoch {
 			continue
 		}
-		f := FillRequest{Step: step, Tenant: e.Tenant, Epoch: e.Epoch, CutoverPosition: e.CutoverPosition}
-		from, to := l.Find(e.Cell), l.Find(e.To)
+		request := FillRequest{Step: step, Tenant: entry.Tenant, Epoch: entry.Epoch, CutoverPosition: entry.CutoverPosition}
+		from, to := layout.Find(entry.Cell), layout.Find(entry.To)
 		if from == cells.NoCell || to == cells.NoCell {
 			continue // this voter's file does not have it: it must not lead for long
 		}
-		if e.Stage == cells.StageSwitched {
+		if entry.Stage == cells.StageSwitched {
 			from, to = to, from
 		}
-		f.From, f.To = l.TenantGroups(e.Tenant, from), l.TenantGroups(e.Tenant, to)
-		due = append(due, f)
+		request.From, request.To = layout.TenantGroups(entry.Tenant, from), layout.TenantGroups(entry.Tenant, to)
+		due = append(due, request)
 	}
 	return due
 }
 
-// filling asks the store, and lets it be asked again where that failed.
-func (h *CoordinatorServer) filling(ctx context.Context, f FillRequest) {
-	err := h.fill(ctx, f)
+// requestFill asks the store, and lets it be asked again where that failed.
+func (s *CoordinatorServer) requestFill(ctx context.Context, request FillRequest) {
+	err := s.fill(ctx, request)
 	if err != nil {
-		h.log.WithError(err).WithField("tenant", f.Tenant).WithField("step", f.Step).Warn("the store did not take a filling")
-		time.Sleep(fillAgain)
+		s.log.WithError(err).WithField("tenant", request.Tenant).WithField("step", request.Step).Warn("the store did not take a filling")
+		time.Sleep(fillRetryDelay)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if err == nil {
-		h.c.MarkFilled(f.Tenant, f.Epoch)
-	} else if h.asked[f.Tenant] == f.Epoch {
-		delete(h.asked, f.Tenant)
+		s.coordinator.MarkFilled(request.Tenant, request.Epoch)
+	} else if s.requestedFills[request.Tenant] == request.Epoch {
+		delete(s.requestedFills, request.Tenant)
 	}
 }
 
 // Renew answers a driver's report, at once where it is out of date and else once something has changed or the wait is
 // over.
-func (h *CoordinatorServer) Renew(ctx context.Context, r cells.Report, wait time.Duration) (cells.Grant, error) {
-	h.mu.Lock()
-	named, err := h.c.Renew(r)
-	h.mu.Unlock()
-	if err == nil && len(named) > 0 {
-		_, err = h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Renew(r) })
+func (s *CoordinatorServer) Renew(ctx context.Context, report cells.Report, wait time.Duration) (cells.Grant, error) {
+	s.mu.Lock()
+	records, err := s.coordinator.Renew(report)
+	s.mu.Unlock()
+	if err == nil && len(records) > 0 {
+		_, err = s.propose(ctx, &s.mu, func() ([]cells.Record, error) { return s.coordinator.Renew(report) })
 	}
 	if err != nil {
 		return cells.Grant{}, err
 	}
-	h.mu.Lock()
-	if !h.ledger.acts() {
-		h.mu.Unlock()
+	s.mu.Lock()
+	if !s.recorder.isActing() {
+		s.mu.Unlock()
 		return cells.Grant{}, chamber.ErrNotLeading
 	}
-	grant, changed := h.c.Grant(h.now(), r), h.changed.rings
-	h.mu.Unlock()
+	grant, changed := s.coordinator.Grant(s.now(), report), s.changed.channel
+	s.mu.Unlock()
 	if len(grant.Entries) > 0 || grant.Lease == 0 || wait <= 0 {
 		return grant, nil
 	}
-	if err := await(ctx, changed, wait); err != nil {
+	if err := waitForChange(ctx, changed, wait); err != nil {
 		return cells.Grant{}, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.c.CurrentGrant(r), nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.coordinator.CurrentGrant(report), nil
 }
 
 // Move begins to move tenants, one after another until one can't be moved.
-func (h *CoordinatorServer) Move(ctx context.Context, moves []MoveRequest) error {
+func (s *CoordinatorServer) Move(ctx context.Context, moves []MoveRequest) error {
 	for _, m := range moves {
-		_, err := h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Move(h.now(), m.Tenant, m.To, m.Reason) })
+		_, err := s.propose(ctx, &s.mu, func() ([]cells.Record, error) { return s.coordinator.Move(s.now(), m.Tenant, m.To, m.Reason) })
 		if err != nil {
 			return err
 		}
@@ -209,8 +209,8 @@
 }
 
 // Abort calls a move off.
-func (h *CoordinatorServer) Abort(ctx context.Context, t cells.Tenant, why string) error {
-	_, err := h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Abort(h.now(), t, why) })
+func (s *CoordinatorServer) Abort(ctx context.Context, tenant cells.Tenant, reason string) error {
+	_, err := s.propose(ctx, &s.mu, func() ([]cells.Record, error) { return s.coordinator.Abort(s.now(), tenant, reason) })
 	return err
 }
 
@@ -232,39 +232,41 @@
 }
 
 // State tells where moves stand.
-func (h *CoordinatorServer) State() CoordinatorState {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return CoordinatorState{Voter: h.ledger.voter(), Epoch: h.c.Directory().LatestEpoch(), Drivers: h.c.Drivers(), Now: h.now(), Loads: h.c.Loads(h.now()), Entries: h.c.Directory().Since(0)}
+func (s *CoordinatorServer) State() CoordinatorState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return CoordinatorState{Voter: s.recorder.voterID(), Epoch: s.coordinator.Directory().LatestEpoch(), Drivers: s.coordinator.Drivers(), Now: s.now(), Loads: s.coordinator.Loads(s.now()), Entries: s.coordinator.Directory().Since(0)}
 }
 
 // UpdateLayout takes over a file read again.
-func (h *CoordinatorServer) UpdateLayout(l *cells.Layout, pins map[cells.Tenant]string) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.c.Directory().Update(l, pins)
+func (s *CoordinatorServer) UpdateLayout(layout *cells.Layout, pins map[cells.Tenant]string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.coordinator.Directory().Update(layout, pins)
 }
 
 // Handle lets a chair answer drivers and operators, or pass on what they ask to the one that decides.
-func (h *CoordinatorServer) Handle(mux *http.ServeMux) {
-	handle := func(what string, answer http.HandlerFunc) { mux.Handle("POST /v1/"+what, h.ledger.leader(answer)) }
-	handle("renew", jsonhttp.Handler(func(ctx context.Context, r renewal) (cells.Grant, error) {
-		return h.Renew(ctx, r.Report, time.Duration(r.WaitMs)*time.Millisecond)
+func (s *CoordinatorServer) Handle(mux *http.ServeMux) {
+	handle := func(path string, handler http.HandlerFunc) {
+		mux.Handle("POST /v1/"+path, s.recorder.onLeader(handler))
+	}
+	handle("renew", jsonhttp.Handler(func(ctx context.Context, request renewalRequest) (cells.Grant, error) {
+		return s.Renew(ctx, request.Report, time.Duration(request.WaitMs)*time.Millisecond)
 	}))
-	handle("move", jsonhttp.ActionHandler(h.Move))
-	handle("abort", jsonhttp.ActionHandler(func(ctx context.Context, m MoveRequest) error { return h.Abort(ctx, m.Tenant, m.Reason) }))
-	handle("state", jsonhttp.QueryHandler(func(context.Context) (CoordinatorState, error) { return h.State(), nil }))
+	handle("move", jsonhttp.ActionHandler(s.Move))
+	handle("abort", jsonhttp.ActionHandler(func(ctx context.Context, m MoveRequest) error { return s.Abort(ctx, m.Tenant, m.Reason) }))
+	handle("state", jsonhttp.QueryHandler(func(context.Context) (CoordinatorState, error) { return s.State(), nil }))
 }
 
 // Serve answers until the context ends.
-func (h *CoordinatorServer) Serve(ctx context.Context, l net.Listener) error {
+func (s *CoordinatorServer) Serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
-	h.Handle(mux)
+	s.Handle(mux)
 	return jsonhttp.Serve(ctx, l, mux)
 }
 
-// renewal is what a driver sends.
-type renewal struct {
+// renewalRequest is what a driver sends.
+type renewalRequest struct {
 	cells.Report
 	WaitMs int64 `json:"wait_ms"`
 }
--- a/internal/membership/ledger.go
+++ b/internal/membership/ledger.go
@@ -16,44 +16,44 @@
 	"sedgespread/internal/store"
 )
 
-// ledger is where records are written down before they count.
-type ledger[R any] interface {
+// recorder is where records are written down before they count.
+type recorder[R any] interface {
 	// record writes records down and has them applied, all or none. After chamber.ErrUnknown they may be yet.
 	record(ctx context.Context, records []R) error
-	// acts tells whether whoever is here decides just now, and nobody else.
-	acts() bool
-	// voter is whose ledger this is, 0 for one without fellows.
-	voter() council.VoterID
-	// leader lets a handler answer where whoever decides is.
-	leader(h http.Handler) http.Handler
+	// isActing tells whether whoever is here decides just now, and nobody else.
+	isActing() bool
+	// voterID is whose ledger this is, 0 for one without fellows.
+	voterID() council.VoterID
+	// onLeader lets a handler answer where whoever decides is.
+	onLeader(h http.Handler) http.Handler
 }
 
-// decisions are made one at a time, each on what all before it have come to.
-type decisions[R any] struct {
-	ledger ledger[R]
-	one    sync.Mutex // from what is proposed until it counts
+// proposer are made one at a time, each on what all before it have come to.
+type proposer[R any] struct {
+	recorder  recorder[R]
+	proposeMu sync.Mutex // from what is proposed until it counts
 }
 
-// decide has what a function proposes written down, and returns once it counts. The function runs with the lock held that
+// propose has what a function proposes written down, and returns once it counts. The function runs with the lock held that
 // guards what it looks at. Nothing proposed is nothing done.
-func (d *decisions[R]) decide(ctx context.Context, mu *sync.Mutex, propose func() ([]R, error)) (recorded bool, err error) {
-	d.one.Lock()
-	defer d.one.Unlock()
-	if !d.ledger.acts() {
+func (p *proposer[R]) propose(ctx context.Context, mu *sync.Mutex, makeRecords func() ([]R, error)) (recorded bool, err error) {
+	p.proposeMu.Lock()
+	defer p.proposeMu.Unlock()
+	if !p.recorder.isActing() {
 		return false, chamber.ErrNotLeading
 	}
 	mu.Lock()
-	records, err := propose()
+	records, err := makeRecords()
 	mu.Unlock()
 	if err != nil || len(records) == 0 {
 		return false, err
 	}
-	return true, d.ledger.record(ctx, records)
+	return true, p.recorder.record(ctx, records)
 }
 
-// again takes a step every little while until the context ends.
-func again(ctx context.Context, step func(ctx context.Context)) {
-	tick := time.NewTicker(stepEvery)
+// runPeriodically takes a step every little while until the context ends.
+func runPeriodically(ctx context.Context, step func(ctx context.Context)) {
+	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -65,20 +65,20 @@
 	}
 }
 
-// alone is the ledger of a coordinator without fellows: a journal of its own.
-type alone struct {
-	h       *CoordinatorServer
+// journalRecorder is the ledger of a coordinator without fellows: a journal of its own.
+type journalRecorder struct {
+	server  *CoordinatorServer
 	journal *store.Journal
-	broken  error // it could not be written last
+	lastErr error // it could not be written last
 }
 
-func (a *alone) acts() bool { return true }
+func (j *journalRecorder) isActing() bool { return true }
 
-func (a *alone) voter() council.VoterID { return 0 }
+func (j *journalRecorder) voterID() council.VoterID { return 0 }
 
-func (a *alone) leader(h http.Handler) http.Handler { return h }
+func (j *journalRecorder) onLeader(h http.Handler) http.Handler { return h }
 
-func (a *alone) record(_ context.Context, records []cells.Record) error {
+func (j *journalRecorder) record(_ context.Context, records []cells.Record) error {
 	texts := make([][]byte, 0, len(records))
 	for _, r := range records {
 		text, err := json.Marshal(r)
@@ -87,42 +87,44 @@
 		}
 		texts = append(texts, text)
 	}
-	err := a.journal.Append(texts...)
-	if (err == nil) != (a.broken == nil) {
-		a.h.log.WithField("error", err).Warn("the journal can be written, or not")
+	err := j.journal.Append(texts...)
+	if (err == nil) != (j.lastErr == nil) {
+		j.server.log.WithField("error", err).Warn("the journal can be written, or not")
 	}
-	if a.broken = err; err != nil {
+	if j.lastErr = err; err != nil {
 		return fmt.Errorf("nothing was changed: %w", err)
 	}
-	a.h.mu.Lock()
-	defer a.h.mu.Unlock()
+	j.server.mu.Lock()
+	defer j.server.mu.Unlock()
 	for _, r := range records {
-		if err := a.h.apply(r); err != nil {
+		if err := j.server.apply(r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// together is a ledger that is a council's log, for one of its machines.
-type together[R any] struct {
-	chamber *chamber.Server
-	machine string
+// councilRecorder is a ledger that is a council's log, for one of its machines.
+type councilRecorder[R any] struct {
+	chamber          *chamber.Server
+	stateMachineName string
 }
 
-func (t together[R]) acts() bool { return t.chamber.IsActing() }
+func (c councilRecorder[R]) isActing() bool { return c.chamber.IsActing() }
 
-func (t together[R]) voter() council.VoterID { return t.chamber.State().Voter }
+func (c councilRecorder[R]) voterID() council.VoterID { return c.chamber.State().Voter }
 
-func (t together[R]) leader(h http.Handler) http.Handler { return t.chamber.ForwardToLeader(h) }
+func (c councilRecorder[R]) onLeader(h http.Handler) http.Handler {
+	return c.chamber.ForwardToLeader(h)
+}
 
-func (t together[R]) record(ctx context.Context, records []R) error {
-	return t.chamber.Record(ctx, t.machine, records)
+func (c councilRecorder[R]) record(ctx context.Context, records []R) error {
+	return c.chamber.Record(ctx, c.stateMachineName, records)
 }
 
-// applied applies records that the council has agreed on, up to the first that does not follow from those before: it was
+// applyRecords applies records that the council has agreed on, up to the first that does not follow from those before: it was
 // proposed by one that did not know what another had recorded meanwhile. It counts at no voter.
-func applied[R any](data []byte, apply func(R) error) error {
+func applyRecords[R any](data []byte, apply func(R) error) error {
 	var records []R
 	err := json.Unmarshal(data, &records)
 	for _, r := range records {
@@ -137,42 +139,42 @@
 const CoordinatorStateMachineName = "cells"
 
 // CoordinatorStateMachine is the chair as a machine on a council's log. It takes records in at every voter and decides at one.
-type CoordinatorStateMachine struct{ h *CoordinatorServer }
+type CoordinatorStateMachine struct{ server *CoordinatorServer }
 
 // Apply takes in records that the council has agreed on.
-func (p CoordinatorStateMachine) Apply(data []byte) {
-	p.h.mu.Lock()
-	defer p.h.mu.Unlock()
-	if err := applied(data, p.h.apply); err != nil {
-		p.h.log.WithError(err).Info("a record does not count")
+func (m CoordinatorStateMachine) Apply(data []byte) {
+	m.server.mu.Lock()
+	defer m.server.mu.Unlock()
+	if err := applyRecords(data, m.server.apply); err != nil {
+		m.server.log.WithError(err).Info("a record does not count")
 	}
 }
 
 // Snapshot is all that was recorded.
-func (p CoordinatorStateMachine) Snapshot() ([]byte, error) {
-	p.h.mu.Lock()
-	defer p.h.mu.Unlock()
-	return json.Marshal(p.h.c.Snapshot())
+func (m CoordinatorStateMachine) Snapshot() ([]byte, error) {
+	m.server.mu.Lock()
+	defer m.server.mu.Unlock()
+	return json.Marshal(m.server.coordinator.Snapshot())
 }
 
 // Restore takes over a snapshot.
-func (p CoordinatorStateMachine) Restore(data []byte) error {
-	var past cells.Snapshot
-	if err := json.Unmarshal(data, &past); err != nil {
+func (m CoordinatorStateMachine) Restore(data []byte) error {
+	var snapshot cells.Snapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return err
 	}
-	p.h.mu.Lock()
-	defer p.h.mu.Unlock()
-	p.h.changed.ring()
-	p.h.c.Restore(p.h.now(), past)
+	m.server.mu.Lock()
+	defer m.server.mu.Unlock()
+	m.server.changed.broadcast()
+	m.server.coordinator.Restore(m.server.now(), snapshot)
 	return nil
 }
 
 // Lead begins to decide.
-func (p CoordinatorStateMachine) Lead() {
-	p.h.mu.Lock()
-	defer p.h.mu.Unlock()
-	p.h.c.TakeOver(p.h.now())
-	p.h.asked = map[cells.Tenant]cells.Epoch{}
-	p.h.log.WithFields(logrus.Fields{"epoch": p.h.c.Directory().LatestEpoch(), "drivers": len(p.h.c.Drivers())}).Info("coordinates")
+func (m CoordinatorStateMachine) Lead() {
+	m.server.mu.Lock()
+	defer m.server.mu.Unlock()
+	m.server.coordinator.TakeOver(m.server.now())
+	m.server.requestedFills = map[cells.Tenant]cells.Epoch{}
+	m.server.log.WithFields(logrus.Fields{"epoch": m.server.coordinator.Directory().LatestEpoch(), "drivers": len(m.server.coordinator.Drivers())}).Info("coordinates")
 }
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -13,136 +13,136 @@
 	"sedgespread/internal/versions"
 )
 
-// refusal is one of the roster's as it is told over HTTP.
-type refusal struct{ *roster.RefusedError }
+// refusedHTTPError is one of the roster's as it is told over HTTP.
+type refusedHTTPError struct{ *roster.RefusedError }
 
 // Status tells whether asking for a number would help.
-func (r refusal) Status() int {
+func (r refusedHTTPError) Status() int {
 	if r.ShouldRejoin {
 		return http.StatusConflict
 	}
 	return http.StatusForbidden
 }
 
-func told(err error) error {
+func withHTTPStatus(err error) error {
 	var r *roster.RefusedError
 	if errors.As(err, &r) {
-		return refusal{r}
+		return refusedHTTPError{r}
 	}
 	return err
 }
 
-// joining is what a start asks first: without a number for one, and with it to take it.
-type joining struct {
+// joinRequest is what a start asks first: without a number for one, and with it to take it.
+type joinRequest struct {
 	Claim roster.Claim       `json:"claim"`
 	Start roster.StartNumber `json:"start"`
 }
 
 // Join offers a start its number, or lets it take it.
-func (m *FleetServer) join(ctx context.Context, j joining) (roster.StartNumber, error) {
-	m.mu.Lock()
-	offered, err := m.roster.Offer(j.Claim)
-	m.mu.Unlock()
-	if err != nil || j.Start == 0 {
-		return offered, told(err)
+func (s *FleetServer) join(ctx context.Context, request joinRequest) (roster.StartNumber, error) {
+	s.mu.Lock()
+	offered, err := s.roster.Offer(request.Claim)
+	s.mu.Unlock()
+	if err != nil || request.Start == 0 {
+		return offered, withHTTPStatus(err)
 	}
-	_, err = m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
-		records, err := m.roster.Confirm(m.now(), j.Claim, j.Start)
-		return ofRoster(records), told(err)
+	_, err = s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
+		records, err := s.roster.Confirm(s.now(), request.Claim, request.Start)
+		return rosterRecords(records), withHTTPStatus(err)
 	})
-	return j.Start, err
+	return request.Start, err
 }
 
-// asking is what a driver asks a lease with.
-type asking struct {
-	Name   string              `json:"name"`
-	Token  string              `json:"token"`
-	Seen   []versions.Sighting `json:"seen"`
-	WaitMs int64               `json:"wait_ms"`
-	Hears  *hears              `json:"hears,omitempty"` // nil where drivers do not gossip
-	Trails []audit.Part        `json:"trails,omitempty"`
+// leaseRequest is what a driver asks a lease with.
+type leaseRequest struct {
+	Name      string              `json:"name"`
+	Token     string              `json:"token"`
+	Sightings []versions.Sighting `json:"seen"`
+	WaitMs    int64               `json:"wait_ms"`
+	Gossip    *gossipReport       `json:"hears,omitempty"` // nil where drivers do not gossip
+	Trails    []audit.Part        `json:"trails,omitempty"`
 }
 
-// hears is whom a driver does not hear of those that it did.
-type hears struct {
+// gossipReport is whom a driver does not hear of those that it did.
+type gossipReport struct {
 	Unheard []string `json:"unheard,omitempty"`
 }
 
-// granted is what it gets.
-type granted struct {
+// leaseResponse is what it gets.
+type leaseResponse struct {
 	versions.Grant
-	Held uint64 `json:"held"` // entry up to which the start's trail is held here
+	StoredTrailSeq uint64 `json:"held"` // entry up to which the start's trail is held here
 }
 
 // renew gives a lease, at once where there are orders and else once something has changed or the wait is over.
-func (m *FleetServer) renew(ctx context.Context, a asking) (granted, error) {
-	m.mu.Lock()
-	if !m.decisions.ledger.acts() {
-		m.mu.Unlock()
-		return granted{}, chamber.ErrNotLeading
+func (s *FleetServer) renew(ctx context.Context, request leaseRequest) (leaseResponse, error) {
+	s.mu.Lock()
+	if !s.proposer.recorder.isActing() {
+		s.mu.Unlock()
+		return leaseResponse{}, chamber.ErrNotLeading
 	}
-	m.hear(a.Trails, false) // also of a start that gets no lease any more
-	if err := m.roster.RenewLease(m.now(), a.Name, a.Token); err != nil {
-		m.mu.Unlock()
-		return granted{}, told(err)
+	s.storeTrails(request.Trails, false) // also of a start that gets no lease any more
+	if err := s.roster.RenewLease(s.now(), request.Name, request.Token); err != nil {
+		s.mu.Unlock()
+		return leaseResponse{}, withHTTPStatus(err)
 	}
-	d, _ := m.roster.Find(a.Name)
-	if a.Hears != nil {
-		m.roster.ReportUnheard(a.Name, a.Hears.Unheard)
+	driver, _ := s.roster.Find(request.Name)
+	if request.Gossip != nil {
+		s.roster.ReportUnheard(request.Name, request.Gossip.Unheard)
 	}
-	m.versions.Say(sign(d), a.Seen)
-	orders, changed := m.versions.Orders(sign(d)), m.changed.rings
-	g := granted{versions.Grant{Lease: int64(m.terms.Lease), Orders: orders}, m.trails.Held(sign(d))}
-	if wait := m.paced(sign(d), orders); wait > 0 {
-		g.Grant = versions.Grant{Again: wait}
+	s.versions.Say(startIdentity(driver), request.Sightings)
+	orders, changed := s.versions.Orders(startIdentity(driver)), s.changed.channel
+	response := leaseResponse{versions.Grant{Lease: int64(s.config.Lease), Orders: orders}, s.trails.Held(startIdentity(driver))}
+	if wait := s.textDelay(startIdentity(driver), orders); wait > 0 {
+		response.Grant = versions.Grant{Again: wait}
 	}
-	m.mu.Unlock()
-	if len(orders) > 0 || a.WaitMs <= 0 || g.Again > 0 {
-		return g, nil
+	s.mu.Unlock()
+	if len(orders) > 0 || request.WaitMs <= 0 || response.Again > 0 {
+		return response, nil
 	}
-	if err := await(ctx, changed, time.Duration(a.WaitMs)*time.Millisecond); err != nil {
-		return granted{}, err
+	if err := waitForChange(ctx, changed, time.Duration(request.WaitMs)*time.Millisecond); err != nil {
+		return leaseResponse{}, err
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	g.Orders = m.versions.Orders(sign(d))
-	if m.paced(sign(d), g.Orders) > 0 { // it asks again at once, and is told when
-		g.Orders = nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	response.Orders = s.versions.Orders(startIdentity(driver))
+	if s.textDelay(startIdentity(driver), response.Orders) > 0 { // it asks again at once, and is told when
+		response.Orders = nil
 	}
-	return g, nil
+	return response, nil
 }
 
-// paced is after how long a driver should ask again for texts that it needs, 0 where it may have them now. A driver that
+// textDelay is after how long a driver should ask again for texts that it needs, 0 where it may have them now. A driver that
 // has a lease keeps it meanwhile. The lock is held.
-func (m *FleetServer) paced(who versions.Sign, orders []versions.Order) (wait int64) {
+func (s *FleetServer) textDelay(who versions.Sign, orders []versions.Order) (wait int64) {
 	bytes := 0
-	for _, o := range orders {
-		bytes += len(o.Text) + len(o.Before)
+	for _, order := range orders {
+		bytes += len(order.Text) + len(order.Before)
 	}
 	if bytes == 0 {
 		return 0
 	}
-	return m.pacer.Turn(m.now(), who, bytes)
+	return s.pacer.Turn(s.now(), who, bytes)
 }
 
 // leave takes in that a driver leaves, with what is left to tell of its trail.
-func (m *FleetServer) leave(ctx context.Context, a asking) error {
-	_, err := m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
-		m.hear(a.Trails, true)
-		return ofRoster(m.roster.Leave(m.now(), a.Name, a.Token)), nil
+func (s *FleetServer) leave(ctx context.Context, request leaseRequest) error {
+	_, err := s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
+		s.storeTrails(request.Trails, true)
+		return rosterRecords(s.roster.Leave(s.now(), request.Name, request.Token)), nil
 	})
 	return err
 }
 
 // Handle lets the registration answer drivers and operators, or pass on what they ask to the one that decides.
-func (m *FleetServer) Handle(mux *http.ServeMux) {
-	handle := func(what string, answer http.HandlerFunc) {
-		mux.Handle("POST /v1/fleet/"+what, m.decisions.ledger.leader(answer))
+func (s *FleetServer) Handle(mux *http.ServeMux) {
+	handle := func(path string, handler http.HandlerFunc) {
+		mux.Handle("POST /v1/fleet/"+path, s.proposer.recorder.onLeader(handler))
 	}
-	handle("join", jsonhttp.Handler(m.join))
-	handle("renew", jsonhttp.Handler(m.renew))
-	handle("leave", jsonhttp.ActionHandler(m.leave))
-	handle("wish", jsonhttp.ActionHandler(m.grant))
-	handle("state", jsonhttp.QueryHandler(func(context.Context) (FleetState, error) { return m.State(), nil }))
-	m.handleTrails(mux)
+	handle("join", jsonhttp.Handler(s.join))
+	handle("renew", jsonhttp.Handler(s.renew))
+	handle("leave", jsonhttp.ActionHandler(s.leave))
+	handle("wish", jsonhttp.ActionHandler(s.changeFleet))
+	handle("state", jsonhttp.QueryHandler(func(context.Context) (FleetState, error) { return s.State(), nil }))
+	s.handleTrails(mux)
 }
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -249,7 +249,7 @@
 	require.Equal(t, string(text), string(again))
 	require.Contains(t, string(again), "green")
 	require.Contains(t, string(again), "rose")
-	require.Len(t, next.strange, 2)
+	require.Len(t, next.unknownRecords, 2)
 }
 
 // Guards against two of one name that take it from one another again and again.
@@ -263,7 +263,7 @@
 	require.EqualValues(t, 2, c.registration.State().Drivers[0].Start)
 	require.Zero(t, earlier.acts("r"))
 	require.EqualValues(t, versions.Origin, c.acts(later, "r"))
-	err := NewClient(c.at).ask(context.Background(), "fleet/renew", asking{Name: "a", Token: "x"}, nil)
+	err := NewClient(c.at).post(context.Background(), "fleet/renew", leaseRequest{Name: "a", Token: "x"}, nil)
 	require.ErrorContains(t, err, "a later start of \"a\", number 2 at at, has taken its name over; end one of the two")
 	require.Equal(t, http.StatusForbidden, err.(*jsonhttp.StatusError).Status)
 }
@@ -317,7 +317,7 @@
 	old, _ = c.joins("b", 1)
 	time.Sleep(c.terms.Lease)
 	require.Zero(t, old.acts("r"))
-	err := NewClient(c.at).ask(context.Background(), "fleet/join", joining{Claim: roster.Claim{Name: "b", Token: "t", Build: "b0", Level: 1}}, nil)
+	err := NewClient(c.at).post(context.Background(), "fleet/join", joinRequest{Claim: roster.Claim{Name: "b", Token: "t", Build: "b0", Level: 1}}, nil)
 	require.True(t, err != nil && strings.Contains(err.Error(), "start a newer build"), "%v", err)
 	require.ErrorContains(t, c.wish(FleetChange{}), "nothing is asked for")
 }
@@ -328,12 +328,12 @@
 		return DriverStatus{Driver: roster.Driver{Claim: roster.Claim{Name: name}, Start: oldest + 1, EarlierStarts: []roster.EndedStart{{Start: oldest, JoinedAt: 50}}}}
 	}
 	f := FleetState{Lease: 7, Drivers: []DriverStatus{d("a", 1), d("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
-	all := f.forgotten("", audit.NewCollection(100))
+	all := f.unknownPeriods("", audit.NewCollection(100))
 	require.Len(t, all, 1)
 	require.Equal(t, versions.Sign{Name: "b", Start: 2}, all[0].Who)
 	require.EqualValues(t, []int64{0, 57}, []int64{all[0].From, all[0].To})
 	require.Contains(t, all[0].Why, "a roster remembers 1")
-	require.Empty(t, f.forgotten("a", audit.NewCollection(100)))
+	require.Empty(t, f.unknownPeriods("a", audit.NewCollection(100)))
 }
 
 // Guards against a time that is called unknown though trails are held of it, and one that is not though none are: of starts that the roster has
@@ -348,7 +348,7 @@
 	}
 	f := FleetState{Lease: 7, Drivers: []DriverStatus{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, EarlierStarts: []roster.EndedStart{{Start: 6, JoinedAt: 60}}}}}}
 	var unknown [][]int64
-	for _, u := range f.forgotten("b", held) {
+	for _, u := range f.unknownPeriods("b", held) {
 		unknown = append(unknown, []int64{int64(u.Who.Start), u.From, u.To})
 	}
 	require.Equal(t, [][]int64{{1, 13, 27}, {3, 23, 47}, {5, 43, 67}}, unknown)
@@ -365,10 +365,10 @@
 		trail.Ended(m.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, m.now())
 	}
 	trail.Flush(m.now())
-	m.hear([]audit.Part{trail.Since(0, 1)}, false)
-	m.hear([]audit.Part{trail.Since(4, 100)}, false)
+	m.storeTrails([]audit.Part{trail.Since(0, 1)}, false)
+	m.storeTrails([]audit.Part{trail.Since(4, 100)}, false)
 	require.EqualValues(t, 1, m.trails.Held(who), "what lies before is to be told first")
-	m.hear([]audit.Part{trail.Since(4, 100)}, true)
+	m.storeTrails([]audit.Part{trail.Since(4, 100)}, true)
 	require.Len(t, m.trails.Parts(), 2)
 	require.Contains(t, m.trails.Unknown([]audit.Start{{Who: who}})[0].Why, "entries 2 to 4 are not held")
 }
@@ -383,16 +383,16 @@
 		for range count {
 			trail.Flush(m.now())
 			trail.Learns(m.now(), "x", 1, 1)
-			m.hear([]audit.Part{trail.Since(m.trails.Held(versions.Sign{Name: "a", Start: 1}), 100)}, false)
+			m.storeTrails([]audit.Part{trail.Since(m.trails.Held(versions.Sign{Name: "a", Start: 1}), 100)}, false)
 		}
 	}
 	tells(1)
-	require.NoError(t, m.shelf.Close()) // so that writes fail
+	require.NoError(t, m.trailStore.Close()) // so that writes fail
 	tells(2)
-	require.NotZero(t, m.unkept)
-	m.unkept -= renewShelfEvery
+	require.NotZero(t, m.storeFailedAt)
+	m.storeFailedAt -= storeRetryInterval
 	tells(2)
-	require.Zero(t, m.unkept)
+	require.Zero(t, m.storeFailedAt)
 	next := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
 	require.NoError(t, next.OpenTrails(path))
 	require.Equal(t, m.trails.Parts(), next.trails.Parts())
--- a/internal/membership/registration_wishes.go
+++ b/internal/membership/registration_wishes.go
@@ -36,22 +36,22 @@
 }
 
 // Grant does what an operator asks for.
-func (m *FleetServer) grant(ctx context.Context, w FleetChange) error {
-	_, err := m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
-		now := m.now()
-		switch p := w.Propose; {
-		case p != nil:
-			records, err := m.versions.Propose(now, p.Thing, Digest(p.Text), p.Text, p.Reason, p.Plan)
-			return ofVersions(records), err
-		case w.Withdraw != "":
-			records, err := m.versions.CallOff(now, w.Withdraw, w.Reason)
-			return ofVersions(records), err
-		case w.RaiseLevel > 0:
-			records, err := m.roster.RaiseLevel(now, w.RaiseLevel)
-			return ofRoster(records), err
-		case w.Readmit != "":
-			records, err := m.roster.Readmit(now, w.Readmit, w.Reason)
-			return ofRoster(records), err
+func (s *FleetServer) changeFleet(ctx context.Context, change FleetChange) error {
+	_, err := s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
+		now := s.now()
+		switch proposal := change.Propose; {
+		case proposal != nil:
+			records, err := s.versions.Propose(now, proposal.Thing, Digest(proposal.Text), proposal.Text, proposal.Reason, proposal.Plan)
+			return versionRecords(records), err
+		case change.Withdraw != "":
+			records, err := s.versions.CallOff(now, change.Withdraw, change.Reason)
+			return versionRecords(records), err
+		case change.RaiseLevel > 0:
+			records, err := s.roster.RaiseLevel(now, change.RaiseLevel)
+			return rosterRecords(records), err
+		case change.Readmit != "":
+			records, err := s.roster.Readmit(now, change.Readmit, change.Reason)
+			return rosterRecords(records), err
 		}
 		return nil, errors.New("nothing is asked for")
 	})
@@ -81,40 +81,40 @@
 }
 
 // State tells how the fleet stands.
-func (m *FleetServer) State() FleetState {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	now := m.now()
-	f := FleetState{Voter: m.decisions.ledger.voter(), Now: now, Lease: int64(m.terms.Lease), Level: m.roster.Level(), HighestCommonLevel: m.roster.HighestCommonLevel(now),
-		Versions: map[versions.Thing][]versions.Version{}, Behind: m.versions.Behind(now, m.present()), Observed: m.observed, Suspicions: m.doubts}
-	for _, d := range m.roster.Drivers() {
-		f.Drivers = append(f.Drivers, DriverStatus{Driver: d, MayAct: m.roster.MayAct(now, d.Name), LeaseEnd: m.roster.LeaseEnd(d.Name),
-			Sightings: m.versions.Said(sign(d))})
+func (s *FleetServer) State() FleetState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	state := FleetState{Voter: s.proposer.recorder.voterID(), Now: now, Lease: int64(s.config.Lease), Level: s.roster.Level(), HighestCommonLevel: s.roster.HighestCommonLevel(now),
+		Versions: map[versions.Thing][]versions.Version{}, Behind: s.versions.Behind(now, s.presentDrivers()), Observed: s.observed, Suspicions: s.suspicions}
+	for _, driver := range s.roster.Drivers() {
+		state.Drivers = append(state.Drivers, DriverStatus{Driver: driver, MayAct: s.roster.MayAct(now, driver.Name), LeaseEnd: s.roster.LeaseEnd(driver.Name),
+			Sightings: s.versions.Said(startIdentity(driver))})
 	}
-	for _, t := range m.versions.Things() {
-		f.Versions[t] = m.versions.Versions(t)
-		for i := range f.Versions[t] {
-			f.Versions[t][i].Text = ""
+	for _, thing := range s.versions.Things() {
+		state.Versions[thing] = s.versions.Versions(thing)
+		for i := range state.Versions[thing] {
+			state.Versions[thing][i].Text = ""
 		}
 	}
-	return f
+	return state
 }
 
 // FleetState asks how the fleet stands.
 func (c Client) FleetState(ctx context.Context) (f FleetState, err error) {
-	err = c.ask(ctx, "fleet/state", struct{}{}, &f)
+	err = c.post(ctx, "fleet/state", struct{}{}, &f)
 	return f, err
 }
 
 // ChangeFleet asks something of the fleet.
-func (c Client) ChangeFleet(ctx context.Context, w FleetChange) error {
-	return c.ask(ctx, "fleet/wish", w, nil)
+func (c Client) ChangeFleet(ctx context.Context, change FleetChange) error {
+	return c.post(ctx, "fleet/wish", change, nil)
 }
 
 // LatestClosed is the moment of a fleet's state from which provably nobody acts on a version of a thing older than the newest
 // that was closed, by the clock of whoever closed it; number 0 for none yet.
-func (f *FleetState) LatestClosed(t versions.Thing) (n versions.Number, at int64) {
-	for _, v := range slices.Backward(f.Versions[t]) {
+func (s *FleetState) LatestClosed(t versions.Thing) (n versions.Number, at int64) {
+	for _, v := range slices.Backward(s.Versions[t]) {
 		if v.Stage == versions.Closed {
 			return v.Number, v.Closes
 		}
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -15,8 +15,8 @@
 
 // Of trails at a voter and on their way to it.
 const (
-	mostEntries = 16 << 10 // of one start that a voter holds
-	mostTold    = 64       // that a driver tells with one request for a lease
+	maxEntriesPerStart   = 16 << 10 // of one start that a voter holds
+	maxEntriesPerRequest = 64       // that a driver tells with one request for a lease
 )
 
 // VoterTrails is what one voter holds of drivers' trails.
@@ -26,71 +26,71 @@
 }
 
 // OpenTrails lets trails be kept in a file, and takes in those that stand there.
-func (m *FleetServer) OpenTrails(path string) error {
-	s, parts, spoilt, err := shelf.Open(path, shelf.Most)
+func (s *FleetServer) OpenTrails(path string) error {
+	trailStore, parts, unreadable, err := shelf.Open(path, shelf.Most)
 	if err != nil {
 		return err
 	}
-	if spoilt > 0 {
-		m.log.WithField("lines", spoilt).Warn("some of the trails kept can't be read")
+	if unreadable > 0 {
+		s.log.WithField("lines", unreadable).Warn("some of the trails kept can't be read")
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.shelf = s
-	m.trails.Merge(parts)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.trailStore = trailStore
+	s.trails.Merge(parts)
 	return nil
 }
 
-// hear takes in what a driver tells of its trail, the last of it where it leaves: that is taken also behind a hole. The lock is held.
-func (m *FleetServer) hear(parts []audit.Part, last bool) {
-	take := m.trails.Take
-	if last {
-		take = m.trails.TakeLast
+// storeTrails takes in what a driver tells of its trail, the last of it where it leaves: that is taken also behind a hole. The lock is held.
+func (s *FleetServer) storeTrails(parts []audit.Part, isLast bool) {
+	store := s.trails.Take
+	if isLast {
+		store = s.trails.TakeLast
 	}
-	for _, p := range parts {
-		p, held := p.Heard(m.now()), m.trails.Held(p.Who)
-		if take(p) != held && m.shelf != nil {
-			m.keep(p)
+	for _, part := range parts {
+		part, held := part.Heard(s.now()), s.trails.Held(part.Who)
+		if store(part) != held && s.trailStore != nil {
+			s.saveTrailPart(part)
 		}
 	}
 }
 
-// renewShelfEvery is how long a shelf that could not be written waits until it is written anew.
-const renewShelfEvery = int64(time.Second)
+// storeRetryInterval is how long a shelf that could not be written waits until it is written anew.
+const storeRetryInterval = int64(time.Second)
 
-// keep writes a part down. Where that fails, all that is held is written anew as soon as the disk allows. The lock is held.
-func (m *FleetServer) keep(p audit.Part) {
-	if m.unkept != 0 && m.now()-m.unkept < renewShelfEvery {
+// saveTrailPart writes a part down. Where that fails, all that is held is written anew as soon as the disk allows. The lock is held.
+func (s *FleetServer) saveTrailPart(part audit.Part) {
+	if s.storeFailedAt != 0 && s.now()-s.storeFailedAt < storeRetryInterval {
 		return
 	}
 	var err error
-	if m.unkept == 0 {
-		err = m.shelf.Put(p)
+	if s.storeFailedAt == 0 {
+		err = s.trailStore.Put(part)
 	}
-	if m.unkept != 0 || err == nil && m.shelf.Full() {
-		err = m.shelf.Renew(m.trails.Parts())
+	if s.storeFailedAt != 0 || err == nil && s.trailStore.Full() {
+		err = s.trailStore.Renew(s.trails.Parts())
 	}
 	switch {
-	case err != nil && m.unkept == 0:
-		m.log.WithError(err).Error("trails are kept in memory alone until they can be written again")
-	case err == nil && m.unkept != 0:
-		m.log.Info("trails are kept on disk again")
+	case err != nil && s.storeFailedAt == 0:
+		s.log.WithError(err).Error("trails are kept in memory alone until they can be written again")
+	case err == nil && s.storeFailedAt != 0:
+		s.log.Info("trails are kept on disk again")
 	}
-	if m.unkept = 0; err != nil {
-		m.unkept = m.now()
+	if s.storeFailedAt = 0; err != nil {
+		s.storeFailedAt = s.now()
 	}
 }
 
-// trailsHeld are those that this voter was told while it decided.
-func (m *FleetServer) trailsHeld() VoterTrails {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return VoterTrails{Parts: m.trails.Parts(), Faults: m.trails.Faults()}
+// storedTrails are those that this voter was told while it decided.
+func (s *FleetServer) storedTrails() VoterTrails {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return VoterTrails{Parts: s.trails.Parts(), Faults: s.trails.Faults()}
 }
 
 // handleTrails lets this voter tell what it holds, whoever decides.
-func (m *FleetServer) handleTrails(mux *http.ServeMux) {
-	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (VoterTrails, error) { return m.trailsHeld(), nil }))
+func (s *FleetServer) handleTrails(mux *http.ServeMux) {
+	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (VoterTrails, error) { return s.storedTrails(), nil }))
 }
 
 // AuditQuery is what is asked of the audit. Times are Unix time in nanoseconds, 0 for no end.
@@ -113,96 +113,96 @@
 	Entries int             `json:"entries"`
 }
 
-// askVoter is how long one voter may take to tell all that it holds.
-const askVoter = 5 * time.Second
+// voterTimeout is how long one voter may take to tell all that it holds.
+const voterTimeout = 5 * time.Second
 
-// collect asks every voter for what it holds.
-func collect(ctx context.Context, voters []string) (all *audit.Collection, faults, missing []string) {
-	all = audit.NewCollection(2 * mostEntries)
+// collectTrails asks every voter for what it holds.
+func collectTrails(ctx context.Context, voters []string) (collection *audit.Collection, faults, missing []string) {
+	collection = audit.NewCollection(2 * maxEntriesPerStart)
 	var parts []audit.Part
-	for _, at := range voters {
-		var held VoterTrails
-		by, stop := context.WithTimeout(ctx, askVoter)
-		err := NewClient(at).ask(by, "fleet/trails", struct{}{}, &held)
-		stop()
+	for _, address := range voters {
+		var trails VoterTrails
+		requestCtx, cancel := context.WithTimeout(ctx, voterTimeout)
+		err := NewClient(address).post(requestCtx, "fleet/trails", struct{}{}, &trails)
+		cancel()
 		if err != nil {
-			missing = append(missing, at)
+			missing = append(missing, address)
 			continue
 		}
-		parts = append(parts, held.Parts...)
-		faults = append(faults, held.Faults...)
+		parts = append(parts, trails.Parts...)
+		faults = append(faults, trails.Faults...)
 	}
-	all.Merge(parts)
-	return all, append(faults, all.Faults()...), missing
+	collection.Merge(parts)
+	return collection, append(faults, collection.Faults()...), missing
 }
 
 // CollectParts are all trails that the voters hold between them.
 func CollectParts(ctx context.Context, voters []string) []audit.Part {
-	all, _, _ := collect(ctx, voters)
-	return all.Parts()
+	collection, _, _ := collectTrails(ctx, voters)
+	return collection.Parts()
 }
 
 // Audit answers a question from all that the voters hold.
-func Audit(ctx context.Context, voters []string, q AuditQuery) (f AuditResult, err error) {
+func Audit(ctx context.Context, voters []string, query AuditQuery) (result AuditResult, err error) {
 	fleet, err := NewClient(voters...).FleetState(ctx)
 	if err != nil {
-		return f, err
+		return result, err
 	}
-	var all *audit.Collection
-	all, f.Faults, f.Missing = collect(ctx, voters)
-	for _, p := range all.Parts() {
-		f.Entries += len(p.Entries)
+	var collection *audit.Collection
+	collection, result.Faults, result.Missing = collectTrails(ctx, voters)
+	for _, part := range collection.Parts() {
+		result.Entries += len(part.Entries)
 	}
-	f.Acted = all.Acted(audit.Asked{Thing: q.Thing, Version: q.Version, Driver: q.Driver, From: q.From, To: q.To})
-	starts := fleet.starts(q.Driver)
-	f.Unknown = append(all.Unknown(starts), fleet.forgotten(q.Driver, all)...)
-	for _, v := range fleet.Versions[q.Thing] {
-		if v.Stage == versions.Closed {
-			f.Late = append(f.Late, all.Late(q.Thing, v.Number, v.Epoch, v.Closes, q.MaxClockSkew)...)
-			f.Unknown = append(f.Unknown, all.Unordered(q.Thing, v.Number, starts)...)
+	result.Acted = collection.Acted(audit.Asked{Thing: query.Thing, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
+	starts := fleet.rememberedStarts(query.Driver)
+	result.Unknown = append(collection.Unknown(starts), fleet.unknownPeriods(query.Driver, collection)...)
+	for _, version := range fleet.Versions[query.Thing] {
+		if version.Stage == versions.Closed {
+			result.Late = append(result.Late, collection.Late(query.Thing, version.Number, version.Epoch, version.Closes, query.MaxClockSkew)...)
+			result.Unknown = append(result.Unknown, collection.Unordered(query.Thing, version.Number, starts)...)
 		}
 	}
-	return f, nil
+	return result, nil
 }
 
-// forgotten are the times in which starts that the roster does not remember any more may have done what nobody was told: before, between and
+// unknownPeriods are the times in which starts that the roster does not remember any more may have done what nobody was told: before, between and
 // after the trails that are held of them. Each may have acted until a lease after the next one joined.
-func (f *FleetState) forgotten(driver string, held *audit.Collection) (all []audit.Unknown) {
-	for _, d := range f.Drivers {
+func (s *FleetState) unknownPeriods(driver string, collection *audit.Collection) (periods []audit.Unknown) {
+	for _, d := range s.Drivers {
 		if driver != "" && d.Name != driver || len(d.EarlierStarts) == 0 || d.EarlierStarts[0].Start == 1 {
 			continue
 		}
 		oldest := d.EarlierStarts[0]
-		why := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.EarlierStarts))
+		reason := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.EarlierStarts))
 		last := audit.Extent{Who: versions.Sign{Name: d.Name}}
-		for _, e := range held.Extents(d.Name) {
-			if e.Who.Start >= uint64(oldest.Start) {
+		for _, extent := range collection.Extents(d.Name) {
+			if extent.Who.Start >= uint64(oldest.Start) {
 				break
 			}
-			if e.Who.Start > 1 {
-				all = append(all, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: e.Who.Start - 1}, From: last.To, To: e.From + f.Lease, Why: why})
+			if extent.Who.Start > 1 {
+				periods = append(periods, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: extent.Who.Start - 1}, From: last.To, To: extent.From + s.Lease, Why: reason})
 			}
-			last = e
+			last = extent
 		}
-		all = append(all, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + f.Lease, Why: why})
+		periods = append(periods, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Why: reason})
 	}
-	return all
+	return periods
 }
 
-// starts are all starts that the roster remembers, and until when each may have acted.
-func (f *FleetState) starts(driver string) (all []audit.Start) {
-	for _, d := range f.Drivers {
-		if driver != "" && d.Name != driver {
+// rememberedStarts are all starts that the roster remembers, and until when each may have acted.
+func (s *FleetState) rememberedStarts(driver string) (starts []audit.Start) {
+	for _, driverStatus := range s.Drivers {
+		if driver != "" && driverStatus.Name != driver {
 			continue
 		}
-		for _, e := range d.EarlierStarts {
-			all = append(all, audit.Start{Who: versions.Sign{Name: d.Name, Start: uint64(e.Start)}, From: e.JoinedAt, Until: e.EndedAt + f.Lease})
+		for _, earlier := range driverStatus.EarlierStarts {
+			starts = append(starts, audit.Start{Who: versions.Sign{Name: driverStatus.Name, Start: uint64(earlier.Start)}, From: earlier.JoinedAt, Until: earlier.EndedAt + s.Lease})
 		}
-		until := d.LeaseEnd
-		if d.State == roster.StateLeft { // it told all, and then gave its lease up
+		until := driverStatus.LeaseEnd
+		if driverStatus.State == roster.StateLeft { // it told all, and then gave its lease up
 			until = 0
 		}
-		all = append(all, audit.Start{Who: sign(d.Driver), From: d.JoinedAt, Until: until, Live: d.MayAct && d.State == roster.StatePresent})
+		starts = append(starts, audit.Start{Who: startIdentity(driverStatus.Driver), From: driverStatus.JoinedAt, Until: until, Live: driverStatus.MayAct && driverStatus.State == roster.StatePresent})
 	}
-	return all
+	return starts
 }
--- a/internal/roster/doubts.go
+++ b/internal/roster/doubts.go
@@ -15,8 +15,8 @@
 	SilentSince int64       `json:"since"`  // that it was found silent, by the own clock; 0 for not
 }
 
-// hearing is what a start said last of whom it does not hear.
-type hearing struct {
+// unheardReport is what a start said last of whom it does not hear.
+type unheardReport struct {
 	start   StartNumber
 	unheard []string
 }
@@ -25,7 +25,7 @@
 // start that listens to nobody says nothing.
 func (r *Roster) ReportUnheard(name string, unheard []string) {
 	if d := r.drivers[name]; d != nil {
-		r.hearings[name] = hearing{d.Start, slices.Clone(unheard)}
+		r.unheardReports[name] = unheardReport{d.Start, slices.Clone(unheard)}
 	}
 }
 
@@ -33,34 +33,34 @@
 // lease is waited for all the same.
 func (r *Roster) Suspicions(now int64) (all []Suspicion) {
 	var listeners []string
-	for _, name := range slices.Sorted(maps.Keys(r.hearings)) {
-		if d := r.drivers[name]; d != nil && d.Start == r.hearings[name].start && d.State == StatePresent && r.MayAct(now, name) {
+	for _, name := range slices.Sorted(maps.Keys(r.unheardReports)) {
+		if d := r.drivers[name]; d != nil && d.Start == r.unheardReports[name].start && d.State == StatePresent && r.MayAct(now, name) {
 			listeners = append(listeners, name)
 		}
 	}
-	silent := map[string]int64{}
+	silentSince := map[string]int64{}
 	for _, d := range r.Drivers() {
-		doubt := Suspicion{Name: d.Name, Start: d.Start}
-		for _, by := range listeners {
-			if by == d.Name {
+		suspicion := Suspicion{Name: d.Name, Start: d.Start}
+		for _, listener := range listeners {
+			if listener == d.Name {
 				continue
 			}
-			doubt.Listeners++
-			if slices.Contains(r.hearings[by].unheard, d.Name) {
-				doubt.Reporters = append(doubt.Reporters, by)
+			suspicion.Listeners++
+			if slices.Contains(r.unheardReports[listener].unheard, d.Name) {
+				suspicion.Reporters = append(suspicion.Reporters, listener)
 			}
 		}
-		if d.State != StatePresent || len(doubt.Reporters) == 0 {
+		if d.State != StatePresent || len(suspicion.Reporters) == 0 {
 			continue
 		}
-		if doubt.IsSilent = len(doubt.Reporters) >= 2 && 2*len(doubt.Reporters) > doubt.Listeners; doubt.IsSilent {
-			if doubt.SilentSince = r.silent[d.Name]; doubt.SilentSince == 0 {
-				doubt.SilentSince = now
+		if suspicion.IsSilent = len(suspicion.Reporters) >= 2 && 2*len(suspicion.Reporters) > suspicion.Listeners; suspicion.IsSilent {
+			if suspicion.SilentSince = r.silentSince[d.Name]; suspicion.SilentSince == 0 {
+				suspicion.SilentSince = now
 			}
-			silent[d.Name] = doubt.SilentSince
+			silentSince[d.Name] = suspicion.SilentSince
 		}
-		all = append(all, doubt)
+		all = append(all, suspicion)
 	}
-	r.silent = silent
+	r.silentSince = silentSince
 	return all
 }
--- a/internal/roster/doubts_test.go
+++ b/internal/roster/doubts_test.go
@@ -7,10 +7,10 @@
 )
 
 // Guards against a driver that is called silent by one that is itself cut off, by starts that are over, or for good.
-func TestDoubts(t *testing.T) {
-	r := fresh()
+func TestSuspicions(t *testing.T) {
+	r := newTestRoster()
 	for _, name := range []string{"a", "b", "c", "d"} {
-		r.joins(t, 0, claim(name, "x"))
+		r.mustJoin(t, 0, newClaim(name, "x"))
 		r.ReportUnheard(name, nil)
 	}
 	require.Empty(t, r.Suspicions(1))
@@ -25,7 +25,7 @@
 	all := r.Suspicions(5)
 	require.Equal(t, Suspicion{Name: "a", Start: 1, Reporters: []string{"b", "c"}, Listeners: 3, IsSilent: true, SilentSince: 5}, all[0])
 	require.EqualValues(t, 5, r.Suspicions(9)[0].SilentSince)
-	r.joins(t, 10, claim("c", "y"))
+	r.mustJoin(t, 10, newClaim("c", "y"))
 	require.False(t, r.Suspicions(10)[0].IsSilent, "what an earlier start said")
 	r.ReportUnheard("c", []string{"a"})
 	require.EqualValues(t, 11, r.Suspicions(11)[0].SilentSince)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -92,28 +92,28 @@
 	Token    string      `json:"token"`
 }
 
-// mostEarlier is how many earlier starts of a name are remembered.
-const mostEarlier = 16
+// maxEarlierStarts is how many earlier starts of a name are remembered.
+const maxEarlierStarts = 16
 
 // Roster is all drivers.
 type Roster struct {
-	drivers map[string]*Driver
-	level   int
-	strange []Record // of a newer build, kept for it
+	drivers        map[string]*Driver
+	level          int
+	unknownRecords []Record // of a newer build, kept for it
 
 	// What only whoever acts for the council knows, and a successor finds out anew.
-	lease  int64
-	margin int64 // by which a lease is waited for longer than it lasts
-	forget int64
-	until  map[string]int64       // by name, when its lease has provably run out
-	coming map[string]StartNumber // by name, a start whose record is on its way: no earlier one gets a lease any more
+	lease         int64
+	leaseMargin   int64 // by which a lease is waited for longer than it lasts
+	forgetAfter   int64
+	leaseEnds     map[string]int64       // by name, when its lease has provably run out
+	pendingStarts map[string]StartNumber // by name, a start whose record is on its way: no earlier one gets a lease any more
 
 	// Starts that a later one has followed, which may hold a lease from before: by start, until when, by the own clock of
 	// each that holds the records. One that was killed can't be told from one that runs on.
-	ghosts map[SupersededStart]int64
+	supersededLeaseEnds map[SupersededStart]int64
 
-	hearings map[string]hearing
-	silent   map[string]int64 // since when
+	unheardReports map[string]unheardReport
+	silentSince    map[string]int64 // since when
 }
 
 // SupersededStart is a start that a later one has followed.
@@ -124,9 +124,9 @@
 
 // New makes an empty roster for leases of so long, that are waited for by a margin longer; a driver that was not heard for
 // forget after that is gone.
-func New(lease, margin, forget int64) *Roster {
-	return &Roster{drivers: map[string]*Driver{}, lease: lease, margin: margin, forget: forget, until: map[string]int64{},
-		coming: map[string]StartNumber{}, ghosts: map[SupersededStart]int64{}, hearings: map[string]hearing{}}
+func New(lease, leaseMargin, forgetAfter int64) *Roster {
+	return &Roster{drivers: map[string]*Driver{}, lease: lease, leaseMargin: leaseMargin, forgetAfter: forgetAfter, leaseEnds: map[string]int64{},
+		pendingStarts: map[string]StartNumber{}, supersededLeaseEnds: map[SupersededStart]int64{}, unheardReports: map[string]unheardReport{}}
 }
 
 // RefusedError is why a start gets no lease, with what would help. Again says that asking for a number would.
@@ -139,49 +139,49 @@
 
 // Offer is the number that a start would have under its name: the first of two steps, so that a message of a start that is
 // long over, and comes late, takes nobody's name away.
-func (r *Roster) Offer(c Claim) (StartNumber, error) {
-	d := r.drivers[c.Name]
+func (r *Roster) Offer(claim Claim) (StartNumber, error) {
+	d := r.drivers[claim.Name]
 	switch {
-	case c.Name == "" || c.Token == "":
+	case claim.Name == "" || claim.Token == "":
 		return 0, fmt.Errorf("a driver needs a name and a token")
-	case c.Level < r.level:
-		return 0, r.tooOld(c)
+	case claim.Level < r.level:
+		return 0, r.buildTooOldError(claim)
 	case d == nil:
 		return 1, nil
-	case d.Token == c.Token && d.State == StateShutOut:
-		return 0, shutOut(d)
-	case d.Token == c.Token:
+	case d.Token == claim.Token && d.State == StateShutOut:
+		return 0, shutOutError(d)
+	case d.Token == claim.Token:
 		return d.Start, nil
 	}
 	return d.Start + 1, nil
 }
 
-func (r *Roster) tooOld(c Claim) error {
-	return &RefusedError{Reason: fmt.Sprintf("build %s knows levels up to %d, and the fleet is at %d", c.Build, c.Level, r.level),
+func (r *Roster) buildTooOldError(claim Claim) error {
+	return &RefusedError{Reason: fmt.Sprintf("build %s knows levels up to %d, and the fleet is at %d", claim.Build, claim.Level, r.level),
 		Remedy: "start a newer build"}
 }
 
-func shutOut(d *Driver) error {
+func shutOutError(d *Driver) error {
 	return &RefusedError{Reason: "it was shut out: " + d.Reason,
 		Remedy: "start it again, or let it back in with `sedgespread fleet readmit " + d.Name + "`"}
 }
 
 // Confirm proposes that a start takes the number it was offered. Nothing is proposed for one that has it. From then on no
 // earlier start gets a lease here: others may have the record before this roster has, and count its lease from then.
-func (r *Roster) Confirm(now int64, c Claim, s StartNumber) ([]Record, error) {
-	offered, err := r.Offer(c)
+func (r *Roster) Confirm(now int64, claim Claim, start StartNumber) ([]Record, error) {
+	offered, err := r.Offer(claim)
 	if err != nil {
 		return nil, err
 	}
-	if s != offered {
-		return nil, &RefusedError{Reason: fmt.Sprintf("start %d of %q was offered, and it is %d by now", s, c.Name, offered), Remedy: "ask again",
+	if start != offered {
+		return nil, &RefusedError{Reason: fmt.Sprintf("start %d of %q was offered, and it is %d by now", start, claim.Name, offered), Remedy: "ask again",
 			ShouldRejoin: true}
 	}
-	if d := r.drivers[c.Name]; d != nil && d.Token == c.Token && d.State == StatePresent {
+	if d := r.drivers[claim.Name]; d != nil && d.Token == claim.Token && d.State == StatePresent {
 		return nil, nil
 	}
-	r.coming[c.Name] = s
-	return []Record{{Kind: KindJoin, Claim: c, Name: c.Name, Start: s, ProposedAt: now}}, nil
+	r.pendingStarts[claim.Name] = start
+	return []Record{{Kind: KindJoin, Claim: claim, Name: claim.Name, Start: start, ProposedAt: now}}, nil
 }
 
 // RenewLease gives a start its lease from now on, or says why it gets none.
@@ -193,34 +193,34 @@
 	case d.Token != token:
 		return &RefusedError{Reason: fmt.Sprintf("a later start of %q, number %d at %s, has taken its name over", name, d.Start, d.Address),
 			Remedy: "end one of the two"}
-	case r.coming[name] > d.Start:
-		return &RefusedError{Reason: fmt.Sprintf("a later start of %q, number %d, is taking its name over", name, r.coming[name]),
+	case r.pendingStarts[name] > d.Start:
+		return &RefusedError{Reason: fmt.Sprintf("a later start of %q, number %d, is taking its name over", name, r.pendingStarts[name]),
 			Remedy: "end one of the two"}
 	case d.Level < r.level:
-		return r.tooOld(d.Claim)
+		return r.buildTooOldError(d.Claim)
 	case d.State == StateShutOut:
-		return shutOut(d)
+		return shutOutError(d)
 	case d.State != StatePresent:
 		return &RefusedError{Reason: fmt.Sprintf("%q has %v", name, d.State), Remedy: "ask for a number", ShouldRejoin: true}
 	}
-	r.until[name] = r.over(now)
+	r.leaseEnds[name] = r.leaseEndAt(now)
 	return nil
 }
 
-// over is when a lease asked for now has provably run out.
-func (r *Roster) over(now int64) int64 { return now + r.lease + r.margin }
+// leaseEndAt is when a lease asked for now has provably run out.
+func (r *Roster) leaseEndAt(now int64) int64 { return now + r.lease + r.leaseMargin }
 
 // MayAct tells whether a driver may still act as far as is known: it is to be waited for. One that was shut out or followed
 // by a later start may until its lease is over.
 func (r *Roster) MayAct(now int64, name string) bool {
-	until, had := r.until[name]
-	return had && until >= now
+	leaseEnd, known := r.leaseEnds[name]
+	return known && leaseEnd >= now
 }
 
 // SupersededStarts are the starts that were followed by later ones and may still act, in order.
 func (r *Roster) SupersededStarts(now int64) (all []SupersededStart) {
-	for s, until := range r.ghosts {
-		if until >= now {
+	for s, leaseEnd := range r.supersededLeaseEnds {
+		if leaseEnd >= now {
 			all = append(all, s)
 		}
 	}
@@ -231,15 +231,15 @@
 }
 
 // LeaseEnd is when a driver's lease has provably run out.
-func (r *Roster) LeaseEnd(name string) int64 { return r.until[name] }
+func (r *Roster) LeaseEnd(name string) int64 { return r.leaseEnds[name] }
 
 // TakeOver says that this roster begins to be acted by, after which no other gives leases: whoever is known may hold one
 // given just before.
 func (r *Roster) TakeOver(now int64) {
 	for name := range r.drivers {
-		r.until[name] = r.over(now)
+		r.leaseEnds[name] = r.leaseEndAt(now)
 	}
-	r.coming, r.hearings, r.silent = map[string]StartNumber{}, map[string]hearing{}, nil
+	r.pendingStarts, r.unheardReports, r.silentSince = map[string]StartNumber{}, map[string]unheardReport{}, nil
 }
 
 // Leave proposes that a start has left, and gives its lease up.
@@ -248,18 +248,18 @@
 	if d == nil || d.Token != token || d.State != StatePresent {
 		return nil
 	}
-	delete(r.until, name)
+	delete(r.leaseEnds, name)
 	return []Record{{Kind: KindLeave, Name: name, Start: d.Start, ProposedAt: now}}
 }
 
 // Step proposes whatever time has brought about.
 func (r *Roster) Step(now int64) (records []Record) {
-	maps.DeleteFunc(r.ghosts, func(_ SupersededStart, until int64) bool { return until < now })
+	maps.DeleteFunc(r.supersededLeaseEnds, func(_ SupersededStart, leaseEnd int64) bool { return leaseEnd < now })
 	for _, d := range r.Drivers() {
-		if _, had := r.until[d.Name]; !had {
-			r.until[d.Name] = now - 1 // it has just joined, and has no lease yet
+		if _, known := r.leaseEnds[d.Name]; !known {
+			r.leaseEnds[d.Name] = now - 1 // it has just joined, and has no lease yet
 		}
-		if d.State == StatePresent && now-r.until[d.Name] > r.forget {
+		if d.State == StatePresent && now-r.leaseEnds[d.Name] > r.forgetAfter {
 			records = append(records, Record{Kind: KindExpire, Name: d.Name, Start: d.Start, ProposedAt: now,
 				Reason: "it asked for no lease"})
 		}
@@ -269,36 +269,36 @@
 
 // ShutOut proposes to shut starts out. Never may so many be out at once that less than a share is left of those that may act:
 // a wrong version must not shut out the fleet.
-func (r *Roster) ShutOut(now int64, names []string, why string, most float64) ([]Record, error) {
+func (r *Roster) ShutOut(now int64, names []string, reason string, maxShare float64) ([]Record, error) {
 	names = slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		d := r.drivers[name]
 		return d == nil || d.State != StatePresent
 	})
-	may, out := 0, 0
+	activeCount, shutOutCount := 0, 0
 	for _, d := range r.drivers {
 		if d.State == StatePresent && r.MayAct(now, d.Name) {
-			may++
+			activeCount++
 		} else if d.State == StateShutOut {
-			out++
+			shutOutCount++
 		}
 	}
-	if float64(out+len(names)) > most*float64(may+out) {
-		return nil, fmt.Errorf("%d of %d drivers would be shut out, and no more than %.0f%% may be", out+len(names), may+out, 100*most)
+	if float64(shutOutCount+len(names)) > maxShare*float64(activeCount+shutOutCount) {
+		return nil, fmt.Errorf("%d of %d drivers would be shut out, and no more than %.0f%% may be", shutOutCount+len(names), activeCount+shutOutCount, 100*maxShare)
 	}
 	var records []Record
 	for _, name := range slices.Sorted(slices.Values(names)) {
-		records = append(records, Record{Kind: KindShutOut, Name: name, Start: r.drivers[name].Start, Reason: why, ProposedAt: now})
+		records = append(records, Record{Kind: KindShutOut, Name: name, Start: r.drivers[name].Start, Reason: reason, ProposedAt: now})
 	}
 	return records, nil
 }
 
 // Readmit proposes to let a driver back in that was shut out.
-func (r *Roster) Readmit(now int64, name, why string) ([]Record, error) {
+func (r *Roster) Readmit(now int64, name, reason string) ([]Record, error) {
 	d := r.drivers[name]
 	if d == nil || d.State != StateShutOut {
 		return nil, fmt.Errorf("%q is not shut out", name)
 	}
-	return []Record{{Kind: KindReadmit, Name: name, Start: d.Start, Reason: why, ProposedAt: now}}, nil
+	return []Record{{Kind: KindReadmit, Name: name, Start: d.Start, Reason: reason, ProposedAt: now}}, nil
 }
 
 // Level is what all act at.
@@ -315,69 +315,69 @@
 }
 
 // RaiseLevel proposes a higher level: the highest that all know. Drivers that know it only in part are named.
-func (r *Roster) RaiseLevel(now int64, to int) ([]Record, error) {
-	if to <= r.level {
+func (r *Roster) RaiseLevel(now int64, level int) ([]Record, error) {
+	if level <= r.level {
 		return nil, fmt.Errorf("the fleet is at level %d already, and it is never lowered", r.level)
 	}
 	for _, d := range r.Drivers() {
-		if (d.State == StatePresent || r.MayAct(now, d.Name)) && d.Level < to {
+		if (d.State == StatePresent || r.MayAct(now, d.Name)) && d.Level < level {
 			return nil, fmt.Errorf("%q, build %s, knows levels up to %d only", d.Name, d.Build, d.Level)
 		}
 	}
-	return []Record{{Kind: KindRaiseLevel, Level: to, ProposedAt: now}}, nil
+	return []Record{{Kind: KindRaiseLevel, Level: level, ProposedAt: now}}, nil
 }
 
 // Apply takes in a record that has been written down. One that does not follow from those before counts for nobody, and is
 // an error. It is applied at a time of the own clock.
-func (r *Roster) Apply(now int64, k Record) error {
-	if k.Kind == KindRaiseLevel {
-		if k.Level <= r.level {
-			return fmt.Errorf("level %d follows %d", k.Level, r.level)
+func (r *Roster) Apply(now int64, record Record) error {
+	if record.Kind == KindRaiseLevel {
+		if record.Level <= r.level {
+			return fmt.Errorf("level %d follows %d", record.Level, r.level)
 		}
-		r.level = k.Level
+		r.level = record.Level
 		return nil
 	}
-	d := r.drivers[k.Name]
-	if k.Kind == KindJoin {
-		return r.join(now, d, k)
+	d := r.drivers[record.Name]
+	if record.Kind == KindJoin {
+		return r.join(now, d, record)
 	}
-	next, known := map[Kind]State{KindLeave: StateLeft, KindExpire: StateGone, KindShutOut: StateShutOut, KindReadmit: StatePresent}[k.Kind]
+	nextState, known := map[Kind]State{KindLeave: StateLeft, KindExpire: StateGone, KindShutOut: StateShutOut, KindReadmit: StatePresent}[record.Kind]
 	if !known {
-		r.strange = append(r.strange, k)
+		r.unknownRecords = append(r.unknownRecords, record)
 		return nil
 	}
-	from := StatePresent
-	if k.Kind == KindReadmit {
-		from = StateShutOut
+	requiredState := StatePresent
+	if record.Kind == KindReadmit {
+		requiredState = StateShutOut
 	}
-	if d == nil || d.Start != k.Start || d.State != from {
-		return fmt.Errorf("%q start %d: %s does not follow", k.Name, k.Start, k.Kind)
+	if d == nil || d.Start != record.Start || d.State != requiredState {
+		return fmt.Errorf("%q start %d: %s does not follow", record.Name, record.Start, record.Kind)
 	}
-	d.State, d.Reason, d.ChangedAt = next, k.Reason, k.ProposedAt
+	d.State, d.Reason, d.ChangedAt = nextState, record.Reason, record.ProposedAt
 	return nil
 }
 
-func (r *Roster) join(now int64, d *Driver, k Record) error {
-	again := d != nil && d.Token == k.Claim.Token && d.Start == k.Start && d.State != StateShutOut
-	if d != nil && k.Start != d.Start+1 && !again || d == nil && k.Start != 1 {
-		return fmt.Errorf("%q start %d does not follow", k.Name, k.Start)
+func (r *Roster) join(now int64, current *Driver, record Record) error {
+	isSameStart := current != nil && current.Token == record.Claim.Token && current.Start == record.Start && current.State != StateShutOut
+	if current != nil && record.Start != current.Start+1 && !isSameStart || current == nil && record.Start != 1 {
+		return fmt.Errorf("%q start %d does not follow", record.Name, record.Start)
 	}
-	next := &Driver{Claim: k.Claim, Start: k.Start, State: StatePresent, ChangedAt: k.ProposedAt, JoinedAt: k.ProposedAt}
-	if d != nil {
-		next.EarlierStarts = d.EarlierStarts
+	next := &Driver{Claim: record.Claim, Start: record.Start, State: StatePresent, ChangedAt: record.ProposedAt, JoinedAt: record.ProposedAt}
+	if current != nil {
+		next.EarlierStarts = current.EarlierStarts
 	}
-	if again {
-		next.JoinedAt = d.JoinedAt
+	if isSameStart {
+		next.JoinedAt = current.JoinedAt
 	}
-	if d != nil && !again && d.State != StateLeft {
-		r.ghosts[SupersededStart{k.Name, d.Start}] = r.over(now)
+	if current != nil && !isSameStart && current.State != StateLeft {
+		r.supersededLeaseEnds[SupersededStart{record.Name, current.Start}] = r.leaseEndAt(now)
 	}
-	if d != nil && !again {
-		next.EarlierStarts = append(slices.Clone(d.EarlierStarts), EndedStart{d.Start, d.JoinedAt, k.ProposedAt, d.Token})
-		next.EarlierStarts = next.EarlierStarts[max(0, len(next.EarlierStarts)-mostEarlier):]
+	if current != nil && !isSameStart {
+		next.EarlierStarts = append(slices.Clone(current.EarlierStarts), EndedStart{current.Start, current.JoinedAt, record.ProposedAt, current.Token})
+		next.EarlierStarts = next.EarlierStarts[max(0, len(next.EarlierStarts)-maxEarlierStarts):]
 	}
-	if r.drivers[k.Name] = next; r.coming[k.Name] <= k.Start {
-		delete(r.coming, k.Name)
+	if r.drivers[record.Name] = next; r.pendingStarts[record.Name] <= record.Start {
+		delete(r.pendingStarts, record.Name)
 	}
 	return nil
 }
@@ -414,16 +414,16 @@
 
 // Snapshot gives it for Restore.
 func (r *Roster) Snapshot() Snapshot {
-	return Snapshot{Drivers: r.Drivers(), Level: r.level, UnknownRecords: r.strange}
+	return Snapshot{Drivers: r.Drivers(), Level: r.level, UnknownRecords: r.unknownRecords}
 }
 
 // Restore takes a past over at a time, in place of what is known.
-func (r *Roster) Restore(now int64, p Snapshot) {
-	r.drivers, r.level, r.strange = map[string]*Driver{}, p.Level, p.UnknownRecords
-	for _, d := range p.Drivers {
+func (r *Roster) Restore(now int64, snapshot Snapshot) {
+	r.drivers, r.level, r.unknownRecords = map[string]*Driver{}, snapshot.Level, snapshot.UnknownRecords
+	for _, d := range snapshot.Drivers {
 		r.drivers[d.Name] = &d
 		if n := len(d.EarlierStarts); n > 0 { // when it was followed is not known here
-			r.ghosts[SupersededStart{d.Name, d.EarlierStarts[n-1].Start}] = r.over(now)
+			r.supersededLeaseEnds[SupersededStart{d.Name, d.EarlierStarts[n-1].Start}] = r.leaseEndAt(now)
 		}
 	}
 }
