--- a/internal/roster/doubts.go
+++ b/internal/roster/doubts.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// Suspicion is a driver that fellows do not hear, though its lease may hold.
+// Suspicion is a present driver that peers report as unreachable.
 type Suspicion struct {
 	Name        string      `json:"name"`
 	Start       StartNumber `json:"start"`
-	Reporters   []string    `json:"by"`     // fellows that say so
-	Listeners   int         `json:"of"`     // that would hear it
-	IsSilent    bool        `json:"silent"` // more than half of them, and two at least, say so
-	SilentSince int64       `json:"since"`  // that it was found silent, by the own clock; 0 for not
+	Reporters   []string    `json:"by"`     // peers that report it
+	Listeners   int         `json:"of"`     // peers that could report it
+	IsSilent    bool        `json:"silent"` // reported by at least two peers and more than half of them
+	SilentSince int64       `json:"since"`  // on the local clock, 0 if not silent
 }
 
-// unheardReport is what a start said last of whom it does not hear.
+// unheardReport holds the peers that a start last reported as unreachable.
 type unheardReport struct {
 	start   StartNumber
 	unheard []string
 }
 
-// ReportUnheard takes in whom a start does not hear, in place of what it said before. What it says counts while its lease may hold; a
-// start that listens to nobody says nothing.
+// ReportUnheard replaces the peers that a driver reports as unreachable. The report counts while the
+// driver may hold a lease. Drivers without gossip make no reports.
 func (r *Roster) ReportUnheard(name string, unheard []string) {
 	if d := r.drivers[name]; d != nil {
 		r.unheardReports[name] = unheardReport{d.Start, slices.Clone(unheard)}
 	}
 }
 
-// Suspicions tells who is not heard by whom, by name. It is evidence: a driver that nobody hears may well serve clients, and its
-// lease is waited for all the same.
+// Suspicions returns the drivers that peers report as unreachable, sorted by name. An unreachable
+// driver may still serve clients, so its lease is waited for all the same.
 func (r *Roster) Suspicions(now int64) (all []Suspicion) {
 	var listeners []string
 	for _, name := range slices.Sorted(maps.Keys(r.unheardReports)) {
--- a/internal/roster/doubts_test.go
+++ b/internal/roster/doubts_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a driver that is called silent by one that is itself cut off, by starts that are over, or for good.
+// A driver must not count as silent because of a peer that is itself cut off, a superseded start or an
+// outdated report.
 func TestSuspicions(t *testing.T) {
 	r := newTestRoster()
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -14,7 +15,7 @@
 		r.ReportUnheard(name, nil)
 	}
 	require.Empty(t, r.Suspicions(1))
-	r.ReportUnheard("a", []string{"b", "c", "d"}) // it is cut off
+	r.ReportUnheard("a", []string{"b", "c", "d"}) // a is cut off itself
 	require.Len(t, r.Suspicions(1), 3)
 	for _, d := range r.Suspicions(1) {
 		require.False(t, d.IsSilent, d.Name)
@@ -26,15 +27,15 @@
 	require.Equal(t, Suspicion{Name: "a", Start: 1, Reporters: []string{"b", "c"}, Listeners: 3, IsSilent: true, SilentSince: 5}, all[0])
 	require.EqualValues(t, 5, r.Suspicions(9)[0].SilentSince)
 	r.mustJoin(t, 10, newClaim("c", "y"))
-	require.False(t, r.Suspicions(10)[0].IsSilent, "what an earlier start said")
+	require.False(t, r.Suspicions(10)[0].IsSilent, "report of a superseded start")
 	r.ReportUnheard("c", []string{"a"})
 	require.EqualValues(t, 11, r.Suspicions(11)[0].SilentSince)
 	r.ReportUnheard("b", nil)
 	r.ReportUnheard("c", nil)
-	require.Len(t, r.Suspicions(12), 3, "it is heard again")
+	require.Len(t, r.Suspicions(12), 3, "a is reachable again")
 	require.NoError(t, r.RenewLease(second, "b", "x"))
-	require.Empty(t, r.Suspicions(second+second/50), "what one said whose lease is over")
+	require.Empty(t, r.Suspicions(second+second/50), "report of a driver whose lease has ended")
 	r.ReportUnheard("b", []string{"d"})
 	r.TakeOver(2 * second)
-	require.Empty(t, r.Suspicions(2*second), "what was told to another")
+	require.Empty(t, r.Suspicions(2*second), "report to the previous leader")
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster decides which drivers there are: who has joined under which name, whose lease may still hold, who has
-// left, is gone or is shut out, and at which feature level all of them act. It does no I/O, reads no clock and starts no
-// goroutine. What must outlast its holder is a Record, written down by the council before it counts.
+// Package roster tracks the registered drivers, the leases they may hold and the feature level of
+// the fleet. It is deterministic: it does no I/O, reads no clock and starts no goroutines. Its durable
+// state changes only through Records that the council has committed.
 package roster
 
 import (
@@ -10,20 +10,20 @@
 	"slices"
 )
 
-// StartNumber numbers a driver's starts under its name, from 1, by the council's order and nobody's clock.
+// StartNumber counts the starts of the drivers of one name, from 1, in the order in which the council
+// committed them.
 type StartNumber uint64
 
-// State is how a driver stands.
+// State is the registration state of a driver.
 //
-//	from              what has been seen                                   to
-//	nobody, Left, Gone, ShutOut, Present
-//	                  a start that was offered its number has confirmed it  Present
-//	Present           it said that it leaves, and acts no more              Left
-//	Present           its lease is over, and was for as long as Forget      Gone
-//	Present           it did not keep up with a version, or is too old      ShutOut
-//	ShutOut           its start was let back in by an operator              Present
+//	from      event                                               to
+//	any       a start confirmed the number it was offered         Present
+//	Present   it reported that it leaves and has stopped acting   Left
+//	Present   its lease ended longer ago than forgetAfter         Gone
+//	Present   it did not follow a version in time                 ShutOut
+//	ShutOut   an operator readmitted it                           Present
 //
-// A later start takes the name over from whatever state. The earlier one gets no lease any more and is told so.
+// A later start takes over the name in any state. The earlier one is then refused further leases.
 type State int
 
 const (
@@ -38,10 +38,10 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Kind says what a Record is of.
+// Kind is the type of a Record.
 type Kind string
 
-// Kinds of records. A build that does not know one keeps it and goes on.
+// Kinds of records. A build keeps records of kinds that it does not know.
 const (
 	KindJoin       Kind = "joins"
 	KindLeave      Kind = "leaves"
@@ -51,85 +51,86 @@
 	KindRaiseLevel Kind = "raises"
 )
 
-// Record is what the council agrees on.
+// Record is a change of the roster that the council replicates.
 type Record struct {
 	Kind       Kind        `json:"kind"`
-	Claim      Claim       `json:"claim,omitzero"` // of Joins
+	Claim      Claim       `json:"claim,omitzero"` // for KindJoin
 	Name       string      `json:"name,omitempty"`
 	Start      StartNumber `json:"start,omitempty"`
-	Level      int         `json:"level,omitempty"` // of Raises
+	Level      int         `json:"level,omitempty"` // for KindRaiseLevel
 	Reason     string      `json:"why,omitempty"`
-	ProposedAt int64       `json:"when"` // by the clock of whoever proposed it, Unix time in nanoseconds: for people, never compared
+	ProposedAt int64       `json:"when"` // Unix nanoseconds on the proposer's clock; informational, never compared
 }
 
-// Claim is what a start says of itself.
+// Claim describes a start of a driver that registers.
 type Claim struct {
 	Name    string `json:"name"`
-	Token   string `json:"token"` // drawn at its start, so that no other has it
-	Address string `json:"at"`    // where it takes clients
+	Token   string `json:"token"` // random, identifies this start
+	Address string `json:"at"`    // where it accepts clients
 	Build   string `json:"build"`
-	Level   int    `json:"level"` // the highest feature level that it knows
+	Level   int    `json:"level"` // highest feature level that it supports
 	IsVoter bool   `json:"votes,omitempty"`
 }
 
-// Driver is one name.
+// Driver is the registration of one driver name.
 type Driver struct {
 	Claim
 	Start     StartNumber `json:"start"`
 	State     State       `json:"state"`
 	Reason    string      `json:"why,omitempty"`
-	ChangedAt int64       `json:"when"` // of the last record
+	ChangedAt int64       `json:"when"` // time of the last record
 
-	JoinedAt      int64        `json:"joined"`            // as When
-	EarlierStarts []EndedStart `json:"earlier,omitempty"` // starts of the name before this one, the newest last
+	JoinedAt      int64        `json:"joined"`            // on the proposer's clock
+	EarlierStarts []EndedStart `json:"earlier,omitempty"` // earlier starts of this name, newest last
 }
 
-// EndedStart is a start that a later one has followed.
+// EndedStart is a start whose name a later start has taken over.
 type EndedStart struct {
 	Start    StartNumber `json:"start"`
 	JoinedAt int64       `json:"joined"`
-	EndedAt  int64       `json:"when"` // the later one joined then, after which this one got no lease
+	EndedAt  int64       `json:"when"` // when the later start joined; no lease was granted after it
 	Token    string      `json:"token"`
 }
 
-// maxEarlierStarts is how many earlier starts of a name are remembered.
+// maxEarlierStarts limits the earlier starts kept per name.
 const maxEarlierStarts = 16
 
-// Roster is all drivers.
+// Roster holds all drivers, their leases and the feature level.
 type Roster struct {
 	drivers        map[string]*Driver
 	level          int
-	unknownRecords []Record // of a newer build, kept for it
+	unknownRecords []Record // of kinds that only newer builds know
 
-	// What only whoever acts for the council knows, and a successor finds out anew.
+	// Volatile state of the leader, which a new leader builds anew.
 	lease         int64
-	leaseMargin   int64 // by which a lease is waited for longer than it lasts
+	leaseMargin   int64 // added to a lease's duration before it counts as ended
 	forgetAfter   int64
-	leaseEnds     map[string]int64       // by name, when its lease has provably run out
-	pendingStarts map[string]StartNumber // by name, a start whose record is on its way: no earlier one gets a lease any more
+	leaseEnds     map[string]int64       // by name, when the lease has certainly ended
+	pendingStarts map[string]StartNumber // by name, the start whose record is proposed; earlier ones get no lease
 
-	// Starts that a later one has followed, which may hold a lease from before: by start, until when, by the own clock of
-	// each that holds the records. One that was killed can't be told from one that runs on.
+	// Lease ends, on the local clock, of superseded starts. Such a start may still run, so every voter
+	// assumes that it holds a lease.
 	supersededLeaseEnds map[SupersededStart]int64
 
 	unheardReports map[string]unheardReport
-	silentSince    map[string]int64 // since when
+	silentSince    map[string]int64 // by name, when it was first found silent
 }
 
-// SupersededStart is a start that a later one has followed.
+// SupersededStart identifies a start whose name a later start has taken over.
 type SupersededStart struct {
 	Name  string
 	Start StartNumber
 }
 
-// New makes an empty roster for leases of so long, that are waited for by a margin longer; a driver that was not heard for
-// forget after that is gone.
+// New returns an empty roster for leases of the given duration. A lease counts as ended leaseMargin
+// after its duration; a driver that does not renew for forgetAfter more is gone. All are nanoseconds.
 func New(lease, leaseMargin, forgetAfter int64) *Roster {
 	return &Roster{drivers: map[string]*Driver{}, lease: lease, leaseMargin: leaseMargin, forgetAfter: forgetAfter, leaseEnds: map[string]int64{},
 		pendingStarts: map[string]StartNumber{}, supersededLeaseEnds: map[SupersededStart]int64{}, unheardReports: map[string]unheardReport{}}
 }
 
-// RefusedError is why a start gets no lease, with what would help. Again says that asking for a number would.
+// RefusedError says why a start is refused and how to remedy it. ShouldRejoin is set if the start
+// should register again.
 type RefusedError struct {
 	Reason, Remedy string
 	ShouldRejoin   bool
@@ -137,8 +138,8 @@
 
 func (r *RefusedError) Error() string { return r.Reason + "; " + r.Remedy }
 
-// Offer is the number that a start would have under its name: the first of two steps, so that a message of a start that is
-// long over, and comes late, takes nobody's name away.
+// Offer returns the number that a start would get. It is the first of two steps, so that a delayed
+// message of a start that has ended can't take over the name.
 func (r *Roster) Offer(claim Claim) (StartNumber, error) {
 	d := r.drivers[claim.Name]
 	switch {
@@ -166,8 +167,9 @@
 		Remedy: "start it again, or let it back in with `sedgespread fleet readmit " + d.Name + "`"}
 }
 
-// Confirm proposes that a start takes the number it was offered. Nothing is proposed for one that has it. From then on no
-// earlier start gets a lease here: others may have the record before this roster has, and count its lease from then.
+// Confirm proposes that a start takes the number it was offered, or nothing if it has it already.
+// Earlier starts get no lease from here on: other voters may apply the record first, and count the
+// remaining lease from then.
 func (r *Roster) Confirm(now int64, claim Claim, start StartNumber) ([]Record, error) {
 	offered, err := r.Offer(claim)
 	if err != nil {
@@ -184,7 +186,7 @@
 	return []Record{{Kind: KindJoin, Claim: claim, Name: claim.Name, Start: start, ProposedAt: now}}, nil
 }
 
-// RenewLease gives a start its lease from now on, or says why it gets none.
+// RenewLease renews the lease of a start from now, or returns why it is refused.
 func (r *Roster) RenewLease(now int64, name, token string) error {
 	d := r.drivers[name]
 	switch {
@@ -207,17 +209,17 @@
 	return nil
 }
 
-// leaseEndAt is when a lease asked for now has provably run out.
+// leaseEndAt returns when a lease granted now has certainly ended.
 func (r *Roster) leaseEndAt(now int64) int64 { return now + r.lease + r.leaseMargin }
 
-// MayAct tells whether a driver may still act as far as is known: it is to be waited for. One that was shut out or followed
-// by a later start may until its lease is over.
+// MayAct reports whether a driver may still hold a lease and has to be waited for, whatever its
+// state.
 func (r *Roster) MayAct(now int64, name string) bool {
 	leaseEnd, known := r.leaseEnds[name]
 	return known && leaseEnd >= now
 }
 
-// SupersededStarts are the starts that were followed by later ones and may still act, in order.
+// SupersededStarts returns the superseded starts that may still hold a lease, sorted.
 func (r *Roster) SupersededStarts(now int64) (all []SupersededStart) {
 	for s, leaseEnd := range r.supersededLeaseEnds {
 		if leaseEnd >= now {
@@ -230,11 +232,11 @@
 	return all
 }
 
-// LeaseEnd is when a driver's lease has provably run out.
+// LeaseEnd returns when a driver's lease has certainly ended.
 func (r *Roster) LeaseEnd(name string) int64 { return r.leaseEnds[name] }
 
-// TakeOver says that this roster begins to be acted by, after which no other gives leases: whoever is known may hold one
-// given just before.
+// TakeOver makes this the roster of a new leader. Any known driver may hold a lease that the previous
+// leader granted just before.
 func (r *Roster) TakeOver(now int64) {
 	for name := range r.drivers {
 		r.leaseEnds[name] = r.leaseEndAt(now)
@@ -242,7 +244,7 @@
 	r.pendingStarts, r.unheardReports, r.silentSince = map[string]StartNumber{}, map[string]unheardReport{}, nil
 }
 
-// Leave proposes that a start has left, and gives its lease up.
+// Leave proposes that a start has left, and releases its lease.
 func (r *Roster) Leave(now int64, name, token string) []Record {
 	d := r.drivers[name]
 	if d == nil || d.Token != token || d.State != StatePresent {
@@ -252,12 +254,12 @@
 	return []Record{{Kind: KindLeave, Name: name, Start: d.Start, ProposedAt: now}}
 }
 
-// Step proposes whatever time has brought about.
+// Step proposes that drivers whose leases ended longer ago than forgetAfter are gone.
 func (r *Roster) Step(now int64) (records []Record) {
 	maps.DeleteFunc(r.supersededLeaseEnds, func(_ SupersededStart, leaseEnd int64) bool { return leaseEnd < now })
 	for _, d := range r.Drivers() {
 		if _, known := r.leaseEnds[d.Name]; !known {
-			r.leaseEnds[d.Name] = now - 1 // it has just joined, and has no lease yet
+			r.leaseEnds[d.Name] = now - 1 // just joined, no lease yet
 		}
 		if d.State == StatePresent && now-r.leaseEnds[d.Name] > r.forgetAfter {
 			records = append(records, Record{Kind: KindExpire, Name: d.Name, Start: d.Start, ProposedAt: now,
@@ -267,8 +269,8 @@
 	return records
 }
 
-// ShutOut proposes to shut starts out. Never may so many be out at once that less than a share is left of those that may act:
-// a wrong version must not shut out the fleet.
+// ShutOut proposes to shut out drivers. At most maxShare of the active and shut-out drivers may be
+// shut out at once, so that a bad version can't shut out the whole fleet.
 func (r *Roster) ShutOut(now int64, names []string, reason string, maxShare float64) ([]Record, error) {
 	names = slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		d := r.drivers[name]
@@ -292,7 +294,7 @@
 	return records, nil
 }
 
-// Readmit proposes to let a driver back in that was shut out.
+// Readmit proposes to readmit a driver that was shut out.
 func (r *Roster) Readmit(now int64, name, reason string) ([]Record, error) {
 	d := r.drivers[name]
 	if d == nil || d.State != StateShutOut {
@@ -301,10 +303,11 @@
 	return []Record{{Kind: KindReadmit, Name: name, Start: d.Start, Reason: reason, ProposedAt: now}}, nil
 }
 
-// Level is what all act at.
+// Level returns the feature level of the fleet.
 func (r *Roster) Level() int { return r.level }
 
-// HighestCommonLevel is the highest level that all drivers know that may act or are to come back, 0 for none.
+// HighestCommonLevel returns the highest feature level that all present or still active drivers
+// support, 0 if there are none.
 func (r *Roster) HighestCommonLevel(now int64) (level int) {
 	for _, d := range r.drivers {
 		if (d.State == StatePresent || r.MayAct(now, d.Name)) && (level == 0 || d.Level < level) {
@@ -314,7 +317,8 @@
 	return level
 }
 
-// RaiseLevel proposes a higher level: the highest that all know. Drivers that know it only in part are named.
+// RaiseLevel proposes a higher feature level. It fails if a present or still active driver does not
+// support it.
 func (r *Roster) RaiseLevel(now int64, level int) ([]Record, error) {
 	if level <= r.level {
 		return nil, fmt.Errorf("the fleet is at level %d already, and it is never lowered", r.level)
@@ -327,12 +331,12 @@
 	return []Record{{Kind: KindRaiseLevel, Level: level, ProposedAt: now}}, nil
 }
 
-// Apply takes in a record that has been written down. One that does not follow from those before counts for nobody, and is
-// an error. It is applied at a time of the own clock.
+// Apply applies a committed record, at a time of the local clock. A record that is not a valid
+// transition is ignored and returned as an error.
 func (r *Roster) Apply(now int64, record Record) error {
 	if record.Kind == KindRaiseLevel {
 		if record.Level <= r.level {
-			return fmt.Errorf("level %d follows %d", record.Level, r.level)
+			return fmt.Errorf("cannot raise feature level to %d: already at %d", record.Level, r.level)
 		}
 		r.level = record.Level
 		return nil
@@ -351,7 +355,7 @@
 		requiredState = StateShutOut
 	}
 	if d == nil || d.Start != record.Start || d.State != requiredState {
-		return fmt.Errorf("%q start %d: %s does not follow", record.Name, record.Start, record.Kind)
+		return fmt.Errorf("driver %q, start %d: record %q is not valid in its state", record.Name, record.Start, record.Kind)
 	}
 	d.State, d.Reason, d.ChangedAt = nextState, record.Reason, record.ProposedAt
 	return nil
@@ -360,7 +364,7 @@
 func (r *Roster) join(now int64, current *Driver, record Record) error {
 	isSameStart := current != nil && current.Token == record.Claim.Token && current.Start == record.Start && current.State != StateShutOut
 	if current != nil && record.Start != current.Start+1 && !isSameStart || current == nil && record.Start != 1 {
-		return fmt.Errorf("%q start %d does not follow", record.Name, record.Start)
+		return fmt.Errorf("driver %q: start %d is not the next one", record.Name, record.Start)
 	}
 	next := &Driver{Claim: record.Claim, Start: record.Start, State: StatePresent, ChangedAt: record.ProposedAt, JoinedAt: record.ProposedAt}
 	if current != nil {
@@ -382,7 +386,7 @@
 	return nil
 }
 
-// Find gives a driver by its name.
+// Find returns a driver by its name.
 func (r *Roster) Find(name string) (Driver, bool) {
 	if d := r.drivers[name]; d != nil {
 		return *d, true
@@ -390,7 +394,7 @@
 	return Driver{}, false
 }
 
-// Drivers are all that were ever known, by name.
+// Drivers returns all drivers that ever registered, sorted by name.
 func (r *Roster) Drivers() []Driver {
 	all := make([]Driver, 0, len(r.drivers))
 	for _, d := range r.drivers {
@@ -405,24 +409,24 @@
 	return all
 }
 
-// Snapshot is all that records have said, in short.
+// Snapshot is the state that results from all applied records.
 type Snapshot struct {
 	Drivers        []Driver `json:"drivers"`
 	Level          int      `json:"level"`
 	UnknownRecords []Record `json:"strange,omitempty"`
 }
 
-// Snapshot gives it for Restore.
+// Snapshot returns the durable state, for Restore.
 func (r *Roster) Snapshot() Snapshot {
 	return Snapshot{Drivers: r.Drivers(), Level: r.level, UnknownRecords: r.unknownRecords}
 }
 
-// Restore takes a past over at a time, in place of what is known.
+// Restore replaces the durable state by a snapshot, at a time of the local clock.
 func (r *Roster) Restore(now int64, snapshot Snapshot) {
 	r.drivers, r.level, r.unknownRecords = map[string]*Driver{}, snapshot.Level, snapshot.UnknownRecords
 	for _, d := range snapshot.Drivers {
 		r.drivers[d.Name] = &d
-		if n := len(d.EarlierStarts); n > 0 { // when it was followed is not known here
+		if n := len(d.EarlierStarts); n > 0 { // the local time of the takeover is unknown
 			r.supersededLeaseEnds[SupersededStart{d.Name, d.EarlierStarts[n-1].Start}] = r.leaseEndAt(now)
 		}
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -31,7 +31,7 @@
 
 func newTestRoster() *Roster { return New(second, second/100, 10*second) }
 
-// Guards against two processes of one name: the later start wins, and the earlier one learns it.
+// Of two processes with one name the later start wins, and the earlier one is told so.
 func TestLaterStartTakesOverName(t *testing.T) {
 	r := newTestRoster()
 	require.EqualValues(t, 1, r.mustJoin(t, 0, newClaim("a", "x")))
@@ -45,7 +45,7 @@
 	require.NoError(t, r.RenewLease(3, "a", "y"))
 }
 
-// Guards against an earlier start that still holds a lease when its name has passed on, at a successor too.
+// A superseded start may hold a lease after its name was taken over, also as seen by a new leader.
 func TestSupersededStartMayActUntilLeaseEnd(t *testing.T) {
 	r := newTestRoster()
 	r.mustJoin(t, 0, newClaim("a", "x"))
@@ -62,34 +62,34 @@
 	require.Empty(t, r.SupersededStarts(20*second), "one that has left acts no more")
 }
 
-// Guards against a message of a start that is long over: it takes nobody's name away.
+// A delayed message of a start that has ended must not take over the name.
 func TestStaleJoinIsRejected(t *testing.T) {
 	r := newTestRoster()
 	staleClaim := newClaim("a", "x")
 	offered, err := r.Offer(staleClaim)
 	require.NoError(t, err)
 	r.mustJoin(t, 0, newClaim("a", "y"))
-	_, err = r.Offer(staleClaim) // it comes again
+	_, err = r.Offer(staleClaim) // duplicate
 	require.NoError(t, err)
 	_, err = r.Confirm(1, staleClaim, offered)
 	require.ErrorContains(t, err, "start 1 of \"a\" was offered, and it is 2 by now")
 	require.NoError(t, r.RenewLease(1, "a", "y"))
-	require.Error(t, r.Apply(0, Record{Kind: KindJoin, Name: "a", Start: 1, Claim: staleClaim}), "nor does a record that was proposed twice")
+	require.Error(t, r.Apply(0, Record{Kind: KindJoin, Name: "a", Start: 1, Claim: staleClaim}), "a record proposed twice must not either")
 }
 
-// Each state of the table, with the records that lead there, and those that do not follow.
+// Covers each state, the records that lead to it, and records that are not valid transitions.
 func TestStateTransitions(t *testing.T) {
 	r := newTestRoster()
 	r.mustJoin(t, 0, newClaim("a", "x"))
 	require.Empty(t, r.Leave(1, "a", "other"))
 	r.applyAll(t, r.Leave(1, "a", "x"), nil)
-	require.False(t, r.MayAct(1, "a"), "it gave its lease up")
+	require.False(t, r.MayAct(1, "a"), "it released its lease")
 	d, known := r.Find("a")
 	require.True(t, known)
 	require.Equal(t, StateLeft, d.State)
 	require.ErrorContains(t, r.RenewLease(2, "a", "x"), "has left")
 	require.Error(t, r.Apply(0, Record{Kind: KindExpire, Name: "a", Start: 1}))
-	require.EqualValues(t, 1, r.mustJoin(t, 2, newClaim("a", "x")), "the same start may come back")
+	require.EqualValues(t, 1, r.mustJoin(t, 2, newClaim("a", "x")), "the same start may rejoin")
 	require.Empty(t, r.Step(2+second+second/100+10*second))
 	later := 2*second + 11*second
 	r.applyAll(t, r.Step(later), nil)
@@ -99,7 +99,7 @@
 	records, err := r.ShutOut(later, []string{"a", "nobody"}, "it kept the old file", 1)
 	r.applyAll(t, records, err)
 	require.ErrorContains(t, r.RenewLease(later, "a", "z"), "it was shut out: it kept the old file")
-	require.True(t, r.MayAct(later, "a"), "its lease is to be waited for")
+	require.True(t, r.MayAct(later, "a"), "its lease has not ended yet")
 	_, err = r.Offer(newClaim("a", "z"))
 	require.ErrorContains(t, err, "fleet readmit a")
 	_, err = r.Readmit(later, "b", "")
@@ -109,13 +109,13 @@
 	require.NoError(t, r.RenewLease(later, "a", "z"))
 	records, err = r.ShutOut(later, []string{"a"}, "again", 1)
 	r.applyAll(t, records, err)
-	require.EqualValues(t, 3, r.mustJoin(t, later, newClaim("a", "w")), "a new start is let in")
+	require.EqualValues(t, 3, r.mustJoin(t, later, newClaim("a", "w")), "a new start may join")
 	require.Error(t, r.Apply(0, Record{Kind: KindJoin, Name: "a", Start: 5}))
 	require.Error(t, r.Apply(0, Record{Kind: KindJoin, Name: "new", Start: 2}))
 	require.ErrorContains(t, r.RenewLease(later, "new", "x"), "no start of \"new\" is known")
 }
 
-// Guards against a wrong version that shuts out the whole fleet.
+// A bad version must not shut out the whole fleet.
 func TestShutOutShareIsLimited(t *testing.T) {
 	r := newTestRoster()
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -128,10 +128,10 @@
 	_, err = r.ShutOut(1, []string{"c"}, "", 0.3)
 	require.ErrorContains(t, err, "2 of 5")
 	_, err = r.ShutOut(5*second, []string{"c"}, "", 0.3)
-	require.Error(t, err, "nor while others are away")
+	require.Error(t, err, "drivers whose leases have ended do not raise the limit")
 }
 
-// Guards against a successor that does not wait for leases that another gave.
+// A new leader must wait for leases that the previous one granted.
 func TestNewLeaderWaitsForEarlierLeases(t *testing.T) {
 	r := newTestRoster()
 	r.mustJoin(t, 0, newClaim("a", "x"))
@@ -143,7 +143,7 @@
 	require.False(t, next.MayAct(6*second+second/50, "a"))
 }
 
-// Guards against a level that some do not know, one that is lowered, and builds too old for it.
+// The level must be supported by all drivers and never lowered, and builds too old for it are refused.
 func TestFeatureLevels(t *testing.T) {
 	r := newTestRoster()
 	r.mustJoin(t, 0, newClaim("a", "x"))
@@ -164,7 +164,7 @@
 	require.ErrorContains(t, err, "build b1 knows levels up to 1, and the fleet is at 2; start a newer build")
 }
 
-// Guards against records of a newer build that an older one drops.
+// An older build must not drop records of a newer one.
 func TestUnknownRecordsAreKept(t *testing.T) {
 	r := newTestRoster()
 	require.NoError(t, r.Apply(0, Record{Kind: "blesses", Name: "a", Reason: "new"}))
@@ -173,8 +173,8 @@
 	require.Equal(t, Kind("blesses"), next.Snapshot().UnknownRecords[0].Kind)
 }
 
-// Guards against a lease for an earlier start that a fellow, which has the record of the later one already, counts as over
-// sooner than it is.
+// An earlier start must get no lease once a later one is proposed: voters that have applied the later
+// start's record already would count that lease as ended too early.
 func TestNoLeaseWhileLaterStartIsPending(t *testing.T) {
 	r := newTestRoster()
 	r.mustJoin(t, 0, newClaim("a", "x"))
@@ -186,11 +186,11 @@
 	require.ErrorContains(t, err, "number 2, is taking its name over")
 	var refusal *RefusedError
 	require.True(t, errors.As(err, &refusal))
-	require.False(t, refusal.ShouldRejoin, "it must not ask for a number itself")
+	require.False(t, refusal.ShouldRejoin, "it must not rejoin")
 	require.NoError(t, r.Apply(second, records[0]))
 	require.NoError(t, r.RenewLease(second, "a", "y"))
 	_, err = r.Confirm(2*second, newClaim("a", "z"), 3)
 	require.NoError(t, err)
 	r.TakeOver(3 * second)
-	require.NoError(t, r.RenewLease(3*second, "a", "y"), "what was on its way then may never come")
+	require.NoError(t, r.RenewLease(3*second, "a", "y"), "a start pending at the previous leader may never be committed")
 }
