--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -16,42 +16,42 @@
 	"sedgespread/internal/versions"
 )
 
-// FleetAgent is a driver's side of the fleet: it asks for a number under its name, and then for its lease again and again.
+// FleetAgent registers a driver with the fleet and keeps renewing its lease.
 type FleetAgent struct {
 	client         Client
 	claim          roster.Claim
-	start          roster.StartNumber // 0 while it has none
+	start          roster.StartNumber // 0 while not registered
 	lease          time.Duration
 	driver         FleetDriver
 	log            logrus.FieldLogger
 	isDisconnected bool
 	refusalReason  string
-	retryAfter     time.Duration // it is to ask again after so long
-	storedTrailSeq uint64        // entry up to which the trail was told
-	peerMonitor    PeerMonitor   // nil where drivers do not gossip
+	retryAfter     time.Duration // as told by the fleet; 0 for none
+	storedTrailSeq uint64        // entry up to which the fleet holds the trail
+	peerMonitor    PeerMonitor   // nil without gossip
 }
 
-// PeerMonitor tells which other drivers were heard and are not any more.
+// PeerMonitor returns the peers that have become unreachable.
 type PeerMonitor interface{ Unheard() []string }
 
-// SetPeerMonitor lets the fleet be told whom this driver does not hear. It is called before Run.
+// SetPeerMonitor makes the agent report unreachable peers to the fleet. It is called before Run.
 func (a *FleetAgent) SetPeerMonitor(monitor PeerMonitor) { a.peerMonitor = monitor }
 
-// FleetDriver is what an agent asks of the driver that it stands for.
+// FleetDriver is the driver on whose behalf a FleetAgent acts.
 type FleetDriver interface {
-	// Sightings is what the fleet is told, and when that was, on the driver's clock.
+	// Sightings returns the versions in use, and the time on the driver's clock.
 	Sightings() (seen []versions.Sighting, at int64)
-	// Granted takes in what was granted to what was asked at a time, and does what that takes.
+	// Granted applies a grant to a request of the given time.
 	Granted(asked int64, g versions.Grant)
-	// Joined says which number the driver's start has.
+	// Joined sets the identity of this start.
 	Joined(who versions.Sign, token string)
-	// Trail gives the entries of the driver's trail after one, at most so many.
+	// Trail returns up to most entries of the audit trail after seq.
 	Trail(seq uint64, most int) audit.Part
-	// LastTrail gives all that is left of it, when the driver acts no more.
+	// LastTrail returns all entries after seq, once the driver has stopped acting.
 	LastTrail(seq uint64) audit.Part
 }
 
-// NewFleetAgent makes a driver's agent, which asks any of the voters at some addresses.
+// NewFleetAgent returns an agent that registers with the voters at the given addresses.
 func NewFleetAgent(addresses []string, claim roster.Claim, lease time.Duration, driver FleetDriver, log logrus.FieldLogger) *FleetAgent {
 	var token [16]byte
 	rand.Read(token[:])
@@ -59,7 +59,8 @@
 	return &FleetAgent{client: NewClient(addresses...), claim: claim, lease: lease, driver: driver, log: log}
 }
 
-// Run asks until the context ends, and then tells that this driver leaves: it must not act any more by then.
+// Run keeps the lease renewed until the context ends, and then reports that the driver leaves. The
+// driver must have stopped acting by then.
 func (a *FleetAgent) Run(ctx context.Context) {
 	defer a.client.close()
 	defer a.leave()
@@ -84,7 +85,7 @@
 	}
 }
 
-// logConnectivity logs when no lease is to be had any more, why, and when there is one again.
+// logConnectivity logs when leases stop, why, and when they resume.
 func (a *FleetAgent) logConnectivity(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -97,16 +98,16 @@
 	isDisconnected := err != nil
 	switch {
 	case reason != "" && reason != a.refusalReason:
-		a.log.WithField("why", reason).Error("the fleet gives this driver no lease")
+		a.log.WithField("why", reason).Error("the fleet refuses this driver a lease")
 	case isDisconnected && !a.isDisconnected && reason == "":
-		a.log.WithError(err).Warn("no lease from the fleet")
+		a.log.WithError(err).Warn("renewing the lease from the fleet failed; retrying")
 	case !isDisconnected && a.isDisconnected:
-		a.log.WithField("start", a.start).Info("leases from the fleet again")
+		a.log.WithField("start", a.start).Info("lease from the fleet renewed again")
 	}
 	a.isDisconnected, a.refusalReason = isDisconnected, reason
 }
 
-// registerOrRenew asks for a number, or for a lease, and tells whether there is something to report soon.
+// registerOrRenew registers, or renews the lease. isBusy is set if the next report is due soon.
 func (a *FleetAgent) registerOrRenew(ctx context.Context) (isBusy bool, err error) {
 	wait := a.lease / leaseWaitDivisor
 	if a.isDisconnected || a.start == 0 {
@@ -129,7 +130,7 @@
 	return isBusy, err
 }
 
-// join takes a number, in two steps.
+// join registers this start: it asks for a number and then confirms it.
 func (a *FleetAgent) join(ctx context.Context) error {
 	var offered, confirmed roster.StartNumber
 	if err := a.client.post(ctx, "fleet/join", joinRequest{Claim: a.claim}, &offered); err != nil {
@@ -155,19 +156,19 @@
 		request.Trails = []audit.Part{part}
 	}
 	if len(part.Entries) == maxEntriesPerRequest {
-		request.WaitMs = 0 // there may be more
+		request.WaitMs = 0 // more entries may follow
 	}
 	err = a.client.post(ctx, "fleet/renew", request, &response)
 	if err != nil {
 		return false, err
 	}
-	a.storedTrailSeq = response.StoredTrailSeq // a successor may hold less, and is told again
+	a.storedTrailSeq = response.StoredTrailSeq // a new leader may hold fewer entries
 	a.retryAfter = time.Duration(response.Again)
 	a.driver.Granted(observedAt, response.Grant)
 	return len(response.Orders) > 0 || hasOtherVersionInFlight(sightings), nil
 }
 
-// hasOtherVersionInFlight tells whether something is in flight under another version than what is acted on, whose end is waited for.
+// hasOtherVersionInFlight reports whether RPCs are in flight under a version other than the current one.
 func hasOtherVersionInFlight(sightings []versions.Sighting) bool {
 	for _, s := range sightings {
 		for _, n := range s.Flight {
@@ -179,11 +180,10 @@
 	return false
 }
 
-// leaveTimeout is how long a driver that leaves tries to say so.
 const leaveTimeout = 500 * time.Millisecond
 
-// leave tells the fleet that this driver acts no more, with what is left to tell of its trail. Where that can't be told its
-// lease runs out.
+// leave tells the fleet that this driver has stopped acting, with the rest of its trail. If that fails,
+// its lease expires.
 func (a *FleetAgent) leave() {
 	if a.start == 0 {
 		return
@@ -192,6 +192,6 @@
 	defer cancel()
 	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Trails: []audit.Part{a.driver.LastTrail(a.storedTrailSeq)}}
 	if err := a.client.post(ctx, "fleet/leave", request, nil); err != nil {
-		a.log.WithError(err).Warn("the fleet could not be told that this driver leaves")
+		a.log.WithError(err).Warn("reporting to the fleet that this driver leaves failed")
 	}
 }
--- a/internal/membership/bell.go
+++ b/internal/membership/bell.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// changeSignal lets those know who wait for something new. The lock of whoever has it guards it.
+// changeSignal wakes all goroutines that wait for a change. It is guarded by its owner's lock.
 type changeSignal struct{ channel chan struct{} }
 
 func newChangeSignal() changeSignal { return changeSignal{make(chan struct{})} }
@@ -15,7 +15,8 @@
 	s.channel = make(chan struct{})
 }
 
-// waitForChange waits until what was taken from a bell rings, or a wait is over. The lock is not held.
+// waitForChange waits for the channel of a changeSignal to close, up to a timeout. The lock must not
+// be held.
 func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) error {
 	timer := time.NewTimer(min(timeout, maxWait))
 	defer timer.Stop()
--- a/internal/membership/chair.go
+++ b/internal/membership/chair.go
@@ -1,5 +1,6 @@
-// Package membership keeps drivers and their coordinator in touch: leases, and the entries that say where tenants are.
-// What is decided is decided in package cells; here are the journal, the clock and the connections.
+// Package membership connects drivers with the coordinator of tenant placement and with the fleet's
+// registration: leases, placement entries, versions and audit trails. It adds journal, clock and HTTP to
+// the decisions made in packages cells, roster and versions.
 package membership
 
 import (
@@ -19,8 +20,8 @@
 	"sedgespread/internal/store"
 )
 
-// CoordinatorServer is the coordinator at work: it answers drivers and takes moves on. All that it tells anybody was written down
-// before. It has a journal of its own, or is one of several on a council's log of which one decides.
+// CoordinatorServer serves the coordinator of tenant placement and advances moves. It publishes only
+// durable state, recorded in a local journal or in the council's log.
 type CoordinatorServer struct {
 	proposer[cells.Record]
 	fill  FillFunc
@@ -29,23 +30,23 @@
 
 	mu             sync.Mutex
 	coordinator    *cells.Coordinator
-	changed        changeSignal // rings at the next entry
+	changed        changeSignal // on each new entry
 	requestedFills map[cells.Tenant]cells.Epoch
 }
 
-// FillFunc asks the store for one step, and returns once it has taken it: to begin filling a tenant's new groups with what
-// its old ones have, to end that at a position, or to drop what has come. It is asked again after a failure, and after a
-// restart. Nil where the store fills all groups always.
+// FillFunc makes the store begin to copy a tenant's data from its old groups to its new ones, end the
+// copy at a position, or drop the copied data. It is retried after failures and repeated after a
+// restart. It is nil if the store always fills all groups.
 type FillFunc func(ctx context.Context, f FillRequest) error
 
-// FillRequest is what the store is asked.
+// FillRequest is one step of copying a tenant's data.
 type FillRequest struct {
 	Step            string       `json:"step"` // begin, end or drop
 	Tenant          cells.Tenant `json:"tenant"`
-	Epoch           cells.Epoch  `json:"epoch"` // of the decision that it is asked for; higher ones supersede it
+	Epoch           cells.Epoch  `json:"epoch"` // of the entry that caused the request; higher epochs supersede it
 	From            cells.Groups `json:"from"`
 	To              cells.Groups `json:"to"`
-	CutoverPosition int64        `json:"cut_ns,omitempty"` // of end: nothing later may come
+	CutoverPosition int64        `json:"cut_ns,omitempty"` // for end: last position to copy
 }
 
 const (
@@ -54,7 +55,8 @@
 	maxWait        = time.Minute
 )
 
-// NewCoordinatorServer takes up what a journal holds. Leases that were given before are waited for.
+// NewCoordinatorServer returns a single coordinator that resumes from its journal. It waits for leases
+// granted before.
 func NewCoordinatorServer(directory *cells.Directory, journal *store.Journal, lease, hold time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
 	s := newUnattachedServer(fill, log)
 	records, err := store.ReadAll[cells.Record](journal)
@@ -66,7 +68,8 @@
 	return s, err
 }
 
-// NewReplicatedCoordinatorServer makes a chair that is one of a council's, and Join its place there.
+// NewReplicatedCoordinatorServer returns a coordinator for a voter of a council. Call AttachCouncil
+// before serving.
 func NewReplicatedCoordinatorServer(directory *cells.Directory, lease, hold, maxClockSkew time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
 	s := newUnattachedServer(fill, log)
 	var err error
@@ -74,10 +77,10 @@
 	return s, err
 }
 
-// StateMachine is what the council's chamber is to be opened with.
+// StateMachine returns the state machine to register with the council's server.
 func (s *CoordinatorServer) StateMachine() CoordinatorStateMachine { return CoordinatorStateMachine{s} }
 
-// AttachCouncil says where the council is, before anything is asked of the chair.
+// AttachCouncil sets the council's server. It is called before the first request.
 func (s *CoordinatorServer) AttachCouncil(c *chamber.Server) {
 	s.recorder = councilRecorder[cells.Record]{c, CoordinatorStateMachineName}
 }
@@ -88,23 +91,23 @@
 
 func (s *CoordinatorServer) now() int64 { return s.clock.Now() }
 
-// apply lets a record count that was written down. The lock is held.
+// apply applies a durable record. The lock is held.
 func (s *CoordinatorServer) apply(record cells.Record) error {
 	if err := s.coordinator.Apply(s.now(), record); err != nil {
 		return err
 	}
 	if entry := record.Entry; entry != nil {
 		s.log.WithFields(logrus.Fields{"tenant": entry.Tenant, "stage": entry.Stage, "cell": entry.Cell, "to": entry.To, "epoch": entry.Epoch,
-			"why": entry.Reason}).Info("move")
+			"why": entry.Reason}).Info("tenant move changed stage")
 		s.changed.broadcast()
 	}
 	return nil
 }
 
-// Run takes moves on until the context ends.
+// Run advances moves until the context ends.
 func (s *CoordinatorServer) Run(ctx context.Context) { runPeriodically(ctx, s.step) }
 
-// step takes all moves on as far as they can go now.
+// step advances all moves as far as possible.
 func (s *CoordinatorServer) step(ctx context.Context) {
 	for {
 		recorded, err := s.propose(ctx, &s.mu, func() ([]cells.Record, error) { return s.coordinator.Step(s.now()), nil })
@@ -126,10 +129,10 @@
 	}
 }
 
-// fillSteps are what the store is asked at a stage.
+// fillSteps maps the stage of a move to the step that the store has to take.
 var fillSteps = map[cells.Stage]string{cells.StagePrepared: "begin", cells.StageSwitched: "end", cells.StageRollingBack: "drop"}
 
-// dueFills are what the store has to be asked and has not been. The lock is held.
+// dueFills returns the fill requests that are not yet made. The lock is held.
 func (s *CoordinatorServer) dueFills() (due []FillRequest) {
 	layout := s.coordinator.Directory().Layout()
 	for _, entry := range s.coordinator.Directory().Moving() {
@@ -140,7 +143,7 @@
 		request := FillRequest{Step: step, Tenant: entry.Tenant, Epoch: entry.Epoch, CutoverPosition: entry.CutoverPosition}
 		from, to := layout.Find(entry.Cell), layout.Find(entry.To)
 		if from == cells.NoCell || to == cells.NoCell {
-			continue // this voter's file does not have it: it must not lead for long
+			continue // not in this voter's settings file; another leader has to request it
 		}
 		if entry.Stage == cells.StageSwitched {
 			from, to = to, from
@@ -151,11 +154,11 @@
 	return due
 }
 
-// requestFill asks the store, and lets it be asked again where that failed.
+// requestFill makes a fill request, and marks it as due again if it failed.
 func (s *CoordinatorServer) requestFill(ctx context.Context, request FillRequest) {
 	err := s.fill(ctx, request)
 	if err != nil {
-		s.log.WithError(err).WithField("tenant", request.Tenant).WithField("step", request.Step).Warn("the store did not take a filling")
+		s.log.WithError(err).WithField("tenant", request.Tenant).WithField("step", request.Step).Warn("fill request to the store failed; retrying")
 		time.Sleep(fillRetryDelay)
 	}
 	s.mu.Lock()
@@ -167,8 +170,8 @@
 	}
 }
 
-// Renew answers a driver's report, at once where it is out of date and else once something has changed or the wait is
-// over.
+// Renew grants a lease in answer to a driver's report. It answers at once if the driver is out of date,
+// and else on the next change or at the end of the wait.
 func (s *CoordinatorServer) Renew(ctx context.Context, report cells.Report, wait time.Duration) (cells.Grant, error) {
 	s.mu.Lock()
 	records, err := s.coordinator.Renew(report)
@@ -197,7 +200,7 @@
 	return s.coordinator.CurrentGrant(report), nil
 }
 
-// Move begins to move tenants, one after another until one can't be moved.
+// Move begins moves in order, up to the first that is refused.
 func (s *CoordinatorServer) Move(ctx context.Context, moves []MoveRequest) error {
 	for _, m := range moves {
 		_, err := s.propose(ctx, &s.mu, func() ([]cells.Record, error) { return s.coordinator.Move(s.now(), m.Tenant, m.To, m.Reason) })
@@ -208,44 +211,44 @@
 	return nil
 }
 
-// Abort calls a move off.
+// Abort aborts a tenant's move.
 func (s *CoordinatorServer) Abort(ctx context.Context, tenant cells.Tenant, reason string) error {
 	_, err := s.propose(ctx, &s.mu, func() ([]cells.Record, error) { return s.coordinator.Abort(s.now(), tenant, reason) })
 	return err
 }
 
-// MoveRequest is what is asked of a coordinator.
+// MoveRequest asks to move a tenant to a cell, or to abort its move.
 type MoveRequest struct {
 	Tenant cells.Tenant `json:"tenant"`
 	To     string       `json:"to"`
 	Reason string       `json:"why"`
 }
 
-// CoordinatorState is what a coordinator tells of itself.
+// CoordinatorState describes the coordinator, its drivers and its moves.
 type CoordinatorState struct {
-	Voter   council.VoterID    `json:"voter,omitempty"` // that tells it, of a council
+	Voter   council.VoterID    `json:"voter,omitempty"` // that answered, if there is a council
 	Epoch   cells.Epoch        `json:"epoch"`
 	Drivers []cells.Driver     `json:"drivers"`
 	Now     int64              `json:"now"`
-	Loads   []cells.TenantLoad `json:"loads"`   // RPCs a second, the heaviest tenants first
-	Entries []cells.Entry      `json:"entries"` // of all tenants that were ever moved, the one decided on last last
+	Loads   []cells.TenantLoad `json:"loads"`   // RPCs per second, heaviest tenants first
+	Entries []cells.Entry      `json:"entries"` // latest of each tenant ever moved, by epoch
 }
 
-// State tells where moves stand.
+// State returns the state of the coordinator and its moves.
 func (s *CoordinatorServer) State() CoordinatorState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return CoordinatorState{Voter: s.recorder.voterID(), Epoch: s.coordinator.Directory().LatestEpoch(), Drivers: s.coordinator.Drivers(), Now: s.now(), Loads: s.coordinator.Loads(s.now()), Entries: s.coordinator.Directory().Since(0)}
 }
 
-// UpdateLayout takes over a file read again.
+// UpdateLayout applies reloaded settings.
 func (s *CoordinatorServer) UpdateLayout(layout *cells.Layout, pins map[cells.Tenant]string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.coordinator.Directory().Update(layout, pins)
 }
 
-// Handle lets a chair answer drivers and operators, or pass on what they ask to the one that decides.
+// Handle registers the handlers for drivers and operators, which run on the leader.
 func (s *CoordinatorServer) Handle(mux *http.ServeMux) {
 	handle := func(path string, handler http.HandlerFunc) {
 		mux.Handle("POST /v1/"+path, s.recorder.onLeader(handler))
@@ -258,14 +261,14 @@
 	handle("state", jsonhttp.QueryHandler(func(context.Context) (CoordinatorState, error) { return s.State(), nil }))
 }
 
-// Serve answers until the context ends.
+// Serve answers requests until the context ends.
 func (s *CoordinatorServer) Serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	s.Handle(mux)
 	return jsonhttp.Serve(ctx, l, mux)
 }
 
-// renewalRequest is what a driver sends.
+// renewalRequest is a driver's request for a lease from the coordinator.
 type renewalRequest struct {
 	cells.Report
 	WaitMs int64 `json:"wait_ms"`
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -14,7 +14,7 @@
 	"sedgespread/internal/jsonhttp"
 )
 
-// CellAgent is a driver's side: it asks the coordinator for its lease again and again.
+// CellAgent keeps a driver's lease from the coordinator renewed and applies placement entries.
 type CellAgent struct {
 	client         Client
 	name           string
@@ -25,30 +25,30 @@
 	isDisconnected bool
 }
 
-// CellDriver is what a follower asks of the driver that it stands for.
+// CellDriver is the driver on whose behalf a CellAgent acts.
 type CellDriver interface {
-	// Report is what the coordinator is told, and when that was, on the driver's clock.
+	// Report returns a report for the coordinator, and the time on the driver's clock.
 	Report(name string, incarnation uint64) (r cells.Report, at int64)
-	// ReportGrant takes what the coordinator granted to a report of that time.
+	// ReportGrant applies a grant to a report of the given time.
 	ReportGrant(asked int64, g cells.Grant) error
 }
 
-// NewCellAgent makes a driver's follower. The incarnation must be newer after each start. Where the coordinator is one of
-// several it may ask any of them.
+// NewCellAgent returns an agent that asks any of the given addresses. The incarnation must increase
+// with each start of the driver.
 func NewCellAgent(addresses []string, name string, incarnation uint64, lease time.Duration, driver CellDriver, log logrus.FieldLogger) *CellAgent {
 	return &CellAgent{client: NewClient(addresses...), name: name, incarnation: incarnation, lease: lease, driver: driver, log: log}
 }
 
 const (
-	busyReportInterval = 15 * time.Millisecond  // reports are so far apart while moves are under way
-	reconnectInterval  = 100 * time.Millisecond // and while the coordinator can't be asked
-	leaseWaitDivisor   = 4                      // else an answer may wait for this part of the lease
-	maxResponseMargin  = 2 * time.Second        // an answer may take, beyond what it was asked to wait
-	minResponseMargin  = 100 * time.Millisecond // where another can be asked, which is a part of the lease as waitShare is
+	busyReportInterval = 15 * time.Millisecond  // between reports while moves are in progress
+	reconnectInterval  = 100 * time.Millisecond // between reports while the coordinator is unreachable
+	leaseWaitDivisor   = 4                      // a request waits for changes for the lease divided by this
+	maxResponseMargin  = 2 * time.Second        // for an answer, beyond the wait it was asked for
+	minResponseMargin  = 100 * time.Millisecond // the same where there is a fallback address
 )
 
-// responseMargin is how long an answer may take, beyond what it was asked to wait: so that one that stands still does not cost the
-// lease, the next is asked in time.
+// responseMargin returns how long an answer may take beyond the wait it was asked for. It is short if
+// there is a fallback, so that a hung server does not cost the lease.
 func (a *CellAgent) responseMargin() time.Duration {
 	if a.client.HasFallback() {
 		return fallbackResponseMargin(a.lease)
@@ -56,12 +56,12 @@
 	return maxResponseMargin
 }
 
-// fallbackResponseMargin is that where another can be asked.
+// fallbackResponseMargin returns the response margin where there is a fallback address.
 func fallbackResponseMargin(lease time.Duration) time.Duration {
 	return min(maxResponseMargin, max(minResponseMargin, lease/leaseWaitDivisor))
 }
 
-// Run follows until the context ends.
+// Run renews the lease until the context ends.
 func (a *CellAgent) Run(ctx context.Context) {
 	defer a.client.close()
 	for ctx.Err() == nil {
@@ -80,19 +80,19 @@
 	}
 }
 
-// logConnectivity logs when the coordinator can't be asked any more, and when it can again.
+// logConnectivity logs when leases stop and when they resume.
 func (a *CellAgent) logConnectivity(ctx context.Context, err error) {
 	if isDisconnected := err != nil; isDisconnected != a.isDisconnected && ctx.Err() == nil {
 		a.isDisconnected = isDisconnected
 		if isDisconnected {
-			a.log.WithError(err).Warn("no lease from the coordinator")
+			a.log.WithError(err).Warn("renewing the lease from the coordinator failed; retrying")
 		} else {
-			a.log.Info("leases from the coordinator again")
+			a.log.Info("lease from the coordinator renewed again")
 		}
 	}
 }
 
-// renew asks once, and tells whether moves are under way.
+// renew makes one renewal request. isMoving is set if moves are in progress.
 func (a *CellAgent) renew(ctx context.Context) (isMoving bool, err error) {
 	report, reportedAt := a.driver.Report(a.name, a.incarnation)
 	isMoving = len(report.Moves) > 0
@@ -109,19 +109,20 @@
 		return false, err
 	}
 	if grant.Lease == 0 {
-		return false, errors.New("the coordinator knows less than this driver, or has seen a newer one of its name")
+		return false, errors.New("no lease granted: the coordinator is behind this driver, or has seen a newer incarnation")
 	}
 	return isMoving || len(grant.Entries) > 0, a.driver.ReportGrant(reportedAt, grant)
 }
 
-// Client is the way to a coordinator: to it, or to several of which any passes on to it what it is asked.
+// Client calls the coordinator and the council over HTTP. Any of the servers forwards a request to the
+// leader.
 type Client struct {
 	baseURLs  []string
-	preferred *atomic.Int64 // the one that is asked first
+	preferred *atomic.Int64 // index, modulo their number, of the URL to try first
 	client    *http.Client
 }
 
-// NewClient names a coordinator by its address, or the addresses of all who know it; nothing is sent yet.
+// NewClient returns a client for the servers at the given addresses. It does not connect yet.
 func NewClient(addresses ...string) Client {
 	c := Client{preferred: &atomic.Int64{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
 	for _, address := range addresses {
@@ -130,15 +131,15 @@
 	return c
 }
 
-// HasFallback tells whether there is another to ask where one does not answer.
+// HasFallback reports whether there is more than one server.
 func (c Client) HasFallback() bool { return len(c.baseURLs) > 1 }
 
-// rotate lets another be asked first.
+// rotate makes the next server the preferred one.
 func (c Client) rotate() { c.preferred.Add(1) }
 
 func (c Client) close() { c.client.CloseIdleConnections() }
 
-// post asks whoever answers.
+// post sends a request to the preferred server, and to the others in turn if that fails.
 func (c Client) post(ctx context.Context, path string, request, response any) (err error) {
 	for range c.baseURLs {
 		base := c.baseURLs[int(c.preferred.Load())%len(c.baseURLs)]
@@ -150,32 +151,32 @@
 	return err
 }
 
-// Move asks for moves.
+// Move requests moves.
 func (c Client) Move(ctx context.Context, moves []MoveRequest) error {
 	return c.post(ctx, "move", moves, nil)
 }
 
-// Abort asks to call a move off.
+// Abort requests that a tenant's move be aborted.
 func (c Client) Abort(ctx context.Context, m MoveRequest) error { return c.post(ctx, "abort", m, nil) }
 
-// State asks where moves stand.
+// State fetches the state of the coordinator and its moves.
 func (c Client) State(ctx context.Context) (s CoordinatorState, err error) {
 	err = c.post(ctx, "state", struct{}{}, &s)
 	return s, err
 }
 
-// Council asks how the council stands.
+// Council fetches the state of the council.
 func (c Client) Council(ctx context.Context) (s chamber.State, err error) {
 	err = c.post(ctx, "council/state", struct{}{}, &s)
 	return s, err
 }
 
-// ChangeCouncil asks for other voters.
+// ChangeCouncil requests a change of voters.
 func (c Client) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
 	return c.post(ctx, "council/change", change, nil)
 }
 
-// NewHTTPFill asks a store over HTTP.
+// NewHTTPFill returns a FillFunc that posts requests to a URL of the store.
 func NewHTTPFill(url string) FillFunc {
 	client := &http.Client{Timeout: fillTimeout}
 	return func(ctx context.Context, request FillRequest) error {
--- a/internal/membership/ledger.go
+++ b/internal/membership/ledger.go
@@ -16,26 +16,27 @@
 	"sedgespread/internal/store"
 )
 
-// recorder is where records are written down before they count.
+// recorder makes records durable and applies them.
 type recorder[R any] interface {
-	// record writes records down and has them applied, all or none. After chamber.ErrUnknown they may be yet.
+	// record makes records durable and applies them, all or none. After chamber.ErrUnknown they may
+	// still be applied later.
 	record(ctx context.Context, records []R) error
-	// isActing tells whether whoever is here decides just now, and nobody else.
+	// isActing reports whether this process is the only one that may propose records now.
 	isActing() bool
-	// voterID is whose ledger this is, 0 for one without fellows.
+	// voterID returns the ID of this voter, 0 if there is no council.
 	voterID() council.VoterID
-	// onLeader lets a handler answer where whoever decides is.
+	// onLeader returns a handler that runs h on the leader, forwarding requests if need be.
 	onLeader(h http.Handler) http.Handler
 }
 
-// proposer are made one at a time, each on what all before it have come to.
+// proposer serializes proposals: each is made on the state that results from all earlier ones.
 type proposer[R any] struct {
 	recorder  recorder[R]
-	proposeMu sync.Mutex // from what is proposed until it counts
+	proposeMu sync.Mutex // held from proposing until the records are applied
 }
 
-// propose has what a function proposes written down, and returns once it counts. The function runs with the lock held that
-// guards what it looks at. Nothing proposed is nothing done.
+// propose records what makeRecords returns, and returns once that is applied. makeRecords runs with mu
+// held. It reports whether there was anything to record.
 func (p *proposer[R]) propose(ctx context.Context, mu *sync.Mutex, makeRecords func() ([]R, error)) (recorded bool, err error) {
 	p.proposeMu.Lock()
 	defer p.proposeMu.Unlock()
@@ -51,7 +52,7 @@
 	return true, p.recorder.record(ctx, records)
 }
 
-// runPeriodically takes a step every little while until the context ends.
+// runPeriodically calls step at every stepInterval until the context ends.
 func runPeriodically(ctx context.Context, step func(ctx context.Context)) {
 	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
@@ -65,11 +66,11 @@
 	}
 }
 
-// journalRecorder is the ledger of a coordinator without fellows: a journal of its own.
+// journalRecorder writes the records of a single coordinator to a local journal.
 type journalRecorder struct {
 	server  *CoordinatorServer
 	journal *store.Journal
-	lastErr error // it could not be written last
+	lastErr error // of the last write
 }
 
 func (j *journalRecorder) isActing() bool { return true }
@@ -89,7 +90,7 @@
 	}
 	err := j.journal.Append(texts...)
 	if (err == nil) != (j.lastErr == nil) {
-		j.server.log.WithField("error", err).Warn("the journal can be written, or not")
+		j.server.log.WithField("error", err).Warn("writing the journal started or stopped failing")
 	}
 	if j.lastErr = err; err != nil {
 		return fmt.Errorf("nothing was changed: %w", err)
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// councilRecorder is a ledger that is a council's log, for one of its machines.
+// councilRecorder replicates the records of one state machine through the council's log.
 type councilRecorder[R any] struct {
 	chamber          *chamber.Server
 	stateMachineName string
@@ -122,8 +123,8 @@
 	return c.chamber.Record(ctx, c.stateMachineName, records)
 }
 
-// applyRecords applies records that the council has agreed on, up to the first that does not follow from those before: it was
-// proposed by one that did not know what another had recorded meanwhile. It counts at no voter.
+// applyRecords applies committed records up to the first invalid one. A record is invalid if its
+// proposer did not know of records committed meanwhile; all voters then skip it alike.
 func applyRecords[R any](data []byte, apply func(R) error) error {
 	var records []R
 	err := json.Unmarshal(data, &records)
@@ -135,29 +136,30 @@
 	return err
 }
 
-// CoordinatorStateMachineName is what the coordinator's records are marked with in a council's log.
+// CoordinatorStateMachineName marks the coordinator's records in the council's log.
 const CoordinatorStateMachineName = "cells"
 
-// CoordinatorStateMachine is the chair as a machine on a council's log. It takes records in at every voter and decides at one.
+// CoordinatorStateMachine adapts a CoordinatorServer to the council: every voter applies its records,
+// and the leader proposes them.
 type CoordinatorStateMachine struct{ server *CoordinatorServer }
 
-// Apply takes in records that the council has agreed on.
+// Apply applies committed records.
 func (m CoordinatorStateMachine) Apply(data []byte) {
 	m.server.mu.Lock()
 	defer m.server.mu.Unlock()
 	if err := applyRecords(data, m.server.apply); err != nil {
-		m.server.log.WithError(err).Info("a record does not count")
+		m.server.log.WithError(err).Info("skipped an invalid record of the coordinator")
 	}
 }
 
-// Snapshot is all that was recorded.
+// Snapshot returns the state that results from all applied records.
 func (m CoordinatorStateMachine) Snapshot() ([]byte, error) {
 	m.server.mu.Lock()
 	defer m.server.mu.Unlock()
 	return json.Marshal(m.server.coordinator.Snapshot())
 }
 
-// Restore takes over a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (m CoordinatorStateMachine) Restore(data []byte) error {
 	var snapshot cells.Snapshot
 	if err := json.Unmarshal(data, &snapshot); err != nil {
@@ -170,11 +172,11 @@
 	return nil
 }
 
-// Lead begins to decide.
+// Lead makes this voter the one that proposes.
 func (m CoordinatorStateMachine) Lead() {
 	m.server.mu.Lock()
 	defer m.server.mu.Unlock()
 	m.server.coordinator.TakeOver(m.server.now())
 	m.server.requestedFills = map[cells.Tenant]cells.Epoch{}
-	m.server.log.WithFields(logrus.Fields{"epoch": m.server.coordinator.Directory().LatestEpoch(), "drivers": len(m.server.coordinator.Drivers())}).Info("coordinates")
+	m.server.log.WithFields(logrus.Fields{"epoch": m.server.coordinator.Directory().LatestEpoch(), "drivers": len(m.server.coordinator.Drivers())}).Info("acting as coordinator")
 }
