--- a/internal/membership/chair_test.go
+++ b/internal/membership/chair_test.go
@@ -18,108 +18,108 @@
 	"sedgespread/rules"
 )
 
-func quiet() logrus.FieldLogger {
+func newDiscardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func book() *cells.Directory {
+func newTestDirectory() *cells.Directory {
 	l := cells.NewLayout(1)
 	l.Add("old", cells.Groups{1}, 1, 0, "")
 	l.Add("new", cells.Groups{2}, 0, 0, "")
 	return cells.NewDirectory(l, nil)
 }
 
-// idle is a driver without RPCs.
-type idle struct {
-	mu   sync.Mutex
-	gate *cells.AdmissionController
+// idleDriver is a driver without RPCs.
+type idleDriver struct {
+	mu        sync.Mutex
+	admission *cells.AdmissionController
 }
 
-func newIdle() *idle {
-	y := cells.NewTenantResolver(nil, nil, nil, cells.DefaultNone, "t")
-	return &idle{gate: cells.NewAdmissionController(book(), y, nil, true, 1)}
+func newIdleDriver() *idleDriver {
+	resolver := cells.NewTenantResolver(nil, nil, nil, cells.DefaultNone, "t")
+	return &idleDriver{admission: cells.NewAdmissionController(newTestDirectory(), resolver, nil, true, 1)}
 }
 
-func (d *idle) Report(name string, incarnation uint64) (cells.Report, int64) {
+func (d *idleDriver) Report(name string, incarnation uint64) (cells.Report, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now().UnixNano()
-	return d.gate.Report(now, name, incarnation, func(rules.GroupID, int64) bool { return true }), now
+	return d.admission.Report(now, name, incarnation, func(rules.GroupID, int64) bool { return true }), now
 }
 
-func (d *idle) ReportGrant(asked int64, g cells.Grant) error {
+func (d *idleDriver) ReportGrant(asked int64, g cells.Grant) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, err := d.gate.ApplyGrant(asked, g)
+	_, err := d.admission.ApplyGrant(asked, g)
 	return err
 }
 
-func (d *idle) seat() cells.Placement {
+func (d *idleDriver) placement() cells.Placement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gate.Directory().Placement("t")
+	return d.admission.Directory().Placement("t")
 }
 
-// Guards against a coordinator that dies between any two records: the next one goes on from there, the store is asked for
-// each step, and the drivers end up where the coordinator does.
-func TestACoordinatorThatDiesAfterEachRecord(t *testing.T) {
+// A coordinator restarted after any record must resume the move, repeat failed fill requests and bring
+// the drivers to its own state.
+func TestCoordinatorRestartsAfterEachRecord(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	address := at.Addr().String()
-	at.Close()
+	address := listener.Addr().String()
+	listener.Close()
 	var mu sync.Mutex
 	steps := map[string]int{}
-	fill := func(_ context.Context, f FillRequest) error {
+	fill := func(_ context.Context, agent FillRequest) error {
 		mu.Lock()
 		defer mu.Unlock()
-		if steps[f.Step]++; steps[f.Step] == 1 {
-			return errors.New("not now")
+		if steps[agent.Step]++; steps[agent.Step] == 1 {
+			return errors.New("store unavailable")
 		}
 		return nil
 	}
 	start := func() (*CoordinatorServer, func()) {
-		j, err := store.Open(path)
+		journal, err := store.Open(path)
 		require.NoError(t, err)
-		h, err := NewCoordinatorServer(book(), j, 300*time.Millisecond, 10*time.Second, fill, quiet())
+		server, err := NewCoordinatorServer(newTestDirectory(), journal, 300*time.Millisecond, 10*time.Second, fill, newDiscardLogger())
 		require.NoError(t, err)
 		l, err := net.Listen("tcp", address)
 		require.NoError(t, err)
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
 		done.Add(2)
-		go func() { defer done.Done(); h.Run(ctx) }()
-		go func() { defer done.Done(); h.Serve(ctx, l) }()
-		return h, func() { stop(); done.Wait(); j.Close() }
+		go func() { defer done.Done(); server.Run(ctx) }()
+		go func() { defer done.Done(); server.Serve(ctx, l) }()
+		return server, func() { stop(); done.Wait(); journal.Close() }
 	}
-	h, stop := start()
-	ctx, end := context.WithCancel(context.Background())
-	var followers sync.WaitGroup
-	drivers := []*idle{newIdle(), newIdle()}
+	server, stop := start()
+	ctx, cancel := context.WithCancel(context.Background())
+	var agents sync.WaitGroup
+	drivers := []*idleDriver{newIdleDriver(), newIdleDriver()}
 	for i, d := range drivers {
-		followers.Add(1)
-		f := NewCellAgent([]string{address}, []string{"a", "b"}[i], 1, 300*time.Millisecond, d, quiet())
-		go func() { defer followers.Done(); f.Run(ctx) }()
+		agents.Add(1)
+		agent := NewCellAgent([]string{address}, []string{"a", "b"}[i], 1, 300*time.Millisecond, d, newDiscardLogger())
+		go func() { defer agents.Done(); agent.Run(ctx) }()
 	}
-	defer followers.Wait()
-	defer end()
-	eventually := func(what string, ok func() bool) {
-		for begun := time.Now(); !ok(); time.Sleep(time.Millisecond) {
-			require.Less(t, time.Since(begun), 10*time.Second, what)
+	defer agents.Wait()
+	defer cancel()
+	requireEventually := func(message string, condition func() bool) {
+		for startedAt := time.Now(); !condition(); time.Sleep(time.Millisecond) {
+			require.Less(t, time.Since(startedAt), 10*time.Second, message)
 		}
 	}
-	c := NewClient(address)
-	defer c.close()
-	eventually("the drivers are known", func() bool { return len(h.State().Drivers) == 2 })
-	require.NoError(t, c.Move(ctx, []MoveRequest{{Tenant: "t", To: "new", Reason: "test"}}))
-	require.ErrorContains(t, c.Move(ctx, []MoveRequest{{Tenant: "t", To: "new"}}), "is being moved")
-	epoch, deaths := cells.Epoch(0), 0
+	client := NewClient(address)
+	defer client.close()
+	requireEventually("drivers are not registered", func() bool { return len(server.State().Drivers) == 2 })
+	require.NoError(t, client.Move(ctx, []MoveRequest{{Tenant: "t", To: "new", Reason: "test"}}))
+	require.ErrorContains(t, client.Move(ctx, []MoveRequest{{Tenant: "t", To: "new"}}), "is being moved")
+	epoch, restarts := cells.Epoch(0), 0
 	for {
 		var entries []cells.Entry
-		eventually("the move goes on", func() bool {
-			entries = h.State().Entries
+		requireEventually("move does not advance", func() bool {
+			entries = server.State().Entries
 			return len(entries) == 1 && entries[0].Epoch > epoch
 		})
 		epoch = entries[0].Epoch
@@ -127,40 +127,40 @@
 			break
 		}
 		stop()
-		deaths++
-		h, stop = start()
-		require.GreaterOrEqual(t, h.State().Entries[0].Epoch, epoch, "nothing that was told is forgotten")
+		restarts++
+		server, stop = start()
+		require.GreaterOrEqual(t, server.State().Entries[0].Epoch, epoch, "published entry is lost")
 	}
 	defer func() { stop() }()
-	require.GreaterOrEqual(t, deaths, 4)
+	require.GreaterOrEqual(t, restarts, 4)
 	for _, d := range drivers {
-		eventually("the drivers follow", func() bool { return d.seat().Stage == cells.StageIdle })
-		require.Equal(t, "new", drivers[0].gate.Layout().Name(d.seat().Cell))
-		require.NotZero(t, d.seat().MinPosition)
+		requireEventually("driver does not complete the move", func() bool { return d.placement().Stage == cells.StageIdle })
+		require.Equal(t, "new", drivers[0].admission.Layout().Name(d.placement().Cell))
+		require.NotZero(t, d.placement().MinPosition)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	require.GreaterOrEqual(t, steps["begin"], 2, "asked again after it failed")
+	require.GreaterOrEqual(t, steps["begin"], 2, "request must be retried after a failure")
 	require.GreaterOrEqual(t, steps["end"], 2)
 	require.Zero(t, steps["drop"])
 }
 
-// Guards against two of one name: the older one gets no lease any more.
-func TestAnOlderStartGetsNoLease(t *testing.T) {
-	j, err := store.Open(filepath.Join(t.TempDir(), "journal"))
+// Of two drivers with one name the older incarnation must get no lease.
+func TestOlderIncarnationGetsNoLease(t *testing.T) {
+	journal, err := store.Open(filepath.Join(t.TempDir(), "journal"))
 	require.NoError(t, err)
-	defer j.Close()
-	h, err := NewCoordinatorServer(book(), j, time.Second, time.Second, nil, quiet())
+	defer journal.Close()
+	server, err := NewCoordinatorServer(newTestDirectory(), journal, time.Second, time.Second, nil, newDiscardLogger())
 	require.NoError(t, err)
 	renew := func(incarnation uint64, epoch cells.Epoch) int64 {
-		g, err := h.Renew(context.Background(), cells.Report{Driver: "a", Incarnation: incarnation, Epoch: epoch}, 0)
+		g, err := server.Renew(context.Background(), cells.Report{Driver: "a", Incarnation: incarnation, Epoch: epoch}, 0)
 		require.NoError(t, err)
 		return g.Lease
 	}
 	require.EqualValues(t, time.Second, renew(5, 0))
 	require.Zero(t, renew(4, 0))
 	require.EqualValues(t, time.Second, renew(6, 0))
-	require.Zero(t, renew(6, 9), "one that knows more than the coordinator: this is not its journal")
-	_, err = h.Renew(context.Background(), cells.Report{}, 0)
+	require.Zero(t, renew(6, 9), "driver is ahead of the coordinator's journal")
+	_, err = server.Renew(context.Background(), cells.Report{}, 0)
 	require.ErrorContains(t, err, "needs a name")
 }
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -1,6 +1,5 @@
-// Package gossip lets drivers hear of one another beside the council, on memberlist (SWIM): each probes a fellow now and then,
-// itself and through others, and what it finds spreads from one to the next. What a driver does not hear it tells the council as
-// evidence; what follows from it is decided in packages roster and versions. Nothing that must not happen rests on it.
+// Package gossip detects unreachable drivers with memberlist (SWIM), independently of the council. Drivers
+// report them to the council, which treats the reports as hints: correctness does not depend on them.
 package gossip
 
 import (
@@ -16,69 +15,71 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Gossiper is a driver among its fellows.
+// Gossiper is a driver's participation in the gossip.
 type Gossiper struct {
-	list    *memberlist.Memberlist
-	fellows []string
-	probe   time.Duration
-	log     logrus.FieldLogger
-
-	mu     sync.Mutex
-	leaves bool
-	lost   map[string]bool // fellows that were heard, and are not any more though they did not say that they leave
+	list          *memberlist.Memberlist
+	seeds         []string
+	probeInterval time.Duration
+	log           logrus.FieldLogger
+
+	mu        sync.Mutex
+	isLeaving bool
+	lost      map[string]bool // peers that became unreachable without announcing that they leave
 }
 
 const (
-	leaving     = "leaves" // what one that leaves says of itself
-	leaveWithin = 300 * time.Millisecond
-	suspicion   = 4 // as memberlist counts: probes, times the logarithm of the fleet's size, until one that is suspected is lost
-	gossipShare = 5 // messages go out so often in the time of a probe
-	reclaimed   = 2 // a name may be had from another address after so many probes
+	leavingMeta         = "leaves" // node metadata of a driver that leaves
+	leaveTimeout        = 300 * time.Millisecond
+	suspicionMultiplier = 4 // memberlist's SuspicionMult
+	gossipsPerProbe     = 5 // gossip rounds per probe interval
+	nameReclaimProbes   = 2 // probe intervals until a dead driver's name may be used at another address
 )
 
-// Listen begins to answer fellows at an address, by TCP and UDP. A probe is sent each time that probe has passed.
-func Listen(name, at string, fellows []string, probe time.Duration, log logrus.FieldLogger) (*Gossiper, error) {
-	host, digits, err := net.SplitHostPort(at)
+// Listen begins to answer peers at an address, over TCP and UDP, and to probe them at an interval. Run
+// then joins the seeds.
+func Listen(name, address string, seeds []string, probeInterval time.Duration, log logrus.FieldLogger) (*Gossiper, error) {
+	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	port, err := strconv.Atoi(digits)
+	port, err := strconv.Atoi(portText)
 	if err != nil {
 		return nil, err
 	}
-	r := &Gossiper{fellows: slices.DeleteFunc(slices.Clone(fellows), func(f string) bool { return f == at }), probe: probe, log: log, lost: map[string]bool{}}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = name, host, port, host, port
-	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval, c.SuspicionMult = probe, probe/2, probe/gossipShare, suspicion
-	c.DeadNodeReclaimTime, c.EnableCompression = reclaimed*probe, false
-	c.Events, c.Conflict, c.Delegate, c.LogOutput = r, r, word{r}, io.Discard
-	r.list, err = memberlist.Create(c)
-	return r, err
+	g := &Gossiper{seeds: slices.DeleteFunc(slices.Clone(seeds), func(f string) bool { return f == address }), probeInterval: probeInterval, log: log, lost: map[string]bool{}}
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.BindAddr, config.BindPort, config.AdvertiseAddr, config.AdvertisePort = name, host, port, host, port
+	config.ProbeInterval, config.ProbeTimeout, config.GossipInterval, config.SuspicionMult = probeInterval, probeInterval/2, probeInterval/gossipsPerProbe, suspicionMultiplier
+	config.DeadNodeReclaimTime, config.EnableCompression = nameReclaimProbes*probeInterval, false
+	config.Events, config.Conflict, config.Delegate, config.LogOutput = g, g, nodeDelegate{g}, io.Discard
+	g.list, err = memberlist.Create(config)
+	return g, err
 }
 
-// Run looks for fellows until the context ends, and then says that this driver leaves.
-func (r *Gossiper) Run(ctx context.Context) {
-	r.look(ctx)
-	r.leave()
-	r.list.Shutdown()
+// Run joins the seeds until the context ends, and then announces that this driver leaves.
+func (g *Gossiper) Run(ctx context.Context) {
+	g.keepJoined(ctx)
+	g.leave()
+	g.list.Shutdown()
 }
 
-// leave says that this driver leaves: memberlist alone does not tell fellows who has left from who has died.
-func (r *Gossiper) leave() {
-	r.mu.Lock()
-	r.leaves = true
-	r.mu.Unlock()
-	r.list.UpdateNode(leaveWithin)
-	r.list.Leave(leaveWithin)
+// leave announces that this driver leaves. The metadata is needed because memberlist notifies peers alike
+// of nodes that left and nodes that died.
+func (g *Gossiper) leave() {
+	g.mu.Lock()
+	g.isLeaving = true
+	g.mu.Unlock()
+	g.list.UpdateNode(leaveTimeout)
+	g.list.Leave(leaveTimeout)
 }
 
-// look looks for fellows until some was reached, and again whenever there is none.
-func (r *Gossiper) look(ctx context.Context) {
-	tick := time.NewTicker(r.probe)
+// keepJoined joins the seeds whenever no peer is known.
+func (g *Gossiper) keepJoined(ctx context.Context) {
+	tick := time.NewTicker(g.probeInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		if len(r.fellows) > 0 && r.list.NumMembers() < 2 {
-			r.list.Join(r.fellows) // whoever can't be reached is asked again
+		if len(g.seeds) > 0 && g.list.NumMembers() < 2 {
+			g.list.Join(g.seeds) // unreachable seeds are retried
 		}
 		select {
 		case <-ctx.Done():
@@ -87,64 +88,64 @@
 	}
 }
 
-// Unheard are the fellows that were heard and are not any more, in order.
-func (r *Gossiper) Unheard() (names []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for name := range r.lost {
+// Unheard returns the peers that have become unreachable, sorted.
+func (g *Gossiper) Unheard() (names []string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for name := range g.lost {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// NotifyJoin takes in that a fellow is heard.
-func (r *Gossiper) NotifyJoin(n *memberlist.Node) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.lost, n.Name)
+// NotifyJoin marks a peer as reachable.
+func (g *Gossiper) NotifyJoin(n *memberlist.Node) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.lost, n.Name)
 }
 
-// NotifyLeave takes in that a fellow has left, or is not heard any more.
-func (r *Gossiper) NotifyLeave(n *memberlist.Node) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if string(n.Meta) == leaving {
-		delete(r.lost, n.Name)
+// NotifyLeave marks a peer as unreachable, unless it has announced that it leaves.
+func (g *Gossiper) NotifyLeave(n *memberlist.Node) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if string(n.Meta) == leavingMeta {
+		delete(g.lost, n.Name)
 		return
 	}
-	r.lost[n.Name] = true
+	g.lost[n.Name] = true
 }
 
-// NotifyUpdate does nothing: nobody tells more than its name.
-func (r *Gossiper) NotifyUpdate(*memberlist.Node) {}
+// NotifyUpdate does nothing: changes of metadata are evaluated in NotifyLeave.
+func (g *Gossiper) NotifyUpdate(*memberlist.Node) {}
 
-// NotifyConflict takes in that two fellows say that they have one name. Which of them has it is the council's to say.
-func (r *Gossiper) NotifyConflict(existing, other *memberlist.Node) {
-	r.log.WithFields(logrus.Fields{"of": existing.Name, "at": existing.Address(), "other": other.Address()}).Warn("two drivers have one name")
+// NotifyConflict logs that two peers use one name. The council decides which of them owns it.
+func (g *Gossiper) NotifyConflict(existing, other *memberlist.Node) {
+	g.log.WithFields(logrus.Fields{"of": existing.Name, "at": existing.Address(), "other": other.Address()}).Warn("two drivers use the same name")
 }
 
-// word is what a driver says of itself with its name: nothing, but that it leaves.
-type word struct{ r *Gossiper }
+// nodeDelegate provides the node metadata, which is empty until the driver leaves.
+type nodeDelegate struct{ gossiper *Gossiper }
 
-// NodeMeta is what fellows are told.
-func (w word) NodeMeta(int) []byte {
-	w.r.mu.Lock()
-	defer w.r.mu.Unlock()
-	if w.r.leaves {
-		return []byte(leaving)
+// NodeMeta returns the metadata sent to peers.
+func (d nodeDelegate) NodeMeta(int) []byte {
+	d.gossiper.mu.Lock()
+	defer d.gossiper.mu.Unlock()
+	if d.gossiper.isLeaving {
+		return []byte(leavingMeta)
 	}
 	return nil
 }
 
-// NotifyMsg does nothing: no messages are sent.
-func (word) NotifyMsg([]byte) {}
+// NotifyMsg does nothing: there are no user messages.
+func (nodeDelegate) NotifyMsg([]byte) {}
 
-// GetBroadcasts gives nothing.
-func (word) GetBroadcasts(int, int) [][]byte { return nil }
+// GetBroadcasts returns nothing: there are no user messages.
+func (nodeDelegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState gives nothing.
-func (word) LocalState(bool) []byte { return nil }
+// LocalState returns nothing: no state is exchanged.
+func (nodeDelegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState takes nothing.
-func (word) MergeRemoteState([]byte, bool) {}
+// MergeRemoteState does nothing: no state is exchanged.
+func (nodeDelegate) MergeRemoteState([]byte, bool) {}
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -19,8 +19,8 @@
 	"sedgespread/internal/versions"
 )
 
-// FleetServer is the fleet as a machine on the council's log: which drivers there are, and which versions they act on. It takes
-// records in at every voter and decides at one.
+// FleetServer registers drivers and rolls out versions to them. It is a state machine of the council:
+// every voter applies its records, and the leader proposes them.
 type FleetServer struct {
 	proposer[fleetRecord]
 	log    logrus.FieldLogger
@@ -30,76 +30,76 @@
 	mu               sync.Mutex
 	roster           *roster.Roster
 	versions         *versions.Ledger
-	changed          changeSignal      // rings at the next step of a version
-	trails           *audit.Collection // that drivers told while this voter decided
-	unknownRecords   []json.RawMessage // records of a newer build
-	pacer            *versions.Pacer   // of texts
-	trailStore       *shelf.Shelf      // where trails are kept, nil for nowhere
-	storeFailedAt    int64             // when they could not be written last, 0 where all are
-	lastShutOutError string            // why stragglers are not shut out, as told last
-	observedAt       int64             // when what drivers act on by themselves was looked at last
-	observed         []versions.Spread // as it was then
+	changed          changeSignal      // on each new stage of a version
+	trails           *audit.Collection // received while this voter was the leader
+	unknownRecords   []json.RawMessage // with fields that only newer builds know
+	pacer            *versions.Pacer   // limits the rate of version texts sent
+	trailStore       *shelf.Shelf      // nil to keep trails in memory only
+	storeFailedAt    int64             // when writing trailStore last failed, 0 if all is written
+	lastShutOutError string            // last logged, to log each error once
+	observedAt       int64             // time of observed and suspicions
+	observed         []versions.Spread // versions that the council does not decide
 	diverged         map[versions.Thing]bool
-	suspicions       []roster.Suspicion // as they were then
+	suspicions       []roster.Suspicion
 	silentDrivers    map[string]bool
 }
 
-// FleetStateMachineName is what the fleet's records are marked with in a council's log.
+// FleetStateMachineName marks the fleet's records in the council's log.
 const FleetStateMachineName = "fleet"
 
-// FleetConfig are what the operator's file says of the fleet.
+// FleetConfig holds the fleet's settings.
 type FleetConfig struct {
 	Lease           time.Duration
-	ForgetAfter     time.Duration // a driver that was not heard for so long after its lease is gone
-	MaxShutOutShare float64       // the part of the drivers that may be shut out at once
+	ForgetAfter     time.Duration // after the end of its lease a driver counts as gone
+	MaxShutOutShare float64       // of the drivers, at any time
 }
 
-// fleetRecord is one of the two.
+// fleetRecord is a record of the roster or of a version; exactly one is set.
 type fleetRecord struct {
 	Roster  *roster.Record   `json:"roster,omitempty"`
 	Version *versions.Record `json:"version,omitempty"`
 }
 
-// Texts are told to drivers at so many bytes a second, and those at once that are due in so long.
+// Rate limit for version texts sent to drivers, and the burst it allows.
 const (
 	textBytesPerSecond = 32e6
 	textBurstDuration  = int64(20 * time.Millisecond)
 )
 
-// leaseMarginDivisor is the part of a lease by which it is waited for longer than it lasts: clocks differ in rate by less.
+// leaseMarginDivisor sets the margin added to leases, lease/leaseMarginDivisor, for clock drift.
 const leaseMarginDivisor = 50
 
-// NewFleetServer makes the fleet's machine; Join is its place in the council.
+// NewFleetServer returns a server without drivers. Call AttachCouncil before serving.
 func NewFleetServer(config FleetConfig, log logrus.FieldLogger) *FleetServer {
 	return &FleetServer{log: log, clock: clock.New(), config: config, changed: newChangeSignal(), versions: versions.NewLedger(),
 		diverged: map[versions.Thing]bool{}, trails: audit.NewCollection(maxEntriesPerStart), pacer: versions.NewPacer(textBytesPerSecond, textBurstDuration),
 		roster: roster.New(int64(config.Lease), int64(config.Lease)/leaseMarginDivisor, int64(config.ForgetAfter))}
 }
 
-// AttachCouncil says where the council is, before anything is asked of the registration.
+// AttachCouncil sets the council's server. It is called before the first request.
 func (s *FleetServer) AttachCouncil(c *chamber.Server) {
 	s.proposer.recorder = councilRecorder[fleetRecord]{c, FleetStateMachineName}
 }
 
 func (s *FleetServer) now() int64 { return s.clock.Now() }
 
-// Apply takes in records that the council has agreed on.
+// Apply applies committed records.
 func (s *FleetServer) Apply(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := applyRecords(data, s.apply); err != nil {
-		s.log.WithError(err).Info("a record does not count")
+		s.log.WithError(err).Info("skipped an invalid record of the fleet")
 	}
 	if !hasOnlyKnownFields(data) && len(s.unknownRecords) < maxUnknownRecords {
 		s.unknownRecords = append(s.unknownRecords, slices.Clone(data))
 	}
 }
 
-// maxUnknownRecords is how many records of a newer build are kept whole.
+// maxUnknownRecords limits the records kept for newer builds.
 const maxUnknownRecords = 4096
 
-// hasOnlyKnownFields tells whether this build knows every field of some records. Those of which it does not are kept as they came,
-// for the newer build that will read the next snapshot.
+// hasOnlyKnownFields reports whether this build knows every field of the records. Others are kept
+// verbatim for a newer build that reads the next snapshot.
 func hasOnlyKnownFields(data []byte) bool {
 	var records []fleetRecord
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -107,7 +107,7 @@
 	return d.Decode(&records) == nil
 }
 
-// apply lets a record count. The lock is held.
+// apply applies a committed record. The lock is held.
 func (s *FleetServer) apply(record fleetRecord) error {
 	if rosterRecord := record.Roster; rosterRecord != nil {
 		if err := s.roster.Apply(s.now(), *rosterRecord); err != nil {
@@ -122,26 +122,26 @@
 		return err
 	}
 	version := &record.Version.Version
-	s.log.WithFields(logrus.Fields{"thing": version.Thing, "version": version.Number, "stage": version.Stage, "epoch": version.Epoch, "why": version.Why}).Info("version")
+	s.log.WithFields(logrus.Fields{"thing": version.Thing, "version": version.Number, "stage": version.Stage, "epoch": version.Epoch, "why": version.Why}).Info("version changed stage")
 	s.changed.broadcast()
 	return nil
 }
 
-// fleetSnapshot is all that was recorded.
+// fleetSnapshot is the state that results from all applied records.
 type fleetSnapshot struct {
 	Roster         roster.Snapshot   `json:"roster"`
 	Versions       versions.Past     `json:"versions"`
-	UnknownRecords []json.RawMessage `json:"strange,omitempty"` // records of which the build that wrote this did not know all
+	UnknownRecords []json.RawMessage `json:"strange,omitempty"` // with fields that the writing build did not know
 }
 
-// Snapshot is all that was recorded.
+// Snapshot returns the state that results from all applied records.
 func (s *FleetServer) Snapshot() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return json.Marshal(fleetSnapshot{s.roster.Snapshot(), s.versions.Past(), s.unknownRecords})
 }
 
-// Restore takes over a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (s *FleetServer) Restore(data []byte) error {
 	var snapshot fleetSnapshot
 	if err := json.Unmarshal(data, &snapshot); err != nil {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// Lead begins to decide.
+// Lead makes this voter the one that proposes.
 func (s *FleetServer) Lead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,10 +164,10 @@
 	s.versions.TakeOver()
 }
 
-// Run takes versions on until the context ends.
+// Run advances versions and expires drivers until the context ends.
 func (s *FleetServer) Run(ctx context.Context) { runPeriodically(ctx, s.step) }
 
-// step takes all on as far as it can go now.
+// step advances versions and driver states as far as possible.
 func (s *FleetServer) step(ctx context.Context) {
 	if s.proposer.recorder.isActing() {
 		s.mu.Lock()
@@ -203,7 +203,8 @@
 	return all
 }
 
-// presentDrivers is all drivers as versions see them. The lock is held.
+// presentDrivers returns all drivers and superseded starts in the form package versions uses. The lock
+// is held.
 func (s *FleetServer) presentDrivers() (all []versions.Present) {
 	now := s.now()
 	for _, driver := range s.roster.Drivers() {
@@ -220,8 +221,9 @@
 	return versions.Sign{Name: d.Name, Start: uint64(d.Start)}
 }
 
-// proposeShutOuts proposes to shut out who has held a version back for too long, unless that were too many: then the version is
-// to blame, and nothing happens until a person sees to it. The lock is held.
+// proposeShutOuts proposes to shut out drivers that have held back a version for too long. If they are
+// too many, the version is probably at fault: it logs an error and waits for an operator. The lock is
+// held.
 func (s *FleetServer) proposeShutOuts(present []versions.Present) []roster.Record {
 	for _, behind := range s.versions.Behind(s.now(), present) {
 		if !behind.Over {
@@ -241,7 +243,7 @@
 		if err != nil && s.lastShutOutError != err.Error() {
 			s.lastShutOutError = err.Error()
 			s.log.WithError(err).WithFields(logrus.Fields{"thing": behind.Thing, "version": behind.Number, "stage": behind.Stage, "by": names}).
-				Error("a version is held back by too many to shut them out: call it off, or see to them")
+				Error("too many drivers hold back a version to shut them all out; call the version off or repair the drivers")
 		}
 	}
 	return nil
--- a/internal/membership/registration_observe.go
+++ b/internal/membership/registration_observe.go
@@ -8,11 +8,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// observeInterval is how often what drivers act on by themselves is looked at.
+// observeInterval is the minimum time between two observations.
 const observeInterval = int64(100 * time.Millisecond)
 
-// observeVersions sees what drivers act on that the council does not decide, and logs when some stay behind for longer than a lease, or
-// act on different things of one name, and when that is over. The lock is held.
+// observeVersions observes versions that the council does not decide. It logs when drivers begin or cease
+// to diverge: some lag for longer than a lease, or have different contents for one version. The lock is
+// held.
 func (s *FleetServer) observeVersions() {
 	now := s.now()
 	if now-s.observedAt < observeInterval {
@@ -31,13 +32,13 @@
 		if diverged := late > 0 || spread.Forked; diverged != s.diverged[spread.Thing] {
 			s.diverged[spread.Thing] = diverged
 			s.log.WithFields(logrus.Fields{"thing": spread.Thing, "newest": spread.Groups[0].Number, "kinds": len(spread.Groups), "late": late, "forked": spread.Forked}).
-				Warn(map[bool]string{true: "drivers act on different versions", false: "drivers act on one version again"}[diverged])
+				Warn(map[bool]string{true: "drivers use different versions", false: "drivers use the same version again"}[diverged])
 		}
 	}
 }
 
-// updateSuspicions takes stock of whom fellows do not hear, and logs when that has become most of them, and when it is over. The lock is
-// held.
+// updateSuspicions updates which drivers are unreachable for most of their peers, and logs changes. The
+// lock is held.
 func (s *FleetServer) updateSuspicions(now int64) {
 	s.suspicions = s.roster.Suspicions(now)
 	silent := map[string]bool{}
@@ -46,12 +47,12 @@
 			continue
 		}
 		if silent[suspicion.Name] = true; !s.silentDrivers[suspicion.Name] {
-			s.log.WithFields(logrus.Fields{"of": suspicion.Name, "start": suspicion.Start, "by": len(suspicion.Reporters), "listeners": suspicion.Listeners}).Warn("fellows do not hear a driver")
+			s.log.WithFields(logrus.Fields{"of": suspicion.Name, "start": suspicion.Start, "by": len(suspicion.Reporters), "listeners": suspicion.Listeners}).Warn("driver is unreachable for most of its peers")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.silentDrivers)) {
 		if !silent[name] {
-			s.log.WithField("of", name).Info("a driver is heard by its fellows again, or is gone")
+			s.log.WithField("of", name).Info("driver is reachable again, or gone")
 		}
 	}
 	s.silentDrivers = silent
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -13,10 +13,10 @@
 	"sedgespread/internal/versions"
 )
 
-// refusedHTTPError is one of the roster's as it is told over HTTP.
+// refusedHTTPError adds an HTTP status to a RefusedError.
 type refusedHTTPError struct{ *roster.RefusedError }
 
-// Status tells whether asking for a number would help.
+// Status returns 409 if the start should register again, and else 403.
 func (r refusedHTTPError) Status() int {
 	if r.ShouldRejoin {
 		return http.StatusConflict
@@ -32,13 +32,13 @@
 	return err
 }
 
-// joinRequest is what a start asks first: without a number for one, and with it to take it.
+// joinRequest asks for a start number, or confirms the one it contains.
 type joinRequest struct {
 	Claim roster.Claim       `json:"claim"`
 	Start roster.StartNumber `json:"start"`
 }
 
-// Join offers a start its number, or lets it take it.
+// join offers a start its number, or confirms it.
 func (s *FleetServer) join(ctx context.Context, request joinRequest) (roster.StartNumber, error) {
 	s.mu.Lock()
 	offered, err := s.roster.Offer(request.Claim)
@@ -53,35 +53,36 @@
 	return request.Start, err
 }
 
-// leaseRequest is what a driver asks a lease with.
+// leaseRequest is a driver's request to renew its lease, or to leave.
 type leaseRequest struct {
 	Name      string              `json:"name"`
 	Token     string              `json:"token"`
 	Sightings []versions.Sighting `json:"seen"`
 	WaitMs    int64               `json:"wait_ms"`
-	Gossip    *gossipReport       `json:"hears,omitempty"` // nil where drivers do not gossip
+	Gossip    *gossipReport       `json:"hears,omitempty"` // nil without gossip
 	Trails    []audit.Part        `json:"trails,omitempty"`
 }
 
-// gossipReport is whom a driver does not hear of those that it did.
+// gossipReport lists the peers that have become unreachable for a driver.
 type gossipReport struct {
 	Unheard []string `json:"unheard,omitempty"`
 }
 
-// leaseResponse is what it gets.
+// leaseResponse is the answer to a renewal.
 type leaseResponse struct {
 	versions.Grant
-	StoredTrailSeq uint64 `json:"held"` // entry up to which the start's trail is held here
+	StoredTrailSeq uint64 `json:"held"` // last entry that the voter holds of the start's trail
 }
 
-// renew gives a lease, at once where there are orders and else once something has changed or the wait is over.
+// renew grants a lease. It answers at once if there are orders, and else on the next change or at the end
+// of the wait.
 func (s *FleetServer) renew(ctx context.Context, request leaseRequest) (leaseResponse, error) {
 	s.mu.Lock()
 	if !s.proposer.recorder.isActing() {
 		s.mu.Unlock()
 		return leaseResponse{}, chamber.ErrNotLeading
 	}
-	s.storeTrails(request.Trails, false) // also of a start that gets no lease any more
+	s.storeTrails(request.Trails, false) // even if the lease is refused
 	if err := s.roster.RenewLease(s.now(), request.Name, request.Token); err != nil {
 		s.mu.Unlock()
 		return leaseResponse{}, withHTTPStatus(err)
@@ -106,14 +107,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	response.Orders = s.versions.Orders(startIdentity(driver))
-	if s.textDelay(startIdentity(driver), response.Orders) > 0 { // it asks again at once, and is told when
+	if s.textDelay(startIdentity(driver), response.Orders) > 0 { // the next request is answered with the delay
 		response.Orders = nil
 	}
 	return response, nil
 }
 
-// textDelay is after how long a driver should ask again for texts that it needs, 0 where it may have them now. A driver that
-// has a lease keeps it meanwhile. The lock is held.
+// textDelay returns after how long a driver should request its texts again, 0 if they may be sent now.
+// Its current lease stays valid meanwhile. The lock is held.
 func (s *FleetServer) textDelay(who versions.Sign, orders []versions.Order) (wait int64) {
 	bytes := 0
 	for _, order := range orders {
@@ -125,7 +126,7 @@
 	return s.pacer.Turn(s.now(), who, bytes)
 }
 
-// leave takes in that a driver leaves, with what is left to tell of its trail.
+// leave records that a driver leaves, and stores the rest of its trail.
 func (s *FleetServer) leave(ctx context.Context, request leaseRequest) error {
 	_, err := s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
 		s.storeTrails(request.Trails, true)
@@ -134,7 +135,7 @@
 	return err
 }
 
-// Handle lets the registration answer drivers and operators, or pass on what they ask to the one that decides.
+// Handle registers the handlers for drivers and operators. All but that for trails run on the leader.
 func (s *FleetServer) Handle(mux *http.ServeMux) {
 	handle := func(path string, handler http.HandlerFunc) {
 		mux.Handle("POST /v1/fleet/"+path, s.proposer.recorder.onLeader(handler))
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -20,229 +20,229 @@
 	"sedgespread/internal/versions"
 )
 
-// testCouncil is a council of one voter with a fleet's machine.
+// testCouncil is a council of one voter with a FleetServer.
 type testCouncil struct {
-	t            *testing.T
-	at           string
-	disk         string
-	terms        FleetConfig
-	registration *FleetServer
-	stop         func()
+	t        *testing.T
+	address  string
+	diskPath string
+	config   FleetConfig
+	server   *FleetServer
+	stop     func()
 }
 
-func newTestCouncil(t *testing.T, most float64) *testCouncil {
-	at, err := net.Listen("tcp", "127.0.0.2:0")
+func newTestCouncil(t *testing.T, maxShutOutShare float64) *testCouncil {
+	listener, err := net.Listen("tcp", "127.0.0.2:0")
 	require.NoError(t, err)
-	at.Close()
-	c := &testCouncil{t: t, at: at.Addr().String(), disk: filepath.Join(t.TempDir(), "disk"),
-		terms: FleetConfig{Lease: 400 * time.Millisecond, ForgetAfter: time.Second, MaxShutOutShare: most}}
+	listener.Close()
+	c := &testCouncil{t: t, address: listener.Addr().String(), diskPath: filepath.Join(t.TempDir(), "disk"),
+		config: FleetConfig{Lease: 400 * time.Millisecond, ForgetAfter: time.Second, MaxShutOutShare: maxShutOutShare}}
 	c.start()
 	t.Cleanup(func() { c.stop() })
 	return c
 }
 
 func (c *testCouncil) start() {
-	c.registration = NewFleetServer(c.terms, quiet())
-	require.NoError(c.t, c.registration.OpenTrails(c.disk+".trails"))
-	pace := council.Timing{Tick: int64(5 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
-	k, err := chamber.Open(1, chamber.VoterAddresses{1: c.at}, false, c.disk, pace, map[string]chamber.StateMachine{FleetStateMachineName: c.registration}, quiet())
+	c.server = NewFleetServer(c.config, newDiscardLogger())
+	require.NoError(c.t, c.server.OpenTrails(c.diskPath+".trails"))
+	timing := council.Timing{Tick: int64(5 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
+	chamberServer, err := chamber.Open(1, chamber.VoterAddresses{1: c.address}, false, c.diskPath, timing, map[string]chamber.StateMachine{FleetStateMachineName: c.server}, newDiscardLogger())
 	require.NoError(c.t, err)
-	c.registration.AttachCouncil(k)
-	l, err := net.Listen("tcp", c.at)
+	c.server.AttachCouncil(chamberServer)
+	l, err := net.Listen("tcp", c.address)
 	require.NoError(c.t, err)
 	mux := http.NewServeMux()
-	c.registration.Handle(mux)
+	c.server.Handle(mux)
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(3)
-	go func() { defer done.Done(); k.Run(ctx) }()
-	go func() { defer done.Done(); c.registration.Run(ctx) }()
+	go func() { defer done.Done(); chamberServer.Run(ctx) }()
+	go func() { defer done.Done(); c.server.Run(ctx) }()
 	go func() { defer done.Done(); jsonhttp.Serve(ctx, l, mux) }()
 	c.stop = func() { stop(); done.Wait() }
 }
 
-// fakeDriver is a driver without RPCs but those that a test begins.
+// fakeDriver is a driver that serves only the RPCs that a test begins.
 type fakeDriver struct {
-	mu     sync.Mutex
-	holder *versions.Holder
-	trail  *audit.Trail
-	stuck  bool // it adopts nothing
-	texts  []string
+	mu           sync.Mutex
+	holder       *versions.Holder
+	trail        *audit.Trail
+	isStuck      bool // adopts no versions
+	adoptedTexts []string
 }
 
-func (s *fakeDriver) now() int64 { return time.Now().UnixNano() }
+func (d *fakeDriver) now() int64 { return time.Now().UnixNano() }
 
-func (s *fakeDriver) Sightings() ([]versions.Sighting, int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.holder.Sightings(), s.now()
+func (d *fakeDriver) Sightings() ([]versions.Sighting, int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.holder.Sightings(), d.now()
 }
 
-func (s *fakeDriver) Granted(asked int64, g versions.Grant) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, a := range s.holder.Granted(asked, g) {
-		if !s.stuck {
-			s.holder.Adopted(a)
-			s.texts = append(s.texts, a.Text)
+func (d *fakeDriver) Granted(asked int64, g versions.Grant) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, a := range d.holder.Granted(asked, g) {
+		if !d.isStuck {
+			d.holder.Adopted(a)
+			d.adoptedTexts = append(d.adoptedTexts, a.Text)
 		}
 	}
 }
 
-func (s *fakeDriver) Joined(who versions.Sign, token string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.trail == nil {
-		s.trail = audit.NewTrail(s.now(), who, token, 1000, int64(time.Hour))
+func (d *fakeDriver) Joined(who versions.Sign, token string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.trail == nil {
+		d.trail = audit.NewTrail(d.now(), who, token, 1000, int64(time.Hour))
 	}
 }
 
-func (s *fakeDriver) Trail(seq uint64, most int) audit.Part {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.trail == nil {
+func (d *fakeDriver) Trail(seq uint64, most int) audit.Part {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.trail == nil {
 		return audit.Part{}
 	}
-	s.trail.Mark(s.now())
-	return s.trail.Since(seq, most)
+	d.trail.Mark(d.now())
+	return d.trail.Since(seq, most)
 }
 
-func (s *fakeDriver) LastTrail(seq uint64) audit.Part {
-	s.mu.Lock()
-	s.trail.Flush(s.now())
-	s.mu.Unlock()
-	return s.Trail(seq, 1000)
+func (d *fakeDriver) LastTrail(seq uint64) audit.Part {
+	d.mu.Lock()
+	d.trail.Flush(d.now())
+	d.mu.Unlock()
+	return d.Trail(seq, 1000)
 }
 
-// acts does one RPC, and tells on which version.
-func (s *fakeDriver) acts(rpc string) versions.Number {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	n, may := s.holder.Begin(s.now(), "x")
-	if !may {
+// act serves one RPC and returns the version used, 0 if the driver may not act.
+func (d *fakeDriver) act(rpc string) versions.Number {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	n, mayAct := d.holder.Begin(d.now(), "x")
+	if !mayAct {
 		return 0
 	}
-	s.trail.Began(s.now(), "x", n)
-	s.trail.Ended(s.now(), "x", n, rpc, audit.NonIdempotent, audit.Served, s.now())
-	s.holder.End("x", n)
+	d.trail.Began(d.now(), "x", n)
+	d.trail.Ended(d.now(), "x", n, rpc, audit.NonIdempotent, audit.Served, d.now())
+	d.holder.End("x", n)
 	return n
 }
 
-// joins starts a driver; what it gives ends it in good order.
-func (c *testCouncil) joins(name string, level int) (s *fakeDriver, leave func()) {
-	s = &fakeDriver{holder: versions.NewHolder()}
-	r := NewFleetAgent([]string{c.at}, roster.Claim{Name: name, Address: "at", Build: "b", Level: level}, c.terms.Lease, s, quiet())
+// join starts a driver. leave stops it gracefully.
+func (c *testCouncil) join(name string, level int) (driver *fakeDriver, leave func()) {
+	driver = &fakeDriver{holder: versions.NewHolder()}
+	agent := NewFleetAgent([]string{c.address}, roster.Claim{Name: name, Address: "at", Build: "b", Level: level}, c.config.Lease, driver, newDiscardLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(1)
-	go func() { defer done.Done(); r.Run(ctx) }()
+	go func() { defer done.Done(); agent.Run(ctx) }()
 	leave = func() { stop(); done.Wait() }
 	c.t.Cleanup(leave)
-	return s, leave
+	return driver, leave
 }
 
-func (c *testCouncil) eventually(what string, ok func(f *FleetState) bool) {
+func (c *testCouncil) requireEventually(message string, condition func(f *FleetState) bool) {
 	c.t.Helper()
 	var f FleetState
-	for begun := time.Now(); time.Since(begun) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
-		if f = c.registration.State(); ok(&f) {
+	for startedAt := time.Now(); time.Since(startedAt) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
+		if f = c.server.State(); condition(&f) {
 			return
 		}
 	}
-	c.t.Fatalf("%s: %+v", what, f)
+	c.t.Fatalf("%s: %+v", message, f)
 }
 
-func (f *FleetState) state(name string) roster.State {
-	for _, d := range f.Drivers {
-		if d.Name == name {
-			return d.State
+func (s *FleetState) driverState(name string) roster.State {
+	for _, driver := range s.Drivers {
+		if driver.Name == name {
+			return driver.State
 		}
 	}
 	return roster.StateUnknown
 }
 
-// wish asks again while nobody acts for the council: how long its disk takes is not what is tested.
-func (c *testCouncil) wish(w FleetChange) (err error) {
-	for begun := time.Now(); time.Since(begun) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
-		if err = NewClient(c.at).ChangeFleet(context.Background(), w); !jsonhttp.ShouldTryAnother(err) {
+// changeFleet retries while there is no leader, because disk latency is not under test.
+func (c *testCouncil) changeFleet(change FleetChange) (err error) {
+	for startedAt := time.Now(); time.Since(startedAt) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
+		if err = NewClient(c.address).ChangeFleet(context.Background(), change); !jsonhttp.ShouldTryAnother(err) {
 			break
 		}
 	}
 	return err
 }
 
-// acts lets a driver do one RPC, once it has a lease.
-func (c *testCouncil) acts(s *fakeDriver, rpc string) (n versions.Number) {
-	for begun := time.Now(); n == 0 && time.Since(begun) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
-		n = s.acts(rpc)
+// act lets a driver serve one RPC, once it has a lease.
+func (c *testCouncil) act(driver *fakeDriver, rpc string) (n versions.Number) {
+	for startedAt := time.Now(); n == 0 && time.Since(startedAt) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
+		n = driver.act(rpc)
 	}
 	return n
 }
 
 func (c *testCouncil) propose(text string) error {
-	p := versions.Plan{Tell: int64(300 * time.Millisecond), Adopt: int64(300 * time.Millisecond), Close: int64(time.Second)}
-	return c.wish(FleetChange{Propose: &Proposal{Thing: "x", Text: text, Plan: p}})
+	plan := versions.Plan{Tell: int64(300 * time.Millisecond), Adopt: int64(300 * time.Millisecond), Close: int64(time.Second)}
+	return c.changeFleet(FleetChange{Propose: &Proposal{Thing: "x", Text: text, Plan: plan}})
 }
 
-func closes(n versions.Number) func(*FleetState) bool {
+func hasClosed(n versions.Number) func(*FleetState) bool {
 	return func(f *FleetState) bool { got, _ := f.LatestClosed("x"); return got == n }
 }
 
-// Guards against a fleet that does not come to act on one version, over a restart of the council too, and an audit that does
-// not say who did.
-func TestAFleetActsOnOneVersion(t *testing.T) {
+// All drivers must converge on the newest version, also over a restart of the council, and the audit must
+// tell who used which version.
+func TestFleetConvergesOnOneVersion(t *testing.T) {
 	c := newTestCouncil(t, 0.5)
-	a, _ := c.joins("a", 1)
-	b, leave := c.joins("b", 1)
-	c.eventually("they join", func(f *FleetState) bool {
-		return f.state("a") == roster.StatePresent && f.state("b") == roster.StatePresent
+	a, _ := c.join("a", 1)
+	b, leave := c.join("b", 1)
+	c.requireEventually("drivers join", func(state *FleetState) bool {
+		return state.driverState("a") == roster.StatePresent && state.driverState("b") == roster.StatePresent
 	})
 	require.NoError(t, c.propose("one"))
 	require.ErrorContains(t, c.propose("two"), "is under way")
-	c.eventually("closed", closes(2))
-	require.EqualValues(t, 2, c.acts(a, "r1"))
-	require.EqualValues(t, 2, c.acts(b, "r2"))
+	c.requireEventually("version is closed", hasClosed(2))
+	require.EqualValues(t, 2, c.act(a, "r1"))
+	require.EqualValues(t, 2, c.act(b, "r2"))
 	c.stop()
 	c.start()
-	c.eventually("leases again", func(f *FleetState) bool {
-		return len(f.Drivers) == 2 && f.Drivers[0].MayAct && len(f.Drivers[0].Sightings) == 1
+	c.requireEventually("leases are renewed after restart", func(state *FleetState) bool {
+		return len(state.Drivers) == 2 && state.Drivers[0].MayAct && len(state.Drivers[0].Sightings) == 1
 	})
 	require.NoError(t, c.propose("two"))
-	c.eventually("closed", closes(3))
-	require.EqualValues(t, 3, c.acts(a, "r3"))
+	c.requireEventually("version is closed", hasClosed(3))
+	require.EqualValues(t, 3, c.act(a, "r3"))
 	leave()
-	c.eventually("it has left, or is gone", func(f *FleetState) bool { return f.state("b") != roster.StatePresent })
+	c.requireEventually("driver left or expired", func(state *FleetState) bool { return state.driverState("b") != roster.StatePresent })
 	require.NoError(t, c.propose("three"))
-	c.eventually("nobody waits for who has left", closes(4))
-	require.Equal(t, []string{"one", "two", "three"}, a.texts)
-	var f AuditResult
-	for begun := time.Now(); time.Since(begun) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
+	c.requireEventually("closed without the driver that left", hasClosed(4))
+	require.Equal(t, []string{"one", "two", "three"}, a.adoptedTexts)
+	var result AuditResult
+	for startedAt := time.Now(); time.Since(startedAt) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
 		var err error
-		f, err = Audit(context.Background(), []string{c.at, "127.0.0.1:1"}, AuditQuery{Thing: "x"})
+		result, err = Audit(context.Background(), []string{c.address, "127.0.0.1:1"}, AuditQuery{Thing: "x"})
 		require.NoError(t, err)
-		if len(f.Acted) == 3 {
+		if len(result.Acted) == 3 {
 			break
 		}
 	}
-	require.Len(t, f.Acted, 3)
-	require.Equal(t, []versions.Number{2, 2, 3}, []versions.Number{f.Acted[0].Version, f.Acted[1].Version, f.Acted[2].Version})
-	require.Empty(t, f.Late)
-	require.Empty(t, f.Faults)
-	require.Empty(t, f.Unknown)
-	require.Equal(t, []string{"127.0.0.1:1"}, f.Missing, "a voter that can't be asked is told of")
+	require.Len(t, result.Acted, 3)
+	require.Equal(t, []versions.Number{2, 2, 3}, []versions.Number{result.Acted[0].Version, result.Acted[1].Version, result.Acted[2].Version})
+	require.Empty(t, result.Late)
+	require.Empty(t, result.Faults)
+	require.Empty(t, result.Unknown)
+	require.Equal(t, []string{"127.0.0.1:1"}, result.Missing, "unreachable voter is reported")
 }
 
-// Guards against what a newer build recorded and an older one drops.
-func TestRecordsOfANewerBuild(t *testing.T) {
-	m := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
-	m.Apply([]byte(`[{"roster":{"kind":"joins","name":"a","start":1,"claim":{"name":"a","token":"x","colour":"green"},"when":1}}]`))
-	m.Apply([]byte(`[{"roster":{"kind":"leaves","name":"a","start":1,"when":2}}]`))
-	m.Apply([]byte(`[{"garden":{"kind":"rose"}}]`))
-	d, _ := m.roster.Find("a")
-	require.Equal(t, roster.StateLeft, d.State, "what is understood counts")
-	text, err := m.Snapshot()
+// An older build must not drop records or fields of a newer one.
+func TestRecordsOfNewerBuild(t *testing.T) {
+	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
+	server.Apply([]byte(`[{"roster":{"kind":"joins","name":"a","start":1,"claim":{"name":"a","token":"x","colour":"green"},"when":1}}]`))
+	server.Apply([]byte(`[{"roster":{"kind":"leaves","name":"a","start":1,"when":2}}]`))
+	server.Apply([]byte(`[{"garden":{"kind":"rose"}}]`))
+	d, _ := server.roster.Find("a")
+	require.Equal(t, roster.StateLeft, d.State, "known fields are applied")
+	text, err := server.Snapshot()
 	require.NoError(t, err)
-	next := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
+	next := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	require.NoError(t, next.Restore(text))
 	again, err := next.Snapshot()
 	require.NoError(t, err)
@@ -252,93 +252,93 @@
 	require.Len(t, next.unknownRecords, 2)
 }
 
-// Guards against two of one name that take it from one another again and again.
-func TestTwoOfOneName(t *testing.T) {
+// Two drivers with one name must not take it from each other repeatedly.
+func TestTwoDriversOfOneName(t *testing.T) {
 	c := newTestCouncil(t, 0.5)
-	earlier, _ := c.joins("a", 1)
-	c.eventually("it joins", func(f *FleetState) bool { return len(f.Drivers) == 1 && f.Drivers[0].MayAct })
-	later, _ := c.joins("a", 1)
-	c.eventually("the later one has the name", func(f *FleetState) bool { return f.Drivers[0].Start == 2 })
-	time.Sleep(2 * c.terms.Lease)
-	require.EqualValues(t, 2, c.registration.State().Drivers[0].Start)
-	require.Zero(t, earlier.acts("r"))
-	require.EqualValues(t, versions.Origin, c.acts(later, "r"))
-	err := NewClient(c.at).post(context.Background(), "fleet/renew", leaseRequest{Name: "a", Token: "x"}, nil)
+	earlier, _ := c.join("a", 1)
+	c.requireEventually("first driver joins", func(f *FleetState) bool { return len(f.Drivers) == 1 && f.Drivers[0].MayAct })
+	later, _ := c.join("a", 1)
+	c.requireEventually("later start owns the name", func(f *FleetState) bool { return f.Drivers[0].Start == 2 })
+	time.Sleep(2 * c.config.Lease)
+	require.EqualValues(t, 2, c.server.State().Drivers[0].Start)
+	require.Zero(t, earlier.act("r"))
+	require.EqualValues(t, versions.Origin, c.act(later, "r"))
+	err := NewClient(c.address).post(context.Background(), "fleet/renew", leaseRequest{Name: "a", Token: "x"}, nil)
 	require.ErrorContains(t, err, "a later start of \"a\", number 2 at at, has taken its name over; end one of the two")
 	require.Equal(t, http.StatusForbidden, err.(*jsonhttp.StatusError).Status)
 }
 
-// Guards against a driver that holds a version back for ever, and against a version that shuts out everybody.
-func TestStragglers(t *testing.T) {
+// A driver must not hold back a version forever, and a bad version must not shut out all drivers.
+func TestLaggingDriversAreShutOut(t *testing.T) {
 	c := newTestCouncil(t, 0.4)
-	var all []*fakeDriver
+	var drivers []*fakeDriver
 	for _, name := range []string{"a", "b", "c"} {
-		s, _ := c.joins(name, 1)
-		all = append(all, s)
+		driver, _ := c.join(name, 1)
+		drivers = append(drivers, driver)
 	}
-	c.eventually("they join", func(f *FleetState) bool { return len(f.Drivers) == 3 })
-	all[1].stuck = true
+	c.requireEventually("drivers join", func(f *FleetState) bool { return len(f.Drivers) == 3 })
+	drivers[1].isStuck = true
 	require.NoError(t, c.propose("one"))
-	c.eventually("shut out", func(f *FleetState) bool { return f.state("b") == roster.StateShutOut })
-	c.eventually("closed without it", closes(2))
-	require.Zero(t, all[1].acts("r"))
-	all[1].mu.Lock()
-	all[1].stuck = false
-	all[1].mu.Unlock()
-	require.NoError(t, c.wish(FleetChange{Readmit: "b", Reason: "mended"}))
-	c.eventually("it is back", func(f *FleetState) bool {
-		return f.state("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Acts == 2
+	c.requireEventually("driver is shut out", func(f *FleetState) bool { return f.driverState("b") == roster.StateShutOut })
+	c.requireEventually("closed without the shut-out driver", hasClosed(2))
+	require.Zero(t, drivers[1].act("r"))
+	drivers[1].mu.Lock()
+	drivers[1].isStuck = false
+	drivers[1].mu.Unlock()
+	require.NoError(t, c.changeFleet(FleetChange{Readmit: "b", Reason: "repaired"}))
+	c.requireEventually("readmitted driver uses the version", func(f *FleetState) bool {
+		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Acts == 2
 	})
-	for _, s := range all {
-		s.mu.Lock()
-		s.stuck = true
-		s.mu.Unlock()
+	for _, driver := range drivers {
+		driver.mu.Lock()
+		driver.isStuck = true
+		driver.mu.Unlock()
 	}
 	require.NoError(t, c.propose("two"))
-	c.eventually("it waits", func(f *FleetState) bool { return len(f.Behind) == 1 && f.Behind[0].Over })
+	c.requireEventually("version is overdue", func(f *FleetState) bool { return len(f.Behind) == 1 && f.Behind[0].Over })
 	time.Sleep(100 * time.Millisecond)
-	f := c.registration.State()
-	require.Equal(t, roster.StatePresent, f.state("a"), "too many: nobody is shut out")
-	require.EqualValues(t, 2, c.acts(all[0], "r"), "all act on the older")
-	require.NoError(t, c.wish(FleetChange{Withdraw: "x", Reason: "wrong"}))
-	c.eventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.Withdrawn })
+	f := c.server.State()
+	require.Equal(t, roster.StatePresent, f.driverState("a"), "too many drivers to shut out")
+	require.EqualValues(t, 2, c.act(drivers[0], "r"), "all use the older version")
+	require.NoError(t, c.changeFleet(FleetChange{Withdraw: "x", Reason: "wrong"}))
+	c.requireEventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.Withdrawn })
 }
 
-// Guards against a build that is too old and acts, and an error that does not say what helps.
-func TestLevelsOfBuilds(t *testing.T) {
+// A build too old for the feature level must not act, and the error must say how to remedy that.
+func TestFeatureLevelsOfBuilds(t *testing.T) {
 	c := newTestCouncil(t, 0.5)
-	c.joins("a", 2)
-	old, leave := c.joins("b", 1)
-	c.eventually("they join", func(f *FleetState) bool { return len(f.Drivers) == 2 })
-	require.ErrorContains(t, c.wish(FleetChange{RaiseLevel: 2}), "knows levels up to 1 only")
+	c.join("a", 2)
+	_, leave := c.join("b", 1)
+	c.requireEventually("drivers join", func(f *FleetState) bool { return len(f.Drivers) == 2 })
+	require.ErrorContains(t, c.changeFleet(FleetChange{RaiseLevel: 2}), "knows levels up to 1 only")
 	leave()
-	c.eventually("it has left, or is gone", func(f *FleetState) bool { return f.state("b") != roster.StatePresent })
-	require.NoError(t, c.wish(FleetChange{RaiseLevel: 2}))
-	old, _ = c.joins("b", 1)
-	time.Sleep(c.terms.Lease)
-	require.Zero(t, old.acts("r"))
-	err := NewClient(c.at).post(context.Background(), "fleet/join", joinRequest{Claim: roster.Claim{Name: "b", Token: "t", Build: "b0", Level: 1}}, nil)
+	c.requireEventually("driver left or expired", func(f *FleetState) bool { return f.driverState("b") != roster.StatePresent })
+	require.NoError(t, c.changeFleet(FleetChange{RaiseLevel: 2}))
+	oldBuild, _ := c.join("b", 1)
+	time.Sleep(c.config.Lease)
+	require.Zero(t, oldBuild.act("r"))
+	err := NewClient(c.address).post(context.Background(), "fleet/join", joinRequest{Claim: roster.Claim{Name: "b", Token: "t", Build: "b0", Level: 1}}, nil)
 	require.True(t, err != nil && strings.Contains(err.Error(), "start a newer build"), "%v", err)
-	require.ErrorContains(t, c.wish(FleetChange{}), "nothing is asked for")
+	require.ErrorContains(t, c.changeFleet(FleetChange{}), "nothing is asked for")
 }
 
-// Guards against an audit that looks complete though the roster has forgotten starts of which trails may be missing.
+// An audit must report starts that the roster has forgotten as unknown, because trails may be missing.
 func TestForgottenStartsAreUnknown(t *testing.T) {
-	d := func(name string, oldest roster.StartNumber) DriverStatus {
+	newStatus := func(name string, oldest roster.StartNumber) DriverStatus {
 		return DriverStatus{Driver: roster.Driver{Claim: roster.Claim{Name: name}, Start: oldest + 1, EarlierStarts: []roster.EndedStart{{Start: oldest, JoinedAt: 50}}}}
 	}
-	f := FleetState{Lease: 7, Drivers: []DriverStatus{d("a", 1), d("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
-	all := f.unknownPeriods("", audit.NewCollection(100))
-	require.Len(t, all, 1)
-	require.Equal(t, versions.Sign{Name: "b", Start: 2}, all[0].Who)
-	require.EqualValues(t, []int64{0, 57}, []int64{all[0].From, all[0].To})
-	require.Contains(t, all[0].Why, "a roster remembers 1")
-	require.Empty(t, f.unknownPeriods("a", audit.NewCollection(100)))
+	state := FleetState{Lease: 7, Drivers: []DriverStatus{newStatus("a", 1), newStatus("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
+	periods := state.unknownPeriods("", audit.NewCollection(100))
+	require.Len(t, periods, 1)
+	require.Equal(t, versions.Sign{Name: "b", Start: 2}, periods[0].Who)
+	require.EqualValues(t, []int64{0, 57}, []int64{periods[0].From, periods[0].To})
+	require.Contains(t, periods[0].Why, "a roster remembers 1")
+	require.Empty(t, state.unknownPeriods("a", audit.NewCollection(100)))
 }
 
-// Guards against a time that is called unknown though trails are held of it, and one that is not though none are: of starts that the roster has
-// forgotten what lies before, between and after their trails is not known.
-func TestTrailsOfForgottenStartsCount(t *testing.T) {
+// For starts that the roster has forgotten, exactly the periods before, between and after their trails are
+// unknown.
+func TestTrailsOfForgottenStartsBoundUnknownPeriods(t *testing.T) {
 	held := audit.NewCollection(100)
 	for _, start := range []uint64{1, 2, 4} {
 		trail := audit.NewTrail(int64(10*start), versions.Sign{Name: "b", Start: start}, "x", 100, 1)
@@ -346,54 +346,54 @@
 		trail.Has(int64(10*start)+3, versions.List, 1)
 		held.Take(trail.Since(0, 100))
 	}
-	f := FleetState{Lease: 7, Drivers: []DriverStatus{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, EarlierStarts: []roster.EndedStart{{Start: 6, JoinedAt: 60}}}}}}
+	state := FleetState{Lease: 7, Drivers: []DriverStatus{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, EarlierStarts: []roster.EndedStart{{Start: 6, JoinedAt: 60}}}}}}
 	var unknown [][]int64
-	for _, u := range f.unknownPeriods("b", held) {
+	for _, u := range state.unknownPeriods("b", held) {
 		unknown = append(unknown, []int64{int64(u.Who.Start), u.From, u.To})
 	}
 	require.Equal(t, [][]int64{{1, 13, 27}, {3, 23, 47}, {5, 43, 67}}, unknown)
 }
 
-// Guards against the last of a trail that is lost as its driver leaves: the voter that decides by then may hold less than the one before, and
-// what is left comes behind a hole. The audit said nothing of that time, since who leaves has told all.
-func TestALeavingDriverIsHeardBehindAHole(t *testing.T) {
-	m := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
+// The last part of a trail must be stored even if a new leader lacks earlier entries. Otherwise the audit
+// would miss it without noticing, since a driver that left has sent its whole trail.
+func TestLastTrailPartIsStoredAfterGap(t *testing.T) {
+	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	who := versions.Sign{Name: "a", Start: 1}
-	trail := audit.NewTrail(m.now(), who, "x", 100, int64(time.Hour))
+	trail := audit.NewTrail(server.now(), who, "x", 100, int64(time.Hour))
 	for range 5 {
-		trail.Began(m.now(), "x", 1)
-		trail.Ended(m.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, m.now())
+		trail.Began(server.now(), "x", 1)
+		trail.Ended(server.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, server.now())
 	}
-	trail.Flush(m.now())
-	m.storeTrails([]audit.Part{trail.Since(0, 1)}, false)
-	m.storeTrails([]audit.Part{trail.Since(4, 100)}, false)
-	require.EqualValues(t, 1, m.trails.Held(who), "what lies before is to be told first")
-	m.storeTrails([]audit.Part{trail.Since(4, 100)}, true)
-	require.Len(t, m.trails.Parts(), 2)
-	require.Contains(t, m.trails.Unknown([]audit.Start{{Who: who}})[0].Why, "entries 2 to 4 are not held")
+	trail.Flush(server.now())
+	server.storeTrails([]audit.Part{trail.Since(0, 1)}, false)
+	server.storeTrails([]audit.Part{trail.Since(4, 100)}, false)
+	require.EqualValues(t, 1, server.trails.Held(who), "earlier entries are missing")
+	server.storeTrails([]audit.Part{trail.Since(4, 100)}, true)
+	require.Len(t, server.trails.Parts(), 2)
+	require.Contains(t, server.trails.Unknown([]audit.Start{{Who: who}})[0].Why, "entries 2 to 4 are not held")
 }
 
-// Guards against trails that are kept in memory alone for good, since the disk refused them for a moment.
-func TestTrailsAreKeptOnceTheDiskAllows(t *testing.T) {
+// Trails must be written to disk again after a temporary write failure.
+func TestTrailFileIsRewrittenAfterFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trails")
-	m := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
-	require.NoError(t, m.OpenTrails(path))
-	trail := audit.NewTrail(m.now(), versions.Sign{Name: "a", Start: 1}, "x", 100, 1)
-	tells := func(count int) {
+	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
+	require.NoError(t, server.OpenTrails(path))
+	trail := audit.NewTrail(server.now(), versions.Sign{Name: "a", Start: 1}, "x", 100, 1)
+	storeEntries := func(count int) {
 		for range count {
-			trail.Flush(m.now())
-			trail.Learns(m.now(), "x", 1, 1)
-			m.storeTrails([]audit.Part{trail.Since(m.trails.Held(versions.Sign{Name: "a", Start: 1}), 100)}, false)
+			trail.Flush(server.now())
+			trail.Learns(server.now(), "x", 1, 1)
+			server.storeTrails([]audit.Part{trail.Since(server.trails.Held(versions.Sign{Name: "a", Start: 1}), 100)}, false)
 		}
 	}
-	tells(1)
-	require.NoError(t, m.trailStore.Close()) // so that writes fail
-	tells(2)
-	require.NotZero(t, m.storeFailedAt)
-	m.storeFailedAt -= storeRetryInterval
-	tells(2)
-	require.Zero(t, m.storeFailedAt)
-	next := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
+	storeEntries(1)
+	require.NoError(t, server.trailStore.Close()) // makes writes fail
+	storeEntries(2)
+	require.NotZero(t, server.storeFailedAt)
+	server.storeFailedAt -= storeRetryInterval
+	storeEntries(2)
+	require.Zero(t, server.storeFailedAt)
+	next := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	require.NoError(t, next.OpenTrails(path))
-	require.Equal(t, m.trails.Parts(), next.trails.Parts())
+	require.Equal(t, server.trails.Parts(), next.trails.Parts())
 }
--- a/internal/membership/registration_wishes.go
+++ b/internal/membership/registration_wishes.go
@@ -12,7 +12,7 @@
 	"sedgespread/internal/versions"
 )
 
-// Proposal is a version that is to come.
+// Proposal asks for the rollout of a new version.
 type Proposal struct {
 	Thing  versions.Thing `json:"thing"`
 	Text   string         `json:"text"`
@@ -20,13 +20,13 @@
 	Plan   versions.Plan  `json:"plan"`
 }
 
-// Digest is what a text is known by.
+// Digest returns the SHA-256 hash of a text in hexadecimal.
 func Digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-// FleetChange is what an operator asks of the fleet: one of these.
+// FleetChange is an operator's request. Only one field besides Reason is set.
 type FleetChange struct {
 	Propose    *Proposal      `json:"propose,omitempty"`
 	Withdraw   versions.Thing `json:"call_off,omitempty"`
@@ -35,7 +35,7 @@
 	Reason     string         `json:"why,omitempty"`
 }
 
-// Grant does what an operator asks for.
+// changeFleet carries out an operator's request.
 func (s *FleetServer) changeFleet(ctx context.Context, change FleetChange) error {
 	_, err := s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
 		now := s.now()
@@ -58,29 +58,29 @@
 	return err
 }
 
-// DriverStatus is a driver as the fleet knows it.
+// DriverStatus is a driver with its lease and the versions it uses.
 type DriverStatus struct {
 	roster.Driver
-	MayAct    bool                `json:"may"`      // it may act, as far as is known
-	LeaseEnd  int64               `json:"until"`    // when its lease has provably run out
-	Sightings []versions.Sighting `json:"sighting"` // what it said last
+	MayAct    bool                `json:"may"`      // it may hold a lease
+	LeaseEnd  int64               `json:"until"`    // when its lease has certainly ended
+	Sightings []versions.Sighting `json:"sighting"` // as last reported
 }
 
-// FleetState is how the fleet stands.
+// FleetState describes the drivers and versions of the fleet.
 type FleetState struct {
 	Voter              council.VoterID                       `json:"voter"`
 	Now                int64                                 `json:"now"`
 	Lease              int64                                 `json:"lease_ns"`
 	Level              int                                   `json:"level"`
-	HighestCommonLevel int                                   `json:"highest"` // level that all know
+	HighestCommonLevel int                                   `json:"highest"` // supported by all drivers
 	Drivers            []DriverStatus                        `json:"drivers"`
 	Versions           map[versions.Thing][]versions.Version `json:"versions"`
 	Behind             []versions.Behind                     `json:"behind"`
-	Observed           []versions.Spread                     `json:"observed"` // of things that the council does not decide
-	Suspicions         []roster.Suspicion                    `json:"doubts"`   // drivers that fellows do not hear
+	Observed           []versions.Spread                     `json:"observed"` // versions that the council does not decide
+	Suspicions         []roster.Suspicion                    `json:"doubts"`   // drivers that peers report as unreachable
 }
 
-// State tells how the fleet stands.
+// State returns the state of the fleet.
 func (s *FleetServer) State() FleetState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,19 +100,19 @@
 	return state
 }
 
-// FleetState asks how the fleet stands.
+// FleetState fetches the state of the fleet.
 func (c Client) FleetState(ctx context.Context) (f FleetState, err error) {
 	err = c.post(ctx, "fleet/state", struct{}{}, &f)
 	return f, err
 }
 
-// ChangeFleet asks something of the fleet.
+// ChangeFleet requests a change of the fleet.
 func (c Client) ChangeFleet(ctx context.Context, change FleetChange) error {
 	return c.post(ctx, "fleet/wish", change, nil)
 }
 
-// LatestClosed is the moment of a fleet's state from which provably nobody acts on a version of a thing older than the newest
-// that was closed, by the clock of whoever closed it; number 0 for none yet.
+// LatestClosed returns the newest closed version of a thing and the time, on the clock of the voter that
+// closed it, from which no driver acts on an older one. The number is 0 if there is none.
 func (s *FleetState) LatestClosed(t versions.Thing) (n versions.Number, at int64) {
 	for _, v := range slices.Backward(s.Versions[t]) {
 		if v.Stage == versions.Closed {
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -13,26 +13,26 @@
 	"sedgespread/internal/versions"
 )
 
-// Of trails at a voter and on their way to it.
+// Limits on audit trails.
 const (
-	maxEntriesPerStart   = 16 << 10 // of one start that a voter holds
-	maxEntriesPerRequest = 64       // that a driver tells with one request for a lease
+	maxEntriesPerStart   = 16 << 10 // held by a voter for one start
+	maxEntriesPerRequest = 64       // sent with one renewal
 )
 
-// VoterTrails is what one voter holds of drivers' trails.
+// VoterTrails holds the parts of audit trails that one voter has.
 type VoterTrails struct {
 	Parts  []audit.Part `json:"parts"`
 	Faults []string     `json:"faults"`
 }
 
-// OpenTrails lets trails be kept in a file, and takes in those that stand there.
+// OpenTrails loads trails from a file and keeps storing them there.
 func (s *FleetServer) OpenTrails(path string) error {
 	trailStore, parts, unreadable, err := shelf.Open(path, shelf.Most)
 	if err != nil {
 		return err
 	}
 	if unreadable > 0 {
-		s.log.WithField("lines", unreadable).Warn("some of the trails kept can't be read")
+		s.log.WithField("lines", unreadable).Warn("skipped unreadable lines of the trail file")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// storeTrails takes in what a driver tells of its trail, the last of it where it leaves: that is taken also behind a hole. The lock is held.
+// storeTrails stores parts of a driver's trail. The last part, sent when the driver leaves, is accepted
+// even if entries before it are missing. The lock is held.
 func (s *FleetServer) storeTrails(parts []audit.Part, isLast bool) {
 	store := s.trails.Take
 	if isLast {
@@ -55,10 +56,11 @@
 	}
 }
 
-// storeRetryInterval is how long a shelf that could not be written waits until it is written anew.
+// storeRetryInterval is the minimum time between attempts to rewrite a trail file that failed.
 const storeRetryInterval = int64(time.Second)
 
-// saveTrailPart writes a part down. Where that fails, all that is held is written anew as soon as the disk allows. The lock is held.
+// saveTrailPart writes a part to the trail file. After a failure it rewrites the whole file once that is
+// possible again. The lock is held.
 func (s *FleetServer) saveTrailPart(part audit.Part) {
 	if s.storeFailedAt != 0 && s.now()-s.storeFailedAt < storeRetryInterval {
 		return
@@ -72,51 +74,51 @@
 	}
 	switch {
 	case err != nil && s.storeFailedAt == 0:
-		s.log.WithError(err).Error("trails are kept in memory alone until they can be written again")
+		s.log.WithError(err).Error("writing the trail file failed; keeping trails in memory only until it succeeds")
 	case err == nil && s.storeFailedAt != 0:
-		s.log.Info("trails are kept on disk again")
+		s.log.Info("trail file is written again")
 	}
 	if s.storeFailedAt = 0; err != nil {
 		s.storeFailedAt = s.now()
 	}
 }
 
-// storedTrails are those that this voter was told while it decided.
+// storedTrails returns the trails that this voter holds.
 func (s *FleetServer) storedTrails() VoterTrails {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return VoterTrails{Parts: s.trails.Parts(), Faults: s.trails.Faults()}
 }
 
-// handleTrails lets this voter tell what it holds, whoever decides.
+// handleTrails registers the handler that returns the trails of this voter, leader or not.
 func (s *FleetServer) handleTrails(mux *http.ServeMux) {
 	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (VoterTrails, error) { return s.storedTrails(), nil }))
 }
 
-// AuditQuery is what is asked of the audit. Times are Unix time in nanoseconds, 0 for no end.
+// AuditQuery selects actions from the audit trails. Times are Unix nanoseconds, 0 for unbounded.
 type AuditQuery struct {
 	Thing        versions.Thing  `json:"thing"`
 	Version      versions.Number `json:"version"`
 	Driver       string          `json:"driver"`
 	From         int64           `json:"from"`
 	To           int64           `json:"to"`
-	MaxClockSkew int64           `json:"clocks"` // the most by which drivers' clocks differ
+	MaxClockSkew int64           `json:"clocks"` // between drivers
 }
 
-// AuditResult is what the audit answers.
+// AuditResult is the answer to an AuditQuery.
 type AuditResult struct {
 	Acted   []audit.Acted   `json:"acted"`
-	Late    []audit.Late    `json:"late"`    // after a newer version was closed
-	Unknown []audit.Unknown `json:"unknown"` // never filled by a guess
-	Faults  []string        `json:"faults"`  // trails that do not hold together
-	Missing []string        `json:"missing"` // voters that could not be asked
+	Late    []audit.Late    `json:"late"`    // acted after a newer version was closed
+	Unknown []audit.Unknown `json:"unknown"` // periods of which no trail is held
+	Faults  []string        `json:"faults"`  // inconsistencies of trails
+	Missing []string        `json:"missing"` // unreachable voters
 	Entries int             `json:"entries"`
 }
 
-// voterTimeout is how long one voter may take to tell all that it holds.
+// voterTimeout limits the request for the trails of one voter.
 const voterTimeout = 5 * time.Second
 
-// collectTrails asks every voter for what it holds.
+// collectTrails fetches and merges the trails of all voters.
 func collectTrails(ctx context.Context, voters []string) (collection *audit.Collection, faults, missing []string) {
 	collection = audit.NewCollection(2 * maxEntriesPerStart)
 	var parts []audit.Part
@@ -136,13 +138,13 @@
 	return collection, append(faults, collection.Faults()...), missing
 }
 
-// CollectParts are all trails that the voters hold between them.
+// CollectParts returns the merged trails of all reachable voters.
 func CollectParts(ctx context.Context, voters []string) []audit.Part {
 	collection, _, _ := collectTrails(ctx, voters)
 	return collection.Parts()
 }
 
-// Audit answers a question from all that the voters hold.
+// Audit answers a query from the trails of all voters.
 func Audit(ctx context.Context, voters []string, query AuditQuery) (result AuditResult, err error) {
 	fleet, err := NewClient(voters...).FleetState(ctx)
 	if err != nil {
@@ -165,8 +167,9 @@
 	return result, nil
 }
 
-// unknownPeriods are the times in which starts that the roster does not remember any more may have done what nobody was told: before, between and
-// after the trails that are held of them. Each may have acted until a lease after the next one joined.
+// unknownPeriods returns the periods in which starts that the roster has forgotten may have acted without
+// a trail: before, between and after the trails held. Each start may have acted until a lease after the
+// next one joined.
 func (s *FleetState) unknownPeriods(driver string, collection *audit.Collection) (periods []audit.Unknown) {
 	for _, d := range s.Drivers {
 		if driver != "" && d.Name != driver || len(d.EarlierStarts) == 0 || d.EarlierStarts[0].Start == 1 {
@@ -189,7 +192,7 @@
 	return periods
 }
 
-// rememberedStarts are all starts that the roster remembers, and until when each may have acted.
+// rememberedStarts returns the starts in the roster, and until when each may have acted.
 func (s *FleetState) rememberedStarts(driver string) (starts []audit.Start) {
 	for _, driverStatus := range s.Drivers {
 		if driver != "" && driverStatus.Name != driver {
@@ -199,7 +202,7 @@
 			starts = append(starts, audit.Start{Who: versions.Sign{Name: driverStatus.Name, Start: uint64(earlier.Start)}, From: earlier.JoinedAt, Until: earlier.EndedAt + s.Lease})
 		}
 		until := driverStatus.LeaseEnd
-		if driverStatus.State == roster.StateLeft { // it told all, and then gave its lease up
+		if driverStatus.State == roster.StateLeft { // it sent all of its trail before it released its lease
 			until = 0
 		}
 		starts = append(starts, audit.Start{Who: startIdentity(driverStatus.Driver), From: driverStatus.JoinedAt, Until: until, Live: driverStatus.MayAct && driverStatus.State == roster.StatePresent})
