--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -285,7 +285,7 @@
 	drivers[1].mu.Lock()
 	drivers[1].isStuck = false
 	drivers[1].mu.Unlock()
-	require.NoError(t, c.changeFleet(FleetChange{Readmit: "b", Reason: "repaired"}))
+	require.NoError(t, c.changeFleet(FleetChange{Readmit: "b", Reason: "mended"}))
 	c.requireEventually("readmitted driver uses the version", func(f *FleetState) bool {
 		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Acts == 2
 	})
