--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -32,7 +32,7 @@
 }
 
 // PeerMonitor returns the peers that have become unreachable.
-type PeerMonitor interface{ Unheard() []string }
+type PeerMonitor interface{ Unreachable() []string }
 
 // SetPeerMonitor makes the agent report unreachable peers to the fleet. It is called before Run.
 func (a *FleetAgent) SetPeerMonitor(monitor PeerMonitor) { a.peerMonitor = monitor }
@@ -149,7 +149,7 @@
 	var response leaseResponse
 	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Sightings: sightings, WaitMs: wait.Milliseconds()}
 	if a.peerMonitor != nil {
-		request.Gossip = &gossipReport{a.peerMonitor.Unheard()}
+		request.Gossip = &gossipReport{a.peerMonitor.Unreachable()}
 	}
 	part := a.driver.Trail(a.storedTrailSeq, maxEntriesPerRequest)
 	if len(part.Entries) > 0 {
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Unheard returns the peers that have become unreachable, sorted.
-func (g *Gossiper) Unheard() (names []string) {
+// Unreachable returns the peers that have become unreachable, sorted.
+func (g *Gossiper) Unreachable() (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name := range g.lost {
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -53,7 +53,7 @@
 	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		agree := true
 		for _, i := range indexes {
-			got := c.gossipers[i].Unheard()
+			got := c.gossipers[i].Unreachable()
 			agree = agree && len(got) == len(want) && (len(want) == 0 || got[0] == want[0]) && c.gossipers[i].list.NumMembers() >= 2
 		}
 		if agree {
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -89,7 +89,7 @@
 	}
 	driver, _ := s.roster.Find(request.Name)
 	if request.Gossip != nil {
-		s.roster.ReportUnheard(request.Name, request.Gossip.Unheard)
+		s.roster.ReportUnreachable(request.Name, request.Gossip.Unheard)
 	}
 	s.versions.Say(startIdentity(driver), request.Sightings)
 	orders, changed := s.versions.Orders(startIdentity(driver)), s.changed.channel
--- a/internal/roster/doubts.go
+++ b/internal/roster/doubts.go
@@ -21,9 +21,9 @@
 	unheard []string
 }
 
-// ReportUnheard replaces the peers that a driver reports as unreachable. The report counts while the
+// ReportUnreachable replaces the peers that a driver reports as unreachable. The report counts while the
 // driver may hold a lease. Drivers without gossip make no reports.
-func (r *Roster) ReportUnheard(name string, unheard []string) {
+func (r *Roster) ReportUnreachable(name string, unheard []string) {
 	if d := r.drivers[name]; d != nil {
 		r.unheardReports[name] = unheardReport{d.Start, slices.Clone(unheard)}
 	}
--- a/internal/roster/doubts_test.go
+++ b/internal/roster/doubts_test.go
@@ -12,30 +12,30 @@
 	r := newTestRoster()
 	for _, name := range []string{"a", "b", "c", "d"} {
 		r.mustJoin(t, 0, newClaim(name, "x"))
-		r.ReportUnheard(name, nil)
+		r.ReportUnreachable(name, nil)
 	}
 	require.Empty(t, r.Suspicions(1))
-	r.ReportUnheard("a", []string{"b", "c", "d"}) // a is cut off itself
+	r.ReportUnreachable("a", []string{"b", "c", "d"}) // a is cut off itself
 	require.Len(t, r.Suspicions(1), 3)
 	for _, d := range r.Suspicions(1) {
 		require.False(t, d.IsSilent, d.Name)
 		require.Equal(t, 3, d.Listeners)
 	}
-	r.ReportUnheard("b", []string{"a"})
-	r.ReportUnheard("c", []string{"a"})
+	r.ReportUnreachable("b", []string{"a"})
+	r.ReportUnreachable("c", []string{"a"})
 	all := r.Suspicions(5)
 	require.Equal(t, Suspicion{Name: "a", Start: 1, Reporters: []string{"b", "c"}, Listeners: 3, IsSilent: true, SilentSince: 5}, all[0])
 	require.EqualValues(t, 5, r.Suspicions(9)[0].SilentSince)
 	r.mustJoin(t, 10, newClaim("c", "y"))
 	require.False(t, r.Suspicions(10)[0].IsSilent, "report of a superseded start")
-	r.ReportUnheard("c", []string{"a"})
+	r.ReportUnreachable("c", []string{"a"})
 	require.EqualValues(t, 11, r.Suspicions(11)[0].SilentSince)
-	r.ReportUnheard("b", nil)
-	r.ReportUnheard("c", nil)
+	r.ReportUnreachable("b", nil)
+	r.ReportUnreachable("c", nil)
 	require.Len(t, r.Suspicions(12), 3, "a is reachable again")
 	require.NoError(t, r.RenewLease(second, "b", "x"))
 	require.Empty(t, r.Suspicions(second+second/50), "report of a driver whose lease has ended")
-	r.ReportUnheard("b", []string{"d"})
+	r.ReportUnreachable("b", []string{"d"})
 	r.TakeOver(2 * second)
 	require.Empty(t, r.Suspicions(2*second), "report to the previous leader")
 }
