--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -40,13 +40,13 @@
 // FleetDriver is the driver on whose behalf a FleetAgent acts.
 type FleetDriver interface {
 	// Sightings returns the versions in use, and the time on the driver's clock.
-	Sightings() (seen []versions.Sighting, at int64)
+	Sightings() (sightings []versions.Sighting, observedAt int64)
 	// Granted applies a grant to a request of the given time.
-	Granted(asked int64, g versions.Grant)
+	Granted(requestedAt int64, grant versions.Grant)
 	// Joined sets the identity of this start.
-	Joined(who versions.Sign, token string)
-	// Trail returns up to most entries of the audit trail after seq.
-	Trail(seq uint64, most int) audit.Part
+	Joined(identity versions.Sign, token string)
+	// Trail returns up to limit entries of the audit trail after seq.
+	Trail(seq uint64, limit int) audit.Part
 	// LastTrail returns all entries after seq, once the driver has stopped acting.
 	LastTrail(seq uint64) audit.Part
 }
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -30,7 +30,7 @@
 	// Report returns a report for the coordinator, and the time on the driver's clock.
 	Report(name string, incarnation uint64) (r cells.Report, at int64)
 	// ReportGrant applies a grant to a report of the given time.
-	ReportGrant(asked int64, g cells.Grant) error
+	ReportGrant(reportedAt int64, grant cells.Grant) error
 }
 
 // NewCellAgent returns an agent that asks any of the given addresses. The incarnation must increase
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -22,9 +22,9 @@
 	probeInterval time.Duration
 	log           logrus.FieldLogger
 
-	mu        sync.Mutex
-	isLeaving bool
-	lost      map[string]bool // peers that became unreachable without announcing that they leave
+	mu          sync.Mutex
+	isLeaving   bool
+	unreachable map[string]bool // peers that became unreachable without announcing that they leave
 }
 
 const (
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gossiper{seeds: slices.DeleteFunc(slices.Clone(seeds), func(f string) bool { return f == address }), probeInterval: probeInterval, log: log, lost: map[string]bool{}}
+	g := &Gossiper{seeds: slices.DeleteFunc(slices.Clone(seeds), func(f string) bool { return f == address }), probeInterval: probeInterval, log: log, unreachable: map[string]bool{}}
 	config := memberlist.DefaultLANConfig()
 	config.Name, config.BindAddr, config.BindPort, config.AdvertiseAddr, config.AdvertisePort = name, host, port, host, port
 	config.ProbeInterval, config.ProbeTimeout, config.GossipInterval, config.SuspicionMult = probeInterval, probeInterval/2, probeInterval/gossipsPerProbe, suspicionMultiplier
@@ -75,15 +75,15 @@
 
 // keepJoined joins the seeds whenever no peer is known.
 func (g *Gossiper) keepJoined(ctx context.Context) {
-	tick := time.NewTicker(g.probeInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(g.probeInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if len(g.seeds) > 0 && g.list.NumMembers() < 2 {
 			g.list.Join(g.seeds) // unreachable seeds are retried
 		}
 		select {
 		case <-ctx.Done():
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -92,7 +92,7 @@
 func (g *Gossiper) Unreachable() (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for name := range g.lost {
+	for name := range g.unreachable {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -103,7 +103,7 @@
 func (g *Gossiper) NotifyJoin(n *memberlist.Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.lost, n.Name)
+	delete(g.unreachable, n.Name)
 }
 
 // NotifyLeave marks a peer as unreachable, unless it has announced that it leaves.
@@ -111,10 +111,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if string(n.Meta) == leavingMeta {
-		delete(g.lost, n.Name)
+		delete(g.unreachable, n.Name)
 		return
 	}
-	g.lost[n.Name] = true
+	g.unreachable[n.Name] = true
 }
 
 // NotifyUpdate does nothing: changes of metadata are evaluated in NotifyLeave.
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -47,8 +47,8 @@
 	c.t.Cleanup(c.killFuncs[i])
 }
 
-// requireUnheard waits until each of the gossipers reports the same unreachable peers.
-func (c *cluster) requireUnheard(message string, want []string, indexes ...int) {
+// requireUnreachable waits until each of the gossipers reports the same unreachable peers.
+func (c *cluster) requireUnreachable(message string, want []string, indexes ...int) {
 	c.t.Helper()
 	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		agree := true
@@ -64,7 +64,7 @@
 }
 
 // A killed peer must be reported as unreachable, and one that has left or has come back must not.
-func TestUnheardPeers(t *testing.T) {
+func TestUnreachablePeers(t *testing.T) {
 	c := newCluster(t, 4)
 	for i := range 4 {
 		c.start(i)
@@ -73,15 +73,15 @@
 		require.Less(t, time.Since(start), 20*time.Second, "peers did not find one another")
 	}
 	c.killFuncs[3]()
-	c.requireUnheard("killed peer is reported", []string{"d"}, 0, 1, 2)
+	c.requireUnreachable("killed peer is reported", []string{"d"}, 0, 1, 2)
 	c.start(3)
-	c.requireUnheard("returned peer is not reported", nil, 0, 1, 2)
+	c.requireUnreachable("returned peer is not reported", nil, 0, 1, 2)
 	c.gossipers[3].leave()
 	c.killFuncs[3]()
 	for start := time.Now(); c.gossipers[0].list.NumMembers() > 3; time.Sleep(10 * time.Millisecond) {
 		require.Less(t, time.Since(start), 20*time.Second, "peer is still listed after it left")
 	}
-	c.requireUnheard("peer that left is not reported", nil, 0, 1, 2)
+	c.requireUnreachable("peer that left is not reported", nil, 0, 1, 2)
 	_, err := Listen("x", "nowhere", nil, time.Second, nil)
 	require.Error(t, err)
 }
--- a/internal/membership/ledger.go
+++ b/internal/membership/ledger.go
@@ -54,13 +54,13 @@
 
 // runPeriodically calls step at every stepInterval until the context ends.
 func runPeriodically(ctx context.Context, step func(ctx context.Context)) {
-	tick := time.NewTicker(stepInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(stepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			step(ctx)
 		}
 	}
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -102,9 +102,9 @@
 // verbatim for a newer build that reads the next snapshot.
 func hasOnlyKnownFields(data []byte) bool {
 	var records []fleetRecord
-	d := json.NewDecoder(bytes.NewReader(data))
-	d.DisallowUnknownFields()
-	return d.Decode(&records) == nil
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	return decoder.Decode(&records) == nil
 }
 
 // apply applies a committed record. The lock is held.
@@ -189,32 +189,32 @@
 	}
 }
 
-func versionRecords(records []versions.Record) (all []fleetRecord) {
-	for _, k := range records {
-		all = append(all, fleetRecord{Version: &k})
+func versionRecords(records []versions.Record) (fleetRecords []fleetRecord) {
+	for _, record := range records {
+		fleetRecords = append(fleetRecords, fleetRecord{Version: &record})
 	}
-	return all
+	return fleetRecords
 }
 
-func rosterRecords(records []roster.Record) (all []fleetRecord) {
-	for _, k := range records {
-		all = append(all, fleetRecord{Roster: &k})
+func rosterRecords(records []roster.Record) (fleetRecords []fleetRecord) {
+	for _, record := range records {
+		fleetRecords = append(fleetRecords, fleetRecord{Roster: &record})
 	}
-	return all
+	return fleetRecords
 }
 
 // presentDrivers returns all drivers and superseded starts in the form package versions uses. The lock
 // is held.
-func (s *FleetServer) presentDrivers() (all []versions.Present) {
+func (s *FleetServer) presentDrivers() (present []versions.Present) {
 	now := s.now()
 	for _, driver := range s.roster.Drivers() {
 		mayAct := s.roster.MayAct(now, driver.Name) && !planted.Is(planted.Straggler)
-		all = append(all, versions.Present{Sign: startIdentity(driver), May: mayAct, Votes: driver.IsVoter, Silent: s.silentDrivers[driver.Name]})
+		present = append(present, versions.Present{Sign: startIdentity(driver), May: mayAct, Votes: driver.IsVoter, Silent: s.silentDrivers[driver.Name]})
 	}
 	for _, start := range s.roster.SupersededStarts(now) {
-		all = append(all, versions.Present{Sign: versions.Sign{Name: start.Name, Start: uint64(start.Start)}, May: !planted.Is(planted.Straggler)})
+		present = append(present, versions.Present{Sign: versions.Sign{Name: start.Name, Start: uint64(start.Start)}, May: !planted.Is(planted.Straggler)})
 	}
-	return all
+	return present
 }
 
 func startIdentity(d roster.Driver) versions.Sign {
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -25,9 +25,9 @@
 }
 
 func withHTTPStatus(err error) error {
-	var r *roster.RefusedError
-	if errors.As(err, &r) {
-		return refusedHTTPError{r}
+	var refused *roster.RefusedError
+	if errors.As(err, &refused) {
+		return refusedHTTPError{refused}
 	}
 	return err
 }
@@ -65,7 +65,7 @@
 
 // gossipReport lists the peers that have become unreachable for a driver.
 type gossipReport struct {
-	Unheard []string `json:"unheard,omitempty"`
+	Unreachable []string `json:"unheard,omitempty"`
 }
 
 // leaseResponse is the answer to a renewal.
@@ -89,7 +89,7 @@
 	}
 	driver, _ := s.roster.Find(request.Name)
 	if request.Gossip != nil {
-		s.roster.ReportUnreachable(request.Name, request.Gossip.Unheard)
+		s.roster.ReportUnreachable(request.Name, request.Gossip.Unreachable)
 	}
 	s.versions.Say(startIdentity(driver), request.Sightings)
 	orders, changed := s.versions.Orders(startIdentity(driver)), s.changed.channel
@@ -115,7 +115,7 @@
 
 // textDelay returns after how long a driver should request its texts again, 0 if they may be sent now.
 // Its current lease stays valid meanwhile. The lock is held.
-func (s *FleetServer) textDelay(who versions.Sign, orders []versions.Order) (wait int64) {
+func (s *FleetServer) textDelay(identity versions.Sign, orders []versions.Order) (wait int64) {
 	bytes := 0
 	for _, order := range orders {
 		bytes += len(order.Text) + len(order.Before)
@@ -123,7 +123,7 @@
 	if bytes == 0 {
 		return 0
 	}
-	return s.pacer.Turn(s.now(), who, bytes)
+	return s.pacer.Turn(s.now(), identity, bytes)
 }
 
 // leave records that a driver leaves, and stores the rest of its trail.
--- a/internal/membership/registration_wishes.go
+++ b/internal/membership/registration_wishes.go
@@ -113,8 +113,8 @@
 
 // LatestClosed returns the newest closed version of a thing and the time, on the clock of the voter that
 // closed it, from which no driver acts on an older one. The number is 0 if there is none.
-func (s *FleetState) LatestClosed(t versions.Thing) (n versions.Number, at int64) {
-	for _, v := range slices.Backward(s.Versions[t]) {
+func (s *FleetState) LatestClosed(thing versions.Thing) (number versions.Number, closedAt int64) {
+	for _, v := range slices.Backward(s.Versions[thing]) {
 		if v.Stage == versions.Closed {
 			return v.Number, v.Closes
 		}
--- a/internal/roster/doubts.go
+++ b/internal/roster/doubts.go
@@ -15,26 +15,26 @@
 	SilentSince int64       `json:"since"`  // on the local clock, 0 if not silent
 }
 
-// unheardReport holds the peers that a start last reported as unreachable.
-type unheardReport struct {
-	start   StartNumber
-	unheard []string
+// unreachableReport holds the peers that a start last reported as unreachable.
+type unreachableReport struct {
+	start       StartNumber
+	unreachable []string
 }
 
 // ReportUnreachable replaces the peers that a driver reports as unreachable. The report counts while the
 // driver may hold a lease. Drivers without gossip make no reports.
-func (r *Roster) ReportUnreachable(name string, unheard []string) {
+func (r *Roster) ReportUnreachable(name string, unreachable []string) {
 	if d := r.drivers[name]; d != nil {
-		r.unheardReports[name] = unheardReport{d.Start, slices.Clone(unheard)}
+		r.unreachableReports[name] = unreachableReport{d.Start, slices.Clone(unreachable)}
 	}
 }
 
 // Suspicions returns the drivers that peers report as unreachable, sorted by name. An unreachable
 // driver may still serve clients, so its lease is waited for all the same.
-func (r *Roster) Suspicions(now int64) (all []Suspicion) {
+func (r *Roster) Suspicions(now int64) (suspicions []Suspicion) {
 	var listeners []string
-	for _, name := range slices.Sorted(maps.Keys(r.unheardReports)) {
-		if d := r.drivers[name]; d != nil && d.Start == r.unheardReports[name].start && d.State == StatePresent && r.MayAct(now, name) {
+	for _, name := range slices.Sorted(maps.Keys(r.unreachableReports)) {
+		if d := r.drivers[name]; d != nil && d.Start == r.unreachableReports[name].start && d.State == StatePresent && r.MayAct(now, name) {
 			listeners = append(listeners, name)
 		}
 	}
@@ -46,7 +46,7 @@
 				continue
 			}
 			suspicion.Listeners++
-			if slices.Contains(r.unheardReports[listener].unheard, d.Name) {
+			if slices.Contains(r.unreachableReports[listener].unreachable, d.Name) {
 				suspicion.Reporters = append(suspicion.Reporters, listener)
 			}
 		}
@@ -59,8 +59,8 @@
 			}
 			silentSince[d.Name] = suspicion.SilentSince
 		}
-		all = append(all, suspicion)
+		suspicions = append(suspicions, suspicion)
 	}
 	r.silentSince = silentSince
-	return all
+	return suspicions
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -26,6 +26,7 @@
 // A later start takes over the name in any state. The earlier one is then refused further leases.
 type State int
 
+// States of a driver. See State for the transitions.
 const (
 	StateUnknown State = iota
 	StatePresent
@@ -112,8 +113,8 @@
 	// assumes that it holds a lease.
 	supersededLeaseEnds map[SupersededStart]int64
 
-	unheardReports map[string]unheardReport
-	silentSince    map[string]int64 // by name, when it was first found silent
+	unreachableReports map[string]unreachableReport
+	silentSince        map[string]int64 // by name, when it was first found silent
 }
 
 // SupersededStart identifies a start whose name a later start has taken over.
@@ -126,7 +127,7 @@
 // after its duration; a driver that does not renew for forgetAfter more is gone. All are nanoseconds.
 func New(lease, leaseMargin, forgetAfter int64) *Roster {
 	return &Roster{drivers: map[string]*Driver{}, lease: lease, leaseMargin: leaseMargin, forgetAfter: forgetAfter, leaseEnds: map[string]int64{},
-		pendingStarts: map[string]StartNumber{}, supersededLeaseEnds: map[SupersededStart]int64{}, unheardReports: map[string]unheardReport{}}
+		pendingStarts: map[string]StartNumber{}, supersededLeaseEnds: map[SupersededStart]int64{}, unreachableReports: map[string]unreachableReport{}}
 }
 
 // RefusedError says why a start is refused and how to remedy it. ShouldRejoin is set if the start
@@ -220,16 +221,16 @@
 }
 
 // SupersededStarts returns the superseded starts that may still hold a lease, sorted.
-func (r *Roster) SupersededStarts(now int64) (all []SupersededStart) {
+func (r *Roster) SupersededStarts(now int64) (starts []SupersededStart) {
 	for s, leaseEnd := range r.supersededLeaseEnds {
 		if leaseEnd >= now {
-			all = append(all, s)
+			starts = append(starts, s)
 		}
 	}
-	slices.SortFunc(all, func(a, b SupersededStart) int {
+	slices.SortFunc(starts, func(a, b SupersededStart) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
 	})
-	return all
+	return starts
 }
 
 // LeaseEnd returns when a driver's lease has certainly ended.
@@ -241,7 +242,7 @@
 	for name := range r.drivers {
 		r.leaseEnds[name] = r.leaseEndAt(now)
 	}
-	r.pendingStarts, r.unheardReports, r.silentSince = map[string]StartNumber{}, map[string]unheardReport{}, nil
+	r.pendingStarts, r.unreachableReports, r.silentSince = map[string]StartNumber{}, map[string]unreachableReport{}, nil
 }
 
 // Leave proposes that a start has left, and releases its lease.
