--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -40,15 +40,15 @@
 // FleetDriver is the driver on whose behalf a FleetAgent acts.
 type FleetDriver interface {
 	// Sightings returns the versions in use, and the time on the driver's clock.
-	Sightings() (sightings []versions.Sighting, observedAt int64)
+	Sightings() (sightings []versions.Report, observedAt int64)
 	// Granted applies a grant to a request of the given time.
 	Granted(requestedAt int64, grant versions.Grant)
 	// Joined sets the identity of this start.
-	Joined(identity versions.Sign, token string)
+	Joined(identity versions.Instance, token string)
 	// Trail returns up to limit entries of the audit trail after seq.
-	Trail(seq uint64, limit int) audit.Part
+	Trail(seq uint64, limit int) audit.Segment
 	// LastTrail returns all entries after seq, once the driver has stopped acting.
-	LastTrail(seq uint64) audit.Part
+	LastTrail(seq uint64) audit.Segment
 }
 
 // NewFleetAgent returns an agent that registers with the voters at the given addresses.
@@ -140,7 +140,7 @@
 		return err
 	}
 	a.start = confirmed
-	a.driver.Joined(versions.Sign{Name: a.claim.Name, Start: uint64(confirmed)}, a.claim.Token)
+	a.driver.Joined(versions.Instance{Name: a.claim.Name, Start: uint64(confirmed)}, a.claim.Token)
 	return nil
 }
 
@@ -153,7 +153,7 @@
 	}
 	part := a.driver.Trail(a.storedTrailSeq, maxEntriesPerRequest)
 	if len(part.Entries) > 0 {
-		request.Trails = []audit.Part{part}
+		request.Trails = []audit.Segment{part}
 	}
 	if len(part.Entries) == maxEntriesPerRequest {
 		request.WaitMs = 0 // more entries may follow
@@ -163,16 +163,16 @@
 		return false, err
 	}
 	a.storedTrailSeq = response.StoredTrailSeq // a new leader may hold fewer entries
-	a.retryAfter = time.Duration(response.Again)
+	a.retryAfter = time.Duration(response.RetryAfter)
 	a.driver.Granted(observedAt, response.Grant)
-	return len(response.Orders) > 0 || hasOtherVersionInFlight(sightings), nil
+	return len(response.Assignments) > 0 || hasOtherVersionInFlight(sightings), nil
 }
 
 // hasOtherVersionInFlight reports whether RPCs are in flight under a version other than the current one.
-func hasOtherVersionInFlight(sightings []versions.Sighting) bool {
+func hasOtherVersionInFlight(sightings []versions.Report) bool {
 	for _, s := range sightings {
-		for _, n := range s.Flight {
-			if n != s.Acts {
+		for _, n := range s.InFlight {
+			if n != s.Active {
 				return true
 			}
 		}
@@ -190,7 +190,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Trails: []audit.Part{a.driver.LastTrail(a.storedTrailSeq)}}
+	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Trails: []audit.Segment{a.driver.LastTrail(a.storedTrailSeq)}}
 	if err := a.client.post(ctx, "fleet/leave", request, nil); err != nil {
 		a.log.WithError(err).Warn("reporting to the fleet that this driver leaves failed")
 	}
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -29,17 +29,17 @@
 
 	mu               sync.Mutex
 	roster           *roster.Roster
-	versions         *versions.Ledger
-	changed          changeSignal      // on each new stage of a version
-	trails           *audit.Collection // received while this voter was the leader
-	unknownRecords   []json.RawMessage // with fields that only newer builds know
-	pacer            *versions.Pacer   // limits the rate of version texts sent
-	trailStore       *shelf.Shelf      // nil to keep trails in memory only
-	storeFailedAt    int64             // when writing trailStore last failed, 0 if all is written
-	lastShutOutError string            // last logged, to log each error once
-	observedAt       int64             // time of observed and suspicions
-	observed         []versions.Spread // versions that the council does not decide
-	diverged         map[versions.Thing]bool
+	versions         *versions.Controller
+	changed          changeSignal            // on each new stage of a version
+	trails           *audit.Collection       // received while this voter was the leader
+	unknownRecords   []json.RawMessage       // with fields that only newer builds know
+	pacer            *versions.Pacer         // limits the rate of version texts sent
+	trailStore       *shelf.Store            // nil to keep trails in memory only
+	storeFailedAt    int64                   // when writing trailStore last failed, 0 if all is written
+	lastShutOutError string                  // last logged, to log each error once
+	observedAt       int64                   // time of observed and suspicions
+	observed         []versions.Distribution // versions that the council does not decide
+	diverged         map[versions.Resource]bool
 	suspicions       []roster.Suspicion
 	silentDrivers    map[string]bool
 }
@@ -71,8 +71,8 @@
 
 // NewFleetServer returns a server without drivers. Call AttachCouncil before serving.
 func NewFleetServer(config FleetConfig, log logrus.FieldLogger) *FleetServer {
-	return &FleetServer{log: log, clock: clock.New(), config: config, changed: newChangeSignal(), versions: versions.NewLedger(),
-		diverged: map[versions.Thing]bool{}, trails: audit.NewCollection(maxEntriesPerStart), pacer: versions.NewPacer(textBytesPerSecond, textBurstDuration),
+	return &FleetServer{log: log, clock: clock.New(), config: config, changed: newChangeSignal(), versions: versions.NewController(),
+		diverged: map[versions.Resource]bool{}, trails: audit.NewCollection(maxEntriesPerStart), pacer: versions.NewPacer(textBytesPerSecond, textBurstDuration),
 		roster: roster.New(int64(config.Lease), int64(config.Lease)/leaseMarginDivisor, int64(config.ForgetAfter))}
 }
 
@@ -122,7 +122,7 @@
 		return err
 	}
 	version := &record.Version.Version
-	s.log.WithFields(logrus.Fields{"thing": version.Thing, "version": version.Number, "stage": version.Stage, "epoch": version.Epoch, "why": version.Why}).Info("version changed stage")
+	s.log.WithFields(logrus.Fields{"thing": version.Resource, "version": version.Number, "stage": version.Stage, "epoch": version.Epoch, "why": version.Reason}).Info("version changed stage")
 	s.changed.broadcast()
 	return nil
 }
@@ -130,7 +130,7 @@
 // fleetSnapshot is the state that results from all applied records.
 type fleetSnapshot struct {
 	Roster         roster.Snapshot   `json:"roster"`
-	Versions       versions.Past     `json:"versions"`
+	Versions       versions.Snapshot `json:"versions"`
 	UnknownRecords []json.RawMessage `json:"strange,omitempty"` // with fields that the writing build did not know
 }
 
@@ -138,7 +138,7 @@
 func (s *FleetServer) Snapshot() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return json.Marshal(fleetSnapshot{s.roster.Snapshot(), s.versions.Past(), s.unknownRecords})
+	return json.Marshal(fleetSnapshot{s.roster.Snapshot(), s.versions.Snapshot(), s.unknownRecords})
 }
 
 // Restore replaces the state by that of a snapshot.
@@ -161,7 +161,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.roster.TakeOver(s.now())
-	s.versions.TakeOver()
+	s.versions.StartLeading()
 }
 
 // Run advances versions and expires drivers until the context ends.
@@ -180,7 +180,7 @@
 			if records := s.versions.Step(s.now(), present); len(records) > 0 {
 				return versionRecords(records), nil
 			}
-			s.pacer.Sweep(s.now())
+			s.pacer.RemoveExpired(s.now())
 			return rosterRecords(append(s.roster.Step(s.now()), s.proposeShutOuts(present)...)), nil
 		})
 		if err != nil || !recorded {
@@ -205,44 +205,44 @@
 
 // presentDrivers returns all drivers and superseded starts in the form package versions uses. The lock
 // is held.
-func (s *FleetServer) presentDrivers() (present []versions.Present) {
+func (s *FleetServer) presentDrivers() (present []versions.DriverStatus) {
 	now := s.now()
 	for _, driver := range s.roster.Drivers() {
 		mayAct := s.roster.MayAct(now, driver.Name) && !planted.Is(planted.Straggler)
-		present = append(present, versions.Present{Sign: startIdentity(driver), May: mayAct, Votes: driver.IsVoter, Silent: s.silentDrivers[driver.Name]})
+		present = append(present, versions.DriverStatus{Instance: startIdentity(driver), MayAct: mayAct, IsVoter: driver.IsVoter, IsUnreachable: s.silentDrivers[driver.Name]})
 	}
 	for _, start := range s.roster.SupersededStarts(now) {
-		present = append(present, versions.Present{Sign: versions.Sign{Name: start.Name, Start: uint64(start.Start)}, May: !planted.Is(planted.Straggler)})
+		present = append(present, versions.DriverStatus{Instance: versions.Instance{Name: start.Name, Start: uint64(start.Start)}, MayAct: !planted.Is(planted.Straggler)})
 	}
 	return present
 }
 
-func startIdentity(d roster.Driver) versions.Sign {
-	return versions.Sign{Name: d.Name, Start: uint64(d.Start)}
+func startIdentity(d roster.Driver) versions.Instance {
+	return versions.Instance{Name: d.Name, Start: uint64(d.Start)}
 }
 
 // proposeShutOuts proposes to shut out drivers that have held back a version for too long. If they are
 // too many, the version is probably at fault: it logs an error and waits for an operator. The lock is
 // held.
-func (s *FleetServer) proposeShutOuts(present []versions.Present) []roster.Record {
-	for _, behind := range s.versions.Behind(s.now(), present) {
-		if !behind.Over {
+func (s *FleetServer) proposeShutOuts(present []versions.DriverStatus) []roster.Record {
+	for _, behind := range s.versions.StalledVersions(s.now(), present) {
+		if !behind.IsOverdue {
 			continue
 		}
 		var names []string
-		for _, who := range behind.Who {
+		for _, who := range behind.Instances {
 			if d, _ := s.roster.Find(who.Name); d.State == roster.StatePresent {
 				names = append(names, who.Name)
 			}
 		}
-		reason := "it kept version " + string(behind.Thing) + " back, at " + behind.Stage.String()
+		reason := "it kept version " + string(behind.Resource) + " back, at " + behind.Stage.String()
 		records, err := s.roster.ShutOut(s.now(), names, reason, s.config.MaxShutOutShare)
 		if err == nil && len(records) > 0 {
 			return records
 		}
 		if err != nil && s.lastShutOutError != err.Error() {
 			s.lastShutOutError = err.Error()
-			s.log.WithError(err).WithFields(logrus.Fields{"thing": behind.Thing, "version": behind.Number, "stage": behind.Stage, "by": names}).
+			s.log.WithError(err).WithFields(logrus.Fields{"thing": behind.Resource, "version": behind.Number, "stage": behind.Stage, "by": names}).
 				Error("too many drivers hold back a version to shut them all out; call the version off or repair the drivers")
 		}
 	}
--- a/internal/membership/registration_observe.go
+++ b/internal/membership/registration_observe.go
@@ -21,17 +21,17 @@
 	}
 	s.observedAt = now
 	s.updateSuspicions(now)
-	s.observed = s.versions.Observed(now, s.presentDrivers())
+	s.observed = s.versions.Distributions(now, s.presentDrivers())
 	for _, spread := range s.observed {
 		late := 0
-		for _, d := range spread.Behind {
-			if d.For > int64(s.config.Lease) {
+		for _, d := range spread.Lagging {
+			if d.Duration > int64(s.config.Lease) {
 				late++
 			}
 		}
-		if diverged := late > 0 || spread.Forked; diverged != s.diverged[spread.Thing] {
-			s.diverged[spread.Thing] = diverged
-			s.log.WithFields(logrus.Fields{"thing": spread.Thing, "newest": spread.Groups[0].Number, "kinds": len(spread.Groups), "late": late, "forked": spread.Forked}).
+		if diverged := late > 0 || spread.HasConflict; diverged != s.diverged[spread.Resource] {
+			s.diverged[spread.Resource] = diverged
+			s.log.WithFields(logrus.Fields{"thing": spread.Resource, "newest": spread.Holders[0].Number, "kinds": len(spread.Holders), "late": late, "forked": spread.HasConflict}).
 				Warn(map[bool]string{true: "drivers use different versions", false: "drivers use the same version again"}[diverged])
 		}
 	}
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -64,7 +64,7 @@
 // fakeDriver is a driver that serves only the RPCs that a test begins.
 type fakeDriver struct {
 	mu           sync.Mutex
-	holder       *versions.Holder
+	holder       *versions.DriverState
 	trail        *audit.Trail
 	isStuck      bool // adopts no versions
 	adoptedTexts []string
@@ -72,24 +72,24 @@
 
 func (d *fakeDriver) now() int64 { return time.Now().UnixNano() }
 
-func (d *fakeDriver) Sightings() ([]versions.Sighting, int64) {
+func (d *fakeDriver) Sightings() ([]versions.Report, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.Sightings(), d.now()
+	return d.holder.Reports(), d.now()
 }
 
 func (d *fakeDriver) Granted(asked int64, g versions.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, a := range d.holder.Granted(asked, g) {
+	for _, a := range d.holder.ApplyGrant(asked, g) {
 		if !d.isStuck {
-			d.holder.Adopted(a)
+			d.holder.MarkAdopted(a)
 			d.adoptedTexts = append(d.adoptedTexts, a.Text)
 		}
 	}
 }
 
-func (d *fakeDriver) Joined(who versions.Sign, token string) {
+func (d *fakeDriver) Joined(who versions.Instance, token string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.trail == nil {
@@ -97,17 +97,17 @@
 	}
 }
 
-func (d *fakeDriver) Trail(seq uint64, most int) audit.Part {
+func (d *fakeDriver) Trail(seq uint64, most int) audit.Segment {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.trail == nil {
-		return audit.Part{}
+		return audit.Segment{}
 	}
-	d.trail.Mark(d.now())
+	d.trail.FlushBeforeSend(d.now())
 	return d.trail.Since(seq, most)
 }
 
-func (d *fakeDriver) LastTrail(seq uint64) audit.Part {
+func (d *fakeDriver) LastTrail(seq uint64) audit.Segment {
 	d.mu.Lock()
 	d.trail.Flush(d.now())
 	d.mu.Unlock()
@@ -122,15 +122,15 @@
 	if !mayAct {
 		return 0
 	}
-	d.trail.Began(d.now(), "x", n)
-	d.trail.Ended(d.now(), "x", n, rpc, audit.NonIdempotent, audit.Served, d.now())
+	d.trail.BeginRPC(d.now(), "x", n)
+	d.trail.EndRPC(d.now(), "x", n, rpc, audit.NonIdempotent, audit.Served, d.now())
 	d.holder.End("x", n)
 	return n
 }
 
 // join starts a driver. leave stops it gracefully.
 func (c *testCouncil) join(name string, level int) (driver *fakeDriver, leave func()) {
-	driver = &fakeDriver{holder: versions.NewHolder()}
+	driver = &fakeDriver{holder: versions.NewDriverState()}
 	agent := NewFleetAgent([]string{c.address}, roster.Claim{Name: name, Address: "at", Build: "b", Level: level}, c.config.Lease, driver, newDiscardLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -180,7 +180,7 @@
 }
 
 func (c *testCouncil) propose(text string) error {
-	plan := versions.Plan{Tell: int64(300 * time.Millisecond), Adopt: int64(300 * time.Millisecond), Close: int64(time.Second)}
+	plan := versions.Plan{AnnounceTimeout: int64(300 * time.Millisecond), AdoptTimeout: int64(300 * time.Millisecond), DrainTimeout: int64(time.Second)}
 	return c.changeFleet(FleetChange{Propose: &Proposal{Thing: "x", Text: text, Plan: plan}})
 }
 
@@ -262,7 +262,7 @@
 	time.Sleep(2 * c.config.Lease)
 	require.EqualValues(t, 2, c.server.State().Drivers[0].Start)
 	require.Zero(t, earlier.act("r"))
-	require.EqualValues(t, versions.Origin, c.act(later, "r"))
+	require.EqualValues(t, versions.InitialVersion, c.act(later, "r"))
 	err := NewClient(c.address).post(context.Background(), "fleet/renew", leaseRequest{Name: "a", Token: "x"}, nil)
 	require.ErrorContains(t, err, "a later start of \"a\", number 2 at at, has taken its name over; end one of the two")
 	require.Equal(t, http.StatusForbidden, err.(*jsonhttp.StatusError).Status)
@@ -287,7 +287,7 @@
 	drivers[1].mu.Unlock()
 	require.NoError(t, c.changeFleet(FleetChange{Readmit: "b", Reason: "mended"}))
 	c.requireEventually("readmitted driver uses the version", func(f *FleetState) bool {
-		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Acts == 2
+		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Active == 2
 	})
 	for _, driver := range drivers {
 		driver.mu.Lock()
@@ -295,13 +295,13 @@
 		driver.mu.Unlock()
 	}
 	require.NoError(t, c.propose("two"))
-	c.requireEventually("version is overdue", func(f *FleetState) bool { return len(f.Behind) == 1 && f.Behind[0].Over })
+	c.requireEventually("version is overdue", func(f *FleetState) bool { return len(f.Behind) == 1 && f.Behind[0].IsOverdue })
 	time.Sleep(100 * time.Millisecond)
 	f := c.server.State()
 	require.Equal(t, roster.StatePresent, f.driverState("a"), "too many drivers to shut out")
 	require.EqualValues(t, 2, c.act(drivers[0], "r"), "all use the older version")
 	require.NoError(t, c.changeFleet(FleetChange{Withdraw: "x", Reason: "wrong"}))
-	c.requireEventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.Withdrawn })
+	c.requireEventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
 }
 
 // A build too old for the feature level must not act, and the error must say how to remedy that.
@@ -330,9 +330,9 @@
 	state := FleetState{Lease: 7, Drivers: []DriverStatus{newStatus("a", 1), newStatus("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
 	periods := state.unknownPeriods("", audit.NewCollection(100))
 	require.Len(t, periods, 1)
-	require.Equal(t, versions.Sign{Name: "b", Start: 2}, periods[0].Who)
+	require.Equal(t, versions.Instance{Name: "b", Start: 2}, periods[0].Instance)
 	require.EqualValues(t, []int64{0, 57}, []int64{periods[0].From, periods[0].To})
-	require.Contains(t, periods[0].Why, "a roster remembers 1")
+	require.Contains(t, periods[0].Reason, "a roster remembers 1")
 	require.Empty(t, state.unknownPeriods("a", audit.NewCollection(100)))
 }
 
@@ -341,15 +341,15 @@
 func TestTrailsOfForgottenStartsBoundUnknownPeriods(t *testing.T) {
 	held := audit.NewCollection(100)
 	for _, start := range []uint64{1, 2, 4} {
-		trail := audit.NewTrail(int64(10*start), versions.Sign{Name: "b", Start: start}, "x", 100, 1)
+		trail := audit.NewTrail(int64(10*start), versions.Instance{Name: "b", Start: start}, "x", 100, 1)
 		trail.Flush(int64(10*start) + 3)
-		trail.Has(int64(10*start)+3, versions.List, 1)
-		held.Take(trail.Since(0, 100))
+		trail.RecordObserved(int64(10*start)+3, versions.DiscoveryList, 1)
+		held.Add(trail.Since(0, 100))
 	}
 	state := FleetState{Lease: 7, Drivers: []DriverStatus{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, EarlierStarts: []roster.EndedStart{{Start: 6, JoinedAt: 60}}}}}}
 	var unknown [][]int64
 	for _, u := range state.unknownPeriods("b", held) {
-		unknown = append(unknown, []int64{int64(u.Who.Start), u.From, u.To})
+		unknown = append(unknown, []int64{int64(u.Instance.Start), u.From, u.To})
 	}
 	require.Equal(t, [][]int64{{1, 13, 27}, {3, 23, 47}, {5, 43, 67}}, unknown)
 }
@@ -358,19 +358,19 @@
 // would miss it without noticing, since a driver that left has sent its whole trail.
 func TestLastTrailPartIsStoredAfterGap(t *testing.T) {
 	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
-	who := versions.Sign{Name: "a", Start: 1}
+	who := versions.Instance{Name: "a", Start: 1}
 	trail := audit.NewTrail(server.now(), who, "x", 100, int64(time.Hour))
 	for range 5 {
-		trail.Began(server.now(), "x", 1)
-		trail.Ended(server.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, server.now())
+		trail.BeginRPC(server.now(), "x", 1)
+		trail.EndRPC(server.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, server.now())
 	}
 	trail.Flush(server.now())
-	server.storeTrails([]audit.Part{trail.Since(0, 1)}, false)
-	server.storeTrails([]audit.Part{trail.Since(4, 100)}, false)
-	require.EqualValues(t, 1, server.trails.Held(who), "earlier entries are missing")
-	server.storeTrails([]audit.Part{trail.Since(4, 100)}, true)
-	require.Len(t, server.trails.Parts(), 2)
-	require.Contains(t, server.trails.Unknown([]audit.Start{{Who: who}})[0].Why, "entries 2 to 4 are not held")
+	server.storeTrails([]audit.Segment{trail.Since(0, 1)}, false)
+	server.storeTrails([]audit.Segment{trail.Since(4, 100)}, false)
+	require.EqualValues(t, 1, server.trails.LastSeq(who), "earlier entries are missing")
+	server.storeTrails([]audit.Segment{trail.Since(4, 100)}, true)
+	require.Len(t, server.trails.Segments(), 2)
+	require.Contains(t, server.trails.Gaps([]audit.Lifetime{{Instance: who}})[0].Reason, "entries 2 to 4 are not held")
 }
 
 // Trails must be written to disk again after a temporary write failure.
@@ -378,12 +378,12 @@
 	path := filepath.Join(t.TempDir(), "trails")
 	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	require.NoError(t, server.OpenTrails(path))
-	trail := audit.NewTrail(server.now(), versions.Sign{Name: "a", Start: 1}, "x", 100, 1)
+	trail := audit.NewTrail(server.now(), versions.Instance{Name: "a", Start: 1}, "x", 100, 1)
 	storeEntries := func(count int) {
 		for range count {
 			trail.Flush(server.now())
-			trail.Learns(server.now(), "x", 1, 1)
-			server.storeTrails([]audit.Part{trail.Since(server.trails.Held(versions.Sign{Name: "a", Start: 1}), 100)}, false)
+			trail.RecordEpoch(server.now(), "x", 1, 1)
+			server.storeTrails([]audit.Segment{trail.Since(server.trails.LastSeq(versions.Instance{Name: "a", Start: 1}), 100)}, false)
 		}
 	}
 	storeEntries(1)
@@ -395,5 +395,5 @@
 	require.Zero(t, server.storeFailedAt)
 	next := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	require.NoError(t, next.OpenTrails(path))
-	require.Equal(t, server.trails.Parts(), next.trails.Parts())
+	require.Equal(t, server.trails.Segments(), next.trails.Segments())
 }
--- a/internal/membership/registration_wishes.go
+++ b/internal/membership/registration_wishes.go
@@ -14,10 +14,10 @@
 
 // Proposal asks for the rollout of a new version.
 type Proposal struct {
-	Thing  versions.Thing `json:"thing"`
-	Text   string         `json:"text"`
-	Reason string         `json:"why"`
-	Plan   versions.Plan  `json:"plan"`
+	Thing  versions.Resource `json:"thing"`
+	Text   string            `json:"text"`
+	Reason string            `json:"why"`
+	Plan   versions.Plan     `json:"plan"`
 }
 
 // Digest returns the SHA-256 hash of a text in hexadecimal.
@@ -28,11 +28,11 @@
 
 // FleetChange is an operator's request. Only one field besides Reason is set.
 type FleetChange struct {
-	Propose    *Proposal      `json:"propose,omitempty"`
-	Withdraw   versions.Thing `json:"call_off,omitempty"`
-	RaiseLevel int            `json:"raise,omitempty"`
-	Readmit    string         `json:"readmit,omitempty"`
-	Reason     string         `json:"why,omitempty"`
+	Propose    *Proposal         `json:"propose,omitempty"`
+	Withdraw   versions.Resource `json:"call_off,omitempty"`
+	RaiseLevel int               `json:"raise,omitempty"`
+	Readmit    string            `json:"readmit,omitempty"`
+	Reason     string            `json:"why,omitempty"`
 }
 
 // changeFleet carries out an operator's request.
@@ -44,7 +44,7 @@
 			records, err := s.versions.Propose(now, proposal.Thing, Digest(proposal.Text), proposal.Text, proposal.Reason, proposal.Plan)
 			return versionRecords(records), err
 		case change.Withdraw != "":
-			records, err := s.versions.CallOff(now, change.Withdraw, change.Reason)
+			records, err := s.versions.RollBack(now, change.Withdraw, change.Reason)
 			return versionRecords(records), err
 		case change.RaiseLevel > 0:
 			records, err := s.roster.RaiseLevel(now, change.RaiseLevel)
@@ -61,23 +61,23 @@
 // DriverStatus is a driver with its lease and the versions it uses.
 type DriverStatus struct {
 	roster.Driver
-	MayAct    bool                `json:"may"`      // it may hold a lease
-	LeaseEnd  int64               `json:"until"`    // when its lease has certainly ended
-	Sightings []versions.Sighting `json:"sighting"` // as last reported
+	MayAct    bool              `json:"may"`      // it may hold a lease
+	LeaseEnd  int64             `json:"until"`    // when its lease has certainly ended
+	Sightings []versions.Report `json:"sighting"` // as last reported
 }
 
 // FleetState describes the drivers and versions of the fleet.
 type FleetState struct {
-	Voter              council.VoterID                       `json:"voter"`
-	Now                int64                                 `json:"now"`
-	Lease              int64                                 `json:"lease_ns"`
-	Level              int                                   `json:"level"`
-	HighestCommonLevel int                                   `json:"highest"` // supported by all drivers
-	Drivers            []DriverStatus                        `json:"drivers"`
-	Versions           map[versions.Thing][]versions.Version `json:"versions"`
-	Behind             []versions.Behind                     `json:"behind"`
-	Observed           []versions.Spread                     `json:"observed"` // versions that the council does not decide
-	Suspicions         []roster.Suspicion                    `json:"doubts"`   // drivers that peers report as unreachable
+	Voter              council.VoterID                          `json:"voter"`
+	Now                int64                                    `json:"now"`
+	Lease              int64                                    `json:"lease_ns"`
+	Level              int                                      `json:"level"`
+	HighestCommonLevel int                                      `json:"highest"` // supported by all drivers
+	Drivers            []DriverStatus                           `json:"drivers"`
+	Versions           map[versions.Resource][]versions.Version `json:"versions"`
+	Behind             []versions.StalledVersion                `json:"behind"`
+	Observed           []versions.Distribution                  `json:"observed"` // versions that the council does not decide
+	Suspicions         []roster.Suspicion                       `json:"doubts"`   // drivers that peers report as unreachable
 }
 
 // State returns the state of the fleet.
@@ -86,12 +86,12 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	state := FleetState{Voter: s.proposer.recorder.voterID(), Now: now, Lease: int64(s.config.Lease), Level: s.roster.Level(), HighestCommonLevel: s.roster.HighestCommonLevel(now),
-		Versions: map[versions.Thing][]versions.Version{}, Behind: s.versions.Behind(now, s.presentDrivers()), Observed: s.observed, Suspicions: s.suspicions}
+		Versions: map[versions.Resource][]versions.Version{}, Behind: s.versions.StalledVersions(now, s.presentDrivers()), Observed: s.observed, Suspicions: s.suspicions}
 	for _, driver := range s.roster.Drivers() {
 		state.Drivers = append(state.Drivers, DriverStatus{Driver: driver, MayAct: s.roster.MayAct(now, driver.Name), LeaseEnd: s.roster.LeaseEnd(driver.Name),
-			Sightings: s.versions.Said(startIdentity(driver))})
+			Sightings: s.versions.Reports(startIdentity(driver))})
 	}
-	for _, thing := range s.versions.Things() {
+	for _, thing := range s.versions.Resources() {
 		state.Versions[thing] = s.versions.Versions(thing)
 		for i := range state.Versions[thing] {
 			state.Versions[thing][i].Text = ""
@@ -113,10 +113,10 @@
 
 // LatestClosed returns the newest closed version of a thing and the time, on the clock of the voter that
 // closed it, from which no driver acts on an older one. The number is 0 if there is none.
-func (s *FleetState) LatestClosed(thing versions.Thing) (number versions.Number, closedAt int64) {
+func (s *FleetState) LatestClosed(thing versions.Resource) (number versions.Number, closedAt int64) {
 	for _, v := range slices.Backward(s.Versions[thing]) {
-		if v.Stage == versions.Closed {
-			return v.Number, v.Closes
+		if v.Stage == versions.StageCompleted {
+			return v.Number, v.CompletedAt
 		}
 	}
 	return 0, 0
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -21,13 +21,13 @@
 
 // VoterTrails holds the parts of audit trails that one voter has.
 type VoterTrails struct {
-	Parts  []audit.Part `json:"parts"`
-	Faults []string     `json:"faults"`
+	Parts  []audit.Segment `json:"parts"`
+	Faults []string        `json:"faults"`
 }
 
 // OpenTrails loads trails from a file and keeps storing them there.
 func (s *FleetServer) OpenTrails(path string) error {
-	trailStore, parts, unreadable, err := shelf.Open(path, shelf.Most)
+	trailStore, parts, unreadable, err := shelf.Open(path, shelf.MaxBytes)
 	if err != nil {
 		return err
 	}
@@ -43,13 +43,13 @@
 
 // storeTrails stores parts of a driver's trail. The last part, sent when the driver leaves, is accepted
 // even if entries before it are missing. The lock is held.
-func (s *FleetServer) storeTrails(parts []audit.Part, isLast bool) {
-	store := s.trails.Take
+func (s *FleetServer) storeTrails(parts []audit.Segment, isLast bool) {
+	store := s.trails.Add
 	if isLast {
-		store = s.trails.TakeLast
+		store = s.trails.AddFinal
 	}
 	for _, part := range parts {
-		part, held := part.Heard(s.now()), s.trails.Held(part.Who)
+		part, held := part.WithClockOffset(s.now()), s.trails.LastSeq(part.Instance)
 		if store(part) != held && s.trailStore != nil {
 			s.saveTrailPart(part)
 		}
@@ -61,16 +61,16 @@
 
 // saveTrailPart writes a part to the trail file. After a failure it rewrites the whole file once that is
 // possible again. The lock is held.
-func (s *FleetServer) saveTrailPart(part audit.Part) {
+func (s *FleetServer) saveTrailPart(part audit.Segment) {
 	if s.storeFailedAt != 0 && s.now()-s.storeFailedAt < storeRetryInterval {
 		return
 	}
 	var err error
 	if s.storeFailedAt == 0 {
-		err = s.trailStore.Put(part)
+		err = s.trailStore.Append(part)
 	}
-	if s.storeFailedAt != 0 || err == nil && s.trailStore.Full() {
-		err = s.trailStore.Renew(s.trails.Parts())
+	if s.storeFailedAt != 0 || err == nil && s.trailStore.IsFull() {
+		err = s.trailStore.Rewrite(s.trails.Segments())
 	}
 	switch {
 	case err != nil && s.storeFailedAt == 0:
@@ -87,7 +87,7 @@
 func (s *FleetServer) storedTrails() VoterTrails {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return VoterTrails{Parts: s.trails.Parts(), Faults: s.trails.Faults()}
+	return VoterTrails{Parts: s.trails.Segments(), Faults: s.trails.Faults()}
 }
 
 // handleTrails registers the handler that returns the trails of this voter, leader or not.
@@ -97,22 +97,22 @@
 
 // AuditQuery selects actions from the audit trails. Times are Unix nanoseconds, 0 for unbounded.
 type AuditQuery struct {
-	Thing        versions.Thing  `json:"thing"`
-	Version      versions.Number `json:"version"`
-	Driver       string          `json:"driver"`
-	From         int64           `json:"from"`
-	To           int64           `json:"to"`
-	MaxClockSkew int64           `json:"clocks"` // between drivers
+	Thing        versions.Resource `json:"thing"`
+	Version      versions.Number   `json:"version"`
+	Driver       string            `json:"driver"`
+	From         int64             `json:"from"`
+	To           int64             `json:"to"`
+	MaxClockSkew int64             `json:"clocks"` // between drivers
 }
 
 // AuditResult is the answer to an AuditQuery.
 type AuditResult struct {
-	Acted   []audit.Acted   `json:"acted"`
-	Late    []audit.Late    `json:"late"`    // acted after a newer version was closed
-	Unknown []audit.Unknown `json:"unknown"` // periods of which no trail is held
-	Faults  []string        `json:"faults"`  // inconsistencies of trails
-	Missing []string        `json:"missing"` // unreachable voters
-	Entries int             `json:"entries"`
+	Acted   []audit.Activity     `json:"acted"`
+	Late    []audit.LateActivity `json:"late"`    // acted after a newer version was closed
+	Unknown []audit.Gap          `json:"unknown"` // periods of which no trail is held
+	Faults  []string             `json:"faults"`  // inconsistencies of trails
+	Missing []string             `json:"missing"` // unreachable voters
+	Entries int                  `json:"entries"`
 }
 
 // voterTimeout limits the request for the trails of one voter.
@@ -121,7 +121,7 @@
 // collectTrails fetches and merges the trails of all voters.
 func collectTrails(ctx context.Context, voters []string) (collection *audit.Collection, faults, missing []string) {
 	collection = audit.NewCollection(2 * maxEntriesPerStart)
-	var parts []audit.Part
+	var parts []audit.Segment
 	for _, address := range voters {
 		var trails VoterTrails
 		requestCtx, cancel := context.WithTimeout(ctx, voterTimeout)
@@ -139,9 +139,9 @@
 }
 
 // CollectParts returns the merged trails of all reachable voters.
-func CollectParts(ctx context.Context, voters []string) []audit.Part {
+func CollectParts(ctx context.Context, voters []string) []audit.Segment {
 	collection, _, _ := collectTrails(ctx, voters)
-	return collection.Parts()
+	return collection.Segments()
 }
 
 // Audit answers a query from the trails of all voters.
@@ -152,16 +152,16 @@
 	}
 	var collection *audit.Collection
 	collection, result.Faults, result.Missing = collectTrails(ctx, voters)
-	for _, part := range collection.Parts() {
+	for _, part := range collection.Segments() {
 		result.Entries += len(part.Entries)
 	}
-	result.Acted = collection.Acted(audit.Asked{Thing: query.Thing, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
+	result.Acted = collection.Activities(audit.Query{Resource: query.Thing, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
 	starts := fleet.rememberedStarts(query.Driver)
-	result.Unknown = append(collection.Unknown(starts), fleet.unknownPeriods(query.Driver, collection)...)
+	result.Unknown = append(collection.Gaps(starts), fleet.unknownPeriods(query.Driver, collection)...)
 	for _, version := range fleet.Versions[query.Thing] {
-		if version.Stage == versions.Closed {
-			result.Late = append(result.Late, collection.Late(query.Thing, version.Number, version.Epoch, version.Closes, query.MaxClockSkew)...)
-			result.Unknown = append(result.Unknown, collection.Unordered(query.Thing, version.Number, starts)...)
+		if version.Stage == versions.StageCompleted {
+			result.Late = append(result.Late, collection.LateActivities(query.Thing, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
+			result.Unknown = append(result.Unknown, collection.UnorderedActivities(query.Thing, version.Number, starts)...)
 		}
 	}
 	return result, nil
@@ -170,42 +170,42 @@
 // unknownPeriods returns the periods in which starts that the roster has forgotten may have acted without
 // a trail: before, between and after the trails held. Each start may have acted until a lease after the
 // next one joined.
-func (s *FleetState) unknownPeriods(driver string, collection *audit.Collection) (periods []audit.Unknown) {
+func (s *FleetState) unknownPeriods(driver string, collection *audit.Collection) (periods []audit.Gap) {
 	for _, d := range s.Drivers {
 		if driver != "" && d.Name != driver || len(d.EarlierStarts) == 0 || d.EarlierStarts[0].Start == 1 {
 			continue
 		}
 		oldest := d.EarlierStarts[0]
 		reason := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.EarlierStarts))
-		last := audit.Extent{Who: versions.Sign{Name: d.Name}}
+		last := audit.Extent{Instance: versions.Instance{Name: d.Name}}
 		for _, extent := range collection.Extents(d.Name) {
-			if extent.Who.Start >= uint64(oldest.Start) {
+			if extent.Instance.Start >= uint64(oldest.Start) {
 				break
 			}
-			if extent.Who.Start > 1 {
-				periods = append(periods, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: extent.Who.Start - 1}, From: last.To, To: extent.From + s.Lease, Why: reason})
+			if extent.Instance.Start > 1 {
+				periods = append(periods, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: extent.Instance.Start - 1}, From: last.To, To: extent.From + s.Lease, Reason: reason})
 			}
 			last = extent
 		}
-		periods = append(periods, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Why: reason})
+		periods = append(periods, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Reason: reason})
 	}
 	return periods
 }
 
 // rememberedStarts returns the starts in the roster, and until when each may have acted.
-func (s *FleetState) rememberedStarts(driver string) (starts []audit.Start) {
+func (s *FleetState) rememberedStarts(driver string) (starts []audit.Lifetime) {
 	for _, driverStatus := range s.Drivers {
 		if driver != "" && driverStatus.Name != driver {
 			continue
 		}
 		for _, earlier := range driverStatus.EarlierStarts {
-			starts = append(starts, audit.Start{Who: versions.Sign{Name: driverStatus.Name, Start: uint64(earlier.Start)}, From: earlier.JoinedAt, Until: earlier.EndedAt + s.Lease})
+			starts = append(starts, audit.Lifetime{Instance: versions.Instance{Name: driverStatus.Name, Start: uint64(earlier.Start)}, From: earlier.JoinedAt, Until: earlier.EndedAt + s.Lease})
 		}
 		until := driverStatus.LeaseEnd
 		if driverStatus.State == roster.StateLeft { // it sent all of its trail before it released its lease
 			until = 0
 		}
-		starts = append(starts, audit.Start{Who: startIdentity(driverStatus.Driver), From: driverStatus.JoinedAt, Until: until, Live: driverStatus.MayAct && driverStatus.State == roster.StatePresent})
+		starts = append(starts, audit.Lifetime{Instance: startIdentity(driverStatus.Driver), From: driverStatus.JoinedAt, Until: until, IsLive: driverStatus.MayAct && driverStatus.State == roster.StatePresent})
 	}
 	return starts
 }
