--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -19,169 +19,169 @@
 	"sedgespread/internal/versions"
 )
 
-// Registration is the fleet as a machine on the council's log: which drivers there are, and which versions they act on. It takes
-// records in at every voter and decides at one.
-type Registration struct {
-	decisions[registrationRecord]
-	log   logrus.FieldLogger
-	clock clock.Clock
-	terms Terms
-
-	mu       sync.Mutex
-	roster   *roster.Roster
-	versions *versions.Controller
-	changed  bell                    // rings at the next step of a version
-	trails   *audit.Collection       // that drivers told while this voter decided
-	strange  []json.RawMessage       // records of a newer build
-	pacer    *versions.Pacer         // of texts
-	shelf    *shelf.Store            // where trails are kept, nil for nowhere
-	unkept   int64                   // when they could not be written last, 0 where all are
-	stopped  string                  // why stragglers are not shut out, as told last
-	looked   int64                   // when what drivers act on by themselves was looked at last
-	observed []versions.Distribution // as it was then
-	apart    map[versions.Resource]bool
-	doubts   []roster.Doubt // as they were then
-	silent   map[string]bool
-}
-
-// RegistrationName is what the fleet's records are marked with in a council's log.
-const RegistrationName = "fleet"
-
-// Terms are what the operator's file says of the fleet.
-type Terms struct {
-	Lease  time.Duration
-	Forget time.Duration // a driver that was not heard for so long after its lease is gone
-	Most   float64       // the part of the drivers that may be shut out at once
-}
-
-// registrationRecord is one of the two.
-type registrationRecord struct {
+// FleetServer registers drivers and rolls out versions to them. It is a state machine of the council:
+// every voter applies its records, and the leader proposes them.
+type FleetServer struct {
+	proposer[fleetRecord]
+	log    logrus.FieldLogger
+	clock  clock.Clock
+	config FleetConfig
+
+	mu               sync.Mutex
+	roster           *roster.Roster
+	versions         *versions.Controller
+	changed          changeSignal            // on each new stage of a version
+	trails           *audit.Collection       // received while this voter was the leader
+	unknownRecords   []json.RawMessage       // with fields that only newer builds know
+	pacer            *versions.Pacer         // limits the rate of version texts sent
+	trailStore       *shelf.Store            // nil to keep trails in memory only
+	storeFailedAt    int64                   // when writing trailStore last failed, 0 if all is written
+	lastShutOutError string                  // last logged, to log each error once
+	observedAt       int64                   // time of observed and suspicions
+	observed         []versions.Distribution // versions that the council does not decide
+	diverged         map[versions.Resource]bool
+	suspicions       []roster.Suspicion
+	silentDrivers    map[string]bool
+}
+
+// FleetStateMachineName marks the fleet's records in the council's log.
+const FleetStateMachineName = "fleet"
+
+// FleetConfig holds the fleet's settings.
+type FleetConfig struct {
+	Lease           time.Duration
+	ForgetAfter     time.Duration // after the end of its lease a driver counts as gone
+	MaxShutOutShare float64       // of the drivers, at any time
+}
+
+// fleetRecord is a record of the roster or of a version; exactly one is set.
+type fleetRecord struct {
 	Roster  *roster.Record   `json:"roster,omitempty"`
 	Version *versions.Record `json:"version,omitempty"`
 }
 
-// Texts are told to drivers at so many bytes a second, and those at once that are due in so long.
+// Rate limit for version texts sent to drivers, and the burst it allows.
 const (
-	textRate  = 32e6
-	textBurst = int64(20 * time.Millisecond)
+	textBytesPerSecond = 32e6
+	textBurstDuration  = int64(20 * time.Millisecond)
 )
 
-// leaseMargin is the part of a lease by which it is waited for longer than it lasts: clocks differ in rate by less.
-const leaseMargin = 50
+// leaseMarginDivisor sets the margin added to leases, lease/leaseMarginDivisor, for clock drift.
+const leaseMarginDivisor = 50
 
-// NewRegistration makes the fleet's machine; Join is its place in the council.
-func NewRegistration(terms Terms, log logrus.FieldLogger) *Registration {
-	return &Registration{log: log, clock: clock.New(), terms: terms, changed: newBell(), versions: versions.NewController(),
-		apart: map[versions.Resource]bool{}, trails: audit.NewCollection(mostEntries), pacer: versions.NewPacer(textRate, textBurst),
-		roster: roster.New(int64(terms.Lease), int64(terms.Lease)/leaseMargin, int64(terms.Forget))}
+// NewFleetServer returns a server without drivers. Call AttachCouncil before serving.
+func NewFleetServer(config FleetConfig, log logrus.FieldLogger) *FleetServer {
+	return &FleetServer{log: log, clock: clock.New(), config: config, changed: newChangeSignal(), versions: versions.NewController(),
+		diverged: map[versions.Resource]bool{}, trails: audit.NewCollection(maxEntriesPerStart), pacer: versions.NewPacer(textBytesPerSecond, textBurstDuration),
+		roster: roster.New(int64(config.Lease), int64(config.Lease)/leaseMarginDivisor, int64(config.ForgetAfter))}
 }
 
-// Join says where the council is, before anything is asked of the registration.
-func (m *Registration) Join(c *chamber.Server) {
-	m.decisions.ledger = together[registrationRecord]{c, RegistrationName}
+// AttachCouncil sets the council's server. It is called before the first request.
+func (s *FleetServer) AttachCouncil(c *chamber.Server) {
+	s.proposer.recorder = councilRecorder[fleetRecord]{c, FleetStateMachineName}
 }
 
-func (m *Registration) now() int64 { return m.clock.Now() }
+func (s *FleetServer) now() int64 { return s.clock.Now() }
 
-// Apply takes in records that the council has agreed on.
-func (m *Registration) Apply(data []byte) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := applied(data, m.apply); err != nil {
-		m.log.WithError(err).Info("a record does not count")
+// Apply applies committed records.
+func (s *FleetServer) Apply(data []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := applyRecords(data, s.apply); err != nil {
+		s.log.WithError(err).Info("skipped an invalid record of the fleet")
 	}
-	if !understood(data) && len(m.strange) < mostStrange {
-		m.strange = append(m.strange, slices.Clone(data))
+	if !hasOnlyKnownFields(data) && len(s.unknownRecords) < maxUnknownRecords {
+		s.unknownRecords = append(s.unknownRecords, slices.Clone(data))
 	}
 }
 
-// mostStrange is how many records of a newer build are kept whole.
-const mostStrange = 4096
+// maxUnknownRecords limits the records kept for newer builds.
+const maxUnknownRecords = 4096
 
-// understood tells whether this build knows every field of some records. Those of which it does not are kept as they came,
-// for the newer build that will read the next snapshot.
-func understood(data []byte) bool {
-	var records []registrationRecord
-	d := json.NewDecoder(bytes.NewReader(data))
-	d.DisallowUnknownFields()
-	return d.Decode(&records) == nil
+// hasOnlyKnownFields reports whether this build knows every field of the records. Others are kept
+// verbatim for a newer build that reads the next snapshot.
+func hasOnlyKnownFields(data []byte) bool {
+	var records []fleetRecord
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	return decoder.Decode(&records) == nil
 }
 
-// apply lets a record count. The lock is held.
-func (m *Registration) apply(r registrationRecord) error {
-	if k := r.Roster; k != nil {
-		if err := m.roster.Apply(m.now(), *k); err != nil {
+// apply applies a committed record. The lock is held.
+func (s *FleetServer) apply(record fleetRecord) error {
+	if rosterRecord := record.Roster; rosterRecord != nil {
+		if err := s.roster.Apply(s.now(), *rosterRecord); err != nil {
 			return err
 		}
-		m.log.WithFields(logrus.Fields{"of": k.Name, "start": k.Start, "level": k.Level, "why": k.Why}).Info("driver " + string(k.Kind))
+		s.log.WithFields(logrus.Fields{"of": rosterRecord.Name, "start": rosterRecord.Start, "level": rosterRecord.Level, "why": rosterRecord.Reason}).Info("driver " + string(rosterRecord.Kind))
 	}
-	if r.Version == nil {
+	if record.Version == nil {
 		return nil
 	}
-	if err := m.versions.Apply(*r.Version); err != nil {
+	if err := s.versions.Apply(*record.Version); err != nil {
 		return err
 	}
-	v := &r.Version.Version
-	m.log.WithFields(logrus.Fields{"thing": v.Resource, "version": v.Number, "stage": v.Stage, "epoch": v.Epoch, "why": v.Reason}).Info("version")
-	m.changed.ring()
+	version := &record.Version.Version
+	s.log.WithFields(logrus.Fields{"thing": version.Resource, "version": version.Number, "stage": version.Stage, "epoch": version.Epoch, "why": version.Reason}).Info("version changed stage")
+	s.changed.broadcast()
 	return nil
 }
 
-// past is all that was recorded.
-type past struct {
-	Roster   roster.Past       `json:"roster"`
-	Versions versions.Snapshot `json:"versions"`
-	Strange  []json.RawMessage `json:"strange,omitempty"` // records of which the build that wrote this did not know all
+// fleetSnapshot is the state that results from all applied records.
+type fleetSnapshot struct {
+	Roster         roster.Snapshot   `json:"roster"`
+	Versions       versions.Snapshot `json:"versions"`
+	UnknownRecords []json.RawMessage `json:"strange,omitempty"` // with fields that the writing build did not know
 }
 
-// Snapshot is all that was recorded.
-func (m *Registration) Snapshot() ([]byte, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return json.Marshal(past{m.roster.Past(), m.versions.Snapshot(), m.strange})
+// Snapshot returns the state that results from all applied records.
+func (s *FleetServer) Snapshot() ([]byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return json.Marshal(fleetSnapshot{s.roster.Snapshot(), s.versions.Snapshot(), s.unknownRecords})
 }
 
-// Restore takes over a snapshot.
-func (m *Registration) Restore(data []byte) error {
-	var p past
-	if err := json.Unmarshal(data, &p); err != nil {
+// Restore replaces the state by that of a snapshot.
+func (s *FleetServer) Restore(data []byte) error {
+	var snapshot fleetSnapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return err
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.roster.Restore(m.now(), p.Roster)
-	m.versions.Restore(p.Versions)
-	m.strange = p.Strange
-	m.changed.ring()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.roster.Restore(s.now(), snapshot.Roster)
+	s.versions.Restore(snapshot.Versions)
+	s.unknownRecords = snapshot.UnknownRecords
+	s.changed.broadcast()
 	return nil
 }
 
-// Lead begins to decide.
-func (m *Registration) Lead() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.roster.TakeOver(m.now())
-	m.versions.StartLeading()
+// Lead makes this voter the one that proposes.
+func (s *FleetServer) Lead() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.roster.TakeOver(s.now())
+	s.versions.StartLeading()
 }
 
-// Run takes versions on until the context ends.
-func (m *Registration) Run(ctx context.Context) { again(ctx, m.step) }
+// Run advances versions and expires drivers until the context ends.
+func (s *FleetServer) Run(ctx context.Context) { runPeriodically(ctx, s.step) }
 
-// step takes all on as far as it can go now.
-func (m *Registration) step(ctx context.Context) {
-	if m.decisions.ledger.acts() {
-		m.mu.Lock()
-		m.look()
-		m.mu.Unlock()
+// step advances versions and driver states as far as possible.
+func (s *FleetServer) step(ctx context.Context) {
+	if s.proposer.recorder.isActing() {
+		s.mu.Lock()
+		s.observeVersions()
+		s.mu.Unlock()
 	}
-	for m.decisions.ledger.acts() {
-		recorded, err := m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
-			present := m.present()
-			if records := m.versions.Step(m.now(), present); len(records) > 0 {
-				return ofVersions(records), nil
+	for s.proposer.recorder.isActing() {
+		recorded, err := s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
+			present := s.presentDrivers()
+			if records := s.versions.Step(s.now(), present); len(records) > 0 {
+				return versionRecords(records), nil
 			}
-			m.pacer.RemoveExpired(m.now())
-			return ofRoster(append(m.roster.Step(m.now()), m.stragglers(present)...)), nil
+			s.pacer.RemoveExpired(s.now())
+			return rosterRecords(append(s.roster.Step(s.now()), s.proposeShutOuts(present)...)), nil
 		})
 		if err != nil || !recorded {
 			return
@@ -189,59 +189,61 @@
 	}
 }
 
-func ofVersions(records []versions.Record) (all []registrationRecord) {
-	for _, k := range records {
-		all = append(all, registrationRecord{Version: &k})
+func versionRecords(records []versions.Record) (fleetRecords []fleetRecord) {
+	for _, record := range records {
+		fleetRecords = append(fleetRecords, fleetRecord{Version: &record})
 	}
-	return all
+	return fleetRecords
 }
 
-func ofRoster(records []roster.Record) (all []registrationRecord) {
-	for _, k := range records {
-		all = append(all, registrationRecord{Roster: &k})
+func rosterRecords(records []roster.Record) (fleetRecords []fleetRecord) {
+	for _, record := range records {
+		fleetRecords = append(fleetRecords, fleetRecord{Roster: &record})
 	}
-	return all
+	return fleetRecords
 }
 
-// present is all drivers as versions see them. The lock is held.
-func (m *Registration) present() (all []versions.DriverStatus) {
-	now := m.now()
-	for _, d := range m.roster.Drivers() {
-		may := m.roster.May(now, d.Name) && !planted.Is(planted.Straggler)
-		all = append(all, versions.DriverStatus{Instance: sign(d), MayAct: may, IsVoter: d.Votes, IsUnreachable: m.silent[d.Name]})
+// presentDrivers returns all drivers and superseded starts in the form package versions uses. The lock
+// is held.
+func (s *FleetServer) presentDrivers() (present []versions.DriverStatus) {
+	now := s.now()
+	for _, driver := range s.roster.Drivers() {
+		mayAct := s.roster.MayAct(now, driver.Name) && !planted.Is(planted.Straggler)
+		present = append(present, versions.DriverStatus{Instance: startIdentity(driver), MayAct: mayAct, IsVoter: driver.IsVoter, IsUnreachable: s.silentDrivers[driver.Name]})
 	}
-	for _, s := range m.roster.Shades(now) {
-		all = append(all, versions.DriverStatus{Instance: versions.Instance{Name: s.Name, Start: uint64(s.Start)}, MayAct: !planted.Is(planted.Straggler)})
+	for _, start := range s.roster.SupersededStarts(now) {
+		present = append(present, versions.DriverStatus{Instance: versions.Instance{Name: start.Name, Start: uint64(start.Start)}, MayAct: !planted.Is(planted.Straggler)})
 	}
-	return all
+	return present
 }
 
-func sign(d roster.Driver) versions.Instance {
+func startIdentity(d roster.Driver) versions.Instance {
 	return versions.Instance{Name: d.Name, Start: uint64(d.Start)}
 }
 
-// stragglers proposes to shut out who has held a version back for too long, unless that were too many: then the version is
-// to blame, and nothing happens until a person sees to it. The lock is held.
-func (m *Registration) stragglers(present []versions.DriverStatus) []roster.Record {
-	for _, b := range m.versions.StalledVersions(m.now(), present) {
-		if !b.IsOverdue {
+// proposeShutOuts proposes to shut out drivers that have held back a version for too long. If they are
+// too many, the version is probably at fault: it logs an error and waits for an operator. The lock is
+// held.
+func (s *FleetServer) proposeShutOuts(present []versions.DriverStatus) []roster.Record {
+	for _, behind := range s.versions.StalledVersions(s.now(), present) {
+		if !behind.IsOverdue {
 			continue
 		}
 		var names []string
-		for _, s := range b.Instances {
-			if d, _ := m.roster.Find(s.Name); d.State == roster.Present {
-				names = append(names, s.Name)
+		for _, who := range behind.Instances {
+			if d, _ := s.roster.Find(who.Name); d.State == roster.StatePresent {
+				names = append(names, who.Name)
 			}
 		}
-		why := "it kept version " + string(b.Resource) + " back, at " + b.Stage.String()
-		records, err := m.roster.Shut(m.now(), names, why, m.terms.Most)
+		reason := "it kept version " + string(behind.Resource) + " back, at " + behind.Stage.String()
+		records, err := s.roster.ShutOut(s.now(), names, reason, s.config.MaxShutOutShare)
 		if err == nil && len(records) > 0 {
 			return records
 		}
-		if err != nil && m.stopped != err.Error() {
-			m.stopped = err.Error()
-			m.log.WithError(err).WithFields(logrus.Fields{"thing": b.Resource, "version": b.Number, "stage": b.Stage, "by": names}).
-				Error("a version is held back by too many to shut them out: call it off, or see to them")
+		if err != nil && s.lastShutOutError != err.Error() {
+			s.lastShutOutError = err.Error()
+			s.log.WithError(err).WithFields(logrus.Fields{"thing": behind.Resource, "version": behind.Number, "stage": behind.Stage, "by": names}).
+				Error("too many drivers hold back a version to shut them all out; call the version off or repair the drivers")
 		}
 	}
 	return nil
--- a/internal/membership/registration_observe.go
+++ b/internal/membership/registration_observe.go
@@ -8,51 +8,52 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lookEvery is how often what drivers act on by themselves is looked at.
-const lookEvery = int64(100 * time.Millisecond)
+// observeInterval is the minimum time between two observations.
+const observeInterval = int64(100 * time.Millisecond)
 
-// look sees what drivers act on that the council does not decide, and logs when some stay behind for longer than a lease, or
-// act on different things of one name, and when that is over. The lock is held.
-func (m *Registration) look() {
-	now := m.now()
-	if now-m.looked < lookEvery {
+// observeVersions observes versions that the council does not decide. It logs when drivers begin or cease
+// to diverge: some lag for longer than a lease, or have different contents for one version. The lock is
+// held.
+func (s *FleetServer) observeVersions() {
+	now := s.now()
+	if now-s.observedAt < observeInterval {
 		return
 	}
-	m.looked = now
-	m.listen(now)
-	m.observed = m.versions.Distributions(now, m.present())
-	for _, s := range m.observed {
+	s.observedAt = now
+	s.updateSuspicions(now)
+	s.observed = s.versions.Distributions(now, s.presentDrivers())
+	for _, spread := range s.observed {
 		late := 0
-		for _, d := range s.Lagging {
-			if d.Duration > int64(m.terms.Lease) {
+		for _, d := range spread.Lagging {
+			if d.Duration > int64(s.config.Lease) {
 				late++
 			}
 		}
-		if apart := late > 0 || s.HasConflict; apart != m.apart[s.Resource] {
-			m.apart[s.Resource] = apart
-			m.log.WithFields(logrus.Fields{"thing": s.Resource, "newest": s.Holders[0].Number, "kinds": len(s.Holders), "late": late, "forked": s.HasConflict}).
-				Warn(map[bool]string{true: "drivers act on different versions", false: "drivers act on one version again"}[apart])
+		if diverged := late > 0 || spread.HasConflict; diverged != s.diverged[spread.Resource] {
+			s.diverged[spread.Resource] = diverged
+			s.log.WithFields(logrus.Fields{"thing": spread.Resource, "newest": spread.Holders[0].Number, "kinds": len(spread.Holders), "late": late, "forked": spread.HasConflict}).
+				Warn(map[bool]string{true: "drivers use different versions", false: "drivers use the same version again"}[diverged])
 		}
 	}
 }
 
-// listen takes stock of whom fellows do not hear, and logs when that has become most of them, and when it is over. The lock is
-// held.
-func (m *Registration) listen(now int64) {
-	m.doubts = m.roster.Doubts(now)
+// updateSuspicions updates which drivers are unreachable for most of their peers, and logs changes. The
+// lock is held.
+func (s *FleetServer) updateSuspicions(now int64) {
+	s.suspicions = s.roster.Suspicions(now)
 	silent := map[string]bool{}
-	for _, d := range m.doubts {
-		if !d.Silent {
+	for _, suspicion := range s.suspicions {
+		if !suspicion.IsSilent {
 			continue
 		}
-		if silent[d.Name] = true; !m.silent[d.Name] {
-			m.log.WithFields(logrus.Fields{"of": d.Name, "start": d.Start, "by": len(d.By), "listeners": d.Of}).Warn("fellows do not hear a driver")
+		if silent[suspicion.Name] = true; !s.silentDrivers[suspicion.Name] {
+			s.log.WithFields(logrus.Fields{"of": suspicion.Name, "start": suspicion.Start, "by": len(suspicion.Reporters), "listeners": suspicion.Listeners}).Warn("driver is unreachable for most of its peers")
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.silent)) {
+	for _, name := range slices.Sorted(maps.Keys(s.silentDrivers)) {
 		if !silent[name] {
-			m.log.WithField("of", name).Info("a driver is heard by its fellows again, or is gone")
+			s.log.WithField("of", name).Info("driver is reachable again, or gone")
 		}
 	}
-	m.silent = silent
+	s.silentDrivers = silent
 }
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -13,136 +13,137 @@
 	"sedgespread/internal/versions"
 )
 
-// refusal is one of the roster's as it is told over HTTP.
-type refusal struct{ *roster.Refusal }
+// refusedHTTPError adds an HTTP status to a RefusedError.
+type refusedHTTPError struct{ *roster.RefusedError }
 
-// Status tells whether asking for a number would help.
-func (r refusal) Status() int {
-	if r.Again {
+// Status returns 409 if the start should register again, and else 403.
+func (r refusedHTTPError) Status() int {
+	if r.ShouldRejoin {
 		return http.StatusConflict
 	}
 	return http.StatusForbidden
 }
 
-func told(err error) error {
-	var r *roster.Refusal
-	if errors.As(err, &r) {
-		return refusal{r}
+func withHTTPStatus(err error) error {
+	var refused *roster.RefusedError
+	if errors.As(err, &refused) {
+		return refusedHTTPError{refused}
 	}
 	return err
 }
 
-// joining is what a start asks first: without a number for one, and with it to take it.
-type joining struct {
-	Claim roster.Claim `json:"claim"`
-	Start roster.Start `json:"start"`
+// joinRequest asks for a start number, or confirms the one it contains.
+type joinRequest struct {
+	Claim roster.Claim       `json:"claim"`
+	Start roster.StartNumber `json:"start"`
 }
 
-// Join offers a start its number, or lets it take it.
-func (m *Registration) join(ctx context.Context, j joining) (roster.Start, error) {
-	m.mu.Lock()
-	offered, err := m.roster.Offer(j.Claim)
-	m.mu.Unlock()
-	if err != nil || j.Start == 0 {
-		return offered, told(err)
+// join offers a start its number, or confirms it.
+func (s *FleetServer) join(ctx context.Context, request joinRequest) (roster.StartNumber, error) {
+	s.mu.Lock()
+	offered, err := s.roster.Offer(request.Claim)
+	s.mu.Unlock()
+	if err != nil || request.Start == 0 {
+		return offered, withHTTPStatus(err)
 	}
-	_, err = m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
-		records, err := m.roster.Confirm(m.now(), j.Claim, j.Start)
-		return ofRoster(records), told(err)
+	_, err = s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
+		records, err := s.roster.Confirm(s.now(), request.Claim, request.Start)
+		return rosterRecords(records), withHTTPStatus(err)
 	})
-	return j.Start, err
+	return request.Start, err
 }
 
-// asking is what a driver asks a lease with.
-type asking struct {
-	Name   string            `json:"name"`
-	Token  string            `json:"token"`
-	Seen   []versions.Report `json:"seen"`
-	WaitMs int64             `json:"wait_ms"`
-	Hears  *hears            `json:"hears,omitempty"` // nil where drivers do not gossip
-	Trails []audit.Segment   `json:"trails,omitempty"`
+// leaseRequest is a driver's request to renew its lease, or to leave.
+type leaseRequest struct {
+	Name      string            `json:"name"`
+	Token     string            `json:"token"`
+	Sightings []versions.Report `json:"seen"`
+	WaitMs    int64             `json:"wait_ms"`
+	Gossip    *gossipReport     `json:"hears,omitempty"` // nil without gossip
+	Trails    []audit.Segment   `json:"trails,omitempty"`
 }
 
-// hears is whom a driver does not hear of those that it did.
-type hears struct {
-	Unheard []string `json:"unheard,omitempty"`
+// gossipReport lists the peers that have become unreachable for a driver.
+type gossipReport struct {
+	Unreachable []string `json:"unheard,omitempty"`
 }
 
-// granted is what it gets.
-type granted struct {
+// leaseResponse is the answer to a renewal.
+type leaseResponse struct {
 	versions.Grant
-	Held uint64 `json:"held"` // entry up to which the start's trail is held here
+	StoredTrailSeq uint64 `json:"held"` // last entry that the voter holds of the start's trail
 }
 
-// renew gives a lease, at once where there are orders and else once something has changed or the wait is over.
-func (m *Registration) renew(ctx context.Context, a asking) (granted, error) {
-	m.mu.Lock()
-	if !m.decisions.ledger.acts() {
-		m.mu.Unlock()
-		return granted{}, chamber.ErrNotLeading
+// renew grants a lease. It answers at once if there are orders, and else on the next change or at the end
+// of the wait.
+func (s *FleetServer) renew(ctx context.Context, request leaseRequest) (leaseResponse, error) {
+	s.mu.Lock()
+	if !s.proposer.recorder.isActing() {
+		s.mu.Unlock()
+		return leaseResponse{}, chamber.ErrNotLeading
 	}
-	m.hear(a.Trails, false) // also of a start that gets no lease any more
-	if err := m.roster.Renew(m.now(), a.Name, a.Token); err != nil {
-		m.mu.Unlock()
-		return granted{}, told(err)
+	s.storeTrails(request.Trails, false) // even if the lease is refused
+	if err := s.roster.RenewLease(s.now(), request.Name, request.Token); err != nil {
+		s.mu.Unlock()
+		return leaseResponse{}, withHTTPStatus(err)
 	}
-	d, _ := m.roster.Find(a.Name)
-	if a.Hears != nil {
-		m.roster.Hears(a.Name, a.Hears.Unheard)
+	driver, _ := s.roster.Find(request.Name)
+	if request.Gossip != nil {
+		s.roster.ReportUnreachable(request.Name, request.Gossip.Unreachable)
 	}
-	m.versions.RecordReports(sign(d), a.Seen)
-	orders, changed := m.versions.Assignments(sign(d)), m.changed.rings
-	g := granted{versions.Grant{Lease: int64(m.terms.Lease), Assignments: orders}, m.trails.LastSeq(sign(d))}
-	if wait := m.paced(sign(d), orders); wait > 0 {
-		g.Grant = versions.Grant{RetryAfter: wait}
+	s.versions.RecordReports(startIdentity(driver), request.Sightings)
+	orders, changed := s.versions.Assignments(startIdentity(driver)), s.changed.channel
+	response := leaseResponse{versions.Grant{Lease: int64(s.config.Lease), Assignments: orders}, s.trails.LastSeq(startIdentity(driver))}
+	if wait := s.textDelay(startIdentity(driver), orders); wait > 0 {
+		response.Grant = versions.Grant{RetryAfter: wait}
 	}
-	m.mu.Unlock()
-	if len(orders) > 0 || a.WaitMs <= 0 || g.RetryAfter > 0 {
-		return g, nil
+	s.mu.Unlock()
+	if len(orders) > 0 || request.WaitMs <= 0 || response.RetryAfter > 0 {
+		return response, nil
 	}
-	if err := await(ctx, changed, time.Duration(a.WaitMs)*time.Millisecond); err != nil {
-		return granted{}, err
+	if err := waitForChange(ctx, changed, time.Duration(request.WaitMs)*time.Millisecond); err != nil {
+		return leaseResponse{}, err
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	g.Assignments = m.versions.Assignments(sign(d))
-	if m.paced(sign(d), g.Assignments) > 0 { // it asks again at once, and is told when
-		g.Assignments = nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	response.Assignments = s.versions.Assignments(startIdentity(driver))
+	if s.textDelay(startIdentity(driver), response.Assignments) > 0 { // the next request is answered with the delay
+		response.Assignments = nil
 	}
-	return g, nil
+	return response, nil
 }
 
-// paced is after how long a driver should ask again for texts that it needs, 0 where it may have them now. A driver that
-// has a lease keeps it meanwhile. The lock is held.
-func (m *Registration) paced(who versions.Instance, orders []versions.Assignment) (wait int64) {
+// textDelay returns after how long a driver should request its texts again, 0 if they may be sent now.
+// Its current lease stays valid meanwhile. The lock is held.
+func (s *FleetServer) textDelay(identity versions.Instance, orders []versions.Assignment) (wait int64) {
 	bytes := 0
-	for _, o := range orders {
-		bytes += len(o.Text) + len(o.ActiveText)
+	for _, order := range orders {
+		bytes += len(order.Text) + len(order.ActiveText)
 	}
 	if bytes == 0 {
 		return 0
 	}
-	return m.pacer.Reserve(m.now(), who, bytes)
+	return s.pacer.Reserve(s.now(), identity, bytes)
 }
 
-// leave takes in that a driver leaves, with what is left to tell of its trail.
-func (m *Registration) leave(ctx context.Context, a asking) error {
-	_, err := m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
-		m.hear(a.Trails, true)
-		return ofRoster(m.roster.Leave(m.now(), a.Name, a.Token)), nil
+// leave records that a driver leaves, and stores the rest of its trail.
+func (s *FleetServer) leave(ctx context.Context, request leaseRequest) error {
+	_, err := s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
+		s.storeTrails(request.Trails, true)
+		return rosterRecords(s.roster.Leave(s.now(), request.Name, request.Token)), nil
 	})
 	return err
 }
 
-// Handle lets the registration answer drivers and operators, or pass on what they ask to the one that decides.
-func (m *Registration) Handle(mux *http.ServeMux) {
-	handle := func(what string, answer http.HandlerFunc) {
-		mux.Handle("POST /v1/fleet/"+what, m.decisions.ledger.leader(answer))
+// Handle registers the handlers for drivers and operators. All but that for trails run on the leader.
+func (s *FleetServer) Handle(mux *http.ServeMux) {
+	handle := func(path string, handler http.HandlerFunc) {
+		mux.Handle("POST /v1/fleet/"+path, s.proposer.recorder.onLeader(handler))
 	}
-	handle("join", jsonhttp.Handler(m.join))
-	handle("renew", jsonhttp.Handler(m.renew))
-	handle("leave", jsonhttp.ActionHandler(m.leave))
-	handle("wish", jsonhttp.ActionHandler(m.grant))
-	handle("state", jsonhttp.QueryHandler(func(context.Context) (Fleet, error) { return m.Fleet(), nil }))
-	m.handleTrails(mux)
+	handle("join", jsonhttp.Handler(s.join))
+	handle("renew", jsonhttp.Handler(s.renew))
+	handle("leave", jsonhttp.ActionHandler(s.leave))
+	handle("wish", jsonhttp.ActionHandler(s.changeFleet))
+	handle("state", jsonhttp.QueryHandler(func(context.Context) (FleetState, error) { return s.State(), nil }))
+	s.handleTrails(mux)
 }
--- a/internal/membership/registration_wishes.go
+++ b/internal/membership/registration_wishes.go
@@ -12,107 +12,109 @@
 	"sedgespread/internal/versions"
 )
 
-// Proposal is a version that is to come.
+// Proposal asks for the rollout of a new version.
 type Proposal struct {
-	Thing versions.Resource `json:"thing"`
-	Text  string            `json:"text"`
-	Why   string            `json:"why"`
-	Plan  versions.Plan     `json:"plan"`
+	Thing  versions.Resource `json:"thing"`
+	Text   string            `json:"text"`
+	Reason string            `json:"why"`
+	Plan   versions.Plan     `json:"plan"`
 }
 
-// Digest is what a text is known by.
+// Digest returns the SHA-256 hash of a text in hexadecimal.
 func Digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-// Wish is what an operator asks of the fleet: one of these.
-type Wish struct {
-	Propose *Proposal         `json:"propose,omitempty"`
-	CallOff versions.Resource `json:"call_off,omitempty"`
-	Raise   int               `json:"raise,omitempty"`
-	Readmit string            `json:"readmit,omitempty"`
-	Why     string            `json:"why,omitempty"`
+// FleetChange is an operator's request. Only one field besides Reason is set.
+type FleetChange struct {
+	Propose    *Proposal         `json:"propose,omitempty"`
+	Withdraw   versions.Resource `json:"call_off,omitempty"`
+	RaiseLevel int               `json:"raise,omitempty"`
+	Readmit    string            `json:"readmit,omitempty"`
+	Reason     string            `json:"why,omitempty"`
 }
 
-// Grant does what an operator asks for.
-func (m *Registration) grant(ctx context.Context, w Wish) error {
-	_, err := m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
-		now := m.now()
-		switch p := w.Propose; {
-		case p != nil:
-			records, err := m.versions.Propose(now, p.Thing, Digest(p.Text), p.Text, p.Why, p.Plan)
-			return ofVersions(records), err
-		case w.CallOff != "":
-			records, err := m.versions.RollBack(now, w.CallOff, w.Why)
-			return ofVersions(records), err
-		case w.Raise > 0:
-			records, err := m.roster.Raise(now, w.Raise)
-			return ofRoster(records), err
-		case w.Readmit != "":
-			records, err := m.roster.Readmit(now, w.Readmit, w.Why)
-			return ofRoster(records), err
+// changeFleet carries out an operator's request.
+func (s *FleetServer) changeFleet(ctx context.Context, change FleetChange) error {
+	_, err := s.propose(ctx, &s.mu, func() ([]fleetRecord, error) {
+		now := s.now()
+		switch proposal := change.Propose; {
+		case proposal != nil:
+			records, err := s.versions.Propose(now, proposal.Thing, Digest(proposal.Text), proposal.Text, proposal.Reason, proposal.Plan)
+			return versionRecords(records), err
+		case change.Withdraw != "":
+			records, err := s.versions.RollBack(now, change.Withdraw, change.Reason)
+			return versionRecords(records), err
+		case change.RaiseLevel > 0:
+			records, err := s.roster.RaiseLevel(now, change.RaiseLevel)
+			return rosterRecords(records), err
+		case change.Readmit != "":
+			records, err := s.roster.Readmit(now, change.Readmit, change.Reason)
+			return rosterRecords(records), err
 		}
 		return nil, errors.New("nothing is asked for")
 	})
 	return err
 }
 
-// Seen is a driver as the fleet knows it.
-type Seen struct {
+// DriverStatus is a driver with its lease and the versions it uses.
+type DriverStatus struct {
 	roster.Driver
-	May   bool              `json:"may"`      // it may act, as far as is known
-	Until int64             `json:"until"`    // when its lease has provably run out
-	Seen  []versions.Report `json:"sighting"` // what it said last
+	MayAct    bool              `json:"may"`      // it may hold a lease
+	LeaseEnd  int64             `json:"until"`    // when its lease has certainly ended
+	Sightings []versions.Report `json:"sighting"` // as last reported
 }
 
-// Fleet is how the fleet stands.
-type Fleet struct {
-	Voter    council.VoterID                          `json:"voter"`
-	Now      int64                                    `json:"now"`
-	Lease    int64                                    `json:"lease_ns"`
-	Level    int                                      `json:"level"`
-	Highest  int                                      `json:"highest"` // level that all know
-	Drivers  []Seen                                   `json:"drivers"`
-	Versions map[versions.Resource][]versions.Version `json:"versions"`
-	Behind   []versions.StalledVersion                `json:"behind"`
-	Observed []versions.Distribution                  `json:"observed"` // of things that the council does not decide
-	Doubts   []roster.Doubt                           `json:"doubts"`   // drivers that fellows do not hear
+// FleetState describes the drivers and versions of the fleet.
+type FleetState struct {
+	Voter              council.VoterID                          `json:"voter"`
+	Now                int64                                    `json:"now"`
+	Lease              int64                                    `json:"lease_ns"`
+	Level              int                                      `json:"level"`
+	HighestCommonLevel int                                      `json:"highest"` // supported by all drivers
+	Drivers            []DriverStatus                           `json:"drivers"`
+	Versions           map[versions.Resource][]versions.Version `json:"versions"`
+	Behind             []versions.StalledVersion                `json:"behind"`
+	Observed           []versions.Distribution                  `json:"observed"` // versions that the council does not decide
+	Suspicions         []roster.Suspicion                       `json:"doubts"`   // drivers that peers report as unreachable
 }
 
-// Fleet tells how the fleet stands.
-func (m *Registration) Fleet() Fleet {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	now := m.now()
-	f := Fleet{Voter: m.decisions.ledger.voter(), Now: now, Lease: int64(m.terms.Lease), Level: m.roster.Level(), Highest: m.roster.Highest(now),
-		Versions: map[versions.Resource][]versions.Version{}, Behind: m.versions.StalledVersions(now, m.present()), Observed: m.observed, Doubts: m.doubts}
-	for _, d := range m.roster.Drivers() {
-		f.Drivers = append(f.Drivers, Seen{Driver: d, May: m.roster.May(now, d.Name), Until: m.roster.Until(d.Name),
-			Seen: m.versions.Reports(sign(d))})
+// State returns the state of the fleet.
+func (s *FleetServer) State() FleetState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	state := FleetState{Voter: s.proposer.recorder.voterID(), Now: now, Lease: int64(s.config.Lease), Level: s.roster.Level(), HighestCommonLevel: s.roster.HighestCommonLevel(now),
+		Versions: map[versions.Resource][]versions.Version{}, Behind: s.versions.StalledVersions(now, s.presentDrivers()), Observed: s.observed, Suspicions: s.suspicions}
+	for _, driver := range s.roster.Drivers() {
+		state.Drivers = append(state.Drivers, DriverStatus{Driver: driver, MayAct: s.roster.MayAct(now, driver.Name), LeaseEnd: s.roster.LeaseEnd(driver.Name),
+			Sightings: s.versions.Reports(startIdentity(driver))})
 	}
-	for _, t := range m.versions.Resources() {
-		f.Versions[t] = m.versions.Versions(t)
-		for i := range f.Versions[t] {
-			f.Versions[t][i].Text = ""
+	for _, thing := range s.versions.Resources() {
+		state.Versions[thing] = s.versions.Versions(thing)
+		for i := range state.Versions[thing] {
+			state.Versions[thing][i].Text = ""
 		}
 	}
-	return f
+	return state
 }
 
-// Fleet asks how the fleet stands.
-func (c Coordinator) Fleet(ctx context.Context) (f Fleet, err error) {
-	err = c.ask(ctx, "fleet/state", struct{}{}, &f)
+// FleetState fetches the state of the fleet.
+func (c Client) FleetState(ctx context.Context) (f FleetState, err error) {
+	err = c.post(ctx, "fleet/state", struct{}{}, &f)
 	return f, err
 }
 
-// Wish asks something of the fleet.
-func (c Coordinator) Wish(ctx context.Context, w Wish) error { return c.ask(ctx, "fleet/wish", w, nil) }
+// ChangeFleet requests a change of the fleet.
+func (c Client) ChangeFleet(ctx context.Context, change FleetChange) error {
+	return c.post(ctx, "fleet/wish", change, nil)
+}
 
-// Closed is the moment of a fleet's state from which provably nobody acts on a version of a thing older than the newest
-// that was closed, by the clock of whoever closed it; number 0 for none yet.
-func (f *Fleet) Closed(t versions.Resource) (n versions.Number, at int64) {
-	for _, v := range slices.Backward(f.Versions[t]) {
+// LatestClosed returns the newest closed version of a thing and the time, on the clock of the voter that
+// closed it, from which no driver acts on an older one. The number is 0 if there is none.
+func (s *FleetState) LatestClosed(thing versions.Resource) (number versions.Number, closedAt int64) {
+	for _, v := range slices.Backward(s.Versions[thing]) {
 		if v.Stage == versions.StageCompleted {
 			return v.Number, v.CompletedAt
 		}
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -13,196 +13,199 @@
 	"sedgespread/internal/versions"
 )
 
-// Of trails at a voter and on their way to it.
+// Limits on audit trails.
 const (
-	mostEntries = 16 << 10 // of one start that a voter holds
-	mostTold    = 64       // that a driver tells with one request for a lease
+	maxEntriesPerStart   = 16 << 10 // held by a voter for one start
+	maxEntriesPerRequest = 64       // sent with one renewal
 )
 
-// Trails is what one voter holds of drivers' trails.
-type Trails struct {
+// VoterTrails holds the parts of audit trails that one voter has.
+type VoterTrails struct {
 	Parts  []audit.Segment `json:"parts"`
 	Faults []string        `json:"faults"`
 }
 
-// Keep lets trails be kept in a file, and takes in those that stand there.
-func (m *Registration) Keep(path string) error {
-	s, parts, spoilt, err := shelf.Open(path, shelf.MaxBytes)
+// OpenTrails loads trails from a file and keeps storing them there.
+func (s *FleetServer) OpenTrails(path string) error {
+	trailStore, parts, unreadable, err := shelf.Open(path, shelf.MaxBytes)
 	if err != nil {
 		return err
 	}
-	if spoilt > 0 {
-		m.log.WithField("lines", spoilt).Warn("some of the trails kept can't be read")
+	if unreadable > 0 {
+		s.log.WithField("lines", unreadable).Warn("skipped unreadable lines of the trail file")
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.shelf = s
-	m.trails.Merge(parts)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.trailStore = trailStore
+	s.trails.Merge(parts)
 	return nil
 }
 
-// hear takes in what a driver tells of its trail, the last of it where it leaves: that is taken also behind a hole. The lock is held.
-func (m *Registration) hear(parts []audit.Segment, last bool) {
-	take := m.trails.Add
-	if last {
-		take = m.trails.AddFinal
+// storeTrails stores parts of a driver's trail. The last part, sent when the driver leaves, is accepted
+// even if entries before it are missing. The lock is held.
+func (s *FleetServer) storeTrails(parts []audit.Segment, isLast bool) {
+	store := s.trails.Add
+	if isLast {
+		store = s.trails.AddFinal
 	}
-	for _, p := range parts {
-		p, held := p.WithClockOffset(m.now()), m.trails.LastSeq(p.Instance)
-		if take(p) != held && m.shelf != nil {
-			m.keep(p)
+	for _, part := range parts {
+		part, held := part.WithClockOffset(s.now()), s.trails.LastSeq(part.Instance)
+		if store(part) != held && s.trailStore != nil {
+			s.saveTrailPart(part)
 		}
 	}
 }
 
-// renewShelfEvery is how long a shelf that could not be written waits until it is written anew.
-const renewShelfEvery = int64(time.Second)
+// storeRetryInterval is the minimum time between attempts to rewrite a trail file that failed.
+const storeRetryInterval = int64(time.Second)
 
-// keep writes a part down. Where that fails, all that is held is written anew as soon as the disk allows. The lock is held.
-func (m *Registration) keep(p audit.Segment) {
-	if m.unkept != 0 && m.now()-m.unkept < renewShelfEvery {
+// saveTrailPart writes a part to the trail file. After a failure it rewrites the whole file once that is
+// possible again. The lock is held.
+func (s *FleetServer) saveTrailPart(part audit.Segment) {
+	if s.storeFailedAt != 0 && s.now()-s.storeFailedAt < storeRetryInterval {
 		return
 	}
 	var err error
-	if m.unkept == 0 {
-		err = m.shelf.Append(p)
+	if s.storeFailedAt == 0 {
+		err = s.trailStore.Append(part)
 	}
-	if m.unkept != 0 || err == nil && m.shelf.IsFull() {
-		err = m.shelf.Rewrite(m.trails.Segments())
+	if s.storeFailedAt != 0 || err == nil && s.trailStore.IsFull() {
+		err = s.trailStore.Rewrite(s.trails.Segments())
 	}
 	switch {
-	case err != nil && m.unkept == 0:
-		m.log.WithError(err).Error("trails are kept in memory alone until they can be written again")
-	case err == nil && m.unkept != 0:
-		m.log.Info("trails are kept on disk again")
+	case err != nil && s.storeFailedAt == 0:
+		s.log.WithError(err).Error("writing the trail file failed; keeping trails in memory only until it succeeds")
+	case err == nil && s.storeFailedAt != 0:
+		s.log.Info("trail file is written again")
 	}
-	if m.unkept = 0; err != nil {
-		m.unkept = m.now()
+	if s.storeFailedAt = 0; err != nil {
+		s.storeFailedAt = s.now()
 	}
 }
 
-// trailsHeld are those that this voter was told while it decided.
-func (m *Registration) trailsHeld() Trails {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return Trails{Parts: m.trails.Segments(), Faults: m.trails.Faults()}
+// storedTrails returns the trails that this voter holds.
+func (s *FleetServer) storedTrails() VoterTrails {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return VoterTrails{Parts: s.trails.Segments(), Faults: s.trails.Faults()}
 }
 
-// handleTrails lets this voter tell what it holds, whoever decides.
-func (m *Registration) handleTrails(mux *http.ServeMux) {
-	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (Trails, error) { return m.trailsHeld(), nil }))
+// handleTrails registers the handler that returns the trails of this voter, leader or not.
+func (s *FleetServer) handleTrails(mux *http.ServeMux) {
+	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (VoterTrails, error) { return s.storedTrails(), nil }))
 }
 
-// Question is what is asked of the audit. Times are Unix time in nanoseconds, 0 for no end.
-type Question struct {
-	Thing   versions.Resource `json:"thing"`
-	Version versions.Number   `json:"version"`
-	Driver  string            `json:"driver"`
-	From    int64             `json:"from"`
-	To      int64             `json:"to"`
-	Clocks  int64             `json:"clocks"` // the most by which drivers' clocks differ
+// AuditQuery selects actions from the audit trails. Times are Unix nanoseconds, 0 for unbounded.
+type AuditQuery struct {
+	Thing        versions.Resource `json:"thing"`
+	Version      versions.Number   `json:"version"`
+	Driver       string            `json:"driver"`
+	From         int64             `json:"from"`
+	To           int64             `json:"to"`
+	MaxClockSkew int64             `json:"clocks"` // between drivers
 }
 
-// Finding is what the audit answers.
-type Finding struct {
+// AuditResult is the answer to an AuditQuery.
+type AuditResult struct {
 	Acted   []audit.Activity     `json:"acted"`
-	Late    []audit.LateActivity `json:"late"`    // after a newer version was closed
-	Unknown []audit.Gap          `json:"unknown"` // never filled by a guess
-	Faults  []string             `json:"faults"`  // trails that do not hold together
-	Missing []string             `json:"missing"` // voters that could not be asked
+	Late    []audit.LateActivity `json:"late"`    // acted after a newer version was closed
+	Unknown []audit.Gap          `json:"unknown"` // periods of which no trail is held
+	Faults  []string             `json:"faults"`  // inconsistencies of trails
+	Missing []string             `json:"missing"` // unreachable voters
 	Entries int                  `json:"entries"`
 }
 
-// askVoter is how long one voter may take to tell all that it holds.
-const askVoter = 5 * time.Second
+// voterTimeout limits the request for the trails of one voter.
+const voterTimeout = 5 * time.Second
 
-// collect asks every voter for what it holds.
-func collect(ctx context.Context, voters []string) (all *audit.Collection, faults, missing []string) {
-	all = audit.NewCollection(2 * mostEntries)
+// collectTrails fetches and merges the trails of all voters.
+func collectTrails(ctx context.Context, voters []string) (collection *audit.Collection, faults, missing []string) {
+	collection = audit.NewCollection(2 * maxEntriesPerStart)
 	var parts []audit.Segment
-	for _, at := range voters {
-		var held Trails
-		by, stop := context.WithTimeout(ctx, askVoter)
-		err := Dial(at).ask(by, "fleet/trails", struct{}{}, &held)
-		stop()
+	for _, address := range voters {
+		var trails VoterTrails
+		requestCtx, cancel := context.WithTimeout(ctx, voterTimeout)
+		err := NewClient(address).post(requestCtx, "fleet/trails", struct{}{}, &trails)
+		cancel()
 		if err != nil {
-			missing = append(missing, at)
+			missing = append(missing, address)
 			continue
 		}
-		parts = append(parts, held.Parts...)
-		faults = append(faults, held.Faults...)
+		parts = append(parts, trails.Parts...)
+		faults = append(faults, trails.Faults...)
 	}
-	all.Merge(parts)
-	return all, append(faults, all.Faults()...), missing
+	collection.Merge(parts)
+	return collection, append(faults, collection.Faults()...), missing
 }
 
-// Parts are all trails that the voters hold between them.
-func Parts(ctx context.Context, voters []string) []audit.Segment {
-	all, _, _ := collect(ctx, voters)
-	return all.Segments()
+// CollectParts returns the merged trails of all reachable voters.
+func CollectParts(ctx context.Context, voters []string) []audit.Segment {
+	collection, _, _ := collectTrails(ctx, voters)
+	return collection.Segments()
 }
 
-// Audit answers a question from all that the voters hold.
-func Audit(ctx context.Context, voters []string, q Question) (f Finding, err error) {
-	fleet, err := Dial(voters...).Fleet(ctx)
+// Audit answers a query from the trails of all voters.
+func Audit(ctx context.Context, voters []string, query AuditQuery) (result AuditResult, err error) {
+	fleet, err := NewClient(voters...).FleetState(ctx)
 	if err != nil {
-		return f, err
+		return result, err
 	}
-	var all *audit.Collection
-	all, f.Faults, f.Missing = collect(ctx, voters)
-	for _, p := range all.Segments() {
-		f.Entries += len(p.Entries)
+	var collection *audit.Collection
+	collection, result.Faults, result.Missing = collectTrails(ctx, voters)
+	for _, part := range collection.Segments() {
+		result.Entries += len(part.Entries)
 	}
-	f.Acted = all.Activities(audit.Query{Resource: q.Thing, Version: q.Version, Driver: q.Driver, From: q.From, To: q.To})
-	starts := fleet.starts(q.Driver)
-	f.Unknown = append(all.Gaps(starts), fleet.forgotten(q.Driver, all)...)
-	for _, v := range fleet.Versions[q.Thing] {
-		if v.Stage == versions.StageCompleted {
-			f.Late = append(f.Late, all.LateActivities(q.Thing, v.Number, v.Epoch, v.CompletedAt, q.Clocks)...)
-			f.Unknown = append(f.Unknown, all.UnorderedActivities(q.Thing, v.Number, starts)...)
+	result.Acted = collection.Activities(audit.Query{Resource: query.Thing, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
+	starts := fleet.rememberedStarts(query.Driver)
+	result.Unknown = append(collection.Gaps(starts), fleet.unknownPeriods(query.Driver, collection)...)
+	for _, version := range fleet.Versions[query.Thing] {
+		if version.Stage == versions.StageCompleted {
+			result.Late = append(result.Late, collection.LateActivities(query.Thing, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
+			result.Unknown = append(result.Unknown, collection.UnorderedActivities(query.Thing, version.Number, starts)...)
 		}
 	}
-	return f, nil
+	return result, nil
 }
 
-// forgotten are the times in which starts that the roster does not remember any more may have done what nobody was told: before, between and
-// after the trails that are held of them. Each may have acted until a lease after the next one joined.
-func (f *Fleet) forgotten(driver string, held *audit.Collection) (all []audit.Gap) {
-	for _, d := range f.Drivers {
-		if driver != "" && d.Name != driver || len(d.Earlier) == 0 || d.Earlier[0].Start == 1 {
+// unknownPeriods returns the periods in which starts that the roster has forgotten may have acted without
+// a trail: before, between and after the trails held. Each start may have acted until a lease after the
+// next one joined.
+func (s *FleetState) unknownPeriods(driver string, collection *audit.Collection) (periods []audit.Gap) {
+	for _, d := range s.Drivers {
+		if driver != "" && d.Name != driver || len(d.EarlierStarts) == 0 || d.EarlierStarts[0].Start == 1 {
 			continue
 		}
-		oldest := d.Earlier[0]
-		why := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.Earlier))
+		oldest := d.EarlierStarts[0]
+		reason := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.EarlierStarts))
 		last := audit.Extent{Instance: versions.Instance{Name: d.Name}}
-		for _, e := range held.Extents(d.Name) {
-			if e.Instance.Start >= uint64(oldest.Start) {
+		for _, extent := range collection.Extents(d.Name) {
+			if extent.Instance.Start >= uint64(oldest.Start) {
 				break
 			}
-			if e.Instance.Start > 1 {
-				all = append(all, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: e.Instance.Start - 1}, From: last.To, To: e.From + f.Lease, Reason: why})
+			if extent.Instance.Start > 1 {
+				periods = append(periods, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: extent.Instance.Start - 1}, From: last.To, To: extent.From + s.Lease, Reason: reason})
 			}
-			last = e
+			last = extent
 		}
-		all = append(all, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.Joined + f.Lease, Reason: why})
+		periods = append(periods, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Reason: reason})
 	}
-	return all
+	return periods
 }
 
-// starts are all starts that the roster remembers, and until when each may have acted.
-func (f *Fleet) starts(driver string) (all []audit.Lifetime) {
-	for _, d := range f.Drivers {
-		if driver != "" && d.Name != driver {
+// rememberedStarts returns the starts in the roster, and until when each may have acted.
+func (s *FleetState) rememberedStarts(driver string) (starts []audit.Lifetime) {
+	for _, driverStatus := range s.Drivers {
+		if driver != "" && driverStatus.Name != driver {
 			continue
 		}
-		for _, e := range d.Earlier {
-			all = append(all, audit.Lifetime{Instance: versions.Instance{Name: d.Name, Start: uint64(e.Start)}, From: e.Joined, Until: e.When + f.Lease})
+		for _, earlier := range driverStatus.EarlierStarts {
+			starts = append(starts, audit.Lifetime{Instance: versions.Instance{Name: driverStatus.Name, Start: uint64(earlier.Start)}, From: earlier.JoinedAt, Until: earlier.EndedAt + s.Lease})
 		}
-		until := d.Until
-		if d.State == roster.Left { // it told all, and then gave its lease up
+		until := driverStatus.LeaseEnd
+		if driverStatus.State == roster.StateLeft { // it sent all of its trail before it released its lease
 			until = 0
 		}
-		all = append(all, audit.Lifetime{Instance: sign(d.Driver), From: d.Joined, Until: until, IsLive: d.May && d.State == roster.Present})
+		starts = append(starts, audit.Lifetime{Instance: startIdentity(driverStatus.Driver), From: driverStatus.JoinedAt, Until: until, IsLive: driverStatus.MayAct && driverStatus.State == roster.StatePresent})
 	}
-	return all
+	return starts
 }
--- a/internal/roster/doubts.go
+++ b/internal/roster/doubts.go
@@ -5,62 +5,62 @@
 	"slices"
 )
 
-// Doubt is a driver that fellows do not hear, though its lease may hold.
-type Doubt struct {
-	Name   string   `json:"name"`
-	Start  Start    `json:"start"`
-	By     []string `json:"by"`     // fellows that say so
-	Of     int      `json:"of"`     // that would hear it
-	Silent bool     `json:"silent"` // more than half of them, and two at least, say so
-	Since  int64    `json:"since"`  // that it was found silent, by the own clock; 0 for not
+// Suspicion is a present driver that peers report as unreachable.
+type Suspicion struct {
+	Name        string      `json:"name"`
+	Start       StartNumber `json:"start"`
+	Reporters   []string    `json:"by"`     // peers that report it
+	Listeners   int         `json:"of"`     // peers that could report it
+	IsSilent    bool        `json:"silent"` // reported by at least two peers and more than half of them
+	SilentSince int64       `json:"since"`  // on the local clock, 0 if not silent
 }
 
-// hearing is what a start said last of whom it does not hear.
-type hearing struct {
-	start   Start
-	unheard []string
+// unreachableReport holds the peers that a start last reported as unreachable.
+type unreachableReport struct {
+	start       StartNumber
+	unreachable []string
 }
 
-// Hears takes in whom a start does not hear, in place of what it said before. What it says counts while its lease may hold; a
-// start that listens to nobody says nothing.
-func (r *Roster) Hears(name string, unheard []string) {
+// ReportUnreachable replaces the peers that a driver reports as unreachable. The report counts while the
+// driver may hold a lease. Drivers without gossip make no reports.
+func (r *Roster) ReportUnreachable(name string, unreachable []string) {
 	if d := r.drivers[name]; d != nil {
-		r.hearings[name] = hearing{d.Start, slices.Clone(unheard)}
+		r.unreachableReports[name] = unreachableReport{d.Start, slices.Clone(unreachable)}
 	}
 }
 
-// Doubts tells who is not heard by whom, by name. It is evidence: a driver that nobody hears may well serve clients, and its
-// lease is waited for all the same.
-func (r *Roster) Doubts(now int64) (all []Doubt) {
+// Suspicions returns the drivers that peers report as unreachable, sorted by name. An unreachable
+// driver may still serve clients, so its lease is waited for all the same.
+func (r *Roster) Suspicions(now int64) (suspicions []Suspicion) {
 	var listeners []string
-	for _, name := range slices.Sorted(maps.Keys(r.hearings)) {
-		if d := r.drivers[name]; d != nil && d.Start == r.hearings[name].start && d.State == Present && r.May(now, name) {
+	for _, name := range slices.Sorted(maps.Keys(r.unreachableReports)) {
+		if d := r.drivers[name]; d != nil && d.Start == r.unreachableReports[name].start && d.State == StatePresent && r.MayAct(now, name) {
 			listeners = append(listeners, name)
 		}
 	}
-	silent := map[string]int64{}
+	silentSince := map[string]int64{}
 	for _, d := range r.Drivers() {
-		doubt := Doubt{Name: d.Name, Start: d.Start}
-		for _, by := range listeners {
-			if by == d.Name {
+		suspicion := Suspicion{Name: d.Name, Start: d.Start}
+		for _, listener := range listeners {
+			if listener == d.Name {
 				continue
 			}
-			doubt.Of++
-			if slices.Contains(r.hearings[by].unheard, d.Name) {
-				doubt.By = append(doubt.By, by)
+			suspicion.Listeners++
+			if slices.Contains(r.unreachableReports[listener].unreachable, d.Name) {
+				suspicion.Reporters = append(suspicion.Reporters, listener)
 			}
 		}
-		if d.State != Present || len(doubt.By) == 0 {
+		if d.State != StatePresent || len(suspicion.Reporters) == 0 {
 			continue
 		}
-		if doubt.Silent = len(doubt.By) >= 2 && 2*len(doubt.By) > doubt.Of; doubt.Silent {
-			if doubt.Since = r.silent[d.Name]; doubt.Since == 0 {
-				doubt.Since = now
+		if suspicion.IsSilent = len(suspicion.Reporters) >= 2 && 2*len(suspicion.Reporters) > suspicion.Listeners; suspicion.IsSilent {
+			if suspicion.SilentSince = r.silentSince[d.Name]; suspicion.SilentSince == 0 {
+				suspicion.SilentSince = now
 			}
-			silent[d.Name] = doubt.Since
+			silentSince[d.Name] = suspicion.SilentSince
 		}
-		all = append(all, doubt)
+		suspicions = append(suspicions, suspicion)
 	}
-	r.silent = silent
-	return all
+	r.silentSince = silentSince
+	return suspicions
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster decides which drivers there are: who has joined under which name, whose lease may still hold, who has
-// left, is gone or is shut out, and at which feature level all of them act. It does no I/O, reads no clock and starts no
-// goroutine. What must outlast its holder is a Record, written down by the council before it counts.
+// Package roster tracks the registered drivers, the leases they may hold and the feature level of
+// the fleet. It is deterministic: it does no I/O, reads no clock and starts no goroutines. Its durable
+// state changes only through Records that the council has committed.
 package roster
 
 import (
@@ -10,377 +10,384 @@
 	"slices"
 )
 
-// Start numbers a driver's starts under its name, from 1, by the council's order and nobody's clock.
-type Start uint64
+// StartNumber counts the starts of the drivers of one name, from 1, in the order in which the council
+// committed them.
+type StartNumber uint64
 
-// State is how a driver stands.
+// State is the registration state of a driver.
 //
-//	from              what has been seen                                   to
-//	nobody, Left, Gone, ShutOut, Present
-//	                  a start that was offered its number has confirmed it  Present
-//	Present           it said that it leaves, and acts no more              Left
-//	Present           its lease is over, and was for as long as Forget      Gone
-//	Present           it did not keep up with a version, or is too old      ShutOut
-//	ShutOut           its start was let back in by an operator              Present
+//	from      event                                               to
+//	any       a start confirmed the number it was offered         Present
+//	Present   it reported that it leaves and has stopped acting   Left
+//	Present   its lease ended longer ago than forgetAfter         Gone
+//	Present   it did not follow a version in time                 ShutOut
+//	ShutOut   an operator readmitted it                           Present
 //
-// A later start takes the name over from whatever state. The earlier one gets no lease any more and is told so.
+// A later start takes over the name in any state. The earlier one is then refused further leases.
 type State int
 
+// States of a driver. See State for the transitions.
 const (
-	Nobody State = iota
-	Present
-	Left
-	Gone
-	ShutOut
+	StateUnknown State = iota
+	StatePresent
+	StateLeft
+	StateGone
+	StateShutOut
 )
 
 var stateNames = [...]string{"nobody", "present", "left", "gone", "shut out"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Kind says what a Record is of.
+// Kind is the type of a Record.
 type Kind string
 
-// Kinds of records. A build that does not know one keeps it and goes on.
+// Kinds of records. A build keeps records of kinds that it does not know.
 const (
-	Joins    Kind = "joins"
-	Leaves   Kind = "leaves"
-	Vanishes Kind = "vanishes"
-	Shuts    Kind = "shuts out"
-	Readmits Kind = "readmits"
-	Raises   Kind = "raises"
+	KindJoin       Kind = "joins"
+	KindLeave      Kind = "leaves"
+	KindExpire     Kind = "vanishes"
+	KindShutOut    Kind = "shuts out"
+	KindReadmit    Kind = "readmits"
+	KindRaiseLevel Kind = "raises"
 )
 
-// Record is what the council agrees on.
+// Record is a change of the roster that the council replicates.
 type Record struct {
-	Kind  Kind   `json:"kind"`
-	Claim Claim  `json:"claim,omitzero"` // of Joins
-	Name  string `json:"name,omitempty"`
-	Start Start  `json:"start,omitempty"`
-	Level int    `json:"level,omitempty"` // of Raises
-	Why   string `json:"why,omitempty"`
-	When  int64  `json:"when"` // by the clock of whoever proposed it, Unix time in nanoseconds: for people, never compared
+	Kind       Kind        `json:"kind"`
+	Claim      Claim       `json:"claim,omitzero"` // for KindJoin
+	Name       string      `json:"name,omitempty"`
+	Start      StartNumber `json:"start,omitempty"`
+	Level      int         `json:"level,omitempty"` // for KindRaiseLevel
+	Reason     string      `json:"why,omitempty"`
+	ProposedAt int64       `json:"when"` // Unix nanoseconds on the proposer's clock; informational, never compared
 }
 
-// Claim is what a start says of itself.
+// Claim describes a start of a driver that registers.
 type Claim struct {
-	Name  string `json:"name"`
-	Token string `json:"token"` // drawn at its start, so that no other has it
-	At    string `json:"at"`    // where it takes clients
-	Build string `json:"build"`
-	Level int    `json:"level"` // the highest feature level that it knows
-	Votes bool   `json:"votes,omitempty"`
+	Name    string `json:"name"`
+	Token   string `json:"token"` // random, identifies this start
+	Address string `json:"at"`    // where it accepts clients
+	Build   string `json:"build"`
+	Level   int    `json:"level"` // highest feature level that it supports
+	IsVoter bool   `json:"votes,omitempty"`
 }
 
-// Driver is one name.
+// Driver is the registration of one driver name.
 type Driver struct {
 	Claim
-	Start Start  `json:"start"`
-	State State  `json:"state"`
-	Why   string `json:"why,omitempty"`
-	When  int64  `json:"when"` // of the last record
+	Start     StartNumber `json:"start"`
+	State     State       `json:"state"`
+	Reason    string      `json:"why,omitempty"`
+	ChangedAt int64       `json:"when"` // time of the last record
 
-	Joined  int64   `json:"joined"`            // as When
-	Earlier []Ended `json:"earlier,omitempty"` // starts of the name before this one, the newest last
+	JoinedAt      int64        `json:"joined"`            // on the proposer's clock
+	EarlierStarts []EndedStart `json:"earlier,omitempty"` // earlier starts of this name, newest last
 }
 
-// Ended is a start that a later one has followed.
-type Ended struct {
-	Start  Start  `json:"start"`
-	Joined int64  `json:"joined"`
-	When   int64  `json:"when"` // the later one joined then, after which this one got no lease
-	Token  string `json:"token"`
+// EndedStart is a start whose name a later start has taken over.
+type EndedStart struct {
+	Start    StartNumber `json:"start"`
+	JoinedAt int64       `json:"joined"`
+	EndedAt  int64       `json:"when"` // when the later start joined; no lease was granted after it
+	Token    string      `json:"token"`
 }
 
-// mostEarlier is how many earlier starts of a name are remembered.
-const mostEarlier = 16
+// maxEarlierStarts limits the earlier starts kept per name.
+const maxEarlierStarts = 16
 
-// Roster is all drivers.
+// Roster holds all drivers, their leases and the feature level.
 type Roster struct {
-	drivers map[string]*Driver
-	level   int
-	strange []Record // of a newer build, kept for it
-
-	// What only whoever acts for the council knows, and a successor finds out anew.
-	lease  int64
-	margin int64 // by which a lease is waited for longer than it lasts
-	forget int64
-	until  map[string]int64 // by name, when its lease has provably run out
-	coming map[string]Start // by name, a start whose record is on its way: no earlier one gets a lease any more
-
-	// Starts that a later one has followed, which may hold a lease from before: by start, until when, by the own clock of
-	// each that holds the records. One that was killed can't be told from one that runs on.
-	ghosts map[Shade]int64
-
-	hearings map[string]hearing
-	silent   map[string]int64 // since when
+	drivers        map[string]*Driver
+	level          int
+	unknownRecords []Record // of kinds that only newer builds know
+
+	// Volatile state of the leader, which a new leader builds anew.
+	lease         int64
+	leaseMargin   int64 // added to a lease's duration before it counts as ended
+	forgetAfter   int64
+	leaseEnds     map[string]int64       // by name, when the lease has certainly ended
+	pendingStarts map[string]StartNumber // by name, the start whose record is proposed; earlier ones get no lease
+
+	// Lease ends, on the local clock, of superseded starts. Such a start may still run, so every voter
+	// assumes that it holds a lease.
+	supersededLeaseEnds map[SupersededStart]int64
+
+	unreachableReports map[string]unreachableReport
+	silentSince        map[string]int64 // by name, when it was first found silent
 }
 
-// Shade is a start that a later one has followed.
-type Shade struct {
+// SupersededStart identifies a start whose name a later start has taken over.
+type SupersededStart struct {
 	Name  string
-	Start Start
+	Start StartNumber
 }
 
-// New makes an empty roster for leases of so long, that are waited for by a margin longer; a driver that was not heard for
-// forget after that is gone.
-func New(lease, margin, forget int64) *Roster {
-	return &Roster{drivers: map[string]*Driver{}, lease: lease, margin: margin, forget: forget, until: map[string]int64{},
-		coming: map[string]Start{}, ghosts: map[Shade]int64{}, hearings: map[string]hearing{}}
+// New returns an empty roster for leases of the given duration. A lease counts as ended leaseMargin
+// after its duration; a driver that does not renew for forgetAfter more is gone. All are nanoseconds.
+func New(lease, leaseMargin, forgetAfter int64) *Roster {
+	return &Roster{drivers: map[string]*Driver{}, lease: lease, leaseMargin: leaseMargin, forgetAfter: forgetAfter, leaseEnds: map[string]int64{},
+		pendingStarts: map[string]StartNumber{}, supersededLeaseEnds: map[SupersededStart]int64{}, unreachableReports: map[string]unreachableReport{}}
 }
 
-// Refusal is why a start gets no lease, with what would help. Again says that asking for a number would.
-type Refusal struct {
-	Why, Help string
-	Again     bool
+// RefusedError says why a start is refused and how to remedy it. ShouldRejoin is set if the start
+// should register again.
+type RefusedError struct {
+	Reason, Remedy string
+	ShouldRejoin   bool
 }
 
-func (r *Refusal) Error() string { return r.Why + "; " + r.Help }
+func (r *RefusedError) Error() string { return r.Reason + "; " + r.Remedy }
 
-// Offer is the number that a start would have under its name: the first of two steps, so that a message of a start that is
-// long over, and comes late, takes nobody's name away.
-func (r *Roster) Offer(c Claim) (Start, error) {
-	d := r.drivers[c.Name]
+// Offer returns the number that a start would get. It is the first of two steps, so that a delayed
+// message of a start that has ended can't take over the name.
+func (r *Roster) Offer(claim Claim) (StartNumber, error) {
+	d := r.drivers[claim.Name]
 	switch {
-	case c.Name == "" || c.Token == "":
+	case claim.Name == "" || claim.Token == "":
 		return 0, fmt.Errorf("a driver needs a name and a token")
-	case c.Level < r.level:
-		return 0, r.tooOld(c)
+	case claim.Level < r.level:
+		return 0, r.buildTooOldError(claim)
 	case d == nil:
 		return 1, nil
-	case d.Token == c.Token && d.State == ShutOut:
-		return 0, shutOut(d)
-	case d.Token == c.Token:
+	case d.Token == claim.Token && d.State == StateShutOut:
+		return 0, shutOutError(d)
+	case d.Token == claim.Token:
 		return d.Start, nil
 	}
 	return d.Start + 1, nil
 }
 
-func (r *Roster) tooOld(c Claim) error {
-	return &Refusal{Why: fmt.Sprintf("build %s knows levels up to %d, and the fleet is at %d", c.Build, c.Level, r.level),
-		Help: "start a newer build"}
+func (r *Roster) buildTooOldError(claim Claim) error {
+	return &RefusedError{Reason: fmt.Sprintf("build %s knows levels up to %d, and the fleet is at %d", claim.Build, claim.Level, r.level),
+		Remedy: "start a newer build"}
 }
 
-func shutOut(d *Driver) error {
-	return &Refusal{Why: "it was shut out: " + d.Why,
-		Help: "start it again, or let it back in with `sedgespread fleet readmit " + d.Name + "`"}
+func shutOutError(d *Driver) error {
+	return &RefusedError{Reason: "it was shut out: " + d.Reason,
+		Remedy: "start it again, or let it back in with `sedgespread fleet readmit " + d.Name + "`"}
 }
 
-// Confirm proposes that a start takes the number it was offered. Nothing is proposed for one that has it. From then on no
-// earlier start gets a lease here: others may have the record before this roster has, and count its lease from then.
-func (r *Roster) Confirm(now int64, c Claim, s Start) ([]Record, error) {
-	offered, err := r.Offer(c)
+// Confirm proposes that a start takes the number it was offered, or nothing if it has it already.
+// Earlier starts get no lease from here on: other voters may apply the record first, and count the
+// remaining lease from then.
+func (r *Roster) Confirm(now int64, claim Claim, start StartNumber) ([]Record, error) {
+	offered, err := r.Offer(claim)
 	if err != nil {
 		return nil, err
 	}
-	if s != offered {
-		return nil, &Refusal{Why: fmt.Sprintf("start %d of %q was offered, and it is %d by now", s, c.Name, offered), Help: "ask again",
-			Again: true}
+	if start != offered {
+		return nil, &RefusedError{Reason: fmt.Sprintf("start %d of %q was offered, and it is %d by now", start, claim.Name, offered), Remedy: "ask again",
+			ShouldRejoin: true}
 	}
-	if d := r.drivers[c.Name]; d != nil && d.Token == c.Token && d.State == Present {
+	if d := r.drivers[claim.Name]; d != nil && d.Token == claim.Token && d.State == StatePresent {
 		return nil, nil
 	}
-	r.coming[c.Name] = s
-	return []Record{{Kind: Joins, Claim: c, Name: c.Name, Start: s, When: now}}, nil
+	r.pendingStarts[claim.Name] = start
+	return []Record{{Kind: KindJoin, Claim: claim, Name: claim.Name, Start: start, ProposedAt: now}}, nil
 }
 
-// Renew gives a start its lease from now on, or says why it gets none.
-func (r *Roster) Renew(now int64, name, token string) error {
+// RenewLease renews the lease of a start from now, or returns why it is refused.
+func (r *Roster) RenewLease(now int64, name, token string) error {
 	d := r.drivers[name]
 	switch {
 	case d == nil:
-		return &Refusal{Why: fmt.Sprintf("no start of %q is known", name), Help: "ask for a number", Again: true}
+		return &RefusedError{Reason: fmt.Sprintf("no start of %q is known", name), Remedy: "ask for a number", ShouldRejoin: true}
 	case d.Token != token:
-		return &Refusal{Why: fmt.Sprintf("a later start of %q, number %d at %s, has taken its name over", name, d.Start, d.At),
-			Help: "end one of the two"}
-	case r.coming[name] > d.Start:
-		return &Refusal{Why: fmt.Sprintf("a later start of %q, number %d, is taking its name over", name, r.coming[name]),
-			Help: "end one of the two"}
+		return &RefusedError{Reason: fmt.Sprintf("a later start of %q, number %d at %s, has taken its name over", name, d.Start, d.Address),
+			Remedy: "end one of the two"}
+	case r.pendingStarts[name] > d.Start:
+		return &RefusedError{Reason: fmt.Sprintf("a later start of %q, number %d, is taking its name over", name, r.pendingStarts[name]),
+			Remedy: "end one of the two"}
 	case d.Level < r.level:
-		return r.tooOld(d.Claim)
-	case d.State == ShutOut:
-		return shutOut(d)
-	case d.State != Present:
-		return &Refusal{Why: fmt.Sprintf("%q has %v", name, d.State), Help: "ask for a number", Again: true}
+		return r.buildTooOldError(d.Claim)
+	case d.State == StateShutOut:
+		return shutOutError(d)
+	case d.State != StatePresent:
+		return &RefusedError{Reason: fmt.Sprintf("%q has %v", name, d.State), Remedy: "ask for a number", ShouldRejoin: true}
 	}
-	r.until[name] = r.over(now)
+	r.leaseEnds[name] = r.leaseEndAt(now)
 	return nil
 }
 
-// over is when a lease asked for now has provably run out.
-func (r *Roster) over(now int64) int64 { return now + r.lease + r.margin }
+// leaseEndAt returns when a lease granted now has certainly ended.
+func (r *Roster) leaseEndAt(now int64) int64 { return now + r.lease + r.leaseMargin }
 
-// May tells whether a driver may still act as far as is known: it is to be waited for. One that was shut out or followed
-// by a later start may until its lease is over.
-func (r *Roster) May(now int64, name string) bool {
-	until, had := r.until[name]
-	return had && until >= now
+// MayAct reports whether a driver may still hold a lease and has to be waited for, whatever its
+// state.
+func (r *Roster) MayAct(now int64, name string) bool {
+	leaseEnd, known := r.leaseEnds[name]
+	return known && leaseEnd >= now
 }
 
-// Shades are the starts that were followed by later ones and may still act, in order.
-func (r *Roster) Shades(now int64) (all []Shade) {
-	for s, until := range r.ghosts {
-		if until >= now {
-			all = append(all, s)
+// SupersededStarts returns the superseded starts that may still hold a lease, sorted.
+func (r *Roster) SupersededStarts(now int64) (starts []SupersededStart) {
+	for s, leaseEnd := range r.supersededLeaseEnds {
+		if leaseEnd >= now {
+			starts = append(starts, s)
 		}
 	}
-	slices.SortFunc(all, func(a, b Shade) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) })
-	return all
+	slices.SortFunc(starts, func(a, b SupersededStart) int {
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
+	})
+	return starts
 }
 
-// Until is when a driver's lease has provably run out.
-func (r *Roster) Until(name string) int64 { return r.until[name] }
+// LeaseEnd returns when a driver's lease has certainly ended.
+func (r *Roster) LeaseEnd(name string) int64 { return r.leaseEnds[name] }
 
-// TakeOver says that this roster begins to be acted by, after which no other gives leases: whoever is known may hold one
-// given just before.
+// TakeOver makes this the roster of a new leader. Any known driver may hold a lease that the previous
+// leader granted just before.
 func (r *Roster) TakeOver(now int64) {
 	for name := range r.drivers {
-		r.until[name] = r.over(now)
+		r.leaseEnds[name] = r.leaseEndAt(now)
 	}
-	r.coming, r.hearings, r.silent = map[string]Start{}, map[string]hearing{}, nil
+	r.pendingStarts, r.unreachableReports, r.silentSince = map[string]StartNumber{}, map[string]unreachableReport{}, nil
 }
 
-// Leave proposes that a start has left, and gives its lease up.
+// Leave proposes that a start has left, and releases its lease.
 func (r *Roster) Leave(now int64, name, token string) []Record {
 	d := r.drivers[name]
-	if d == nil || d.Token != token || d.State != Present {
+	if d == nil || d.Token != token || d.State != StatePresent {
 		return nil
 	}
-	delete(r.until, name)
-	return []Record{{Kind: Leaves, Name: name, Start: d.Start, When: now}}
+	delete(r.leaseEnds, name)
+	return []Record{{Kind: KindLeave, Name: name, Start: d.Start, ProposedAt: now}}
 }
 
-// Step proposes whatever time has brought about.
+// Step proposes that drivers whose leases ended longer ago than forgetAfter are gone.
 func (r *Roster) Step(now int64) (records []Record) {
-	maps.DeleteFunc(r.ghosts, func(_ Shade, until int64) bool { return until < now })
+	maps.DeleteFunc(r.supersededLeaseEnds, func(_ SupersededStart, leaseEnd int64) bool { return leaseEnd < now })
 	for _, d := range r.Drivers() {
-		if _, had := r.until[d.Name]; !had {
-			r.until[d.Name] = now - 1 // it has just joined, and has no lease yet
+		if _, known := r.leaseEnds[d.Name]; !known {
+			r.leaseEnds[d.Name] = now - 1 // just joined, no lease yet
 		}
-		if d.State == Present && now-r.until[d.Name] > r.forget {
-			records = append(records, Record{Kind: Vanishes, Name: d.Name, Start: d.Start, When: now,
-				Why: "it asked for no lease"})
+		if d.State == StatePresent && now-r.leaseEnds[d.Name] > r.forgetAfter {
+			records = append(records, Record{Kind: KindExpire, Name: d.Name, Start: d.Start, ProposedAt: now,
+				Reason: "it asked for no lease"})
 		}
 	}
 	return records
 }
 
-// Shut proposes to shut starts out. Never may so many be out at once that less than a share is left of those that may act:
-// a wrong version must not shut out the fleet.
-func (r *Roster) Shut(now int64, names []string, why string, most float64) ([]Record, error) {
+// ShutOut proposes to shut out drivers. At most maxShare of the active and shut-out drivers may be
+// shut out at once, so that a bad version can't shut out the whole fleet.
+func (r *Roster) ShutOut(now int64, names []string, reason string, maxShare float64) ([]Record, error) {
 	names = slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		d := r.drivers[name]
-		return d == nil || d.State != Present
+		return d == nil || d.State != StatePresent
 	})
-	may, out := 0, 0
+	activeCount, shutOutCount := 0, 0
 	for _, d := range r.drivers {
-		if d.State == Present && r.May(now, d.Name) {
-			may++
-		} else if d.State == ShutOut {
-			out++
+		if d.State == StatePresent && r.MayAct(now, d.Name) {
+			activeCount++
+		} else if d.State == StateShutOut {
+			shutOutCount++
 		}
 	}
-	if float64(out+len(names)) > most*float64(may+out) {
-		return nil, fmt.Errorf("%d of %d drivers would be shut out, and no more than %.0f%% may be", out+len(names), may+out, 100*most)
+	if float64(shutOutCount+len(names)) > maxShare*float64(activeCount+shutOutCount) {
+		return nil, fmt.Errorf("%d of %d drivers would be shut out, and no more than %.0f%% may be", shutOutCount+len(names), activeCount+shutOutCount, 100*maxShare)
 	}
 	var records []Record
 	for _, name := range slices.Sorted(slices.Values(names)) {
-		records = append(records, Record{Kind: Shuts, Name: name, Start: r.drivers[name].Start, Why: why, When: now})
+		records = append(records, Record{Kind: KindShutOut, Name: name, Start: r.drivers[name].Start, Reason: reason, ProposedAt: now})
 	}
 	return records, nil
 }
 
-// Readmit proposes to let a driver back in that was shut out.
-func (r *Roster) Readmit(now int64, name, why string) ([]Record, error) {
+// Readmit proposes to readmit a driver that was shut out.
+func (r *Roster) Readmit(now int64, name, reason string) ([]Record, error) {
 	d := r.drivers[name]
-	if d == nil || d.State != ShutOut {
+	if d == nil || d.State != StateShutOut {
 		return nil, fmt.Errorf("%q is not shut out", name)
 	}
-	return []Record{{Kind: Readmits, Name: name, Start: d.Start, Why: why, When: now}}, nil
+	return []Record{{Kind: KindReadmit, Name: name, Start: d.Start, Reason: reason, ProposedAt: now}}, nil
 }
 
-// Level is what all act at.
+// Level returns the feature level of the fleet.
 func (r *Roster) Level() int { return r.level }
 
-// Highest is the highest level that all drivers know that may act or are to come back, 0 for none.
-func (r *Roster) Highest(now int64) (level int) {
+// HighestCommonLevel returns the highest feature level that all present or still active drivers
+// support, 0 if there are none.
+func (r *Roster) HighestCommonLevel(now int64) (level int) {
 	for _, d := range r.drivers {
-		if (d.State == Present || r.May(now, d.Name)) && (level == 0 || d.Level < level) {
+		if (d.State == StatePresent || r.MayAct(now, d.Name)) && (level == 0 || d.Level < level) {
 			level = d.Level
 		}
 	}
 	return level
 }
 
-// Raise proposes a higher level: the highest that all know. Drivers that know it only in part are named.
-func (r *Roster) Raise(now int64, to int) ([]Record, error) {
-	if to <= r.level {
+// RaiseLevel proposes a higher feature level. It fails if a present or still active driver does not
+// support it.
+func (r *Roster) RaiseLevel(now int64, level int) ([]Record, error) {
+	if level <= r.level {
 		return nil, fmt.Errorf("the fleet is at level %d already, and it is never lowered", r.level)
 	}
 	for _, d := range r.Drivers() {
-		if (d.State == Present || r.May(now, d.Name)) && d.Level < to {
+		if (d.State == StatePresent || r.MayAct(now, d.Name)) && d.Level < level {
 			return nil, fmt.Errorf("%q, build %s, knows levels up to %d only", d.Name, d.Build, d.Level)
 		}
 	}
-	return []Record{{Kind: Raises, Level: to, When: now}}, nil
+	return []Record{{Kind: KindRaiseLevel, Level: level, ProposedAt: now}}, nil
 }
 
-// Apply takes in a record that has been written down. One that does not follow from those before counts for nobody, and is
-// an error. It is applied at a time of the own clock.
-func (r *Roster) Apply(now int64, k Record) error {
-	if k.Kind == Raises {
-		if k.Level <= r.level {
-			return fmt.Errorf("level %d follows %d", k.Level, r.level)
+// Apply applies a committed record, at a time of the local clock. A record that is not a valid
+// transition is ignored and returned as an error.
+func (r *Roster) Apply(now int64, record Record) error {
+	if record.Kind == KindRaiseLevel {
+		if record.Level <= r.level {
+			return fmt.Errorf("cannot raise feature level to %d: already at %d", record.Level, r.level)
 		}
-		r.level = k.Level
+		r.level = record.Level
 		return nil
 	}
-	d := r.drivers[k.Name]
-	if k.Kind == Joins {
-		return r.join(now, d, k)
+	d := r.drivers[record.Name]
+	if record.Kind == KindJoin {
+		return r.join(now, d, record)
 	}
-	next, known := map[Kind]State{Leaves: Left, Vanishes: Gone, Shuts: ShutOut, Readmits: Present}[k.Kind]
+	nextState, known := map[Kind]State{KindLeave: StateLeft, KindExpire: StateGone, KindShutOut: StateShutOut, KindReadmit: StatePresent}[record.Kind]
 	if !known {
-		r.strange = append(r.strange, k)
+		r.unknownRecords = append(r.unknownRecords, record)
 		return nil
 	}
-	from := Present
-	if k.Kind == Readmits {
-		from = ShutOut
+	requiredState := StatePresent
+	if record.Kind == KindReadmit {
+		requiredState = StateShutOut
 	}
-	if d == nil || d.Start != k.Start || d.State != from {
-		return fmt.Errorf("%q start %d: %s does not follow", k.Name, k.Start, k.Kind)
+	if d == nil || d.Start != record.Start || d.State != requiredState {
+		return fmt.Errorf("driver %q, start %d: record %q is not valid in its state", record.Name, record.Start, record.Kind)
 	}
-	d.State, d.Why, d.When = next, k.Why, k.When
+	d.State, d.Reason, d.ChangedAt = nextState, record.Reason, record.ProposedAt
 	return nil
 }
 
-func (r *Roster) join(now int64, d *Driver, k Record) error {
-	again := d != nil && d.Token == k.Claim.Token && d.Start == k.Start && d.State != ShutOut
-	if d != nil && k.Start != d.Start+1 && !again || d == nil && k.Start != 1 {
-		return fmt.Errorf("%q start %d does not follow", k.Name, k.Start)
+func (r *Roster) join(now int64, current *Driver, record Record) error {
+	isSameStart := current != nil && current.Token == record.Claim.Token && current.Start == record.Start && current.State != StateShutOut
+	if current != nil && record.Start != current.Start+1 && !isSameStart || current == nil && record.Start != 1 {
+		return fmt.Errorf("driver %q: start %d is not the next one", record.Name, record.Start)
 	}
-	next := &Driver{Claim: k.Claim, Start: k.Start, State: Present, When: k.When, Joined: k.When}
-	if d != nil {
-		next.Earlier = d.Earlier
+	next := &Driver{Claim: record.Claim, Start: record.Start, State: StatePresent, ChangedAt: record.ProposedAt, JoinedAt: record.ProposedAt}
+	if current != nil {
+		next.EarlierStarts = current.EarlierStarts
 	}
-	if again {
-		next.Joined = d.Joined
+	if isSameStart {
+		next.JoinedAt = current.JoinedAt
 	}
-	if d != nil && !again && d.State != Left {
-		r.ghosts[Shade{k.Name, d.Start}] = r.over(now)
+	if current != nil && !isSameStart && current.State != StateLeft {
+		r.supersededLeaseEnds[SupersededStart{record.Name, current.Start}] = r.leaseEndAt(now)
 	}
-	if d != nil && !again {
-		next.Earlier = append(slices.Clone(d.Earlier), Ended{d.Start, d.Joined, k.When, d.Token})
-		next.Earlier = next.Earlier[max(0, len(next.Earlier)-mostEarlier):]
+	if current != nil && !isSameStart {
+		next.EarlierStarts = append(slices.Clone(current.EarlierStarts), EndedStart{current.Start, current.JoinedAt, record.ProposedAt, current.Token})
+		next.EarlierStarts = next.EarlierStarts[max(0, len(next.EarlierStarts)-maxEarlierStarts):]
 	}
-	if r.drivers[k.Name] = next; r.coming[k.Name] <= k.Start {
-		delete(r.coming, k.Name)
+	if r.drivers[record.Name] = next; r.pendingStarts[record.Name] <= record.Start {
+		delete(r.pendingStarts, record.Name)
 	}
 	return nil
 }
 
-// Find gives a driver by its name.
+// Find returns a driver by its name.
 func (r *Roster) Find(name string) (Driver, bool) {
 	if d := r.drivers[name]; d != nil {
 		return *d, true
@@ -388,7 +395,7 @@
 	return Driver{}, false
 }
 
-// Drivers are all that were ever known, by name.
+// Drivers returns all drivers that ever registered, sorted by name.
 func (r *Roster) Drivers() []Driver {
 	all := make([]Driver, 0, len(r.drivers))
 	for _, d := range r.drivers {
@@ -403,23 +410,25 @@
 	return all
 }
 
-// Past is all that records have said, in short.
-type Past struct {
-	Drivers []Driver `json:"drivers"`
-	Level   int      `json:"level"`
-	Strange []Record `json:"strange,omitempty"`
+// Snapshot is the state that results from all applied records.
+type Snapshot struct {
+	Drivers        []Driver `json:"drivers"`
+	Level          int      `json:"level"`
+	UnknownRecords []Record `json:"strange,omitempty"`
 }
 
-// Past gives it for Restore.
-func (r *Roster) Past() Past { return Past{Drivers: r.Drivers(), Level: r.level, Strange: r.strange} }
+// Snapshot returns the durable state, for Restore.
+func (r *Roster) Snapshot() Snapshot {
+	return Snapshot{Drivers: r.Drivers(), Level: r.level, UnknownRecords: r.unknownRecords}
+}
 
-// Restore takes a past over at a time, in place of what is known.
-func (r *Roster) Restore(now int64, p Past) {
-	r.drivers, r.level, r.strange = map[string]*Driver{}, p.Level, p.Strange
-	for _, d := range p.Drivers {
+// Restore replaces the durable state by a snapshot, at a time of the local clock.
+func (r *Roster) Restore(now int64, snapshot Snapshot) {
+	r.drivers, r.level, r.unknownRecords = map[string]*Driver{}, snapshot.Level, snapshot.UnknownRecords
+	for _, d := range snapshot.Drivers {
 		r.drivers[d.Name] = &d
-		if n := len(d.Earlier); n > 0 { // when it was followed is not known here
-			r.ghosts[Shade{d.Name, d.Earlier[n-1].Start}] = r.over(now)
+		if n := len(d.EarlierStarts); n > 0 { // the local time of the takeover is unknown
+			r.supersededLeaseEnds[SupersededStart{d.Name, d.EarlierStarts[n-1].Start}] = r.leaseEndAt(now)
 		}
 	}
 }
