--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -11,8 +11,8 @@
 // explainedMost is how many tenants of a plan are explained, the heaviest first.
 const explainedMost = 50
 
-// Explained makes a plan and says why tenants are where they are in it.
-func Explained(tenants []planner.Tenant, rooms []planner.Cell, most int) Plan {
+// NewPlan makes a plan and says why tenants are where they are in it.
+func NewPlan(tenants []planner.Tenant, rooms []planner.Cell, most int) Plan {
 	p := planner.NewPlan(tenants, rooms, most)
 	now := make([]int, len(tenants))
 	for i, t := range tenants {
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -37,15 +37,15 @@
 func (c *confinement) enlist() (err error) {
 	c.p.router.Heed(versions.NewHolder())
 	c.p.router.Observe(versions.Program, Level, build())
-	c.p.router.Observe(versions.File, 1, membership.Digest(c.orders().Common())[:digestShown])
+	c.p.router.Observe(versions.File, 1, membership.Digest(c.orders().SharedSettings())[:digestShown])
 	claim := roster.Claim{Name: c.p.posting.Name, At: c.p.posting.Listen, Build: build(), Level: Level, Votes: c.orders().Council.GetId() != 0}
-	c.agent = membership.NewAgent(c.orders().VotersAt(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
+	c.agent = membership.NewAgent(c.orders().VoterAddresses(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
 	g := c.orders().Fleet.Gossip
 	if g == nil {
 		return nil
 	}
 	if c.ring, err = gossip.Listen(c.p.posting.Name, g.Listen, g.Fellow, millis(c.orders().ProbeMs()), c.p.log); err != nil {
-		return c.orders().Reject("fleet.gossip.listen", err)
+		return c.orders().ErrorAt("fleet.gossip.listen", err)
 	}
 	c.agent.Listens(c.ring)
 	return nil
@@ -74,7 +74,7 @@
 	if c.orders().Fleet == nil {
 		return membership.Finding{}, errNoFleet
 	}
-	return membership.Audit(ctx, c.orders().VotersAt(), q)
+	return membership.Audit(ctx, c.orders().VoterAddresses(), q)
 }
 
 // Granted takes in what the fleet granted, and adopts what it says.
@@ -102,7 +102,7 @@
 	if planted.Is(planted.Crash) {
 		os.Exit(3)
 	}
-	next, err := c.origin.With(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
+	next, err := c.origin.WithRulebook(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	if c.orders().Fleet == nil {
 		return membership.Fleet{}, errNoFleet
 	}
-	return membership.Dial(c.orders().VotersAt()...).Fleet(ctx)
+	return membership.Dial(c.orders().VoterAddresses()...).Fleet(ctx)
 }
 
 // Wish asks something of the fleet. A rulebook is checked here before it is proposed.
@@ -126,9 +126,9 @@
 		if p.Thing != routing.Rulebook {
 			return fmt.Errorf("there is no thing %q that has versions", p.Thing)
 		}
-		if _, err := c.origin.With("the rulebook", p.Text); err != nil {
+		if _, err := c.origin.WithRulebook("the rulebook", p.Text); err != nil {
 			return err
 		}
 	}
-	return membership.Dial(c.orders().VotersAt()...).Wish(ctx, w)
+	return membership.Dial(c.orders().VoterAddresses()...).Wish(ctx, w)
 }
