--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -18,23 +18,23 @@
 	"sedgespread/rules"
 )
 
-// check tells the first thing that is wrong with a file that could be read.
-func (o *Config) check() error {
-	if o.Admin != nil {
-		if err := o.loopback("admin.listen", o.Admin.Listen); err != nil {
+// check returns the first validation error of a parsed file.
+func (cfg *Config) check() error {
+	if cfg.Admin != nil {
+		if err := cfg.checkLoopback("admin.listen", cfg.Admin.Listen); err != nil {
 			return err
 		}
 	}
-	if err := o.checkCouncil(); err != nil {
+	if err := cfg.checkCouncil(); err != nil {
 		return err
 	}
-	if err := o.checkFleet(); err != nil {
+	if err := cfg.checkFleet(); err != nil {
 		return err
 	}
-	if o.Cells == nil {
+	if cfg.Cells == nil {
 		return nil
 	}
-	for _, check := range []func() error{o.checkCells, o.checkTenancy, o.checkTenants, o.checkBudget, o.checkCoordination} {
+	for _, check := range []func() error{cfg.checkCells, cfg.checkTenancy, cfg.checkTenants, cfg.checkBudget, cfg.checkCoordination} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -42,410 +42,412 @@
 	return nil
 }
 
-// loopback checks an address that only this machine can reach.
-func (o *Config) loopback(field, address string) error {
+// checkLoopback checks that address is an IP address and port on the loopback interface.
+func (cfg *Config) checkLoopback(field, address string) error {
 	if address == "" {
-		return o.fault(field, "is missing")
+		return cfg.errorf(field, "is missing")
 	}
-	at, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		return o.fault(field, "%q is not an address and a port", address)
-	case !at.Addr().IsLoopback():
-		return o.fault(field, "%q is not a loopback address", address)
+		return cfg.errorf(field, "%q is not an IP address and port", address)
+	case !addrPort.Addr().IsLoopback():
+		return cfg.errorf(field, "%q is not a loopback address", address)
 	}
 	return nil
 }
 
-// positive checks a number that may not be 0 or below where it is given.
-func (o *Config) positive(field string, given *float64, least float64) error {
-	if given != nil && (!(*given >= least) || math.IsInf(*given, 0)) {
-		return o.fault(field, "%v is out of range", *given)
+// checkMinimum checks that an optional value is finite and at least minimum.
+func (cfg *Config) checkMinimum(field string, value *float64, minimum float64) error {
+	if value != nil && (!(*value >= minimum) || math.IsInf(*value, 0)) {
+		return cfg.errorf(field, "%v is out of range", *value)
 	}
 	return nil
 }
 
-const leastWeight = 1e-6
+const minWeight = 1e-6
 
-func (o *Config) checkCells() error {
+func (cfg *Config) checkCells() error {
 	names, groups := map[string]bool{}, map[int64]string{}
-	if len(o.Cells.Cell) == 0 {
-		return o.fault("cells.cell", "there must be one at least")
+	if len(cfg.Cells.Cell) == 0 {
+		return cfg.errorf("cells.cell", "there must be one at least")
 	}
-	hashed := false
-	for i, c := range o.Cells.Cell {
-		at := fmt.Sprintf("cells.cell[%d].", i)
+	hasHashedCell := false
+	for i, cell := range cfg.Cells.Cell {
+		prefix := fmt.Sprintf("cells.cell[%d].", i)
 		switch {
-		case c.Name == "":
-			return o.fault(at+"name", "is missing")
-		case names[c.Name]:
-			return o.fault(at+"name", "%q stands twice", c.Name)
-		case len(c.Group) == 0:
-			return o.fault(at+"group", "cell %q has none", c.Name)
-		case c.Capacity < 0 || math.IsNaN(c.Capacity) || math.IsInf(c.Capacity, 0):
-			return o.fault(at+"capacity", "%v is out of range", c.Capacity)
+		case cell.Name == "":
+			return cfg.errorf(prefix+"name", "is missing")
+		case names[cell.Name]:
+			return cfg.errorf(prefix+"name", "%q stands twice", cell.Name)
+		case len(cell.Group) == 0:
+			return cfg.errorf(prefix+"group", "cell %q has none", cell.Name)
+		case cell.Capacity < 0 || math.IsNaN(cell.Capacity) || math.IsInf(cell.Capacity, 0):
+			return cfg.errorf(prefix+"capacity", "%v is out of range", cell.Capacity)
 		}
-		names[c.Name] = true
-		for j, g := range c.Group {
-			field := fmt.Sprintf("%sgroup[%d]", at, j)
-			if other, taken := groups[g]; taken {
-				return o.fault(field, "group %d stands in cell %q already", g, other)
+		names[cell.Name] = true
+		for j, group := range cell.Group {
+			field := fmt.Sprintf("%sgroup[%d]", prefix, j)
+			if other, taken := groups[group]; taken {
+				return cfg.errorf(field, "group %d stands in cell %q already", group, other)
 			}
-			if g < 0 {
-				return o.fault(field, "%d is out of range", g)
+			if group < 0 {
+				return cfg.errorf(field, "%d is out of range", group)
 			}
-			groups[g] = c.Name
+			groups[group] = cell.Name
 		}
-		if c.Weight == nil || *c.Weight != 0 {
-			hashed = true
-			if err := o.positive(at+"weight", c.Weight, leastWeight); err != nil {
+		if cell.Weight == nil || *cell.Weight != 0 {
+			hasHashedCell = true
+			if err := cfg.checkMinimum(prefix+"weight", cell.Weight, minWeight); err != nil {
 				return err
 			}
 		}
 	}
-	if !hashed {
-		return o.fault("cells.cell", "all weights are 0: no cell takes the tenants that are not pinned")
+	if !hasHashedCell {
+		return cfg.errorf("cells.cell", "all weights are 0: no cell takes the tenants that are not pinned")
 	}
-	if o.Cells.GroupsATenant > cells.MaxGroupsPerTenant {
-		return o.fault("cells.groups_a_tenant", "%d is more than %d", o.Cells.GroupsATenant, cells.MaxGroupsPerTenant)
+	if cfg.Cells.GroupsATenant > cells.MaxGroupsPerTenant {
+		return cfg.errorf("cells.groups_a_tenant", "%d is more than %d", cfg.Cells.GroupsATenant, cells.MaxGroupsPerTenant)
 	}
 	return nil
 }
 
-func (o *Config) checkTenancy() error {
-	y := o.Cells.Tenancy
-	if y.GetOthers() == "" {
-		return o.fault("cells.tenancy.others", "is missing")
+func (cfg *Config) checkTenancy() error {
+	tenancy := cfg.Cells.Tenancy
+	if tenancy.GetOthers() == "" {
+		return cfg.errorf("cells.tenancy.others", "is missing")
 	}
-	if _, known := operatorpb.Own_name[int32(y.Own)]; !known {
-		return o.fault("cells.tenancy.own", "%d is none of the values", y.Own)
+	if _, known := operatorpb.Own_name[int32(tenancy.Own)]; !known {
+		return cfg.errorf("cells.tenancy.own", "%d is none of the values", tenancy.Own)
 	}
 	seen := map[string]bool{}
-	for i, r := range y.Rule {
-		at := fmt.Sprintf("cells.tenancy.rule[%d]", i)
-		key, given := "", 0
-		for _, k := range [][2]string{{"prefix", r.Prefix}, {"user", r.User}, {"database", r.Database}} {
-			if k[1] != "" {
-				key, given = k[0]+" "+k[1], given+1
+	for i, rule := range tenancy.Rule {
+		field := fmt.Sprintf("cells.tenancy.rule[%d]", i)
+		key, conditionCount := "", 0
+		for _, condition := range [][2]string{{"prefix", rule.Prefix}, {"user", rule.User}, {"database", rule.Database}} {
+			if condition[1] != "" {
+				key, conditionCount = condition[0]+" "+condition[1], conditionCount+1
 			}
 		}
 		switch {
-		case given != 1:
-			return o.fault(at, "%d of prefix, user and database are given, and it must be one", given)
-		case r.Tenant == "":
-			return o.fault(at+".tenant", "is missing")
+		case conditionCount != 1:
+			return cfg.errorf(field, "%d of prefix, user and database are given, and it must be one", conditionCount)
+		case rule.Tenant == "":
+			return cfg.errorf(field+".tenant", "is missing")
 		case seen[key]:
-			return o.fault(at, "%s stands twice", key)
+			return cfg.errorf(field, "%s stands twice", key)
 		}
 		seen[key] = true
 	}
 	return nil
 }
 
-func (o *Config) checkTenants() error {
-	halls, seen := map[string]string{}, map[string]bool{} // of the cells, by name
-	for _, c := range o.Cells.Cell {
-		halls[c.Name] = c.Hall
+func (cfg *Config) checkTenants() error {
+	halls, seen := map[string]string{}, map[string]bool{} // halls is keyed by cell name
+	for _, cell := range cfg.Cells.Cell {
+		halls[cell.Name] = cell.Hall
 	}
-	for i, t := range o.Cells.Tenant {
-		at := fmt.Sprintf("cells.tenant[%d].", i)
+	for i, tenant := range cfg.Cells.Tenant {
+		prefix := fmt.Sprintf("cells.tenant[%d].", i)
 		switch {
-		case t.Name == "":
-			return o.fault(at+"name", "is missing")
-		case seen[t.Name]:
-			return o.fault(at+"name", "%q stands twice", t.Name)
-		case t.Cell != "" && !known(halls, t.Cell):
-			return o.fault(at+"cell", "there is no cell %q", t.Cell)
-		case t.Hall != "" && !slices.Contains(slices.Collect(maps.Values(halls)), t.Hall):
-			return o.fault(at+"hall", "no cell stands in hall %q", t.Hall)
-		case t.Hall != "" && t.Cell != "" && halls[t.Cell] != t.Hall:
-			return o.fault(at+"hall", "cell %q stands in hall %q", t.Cell, halls[t.Cell])
+		case tenant.Name == "":
+			return cfg.errorf(prefix+"name", "is missing")
+		case seen[tenant.Name]:
+			return cfg.errorf(prefix+"name", "%q stands twice", tenant.Name)
+		case tenant.Cell != "" && !hasKey(halls, tenant.Cell):
+			return cfg.errorf(prefix+"cell", "there is no cell %q", tenant.Cell)
+		case tenant.Hall != "" && !slices.Contains(slices.Collect(maps.Values(halls)), tenant.Hall):
+			return cfg.errorf(prefix+"hall", "no cell stands in hall %q", tenant.Hall)
+		case tenant.Hall != "" && tenant.Cell != "" && halls[tenant.Cell] != tenant.Hall:
+			return cfg.errorf(prefix+"hall", "cell %q stands in hall %q", tenant.Cell, halls[tenant.Cell])
 		}
-		seen[t.Name] = true
-		if err := o.positive(at+"weight", t.Weight, leastWeight); err != nil {
+		seen[tenant.Name] = true
+		if err := cfg.checkMinimum(prefix+"weight", tenant.Weight, minWeight); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func known(names map[string]string, name string) bool {
-	_, is := names[name]
-	return is
+func hasKey(names map[string]string, name string) bool {
+	_, ok := names[name]
+	return ok
 }
 
-func (o *Config) checkBudget() error {
-	b, count := o.Cells.Budget, uint32(len(o.Cells.Cell))
+func (cfg *Config) checkBudget() error {
+	budget, cellCount := cfg.Cells.Budget, uint32(len(cfg.Cells.Cell))
 	switch {
-	case b == nil:
-	case b.Rpcs < count:
-		return o.fault("cells.budget.rpcs", "%d is less than one for each of %d cells", b.Rpcs, count)
-	case b.CallOuts < count:
-		return o.fault("cells.budget.call_outs", "%d is less than one for each of %d cells", b.CallOuts, count)
-	case !(b.Lend >= 0 && b.Lend <= 1):
-		return o.fault("cells.budget.lend", "%v is not from 0 to 1", b.Lend)
+	case budget == nil:
+	case budget.Rpcs < cellCount:
+		return cfg.errorf("cells.budget.rpcs", "%d is less than one for each of %d cells", budget.Rpcs, cellCount)
+	case budget.CallOuts < cellCount:
+		return cfg.errorf("cells.budget.call_outs", "%d is less than one for each of %d cells", budget.CallOuts, cellCount)
+	case !(budget.Lend >= 0 && budget.Lend <= 1):
+		return cfg.errorf("cells.budget.lend", "%v is not from 0 to 1", budget.Lend)
 	}
 	return nil
 }
 
-func (o *Config) checkCoordination() error {
-	c := o.Cells.Coordination
-	if c == nil {
+func (cfg *Config) checkCoordination() error {
+	coordination := cfg.Cells.Coordination
+	if coordination == nil {
 		return nil
 	}
 	switch {
-	case o.Council == nil:
-		if err := o.loopback("cells.coordination.at", c.At); err != nil {
+	case cfg.Council == nil:
+		if err := cfg.checkLoopback("cells.coordination.at", coordination.At); err != nil {
 			return err
 		}
-	case c.At != "":
-		return o.fault("cells.coordination.at", "is given, and the council coordinates")
-	case c.Here:
-		return o.fault("cells.coordination.here", "is given, and the council coordinates")
-	case c.LeaseMs < leaseTicks*o.TickMs():
-		return o.fault("cells.coordination.lease_ms", "%d is less than %d ticks of the council: leases would end whenever its leader does",
-			c.LeaseMs, leaseTicks)
-	}
-	for _, n := range []struct {
+	case coordination.At != "":
+		return cfg.errorf("cells.coordination.at", "must not be set: the council is the coordinator")
+	case coordination.Here:
+		return cfg.errorf("cells.coordination.here", "must not be set: the council is the coordinator")
+	case coordination.LeaseMs < minLeaseTicks*cfg.TickMs():
+		return cfg.errorf("cells.coordination.lease_ms", "%d is less than %d council ticks: leases would expire during a leader election",
+			coordination.LeaseMs, minLeaseTicks)
+	}
+	for _, bounds := range []struct {
 		field       string
 		value       uint32
 		least, most uint32
-	}{{"lease_ms", c.LeaseMs, 200, 300_000}, {"hold_ms", c.HoldMs, 100, 60_000}, {"held", c.Held, 1, 100_000}} {
-		if n.value < n.least || n.value > n.most {
-			return o.fault("cells.coordination."+n.field, "%d is not from %d to %d", n.value, n.least, n.most)
+	}{{"lease_ms", coordination.LeaseMs, 200, 300_000}, {"hold_ms", coordination.HoldMs, 100, 60_000}, {"held", coordination.Held, 1, 100_000}} {
+		if bounds.value < bounds.least || bounds.value > bounds.most {
+			return cfg.errorf("cells.coordination."+bounds.field, "%d is not from %d to %d", bounds.value, bounds.least, bounds.most)
 		}
 	}
 	switch {
-	case c.Here && c.Journal == "":
-		return o.fault("cells.coordination.journal", "is missing, and this instance is the coordinator")
-	case !c.Here && c.Journal != "":
-		return o.fault("cells.coordination.journal", "is given, and this instance is not the coordinator")
+	case coordination.Here && coordination.Journal == "":
+		return cfg.errorf("cells.coordination.journal", "is missing: this instance is the coordinator")
+	case !coordination.Here && coordination.Journal != "":
+		return cfg.errorf("cells.coordination.journal", "must not be set: this instance is not the coordinator")
 	}
-	if c.FillHook == "" {
+	if coordination.FillHook == "" {
 		return nil
 	}
-	hook, err := url.Parse(c.FillHook)
+	hook, err := url.Parse(coordination.FillHook)
 	if err != nil || hook.Scheme != "http" || hook.Host == "" {
-		return o.fault("cells.coordination.fill_hook", "%q is not an http address", c.FillHook)
+		return cfg.errorf("cells.coordination.fill_hook", "%q is not an http address", coordination.FillHook)
 	}
 	if ip := net.ParseIP(hook.Hostname()); ip == nil || !ip.IsLoopback() {
-		return o.fault("cells.coordination.fill_hook", "%q is not on a loopback address", c.FillHook)
+		return cfg.errorf("cells.coordination.fill_hook", "%q is not on a loopback address", coordination.FillHook)
 	}
 	return nil
 }
 
 const (
-	usualTick  = 50 // ms
-	usualProbe = 1000
-	leaseTicks = 20 // in which a leader that fell silent is followed by another at the latest, if one vote suffices
-	mostSkew   = 600_000
+	defaultTickMs   = 50
+	defaultProbeMs  = 1000
+	minLeaseTicks   = 20 // long enough to replace a failed leader in a single election round
+	maxClockErrorMs = 600_000
 )
 
-// TickMs is the time between two ticks of the council.
-func (o *Config) TickMs() uint32 {
-	if t := o.Council.GetTickMs(); t != 0 {
+// TickMs returns the tick interval of the council in milliseconds.
+func (cfg *Config) TickMs() uint32 {
+	if t := cfg.Council.GetTickMs(); t != 0 {
 		return t
 	}
-	return usualTick
+	return defaultTickMs
 }
 
-func (o *Config) checkCouncil() error {
-	c := o.Council
-	if c == nil {
+func (cfg *Config) checkCouncil() error {
+	council := cfg.Council
+	if council == nil {
 		return nil
 	}
 	ids, addresses := map[uint32]bool{}, map[string]bool{}
-	for i, v := range c.Voter {
-		at := fmt.Sprintf("council.voter[%d]", i)
+	for i, voter := range council.Voter {
+		field := fmt.Sprintf("council.voter[%d]", i)
 		switch {
-		case v.Id == 0:
-			return o.fault(at+".id", "is missing")
-		case ids[v.Id]:
-			return o.fault(at+".id", "%d stands twice", v.Id)
-		case addresses[v.At]:
-			return o.fault(at+".at", "%q stands twice", v.At)
+		case voter.Id == 0:
+			return cfg.errorf(field+".id", "is missing")
+		case ids[voter.Id]:
+			return cfg.errorf(field+".id", "%d is a duplicate", voter.Id)
+		case addresses[voter.At]:
+			return cfg.errorf(field+".at", "%q is a duplicate", voter.At)
 		}
-		if err := o.loopback(at+".at", v.At); err != nil {
+		if err := cfg.checkLoopback(field+".at", voter.At); err != nil {
 			return err
 		}
-		ids[v.Id], addresses[v.At] = true, true
+		ids[voter.Id], addresses[voter.At] = true, true
 	}
-	switch n := len(c.Voter); {
+	switch n := len(council.Voter); {
 	case n == 0:
-		return o.fault("council.voter", "there must be one at least")
-	case c.Id != 0 && !c.Join && n != 1 && n != 3 && n != 5 && n != 7:
-		return o.fault("council.voter", "%d voters: a council begins with 1, 3, 5 or 7", n)
-	case c.TickMs != 0 && (c.TickMs < 5 || c.TickMs > 1000):
-		return o.fault("council.tick_ms", "%d is not from 5 to 1000", c.TickMs)
-	case c.ClockErrorMs > mostSkew:
-		return o.fault("council.clock_error_ms", "%d is more than %d", c.ClockErrorMs, mostSkew)
+		return cfg.errorf("council.voter", "at least one is required")
+	case council.Id != 0 && !council.Join && n != 1 && n != 3 && n != 5 && n != 7:
+		return cfg.errorf("council.voter", "%d voters: a council must start with 1, 3, 5 or 7", n)
+	case council.TickMs != 0 && (council.TickMs < 5 || council.TickMs > 1000):
+		return cfg.errorf("council.tick_ms", "%d is not from 5 to 1000", council.TickMs)
+	case council.ClockErrorMs > maxClockErrorMs:
+		return cfg.errorf("council.clock_error_ms", "%d is more than %d", council.ClockErrorMs, maxClockErrorMs)
 	}
-	return o.checkSeat(ids)
+	return cfg.checkOwnVoter(ids)
 }
 
-func (o *Config) checkGossip() error {
-	g := o.Fleet.Gossip
-	if g == nil {
+func (cfg *Config) checkGossip() error {
+	gossip := cfg.Fleet.Gossip
+	if gossip == nil {
 		return nil
 	}
-	if err := o.loopback("fleet.gossip.listen", g.Listen); err != nil {
+	if err := cfg.checkLoopback("fleet.gossip.listen", gossip.Listen); err != nil {
 		return err
 	}
-	if len(g.Fellow) == 0 {
-		return o.fault("fleet.gossip.fellow", "there must be one at least")
+	if len(gossip.Fellow) == 0 {
+		return cfg.errorf("fleet.gossip.fellow", "at least one is required")
 	}
-	for i, at := range g.Fellow {
-		if err := o.loopback(fmt.Sprintf("fleet.gossip.fellow[%d]", i), at); err != nil {
+	for i, address := range gossip.Fellow {
+		if err := cfg.checkLoopback(fmt.Sprintf("fleet.gossip.fellow[%d]", i), address); err != nil {
 			return err
 		}
 	}
-	if g.ProbeMs != 0 && (g.ProbeMs < 20 || g.ProbeMs > 60_000) {
-		return o.fault("fleet.gossip.probe_ms", "%d is not from 20 to 60000", g.ProbeMs)
+	if gossip.ProbeMs != 0 && (gossip.ProbeMs < 20 || gossip.ProbeMs > 60_000) {
+		return cfg.errorf("fleet.gossip.probe_ms", "%d is not from 20 to 60000", gossip.ProbeMs)
 	}
 	return nil
 }
 
-// ProbeMs is the time between two probes of a fellow.
-func (o *Config) ProbeMs() uint32 {
-	if p := o.Fleet.GetGossip().GetProbeMs(); p != 0 {
+// ProbeMs returns the interval between gossip probes in milliseconds.
+func (cfg *Config) ProbeMs() uint32 {
+	if p := cfg.Fleet.GetGossip().GetProbeMs(); p != 0 {
 		return p
 	}
-	return usualProbe
+	return defaultProbeMs
 }
 
-func (o *Config) checkFleet() error {
-	f := o.Fleet
+func (cfg *Config) checkFleet() error {
+	fleet := cfg.Fleet
 	switch {
-	case f == nil:
+	case fleet == nil:
 		return nil
-	case o.Council == nil:
-		return o.fault("fleet", "needs a council")
-	case o.Cells.GetCoordination() == nil:
-		return o.fault("fleet", "needs cells with coordination")
-	case f.LeaseMs < 200 || f.LeaseMs > 300_000 || f.LeaseMs < leaseTicks*o.TickMs():
-		return o.fault("fleet.lease_ms", "%d is not from 200 to 300000, or less than %d ticks of the council", f.LeaseMs, leaseTicks)
-	case !(f.MostShutOut >= 0 && f.MostShutOut <= 1):
-		return o.fault("fleet.most_shut_out", "%v is not from 0 to 1", f.MostShutOut)
-	case f.ForgetS > 86_400:
-		return o.fault("fleet.forget_s", "%d is more than 86400", f.ForgetS)
-	}
-	if err := o.checkGossip(); err != nil {
+	case cfg.Council == nil:
+		return cfg.errorf("fleet", "needs a council")
+	case cfg.Cells.GetCoordination() == nil:
+		return cfg.errorf("fleet", "needs cells with coordination")
+	case fleet.LeaseMs < 200 || fleet.LeaseMs > 300_000 || fleet.LeaseMs < minLeaseTicks*cfg.TickMs():
+		return cfg.errorf("fleet.lease_ms", "%d is not from 200 to 300000, or is less than %d council ticks", fleet.LeaseMs, minLeaseTicks)
+	case !(fleet.MostShutOut >= 0 && fleet.MostShutOut <= 1):
+		return cfg.errorf("fleet.most_shut_out", "%v is not from 0 to 1", fleet.MostShutOut)
+	case fleet.ForgetS > 86_400:
+		return cfg.errorf("fleet.forget_s", "%d is more than 86400", fleet.ForgetS)
+	}
+	if err := cfg.checkGossip(); err != nil {
 		return err
 	}
 	return nil
 }
 
-const usualForget = 60 // s
+const defaultForgetSeconds = 60
 
-// ForgetSeconds is how long after its last lease a driver is gone.
-func (o *Config) ForgetSeconds() uint32 {
-	if s := o.Fleet.GetForgetS(); s != 0 {
+// ForgetSeconds returns how many seconds after its last lease expired a driver is removed from the
+// roster.
+func (cfg *Config) ForgetSeconds() uint32 {
+	if s := cfg.Fleet.GetForgetS(); s != 0 {
 		return s
 	}
-	return usualForget
+	return defaultForgetSeconds
 }
 
-// WithRulebook is a file in which what all drivers share says what another text does: the cells, whom RPCs belong to and what is
-// known of tenants. All else stays as it is here. An empty text changes nothing.
-func (o *Config) WithRulebook(name, text string) (*Config, error) {
+// WithRulebook returns a copy of cfg in which the cells, the tenancy rules and the tenants are those of
+// the rulebook in text. An empty text returns cfg itself. The name is the path in errors.
+func (cfg *Config) WithRulebook(name, text string) (*Config, error) {
 	if text == "" {
-		return o, nil
+		return cfg, nil
 	}
-	shared := &Config{Operator: &operatorpb.Operator{}, path: name, lines: findLines([]byte(text))}
-	if err := prototext.Unmarshal([]byte(text), shared.Operator); err != nil {
-		return nil, shared.unreadable(err)
+	rulebook := &Config{Operator: &operatorpb.Operator{}, path: name, lines: indexLines([]byte(text))}
+	if err := prototext.Unmarshal([]byte(text), rulebook.Operator); err != nil {
+		return nil, rulebook.parseError(err)
 	}
-	if shared.Admin != nil || shared.Council != nil || shared.Fleet != nil || shared.Cells == nil {
-		return nil, shared.fault("", "a rulebook says what is in cells, and nothing else")
+	if rulebook.Admin != nil || rulebook.Council != nil || rulebook.Fleet != nil || rulebook.Cells == nil {
+		return nil, rulebook.errorf("", "a rulebook says what is in cells, and nothing else")
 	}
-	if c := shared.Cells; c.Budget != nil || c.Coordination != nil || c.GroupsATenant != 0 {
-		return nil, shared.fault("cells", "a rulebook says nothing of budget, coordination and groups_a_tenant: these are each instance's own")
+	if c := rulebook.Cells; c.Budget != nil || c.Coordination != nil || c.GroupsATenant != 0 {
+		return nil, rulebook.errorf("cells", "a rulebook says nothing of budget, coordination and groups_a_tenant: these are each instance's own")
 	}
-	next := proto.Clone(o.Operator).(*operatorpb.Operator)
-	next.Cells.Cell, next.Cells.Tenancy, next.Cells.Tenant = shared.Cells.Cell, shared.Cells.Tenancy, shared.Cells.Tenant
-	shared.Operator = next
-	return shared, shared.check()
+	merged := proto.Clone(cfg.Operator).(*operatorpb.Operator)
+	merged.Cells.Cell, merged.Cells.Tenancy, merged.Cells.Tenant = rulebook.Cells.Cell, rulebook.Cells.Tenancy, rulebook.Cells.Tenant
+	rulebook.Operator = merged
+	return rulebook, rulebook.check()
 }
 
-// checkSeat checks what is said of this instance's own seat.
-func (o *Config) checkSeat(ids map[uint32]bool) error {
-	c := o.Council
+// checkOwnVoter checks the settings of this instance as a voter. The ids are those of the initial voters.
+func (cfg *Config) checkOwnVoter(ids map[uint32]bool) error {
+	council := cfg.Council
 	switch {
-	case c.Id == 0 && c.Disk != "":
-		return o.fault("council.disk", "is given, and this instance is no voter")
-	case c.Id == 0 && c.Listen != "":
-		return o.fault("council.listen", "is given, and this instance is no voter")
-	case c.Id == 0 && c.Join:
-		return o.fault("council.join", "is given, and this instance is no voter")
-	case c.Id == 0:
+	case council.Id == 0 && council.Disk != "":
+		return cfg.errorf("council.disk", "must not be set: this instance is not a voter")
+	case council.Id == 0 && council.Listen != "":
+		return cfg.errorf("council.listen", "must not be set: this instance is not a voter")
+	case council.Id == 0 && council.Join:
+		return cfg.errorf("council.join", "must not be set: this instance is not a voter")
+	case council.Id == 0:
 		return nil
-	case c.Disk == "":
-		return o.fault("council.disk", "is missing, and this instance is voter %d", c.Id)
-	case !c.Join && !ids[c.Id]:
-		return o.fault("council.id", "voter %d is none of those that the council begins with", c.Id)
-	case c.Join && ids[c.Id]:
-		return o.fault("council.join", "is given, and voter %d is one of those that the council begins with", c.Id)
-	case c.Join && c.Listen == "":
-		return o.fault("council.listen", "is missing, and voter %d joins", c.Id)
-	case c.Listen == "":
+	case council.Disk == "":
+		return cfg.errorf("council.disk", "is missing: this instance is voter %d", council.Id)
+	case !council.Join && !ids[council.Id]:
+		return cfg.errorf("council.id", "voter %d is not one of the initial voters", council.Id)
+	case council.Join && ids[council.Id]:
+		return cfg.errorf("council.join", "must not be set: voter %d is one of the initial voters", council.Id)
+	case council.Join && council.Listen == "":
+		return cfg.errorf("council.listen", "is missing: voter %d joins a running council", council.Id)
+	case council.Listen == "":
 		return nil
 	}
-	return o.loopback("council.listen", c.Listen)
+	return cfg.checkLoopback("council.listen", council.Listen)
 }
 
-// VoterAddresses are the addresses of the file's voters, in its order.
-func (o *Config) VoterAddresses() (addresses []string) {
-	for _, v := range o.Council.GetVoter() {
+// VoterAddresses returns the addresses of the initial voters, in the order of the file.
+func (cfg *Config) VoterAddresses() (addresses []string) {
+	for _, v := range cfg.Council.GetVoter() {
 		addresses = append(addresses, v.At)
 	}
 	return addresses
 }
 
-// CoordinatorAddresses are where a driver may ask for its lease: the coordinator, or all voters.
-func (o *Config) CoordinatorAddresses() []string {
-	if o.Council != nil {
-		return o.VoterAddresses()
+// CoordinatorAddresses returns the addresses at which a driver may request its lease: those of all
+// voters, or of the single coordinator if there is no council.
+func (cfg *Config) CoordinatorAddresses() []string {
+	if cfg.Council != nil {
+		return cfg.VoterAddresses()
 	}
-	return []string{o.Cells.GetCoordination().GetAt()}
+	return []string{cfg.Cells.GetCoordination().GetAt()}
 }
 
-// VoterAddress is where this instance answers as a voter.
-func (o *Config) VoterAddress() string {
-	if o.Council.Listen != "" {
-		return o.Council.Listen
+// VoterAddress returns the address at which this instance listens as a voter.
+func (cfg *Config) VoterAddress() string {
+	if cfg.Council.Listen != "" {
+		return cfg.Council.Listen
 	}
-	for _, v := range o.Council.Voter {
-		if v.Id == o.Council.Id {
+	for _, v := range cfg.Council.Voter {
+		if v.Id == cfg.Council.Id {
 			return v.At
 		}
 	}
 	return ""
 }
 
-// Layout is the file's cells.
-func (o *Config) Layout() *cells.Layout {
-	l := cells.NewLayout(int(o.Cells.GroupsATenant))
-	for _, c := range o.Cells.Cell {
-		groups := make(cells.Groups, len(c.Group))
-		for i, g := range c.Group {
+// Layout returns the cells of the file.
+func (cfg *Config) Layout() *cells.Layout {
+	layout := cells.NewLayout(int(cfg.Cells.GroupsATenant))
+	for _, cell := range cfg.Cells.Cell {
+		groups := make(cells.Groups, len(cell.Group))
+		for i, g := range cell.Group {
 			groups[i] = rules.GroupID(g)
 		}
 		weight := 1.0
-		if c.Weight != nil {
-			weight = *c.Weight
+		if cell.Weight != nil {
+			weight = *cell.Weight
 		}
-		l.Add(c.Name, groups, weight, c.Capacity, c.Hall)
+		layout.Add(cell.Name, groups, weight, cell.Capacity, cell.Hall)
 	}
-	return l
+	return layout
 }
 
-var owns = map[operatorpb.Own]cells.DefaultTenant{operatorpb.Own_NOBODY: cells.DefaultNone, operatorpb.Own_USER: cells.DefaultUser,
+var defaultTenants = map[operatorpb.Own]cells.DefaultTenant{operatorpb.Own_NOBODY: cells.DefaultNone, operatorpb.Own_USER: cells.DefaultUser,
 	operatorpb.Own_DATABASE: cells.DefaultDatabase}
 
-// TenantResolver is the file's rules on whom an RPC belongs to.
-func (o *Config) TenantResolver() *cells.TenantResolver {
+// TenantResolver returns a resolver that assigns RPCs to tenants by the tenancy rules of the file.
+func (cfg *Config) TenantResolver() *cells.TenantResolver {
 	prefixes, users, databases := map[string]cells.Tenant{}, map[string]cells.Tenant{}, map[string]cells.Tenant{}
-	for _, r := range o.Cells.Tenancy.Rule {
+	for _, r := range cfg.Cells.Tenancy.Rule {
 		switch t := cells.Tenant(r.Tenant); {
 		case r.Prefix != "":
 			prefixes[r.Prefix] = t
@@ -455,13 +457,13 @@
 			databases[r.Database] = t
 		}
 	}
-	return cells.NewTenantResolver(prefixes, users, databases, owns[o.Cells.Tenancy.Own], cells.Tenant(o.Cells.Tenancy.Others))
+	return cells.NewTenantResolver(prefixes, users, databases, defaultTenants[cfg.Cells.Tenancy.Own], cells.Tenant(cfg.Cells.Tenancy.Others))
 }
 
-// Pins are the cells that tenants are pinned to.
-func (o *Config) Pins() map[cells.Tenant]string {
+// Pins returns the cells of pinned tenants.
+func (cfg *Config) Pins() map[cells.Tenant]string {
 	pins := map[cells.Tenant]string{}
-	for _, t := range o.Cells.Tenant {
+	for _, t := range cfg.Cells.Tenant {
 		if t.Cell != "" {
 			pins[cells.Tenant(t.Name)] = t.Cell
 		}
@@ -469,10 +471,10 @@
 	return pins
 }
 
-// Weights are the tenants' parts that are not 1.
-func (o *Config) Weights() map[cells.Tenant]float64 {
+// Weights returns the weights of tenants that have one in the file.
+func (cfg *Config) Weights() map[cells.Tenant]float64 {
 	weights := map[cells.Tenant]float64{}
-	for _, t := range o.Cells.Tenant {
+	for _, t := range cfg.Cells.Tenant {
 		if t.Weight != nil {
 			weights[cells.Tenant(t.Name)] = *t.Weight
 		}
@@ -480,47 +482,48 @@
 	return weights
 }
 
-// Limits are the limits that the file's budget makes, nil where it has none. So many connections of clients may wait at
-// this driver.
-func (o *Config) Limits(l *cells.Layout, sockets int) *cells.Limits {
-	b := o.Cells.Budget
-	if b == nil {
+// Limits returns the resource limits that follow from the budget, or nil without a budget.
+// clientConnections is the total limit of client connections at this driver.
+func (cfg *Config) Limits(layout *cells.Layout, clientConnections int) *cells.Limits {
+	budget := cfg.Cells.Budget
+	if budget == nil {
 		return nil
 	}
-	all := cells.Budget{cells.RPCs: int64(b.Rpcs), cells.Attempts: int64(b.CallOuts), cells.ResponseBytes: int64(b.AnswerKib) << 10,
-		cells.ClientConnections: int64(sockets)}
-	return cells.NewLimits(all, b.Lend, l, o.Weights())
+	total := cells.Budget{cells.RPCs: int64(budget.Rpcs), cells.Attempts: int64(budget.CallOuts), cells.ResponseBytes: int64(budget.AnswerKib) << 10,
+		cells.ClientConnections: int64(clientConnections)}
+	return cells.NewLimits(total, budget.Lend, layout, cfg.Weights())
 }
 
-// Directory is where the file alone says that tenants are.
-func (o *Config) Directory() *cells.Directory {
-	l := o.Layout()
+// Directory returns the placement of tenants according to the file, without any moves.
+func (cfg *Config) Directory() *cells.Directory {
+	layout := cfg.Layout()
 	pins := map[cells.Tenant]cells.Cell{}
-	for t, name := range o.Pins() {
-		pins[t] = l.Find(name)
+	for t, name := range cfg.Pins() {
+		pins[t] = layout.Find(name)
 	}
-	return cells.NewDirectory(l, pins)
+	return cells.NewDirectory(layout, pins)
 }
 
-// AdmissionController is what a driver confines tenants by, at which so many connections of clients may wait.
-func (o *Config) AdmissionController(sockets int) *cells.AdmissionController {
-	b := o.Directory()
-	held := int(o.Cells.GetCoordination().GetHeld())
-	return cells.NewAdmissionController(b, o.TenantResolver(), o.Limits(b.Layout(), sockets), o.Cells.Coordination != nil, held)
+// AdmissionController returns an admission controller for this driver. clientConnections is the total
+// limit of client connections.
+func (cfg *Config) AdmissionController(clientConnections int) *cells.AdmissionController {
+	directory := cfg.Directory()
+	maxHeld := int(cfg.Cells.GetCoordination().GetHeld())
+	return cells.NewAdmissionController(directory, cfg.TenantResolver(), cfg.Limits(directory.Layout(), clientConnections), cfg.Cells.Coordination != nil, maxHeld)
 }
 
-// PlannerCells are the cells for the planner, in the file's order.
-func (o *Config) PlannerCells() (rooms []planner.Cell) {
-	for _, c := range o.Cells.Cell {
-		rooms = append(rooms, planner.Cell{Name: c.Name, Capacity: c.Capacity, Hall: c.Hall})
+// PlannerCells returns the cells as the planner takes them, in the order of the file.
+func (cfg *Config) PlannerCells() (plannerCells []planner.Cell) {
+	for _, cell := range cfg.Cells.Cell {
+		plannerCells = append(plannerCells, planner.Cell{Name: cell.Name, Capacity: cell.Capacity, Hall: cell.Hall})
 	}
-	return rooms
+	return plannerCells
 }
 
-// TenantHalls are the halls that tenants' cells must stand in.
-func (o *Config) TenantHalls() map[cells.Tenant]string {
+// TenantHalls returns the hall that each tenant's cell must be in, for tenants that require one.
+func (cfg *Config) TenantHalls() map[cells.Tenant]string {
 	halls := map[cells.Tenant]string{}
-	for _, t := range o.Cells.Tenant {
+	for _, t := range cfg.Cells.Tenant {
 		if t.Hall != "" {
 			halls[cells.Tenant(t.Name)] = t.Hall
 		}
@@ -528,41 +531,42 @@
 	return halls
 }
 
-// StartupSettings is what of a file only a start can change.
-func (o *Config) StartupSettings() string {
-	return fmt.Sprint(o.Admin, o.Council, o.Fleet, o.Cells == nil, o.Cells.GetGroupsATenant(), o.Cells.GetBudget(), o.Cells.GetCoordination())
+// StartupSettings returns a text of the settings that only take effect at startup, for comparison.
+func (cfg *Config) StartupSettings() string {
+	return fmt.Sprint(cfg.Admin, cfg.Council, cfg.Fleet, cfg.Cells == nil, cfg.Cells.GetGroupsATenant(), cfg.Cells.GetBudget(), cfg.Cells.GetCoordination())
 }
 
-// SharedSettings is what all drivers of a fleet should have alike in their files beside what has versions, told in a way of its own.
-func (o *Config) SharedSettings() string {
-	b, l, f := o.Cells.GetBudget(), o.Cells.GetCoordination(), o.Fleet
-	text := fmt.Sprintf("tick %d clocks %d groups %d budget %d %d %d %v moves %d %d %d fleet %d %v %d", o.TickMs(), o.Council.GetClockErrorMs(),
-		o.Cells.GetGroupsATenant(), b.GetRpcs(), b.GetCallOuts(), b.GetAnswerKib(), b.GetLend(), l.GetLeaseMs(), l.GetHoldMs(), l.GetHeld(),
-		f.GetLeaseMs(), f.GetMostShutOut(), f.GetForgetS())
-	for _, v := range o.Council.GetVoter() {
+// SharedSettings returns a text of the settings that should be the same on all drivers of a fleet and
+// are not versioned by the council. Drivers compare its digest.
+func (cfg *Config) SharedSettings() string {
+	budget, coordination, fleet := cfg.Cells.GetBudget(), cfg.Cells.GetCoordination(), cfg.Fleet
+	text := fmt.Sprintf("tick %d clocks %d groups %d budget %d %d %d %v moves %d %d %d fleet %d %v %d", cfg.TickMs(), cfg.Council.GetClockErrorMs(),
+		cfg.Cells.GetGroupsATenant(), budget.GetRpcs(), budget.GetCallOuts(), budget.GetAnswerKib(), budget.GetLend(), coordination.GetLeaseMs(), coordination.GetHoldMs(), coordination.GetHeld(),
+		fleet.GetLeaseMs(), fleet.GetMostShutOut(), fleet.GetForgetS())
+	for _, v := range cfg.Council.GetVoter() {
 		text += fmt.Sprintf(" %d", v.GetId())
 	}
 	return text
 }
 
-// Summary says in a few words what a file asks for.
-func (o *Config) Summary() string {
-	council := ""
-	if c := o.Council; c != nil {
-		council = fmt.Sprintf(", a council of %d", len(c.Voter))
-		if c.Id != 0 {
-			council += fmt.Sprintf(" of which this is voter %d", c.Id)
+// Summary returns a one-line description of the file.
+func (cfg *Config) Summary() string {
+	councilSummary := ""
+	if council := cfg.Council; council != nil {
+		councilSummary = fmt.Sprintf(", a council of %d", len(council.Voter))
+		if council.Id != 0 {
+			councilSummary += fmt.Sprintf(" of which this is voter %d", council.Id)
 		}
 	}
-	if o.Cells == nil {
-		return "no cells" + council
+	if cfg.Cells == nil {
+		return "no cells" + councilSummary
 	}
-	coordination := "no coordination"
-	if k := o.Cells.Coordination; k != nil && o.Council != nil {
-		coordination = "coordinated by" + council[1:]
-	} else if k != nil {
-		coordination = "coordinator at " + k.At
+	coordinationSummary := "no coordination"
+	if coordination := cfg.Cells.Coordination; coordination != nil && cfg.Council != nil {
+		coordinationSummary = "coordinated by" + councilSummary[1:]
+	} else if coordination != nil {
+		coordinationSummary = "coordinator at " + coordination.At
 	}
-	return fmt.Sprintf("%d cells, %d rules of tenancy, %d tenants, %s", len(o.Cells.Cell), len(o.Cells.Tenancy.Rule),
-		len(o.Cells.Tenant), coordination)
+	return fmt.Sprintf("%d cells, %d rules of tenancy, %d tenants, %s", len(cfg.Cells.Cell), len(cfg.Cells.Tenancy.Rule),
+		len(cfg.Cells.Tenant), coordinationSummary)
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator's file: protobuf text format by the schema in proto/operator.proto. A file is
-// taken whole or not at all, and what is wrong with it is told with its file, line and field.
+// Package operator reads and validates the operator's configuration file, in protobuf text format with
+// the schema of proto/operator.proto. Errors name the file, line and field.
 package operator
 
 import (
@@ -18,39 +18,39 @@
 	"sedgespread/proto/operatorpb"
 )
 
-// FileError is what is wrong with a file.
+// FileError is a syntax or validation error in an operator's file.
 type FileError struct {
 	Path   string
-	Line   int    // 0 where it is not known
-	Field  string // empty where it is not known
+	Line   int    // 0 if unknown
+	Field  string // empty if unknown
 	Reason string
 }
 
 func (f *FileError) Error() string {
-	where := f.Path
+	prefix := f.Path
 	if f.Line > 0 {
-		where += ":" + strconv.Itoa(f.Line)
+		prefix += ":" + strconv.Itoa(f.Line)
 	}
 	if f.Field != "" {
-		where += ": " + f.Field
+		prefix += ": " + f.Field
 	}
-	return where + ": " + f.Reason
+	return prefix + ": " + f.Reason
 }
 
-// Config is what an operator's file says, checked.
+// Config is a validated operator's file.
 type Config struct {
 	*operatorpb.Operator
 	path  string
-	lines lines
+	lines lineIndex
 }
 
-const mostFile = 64 << 20
+const maxFileBytes = 64 << 20
 
-// Read reads and checks a file. The error is a *Fault.
+// Read reads and validates the file at path. The error is a *FileError.
 func Read(path string) (*Config, error) {
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > mostFile {
-		err = errors.New("the file is too long")
+	if err == nil && info.Size() > maxFileBytes {
+		err = errors.New("file is larger than 64 MiB")
 	}
 	var text []byte
 	if err == nil {
@@ -62,97 +62,97 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a file.
+// Parse parses and validates the text of a file. The path only appears in errors.
 func Parse(path string, text []byte) (*Config, error) {
-	o := &Config{Operator: &operatorpb.Operator{}, path: path, lines: findLines(text)}
-	if err := prototext.Unmarshal(text, o.Operator); err != nil {
-		return nil, o.unreadable(err)
+	cfg := &Config{Operator: &operatorpb.Operator{}, path: path, lines: indexLines(text)}
+	if err := prototext.Unmarshal(text, cfg.Operator); err != nil {
+		return nil, cfg.parseError(err)
 	}
-	if err := o.check(); err != nil {
+	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	return o, nil
+	return cfg, nil
 }
 
-// position is how prototext says where it stopped.
-var position = regexp.MustCompile(`\(line (\d+):(\d+)\): ?`)
+// positionPattern matches the position in error messages of prototext.
+var positionPattern = regexp.MustCompile(`\(line (\d+):(\d+)\): ?`)
 
-// unreadable makes a fault of what prototext found.
-func (o *Config) unreadable(err error) *FileError {
+// parseError converts an error of prototext into a FileError.
+func (cfg *Config) parseError(err error) *FileError {
 	text := strings.TrimPrefix(strings.ReplaceAll(err.Error(), "\u00a0", " "), "proto: ")
 	text = strings.Join(strings.Fields(strings.TrimPrefix(text, "syntax error ")), " ")
-	f := &FileError{Path: o.path, Reason: text}
-	if at := position.FindStringSubmatchIndex(text); at != nil {
-		f.Line, _ = strconv.Atoi(text[at[2]:at[3]])
-		f.Reason = text[:at[0]] + text[at[1]:]
-		column, _ := strconv.Atoi(text[at[4]:at[5]])
-		f.Field = o.lines.fieldAt(f.Line, column)
+	fileError := &FileError{Path: cfg.path, Reason: text}
+	if match := positionPattern.FindStringSubmatchIndex(text); match != nil {
+		fileError.Line, _ = strconv.Atoi(text[match[2]:match[3]])
+		fileError.Reason = text[:match[0]] + text[match[1]:]
+		column, _ := strconv.Atoi(text[match[4]:match[5]])
+		fileError.Field = cfg.lines.fieldAt(fileError.Line, column)
 	}
-	return f
+	return fileError
 }
 
-// fault is what is wrong with a field.
-func (o *Config) fault(field, format string, args ...any) error {
-	return &FileError{Path: o.path, Line: o.lines.of(field), Field: field, Reason: fmt.Sprintf(format, args...)}
+// errorf returns a FileError for a field.
+func (cfg *Config) errorf(field, format string, args ...any) error {
+	return &FileError{Path: cfg.path, Line: cfg.lines.line(field), Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// ErrorAt makes a fault of what somebody else finds wrong with a file that could be read.
-func (o *Config) ErrorAt(field string, err error) error { return o.fault(field, "%v", err) }
+// ErrorAt returns a FileError for a field of a file that was parsed but can't be used because of err.
+func (cfg *Config) ErrorAt(field string, err error) error { return cfg.errorf(field, "%v", err) }
 
-// lines are the lines of a file's fields, by path, such as cells.cell[2].group.
-type lines struct {
-	at    map[string]int
-	begun map[int][]begun // by line, the fields that begin there
+// lineIndex maps field paths, such as cells.cell[2].group, to lines of a file.
+type lineIndex struct {
+	lines        map[string]int
+	fieldsByLine map[int][]fieldStart // fields that start on a line
 }
 
-type begun struct {
+type fieldStart struct {
 	column int
 	field  string
 }
 
-// findLines finds the lines of all fields; none where the text can't be followed.
-func findLines(text []byte) lines {
-	l := lines{at: map[string]int{}, begun: map[int][]begun{}}
+// indexLines returns the lines of all fields. The index is empty if text has a syntax error.
+func indexLines(text []byte) lineIndex {
+	l := lineIndex{lines: map[string]int{}, fieldsByLine: map[int][]fieldStart{}}
 	nodes, err := parser.Parse(text)
 	if err == nil {
-		l.add("", nodes)
+		l.addNodes("", nodes)
 	}
 	return l
 }
 
-func (l lines) add(above string, nodes []*ast.Node) {
-	count, all := map[string]int{}, map[string]int{}
-	for _, n := range nodes {
-		all[n.Name]++
+func (l lineIndex) addNodes(parent string, nodes []*ast.Node) {
+	seen, total := map[string]int{}, map[string]int{}
+	for _, node := range nodes {
+		total[node.Name]++
 	}
-	for _, n := range nodes {
-		if n.Name == "" {
+	for _, node := range nodes {
+		if node.Name == "" {
 			continue
 		}
-		path := above + n.Name
-		line := int(n.Start.Line) + len(n.PreComments)
-		names := []string{fmt.Sprintf("%s[%d]", path, count[n.Name])}
-		switch count[n.Name]++; {
-		case all[n.Name] == 1: // whether it may stand more than once is not known here
+		path := parent + node.Name
+		line := int(node.Start.Line) + len(node.PreComments)
+		names := []string{fmt.Sprintf("%s[%d]", path, seen[node.Name])}
+		switch seen[node.Name]++; {
+		case total[node.Name] == 1: // the field may be repeated or not, so index both paths
 			names = []string{path, names[0]}
-		case count[n.Name] == 1:
+		case seen[node.Name] == 1:
 			names = append(names, path)
 		}
-		at := begun{int(n.Start.Column), names[0]}
-		if !slices.ContainsFunc(l.begun[line], func(b begun) bool { return b.column == at.column }) {
-			l.begun[line] = append(l.begun[line], at)
+		start := fieldStart{int(node.Start.Column), names[0]}
+		if !slices.ContainsFunc(l.fieldsByLine[line], func(b fieldStart) bool { return b.column == start.column }) {
+			l.fieldsByLine[line] = append(l.fieldsByLine[line], start)
 		}
 		for _, name := range names {
-			l.at[name] = line
-			l.add(name+".", n.Children)
+			l.lines[name] = line
+			l.addNodes(name+".", node.Children)
 		}
 	}
 }
 
-// of is the line of a field, or of the nearest field above it that the file has.
-func (l lines) of(field string) int {
+// line returns the line of a field or of its closest ancestor in the file, or 0 if there is none.
+func (l lineIndex) line(field string) int {
 	for {
-		if line, known := l.at[field]; known {
+		if line, ok := l.lines[field]; ok {
 			return line
 		}
 		cut := strings.LastIndexAny(field, ".[")
@@ -163,9 +163,9 @@
 	}
 }
 
-// fieldAt is the last field of a line that begins at a column or before it.
-func (l lines) fieldAt(line, column int) (field string) {
-	for _, b := range l.begun[line] {
+// fieldAt returns the last field on a line that starts at or before a column.
+func (l lineIndex) fieldAt(line, column int) (field string) {
+	for _, b := range l.fieldsByLine[line] {
 		if b.column <= column {
 			field = b.field
 		}
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-const whole = `admin { listen: "127.0.0.1:7400" }
+const validFile = `admin { listen: "127.0.0.1:7400" }
 cells {
   cell { name: "a" group: [1, 2] }
   cell {
     name: "b"
-    # behind the other hall
+    # comment before a field
     group: 3
     hall: "turin"
   }
@@ -33,12 +33,11 @@
 }
 `
 
-// Guards against files that say what nobody meant: each fault is told with its line and field, and the file counts for
-// nothing.
-func TestFaults(t *testing.T) {
-	_, err := Parse("f", []byte(whole))
+// Invalid files are rejected as a whole, with the line and field of the error.
+func TestFileErrors(t *testing.T) {
+	_, err := Parse("f", []byte(validFile))
 	require.NoError(t, err)
-	for _, c := range []struct{ old, new, says string }{
+	for _, c := range []struct{ old, new, message string }{
 		{`hall: "turin"`, `halls: "turin"`, "f:8: cells.cell[1].halls: unknown field: halls"},
 		{`group: 3`, `group: "three"`, "f:7: cells.cell[1].group: invalid value for int64"},
 		{`held: 10`, `held: -10`, "f:20: cells.coordination.held: invalid value for uint32"},
@@ -68,30 +67,30 @@
 		{`lend: 0.5`, `lend: 1.5`, `f:15: cells.budget.lend: 1.5 is not from 0 to 1`},
 		{`at: "127.0.0.1:7410"`, ``, `f:16: cells.coordination.at: is missing`},
 		{`at: "127.0.0.1:7410"`, `at: "10.0.0.1:7410"`, `f:17: cells.coordination.at: "10.0.0.1:7410" is not a loopback address`},
-		{`at: "127.0.0.1:7410"`, `at: "here"`, `f:17: cells.coordination.at: "here" is not an address and a port`},
+		{`at: "127.0.0.1:7410"`, `at: "here"`, `f:17: cells.coordination.at: "here" is not an IP address and port`},
 		{`listen: "127.0.0.1:7400"`, `listen: "0.0.0.0:7400"`, `f:1: admin.listen: "0.0.0.0:7400" is not a loopback address`},
 		{`lease_ms: 1000`, `lease_ms: 100`, `f:18: cells.coordination.lease_ms: 100 is not from 200 to 300000`},
 		{`held: 10`, `here: true held: 10`, `f:16: cells.coordination.journal: is missing`},
-		{`held: 10`, `journal: "j" held: 10`, `f:20: cells.coordination.journal: is given`},
+		{`held: 10`, `journal: "j" held: 10`, `f:20: cells.coordination.journal: must not be set`},
 		{`held: 10`, `fill_hook: "http://example.org/x" held: 10`, `f:20: cells.coordination.fill_hook: "http://example.org/x" is not on a loopback address`},
 		{`held: 10`, `fill_hook: "file:///x" held: 10`, `is not an http address`},
 		{`cells {`, `cells {{`, "f:2"},
 	} {
-		require.Contains(t, whole, c.old)
-		_, err := Parse("f", []byte(strings.Replace(whole, c.old, c.new, 1)))
-		if c.says == "" {
+		require.Contains(t, validFile, c.old)
+		_, err := Parse("f", []byte(strings.Replace(validFile, c.old, c.new, 1)))
+		if c.message == "" {
 			require.NoError(t, err, c.new)
 			continue
 		}
-		require.Error(t, err, "%s: %s", c.new, c.says)
-		require.Contains(t, err.Error(), c.says)
+		require.Error(t, err, "%s: %s", c.new, c.message)
+		require.Contains(t, err.Error(), c.message)
 		require.NotContains(t, err.Error(), "\n", "one line")
 	}
 }
 
-// The same with a council and a fleet.
-func TestCouncilFaults(t *testing.T) {
-	council := strings.Replace(whole, `at: "127.0.0.1:7410"`, ``, 1) + `council {
+// Invalid council and fleet settings are rejected with the line and field of the error.
+func TestCouncilErrors(t *testing.T) {
+	validCouncilFile := strings.Replace(validFile, `at: "127.0.0.1:7410"`, ``, 1) + `council {
   voter { id: 1 at: "127.0.0.1:7411" }
   voter { id: 2 at: "127.0.0.1:7412" }
   voter { id: 3 at: "127.0.0.1:7413" }
@@ -100,83 +99,83 @@
 }
 fleet { lease_ms: 1000 most_shut_out: 0.3 }
 `
-	o, err := Parse("f", []byte(council))
+	cfg, err := Parse("f", []byte(validCouncilFile))
 	require.NoError(t, err)
-	require.Equal(t, "127.0.0.1:7412", o.VoterAddress())
-	require.Len(t, o.CoordinatorAddresses(), 3)
-	require.Contains(t, o.Summary(), "coordinated by a council of 3 of which this is voter 2")
-	for _, c := range []struct{ old, new, says string }{
-		{`id: 3 at`, `id: 2 at`, "f:26: council.voter[2].id: 2 stands twice"},
+	require.Equal(t, "127.0.0.1:7412", cfg.VoterAddress())
+	require.Len(t, cfg.CoordinatorAddresses(), 3)
+	require.Contains(t, cfg.Summary(), "coordinated by a council of 3 of which this is voter 2")
+	for _, c := range []struct{ old, new, message string }{
+		{`id: 3 at`, `id: 2 at`, "f:26: council.voter[2].id: 2 is a duplicate"},
 		{`id: 3 at`, `at`, "f:26: council.voter[2].id: is missing"},
-		{`127.0.0.1:7413`, `127.0.0.1:7412`, `f:26: council.voter[2].at: "127.0.0.1:7412" stands twice`},
+		{`127.0.0.1:7413`, `127.0.0.1:7412`, `f:26: council.voter[2].at: "127.0.0.1:7412" is a duplicate`},
 		{`127.0.0.1:7413`, `10.0.0.1:7412`, "is not a loopback address"},
-		{`  voter { id: 3 at: "127.0.0.1:7413" }`, ``, "council.voter: 2 voters: a council begins with 1, 3, 5 or 7"},
-		{`id: 2` + "\n", `id: 9` + "\n", "f:27: council.id: voter 9 is none of those"},
+		{`  voter { id: 3 at: "127.0.0.1:7413" }`, ``, "council.voter: 2 voters: a council must start with 1, 3, 5 or 7"},
+		{`id: 2` + "\n", `id: 9` + "\n", "f:27: council.id: voter 9 is not one of the initial voters"},
 		{`disk: "d"`, ``, "council.disk: is missing"},
-		{`id: 2` + "\n", "\n", "f:28: council.disk: is given, and this instance is no voter"},
-		{`disk: "d"`, `disk: "d" join: true`, "council.join: is given, and voter 2 is one of those"},
+		{`id: 2` + "\n", "\n", "f:28: council.disk: must not be set: this instance is not a voter"},
+		{`disk: "d"`, `disk: "d" join: true`, "council.join: must not be set: voter 2 is one of the initial voters"},
 		{`disk: "d"`, `disk: "d" tick_ms: 2`, "council.tick_ms: 2 is not from 5 to 1000"},
 		{`disk: "d"`, `disk: "d" clock_error_ms: 700000`, "council.clock_error_ms: 700000 is more than"},
-		{`disk: "d"`, `disk: "d" tick_ms: 100`, "fleet.lease_ms: 1000 is not from 200 to 300000, or less than 20 ticks"},
-		{`disk: "d"`, `disk: "d" listen: "x"`, "council.listen: \"x\" is not an address"},
-		{`lease_ms: 1000` + "\n", `at: "127.0.0.1:1" lease_ms: 1000` + "\n", "cells.coordination.at: is given, and the council coordinates"},
-		{`lease_ms: 1000` + "\n", `here: true lease_ms: 1000` + "\n", "cells.coordination.here: is given, and the council coordinates"},
+		{`disk: "d"`, `disk: "d" tick_ms: 100`, "fleet.lease_ms: 1000 is not from 200 to 300000, or is less than 20 council ticks"},
+		{`disk: "d"`, `disk: "d" listen: "x"`, "council.listen: \"x\" is not an IP address"},
+		{`lease_ms: 1000` + "\n", `at: "127.0.0.1:1" lease_ms: 1000` + "\n", "cells.coordination.at: must not be set: the council is the coordinator"},
+		{`lease_ms: 1000` + "\n", `here: true lease_ms: 1000` + "\n", "cells.coordination.here: must not be set: the council is the coordinator"},
 		{`lease_ms: 1000 most`, `lease_ms: 100 most`, "f:30: fleet.lease_ms: 100 is not from 200"},
-		{"lease_ms: 1000\n", "lease_ms: 900\n", "cells.coordination.lease_ms: 900 is less than 20 ticks"},
+		{"lease_ms: 1000\n", "lease_ms: 900\n", "cells.coordination.lease_ms: 900 is less than 20 council ticks"},
 		{`most_shut_out: 0.3`, `most_shut_out: 3`, "fleet.most_shut_out: 3 is not from 0 to 1"},
 		{`most_shut_out: 0.3`, `forget_s: 90000`, "fleet.forget_s: 90000 is more than"},
 	} {
-		require.Contains(t, council, c.old)
-		_, err := Parse("f", []byte(strings.Replace(council, c.old, c.new, 1)))
-		require.ErrorContains(t, err, c.says, c.new)
+		require.Contains(t, validCouncilFile, c.old)
+		_, err := Parse("f", []byte(strings.Replace(validCouncilFile, c.old, c.new, 1)))
+		require.ErrorContains(t, err, c.message, c.new)
 	}
-	_, err = Parse("f", []byte(whole+`fleet { lease_ms: 1000 }`))
+	_, err = Parse("f", []byte(validFile+`fleet { lease_ms: 1000 }`))
 	require.ErrorContains(t, err, "fleet: needs a council")
 }
 
-// Guards against a rulebook that says what is each instance's own, or nothing that can be acted on.
-func TestRulebooks(t *testing.T) {
-	o, err := Parse("f", []byte(whole))
+// A rulebook that sets options of a single instance, or that is invalid, is rejected.
+func TestWithRulebook(t *testing.T) {
+	cfg, err := Parse("f", []byte(validFile))
 	require.NoError(t, err)
-	const good = `cells { cell { name: "a" group: [1, 2] } cell { name: "b" group: 3 } tenancy { others: "all" } tenant { name: "x" weight: 2 } }`
-	next, err := o.WithRulebook("r", good)
+	const validRulebook = `cells { cell { name: "a" group: [1, 2] } cell { name: "b" group: 3 } tenancy { others: "all" } tenant { name: "x" weight: 2 } }`
+	merged, err := cfg.WithRulebook("r", validRulebook)
 	require.NoError(t, err)
-	require.Equal(t, "all", next.Cells.Tenancy.Others)
-	require.Equal(t, o.StartupSettings(), next.StartupSettings())
-	require.Equal(t, "rest", o.Cells.Tenancy.Others, "nothing changes here")
-	same, err := o.WithRulebook("r", "")
+	require.Equal(t, "all", merged.Cells.Tenancy.Others)
+	require.Equal(t, cfg.StartupSettings(), merged.StartupSettings())
+	require.Equal(t, "rest", cfg.Cells.Tenancy.Others, "the original is unchanged")
+	same, err := cfg.WithRulebook("r", "")
 	require.NoError(t, err)
-	require.Same(t, o, same)
-	for text, says := range map[string]string{
-		`admin { listen: "127.0.0.1:1" }`:                 "r: a rulebook says what is in cells, and nothing else",
-		`cells { budget { rpcs: 1 } }`:                    "r:1: cells: a rulebook says nothing of budget",
-		strings.Replace(good, `others: "all"`, ``, 1):     "r:1: cells.tenancy.others: is missing",
-		strings.Replace(good, `group: 3`, `groups: 3`, 1): "unknown field",
+	require.Same(t, cfg, same)
+	for text, message := range map[string]string{
+		`admin { listen: "127.0.0.1:1" }`:                          "r: a rulebook says what is in cells, and nothing else",
+		`cells { budget { rpcs: 1 } }`:                             "r:1: cells: a rulebook says nothing of budget",
+		strings.Replace(validRulebook, `others: "all"`, ``, 1):     "r:1: cells.tenancy.others: is missing",
+		strings.Replace(validRulebook, `group: 3`, `groups: 3`, 1): "unknown field",
 	} {
-		_, err := o.WithRulebook("r", text)
-		require.ErrorContains(t, err, says)
+		_, err := cfg.WithRulebook("r", text)
+		require.ErrorContains(t, err, message)
 	}
 }
 
-func TestReading(t *testing.T) {
+func TestRead(t *testing.T) {
 	_, err := Read(filepath.Join(t.TempDir(), "none"))
 	require.ErrorContains(t, err, "none: ")
-	o, err := Read("../../deploy/operator.textproto")
-	require.NoError(t, err, "the example is good")
-	require.NotEmpty(t, o.Summary())
+	cfg, err := Read("../../deploy/operator.textproto")
+	require.NoError(t, err, "the example is valid")
+	require.NotEmpty(t, cfg.Summary())
 	empty := filepath.Join(t.TempDir(), "empty")
 	require.NoError(t, os.WriteFile(empty, nil, 0o600))
-	o, err = Read(empty)
+	cfg, err = Read(empty)
 	require.NoError(t, err)
-	require.Nil(t, o.Cells)
+	require.Nil(t, cfg.Cells)
 }
 
 func FuzzFile(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validFile))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if o, err := Parse("f", text); err == nil && o.Cells != nil {
-			o.AdmissionController(10)
-			o.PlannerCells()
+		if cfg, err := Parse("f", text); err == nil && cfg.Cells != nil {
+			cfg.AdmissionController(10)
+			cfg.PlannerCells()
 		}
 	})
 }
