--- a/cmd/sedgespread/cells.go
+++ b/cmd/sedgespread/cells.go
@@ -144,9 +144,9 @@
 	}
 	fmt.Fprintln(out, "\nTENANT\tLOAD\tNOW\tPLANNED\tWHY\tWORST CELL IF ELSEWHERE")
 	for _, t := range p.Tenants {
-		fmt.Fprintf(out, "%s\t%.1f\t%s\t%s\t%s\t", t.Tenant, t.Load, t.From, t.To, t.Why)
+		fmt.Fprintf(out, "%s\t%.1f\t%s\t%s\t%s\t", t.Tenant, t.Load, t.From, t.To, t.Reason)
 		for _, k := range p.Cells {
-			if worst, is := t.Else[k.Name]; is {
+			if worst, is := t.Alternatives[k.Name]; is {
 				fmt.Fprintf(out, "%s %.3f ", k.Name, worst)
 			}
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin answers an operator's commands to a running instance, over HTTP on a loopback address, and asks them.
+// Package admin provides the HTTP server and client of the admin API, which a running instance serves on
+// a loopback address for operators.
 package admin
 
 import (
@@ -14,36 +15,38 @@
 	"sedgespread/internal/membership"
 )
 
-// Backend is what an instance lets its operator see and do.
+// Backend is the part of an instance that the admin API exposes.
 type Backend interface {
 	Cells() cells.Stats
-	TenantPlacement(t cells.Tenant, key string) Placement
+	TenantPlacement(tenant cells.Tenant, key string) Placement
 	State(ctx context.Context) (membership.State, error)
 	Move(ctx context.Context, moves []membership.Move) error
-	Abort(ctx context.Context, m membership.Move) error
-	Plan(ctx context.Context, most int) (Plan, error)
+	Abort(ctx context.Context, move membership.Move) error
+	Plan(ctx context.Context, maxMoves int) (Plan, error)
 	Council(ctx context.Context) (chamber.State, error)
 	ChangeCouncil(ctx context.Context, change chamber.VoterChange) error
 	Fleet(ctx context.Context) (membership.Fleet, error)
-	Wish(ctx context.Context, w membership.Wish) error
-	Audit(ctx context.Context, q membership.Question) (membership.Finding, error)
+	Wish(ctx context.Context, wish membership.Wish) error
+	Audit(ctx context.Context, question membership.Question) (membership.Finding, error)
 }
 
-// Placement is where a tenant is, as one instance knows.
+// Placement is the placement of a tenant as known to one instance.
 type Placement struct {
 	Tenant      cells.Tenant `json:"tenant"`
 	Cell        string       `json:"cell"`
-	Reason      string       `json:"why"` // hashed, pinned or moved
+	Reason      string       `json:"why"` // "hashed", "pinned" or "moved"
 	Groups      cells.Groups `json:"groups"`
-	Group       int64        `json:"group"` // of the key that was asked for
+	Group       int64        `json:"group"` // group of the requested key
 	Stage       string       `json:"stage"`
 	TargetCell  string       `json:"to,omitempty"`
 	Epoch       cells.Epoch  `json:"epoch"`
-	MinPosition int64        `json:"floor,omitempty"`
-	Load        float64      `json:"load"` // RPCs a second at this instance, 0 for not among the heaviest
+	MinPosition int64        `json:"floor,omitempty"` // members must have reached this position to serve reads
+	Load        float64      `json:"load"` // RPCs per second at this instance, 0 if not among the heaviest tenants
 }
 
-// Plan is what the planner made of the loads that drivers tell of.
+// Plan is a plan for the loads that drivers reported. Worst and Mean are the maximum and the mean planned
+// load of a cell, Bound is a lower bound of Worst and Before is the current maximum, all as fractions of
+// capacity. Exact reports whether some plan is known to reach Bound.
 type Plan struct {
 	Worst, Mean, Bound, Before float64
 	Exact                      bool
@@ -52,51 +55,54 @@
 	Tenants                    []TenantPlan
 }
 
-// CellPlan is a cell's part of a plan. Loads are over what it can bear.
+// CellPlan is the load of a cell before and after a plan, as a fraction of its capacity.
 type CellPlan struct {
 	Name          string
 	Before, After float64
 }
 
-// TenantPlan says why a tenant is to be where it is in a plan.
+// TenantPlan explains the placement of a tenant in a plan.
 type TenantPlan struct {
-	Tenant   cells.Tenant
-	Load     float64
-	From, To string
-	Why      string
-	Else     map[string]float64 // the worst load if it were in another cell and all else as planned
+	Tenant       cells.Tenant
+	Load         float64
+	From, To     string
+	Reason       string             `json:"Why"`
+	Alternatives map[string]float64 `json:"Else"` // maximum cell load if only this tenant were in another cell
 }
 
-// Query asks for a tenant or for a plan.
+// Query is a request for the placement of a tenant or for a plan.
 type Query struct {
 	Tenant   cells.Tenant `json:"tenant"`
 	Key      string       `json:"key"`
-	MaxMoves int          `json:"most"` // moves of a plan, below 0 for any number
+	MaxMoves int          `json:"most"` // limit of moves in a plan, none if negative
 }
 
-// Serve answers commands until the context ends.
-func Serve(ctx context.Context, l net.Listener, d Backend) error {
+// Serve serves the admin API until ctx ends.
+func Serve(ctx context.Context, listener net.Listener, backend Backend) error {
 	mux := http.NewServeMux()
-	handle := func(what string, answer http.HandlerFunc) { mux.Handle("POST /"+what, answer) }
-	handle("cells/list", jsonhttp.QueryHandler(func(context.Context) (cells.Stats, error) { return d.Cells(), nil }))
-	handle("cells/show", jsonhttp.Handler(func(_ context.Context, w Query) (Placement, error) { return d.TenantPlacement(w.Tenant, w.Key), nil }))
-	handle("cells/moves", jsonhttp.QueryHandler(d.State))
-	handle("cells/plan", jsonhttp.Handler(func(ctx context.Context, w Query) (Plan, error) { return d.Plan(ctx, w.MaxMoves) }))
-	handle("cells/move", jsonhttp.ActionHandler(d.Move))
-	handle("cells/abort", jsonhttp.ActionHandler(d.Abort))
-	mux.Handle("GET /metrics", metrics(d))
-	handle("fleet/council", jsonhttp.QueryHandler(d.Council))
-	handle("fleet/council/change", jsonhttp.ActionHandler(d.ChangeCouncil))
-	handle("fleet/state", jsonhttp.QueryHandler(d.Fleet))
-	handle("fleet/audit", jsonhttp.Handler(d.Audit))
-	handle("fleet/wish", jsonhttp.ActionHandler(d.Wish))
-	return jsonhttp.Serve(ctx, l, local(mux))
+	handle := func(command string, handler http.HandlerFunc) { mux.Handle("POST /"+command, handler) }
+	handle("cells/list", jsonhttp.QueryHandler(func(context.Context) (cells.Stats, error) { return backend.Cells(), nil }))
+	handle("cells/show", jsonhttp.Handler(func(_ context.Context, query Query) (Placement, error) {
+		return backend.TenantPlacement(query.Tenant, query.Key), nil
+	}))
+	handle("cells/moves", jsonhttp.QueryHandler(backend.State))
+	handle("cells/plan", jsonhttp.Handler(func(ctx context.Context, query Query) (Plan, error) { return backend.Plan(ctx, query.MaxMoves) }))
+	handle("cells/move", jsonhttp.ActionHandler(backend.Move))
+	handle("cells/abort", jsonhttp.ActionHandler(backend.Abort))
+	mux.Handle("GET /metrics", metricsHandler(backend))
+	handle("fleet/council", jsonhttp.QueryHandler(backend.Council))
+	handle("fleet/council/change", jsonhttp.ActionHandler(backend.ChangeCouncil))
+	handle("fleet/state", jsonhttp.QueryHandler(backend.Fleet))
+	handle("fleet/audit", jsonhttp.Handler(backend.Audit))
+	handle("fleet/wish", jsonhttp.ActionHandler(backend.Wish))
+	return jsonhttp.Serve(ctx, listener, requireLoopbackHost(mux))
 }
 
-// local turns away what names a host that is no loopback address: a page in the operator's browser may send such.
-func local(next http.Handler) http.Handler {
+// requireLoopbackHost rejects requests whose Host header is not a loopback address, to protect against
+// DNS rebinding by web pages in the operator's browser.
+func requireLoopbackHost(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if at, err := netip.ParseAddrPort(r.Host); err != nil || !at.Addr().IsLoopback() {
+		if addrPort, err := netip.ParseAddrPort(r.Host); err != nil || !addrPort.Addr().IsLoopback() {
 			http.Error(w, "only a loopback address may be named as the host", http.StatusForbidden)
 			return
 		}
@@ -104,25 +110,25 @@
 	})
 }
 
-// Client asks commands of an instance.
+// Client calls the admin API of an instance.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
-const askWithin = 30 * time.Second
+const requestTimeout = 30 * time.Second
 
-// NewCellsClient names an instance by its admin address, for what there is to ask of cells.
-func NewCellsClient(at string) Client { return dial(at, "cells") }
+// NewCellsClient returns a client for the cells commands of the instance at an admin address.
+func NewCellsClient(address string) Client { return newClient(address, "cells") }
 
-// NewFleetClient names an instance by its admin address, for what there is to ask of the fleet.
-func NewFleetClient(at string) Client { return dial(at, "fleet") }
+// NewFleetClient returns a client for the fleet commands of the instance at an admin address.
+func NewFleetClient(address string) Client { return newClient(address, "fleet") }
 
-func dial(at, of string) Client {
-	return Client{base: "http://" + at + "/" + of + "/", client: &http.Client{Timeout: askWithin}}
+func newClient(address, area string) Client {
+	return Client{baseURL: "http://" + address + "/" + area + "/", httpClient: &http.Client{Timeout: requestTimeout}}
 }
 
-// Call asks a command and reads its answer, into nil for none.
-func (c Client) Call(ctx context.Context, what string, asked, into any) error {
-	return jsonhttp.Post(ctx, c.client, c.base+what, asked, into)
+// Call sends a command and decodes the result into response, unless that is nil.
+func (c Client) Call(ctx context.Context, command string, request, response any) error {
+	return jsonhttp.Post(ctx, c.httpClient, c.baseURL+command, request, response)
 }
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -10,110 +10,110 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// figures are what this instance and its fleet tell of themselves, made anew for each look.
-type figures struct{ desk Backend }
+// collector collects metrics of this instance and its fleet on each scrape.
+type collector struct{ backend Backend }
 
-// lookWithin is how long the council may take to tell how the fleet stands.
-const lookWithin = 2 * time.Second
+// collectTimeout limits how long a scrape waits for the council.
+const collectTimeout = 2 * time.Second
 
-func described(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("sedgespread_"+name, help, labels, nil)
 }
 
 var (
-	councilTerm    = described("council_term", "Newest term of the council that this voter knows.")
-	councilApplied = described("council_applied", "Entries of the council's log that this voter has applied.")
-	councilActs    = described("council_acts", "1 if this voter acts for the council.")
-	councilRefused = described("council_refused", "1 if this voter is refused, for good.")
-	fleetKnown     = described("fleet_known", "1 if the council could be asked how the fleet stands.")
-	fleetDrivers   = described("fleet_drivers", "Drivers by state in the roster.", "state")
-	fleetMay       = described("fleet_may_act", "Drivers whose leases may hold.")
-	fleetLevel     = described("fleet_level", "Feature level at which all act.")
-	versionStage   = described("version_stage", "1 for the stage that a thing's newest version is at.", "thing", "version", "stage")
-	versionClosed  = described("version_closed", "Number of the newest version of a thing that was closed.", "thing")
-	versionHeld    = described("version_held_back_seconds", "How long a version has waited for a driver at its stage.", "thing", "version", "stage", "driver")
-	fleetSilent    = described("fleet_silent_seconds", "How long most fellows have not heard a driver.", "driver")
-	observedAt     = described("observed_drivers", "Drivers by what they act on of a thing that the council does not decide.", "thing", "version", "digest")
-	observedLate   = described("observed_late_seconds", "How long a driver has not come nearer to the newest of such a thing.", "thing", "driver")
-	observedForked = described("observed_forked", "1 if two drivers act on different things of one name and version.", "thing")
-	writeSeconds   = described("council_write_seconds", "That a write of this voter's disk takes, in the mean.")
-	tenantsAway    = described("cells_turned_away_total", "RPCs that the gate of this instance turned away, by why.", "why")
+	councilTerm            = newDesc("council_term", "Newest term of the council that this voter knows.")
+	councilApplied         = newDesc("council_applied", "Entries of the council's log that this voter has applied.")
+	councilIsActing        = newDesc("council_acts", "1 if this voter acts for the council.")
+	councilIsRefused       = newDesc("council_refused", "1 if this voter is refused, for good.")
+	fleetIsKnown           = newDesc("fleet_known", "1 if the council could be asked how the fleet stands.")
+	fleetDrivers           = newDesc("fleet_drivers", "Drivers by state in the roster.", "state")
+	fleetMayAct            = newDesc("fleet_may_act", "Drivers whose leases may hold.")
+	fleetLevel             = newDesc("fleet_level", "Feature level at which all act.")
+	versionStage           = newDesc("version_stage", "1 for the stage that a thing's newest version is at.", "thing", "version", "stage")
+	versionClosed          = newDesc("version_closed", "Number of the newest version of a thing that was closed.", "thing")
+	versionHeldBackSeconds = newDesc("version_held_back_seconds", "How long a version has waited for a driver at its stage.", "thing", "version", "stage", "driver")
+	fleetSilentSeconds     = newDesc("fleet_silent_seconds", "How long most fellows have not heard a driver.", "driver")
+	observedDrivers        = newDesc("observed_drivers", "Drivers by what they act on of a thing that the council does not decide.", "thing", "version", "digest")
+	observedLateSeconds    = newDesc("observed_late_seconds", "How long a driver has not come nearer to the newest of such a thing.", "thing", "driver")
+	observedIsForked       = newDesc("observed_forked", "1 if two drivers act on different things of one name and version.", "thing")
+	councilWriteSeconds    = newDesc("council_write_seconds", "That a write of this voter's disk takes, in the mean.")
+	cellsTurnedAway        = newDesc("cells_turned_away_total", "RPCs that the gate of this instance turned away, by why.", "why")
 )
 
-// Describe describes nothing: what there is depends on what is on here.
-func (figures) Describe(chan<- *prometheus.Desc) {}
+// Describe sends nothing, which makes the collector unchecked: its metrics depend on the configuration.
+func (collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives all figures of now.
-func (f figures) Collect(out chan<- prometheus.Metric) {
-	gauge := func(d *prometheus.Desc, value float64, labels ...string) {
-		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
+// Collect sends the current metrics.
+func (c collector) Collect(metrics chan<- prometheus.Metric) {
+	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
+		metrics <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), lookWithin)
-	defer stop()
-	for why, n := range f.desk.Cells().Rejected {
-		out <- prometheus.MustNewConstMetric(tenantsAway, prometheus.CounterValue, float64(n), why)
+	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
+	defer cancel()
+	for reason, n := range c.backend.Cells().Rejected {
+		metrics <- prometheus.MustNewConstMetric(cellsTurnedAway, prometheus.CounterValue, float64(n), reason)
 	}
-	if s, err := f.desk.Council(ctx); err == nil {
-		gauge(councilTerm, float64(s.Term))
-		gauge(councilApplied, float64(s.Applied))
-		gauge(councilActs, truth(s.IsActing))
-		gauge(councilRefused, truth(s.RefusalReason != ""))
-		gauge(writeSeconds, s.WriteMs/1000)
+	if state, err := c.backend.Council(ctx); err == nil {
+		gauge(councilTerm, float64(state.Term))
+		gauge(councilApplied, float64(state.Applied))
+		gauge(councilIsActing, boolValue(state.IsActing))
+		gauge(councilIsRefused, boolValue(state.RefusalReason != ""))
+		gauge(councilWriteSeconds, state.WriteMs/1000)
 	}
-	fleet, err := f.desk.Fleet(ctx)
-	gauge(fleetKnown, truth(err == nil))
+	fleet, err := c.backend.Fleet(ctx)
+	gauge(fleetIsKnown, boolValue(err == nil))
 	if err != nil {
 		return
 	}
-	states, may := map[string]int{}, 0
-	for _, d := range fleet.Drivers {
-		states[d.State.String()]++
-		if d.May {
-			may++
+	states, mayAct := map[string]int{}, 0
+	for _, driver := range fleet.Drivers {
+		states[driver.State.String()]++
+		if driver.May {
+			mayAct++
 		}
 	}
 	for state, n := range states {
 		gauge(fleetDrivers, float64(n), state)
 	}
-	gauge(fleetMay, float64(may))
+	gauge(fleetMayAct, float64(mayAct))
 	gauge(fleetLevel, float64(fleet.Level))
-	for thing, all := range fleet.Versions {
-		last := all[len(all)-1]
-		gauge(versionStage, 1, string(thing), strconv.FormatUint(uint64(last.Number), 10), last.Stage.String())
+	for thing, history := range fleet.Versions {
+		newest := history[len(history)-1]
+		gauge(versionStage, 1, string(thing), strconv.FormatUint(uint64(newest.Number), 10), newest.Stage.String())
 		closed, _ := fleet.Closed(thing)
 		gauge(versionClosed, float64(closed), string(thing))
 	}
-	for _, d := range fleet.Doubts {
-		if d.Silent {
-			gauge(fleetSilent, time.Duration(fleet.Now-d.Since).Seconds(), d.Name)
+	for _, doubt := range fleet.Doubts {
+		if doubt.Silent {
+			gauge(fleetSilentSeconds, time.Duration(fleet.Now-doubt.Since).Seconds(), doubt.Name)
 		}
 	}
-	for _, s := range fleet.Observed {
-		for _, g := range s.Groups {
-			gauge(observedAt, float64(len(g.Who)), string(s.Thing), strconv.FormatUint(uint64(g.Number), 10), g.Digest)
+	for _, spread := range fleet.Observed {
+		for _, group := range spread.Groups {
+			gauge(observedDrivers, float64(len(group.Who)), string(spread.Thing), strconv.FormatUint(uint64(group.Number), 10), group.Digest)
 		}
-		for _, late := range s.Behind {
-			gauge(observedLate, time.Duration(late.For).Seconds(), string(s.Thing), late.Name)
+		for _, late := range spread.Behind {
+			gauge(observedLateSeconds, time.Duration(late.For).Seconds(), string(spread.Thing), late.Name)
 		}
-		gauge(observedForked, truth(s.Forked), string(s.Thing))
+		gauge(observedIsForked, boolValue(spread.Forked), string(spread.Thing))
 	}
-	for _, b := range fleet.Behind {
-		for _, who := range b.Who {
-			gauge(versionHeld, time.Duration(b.For).Seconds(), string(b.Thing), strconv.FormatUint(uint64(b.Number), 10), b.Stage.String(), who.Name)
+	for _, behind := range fleet.Behind {
+		for _, driver := range behind.Who {
+			gauge(versionHeldBackSeconds, time.Duration(behind.For).Seconds(), string(behind.Thing), strconv.FormatUint(uint64(behind.Number), 10), behind.Stage.String(), driver.Name)
 		}
 	}
 }
 
-func truth(is bool) float64 {
-	if is {
+func boolValue(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// metrics answers as Prometheus asks.
-func metrics(d Backend) http.Handler {
+// metricsHandler serves the metrics in the Prometheus exposition format.
+func metricsHandler(backend Backend) http.Handler {
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(figures{d})
+	registry.MustRegister(collector{backend})
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -15,39 +15,39 @@
 	"sedgespread/internal/versions"
 )
 
-// still is a desk at which nothing changes.
-type still struct {
+// fakeBackend is a Backend with fixed state.
+type fakeBackend struct {
 	Backend
 	fleet membership.Fleet
 	err   error
 }
 
-func (s still) Cells() cells.Stats { return cells.Stats{Rejected: map[string]int64{"lease": 3}} }
+func (b fakeBackend) Cells() cells.Stats { return cells.Stats{Rejected: map[string]int64{"lease": 3}} }
 
-func (s still) Council(context.Context) (chamber.State, error) {
-	return chamber.State{Term: 7, IsActing: true}, s.err
+func (b fakeBackend) Council(context.Context) (chamber.State, error) {
+	return chamber.State{Term: 7, IsActing: true}, b.err
 }
 
-func (s still) Fleet(context.Context) (membership.Fleet, error) { return s.fleet, s.err }
+func (b fakeBackend) Fleet(context.Context) (membership.Fleet, error) { return b.fleet, b.err }
 
-func scraped(d Backend) string {
-	w := httptest.NewRecorder()
-	metrics(d).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
-	return w.Body.String()
+func scrape(backend Backend) string {
+	recorder := httptest.NewRecorder()
+	metricsHandler(backend).ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
+	return recorder.Body.String()
 }
 
-// Guards against a version that is held back and nobody can see by whom, and against a page that fails with the council.
+// The metrics name the driver that delays a version, and are served even if the council can't be reached.
 func TestMetrics(t *testing.T) {
-	f := membership.Fleet{Level: 2, Drivers: []membership.Seen{{Driver: roster.Driver{State: roster.Present}, May: true}, {Driver: roster.Driver{State: roster.ShutOut}}},
+	fleet := membership.Fleet{Level: 2, Drivers: []membership.Seen{{Driver: roster.Driver{State: roster.Present}, May: true}, {Driver: roster.Driver{State: roster.ShutOut}}},
 		Versions: map[versions.Thing][]versions.Version{"rulebook": {{Number: 2, Stage: versions.Closed}, {Number: 3, Stage: versions.Opening}}},
 		Behind:   []versions.Behind{{Thing: "rulebook", Number: 3, Stage: versions.Opening, For: 1_500_000_000, Who: []versions.Sign{{Name: "n7"}}}}}
-	page := scraped(still{fleet: f})
+	page := scrape(fakeBackend{fleet: fleet})
 	for _, line := range []string{`sedgespread_version_held_back_seconds{driver="n7",stage="opening",thing="rulebook",version="3"} 1.5`,
 		`sedgespread_version_closed{thing="rulebook"} 2`, `sedgespread_fleet_drivers{state="shut out"} 1`, "sedgespread_council_term 7",
 		`sedgespread_cells_turned_away_total{why="lease"} 3`, "sedgespread_fleet_known 1", "sedgespread_fleet_level 2"} {
 		require.Contains(t, page, line)
 	}
-	page = scraped(still{err: errors.New("nobody there")})
+	page = scrape(fakeBackend{err: errors.New("unavailable")})
 	require.Contains(t, page, "sedgespread_fleet_known 0")
 	require.NotContains(t, page, "council_term")
 	require.Contains(t, page, "turned_away")
--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -8,71 +8,73 @@
 	"sedgespread/internal/planner"
 )
 
-// explainedMost is how many tenants of a plan are explained, the heaviest first.
-const explainedMost = 50
+// maxExplainedTenants limits how many tenants of a plan, heaviest first, are explained.
+const maxExplainedTenants = 50
 
-// NewPlan makes a plan and says why tenants are where they are in it.
-func NewPlan(tenants []planner.Tenant, rooms []planner.Cell, most int) Plan {
-	p := planner.NewPlan(tenants, rooms, most)
-	now := make([]int, len(tenants))
+// NewPlan plans at most maxMoves moves, or any number if maxMoves is negative, and explains the placement
+// of the heaviest tenants. The tenants are ordered by load, heaviest first.
+func NewPlan(tenants []planner.Tenant, plannerCells []planner.Cell, maxMoves int) Plan {
+	result := planner.NewPlan(tenants, plannerCells, maxMoves)
+	current := make([]int, len(tenants))
 	for i, t := range tenants {
-		now[i] = t.CurrentCell
+		current[i] = t.CurrentCell
 	}
-	before := planner.Evaluate(tenants, rooms, now)
-	plan := Plan{Worst: p.MaxLoad, Mean: p.MeanLoad, Bound: p.LowerBound, Before: before.MaxLoad, Exact: p.IsBoundTight}
-	for i, r := range rooms {
-		plan.Cells = append(plan.Cells, CellPlan{Name: r.Name, Before: before.Loads[i], After: p.Loads[i]})
+	before := planner.Evaluate(tenants, plannerCells, current)
+	plan := Plan{Worst: result.MaxLoad, Mean: result.MeanLoad, Bound: result.LowerBound, Before: before.MaxLoad, Exact: result.IsBoundTight}
+	for i, plannerCell := range plannerCells {
+		plan.Cells = append(plan.Cells, CellPlan{Name: plannerCell.Name, Before: before.Loads[i], After: result.Loads[i]})
 	}
-	name := func(c int) string {
-		if c == planner.NoCell {
+	cellName := func(cell int) string {
+		if cell == planner.NoCell {
 			return ""
 		}
-		return rooms[c].Name
+		return plannerCells[cell].Name
 	}
-	for _, t := range p.Moves {
-		why := fmt.Sprintf("plan: %s at %.2f of its capacity, worst cell %.2f to %.2f", name(tenants[t].CurrentCell),
-			before.Loads[tenants[t].CurrentCell], before.MaxLoad, p.MaxLoad)
-		plan.Moves = append(plan.Moves, membership.Move{Tenant: cells.Tenant(tenants[t].Name), To: name(p.Placement[t]), Why: why})
+	for _, t := range result.Moves {
+		reason := fmt.Sprintf("plan: %s at %.2f of its capacity, worst cell %.2f to %.2f", cellName(tenants[t].CurrentCell),
+			before.Loads[tenants[t].CurrentCell], before.MaxLoad, result.MaxLoad)
+		plan.Moves = append(plan.Moves, membership.Move{Tenant: cells.Tenant(tenants[t].Name), To: cellName(result.Placement[t]), Why: reason})
 	}
 	for i, t := range tenants {
-		if len(plan.Tenants) < explainedMost {
-			plan.Tenants = append(plan.Tenants, explain(t, p.Placement[i], &p, rooms, name))
+		if len(plan.Tenants) < maxExplainedTenants {
+			plan.Tenants = append(plan.Tenants, explainTenant(t, result.Placement[i], &result, plannerCells, cellName))
 		}
 	}
 	return plan
 }
 
-// explain says why a tenant is where it is in a plan, and what the worst load would be were it elsewhere.
-func explain(t planner.Tenant, at int, p *planner.Plan, rooms []planner.Cell, name func(int) string) TenantPlan {
-	e := TenantPlan{Tenant: cells.Tenant(t.Name), Load: t.Load, From: name(t.CurrentCell), To: name(at), Else: map[string]float64{}}
+// explainTenant explains the cell of a tenant in a plan and computes the maximum load for each
+// alternative cell.
+func explainTenant(tenant planner.Tenant, plannedCell int, result *planner.Plan, plannerCells []planner.Cell, cellName func(int) string) TenantPlan {
+	explanation := TenantPlan{Tenant: cells.Tenant(tenant.Name), Load: tenant.Load, From: cellName(tenant.CurrentCell), To: cellName(plannedCell), Alternatives: map[string]float64{}}
 	switch {
-	case t.Pinned:
-		e.Why = "it is pinned, or being moved"
-	case at == t.CurrentCell:
-		e.Why = "it can stay: moving it would not lower the worst load"
-	case at == planner.NoCell:
-		e.Why = "no cell stands in its hall"
+	case tenant.Pinned:
+		explanation.Reason = "it is pinned, or being moved"
+	case plannedCell == tenant.CurrentCell:
+		explanation.Reason = "it can stay: moving it would not lower the worst load"
+	case plannedCell == planner.NoCell:
+		explanation.Reason = "no cell stands in its hall"
 	default:
-		e.Why = "its cell is relieved by it"
+		explanation.Reason = "its cell is relieved by it"
 	}
-	if t.Pinned || at == planner.NoCell {
-		return e
+	if tenant.Pinned || plannedCell == planner.NoCell {
+		return explanation
 	}
-	for c := range rooms {
-		if c == at || t.Hall != "" && t.Hall != rooms[c].Hall {
+	for alternative := range plannerCells {
+		if alternative == plannedCell || tenant.Hall != "" && tenant.Hall != plannerCells[alternative].Hall {
 			continue
 		}
-		worst := 0.0
-		for o, load := range p.Loads {
-			switch o {
-			case at:
-				load -= t.Load / rooms[o].Capacity
-			case c:
-				load += t.Load / rooms[o].Capacity
+		maxLoad := 0.0
+		for cell, load := range result.Loads {
+			switch cell {
+			case plannedCell:
+				load -= tenant.Load / plannerCells[cell].Capacity
+			case alternative:
+				load += tenant.Load / plannerCells[cell].Capacity
 			}
-			worst = max(worst, load)
+			maxLoad = max(maxLoad, load)
 		}
-		e.Else[name(c)] = worst
+		explanation.Alternatives[cellName(alternative)] = maxLoad
 	}
-	return e
+	return explanation
 }
