--- a/cmd/sedgespread/cells.go
+++ b/cmd/sedgespread/cells.go
@@ -13,14 +13,14 @@
 	"sedgespread/internal/membership"
 )
 
-// desk is which instance commands ask, and how they print.
-type desk struct {
+// adminFlags is which instance commands ask, and how they print.
+type adminFlags struct {
 	Admin string `default:"127.0.0.1:7400" env:"SEDGESPREAD_ADMIN" help:"The instance's admin address, as in its operator's file."`
 	JSON  bool   `name:"json" help:"Print JSON."`
 }
 
-type cellsOf struct {
-	desk
+type cellsCommand struct {
+	adminFlags
 
 	List  cellsList  `cmd:"" help:"The cells as the instance knows them, with what each uses."`
 	Show  cellsShow  `cmd:"" help:"Where a tenant is, and why."`
@@ -31,61 +31,61 @@
 	Abort cellsAbort `cmd:"" help:"Call a move off; it goes back unless it has been switched."`
 }
 
-// ask asks the instance and prints its answer as JSON or as print does.
-func ask[T any](c *commands, what string, wanted any, print func(out *tabwriter.Writer, answer *T)) error {
-	return asked(admin.NewCellsClient(c.Cells.Admin), c.Cells.JSON, what, wanted, print)
+// callCells asks the instance and prints its answer as JSON or as print does.
+func callCells[T any](cli *commandLine, command string, request any, printResult func(out *tabwriter.Writer, answer *T)) error {
+	return call(admin.NewCellsClient(cli.Cells.Admin), cli.Cells.JSON, command, request, printResult)
 }
 
-func asked[T any](at admin.Client, asJSON bool, what string, wanted any, print func(out *tabwriter.Writer, answer *T)) error {
-	var raw json.RawMessage
-	if err := at.Call(context.Background(), what, wanted, &raw); err != nil {
+func call[T any](client admin.Client, asJSON bool, command string, request any, printResult func(out *tabwriter.Writer, result *T)) error {
+	var rawResult json.RawMessage
+	if err := client.Call(context.Background(), command, request, &rawResult); err != nil {
 		return err
 	}
 	if asJSON {
-		fmt.Println(string(raw))
+		fmt.Println(string(rawResult))
 		return nil
 	}
-	var answer T
-	if err := json.Unmarshal(raw, &answer); err != nil {
+	var result T
+	if err := json.Unmarshal(rawResult, &result); err != nil {
 		return err
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer out.Flush()
-	print(out, &answer)
+	printResult(out, &result)
 	return nil
 }
 
 type cellsList struct{}
 
 // Run lists cells.
-func (cellsList) Run(c *commands) error {
-	return ask(c, "list", admin.Query{}, func(out *tabwriter.Writer, f *cells.Stats) {
+func (cellsList) Run(cli *commandLine) error {
+	return callCells(cli, "list", admin.Query{}, func(out *tabwriter.Writer, stats *cells.Stats) {
 		fmt.Fprintln(out, "CELL\tHALL\tGROUPS\tWEIGHT\tRPCS\tSHARE\tLIMIT\tPACE\tCALL-OUTS\tCLIENTS\tTENANTS\tTOOK")
-		for _, k := range f.Cells {
-			fmt.Fprintf(out, "%s\t%s\t%v\t%g\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%v\n", k.Name, k.Hall, k.Groups, k.Weight, k.RPCs, k.Share,
-				k.Limit, k.ConcurrencyLimit, k.Attempts, k.ClientConnections, k.Tenants, time.Duration(k.Latency).Round(time.Millisecond/10))
+		for _, cell := range stats.Cells {
+			fmt.Fprintf(out, "%s\t%s\t%v\t%g\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%v\n", cell.Name, cell.Hall, cell.Groups, cell.Weight, cell.RPCs, cell.Share,
+				cell.Limit, cell.ConcurrencyLimit, cell.Attempts, cell.ClientConnections, cell.Tenants, time.Duration(cell.Latency).Round(time.Millisecond/10))
 		}
-		fmt.Fprintf(out, "\nepoch %d, lease %s, held %d, turned away:", f.Epoch, lease(f.Lease), f.Held)
-		for w := cells.ReasonDriverFull; w <= cells.ReasonUnknownCell; w++ {
-			fmt.Fprintf(out, " %s %d", w, f.Rejected[w.String()])
+		fmt.Fprintf(out, "\nepoch %d, lease %s, held %d, turned away:", stats.Epoch, formatLease(stats.Lease), stats.Held)
+		for reason := cells.ReasonDriverFull; reason <= cells.ReasonUnknownCell; reason++ {
+			fmt.Fprintf(out, " %s %d", reason, stats.Rejected[reason.String()])
 		}
-		fmt.Fprintf(out, "; given up %d\n\nHEAVIEST TENANTS\tRPCS A SECOND\tOF THAT MAYBE OTHERS'\n", f.Fenced)
-		for _, t := range f.HeaviestTenants {
-			fmt.Fprintf(out, "%s\t%.1f\t%.1f\n", t.Tenant, t.Load, t.Overestimate)
+		fmt.Fprintf(out, "; given up %d\n\nHEAVIEST TENANTS\tRPCS A SECOND\tOF THAT MAYBE OTHERS'\n", stats.Fenced)
+		for _, tenant := range stats.HeaviestTenants {
+			fmt.Fprintf(out, "%s\t%.1f\t%.1f\n", tenant.Tenant, tenant.Load, tenant.Overestimate)
 		}
 	})
 }
 
-// lease says how long one lasts; where there is no coordinator it does for good.
-func lease(ns int64) string {
-	const forGood = 100 * 365 * 24 * time.Hour
-	switch d := time.Duration(ns).Round(time.Millisecond); {
-	case d > forGood:
+// formatLease says how long one lasts; where there is no coordinator it does for good.
+func formatLease(ns int64) string {
+	const unlimitedLease = 100 * 365 * 24 * time.Hour
+	switch remaining := time.Duration(ns).Round(time.Millisecond); {
+	case remaining > unlimitedLease:
 		return "not needed"
-	case d <= 0:
+	case remaining <= 0:
 		return "run out"
 	default:
-		return d.String()
+		return remaining.String()
 	}
 }
 
@@ -95,22 +95,22 @@
 }
 
 // Run shows a tenant.
-func (s cellsShow) Run(c *commands) error {
-	return ask(c, "show", admin.Query{Tenant: cells.Tenant(s.Tenant), Key: s.Key}, func(out *tabwriter.Writer, p *admin.Placement) {
-		fmt.Fprintf(out, "tenant\t%s\ncell\t%s (%s)\ngroups\t%v\nstage\t%s\n", p.Tenant, p.Cell, p.Reason, p.Groups, p.Stage)
+func (s cellsShow) Run(cli *commandLine) error {
+	return callCells(cli, "show", admin.Query{Tenant: cells.Tenant(s.Tenant), Key: s.Key}, func(out *tabwriter.Writer, placement *admin.Placement) {
+		fmt.Fprintf(out, "tenant\t%s\ncell\t%s (%s)\ngroups\t%v\nstage\t%s\n", placement.Tenant, placement.Cell, placement.Reason, placement.Groups, placement.Stage)
 		if s.Key != "" {
-			fmt.Fprintf(out, "group of %q\t%d\n", s.Key, p.Group)
+			fmt.Fprintf(out, "group of %q\t%d\n", s.Key, placement.Group)
 		}
-		if p.TargetCell != "" {
-			fmt.Fprintf(out, "to\t%s\n", p.TargetCell)
+		if placement.TargetCell != "" {
+			fmt.Fprintf(out, "to\t%s\n", placement.TargetCell)
 		}
-		if p.Epoch > 0 {
-			fmt.Fprintf(out, "epoch\t%d\n", p.Epoch)
+		if placement.Epoch > 0 {
+			fmt.Fprintf(out, "epoch\t%d\n", placement.Epoch)
 		}
-		if p.MinPosition > 0 {
-			fmt.Fprintf(out, "read from members at\t%s\n", time.Unix(0, p.MinPosition).UTC().Format(time.RFC3339Nano))
+		if placement.MinPosition > 0 {
+			fmt.Fprintf(out, "read from members at\t%s\n", time.Unix(0, placement.MinPosition).UTC().Format(time.RFC3339Nano))
 		}
-		fmt.Fprintf(out, "RPCs a second here\t%.1f\n", p.Load)
+		fmt.Fprintf(out, "RPCs a second here\t%.1f\n", placement.Load)
 	})
 }
 
@@ -120,34 +120,34 @@
 }
 
 // Run plans.
-func (p cellsPlan) Run(c *commands) error {
-	return ask(c, "plan", admin.Query{MaxMoves: p.Most}, func(out *tabwriter.Writer, plan *admin.Plan) { printPlan(out, plan, p.Explain) })
+func (p cellsPlan) Run(cli *commandLine) error {
+	return callCells(cli, "plan", admin.Query{MaxMoves: p.Most}, func(out *tabwriter.Writer, plan *admin.Plan) { printPlan(out, plan, p.Explain) })
 }
 
-func printPlan(out *tabwriter.Writer, p *admin.Plan, explain bool) {
-	proof := "that may not be reached"
-	if p.Exact {
-		proof = "which some plan reaches"
+func printPlan(out *tabwriter.Writer, plan *admin.Plan, explain bool) {
+	boundNote := "that may not be reached"
+	if plan.Exact {
+		boundNote = "which some plan reaches"
 	}
 	fmt.Fprintf(out, "worst cell %.3f of its capacity, now %.3f; mean %.3f; no plan can go below %.3f, %s; %d moves\n\n",
-		p.Worst, p.Before, p.Mean, p.Bound, proof, len(p.Moves))
+		plan.Worst, plan.Before, plan.Mean, plan.Bound, boundNote, len(plan.Moves))
 	fmt.Fprintln(out, "CELL\tNOW\tPLANNED")
-	for _, k := range p.Cells {
-		fmt.Fprintf(out, "%s\t%.3f\t%.3f\n", k.Name, k.Before, k.After)
+	for _, cell := range plan.Cells {
+		fmt.Fprintf(out, "%s\t%.3f\t%.3f\n", cell.Name, cell.Before, cell.After)
 	}
 	fmt.Fprintln(out, "\nMOVE\tTO")
-	for _, m := range p.Moves {
-		fmt.Fprintf(out, "%s\t%s\n", m.Tenant, m.To)
+	for _, move := range plan.Moves {
+		fmt.Fprintf(out, "%s\t%s\n", move.Tenant, move.To)
 	}
 	if !explain {
 		return
 	}
 	fmt.Fprintln(out, "\nTENANT\tLOAD\tNOW\tPLANNED\tWHY\tWORST CELL IF ELSEWHERE")
-	for _, t := range p.Tenants {
-		fmt.Fprintf(out, "%s\t%.1f\t%s\t%s\t%s\t", t.Tenant, t.Load, t.From, t.To, t.Reason)
-		for _, k := range p.Cells {
-			if worst, is := t.Alternatives[k.Name]; is {
-				fmt.Fprintf(out, "%s %.3f ", k.Name, worst)
+	for _, tenant := range plan.Tenants {
+		fmt.Fprintf(out, "%s\t%.1f\t%s\t%s\t%s\t", tenant.Tenant, tenant.Load, tenant.From, tenant.To, tenant.Reason)
+		for _, cell := range plan.Cells {
+			if maxLoad, ok := tenant.Alternatives[cell.Name]; ok {
+				fmt.Fprintf(out, "%s %.3f ", cell.Name, maxLoad)
 			}
 		}
 		fmt.Fprintln(out)
@@ -159,17 +159,17 @@
 }
 
 // Run plans and begins the moves.
-func (a cellsApply) Run(c *commands) error {
+func (a cellsApply) Run(cli *commandLine) error {
 	var plan admin.Plan
-	at := admin.NewCellsClient(c.Cells.Admin)
-	if err := at.Call(context.Background(), "plan", admin.Query{MaxMoves: a.Most}, &plan); err != nil {
+	client := admin.NewCellsClient(cli.Cells.Admin)
+	if err := client.Call(context.Background(), "plan", admin.Query{MaxMoves: a.Most}, &plan); err != nil {
 		return err
 	}
 	if len(plan.Moves) == 0 {
 		fmt.Println("nothing to move")
 		return nil
 	}
-	if err := at.Call(context.Background(), "move", plan.Moves, nil); err != nil {
+	if err := client.Call(context.Background(), "move", plan.Moves, nil); err != nil {
 		return err
 	}
 	fmt.Printf("%d moves begun; `cells moves` shows how they go\n", len(plan.Moves))
@@ -183,9 +183,9 @@
 }
 
 // Run begins a move.
-func (m cellsMove) Run(c *commands) error {
+func (m cellsMove) Run(cli *commandLine) error {
 	move := []membership.Move{{Tenant: cells.Tenant(m.Tenant), To: m.To, Why: m.Why}}
-	return ask(c, "move", move, func(out *tabwriter.Writer, _ *struct{}) {
+	return callCells(cli, "move", move, func(out *tabwriter.Writer, _ *struct{}) {
 		fmt.Fprintf(out, "move of %s to %s begun; `cells moves` shows how it goes\n", m.Tenant, m.To)
 	})
 }
@@ -193,17 +193,17 @@
 type cellsMoves struct{}
 
 // Run lists moves.
-func (cellsMoves) Run(c *commands) error {
-	return ask(c, "moves", admin.Query{}, func(out *tabwriter.Writer, s *membership.State) {
+func (cellsMoves) Run(cli *commandLine) error {
+	return callCells(cli, "moves", admin.Query{}, func(out *tabwriter.Writer, state *membership.State) {
 		fmt.Fprintln(out, "TENANT\tCELL\tSTAGE\tTO\tEPOCH\tSINCE\tWHY")
-		for i := len(s.Entries) - 1; i >= 0; i-- {
-			e := s.Entries[i]
-			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%v\t%s\n", e.Tenant, e.Cell, e.Stage, e.To, e.Epoch,
-				time.Duration(s.Now-e.DecidedAt).Round(time.Millisecond), e.Reason)
+		for i := len(state.Entries) - 1; i >= 0; i-- {
+			entry := state.Entries[i]
+			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%v\t%s\n", entry.Tenant, entry.Cell, entry.Stage, entry.To, entry.Epoch,
+				time.Duration(state.Now-entry.DecidedAt).Round(time.Millisecond), entry.Reason)
 		}
 		fmt.Fprintln(out, "\nDRIVER\tACTS ON\tLEASE")
-		for _, d := range s.Drivers {
-			fmt.Fprintf(out, "%s\t%d\t%s\n", d.Name, d.Epoch, lease(d.LeaseExpiresAt-s.Now))
+		for _, driver := range state.Drivers {
+			fmt.Fprintf(out, "%s\t%d\t%s\n", driver.Name, driver.Epoch, formatLease(driver.LeaseExpiresAt-state.Now))
 		}
 	})
 }
@@ -214,8 +214,8 @@
 }
 
 // Run calls a move off.
-func (a cellsAbort) Run(c *commands) error {
-	return ask(c, "abort", membership.Move{Tenant: cells.Tenant(a.Tenant), Why: a.Why}, func(out *tabwriter.Writer, _ *struct{}) {
+func (a cellsAbort) Run(cli *commandLine) error {
+	return callCells(cli, "abort", membership.Move{Tenant: cells.Tenant(a.Tenant), Why: a.Why}, func(out *tabwriter.Writer, _ *struct{}) {
 		fmt.Fprintf(out, "move of %s is on its way back\n", a.Tenant)
 	})
 }
--- a/cmd/sedgespread/emulate.go
+++ b/cmd/sedgespread/emulate.go
@@ -12,20 +12,22 @@
 	"sedgespread/internal/emulator/trials"
 )
 
-type emulate struct {
+type emulateCommand struct {
 	Demo  emulateDemo  `cmd:"" help:"Start a small fleet with drivers before it and clients at work, to look at."`
 	Flood emulateFlood `cmd:"" help:"Flood one cell and see how the others fare, with cells and without."`
 	Moves emulateMoves `cmd:"" help:"Move tenants between cells while they write and read and while much fails."`
 	Fleet emulateFleet `cmd:"" help:"Change what a fleet of nine drivers acts on, again and again, while links and drivers fail."`
 }
 
-// interrupted ends with SIGINT or SIGTERM.
-func interrupted() (context.Context, context.CancelFunc) {
+// signalContext ends with SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// place says on what a figure was made.
-func place() string { return fmt.Sprintf("emulated fleet on loopback, %d cores", runtime.NumCPU()) }
+// environment says on what a figure was made.
+func environment() string {
+	return fmt.Sprintf("emulated fleet on loopback, %d cores", runtime.NumCPU())
+}
 
 type emulateDemo struct {
 	Admin string `default:"127.0.0.1:7400" help:"Where the first driver answers commands."`
@@ -33,7 +35,7 @@
 
 // Run shows a fleet until it is interrupted.
 func (d emulateDemo) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	program, err := os.Executable()
 	if err != nil {
@@ -56,7 +58,7 @@
 
 // Run plays a flood and prints what came of it.
 func (f emulateFlood) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	program, err := os.Executable()
 	if err != nil {
@@ -64,19 +66,19 @@
 	}
 	trial := trials.Flood{Program: program, Seed: f.Seed, Span: f.Span, Cells: f.Cells, Drivers: f.Drivers, Factor: f.Factor,
 		Usual: f.Usual, Tenants: f.Tenants, Dark: f.Dark}
-	r, err := trial.Run(ctx)
+	result, err := trial.Run(ctx)
 	if err != nil {
 		return err
 	}
-	trouble := fmt.Sprintf("bots at %g times what their cell can bear", f.Factor)
+	disturbance := fmt.Sprintf("bots at %g times what their cell can bear", f.Factor)
 	if f.Dark {
-		trouble = "a cell of which no member answers"
+		disturbance = "a cell of which no member answers"
 	}
 	fmt.Printf("%s\nseed %d, %v a night, %d cells of 3 members, %d drivers, %s; %d other\n"+
 		"tenants at %g of what the fleet can bear. Service is the part of the utility that was had in the soft deadline or late.\n\n%s\n",
-		place(), f.Seed, f.Span, f.Cells, f.Drivers, trouble, f.Tenants, f.Usual, r.Table)
+		environment(), f.Seed, f.Span, f.Cells, f.Drivers, disturbance, f.Tenants, f.Usual, result.Table)
 	fmt.Printf("Of the service of a quiet night, other cells' tenants kept %.3f with cells and %.3f without; the troubled cell's other\n"+
-		"tenants kept %.3f.\n", r.Kept, r.KeptOff, r.Within)
+		"tenants kept %.3f.\n", result.Kept, result.KeptOff, result.Within)
 	return nil
 }
 
@@ -94,7 +96,7 @@
 
 // Run plays a night of moves and prints what came of it. Breaches of the rules are an error.
 func (v emulateMoves) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	program, err := os.Executable()
 	if err != nil {
@@ -102,19 +104,19 @@
 	}
 	trial := trials.Moves{Program: program, Seed: v.Seed, Count: v.Count, Span: v.Span, Faults: !v.Calm, Tenants: v.Tenants,
 		Keys: v.Keys, Lease: v.Lease, Hold: v.Hold, Voters: v.Voters}
-	begun := time.Now()
-	r, err := trial.Run(ctx)
+	startedAt := time.Now()
+	result, err := trial.Run(ctx)
 	if err != nil {
 		return err
 	}
-	coordinates := "one that coordinates"
+	coordinator := "one that coordinates"
 	if v.Voters > 0 {
-		coordinates = fmt.Sprintf("a council of %d with failing links", v.Voters)
+		coordinator = fmt.Sprintf("a council of %d with failing links", v.Voters)
 	}
 	fmt.Printf("%s\nseed %d, 3 cells of 3 members, 3 drivers and %s, %d tenants of %d keys, lease %v, hold %v, %v long\n\n%s",
-		place(), v.Seed, coordinates, v.Tenants, v.Keys, v.Lease, v.Hold, time.Since(begun).Round(time.Second), r.Table())
-	if len(r.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, the first: %+v", len(r.Breaches), r.Breaches[0])
+		environment(), v.Seed, coordinator, v.Tenants, v.Keys, v.Lease, v.Hold, time.Since(startedAt).Round(time.Second), result.Table())
+	if len(result.Breaches) > 0 {
+		return fmt.Errorf("%d breaches, the first: %+v", len(result.Breaches), result.Breaches[0])
 	}
 	return nil
 }
@@ -131,7 +133,7 @@
 
 // Run plays a night of changes and prints what came of it, and how the fleet stands in the end.
 func (v emulateFleet) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	program, err := os.Executable()
 	if err != nil {
@@ -139,19 +141,19 @@
 	}
 	trial := trials.Versions{Program: program, Seed: v.Seed, Count: v.Count, Span: v.Span, Faults: !v.Calm, Drivers: v.Drivers, Voters: v.Voters,
 		Lease: v.Lease, Tenants: 4, Keys: 6}
-	begun := time.Now()
-	r, err := trial.Run(ctx)
+	startedAt := time.Now()
+	result, err := trial.Run(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s\nseed %d, 2 cells of 3 members, %d drivers of which %d are the council, lease %v, %v long\n\n%s", place(), v.Seed, v.Drivers, v.Voters,
-		v.Lease, time.Since(begun).Round(time.Second), r.Table())
+	fmt.Printf("%s\nseed %d, 2 cells of 3 members, %d drivers of which %d are the council, lease %v, %v long\n\n%s", environment(), v.Seed, v.Drivers, v.Voters,
+		v.Lease, time.Since(startedAt).Round(time.Second), result.Table())
 	fmt.Println("\nThe drivers in the end, as the council knows them:")
-	for _, d := range r.Drivers {
-		fmt.Printf("- %s, start %d, %s, acts on %s\n", d.Name, d.Start, d.State, actsOn(d.Seen))
+	for _, driver := range result.Drivers {
+		fmt.Printf("- %s, start %d, %s, acts on %s\n", driver.Name, driver.Start, driver.State, formatVersions(driver.Seen))
 	}
-	if len(r.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, the first: %+v", len(r.Breaches), r.Breaches[0])
+	if len(result.Breaches) > 0 {
+		return fmt.Errorf("%d breaches, the first: %+v", len(result.Breaches), result.Breaches[0])
 	}
 	return nil
 }
--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -18,8 +18,8 @@
 	"sedgespread/internal/versions"
 )
 
-type fleetOf struct {
-	desk
+type fleetCommand struct {
+	adminFlags
 
 	List     fleetList     `cmd:"" help:"The drivers, their starts, leases and what they act on."`
 	Show     fleetShow     `cmd:"" help:"One driver."`
@@ -32,15 +32,15 @@
 	Council  fleetCouncil  `cmd:"" help:"Who votes in the council, and how it stands."`
 }
 
-// fleet asks how the fleet stands.
-func (c *commands) fleet(print func(out *tabwriter.Writer, f *membership.Fleet)) error {
-	return asked(admin.NewFleetClient(c.Fleet.Admin), c.Fleet.JSON, "state", struct{}{}, print)
+// printFleet asks how the fleet stands.
+func (cli *commandLine) printFleet(printState func(out *tabwriter.Writer, fleet *membership.Fleet)) error {
+	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "state", struct{}{}, printState)
 }
 
-func (c *commands) wish(w membership.Wish, done string) error {
-	err := admin.NewFleetClient(c.Fleet.Admin).Call(context.Background(), "wish", w, nil)
+func (cli *commandLine) submitWish(wish membership.Wish, message string) error {
+	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "wish", wish, nil)
 	if err == nil {
-		fmt.Println(done)
+		fmt.Println(message)
 	}
 	return err
 }
@@ -48,37 +48,37 @@
 type fleetList struct{}
 
 // Run lists drivers.
-func (fleetList) Run(c *commands) error {
-	return c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
-		fmt.Fprintf(out, "voter %d, level %d (all know %d)\n\nDRIVER\tSTART\tSTATE\tAT\tBUILD\tLEVEL\tLEASE\tACTS ON\tWHY\n", f.Voter, f.Level, f.Highest)
-		for _, d := range f.Drivers {
-			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", d.Name, d.Start, d.State, d.At, d.Build, d.Level,
-				lease(d.Until-f.Now), actsOn(d.Seen), d.Why)
+func (fleetList) Run(cli *commandLine) error {
+	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
+		fmt.Fprintf(out, "voter %d, level %d (all know %d)\n\nDRIVER\tSTART\tSTATE\tAT\tBUILD\tLEVEL\tLEASE\tACTS ON\tWHY\n", fleet.Voter, fleet.Level, fleet.Highest)
+		for _, driver := range fleet.Drivers {
+			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", driver.Name, driver.Start, driver.State, driver.At, driver.Build, driver.Level,
+				formatLease(driver.Until-fleet.Now), formatVersions(driver.Seen), driver.Why)
 		}
-		for _, d := range f.Doubts {
-			fmt.Fprintf(out, "\n%s, start %d, is not heard by %d of %d fellows: %s", d.Name, d.Start, len(d.By), d.Of, strings.Join(d.By, ", "))
+		for _, driver := range fleet.Doubts {
+			fmt.Fprintf(out, "\n%s, start %d, is not heard by %d of %d fellows: %s", driver.Name, driver.Start, len(driver.By), driver.Of, strings.Join(driver.By, ", "))
 		}
-		if len(f.Doubts) > 0 {
+		if len(fleet.Doubts) > 0 {
 			fmt.Fprintln(out)
 		}
 	})
 }
 
-// actsOn says on which versions a driver acts, and what it has in flight under others.
-func actsOn(seen []versions.Sighting) string {
+// formatVersions says on which versions a driver acts, and what it has in flight under others.
+func formatVersions(sightings []versions.Sighting) string {
 	var parts []string
-	for _, s := range seen {
-		if s.Digest != "" { // what the council does not decide
+	for _, sighting := range sightings {
+		if sighting.Digest != "" { // what the council does not decide
 			continue
 		}
-		part := fmt.Sprintf("%s %d", s.Thing, s.Acts)
-		for _, n := range s.Flight {
-			if n != s.Acts {
+		part := fmt.Sprintf("%s %d", sighting.Thing, sighting.Acts)
+		for _, n := range sighting.Flight {
+			if n != sighting.Acts {
 				part += fmt.Sprintf(" (in flight: %d)", n)
 			}
 		}
-		if s.Ill != "" {
-			part += " (" + s.Ill + ")"
+		if sighting.Ill != "" {
+			part += " (" + sighting.Ill + ")"
 		}
 		parts = append(parts, part)
 	}
@@ -93,64 +93,64 @@
 }
 
 // Run shows a driver.
-func (s fleetShow) Run(c *commands) error {
+func (s fleetShow) Run(cli *commandLine) error {
 	found := false
-	err := c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
-		for _, d := range f.Drivers {
-			if found = found || d.Name == s.Driver; d.Name != s.Driver {
+	err := cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
+		for _, driver := range fleet.Drivers {
+			if found = found || driver.Name == s.Driver; driver.Name != s.Driver {
 				continue
 			}
-			fmt.Fprintf(out, "driver\t%s\nstart\t%d\nstate\t%s %s\nsince\t%s\nat\t%s\nbuild\t%s\nlevel\t%d\nlease\t%s\nacts on\t%s\n", d.Name, d.Start,
-				d.State, d.Why, moment(d.When), d.At, d.Build, d.Level, lease(d.Until-f.Now), actsOn(d.Seen))
+			fmt.Fprintf(out, "driver\t%s\nstart\t%d\nstate\t%s %s\nsince\t%s\nat\t%s\nbuild\t%s\nlevel\t%d\nlease\t%s\nacts on\t%s\n", driver.Name, driver.Start,
+				driver.State, driver.Why, formatTime(driver.When), driver.At, driver.Build, driver.Level, formatLease(driver.Until-fleet.Now), formatVersions(driver.Seen))
 		}
 	})
-	if err == nil && !found && !c.Fleet.JSON {
+	if err == nil && !found && !cli.Fleet.JSON {
 		return fmt.Errorf("no driver %q was ever known", s.Driver)
 	}
 	return err
 }
 
-func moment(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339Nano) }
+func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339Nano) }
 
 type fleetVersions struct {
 	Thing string `arg:"" optional:"" default:"rulebook" help:"The thing: rulebook, or what drivers have by themselves: list, program, file."`
 }
 
 // Run lists versions.
-func (v fleetVersions) Run(c *commands) error {
-	return c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
-		for _, s := range f.Observed {
-			if string(s.Thing) == v.Thing {
-				observed(out, s)
+func (v fleetVersions) Run(cli *commandLine) error {
+	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
+		for _, spread := range fleet.Observed {
+			if string(spread.Thing) == v.Thing {
+				printObserved(out, spread)
 				return
 			}
 		}
 		fmt.Fprintln(out, "VERSION\tSTAGE\tSINCE\tNOBODY ACTS ON OLDER FROM\tDIGEST\tWHY")
-		for _, k := range f.Versions[versions.Thing(v.Thing)] {
-			closed := "-"
-			if k.Closes != 0 {
-				closed = moment(k.Closes)
+		for _, version := range fleet.Versions[versions.Thing(v.Thing)] {
+			closedAt := "-"
+			if version.Closes != 0 {
+				closedAt = formatTime(version.Closes)
 			}
-			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", k.Number, k.Stage, moment(k.When), closed, k.Digest, k.Why)
+			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", version.Number, version.Stage, formatTime(version.When), closedAt, version.Digest, version.Why)
 		}
-		for _, b := range f.Behind {
-			if string(b.Thing) == v.Thing {
-				fmt.Fprintf(out, "\nversion %d has been %s for %s, held back by %v\n", b.Number, b.Stage, time.Duration(b.For).Round(time.Millisecond), b.Who)
+		for _, behind := range fleet.Behind {
+			if string(behind.Thing) == v.Thing {
+				fmt.Fprintf(out, "\nversion %d has been %s for %s, held back by %v\n", behind.Number, behind.Stage, time.Duration(behind.For).Round(time.Millisecond), behind.Who)
 			}
 		}
 	})
 }
 
-// observed shows what drivers act on of a thing that the council does not decide.
-func observed(out *tabwriter.Writer, s versions.Spread) {
+// printObserved shows what drivers act on of a thing that the council does not decide.
+func printObserved(out *tabwriter.Writer, spread versions.Spread) {
 	fmt.Fprintln(out, "VERSION\tDIGEST\tDRIVERS\tSUCH AS")
-	for _, g := range s.Groups {
-		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", g.Number, g.Digest, len(g.Who), g.Who[0].Name)
+	for _, group := range spread.Groups {
+		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", group.Number, group.Digest, len(group.Who), group.Who[0].Name)
 	}
-	for _, d := range s.Behind {
-		fmt.Fprintf(out, "\n%s acts on %d and has not come nearer for %s", d.Name, d.Number, time.Duration(d.For).Round(time.Millisecond))
+	for _, driver := range spread.Behind {
+		fmt.Fprintf(out, "\n%s acts on %d and has not come nearer for %s", driver.Name, driver.Number, time.Duration(driver.For).Round(time.Millisecond))
 	}
-	if s.Forked {
+	if spread.Forked {
 		fmt.Fprint(out, "\nFORKED: two drivers act on different things of one version")
 	}
 	fmt.Fprintln(out)
@@ -167,44 +167,44 @@
 }
 
 // Run asks the audit. With --verify what is wrong is an error.
-func (a fleetAudit) Run(c *commands) error {
-	q := membership.Question{Thing: versions.Thing(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
+func (a fleetAudit) Run(cli *commandLine) error {
+	question := membership.Question{Thing: versions.Thing(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
 	if !a.From.IsZero() {
-		q.From = a.From.UnixNano()
+		question.From = a.From.UnixNano()
 	}
 	if !a.To.IsZero() {
-		q.To = a.To.UnixNano()
+		question.To = a.To.UnixNano()
 	}
-	wrong := 0
-	err := asked(admin.NewFleetClient(c.Fleet.Admin), c.Fleet.JSON, "audit", q, func(out *tabwriter.Writer, f *membership.Finding) {
-		wrong = len(f.Late) + len(f.Faults)
+	violations := 0
+	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", question, func(out *tabwriter.Writer, finding *membership.Finding) {
+		violations = len(finding.Late) + len(finding.Faults)
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tNOT KEPT")
-			for _, k := range f.Acted {
-				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", k.Thing, k.Version, k.Who.Name, k.Who.Start, moment(k.From), moment(k.To),
-					k.Tally.Total(), k.Tally.Of(audit.Served), k.Singles, k.Dropped)
+			for _, entry := range finding.Acted {
+				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", entry.Thing, entry.Version, entry.Who.Name, entry.Who.Start, formatTime(entry.From), formatTime(entry.To),
+					entry.Tally.Total(), entry.Tally.Of(audit.Served), entry.Singles, entry.Dropped)
 			}
 		}
-		fmt.Fprintf(out, "\n%d entries of all trails were looked at\n", f.Entries)
-		for _, l := range f.Late {
-			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", l.Who.Name, l.Who.Start, l.Version, moment(l.At), l.Why, l.RPC)
+		fmt.Fprintf(out, "\n%d entries of all trails were looked at\n", finding.Entries)
+		for _, late := range finding.Late {
+			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", late.Who.Name, late.Who.Start, late.Version, formatTime(late.At), late.Why, late.RPC)
 		}
-		for _, u := range f.Unknown {
+		for _, unknown := range finding.Unknown {
 			from := "its start"
-			if u.From != 0 {
-				from = moment(u.From)
+			if unknown.From != 0 {
+				from = formatTime(unknown.From)
 			}
-			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", u.Who.Name, u.Who.Start, from, moment(u.To), u.Why)
+			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", unknown.Who.Name, unknown.Who.Start, from, formatTime(unknown.To), unknown.Why)
 		}
-		for _, fault := range f.Faults {
+		for _, fault := range finding.Faults {
 			fmt.Fprintln(out, "FAULT:", fault)
 		}
-		for _, at := range f.Missing {
-			fmt.Fprintln(out, "not asked: the voter at", at)
+		for _, address := range finding.Missing {
+			fmt.Fprintln(out, "not asked: the voter at", address)
 		}
 	})
-	if err == nil && a.Verify && wrong > 0 {
-		return fmt.Errorf("%d findings", wrong)
+	if err == nil && a.Verify && violations > 0 {
+		return fmt.Errorf("%d findings", violations)
 	}
 	return err
 }
@@ -223,14 +223,14 @@
 }
 
 // Run proposes a rulebook.
-func (p fleetPropose) Run(c *commands) error {
+func (p fleetPropose) Run(cli *commandLine) error {
 	text, err := os.ReadFile(p.File)
 	if err != nil {
 		return err
 	}
 	plan := versions.Plan{Exclusive: p.Exclusive, Canaries: p.Canaries, Trial: int64(p.Trial), Alarm: p.Alarm, Bears: p.Bears, Tell: int64(p.Tell), Adopt: int64(p.Adopt),
 		Close: int64(p.Close)}
-	return c.wish(membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Why: p.Why, Plan: plan}},
+	return cli.submitWish(membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Why: p.Why, Plan: plan}},
 		"proposed; `fleet versions` shows how it goes")
 }
 
@@ -240,8 +240,8 @@
 }
 
 // Run calls a version off.
-func (f fleetCallOff) Run(c *commands) error {
-	return c.wish(membership.Wish{CallOff: versions.Thing(f.Thing), Why: f.Why}, "called off; `fleet versions` shows how it goes")
+func (f fleetCallOff) Run(cli *commandLine) error {
+	return cli.submitWish(membership.Wish{CallOff: versions.Thing(f.Thing), Why: f.Why}, "called off; `fleet versions` shows how it goes")
 }
 
 type fleetReadmit struct {
@@ -250,8 +250,8 @@
 }
 
 // Run lets a driver back in.
-func (r fleetReadmit) Run(c *commands) error {
-	return c.wish(membership.Wish{Readmit: r.Driver, Why: r.Why}, r.Driver+" may ask for a lease again")
+func (r fleetReadmit) Run(cli *commandLine) error {
+	return cli.submitWish(membership.Wish{Readmit: r.Driver, Why: r.Why}, r.Driver+" may ask for a lease again")
 }
 
 type fleetLevel struct {
@@ -259,12 +259,12 @@
 }
 
 // Run shows or raises the level.
-func (l fleetLevel) Run(c *commands) error {
+func (l fleetLevel) Run(cli *commandLine) error {
 	if l.Raise > 0 {
-		return c.wish(membership.Wish{Raise: l.Raise}, fmt.Sprintf("the fleet acts at level %d", l.Raise))
+		return cli.submitWish(membership.Wish{Raise: l.Raise}, fmt.Sprintf("the fleet acts at level %d", l.Raise))
 	}
-	return c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
-		fmt.Fprintf(out, "level %d; all know %d\n", f.Level, f.Highest)
+	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
+		fmt.Fprintf(out, "level %d; all know %d\n", fleet.Level, fleet.Highest)
 	})
 }
 
@@ -277,26 +277,26 @@
 type councilShow struct{}
 
 // Run shows the council.
-func (councilShow) Run(c *commands) error {
-	return asked(admin.NewFleetClient(c.Fleet.Admin), c.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, s *chamber.State) {
-		fmt.Fprintf(out, "as voter %d knows: term %d, %d entries applied, %.1f ms a write of its disk\n", s.Voter, s.Term, s.Applied, s.WriteMs)
-		if s.RefusalReason != "" {
-			fmt.Fprintf(out, "this voter is refused: %s\n", s.RefusalReason)
+func (councilShow) Run(cli *commandLine) error {
+	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, state *chamber.State) {
+		fmt.Fprintf(out, "as voter %d knows: term %d, %d entries applied, %.1f ms a write of its disk\n", state.Voter, state.Term, state.Applied, state.WriteMs)
+		if state.RefusalReason != "" {
+			fmt.Fprintf(out, "this voter is refused: %s\n", state.RefusalReason)
 		}
 		fmt.Fprintln(out, "\nVOTER\tADDRESS\tLEADS")
-		for _, v := range s.Voters {
-			leads := ""
-			if v == s.Leader {
-				leads = "yes"
+		for _, voter := range state.Voters {
+			isLeader := ""
+			if voter == state.Leader {
+				isLeader = "yes"
 			}
-			fmt.Fprintf(out, "%d\t%s\t%s\n", v, s.Addresses[strconv.FormatUint(uint64(v), 10)], leads)
+			fmt.Fprintf(out, "%d\t%s\t%s\n", voter, state.Addresses[strconv.FormatUint(uint64(voter), 10)], isLeader)
 		}
 	})
 }
 
-// change asks for other voters.
-func (c *commands) change(change chamber.VoterChange) error {
-	err := admin.NewFleetClient(c.Fleet.Admin).Call(context.Background(), "council/change", change, nil)
+// changeCouncil asks for other voters.
+func (cli *commandLine) changeCouncil(change chamber.VoterChange) error {
+	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "council/change", change, nil)
 	if err == nil {
 		fmt.Println("proposed; `fleet council show` tells once it is so")
 	}
@@ -310,8 +310,8 @@
 }
 
 // Run lets a voter join.
-func (a councilAdd) Run(c *commands) error {
-	return c.change(chamber.VoterChange{Add: chamber.VoterAddresses{council.VoterID(a.ID): a.At}, Remove: voters(a.Replace)})
+func (a councilAdd) Run(cli *commandLine) error {
+	return cli.changeCouncil(chamber.VoterChange{Add: chamber.VoterAddresses{council.VoterID(a.ID): a.At}, Remove: voterIDs(a.Replace)})
 }
 
 type councilRemove struct {
@@ -319,13 +319,13 @@
 }
 
 // Run lets voters go.
-func (r councilRemove) Run(c *commands) error {
-	return c.change(chamber.VoterChange{Remove: voters(r.IDs)})
+func (r councilRemove) Run(cli *commandLine) error {
+	return cli.changeCouncil(chamber.VoterChange{Remove: voterIDs(r.IDs)})
 }
 
-func voters(ids []uint64) (voters []council.VoterID) {
+func voterIDs(ids []uint64) (result []council.VoterID) {
 	for _, id := range ids {
-		voters = append(voters, council.VoterID(id))
+		result = append(result, council.VoterID(id))
 	}
-	return voters
+	return result
 }
--- a/cmd/sedgespread/known_red_test.go
+++ b/cmd/sedgespread/known_red_test.go
@@ -28,17 +28,17 @@
 		file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		cmd := exec.Command("bash", "../../.ci/known-red", file)
-		var said strings.Builder
-		cmd.Stderr = &said
+		var stderr strings.Builder
+		cmd.Stderr = &stderr
 		out, err := cmd.Output()
-		if cause, fails := strings.CutPrefix(want, "fails: "); fails {
+		if reason, fails := strings.CutPrefix(want, "fails: "); fails {
 			require.Error(t, err, text)
-			require.Contains(t, said.String(), cause, text)
+			require.Contains(t, stderr.String(), reason, text)
 			require.Empty(t, out)
 			continue
 		}
-		require.NoError(t, err, said.String())
+		require.NoError(t, err, stderr.String())
 		require.Equal(t, want, strings.TrimSpace(string(out)))
-		require.Contains(t, said.String(), strings.TrimSpace(text), "they are printed")
+		require.Contains(t, stderr.String(), strings.TrimSpace(text), "they are printed")
 	}
 }
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -21,17 +21,17 @@
 	"sedgespread/internal/membership"
 )
 
-// run runs the program and gives what it prints and whether it went well.
-func run(t *testing.T, program string, args ...string) (string, bool) {
-	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
-	defer stop()
+// runProgram runs the program and gives what it prints and whether it went well.
+func runProgram(t *testing.T, program string, args ...string) (string, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
 	out, err := exec.CommandContext(ctx, program, args...).CombinedOutput()
 	return strings.TrimSpace(string(out)), err == nil
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
-	for begun := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
-		require.Less(t, time.Since(begun), 10*time.Second, what)
+func eventually(t *testing.T, condition string, isDone func() bool) {
+	for start := time.Now(); !isDone(); time.Sleep(5 * time.Millisecond) {
+		require.Less(t, time.Since(start), 10*time.Second, condition)
 	}
 }
 
@@ -45,9 +45,9 @@
 		Lag: int64(5 * time.Millisecond), Behind: int64(5 * time.Millisecond), Seed: 1})
 	require.NoError(t, err)
 	defer fleet.Stop()
-	at, err := sockets.FreeAddresses(2)
+	addresses, err := sockets.FreeAddresses(2)
 	require.NoError(t, err)
-	text := func(more string) string {
+	configText := func(extra string) string {
 		return fmt.Sprintf(`admin { listen: %q }
 cells {
   cell { name: "one" group: 1 capacity: 100 hall: "milan" }
@@ -57,92 +57,92 @@
   budget { rpcs: 50 call_outs: 50 lend: 0.5 }
   coordination { at: %q here: true journal: %q lease_ms: 500 hold_ms: 2000 held: 10 fill_hook: %q }
 }
-`, at[0], more, at[1], filepath.Join(dir, "journal"), fleet.FillHook())
+`, addresses[0], extra, addresses[1], filepath.Join(dir, "journal"), fleet.FillHook())
 	}
 	methods := []sockets.Method{{Name: "write", Effect: "once", Level: "update", Soft: time.Second, Give: 2 * time.Second, Utility: 1}}
-	drivers, err := fleet.Drivers(program, dir, 1, methods, func(int) string { return text("") })
+	drivers, err := fleet.Drivers(program, dir, 1, methods, func(int) string { return configText("") })
 	require.NoError(t, err)
-	orders := filepath.Join(dir, "n0.textproto")
-	rewrite := func(text string) { require.NoError(t, os.WriteFile(orders, []byte(text), 0o600)) }
+	configPath := filepath.Join(dir, "n0.textproto")
+	writeConfig := func(configText string) { require.NoError(t, os.WriteFile(configPath, []byte(configText), 0o600)) }
 
-	said, good := run(t, program, "check", orders)
-	require.True(t, good, said)
-	require.Contains(t, said, "2 cells")
-	rewrite(text(`tenant { name: "x" cell: "three" }`))
-	said, good = run(t, program, "check", orders)
-	require.False(t, good)
-	require.Equal(t, `sedgespread: `+orders+`:6: cells.tenant[0].cell: there is no cell "three"`, said)
-	require.ErrorContains(t, drivers[0].Start(context.Background()), said, "serve says the same and ends")
-	rewrite(text(""))
-	d := drivers[0]
-	require.NoError(t, d.Start(context.Background()), d.Log())
-	defer d.Kill()
-	cellsDo := func(args ...string) (string, bool) {
-		return run(t, program, append([]string{"cells", "--admin", at[0]}, args...)...)
+	output, ok := runProgram(t, program, "check", configPath)
+	require.True(t, ok, output)
+	require.Contains(t, output, "2 cells")
+	writeConfig(configText(`tenant { name: "x" cell: "three" }`))
+	output, ok = runProgram(t, program, "check", configPath)
+	require.False(t, ok)
+	require.Equal(t, `sedgespread: `+configPath+`:6: cells.tenant[0].cell: there is no cell "three"`, output)
+	require.ErrorContains(t, drivers[0].Start(context.Background()), output, "serve says the same and ends")
+	writeConfig(configText(""))
+	driver := drivers[0]
+	require.NoError(t, driver.Start(context.Background()), driver.Log())
+	defer driver.Kill()
+	runCells := func(args ...string) (string, bool) {
+		return runProgram(t, program, append([]string{"cells", "--admin", addresses[0]}, args...)...)
 	}
 	clients := fleet.Clients()
 	defer clients.Close()
 	write := func() sockets.Fate {
-		return clients.Ask(context.Background(), d.Address, sockets.RPC{Method: "write", Key: "club/1", Write: true, Group: 9, Give: 2 * time.Second}).Fate
+		return clients.Ask(context.Background(), driver.Address, sockets.RPC{Method: "write", Key: "club/1", Write: true, Group: 9, Give: 2 * time.Second}).Fate
 	}
 	require.Equal(t, sockets.Served, write())
 
-	said, good = cellsDo("--json", "list")
-	require.True(t, good, said)
-	var figures cells.Stats
-	require.NoError(t, json.Unmarshal([]byte(said), &figures))
-	require.Len(t, figures.Cells, 2)
-	require.Equal(t, cells.Tenant("club"), figures.HeaviestTenants[0].Tenant)
-	said, _ = cellsDo("list")
-	require.Contains(t, said, "one")
-	said, _ = cellsDo("show", "club", "--key", "club/1")
-	require.Contains(t, said, "one (hashed)")
+	output, ok = runCells("--json", "list")
+	require.True(t, ok, output)
+	var stats cells.Stats
+	require.NoError(t, json.Unmarshal([]byte(output), &stats))
+	require.Len(t, stats.Cells, 2)
+	require.Equal(t, cells.Tenant("club"), stats.HeaviestTenants[0].Tenant)
+	output, _ = runCells("list")
+	require.Contains(t, output, "one")
+	output, _ = runCells("show", "club", "--key", "club/1")
+	require.Contains(t, output, "one (hashed)")
 	eventually(t, "the coordinator hears of loads", func() bool {
-		var p admin.Plan
-		err := admin.NewCellsClient(at[0]).Call(context.Background(), "plan", admin.Query{MaxMoves: -1}, &p)
-		return err == nil && len(p.Tenants) > 0
+		var plan admin.Plan
+		err := admin.NewCellsClient(addresses[0]).Call(context.Background(), "plan", admin.Query{MaxMoves: -1}, &plan)
+		return err == nil && len(plan.Tenants) > 0
 	})
-	said, good = cellsDo("plan", "--explain")
-	require.True(t, good, said)
-	require.Contains(t, said, "club")
-	said, good = cellsDo("move", "club", "--to", "three")
-	require.False(t, good)
-	require.Equal(t, `sedgespread: there is no cell "three"`, said)
-	said, good = cellsDo("abort", "club")
-	require.False(t, good)
-	require.Contains(t, said, "is not being moved")
-	said, good = cellsDo("move", "club", "--to", "two")
-	require.True(t, good, said)
+	output, ok = runCells("plan", "--explain")
+	require.True(t, ok, output)
+	require.Contains(t, output, "club")
+	output, ok = runCells("move", "club", "--to", "three")
+	require.False(t, ok)
+	require.Equal(t, `sedgespread: there is no cell "three"`, output)
+	output, ok = runCells("abort", "club")
+	require.False(t, ok)
+	require.Contains(t, output, "is not being moved")
+	output, ok = runCells("move", "club", "--to", "two")
+	require.True(t, ok, output)
 	eventually(t, "the move is done", func() bool {
-		var s membership.State
-		err := admin.NewCellsClient(at[0]).Call(context.Background(), "moves", admin.Query{}, &s)
-		return err == nil && len(s.Entries) == 1 && s.Entries[0].Stage == cells.StageIdle && s.Entries[0].Cell == "two"
+		var state membership.State
+		err := admin.NewCellsClient(addresses[0]).Call(context.Background(), "moves", admin.Query{}, &state)
+		return err == nil && len(state.Entries) == 1 && state.Entries[0].Stage == cells.StageIdle && state.Entries[0].Cell == "two"
 	})
 	require.Equal(t, sockets.Served, write())
-	said, _ = cellsDo("show", "club")
-	require.Contains(t, said, "two (moved)")
+	output, _ = runCells("show", "club")
+	require.Contains(t, output, "two (moved)")
 
-	hup := func() { require.NoError(t, d.Hup()) }
-	for _, c := range []struct{ text, says string }{
-		{strings.Replace(text(""), `weight: 0`, `weight: 2`, 1), `its weight was 0`},
-		{strings.Replace(text(""), `  cell { name: "two" group: 2 capacity: 100 hall: "turin" weight: 0 }`, "", 1), `it still has club`},
-		{strings.Replace(text(""), `lend: 0.5`, `lend: 0.25`, 1), `need a restart`},
-		{strings.Replace(text(""), `rpcs: 50`, `rpcs: many`, 1), `n0.textproto:7: cells.budget.rpcs`},
+	sendHangup := func() { require.NoError(t, driver.Hup()) }
+	for _, c := range []struct{ configText, message string }{
+		{strings.Replace(configText(""), `weight: 0`, `weight: 2`, 1), `its weight was 0`},
+		{strings.Replace(configText(""), `  cell { name: "two" group: 2 capacity: 100 hall: "turin" weight: 0 }`, "", 1), `it still has club`},
+		{strings.Replace(configText(""), `lend: 0.5`, `lend: 0.25`, 1), `need a restart`},
+		{strings.Replace(configText(""), `rpcs: 50`, `rpcs: many`, 1), `n0.textproto:7: cells.budget.rpcs`},
 	} {
-		rewrite(c.text)
-		hup()
-		eventually(t, c.says, func() bool { return strings.Contains(d.Log(), c.says) })
+		writeConfig(c.configText)
+		sendHangup()
+		eventually(t, c.message, func() bool { return strings.Contains(driver.Log(), c.message) })
 	}
 	require.Equal(t, sockets.Served, write())
-	rewrite(text(`cell { name: "three" group: 3 weight: 0 } tenant { name: "club" weight: 2 }`))
-	hup()
-	eventually(t, "a cell more", func() bool { said, _ := cellsDo("list"); return strings.Contains(said, "three") })
-	require.NoError(t, d.Signal(syscall.SIGTERM))
-	eventually(t, "it leaves", func() bool { return !d.Runs() })
-	said, good = run(t, program, "version")
-	require.True(t, good)
-	require.Contains(t, said, "sedgespread ")
-	said, good = run(t, program, "--help")
-	require.True(t, good)
-	require.Contains(t, said, "emulate demo")
+	writeConfig(configText(`cell { name: "three" group: 3 weight: 0 } tenant { name: "club" weight: 2 }`))
+	sendHangup()
+	eventually(t, "a cell more", func() bool { output, _ := runCells("list"); return strings.Contains(output, "three") })
+	require.NoError(t, driver.Signal(syscall.SIGTERM))
+	eventually(t, "it leaves", func() bool { return !driver.Runs() })
+	output, ok = runProgram(t, program, "version")
+	require.True(t, ok)
+	require.Contains(t, output, "sedgespread ")
+	output, ok = runProgram(t, program, "--help")
+	require.True(t, ok)
+	require.Contains(t, output, "emulate demo")
 }
--- a/cmd/sedgespread/serve.go
+++ b/cmd/sedgespread/serve.go
@@ -14,17 +14,17 @@
 	"sedgespread/internal/program"
 )
 
-type serve struct {
+type serveCommand struct {
 	Operator string `placeholder:"FILE" env:"GW_OPERATOR" help:"The operator's file; nothing of it is on without one."`
 }
 
 // Run serves until SIGTERM or SIGINT, and reads its files again on SIGHUP.
-func (s *serve) Run(log *logrus.Logger) error {
+func (s *serveCommand) Run(logger *logrus.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	reload := make(chan os.Signal, 1) // one that waits stands for all: the files are read after it
 	signal.Notify(reload, syscall.SIGHUP)
-	posting, err := program.ReadPosting(func(name string) string {
+	settings, err := program.ReadPosting(func(name string) string {
 		if name == "GW_OPERATOR" {
 			return s.Operator
 		}
@@ -33,28 +33,28 @@
 	if err != nil {
 		return err
 	}
-	posting.Limit()
-	return program.Run(ctx, posting, reload, log.WithField("driver", posting.Name))
+	settings.Limit()
+	return program.Run(ctx, settings, reload, logger.WithField("driver", settings.Name))
 }
 
-type check struct {
+type checkCommand struct {
 	File string `arg:"" help:"The operator's file."`
 }
 
 // Run checks a file as serve does.
-func (c *check) Run() error {
-	orders, err := operator.Read(c.File)
+func (c *checkCommand) Run() error {
+	config, err := operator.Read(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: good: %s\n", c.File, orders.Summary())
+	fmt.Printf("%s: good: %s\n", c.File, config.Summary())
 	return nil
 }
 
-type versionOnly struct{}
+type versionCommand struct{}
 
 // Run prints what the build knows of itself.
-func (versionOnly) Run() error {
+func (versionCommand) Run() error {
 	version, revision, runtime := "unreleased", "", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		runtime = info.GoVersion
