--- a/cmd/sedgespread/cells.go
+++ b/cmd/sedgespread/cells.go
@@ -13,29 +13,30 @@
 	"sedgespread/internal/membership"
 )
 
-// adminFlags is which instance commands ask, and how they print.
+// adminFlags are the flags of commands that query a running instance.
 type adminFlags struct {
-	Admin string `default:"127.0.0.1:7400" env:"SEDGESPREAD_ADMIN" help:"The instance's admin address, as in its operator's file."`
-	JSON  bool   `name:"json" help:"Print JSON."`
+	Admin string `default:"127.0.0.1:7400" env:"SEDGESPREAD_ADMIN" help:"Admin address of the instance, as in its operator's file."`
+	JSON  bool   `name:"json" help:"Print the response as JSON."`
 }
 
 type cellsCommand struct {
 	adminFlags
 
-	List  cellsList  `cmd:"" help:"The cells as the instance knows them, with what each uses."`
-	Show  cellsShow  `cmd:"" help:"Where a tenant is, and why."`
-	Plan  cellsPlan  `cmd:"" help:"Plan where tenants should be. Changes nothing."`
-	Apply cellsApply `cmd:"" help:"Plan, and begin the moves of the plan."`
-	Move  cellsMove  `cmd:"" help:"Begin to move a tenant to another cell."`
-	Moves cellsMoves `cmd:"" help:"Moves under way, and the last ones."`
-	Abort cellsAbort `cmd:"" help:"Call a move off; it goes back unless it has been switched."`
+	List  cellsList  `cmd:"" help:"List the cells known to the instance, with their usage."`
+	Show  cellsShow  `cmd:"" help:"Show the cell of a tenant, and why it is there."`
+	Plan  cellsPlan  `cmd:"" help:"Plan the placement of tenants without changing anything."`
+	Apply cellsApply `cmd:"" help:"Make a plan and start its moves."`
+	Move  cellsMove  `cmd:"" help:"Start moving a tenant to another cell."`
+	Moves cellsMoves `cmd:"" help:"List current and recent moves."`
+	Abort cellsAbort `cmd:"" help:"Abort a move and roll it back, unless it has already switched to the new cell."`
 }
 
-// callCells asks the instance and prints its answer as JSON or as print does.
-func callCells[T any](cli *commandLine, command string, request any, printResult func(out *tabwriter.Writer, answer *T)) error {
+// callCells sends a cells command to the instance and prints the result as JSON or with printResult.
+func callCells[T any](cli *commandLine, command string, request any, printResult func(out *tabwriter.Writer, result *T)) error {
 	return call(admin.NewCellsClient(cli.Cells.Admin), cli.Cells.JSON, command, request, printResult)
 }
 
+// call sends a command and prints the result as JSON or with printResult.
 func call[T any](client admin.Client, asJSON bool, command string, request any, printResult func(out *tabwriter.Writer, result *T)) error {
 	var rawResult json.RawMessage
 	if err := client.Call(context.Background(), command, request, &rawResult); err != nil {
@@ -57,44 +58,44 @@
 
 type cellsList struct{}
 
-// Run lists cells.
+// Run prints the cells of the instance and its heaviest tenants.
 func (cellsList) Run(cli *commandLine) error {
 	return callCells(cli, "list", admin.Query{}, func(out *tabwriter.Writer, stats *cells.Stats) {
-		fmt.Fprintln(out, "CELL\tHALL\tGROUPS\tWEIGHT\tRPCS\tSHARE\tLIMIT\tPACE\tCALL-OUTS\tCLIENTS\tTENANTS\tTOOK")
+		fmt.Fprintln(out, "CELL\tHALL\tGROUPS\tWEIGHT\tRPCS\tSHARE\tLIMIT\tCONCURRENCY\tATTEMPTS\tCLIENTS\tTENANTS\tLATENCY")
 		for _, cell := range stats.Cells {
 			fmt.Fprintf(out, "%s\t%s\t%v\t%g\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%v\n", cell.Name, cell.Hall, cell.Groups, cell.Weight, cell.RPCs, cell.Share,
 				cell.Limit, cell.ConcurrencyLimit, cell.Attempts, cell.ClientConnections, cell.Tenants, time.Duration(cell.Latency).Round(time.Millisecond/10))
 		}
-		fmt.Fprintf(out, "\nepoch %d, lease %s, held %d, turned away:", stats.Epoch, formatLease(stats.Lease), stats.Held)
+		fmt.Fprintf(out, "\nepoch %d, lease %s, held %d, rejected:", stats.Epoch, formatLease(stats.Lease), stats.Held)
 		for reason := cells.ReasonDriverFull; reason <= cells.ReasonUnknownCell; reason++ {
 			fmt.Fprintf(out, " %s %d", reason, stats.Rejected[reason.String()])
 		}
-		fmt.Fprintf(out, "; given up %d\n\nHEAVIEST TENANTS\tRPCS A SECOND\tOF THAT MAYBE OTHERS'\n", stats.Fenced)
+		fmt.Fprintf(out, "; fenced %d\n\nHEAVIEST TENANTS\tRPCS PER SECOND\tMAX OVERESTIMATE\n", stats.Fenced)
 		for _, tenant := range stats.HeaviestTenants {
 			fmt.Fprintf(out, "%s\t%.1f\t%.1f\n", tenant.Tenant, tenant.Load, tenant.Overestimate)
 		}
 	})
 }
 
-// formatLease says how long one lasts; where there is no coordinator it does for good.
+// formatLease formats the remaining time of a lease. Without a coordinator, leases never expire.
 func formatLease(ns int64) string {
 	const unlimitedLease = 100 * 365 * 24 * time.Hour
 	switch remaining := time.Duration(ns).Round(time.Millisecond); {
 	case remaining > unlimitedLease:
 		return "not needed"
 	case remaining <= 0:
-		return "run out"
+		return "expired"
 	default:
 		return remaining.String()
 	}
 }
 
 type cellsShow struct {
-	Tenant string `arg:"" help:"The tenant's name."`
-	Key    string `help:"A key of it, to see which group holds that."`
+	Tenant string `arg:"" help:"Name of the tenant."`
+	Key    string `help:"A key of the tenant, to show its group."`
 }
 
-// Run shows a tenant.
+// Run prints the placement of a tenant.
 func (s cellsShow) Run(cli *commandLine) error {
 	return callCells(cli, "show", admin.Query{Tenant: cells.Tenant(s.Tenant), Key: s.Key}, func(out *tabwriter.Writer, placement *admin.Placement) {
 		fmt.Fprintf(out, "tenant\t%s\ncell\t%s (%s)\ngroups\t%v\nstage\t%s\n", placement.Tenant, placement.Cell, placement.Reason, placement.Groups, placement.Stage)
@@ -108,28 +109,28 @@
 			fmt.Fprintf(out, "epoch\t%d\n", placement.Epoch)
 		}
 		if placement.MinPosition > 0 {
-			fmt.Fprintf(out, "read from members at\t%s\n", time.Unix(0, placement.MinPosition).UTC().Format(time.RFC3339Nano))
+			fmt.Fprintf(out, "minimum read position\t%s\n", time.Unix(0, placement.MinPosition).UTC().Format(time.RFC3339Nano))
 		}
-		fmt.Fprintf(out, "RPCs a second here\t%.1f\n", placement.Load)
+		fmt.Fprintf(out, "RPCs per second here\t%.1f\n", placement.Load)
 	})
 }
 
 type cellsPlan struct {
-	Most    int  `default:"-1" help:"Most moves; any number if below 0."`
-	Explain bool `help:"Say why tenants are where they are, and what would change elsewhere."`
+	Most    int  `default:"-1" help:"Maximum number of moves; no limit if negative."`
+	Explain bool `help:"Explain the placement of tenants, with the load in other cells."`
 }
 
-// Run plans.
+// Run prints a plan without applying it.
 func (p cellsPlan) Run(cli *commandLine) error {
 	return callCells(cli, "plan", admin.Query{MaxMoves: p.Most}, func(out *tabwriter.Writer, plan *admin.Plan) { printPlan(out, plan, p.Explain) })
 }
 
 func printPlan(out *tabwriter.Writer, plan *admin.Plan, explain bool) {
-	boundNote := "that may not be reached"
+	boundNote := "which may not be attainable"
 	if plan.Exact {
-		boundNote = "which some plan reaches"
+		boundNote = "which is attainable"
 	}
-	fmt.Fprintf(out, "worst cell %.3f of its capacity, now %.3f; mean %.3f; no plan can go below %.3f, %s; %d moves\n\n",
+	fmt.Fprintf(out, "maximum cell load %.3f of capacity, now %.3f; mean %.3f; lower bound %.3f, %s; %d moves\n\n",
 		plan.Worst, plan.Before, plan.Mean, plan.Bound, boundNote, len(plan.Moves))
 	fmt.Fprintln(out, "CELL\tNOW\tPLANNED")
 	for _, cell := range plan.Cells {
@@ -142,7 +143,7 @@
 	if !explain {
 		return
 	}
-	fmt.Fprintln(out, "\nTENANT\tLOAD\tNOW\tPLANNED\tWHY\tWORST CELL IF ELSEWHERE")
+	fmt.Fprintln(out, "\nTENANT\tLOAD\tNOW\tPLANNED\tWHY\tMAXIMUM CELL LOAD IF ELSEWHERE")
 	for _, tenant := range plan.Tenants {
 		fmt.Fprintf(out, "%s\t%.1f\t%s\t%s\t%s\t", tenant.Tenant, tenant.Load, tenant.From, tenant.To, tenant.Reason)
 		for _, cell := range plan.Cells {
@@ -155,10 +156,10 @@
 }
 
 type cellsApply struct {
-	Most int `default:"16" help:"Most moves; any number if below 0."`
+	Most int `default:"16" help:"Maximum number of moves; no limit if negative."`
 }
 
-// Run plans and begins the moves.
+// Run makes a plan and starts its moves.
 func (a cellsApply) Run(cli *commandLine) error {
 	var plan admin.Plan
 	client := admin.NewCellsClient(cli.Cells.Admin)
@@ -166,33 +167,33 @@
 		return err
 	}
 	if len(plan.Moves) == 0 {
-		fmt.Println("nothing to move")
+		fmt.Println("no moves needed")
 		return nil
 	}
 	if err := client.Call(context.Background(), "move", plan.Moves, nil); err != nil {
 		return err
 	}
-	fmt.Printf("%d moves begun; `cells moves` shows how they go\n", len(plan.Moves))
+	fmt.Printf("%d moves started; run `cells moves` to see their progress\n", len(plan.Moves))
 	return nil
 }
 
 type cellsMove struct {
-	Tenant string `arg:"" help:"The tenant's name."`
+	Tenant string `arg:"" help:"Name of the tenant."`
 	To     string `required:"" help:"The cell to move it to."`
-	Why    string `default:"by hand" help:"Kept with the move."`
+	Why    string `default:"by hand" help:"Reason, recorded with the move."`
 }
 
-// Run begins a move.
+// Run starts the move of a tenant.
 func (m cellsMove) Run(cli *commandLine) error {
 	move := []membership.Move{{Tenant: cells.Tenant(m.Tenant), To: m.To, Why: m.Why}}
 	return callCells(cli, "move", move, func(out *tabwriter.Writer, _ *struct{}) {
-		fmt.Fprintf(out, "move of %s to %s begun; `cells moves` shows how it goes\n", m.Tenant, m.To)
+		fmt.Fprintf(out, "move of %s to %s started; run `cells moves` to see its progress\n", m.Tenant, m.To)
 	})
 }
 
 type cellsMoves struct{}
 
-// Run lists moves.
+// Run prints current and recent moves, and the epoch and lease of each driver.
 func (cellsMoves) Run(cli *commandLine) error {
 	return callCells(cli, "moves", admin.Query{}, func(out *tabwriter.Writer, state *membership.State) {
 		fmt.Fprintln(out, "TENANT\tCELL\tSTAGE\tTO\tEPOCH\tSINCE\tWHY")
@@ -201,7 +202,7 @@
 			fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%d\t%v\t%s\n", entry.Tenant, entry.Cell, entry.Stage, entry.To, entry.Epoch,
 				time.Duration(state.Now-entry.DecidedAt).Round(time.Millisecond), entry.Reason)
 		}
-		fmt.Fprintln(out, "\nDRIVER\tACTS ON\tLEASE")
+		fmt.Fprintln(out, "\nDRIVER\tEPOCH\tLEASE")
 		for _, driver := range state.Drivers {
 			fmt.Fprintf(out, "%s\t%d\t%s\n", driver.Name, driver.Epoch, formatLease(driver.LeaseExpiresAt-state.Now))
 		}
@@ -209,13 +210,13 @@
 }
 
 type cellsAbort struct {
-	Tenant string `arg:"" help:"The tenant's name."`
-	Why    string `default:"called off by hand" help:"Kept with the move."`
+	Tenant string `arg:"" help:"Name of the tenant."`
+	Why    string `default:"called off by hand" help:"Reason, recorded with the move."`
 }
 
-// Run calls a move off.
+// Run aborts the move of a tenant.
 func (a cellsAbort) Run(cli *commandLine) error {
 	return callCells(cli, "abort", membership.Move{Tenant: cells.Tenant(a.Tenant), Why: a.Why}, func(out *tabwriter.Writer, _ *struct{}) {
-		fmt.Fprintf(out, "move of %s is on its way back\n", a.Tenant)
+		fmt.Fprintf(out, "aborting move of %s\n", a.Tenant)
 	})
 }
--- a/cmd/sedgespread/emulate.go
+++ b/cmd/sedgespread/emulate.go
@@ -13,27 +13,27 @@
 )
 
 type emulateCommand struct {
-	Demo  emulateDemo  `cmd:"" help:"Start a small fleet with drivers before it and clients at work, to look at."`
-	Flood emulateFlood `cmd:"" help:"Flood one cell and see how the others fare, with cells and without."`
-	Moves emulateMoves `cmd:"" help:"Move tenants between cells while they write and read and while much fails."`
-	Fleet emulateFleet `cmd:"" help:"Change what a fleet of nine drivers acts on, again and again, while links and drivers fail."`
+	Demo  emulateDemo  `cmd:"" help:"Run a small fleet with drivers and active clients, for exploration."`
+	Flood emulateFlood `cmd:"" help:"Overload one cell and measure the effect on other cells, with isolation by cells on and off."`
+	Moves emulateMoves `cmd:"" help:"Move tenants between cells under load and injected faults."`
+	Fleet emulateFleet `cmd:"" help:"Roll out versions to a fleet of drivers while links and drivers fail."`
 }
 
-// signalContext ends with SIGINT or SIGTERM.
+// signalContext returns a context that is cancelled by SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// environment says on what a figure was made.
+// environment describes the machine that a result was measured on.
 func environment() string {
 	return fmt.Sprintf("emulated fleet on loopback, %d cores", runtime.NumCPU())
 }
 
 type emulateDemo struct {
-	Admin string `default:"127.0.0.1:7400" help:"Where the first driver answers commands."`
+	Admin string `default:"127.0.0.1:7400" help:"Admin address of the first driver."`
 }
 
-// Run shows a fleet until it is interrupted.
+// Run runs the demo until it is interrupted.
 func (d emulateDemo) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -46,17 +46,17 @@
 }
 
 type emulateFlood struct {
-	Seed    uint64        `default:"1" help:"Of all that is drawn."`
-	Span    time.Duration `default:"5s" help:"How long each of the four nights lasts."`
-	Cells   int           `default:"4" help:"Cells, each a group of three members."`
+	Seed    uint64        `default:"1" help:"Seed of the random generator."`
+	Span    time.Duration `default:"5s" help:"Duration of each of the four runs."`
+	Cells   int           `default:"4" help:"Number of cells, each with one group of three members."`
 	Drivers int           `default:"3"`
-	Factor  float64       `default:"10" help:"The flood, in times of what the flooded cell can bear."`
-	Usual   float64       `default:"0.35" help:"The load of all others, as a part of what the fleet can bear."`
-	Tenants int           `default:"40" help:"Tenants beside the bots."`
-	Dark    bool          `help:"Instead of a flood, no member of the cell answers."`
+	Factor  float64       `default:"10" help:"Load of the flood, as a multiple of the capacity of the flooded cell."`
+	Usual   float64       `default:"0.35" help:"Load of all other tenants, as a fraction of the capacity of the fleet."`
+	Tenants int           `default:"40" help:"Number of tenants other than the flooding one."`
+	Dark    bool          `help:"Make all members of the cell unresponsive instead of flooding it."`
 }
 
-// Run plays a flood and prints what came of it.
+// Run runs a flood trial and prints its results.
 func (f emulateFlood) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -70,31 +70,31 @@
 	if err != nil {
 		return err
 	}
-	disturbance := fmt.Sprintf("bots at %g times what their cell can bear", f.Factor)
+	disturbance := fmt.Sprintf("flood at %g times the capacity of its cell", f.Factor)
 	if f.Dark {
-		disturbance = "a cell of which no member answers"
+		disturbance = "a cell with all members unresponsive"
 	}
-	fmt.Printf("%s\nseed %d, %v a night, %d cells of 3 members, %d drivers, %s; %d other\n"+
-		"tenants at %g of what the fleet can bear. Service is the part of the utility that was had in the soft deadline or late.\n\n%s\n",
+	fmt.Printf("%s\nseed %d, %v per run, %d cells of 3 members, %d drivers, %s; %d other\n"+
+		"tenants at %g of the fleet's capacity. Service is the fraction of the utility obtained, within the soft deadline or late.\n\n%s\n",
 		environment(), f.Seed, f.Span, f.Cells, f.Drivers, disturbance, f.Tenants, f.Usual, result.Table)
-	fmt.Printf("Of the service of a quiet night, other cells' tenants kept %.3f with cells and %.3f without; the troubled cell's other\n"+
-		"tenants kept %.3f.\n", result.Kept, result.KeptOff, result.Within)
+	fmt.Printf("Relative to a run without the disturbance, service of tenants in other cells was %.3f with cells and %.3f without;\n"+
+		"service of the other tenants in the disturbed cell was %.3f.\n", result.Kept, result.KeptOff, result.Within)
 	return nil
 }
 
 type emulateMoves struct {
-	Seed    uint64        `default:"1" help:"Of all that is drawn."`
-	Count   int           `default:"300" help:"Moves that have to be done."`
-	Span    time.Duration `default:"10m" help:"In which they have to be."`
+	Seed    uint64        `default:"1" help:"Seed of the random generator."`
+	Count   int           `default:"300" help:"Number of moves to complete."`
+	Span    time.Duration `default:"10m" help:"Time in which they must complete."`
 	Tenants int           `default:"8"`
-	Keys    int           `default:"6" help:"Keys of a tenant, each with a client of its own."`
-	Lease   time.Duration `default:"1s" help:"Of drivers."`
-	Hold    time.Duration `default:"1500ms" help:"For which a move may hold writes."`
-	Calm    bool          `help:"Let nothing fail."`
-	Voters  int           `help:"Of a council that coordinates, in place of one coordinator: 3, 5 or 7; 0 for none."`
+	Keys    int           `default:"6" help:"Number of keys per tenant, each with its own client."`
+	Lease   time.Duration `default:"1s" help:"Duration of the leases of drivers."`
+	Hold    time.Duration `default:"1500ms" help:"Maximum time that a move may hold writes."`
+	Calm    bool          `help:"Inject no faults."`
+	Voters  int           `help:"Number of voters of a council that replaces the single coordinator: 3, 5 or 7; 0 for no council."`
 }
 
-// Run plays a night of moves and prints what came of it. Breaches of the rules are an error.
+// Run runs a trial of moves and prints its results. Consistency violations are an error.
 func (v emulateMoves) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -109,29 +109,29 @@
 	if err != nil {
 		return err
 	}
-	coordinator := "one that coordinates"
+	coordinator := "a single coordinator"
 	if v.Voters > 0 {
 		coordinator = fmt.Sprintf("a council of %d with failing links", v.Voters)
 	}
-	fmt.Printf("%s\nseed %d, 3 cells of 3 members, 3 drivers and %s, %d tenants of %d keys, lease %v, hold %v, %v long\n\n%s",
+	fmt.Printf("%s\nseed %d, 3 cells of 3 members, 3 drivers and %s, %d tenants of %d keys, lease %v, hold %v, took %v\n\n%s",
 		environment(), v.Seed, coordinator, v.Tenants, v.Keys, v.Lease, v.Hold, time.Since(startedAt).Round(time.Second), result.Table())
 	if len(result.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, the first: %+v", len(result.Breaches), result.Breaches[0])
+		return fmt.Errorf("%d violations, the first: %+v", len(result.Breaches), result.Breaches[0])
 	}
 	return nil
 }
 
 type emulateFleet struct {
-	Seed    uint64        `default:"1" help:"Of all that is drawn."`
-	Count   int           `default:"100" help:"Versions that have to be closed."`
-	Span    time.Duration `default:"10m" help:"In which they have to be."`
+	Seed    uint64        `default:"1" help:"Seed of the random generator."`
+	Count   int           `default:"100" help:"Number of versions to close."`
+	Span    time.Duration `default:"10m" help:"Time in which they must complete."`
 	Drivers int           `default:"9"`
-	Voters  int           `default:"3" help:"So many of the drivers are the council."`
-	Lease   time.Duration `default:"1s" help:"Of drivers."`
-	Calm    bool          `help:"Let nothing fail."`
+	Voters  int           `default:"3" help:"Number of drivers that are voters of the council."`
+	Lease   time.Duration `default:"1s" help:"Duration of the leases of drivers."`
+	Calm    bool          `help:"Inject no faults."`
 }
 
-// Run plays a night of changes and prints what came of it, and how the fleet stands in the end.
+// Run runs a trial of version changes and prints its results and the final state of the fleet.
 func (v emulateFleet) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
@@ -146,14 +146,14 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s\nseed %d, 2 cells of 3 members, %d drivers of which %d are the council, lease %v, %v long\n\n%s", environment(), v.Seed, v.Drivers, v.Voters,
+	fmt.Printf("%s\nseed %d, 2 cells of 3 members, %d drivers of which %d are voters, lease %v, took %v\n\n%s", environment(), v.Seed, v.Drivers, v.Voters,
 		v.Lease, time.Since(startedAt).Round(time.Second), result.Table())
-	fmt.Println("\nThe drivers in the end, as the council knows them:")
+	fmt.Println("\nFinal state of the drivers according to the council:")
 	for _, driver := range result.Drivers {
-		fmt.Printf("- %s, start %d, %s, acts on %s\n", driver.Name, driver.Start, driver.State, formatVersions(driver.Seen))
+		fmt.Printf("- %s, start %d, %s, active: %s\n", driver.Name, driver.Start, driver.State, formatVersions(driver.Seen))
 	}
 	if len(result.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, the first: %+v", len(result.Breaches), result.Breaches[0])
+		return fmt.Errorf("%d violations, the first: %+v", len(result.Breaches), result.Breaches[0])
 	}
 	return nil
 }
--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -21,22 +21,23 @@
 type fleetCommand struct {
 	adminFlags
 
-	List     fleetList     `cmd:"" help:"The drivers, their starts, leases and what they act on."`
-	Show     fleetShow     `cmd:"" help:"One driver."`
-	Versions fleetVersions `cmd:"" help:"The versions of a thing, how far each has come and who holds it back."`
-	Audit    fleetAudit    `cmd:"" help:"Who acted on which version, what did after a newer one was closed, and what is not known."`
-	Propose  fleetPropose  `cmd:"" help:"Propose a rulebook: the shared part of the operator's files, in a file of its own."`
-	CallOff  fleetCallOff  `cmd:"" help:"Call a version off that is under way; all go back to the older."`
-	Readmit  fleetReadmit  `cmd:"" help:"Let a driver back in that was shut out."`
-	Level    fleetLevel    `cmd:"" help:"The feature level at which all act, and raise it."`
-	Council  fleetCouncil  `cmd:"" help:"Who votes in the council, and how it stands."`
+	List     fleetList     `cmd:"" help:"List the drivers with their start numbers, leases and active versions."`
+	Show     fleetShow     `cmd:"" help:"Show a driver."`
+	Versions fleetVersions `cmd:"" help:"List the versions of a thing, their stages and the drivers that delay them."`
+	Audit    fleetAudit    `cmd:"" help:"Report which drivers acted on which versions, actions on superseded versions, and gaps in the records."`
+	Propose  fleetPropose  `cmd:"" help:"Propose a rulebook, the part of the operator's file that all drivers share."`
+	CallOff  fleetCallOff  `cmd:"" help:"Cancel the rollout of a version. All drivers return to the previous one."`
+	Readmit  fleetReadmit  `cmd:"" help:"Readmit a driver that was shut out."`
+	Level    fleetLevel    `cmd:"" help:"Show or raise the feature level of the fleet."`
+	Council  fleetCouncil  `cmd:"" help:"Show or change the voters of the council."`
 }
 
-// printFleet asks how the fleet stands.
+// printFleet fetches the state of the fleet and prints it as JSON or with printState.
 func (cli *commandLine) printFleet(printState func(out *tabwriter.Writer, fleet *membership.Fleet)) error {
 	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "state", struct{}{}, printState)
 }
 
+// submitWish submits a change to the council and prints message if it was accepted.
 func (cli *commandLine) submitWish(wish membership.Wish, message string) error {
 	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "wish", wish, nil)
 	if err == nil {
@@ -47,16 +48,16 @@
 
 type fleetList struct{}
 
-// Run lists drivers.
+// Run prints the drivers of the fleet and those that peers can't reach.
 func (fleetList) Run(cli *commandLine) error {
 	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
-		fmt.Fprintf(out, "voter %d, level %d (all know %d)\n\nDRIVER\tSTART\tSTATE\tAT\tBUILD\tLEVEL\tLEASE\tACTS ON\tWHY\n", fleet.Voter, fleet.Level, fleet.Highest)
+		fmt.Fprintf(out, "voter %d, level %d (all support %d)\n\nDRIVER\tSTART\tSTATE\tADDRESS\tBUILD\tLEVEL\tLEASE\tACTIVE\tREASON\n", fleet.Voter, fleet.Level, fleet.Highest)
 		for _, driver := range fleet.Drivers {
 			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", driver.Name, driver.Start, driver.State, driver.At, driver.Build, driver.Level,
 				formatLease(driver.Until-fleet.Now), formatVersions(driver.Seen), driver.Why)
 		}
-		for _, driver := range fleet.Doubts {
-			fmt.Fprintf(out, "\n%s, start %d, is not heard by %d of %d fellows: %s", driver.Name, driver.Start, len(driver.By), driver.Of, strings.Join(driver.By, ", "))
+		for _, doubt := range fleet.Doubts {
+			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", doubt.Name, doubt.Start, len(doubt.By), doubt.Of, strings.Join(doubt.By, ", "))
 		}
 		if len(fleet.Doubts) > 0 {
 			fmt.Fprintln(out)
@@ -64,11 +65,11 @@
 	})
 }
 
-// formatVersions says on which versions a driver acts, and what it has in flight under others.
+// formatVersions lists the versions that a driver acts on, with older ones that still have RPCs in flight.
 func formatVersions(sightings []versions.Sighting) string {
 	var parts []string
 	for _, sighting := range sightings {
-		if sighting.Digest != "" { // what the council does not decide
+		if sighting.Digest != "" { // not decided by the council
 			continue
 		}
 		part := fmt.Sprintf("%s %d", sighting.Thing, sighting.Acts)
@@ -83,16 +84,16 @@
 		parts = append(parts, part)
 	}
 	if len(parts) == 0 {
-		return "what it started with"
+		return "initial versions"
 	}
 	return strings.Join(parts, ", ")
 }
 
 type fleetShow struct {
-	Driver string `arg:"" help:"The driver's name."`
+	Driver string `arg:"" help:"Name of the driver."`
 }
 
-// Run shows a driver.
+// Run prints the state of a driver.
 func (s fleetShow) Run(cli *commandLine) error {
 	found := false
 	err := cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
@@ -100,12 +101,12 @@
 			if found = found || driver.Name == s.Driver; driver.Name != s.Driver {
 				continue
 			}
-			fmt.Fprintf(out, "driver\t%s\nstart\t%d\nstate\t%s %s\nsince\t%s\nat\t%s\nbuild\t%s\nlevel\t%d\nlease\t%s\nacts on\t%s\n", driver.Name, driver.Start,
+			fmt.Fprintf(out, "driver\t%s\nstart\t%d\nstate\t%s %s\nsince\t%s\naddress\t%s\nbuild\t%s\nlevel\t%d\nlease\t%s\nactive\t%s\n", driver.Name, driver.Start,
 				driver.State, driver.Why, formatTime(driver.When), driver.At, driver.Build, driver.Level, formatLease(driver.Until-fleet.Now), formatVersions(driver.Seen))
 		}
 	})
 	if err == nil && !found && !cli.Fleet.JSON {
-		return fmt.Errorf("no driver %q was ever known", s.Driver)
+		return fmt.Errorf("unknown driver %q", s.Driver)
 	}
 	return err
 }
@@ -113,10 +114,10 @@
 func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339Nano) }
 
 type fleetVersions struct {
-	Thing string `arg:"" optional:"" default:"rulebook" help:"The thing: rulebook, or what drivers have by themselves: list, program, file."`
+	Thing string `arg:"" optional:"" default:"rulebook" help:"The versioned thing: rulebook, or one that the council does not decide: list, program or file."`
 }
 
-// Run lists versions.
+// Run prints the versions of a thing and the drivers that delay them.
 func (v fleetVersions) Run(cli *commandLine) error {
 	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
 		for _, spread := range fleet.Observed {
@@ -125,7 +126,7 @@
 				return
 			}
 		}
-		fmt.Fprintln(out, "VERSION\tSTAGE\tSINCE\tNOBODY ACTS ON OLDER FROM\tDIGEST\tWHY")
+		fmt.Fprintln(out, "VERSION\tSTAGE\tSINCE\tOLDER VERSIONS UNUSED FROM\tDIGEST\tREASON")
 		for _, version := range fleet.Versions[versions.Thing(v.Thing)] {
 			closedAt := "-"
 			if version.Closes != 0 {
@@ -135,38 +136,38 @@
 		}
 		for _, behind := range fleet.Behind {
 			if string(behind.Thing) == v.Thing {
-				fmt.Fprintf(out, "\nversion %d has been %s for %s, held back by %v\n", behind.Number, behind.Stage, time.Duration(behind.For).Round(time.Millisecond), behind.Who)
+				fmt.Fprintf(out, "\nversion %d has been %s for %s, waiting for %v\n", behind.Number, behind.Stage, time.Duration(behind.For).Round(time.Millisecond), behind.Who)
 			}
 		}
 	})
 }
 
-// printObserved shows what drivers act on of a thing that the council does not decide.
+// printObserved prints which versions drivers act on, for a thing that the council does not decide.
 func printObserved(out *tabwriter.Writer, spread versions.Spread) {
-	fmt.Fprintln(out, "VERSION\tDIGEST\tDRIVERS\tSUCH AS")
+	fmt.Fprintln(out, "VERSION\tDIGEST\tDRIVERS\tEXAMPLE")
 	for _, group := range spread.Groups {
 		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", group.Number, group.Digest, len(group.Who), group.Who[0].Name)
 	}
 	for _, driver := range spread.Behind {
-		fmt.Fprintf(out, "\n%s acts on %d and has not come nearer for %s", driver.Name, driver.Number, time.Duration(driver.For).Round(time.Millisecond))
+		fmt.Fprintf(out, "\n%s acts on version %d and has made no progress for %s", driver.Name, driver.Number, time.Duration(driver.For).Round(time.Millisecond))
 	}
 	if spread.Forked {
-		fmt.Fprint(out, "\nFORKED: two drivers act on different things of one version")
+		fmt.Fprint(out, "\nFORKED: two drivers act on different contents of the same version")
 	}
 	fmt.Fprintln(out)
 }
 
 type fleetAudit struct {
-	Thing   string        `default:"rulebook" help:"The thing."`
-	Version uint64        `help:"One version of it; 0 for all."`
-	Driver  string        `help:"One driver; all if empty."`
-	From    time.Time     `help:"From this time on (RFC 3339)."`
-	To      time.Time     `help:"Up to this time."`
-	Clocks  time.Duration `default:"1s" help:"The most by which drivers' clocks differ; what they differ by less is put in order by versions alone."`
-	Verify  bool          `help:"Only check that all trails hold together, and nothing acted on a version that was closed."`
+	Thing   string        `default:"rulebook" help:"The versioned thing."`
+	Version uint64        `help:"Only this version; 0 for all."`
+	Driver  string        `help:"Only this driver; all if empty."`
+	From    time.Time     `help:"Start time (RFC 3339)."`
+	To      time.Time     `help:"End time (RFC 3339)."`
+	Clocks  time.Duration `default:"1s" help:"Maximum clock difference between drivers. Entries closer together than this are ordered by version only."`
+	Verify  bool          `help:"Only check that the trails are intact and that nobody acted on a superseded version."`
 }
 
-// Run asks the audit. With --verify what is wrong is an error.
+// Run prints the audit of the trails. With --verify, any finding is an error.
 func (a fleetAudit) Run(cli *commandLine) error {
 	question := membership.Question{Thing: versions.Thing(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
 	if !a.From.IsZero() {
@@ -179,18 +180,18 @@
 	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", question, func(out *tabwriter.Writer, finding *membership.Finding) {
 		violations = len(finding.Late) + len(finding.Faults)
 		if !a.Verify {
-			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tNOT KEPT")
+			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tDROPPED")
 			for _, entry := range finding.Acted {
 				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", entry.Thing, entry.Version, entry.Who.Name, entry.Who.Start, formatTime(entry.From), formatTime(entry.To),
 					entry.Tally.Total(), entry.Tally.Of(audit.Served), entry.Singles, entry.Dropped)
 			}
 		}
-		fmt.Fprintf(out, "\n%d entries of all trails were looked at\n", finding.Entries)
+		fmt.Fprintf(out, "\nchecked %d trail entries\n", finding.Entries)
 		for _, late := range finding.Late {
 			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", late.Who.Name, late.Who.Start, late.Version, formatTime(late.At), late.Why, late.RPC)
 		}
 		for _, unknown := range finding.Unknown {
-			from := "its start"
+			from := "startup"
 			if unknown.From != 0 {
 				from = formatTime(unknown.From)
 			}
@@ -200,7 +201,7 @@
 			fmt.Fprintln(out, "FAULT:", fault)
 		}
 		for _, address := range finding.Missing {
-			fmt.Fprintln(out, "not asked: the voter at", address)
+			fmt.Fprintln(out, "unreachable voter:", address)
 		}
 	})
 	if err == nil && a.Verify && violations > 0 {
@@ -210,19 +211,19 @@
 }
 
 type fleetPropose struct {
-	File      string        `arg:"" type:"existingfile" help:"The rulebook: cells { cell, tenancy, tenant } as in an operator's file."`
-	Why       string        `default:"by hand" help:"Kept with the version."`
-	Exclusive bool          `help:"No two drivers may act on different versions at one time: all stop, then all go on."`
-	Canaries  float64       `default:"0" help:"The part of the drivers that tries it first."`
-	Trial     time.Duration `default:"30s" help:"For how long."`
-	Alarm     float64       `default:"0.01" help:"The chance of withdrawing a sound version for how its canaries fare."`
-	Bears     float64       `default:"1.25" help:"So many times as bad, or as long, at its canaries is borne."`
-	Tell      time.Duration `default:"30s" help:"In which all must hold it."`
-	Adopt     time.Duration `default:"30s" help:"In which all must act on it."`
-	Close     time.Duration `default:"60s" help:"In which what is in flight under the older must have ended."`
+	File      string        `arg:"" type:"existingfile" help:"File with the rulebook: cells { cell, tenancy, tenant } as in an operator's file."`
+	Why       string        `default:"by hand" help:"Reason, recorded with the version."`
+	Exclusive bool          `help:"Never let drivers act on different versions at the same time: all stop before any continues."`
+	Canaries  float64       `default:"0" help:"Fraction of the drivers that try it first."`
+	Trial     time.Duration `default:"30s" help:"Duration of the canary phase."`
+	Alarm     float64       `default:"0.01" help:"Probability of withdrawing a good version because of its canaries (false positives)."`
+	Bears     float64       `default:"1.25" help:"Tolerated ratio of the error rate or latency at canaries to that of other drivers."`
+	Tell      time.Duration `default:"30s" help:"Time in which all drivers must receive it."`
+	Adopt     time.Duration `default:"30s" help:"Time in which all drivers must act on it."`
+	Close     time.Duration `default:"60s" help:"Time in which RPCs in flight under the previous version must end."`
 }
 
-// Run proposes a rulebook.
+// Run proposes a new version of the rulebook.
 func (p fleetPropose) Run(cli *commandLine) error {
 	text, err := os.ReadFile(p.File)
 	if err != nil {
@@ -231,94 +232,94 @@
 	plan := versions.Plan{Exclusive: p.Exclusive, Canaries: p.Canaries, Trial: int64(p.Trial), Alarm: p.Alarm, Bears: p.Bears, Tell: int64(p.Tell), Adopt: int64(p.Adopt),
 		Close: int64(p.Close)}
 	return cli.submitWish(membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Why: p.Why, Plan: plan}},
-		"proposed; `fleet versions` shows how it goes")
+		"proposed; run `fleet versions` to see its progress")
 }
 
 type fleetCallOff struct {
-	Thing string `arg:"" optional:"" default:"rulebook" help:"The thing."`
-	Why   string `default:"called off by hand" help:"Kept with the version."`
+	Thing string `arg:"" optional:"" default:"rulebook" help:"The versioned thing."`
+	Why   string `default:"called off by hand" help:"Reason, recorded with the version."`
 }
 
-// Run calls a version off.
+// Run cancels the rollout of a version.
 func (f fleetCallOff) Run(cli *commandLine) error {
-	return cli.submitWish(membership.Wish{CallOff: versions.Thing(f.Thing), Why: f.Why}, "called off; `fleet versions` shows how it goes")
+	return cli.submitWish(membership.Wish{CallOff: versions.Thing(f.Thing), Why: f.Why}, "cancelled; run `fleet versions` to see its progress")
 }
 
 type fleetReadmit struct {
-	Driver string `arg:"" help:"The driver's name."`
-	Why    string `default:"by hand" help:"Kept with it."`
+	Driver string `arg:"" help:"Name of the driver."`
+	Why    string `default:"by hand" help:"Reason, recorded with the change."`
 }
 
-// Run lets a driver back in.
+// Run readmits a driver.
 func (r fleetReadmit) Run(cli *commandLine) error {
-	return cli.submitWish(membership.Wish{Readmit: r.Driver, Why: r.Why}, r.Driver+" may ask for a lease again")
+	return cli.submitWish(membership.Wish{Readmit: r.Driver, Why: r.Why}, r.Driver+" may request a lease again")
 }
 
 type fleetLevel struct {
-	Raise int `help:"Raise it to this, for good; 0 to look."`
+	Raise int `help:"New level, which can't be lowered again; 0 to show the current one."`
 }
 
-// Run shows or raises the level.
+// Run prints or raises the feature level.
 func (l fleetLevel) Run(cli *commandLine) error {
 	if l.Raise > 0 {
-		return cli.submitWish(membership.Wish{Raise: l.Raise}, fmt.Sprintf("the fleet acts at level %d", l.Raise))
+		return cli.submitWish(membership.Wish{Raise: l.Raise}, fmt.Sprintf("raised the feature level to %d", l.Raise))
 	}
 	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
-		fmt.Fprintf(out, "level %d; all know %d\n", fleet.Level, fleet.Highest)
+		fmt.Fprintf(out, "level %d; all support %d\n", fleet.Level, fleet.Highest)
 	})
 }
 
 type fleetCouncil struct {
-	Show   councilShow   `cmd:"" default:"1" help:"The voters, the leader, and how far the log is."`
-	Add    councilAdd    `cmd:"" help:"Let a voter join, in place of another if one is named."`
-	Remove councilRemove `cmd:"" help:"Let voters go for good; their numbers are not used again."`
+	Show   councilShow   `cmd:"" default:"1" help:"Show the voters, the leader and the state of the log."`
+	Add    councilAdd    `cmd:"" help:"Add a voter, optionally replacing others."`
+	Remove councilRemove `cmd:"" help:"Remove voters permanently. Their IDs can't be reused."`
 }
 
 type councilShow struct{}
 
-// Run shows the council.
+// Run prints the state of the council.
 func (councilShow) Run(cli *commandLine) error {
 	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, state *chamber.State) {
-		fmt.Fprintf(out, "as voter %d knows: term %d, %d entries applied, %.1f ms a write of its disk\n", state.Voter, state.Term, state.Applied, state.WriteMs)
+		fmt.Fprintf(out, "according to voter %d: term %d, %d entries applied, %.1f ms per disk write\n", state.Voter, state.Term, state.Applied, state.WriteMs)
 		if state.RefusalReason != "" {
-			fmt.Fprintf(out, "this voter is refused: %s\n", state.RefusalReason)
+			fmt.Fprintf(out, "this voter is permanently rejected: %s\n", state.RefusalReason)
 		}
-		fmt.Fprintln(out, "\nVOTER\tADDRESS\tLEADS")
+		fmt.Fprintln(out, "\nVOTER\tADDRESS\tLEADER")
 		for _, voter := range state.Voters {
-			isLeader := ""
+			leaderMark := ""
 			if voter == state.Leader {
-				isLeader = "yes"
+				leaderMark = "yes"
 			}
-			fmt.Fprintf(out, "%d\t%s\t%s\n", voter, state.Addresses[strconv.FormatUint(uint64(voter), 10)], isLeader)
+			fmt.Fprintf(out, "%d\t%s\t%s\n", voter, state.Addresses[strconv.FormatUint(uint64(voter), 10)], leaderMark)
 		}
 	})
 }
 
-// changeCouncil asks for other voters.
+// changeCouncil proposes a change of the voters.
 func (cli *commandLine) changeCouncil(change chamber.VoterChange) error {
 	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "council/change", change, nil)
 	if err == nil {
-		fmt.Println("proposed; `fleet council show` tells once it is so")
+		fmt.Println("proposed; run `fleet council show` to see when it has taken effect")
 	}
 	return err
 }
 
 type councilAdd struct {
-	ID      uint64   `arg:"" name:"voter" help:"The new voter's number, never used before."`
-	At      string   `required:"" help:"Its address."`
-	Replace []uint64 `help:"Voters that go at the same time; a council has 1, 3, 5 or 7."`
+	ID      uint64   `arg:"" name:"voter" help:"ID of the new voter, never used before."`
+	At      string   `required:"" help:"Address of the new voter."`
+	Replace []uint64 `help:"IDs of voters to remove at the same time. A council has 1, 3, 5 or 7 voters."`
 }
 
-// Run lets a voter join.
+// Run proposes to add a voter.
 func (a councilAdd) Run(cli *commandLine) error {
 	return cli.changeCouncil(chamber.VoterChange{Add: chamber.VoterAddresses{council.VoterID(a.ID): a.At}, Remove: voterIDs(a.Replace)})
 }
 
 type councilRemove struct {
-	IDs []uint64 `arg:"" name:"voter" help:"Their numbers."`
+	IDs []uint64 `arg:"" name:"voter" help:"IDs of the voters."`
 }
 
-// Run lets voters go.
+// Run proposes to remove voters.
 func (r councilRemove) Run(cli *commandLine) error {
 	return cli.changeCouncil(chamber.VoterChange{Remove: voterIDs(r.IDs)})
 }
--- a/cmd/sedgespread/known_red_test.go
+++ b/cmd/sedgespread/known_red_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against CI that passes over more than the tests that are known to fail, or over none that anybody would miss.
+// The list of known failing tests must name existing tests exactly, each once and with an issue, so that
+// CI skips no others.
 func TestKnownRed(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "",
@@ -39,6 +40,6 @@
 		}
 		require.NoError(t, err, stderr.String())
 		require.Equal(t, want, strings.TrimSpace(string(out)))
-		require.Contains(t, stderr.String(), strings.TrimSpace(text), "they are printed")
+		require.Contains(t, stderr.String(), strings.TrimSpace(text), "skipped tests are printed")
 	}
 }
--- a/cmd/sedgespread/main.go
+++ b/cmd/sedgespread/main.go
@@ -1,4 +1,4 @@
-// Command sedgespread is the driver on real sockets, and its operator's commands.
+// Command sedgespread runs a driver and provides the operator's command line.
 package main
 
 import (
@@ -9,21 +9,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// commandLine are those of the command line. Without any, the driver serves.
+// commandLine has the flags and commands. Without a command, the driver is run.
 type commandLine struct {
-	LogFormat string `enum:"text,json" default:"text" env:"SEDGESPREAD_LOG_FORMAT" help:"How log lines look: text or json."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" env:"SEDGESPREAD_LOG_LEVEL" help:"The least level that is logged: debug, info, warn or error."`
+	LogFormat string `enum:"text,json" default:"text" env:"SEDGESPREAD_LOG_FORMAT" help:"Log format: text or json."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" env:"SEDGESPREAD_LOG_LEVEL" help:"Minimum log level: debug, info, warn or error."`
 
-	Serve   serveCommand   `cmd:"" default:"withargs" help:"Run the driver (the default). GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG tell it where."`
-	Check   checkCommand   `cmd:"" help:"Check an operator's file and say what is wrong with it, with line and field."`
-	Cells   cellsCommand   `cmd:"" help:"See and change which cells tenants are in, at a running instance."`
-	Fleet   fleetCommand   `cmd:"" help:"See and change what the instances of the fleet agree on."`
-	Emulate emulateCommand `cmd:"" help:"Try things out on an emulated fleet on this machine. Needs nothing else."`
+	Serve   serveCommand   `cmd:"" default:"withargs" help:"Run the driver (the default). Configured by GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG."`
+	Check   checkCommand   `cmd:"" help:"Validate an operator's file. Errors are reported with line and field."`
+	Cells   cellsCommand   `cmd:"" help:"Show and change the placement of tenants in cells, through a running instance."`
+	Fleet   fleetCommand   `cmd:"" help:"Show and change the shared state of the fleet, through a running instance."`
+	Emulate emulateCommand `cmd:"" help:"Run trials on an emulated fleet on this machine. No other setup is needed."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
 const description = "A routing service for reads and writes in a replicated store.\n\n" +
-	"New here? `sedgespread emulate demo` starts a small emulated fleet with a driver before it."
+	"New here? `sedgespread emulate demo` starts a small emulated fleet with a driver in front."
 
 func main() {
 	var cli commandLine
@@ -35,7 +35,7 @@
 	}
 }
 
-// newLogger is the log that the command line asks for. The level is one of those that the command line knows.
+// newLogger returns a logger with the format and level of the command line.
 func (cli *commandLine) newLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true, DisableColors: true})
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -21,7 +21,7 @@
 	"sedgespread/internal/membership"
 )
 
-// runProgram runs the program and gives what it prints and whether it went well.
+// runProgram runs the program and returns its trimmed output and whether it succeeded.
 func runProgram(t *testing.T, program string, args ...string) (string, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -35,7 +35,7 @@
 	}
 }
 
-// The commands against a running instance, and an operator's file that is read again.
+// Runs the commands against a running instance, and reloads its operator's file.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "sedgespread")
@@ -63,7 +63,7 @@
 	drivers, err := fleet.Drivers(program, dir, 1, methods, func(int) string { return configText("") })
 	require.NoError(t, err)
 	configPath := filepath.Join(dir, "n0.textproto")
-	writeConfig := func(configText string) { require.NoError(t, os.WriteFile(configPath, []byte(configText), 0o600)) }
+	writeConfig := func(content string) { require.NoError(t, os.WriteFile(configPath, []byte(content), 0o600)) }
 
 	output, ok := runProgram(t, program, "check", configPath)
 	require.True(t, ok, output)
@@ -72,7 +72,7 @@
 	output, ok = runProgram(t, program, "check", configPath)
 	require.False(t, ok)
 	require.Equal(t, `sedgespread: `+configPath+`:6: cells.tenant[0].cell: there is no cell "three"`, output)
-	require.ErrorContains(t, drivers[0].Start(context.Background()), output, "serve says the same and ends")
+	require.ErrorContains(t, drivers[0].Start(context.Background()), output, "serve exits with the same error")
 	writeConfig(configText(""))
 	driver := drivers[0]
 	require.NoError(t, driver.Start(context.Background()), driver.Log())
@@ -97,7 +97,7 @@
 	require.Contains(t, output, "one")
 	output, _ = runCells("show", "club", "--key", "club/1")
 	require.Contains(t, output, "one (hashed)")
-	eventually(t, "the coordinator hears of loads", func() bool {
+	eventually(t, "the coordinator receives load reports", func() bool {
 		var plan admin.Plan
 		err := admin.NewCellsClient(addresses[0]).Call(context.Background(), "plan", admin.Query{MaxMoves: -1}, &plan)
 		return err == nil && len(plan.Tenants) > 0
@@ -113,7 +113,7 @@
 	require.Contains(t, output, "is not being moved")
 	output, ok = runCells("move", "club", "--to", "two")
 	require.True(t, ok, output)
-	eventually(t, "the move is done", func() bool {
+	eventually(t, "the move completes", func() bool {
 		var state membership.State
 		err := admin.NewCellsClient(addresses[0]).Call(context.Background(), "moves", admin.Query{}, &state)
 		return err == nil && len(state.Entries) == 1 && state.Entries[0].Stage == cells.StageIdle && state.Entries[0].Cell == "two"
@@ -123,22 +123,22 @@
 	require.Contains(t, output, "two (moved)")
 
 	sendHangup := func() { require.NoError(t, driver.Hup()) }
-	for _, c := range []struct{ configText, message string }{
+	for _, c := range []struct{ content, message string }{
 		{strings.Replace(configText(""), `weight: 0`, `weight: 2`, 1), `its weight was 0`},
 		{strings.Replace(configText(""), `  cell { name: "two" group: 2 capacity: 100 hall: "turin" weight: 0 }`, "", 1), `it still has club`},
 		{strings.Replace(configText(""), `lend: 0.5`, `lend: 0.25`, 1), `need a restart`},
 		{strings.Replace(configText(""), `rpcs: 50`, `rpcs: many`, 1), `n0.textproto:7: cells.budget.rpcs`},
 	} {
-		writeConfig(c.configText)
+		writeConfig(c.content)
 		sendHangup()
 		eventually(t, c.message, func() bool { return strings.Contains(driver.Log(), c.message) })
 	}
 	require.Equal(t, sockets.Served, write())
 	writeConfig(configText(`cell { name: "three" group: 3 weight: 0 } tenant { name: "club" weight: 2 }`))
 	sendHangup()
-	eventually(t, "a cell more", func() bool { output, _ := runCells("list"); return strings.Contains(output, "three") })
+	eventually(t, "the new cell is listed", func() bool { output, _ := runCells("list"); return strings.Contains(output, "three") })
 	require.NoError(t, driver.Signal(syscall.SIGTERM))
-	eventually(t, "it leaves", func() bool { return !driver.Runs() })
+	eventually(t, "the driver stops", func() bool { return !driver.Runs() })
 	output, ok = runProgram(t, program, "version")
 	require.True(t, ok)
 	require.Contains(t, output, "sedgespread ")
--- a/cmd/sedgespread/serve.go
+++ b/cmd/sedgespread/serve.go
@@ -15,14 +15,14 @@
 )
 
 type serveCommand struct {
-	Operator string `placeholder:"FILE" env:"GW_OPERATOR" help:"The operator's file; nothing of it is on without one."`
+	Operator string `placeholder:"FILE" env:"GW_OPERATOR" help:"The operator's file. Without it, all features that it configures are off."`
 }
 
-// Run serves until SIGTERM or SIGINT, and reads its files again on SIGHUP.
+// Run runs the driver until SIGTERM or SIGINT. SIGHUP reloads its files.
 func (s *serveCommand) Run(logger *logrus.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	reload := make(chan os.Signal, 1) // one that waits stands for all: the files are read after it
+	reload := make(chan os.Signal, 1) // one pending signal is enough: files are read after it is received
 	signal.Notify(reload, syscall.SIGHUP)
 	settings, err := program.ReadPosting(func(name string) string {
 		if name == "GW_OPERATOR" {
@@ -41,19 +41,19 @@
 	File string `arg:"" help:"The operator's file."`
 }
 
-// Run checks a file as serve does.
+// Run validates a file as the serve command does.
 func (c *checkCommand) Run() error {
 	config, err := operator.Read(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: good: %s\n", c.File, config.Summary())
+	fmt.Printf("%s: valid: %s\n", c.File, config.Summary())
 	return nil
 }
 
 type versionCommand struct{}
 
-// Run prints what the build knows of itself.
+// Run prints the version, the revision and the Go version of the build.
 func (versionCommand) Run() error {
 	version, revision, runtime := "unreleased", "", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -41,7 +41,7 @@
 	TargetCell  string       `json:"to,omitempty"`
 	Epoch       cells.Epoch  `json:"epoch"`
 	MinPosition int64        `json:"floor,omitempty"` // members must have reached this position to serve reads
-	Load        float64      `json:"load"` // RPCs per second at this instance, 0 if not among the heaviest tenants
+	Load        float64      `json:"load"`            // RPCs per second at this instance, 0 if not among the heaviest tenants
 }
 
 // Plan is a plan for the loads that drivers reported. Worst and Mean are the maximum and the mean planned
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -337,8 +337,7 @@
 
 const defaultForgetSeconds = 60
 
-// ForgetSeconds returns how many seconds after its last lease expired a driver is removed from the
-// roster.
+// ForgetSeconds returns how many seconds after the expiry of its lease a driver is considered gone.
 func (cfg *Config) ForgetSeconds() uint32 {
 	if s := cfg.Fleet.GetForgetS(); s != 0 {
 		return s
@@ -555,7 +554,7 @@
 	if council := cfg.Council; council != nil {
 		councilSummary = fmt.Sprintf(", a council of %d", len(council.Voter))
 		if council.Id != 0 {
-			councilSummary += fmt.Sprintf(" of which this is voter %d", council.Id)
+			councilSummary += fmt.Sprintf(" with this instance as voter %d", council.Id)
 		}
 	}
 	if cfg.Cells == nil {
@@ -567,6 +566,6 @@
 	} else if coordination != nil {
 		coordinationSummary = "coordinator at " + coordination.At
 	}
-	return fmt.Sprintf("%d cells, %d rules of tenancy, %d tenants, %s", len(cfg.Cells.Cell), len(cfg.Cells.Tenancy.Rule),
+	return fmt.Sprintf("%d cells, %d tenancy rules, %d tenants, %s", len(cfg.Cells.Cell), len(cfg.Cells.Tenancy.Rule),
 		len(cfg.Cells.Tenant), coordinationSummary)
 }
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -103,7 +103,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:7412", cfg.VoterAddress())
 	require.Len(t, cfg.CoordinatorAddresses(), 3)
-	require.Contains(t, cfg.Summary(), "coordinated by a council of 3 of which this is voter 2")
+	require.Contains(t, cfg.Summary(), "coordinated by a council of 3 with this instance as voter 2")
 	for _, c := range []struct{ old, new, message string }{
 		{`id: 3 at`, `id: 2 at`, "f:26: council.voter[2].id: 2 is a duplicate"},
 		{`id: 3 at`, `at`, "f:26: council.voter[2].id: is missing"},
