--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -66,20 +66,20 @@
 }
 
 // formatVersions lists the versions that a driver acts on, with older ones that still have RPCs in flight.
-func formatVersions(sightings []versions.Sighting) string {
+func formatVersions(sightings []versions.Report) string {
 	var parts []string
 	for _, sighting := range sightings {
 		if sighting.Digest != "" { // not decided by the council
 			continue
 		}
-		part := fmt.Sprintf("%s %d", sighting.Thing, sighting.Acts)
-		for _, n := range sighting.Flight {
-			if n != sighting.Acts {
+		part := fmt.Sprintf("%s %d", sighting.Resource, sighting.Active)
+		for _, n := range sighting.InFlight {
+			if n != sighting.Active {
 				part += fmt.Sprintf(" (in flight: %d)", n)
 			}
 		}
-		if sighting.Ill != "" {
-			part += " (" + sighting.Ill + ")"
+		if sighting.Failure != "" {
+			part += " (" + sighting.Failure + ")"
 		}
 		parts = append(parts, part)
 	}
@@ -121,37 +121,37 @@
 func (v fleetVersions) Run(cli *commandLine) error {
 	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
 		for _, spread := range fleet.Observed {
-			if string(spread.Thing) == v.Thing {
+			if string(spread.Resource) == v.Thing {
 				printObserved(out, spread)
 				return
 			}
 		}
 		fmt.Fprintln(out, "VERSION\tSTAGE\tSINCE\tOLDER VERSIONS UNUSED FROM\tDIGEST\tREASON")
-		for _, version := range fleet.Versions[versions.Thing(v.Thing)] {
+		for _, version := range fleet.Versions[versions.Resource(v.Thing)] {
 			closedAt := "-"
-			if version.Closes != 0 {
-				closedAt = formatTime(version.Closes)
+			if version.CompletedAt != 0 {
+				closedAt = formatTime(version.CompletedAt)
 			}
-			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", version.Number, version.Stage, formatTime(version.When), closedAt, version.Digest, version.Why)
+			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", version.Number, version.Stage, formatTime(version.UpdatedAt), closedAt, version.Digest, version.Reason)
 		}
 		for _, behind := range fleet.Behind {
-			if string(behind.Thing) == v.Thing {
-				fmt.Fprintf(out, "\nversion %d has been %s for %s, waiting for %v\n", behind.Number, behind.Stage, time.Duration(behind.For).Round(time.Millisecond), behind.Who)
+			if string(behind.Resource) == v.Thing {
+				fmt.Fprintf(out, "\nversion %d has been %s for %s, waiting for %v\n", behind.Number, behind.Stage, time.Duration(behind.Duration).Round(time.Millisecond), behind.Instances)
 			}
 		}
 	})
 }
 
 // printObserved prints which versions drivers act on, for a thing that the council does not decide.
-func printObserved(out *tabwriter.Writer, spread versions.Spread) {
+func printObserved(out *tabwriter.Writer, spread versions.Distribution) {
 	fmt.Fprintln(out, "VERSION\tDIGEST\tDRIVERS\tEXAMPLE")
-	for _, group := range spread.Groups {
-		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", group.Number, group.Digest, len(group.Who), group.Who[0].Name)
+	for _, group := range spread.Holders {
+		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", group.Number, group.Digest, len(group.Instances), group.Instances[0].Name)
 	}
-	for _, driver := range spread.Behind {
-		fmt.Fprintf(out, "\n%s acts on version %d and has made no progress for %s", driver.Name, driver.Number, time.Duration(driver.For).Round(time.Millisecond))
+	for _, driver := range spread.Lagging {
+		fmt.Fprintf(out, "\n%s acts on version %d and has made no progress for %s", driver.Name, driver.Number, time.Duration(driver.Duration).Round(time.Millisecond))
 	}
-	if spread.Forked {
+	if spread.HasConflict {
 		fmt.Fprint(out, "\nFORKED: two drivers act on different contents of the same version")
 	}
 	fmt.Fprintln(out)
@@ -169,7 +169,7 @@
 
 // Run prints the audit of the trails. With --verify, any finding is an error.
 func (a fleetAudit) Run(cli *commandLine) error {
-	question := membership.Question{Thing: versions.Thing(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
+	question := membership.Question{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
 	if !a.From.IsZero() {
 		question.From = a.From.UnixNano()
 	}
@@ -182,20 +182,20 @@
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tDROPPED")
 			for _, entry := range finding.Acted {
-				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", entry.Thing, entry.Version, entry.Who.Name, entry.Who.Start, formatTime(entry.From), formatTime(entry.To),
-					entry.Tally.Total(), entry.Tally.Of(audit.Served), entry.Singles, entry.Dropped)
+				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", entry.Resource, entry.Version, entry.Instance.Name, entry.Instance.Start, formatTime(entry.From), formatTime(entry.To),
+					entry.Counts.Total(), entry.Counts.ByOutcome(audit.Served), entry.RPCEntries, entry.Dropped)
 			}
 		}
 		fmt.Fprintf(out, "\nchecked %d trail entries\n", finding.Entries)
 		for _, late := range finding.Late {
-			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", late.Who.Name, late.Who.Start, late.Version, formatTime(late.At), late.Why, late.RPC)
+			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", late.Instance.Name, late.Instance.Start, late.Version, formatTime(late.At), late.Reason, late.RPC)
 		}
 		for _, unknown := range finding.Unknown {
 			from := "startup"
 			if unknown.From != 0 {
 				from = formatTime(unknown.From)
 			}
-			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", unknown.Who.Name, unknown.Who.Start, from, formatTime(unknown.To), unknown.Why)
+			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", unknown.Instance.Name, unknown.Instance.Start, from, formatTime(unknown.To), unknown.Reason)
 		}
 		for _, fault := range finding.Faults {
 			fmt.Fprintln(out, "FAULT:", fault)
@@ -229,8 +229,8 @@
 	if err != nil {
 		return err
 	}
-	plan := versions.Plan{Exclusive: p.Exclusive, Canaries: p.Canaries, Trial: int64(p.Trial), Alarm: p.Alarm, Bears: p.Bears, Tell: int64(p.Tell), Adopt: int64(p.Adopt),
-		Close: int64(p.Close)}
+	plan := versions.Plan{Exclusive: p.Exclusive, CanaryFraction: p.Canaries, TrialTime: int64(p.Trial), FalseAlarmRate: p.Alarm, ToleratedRatio: p.Bears, AnnounceTimeout: int64(p.Tell), AdoptTimeout: int64(p.Adopt),
+		DrainTimeout: int64(p.Close)}
 	return cli.submitWish(membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Why: p.Why, Plan: plan}},
 		"proposed; run `fleet versions` to see its progress")
 }
@@ -242,7 +242,7 @@
 
 // Run cancels the rollout of a version.
 func (f fleetCallOff) Run(cli *commandLine) error {
-	return cli.submitWish(membership.Wish{CallOff: versions.Thing(f.Thing), Why: f.Why}, "cancelled; run `fleet versions` to see its progress")
+	return cli.submitWish(membership.Wish{CallOff: versions.Resource(f.Thing), Why: f.Why}, "cancelled; run `fleet versions` to see its progress")
 }
 
 type fleetReadmit struct {
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -89,17 +89,17 @@
 		}
 	}
 	for _, spread := range fleet.Observed {
-		for _, group := range spread.Groups {
-			gauge(observedDrivers, float64(len(group.Who)), string(spread.Thing), strconv.FormatUint(uint64(group.Number), 10), group.Digest)
+		for _, group := range spread.Holders {
+			gauge(observedDrivers, float64(len(group.Instances)), string(spread.Resource), strconv.FormatUint(uint64(group.Number), 10), group.Digest)
 		}
-		for _, late := range spread.Behind {
-			gauge(observedLateSeconds, time.Duration(late.For).Seconds(), string(spread.Thing), late.Name)
+		for _, late := range spread.Lagging {
+			gauge(observedLateSeconds, time.Duration(late.Duration).Seconds(), string(spread.Resource), late.Name)
 		}
-		gauge(observedIsForked, boolValue(spread.Forked), string(spread.Thing))
+		gauge(observedIsForked, boolValue(spread.HasConflict), string(spread.Resource))
 	}
 	for _, behind := range fleet.Behind {
-		for _, driver := range behind.Who {
-			gauge(versionHeldBackSeconds, time.Duration(behind.For).Seconds(), string(behind.Thing), strconv.FormatUint(uint64(behind.Number), 10), behind.Stage.String(), driver.Name)
+		for _, driver := range behind.Instances {
+			gauge(versionHeldBackSeconds, time.Duration(behind.Duration).Seconds(), string(behind.Resource), strconv.FormatUint(uint64(behind.Number), 10), behind.Stage.String(), driver.Name)
 		}
 	}
 }
