--- a/cmd/sedgespread/cells.go
+++ b/cmd/sedgespread/cells.go
@@ -185,7 +185,7 @@
 
 // Run starts the move of a tenant.
 func (m cellsMove) Run(cli *commandLine) error {
-	move := []membership.Move{{Tenant: cells.Tenant(m.Tenant), To: m.To, Why: m.Why}}
+	move := []membership.MoveRequest{{Tenant: cells.Tenant(m.Tenant), To: m.To, Reason: m.Why}}
 	return callCells(cli, "move", move, func(out *tabwriter.Writer, _ *struct{}) {
 		fmt.Fprintf(out, "move of %s to %s started; run `cells moves` to see its progress\n", m.Tenant, m.To)
 	})
@@ -195,7 +195,7 @@
 
 // Run prints current and recent moves, and the epoch and lease of each driver.
 func (cellsMoves) Run(cli *commandLine) error {
-	return callCells(cli, "moves", admin.Query{}, func(out *tabwriter.Writer, state *membership.State) {
+	return callCells(cli, "moves", admin.Query{}, func(out *tabwriter.Writer, state *membership.CoordinatorState) {
 		fmt.Fprintln(out, "TENANT\tCELL\tSTAGE\tTO\tEPOCH\tSINCE\tWHY")
 		for i := len(state.Entries) - 1; i >= 0; i-- {
 			entry := state.Entries[i]
@@ -216,7 +216,7 @@
 
 // Run aborts the move of a tenant.
 func (a cellsAbort) Run(cli *commandLine) error {
-	return callCells(cli, "abort", membership.Move{Tenant: cells.Tenant(a.Tenant), Why: a.Why}, func(out *tabwriter.Writer, _ *struct{}) {
+	return callCells(cli, "abort", membership.MoveRequest{Tenant: cells.Tenant(a.Tenant), Reason: a.Why}, func(out *tabwriter.Writer, _ *struct{}) {
 		fmt.Fprintf(out, "aborting move of %s\n", a.Tenant)
 	})
 }
--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -33,12 +33,12 @@
 }
 
 // printFleet fetches the state of the fleet and prints it as JSON or with printState.
-func (cli *commandLine) printFleet(printState func(out *tabwriter.Writer, fleet *membership.Fleet)) error {
+func (cli *commandLine) printFleet(printState func(out *tabwriter.Writer, fleet *membership.FleetState)) error {
 	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "state", struct{}{}, printState)
 }
 
 // submitWish submits a change to the council and prints message if it was accepted.
-func (cli *commandLine) submitWish(wish membership.Wish, message string) error {
+func (cli *commandLine) submitWish(wish membership.FleetChange, message string) error {
 	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "wish", wish, nil)
 	if err == nil {
 		fmt.Println(message)
@@ -50,16 +50,16 @@
 
 // Run prints the drivers of the fleet and those that peers can't reach.
 func (fleetList) Run(cli *commandLine) error {
-	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
-		fmt.Fprintf(out, "voter %d, level %d (all support %d)\n\nDRIVER\tSTART\tSTATE\tADDRESS\tBUILD\tLEVEL\tLEASE\tACTIVE\tREASON\n", fleet.Voter, fleet.Level, fleet.Highest)
+	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.FleetState) {
+		fmt.Fprintf(out, "voter %d, level %d (all support %d)\n\nDRIVER\tSTART\tSTATE\tADDRESS\tBUILD\tLEVEL\tLEASE\tACTIVE\tREASON\n", fleet.Voter, fleet.Level, fleet.HighestCommonLevel)
 		for _, driver := range fleet.Drivers {
-			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", driver.Name, driver.Start, driver.State, driver.At, driver.Build, driver.Level,
-				formatLease(driver.Until-fleet.Now), formatVersions(driver.Seen), driver.Why)
+			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", driver.Name, driver.Start, driver.State, driver.Address, driver.Build, driver.Level,
+				formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Sightings), driver.Reason)
 		}
-		for _, doubt := range fleet.Doubts {
-			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", doubt.Name, doubt.Start, len(doubt.By), doubt.Of, strings.Join(doubt.By, ", "))
+		for _, doubt := range fleet.Suspicions {
+			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", doubt.Name, doubt.Start, len(doubt.Reporters), doubt.Listeners, strings.Join(doubt.Reporters, ", "))
 		}
-		if len(fleet.Doubts) > 0 {
+		if len(fleet.Suspicions) > 0 {
 			fmt.Fprintln(out)
 		}
 	})
@@ -96,13 +96,13 @@
 // Run prints the state of a driver.
 func (s fleetShow) Run(cli *commandLine) error {
 	found := false
-	err := cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
+	err := cli.printFleet(func(out *tabwriter.Writer, fleet *membership.FleetState) {
 		for _, driver := range fleet.Drivers {
 			if found = found || driver.Name == s.Driver; driver.Name != s.Driver {
 				continue
 			}
 			fmt.Fprintf(out, "driver\t%s\nstart\t%d\nstate\t%s %s\nsince\t%s\naddress\t%s\nbuild\t%s\nlevel\t%d\nlease\t%s\nactive\t%s\n", driver.Name, driver.Start,
-				driver.State, driver.Why, formatTime(driver.When), driver.At, driver.Build, driver.Level, formatLease(driver.Until-fleet.Now), formatVersions(driver.Seen))
+				driver.State, driver.Reason, formatTime(driver.ChangedAt), driver.Address, driver.Build, driver.Level, formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Sightings))
 		}
 	})
 	if err == nil && !found && !cli.Fleet.JSON {
@@ -119,7 +119,7 @@
 
 // Run prints the versions of a thing and the drivers that delay them.
 func (v fleetVersions) Run(cli *commandLine) error {
-	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
+	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.FleetState) {
 		for _, spread := range fleet.Observed {
 			if string(spread.Resource) == v.Thing {
 				printObserved(out, spread)
@@ -169,7 +169,7 @@
 
 // Run prints the audit of the trails. With --verify, any finding is an error.
 func (a fleetAudit) Run(cli *commandLine) error {
-	question := membership.Question{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
+	question := membership.AuditQuery{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, MaxClockSkew: int64(a.Clocks)}
 	if !a.From.IsZero() {
 		question.From = a.From.UnixNano()
 	}
@@ -177,7 +177,7 @@
 		question.To = a.To.UnixNano()
 	}
 	violations := 0
-	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", question, func(out *tabwriter.Writer, finding *membership.Finding) {
+	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", question, func(out *tabwriter.Writer, finding *membership.AuditResult) {
 		violations = len(finding.Late) + len(finding.Faults)
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tDROPPED")
@@ -231,7 +231,7 @@
 	}
 	plan := versions.Plan{Exclusive: p.Exclusive, CanaryFraction: p.Canaries, TrialTime: int64(p.Trial), FalseAlarmRate: p.Alarm, ToleratedRatio: p.Bears, AnnounceTimeout: int64(p.Tell), AdoptTimeout: int64(p.Adopt),
 		DrainTimeout: int64(p.Close)}
-	return cli.submitWish(membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Why: p.Why, Plan: plan}},
+	return cli.submitWish(membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Reason: p.Why, Plan: plan}},
 		"proposed; run `fleet versions` to see its progress")
 }
 
@@ -242,7 +242,7 @@
 
 // Run cancels the rollout of a version.
 func (f fleetCallOff) Run(cli *commandLine) error {
-	return cli.submitWish(membership.Wish{CallOff: versions.Resource(f.Thing), Why: f.Why}, "cancelled; run `fleet versions` to see its progress")
+	return cli.submitWish(membership.FleetChange{Withdraw: versions.Resource(f.Thing), Reason: f.Why}, "cancelled; run `fleet versions` to see its progress")
 }
 
 type fleetReadmit struct {
@@ -252,7 +252,7 @@
 
 // Run readmits a driver.
 func (r fleetReadmit) Run(cli *commandLine) error {
-	return cli.submitWish(membership.Wish{Readmit: r.Driver, Why: r.Why}, r.Driver+" may request a lease again")
+	return cli.submitWish(membership.FleetChange{Readmit: r.Driver, Reason: r.Why}, r.Driver+" may request a lease again")
 }
 
 type fleetLevel struct {
@@ -262,10 +262,10 @@
 // Run prints or raises the feature level.
 func (l fleetLevel) Run(cli *commandLine) error {
 	if l.Raise > 0 {
-		return cli.submitWish(membership.Wish{Raise: l.Raise}, fmt.Sprintf("raised the feature level to %d", l.Raise))
+		return cli.submitWish(membership.FleetChange{RaiseLevel: l.Raise}, fmt.Sprintf("raised the feature level to %d", l.Raise))
 	}
-	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.Fleet) {
-		fmt.Fprintf(out, "level %d; all support %d\n", fleet.Level, fleet.Highest)
+	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.FleetState) {
+		fmt.Fprintf(out, "level %d; all support %d\n", fleet.Level, fleet.HighestCommonLevel)
 	})
 }
 
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -114,7 +114,7 @@
 	output, ok = runCells("move", "club", "--to", "two")
 	require.True(t, ok, output)
 	eventually(t, "the move completes", func() bool {
-		var state membership.State
+		var state membership.CoordinatorState
 		err := admin.NewCellsClient(addresses[0]).Call(context.Background(), "moves", admin.Query{}, &state)
 		return err == nil && len(state.Entries) == 1 && state.Entries[0].Stage == cells.StageIdle && state.Entries[0].Cell == "two"
 	})
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,15 +19,15 @@
 type Backend interface {
 	Cells() cells.Stats
 	TenantPlacement(tenant cells.Tenant, key string) Placement
-	State(ctx context.Context) (membership.State, error)
-	Move(ctx context.Context, moves []membership.Move) error
-	Abort(ctx context.Context, move membership.Move) error
+	State(ctx context.Context) (membership.CoordinatorState, error)
+	Move(ctx context.Context, moves []membership.MoveRequest) error
+	Abort(ctx context.Context, move membership.MoveRequest) error
 	Plan(ctx context.Context, maxMoves int) (Plan, error)
 	Council(ctx context.Context) (chamber.State, error)
 	ChangeCouncil(ctx context.Context, change chamber.VoterChange) error
-	Fleet(ctx context.Context) (membership.Fleet, error)
-	Wish(ctx context.Context, wish membership.Wish) error
-	Audit(ctx context.Context, question membership.Question) (membership.Finding, error)
+	Fleet(ctx context.Context) (membership.FleetState, error)
+	Wish(ctx context.Context, wish membership.FleetChange) error
+	Audit(ctx context.Context, question membership.AuditQuery) (membership.AuditResult, error)
 }
 
 // Placement is the placement of a tenant as known to one instance.
@@ -51,7 +51,7 @@
 	Worst, Mean, Bound, Before float64
 	Exact                      bool
 	Cells                      []CellPlan
-	Moves                      []membership.Move
+	Moves                      []membership.MoveRequest
 	Tenants                    []TenantPlan
 }
 
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -68,7 +68,7 @@
 	states, mayAct := map[string]int{}, 0
 	for _, driver := range fleet.Drivers {
 		states[driver.State.String()]++
-		if driver.May {
+		if driver.MayAct {
 			mayAct++
 		}
 	}
@@ -80,12 +80,12 @@
 	for thing, history := range fleet.Versions {
 		newest := history[len(history)-1]
 		gauge(versionStage, 1, string(thing), strconv.FormatUint(uint64(newest.Number), 10), newest.Stage.String())
-		closed, _ := fleet.Closed(thing)
+		closed, _ := fleet.LatestClosed(thing)
 		gauge(versionClosed, float64(closed), string(thing))
 	}
-	for _, doubt := range fleet.Doubts {
-		if doubt.Silent {
-			gauge(fleetSilentSeconds, time.Duration(fleet.Now-doubt.Since).Seconds(), doubt.Name)
+	for _, doubt := range fleet.Suspicions {
+		if doubt.IsSilent {
+			gauge(fleetSilentSeconds, time.Duration(fleet.Now-doubt.SilentSince).Seconds(), doubt.Name)
 		}
 	}
 	for _, spread := range fleet.Observed {
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -18,7 +18,7 @@
 // fakeBackend is a Backend with fixed state.
 type fakeBackend struct {
 	Backend
-	fleet membership.Fleet
+	fleet membership.FleetState
 	err   error
 }
 
@@ -28,7 +28,7 @@
 	return chamber.State{Term: 7, IsActing: true}, b.err
 }
 
-func (b fakeBackend) Fleet(context.Context) (membership.Fleet, error) { return b.fleet, b.err }
+func (b fakeBackend) Fleet(context.Context) (membership.FleetState, error) { return b.fleet, b.err }
 
 func scrape(backend Backend) string {
 	recorder := httptest.NewRecorder()
@@ -38,7 +38,7 @@
 
 // The metrics name the driver that delays a version, and are served even if the council can't be reached.
 func TestMetrics(t *testing.T) {
-	fleet := membership.Fleet{Level: 2, Drivers: []membership.Seen{{Driver: roster.Driver{State: roster.Present}, May: true}, {Driver: roster.Driver{State: roster.ShutOut}}},
+	fleet := membership.FleetState{Level: 2, Drivers: []membership.DriverStatus{{Driver: roster.Driver{State: roster.StatePresent}, MayAct: true}, {Driver: roster.Driver{State: roster.StateShutOut}}},
 		Versions: map[versions.Resource][]versions.Version{"rulebook": {{Number: 2, Stage: versions.StageCompleted}, {Number: 3, Stage: versions.StageActivating}}},
 		Behind:   []versions.StalledVersion{{Resource: "rulebook", Number: 3, Stage: versions.StageActivating, Duration: 1_500_000_000, Instances: []versions.Instance{{Name: "n7"}}}}}
 	page := scrape(fakeBackend{fleet: fleet})
