--- a/cmd/sedgespread/known_red_test.go
+++ b/cmd/sedgespread/known_red_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against CI that passes over more than the tests that are known to fail, or over none that anybody would miss.
+// The list of known failing tests must name existing tests exactly, each once and with an issue, so that
+// CI skips no others.
 func TestKnownRed(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "",
@@ -28,17 +29,17 @@
 		file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		cmd := exec.Command("bash", "../../.ci/known-red", file)
-		var said strings.Builder
-		cmd.Stderr = &said
+		var stderr strings.Builder
+		cmd.Stderr = &stderr
 		out, err := cmd.Output()
-		if cause, fails := strings.CutPrefix(want, "fails: "); fails {
+		if reason, fails := strings.CutPrefix(want, "fails: "); fails {
 			require.Error(t, err, text)
-			require.Contains(t, said.String(), cause, text)
+			require.Contains(t, stderr.String(), reason, text)
 			require.Empty(t, out)
 			continue
 		}
-		require.NoError(t, err, said.String())
+		require.NoError(t, err, stderr.String())
 		require.Equal(t, want, strings.TrimSpace(string(out)))
-		require.Contains(t, said.String(), strings.TrimSpace(text), "they are printed")
+		require.Contains(t, stderr.String(), strings.TrimSpace(text), "skipped tests are printed")
 	}
 }
--- a/cmd/sedgespread/main.go
+++ b/cmd/sedgespread/main.go
@@ -1,4 +1,4 @@
-// Command sedgespread is the driver on real sockets, and its operator's commands.
+// Command sedgespread runs a driver and provides the operator's command line.
 package main
 
 import (
@@ -9,42 +9,42 @@
 	"github.com/sirupsen/logrus"
 )
 
-// commands are those of the command line. Without any, the driver serves.
-type commands struct {
-	LogFormat string `enum:"text,json" default:"text" env:"SEDGESPREAD_LOG_FORMAT" help:"How log lines look: text or json."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" env:"SEDGESPREAD_LOG_LEVEL" help:"The least level that is logged: debug, info, warn or error."`
+// commandLine has the flags and commands. Without a command, the driver is run.
+type commandLine struct {
+	LogFormat string `enum:"text,json" default:"text" env:"SEDGESPREAD_LOG_FORMAT" help:"Log format: text or json."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" env:"SEDGESPREAD_LOG_LEVEL" help:"Minimum log level: debug, info, warn or error."`
 
-	Serve   serve       `cmd:"" default:"withargs" help:"Run the driver (the default). GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG tell it where."`
-	Check   check       `cmd:"" help:"Check an operator's file and say what is wrong with it, with line and field."`
-	Cells   cellsOf     `cmd:"" help:"See and change which cells tenants are in, at a running instance."`
-	Fleet   fleetOf     `cmd:"" help:"See and change what the instances of the fleet agree on."`
-	Emulate emulate     `cmd:"" help:"Try things out on an emulated fleet on this machine. Needs nothing else."`
-	Version versionOnly `cmd:"" help:"Print the version."`
+	Serve   serveCommand   `cmd:"" default:"withargs" help:"Run the driver (the default). Configured by GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG."`
+	Check   checkCommand   `cmd:"" help:"Validate an operator's file. Errors are reported with line and field."`
+	Cells   cellsCommand   `cmd:"" help:"Show and change the placement of tenants in cells, through a running instance."`
+	Fleet   fleetCommand   `cmd:"" help:"Show and change the shared state of the fleet, through a running instance."`
+	Emulate emulateCommand `cmd:"" help:"Run trials on an emulated fleet on this machine. No other setup is needed."`
+	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
-const about = "A routing service for reads and writes in a replicated store.\n\n" +
-	"New here? `sedgespread emulate demo` starts a small emulated fleet with a driver before it."
+const description = "A routing service for reads and writes in a replicated store.\n\n" +
+	"New here? `sedgespread emulate demo` starts a small emulated fleet with a driver in front."
 
 func main() {
-	var c commands
-	parsed := kong.Parse(&c, kong.Name("sedgespread"), kong.Description(about), kong.UsageOnError(),
+	var cli commandLine
+	kongContext := kong.Parse(&cli, kong.Name("sedgespread"), kong.Description(description), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}))
-	if err := parsed.Run(c.log()); err != nil {
+	if err := kongContext.Run(cli.newLogger()); err != nil {
 		fmt.Fprintln(os.Stderr, "sedgespread:", err)
 		os.Exit(1)
 	}
 }
 
-// log is the log that the command line asks for. The level is one of those that the command line knows.
-func (c *commands) log() *logrus.Logger {
-	log := logrus.New()
-	log.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true, DisableColors: true})
-	if c.LogFormat == "json" {
-		log.SetFormatter(&logrus.JSONFormatter{})
+// newLogger returns a logger with the format and level of the command line.
+func (cli *commandLine) newLogger() *logrus.Logger {
+	logger := logrus.New()
+	logger.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true, DisableColors: true})
+	if cli.LogFormat == "json" {
+		logger.SetFormatter(&logrus.JSONFormatter{})
 	}
-	level, err := logrus.ParseLevel(c.LogLevel)
+	level, err := logrus.ParseLevel(cli.LogLevel)
 	if err == nil {
-		log.SetLevel(level)
+		logger.SetLevel(level)
 	}
-	return log
+	return logger
 }
