--- a/internal/council/chamber/chamber_test.go
+++ b/internal/council/chamber/chamber_test.go
@@ -63,7 +63,7 @@
 // of them.
 type testCluster struct {
 	t               *testing.T
-	net             *relays.Net
+	net             *relays.Network
 	dir             string
 	listenAddresses []string
 	addresses       []VoterAddresses
@@ -119,7 +119,7 @@
 	for i := range voterCount {
 		addresses := VoterAddresses{}
 		for j := range voterCount {
-			address, err := cluster.net.Relay(links.Way{From: voterName(i), To: voterName(j)}, cluster.listenAddresses[j])
+			address, err := cluster.net.RelayTCP(links.Link{From: voterName(i), To: voterName(j)}, cluster.listenAddresses[j])
 			require.NoError(t, err)
 			addresses[council.VoterID(j+1)] = address
 		}
@@ -479,15 +479,15 @@
 	}
 	voters := []string{voterName(0), voterName(1), voterName(2)}
 	const ms = time.Millisecond
-	player := &relays.Player{Net: cluster.net}
+	player := &relays.Player{Network: cluster.net}
 	clients.Add(2)
 	go func() {
 		defer clients.Done()
-		player.Play(ctx, links.Draw(3, 5*time.Second, []links.Kind{
-			{What: links.Silent, Every: 500 * ms, From: voters, To: []string{"*"}, Both: true, Least: 100 * ms, Most: 500 * ms},
-			{What: links.Silent, Every: 700 * ms, From: voters, To: voters, Least: 100 * ms, Most: 500 * ms},
-			{What: links.Delay, Every: 500 * ms, From: voters, To: voters, Least: 100 * ms, Most: 500 * ms, Amount: 0.005, Upto: 0.05, Spread: 0.01},
-			{What: links.Chop, Every: 300 * ms, From: voters, To: voters, Amount: 1, Upto: 300},
+		player.Play(ctx, links.Draw(3, 5*time.Second, []links.FaultSpec{
+			{Fault: links.Silent, MeanInterval: 500 * ms, From: voters, To: []string{"*"}, BothDirections: true, MinDuration: 100 * ms, MaxDuration: 500 * ms},
+			{Fault: links.Silent, MeanInterval: 700 * ms, From: voters, To: voters, MinDuration: 100 * ms, MaxDuration: 500 * ms},
+			{Fault: links.Delay, MeanInterval: 500 * ms, From: voters, To: voters, MinDuration: 100 * ms, MaxDuration: 500 * ms, Amount: 0.005, MaxAmount: 0.05, Jitter: 0.01},
+			{Fault: links.Truncate, MeanInterval: 300 * ms, From: voters, To: voters, Amount: 1, MaxAmount: 300},
 		}))
 	}()
 	go func() {
--- a/internal/council/seat.go
+++ b/internal/council/seat.go
@@ -207,7 +207,7 @@
 // restored from an old copy could make it vote twice in a term, or lose entries that it had
 // acknowledged.
 func (n *Node) checkPosition() {
-	if known := n.knownPositions[n.id]; n.refusalReason == "" && known.exceeds(n.durablePosition) && !planted.Is(planted.OldDisk) {
+	if known := n.knownPositions[n.id]; n.refusalReason == "" && known.exceeds(n.durablePosition) && !planted.Active(planted.AcceptOldDisk) {
 		n.refuse(fmt.Sprintf("the disk of voter %d is older than what it had told others: at term %d, entry %d of term %d; it had shown "+
 			"term %d, entry %d of term %d", n.id, n.durablePosition.Term, n.durablePosition.LastIndex, n.durablePosition.LastTerm, known.Term, known.LastIndex, known.LastTerm))
 	}
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -207,11 +207,11 @@
 func (m *Registration) present() (all []versions.Present) {
 	now := m.now()
 	for _, d := range m.roster.Drivers() {
-		may := m.roster.May(now, d.Name) && !planted.Is(planted.Straggler)
+		may := m.roster.May(now, d.Name) && !planted.Active(planted.IgnoreStragglers)
 		all = append(all, versions.Present{Sign: sign(d), May: may, Votes: d.Votes, Silent: m.silent[d.Name]})
 	}
 	for _, s := range m.roster.Shades(now) {
-		all = append(all, versions.Present{Sign: versions.Sign{Name: s.Name, Start: uint64(s.Start)}, May: !planted.Is(planted.Straggler)})
+		all = append(all, versions.Present{Sign: versions.Sign{Name: s.Name, Start: uint64(s.Start)}, May: !planted.Active(planted.IgnoreStragglers)})
 	}
 	return all
 }
--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -7,15 +7,15 @@
 
 // Names of faults, as in a sound build.
 const (
-	Lease     = "lease"
-	Straggler = "straggler"
-	Audit     = "audit"
-	Crash     = "crash"
-	OldDisk   = "old disk"
-	Harm      = "harm"
+	LongLease        = "lease"
+	IgnoreStragglers = "straggler"
+	DropAuditEntries = "audit"
+	CrashOnVersion   = "crash"
+	AcceptOldDisk    = "old disk"
+	RejectRPCs       = "harm"
 )
 
 var fault = os.Getenv("SEDGESPREAD_PLANTED")
 
-// Is tells whether this build has a fault.
-func Is(name string) bool { return name == fault }
+// Active tells whether this build has a fault.
+func Active(name string) bool { return name == fault }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -99,7 +99,7 @@
 	if a.Thing != routing.Rulebook {
 		return fmt.Errorf("this build does not know what %q is", a.Thing)
 	}
-	if planted.Is(planted.Crash) {
+	if planted.Active(planted.CrashOnVersion) {
 		os.Exit(3)
 	}
 	next, err := c.origin.With(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
