--- a/internal/planted/none.go
+++ b/internal/planted/none.go
@@ -1,18 +1,18 @@
 //go:build !planted
 
-// Package planted is for trials that have to show that they find what they look for: a build with the tag "planted" has the
-// fault that a variable names. All other builds have none, and nothing of this is left in them.
+// Package planted provides faults for testing that the fault-injection trials detect them. A build with
+// the tag "planted" activates the fault named by an environment variable; other builds have none.
 package planted
 
-// Names of faults.
+// Fault names.
 const (
-	LongLease        = "lease"     // a driver holds its lease half too long; a tenth is within the time that an answer may wait
-	IgnoreStragglers = "straggler" // versions are closed without those that have not said so
-	DropAuditEntries = "audit"     // every tenth single entry is left out of the trail
-	CrashOnVersion   = "crash"     // a driver ends when it is to act on a version
-	AcceptOldDisk    = "old disk"  // a voter whose disk is old begins all the same
-	RejectRPCs       = "harm"      // every fourth RPC is pushed back under any version but the first
+	LongLease        = "lease"     // a driver holds its lease one and a half times as long as granted
+	IgnoreStragglers = "straggler" // versions are closed without waiting for drivers that have not confirmed
+	DropAuditEntries = "audit"     // every tenth single entry is missing from the audit trail
+	CrashOnVersion   = "crash"     // a driver exits when it is about to act on a version
+	AcceptOldDisk    = "old disk"  // a voter starts although its disk is out of date
+	RejectRPCs       = "harm"      // every fourth RPC is rejected under any version but the first
 )
 
-// Active tells whether this build has a fault.
+// Active reports whether the named fault is active in this build.
 func Active(string) bool { return false }
--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -1,11 +1,11 @@
 //go:build planted
 
-// Package planted plants the fault that a variable names.
+// Package planted activates the fault named by the environment variable SEDGESPREAD_PLANTED.
 package planted
 
 import "os"
 
-// Names of faults, as in a sound build.
+// Fault names, as in builds without the tag.
 const (
 	LongLease        = "lease"
 	IgnoreStragglers = "straggler"
@@ -17,5 +17,5 @@
 
 var fault = os.Getenv("SEDGESPREAD_PLANTED")
 
-// Active tells whether this build has a fault.
+// Active reports whether the named fault is active in this build.
 func Active(name string) bool { return name == fault }
