--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	milli  = int64(1_000_000)
-	second = 1000 * milli
+	millisecond = int64(1_000_000)
+	second      = 1000 * millisecond
 )
 
 // Config is what a fleet is made of. Times are nanoseconds.
@@ -58,57 +58,57 @@
 // Fleet is all members with what they hold. Its methods are to be called one after another.
 type Fleet struct {
 	Config
-	groups  []*group
-	members []*member
-	rng     *rand.Rand
-	service distuv.LogNormal
-	seen    *Checker
+	groups      []*group
+	members     []*member
+	rng         *rand.Rand
+	serviceTime distuv.LogNormal
+	checker     *Checker
 }
 
 type group struct {
 	number  int64
 	primary MemberID
-	log     map[string][]version // by key, the oldest first
-	feeds   []*feed
+	log     map[string][]write // by key, the oldest first
+	fills   []*fill
 }
 
-// version is what a write left.
-type version struct {
+// write is what a write left.
+type write struct {
 	position int64
-	value    string
+	id       string
 }
 
-// feed brings a tenant's writes of other groups into a group.
-type feed struct {
-	tenant string
-	from   []int64
+// fill brings a tenant's writes of other groups into a group.
+type fill struct {
+	tenant  string
+	sources []int64
 }
 
 type member struct {
-	group   *group
-	free    []int64 // by core, when it will be
-	starts  []int64 // of statements that wait, the first first
-	lag     int64   // of a replica
-	applied int64
-	slowed  int64 // everything takes so many times as long, 0 for 1
-	silent  int64 // it says nothing until then
-	mute    bool  // it does what it is told and loses the answers
-	started int64 // its last start, 0 for long ago
-	lives   int   // its starts, counted, so that what was taken before is not done after
-	drained int64 // it drains since, 0 for not
-	warden  versions.Warden
-	fed     []int64 // while it is cold, when statements came, the first first
+	group           *group
+	coreFreeAt      []int64 // by core, when it will be
+	queuedStarts    []int64 // of statements that wait, the first first
+	lag             int64   // of a replica
+	appliedPosition int64
+	slowdown        int64 // everything takes so many times as long, 0 for 1
+	pausedUntil     int64 // it says nothing until then
+	losesReplies    bool  // it does what it is told and loses the answers
+	startedAt       int64 // its last start, 0 for long ago
+	restarts        int   // its starts, counted, so that what was taken before is not done after
+	drainingSince   int64 // it drains since, 0 for not
+	fenceState      versions.Warden
+	coldArrivals    []int64 // while it is cold, when statements came, the first first
 }
 
 // NewFleet makes a fleet; groups are numbered from 1, and the first member of each is its primary.
-func NewFleet(s Config, seen *Checker) *Fleet {
-	f := &Fleet{Config: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), seen: seen}
-	f.service = distuv.LogNormal{Mu: 0, Sigma: s.ServiceSigma, Src: f.rng}
-	for g := range s.Groups {
-		at := &group{number: int64(g + 1), primary: MemberID(g * s.Members), log: map[string][]version{}}
-		f.groups = append(f.groups, at)
-		for range s.Members {
-			f.members = append(f.members, &member{group: at, free: make([]int64, s.Cores), lag: s.ReplicaLag/2 + f.rng.Int64N(s.ReplicaLag+1)})
+func NewFleet(config Config, checker *Checker) *Fleet {
+	f := &Fleet{Config: config, rng: rand.New(rand.NewPCG(config.Seed, 1)), checker: checker}
+	f.serviceTime = distuv.LogNormal{Mu: 0, Sigma: config.ServiceSigma, Src: f.rng}
+	for index := range config.Groups {
+		newGroup := &group{number: int64(index + 1), primary: MemberID(index * config.Members), log: map[string][]write{}}
+		f.groups = append(f.groups, newGroup)
+		for range config.Members {
+			f.members = append(f.members, &member{group: newGroup, coreFreeAt: make([]int64, config.Cores), lag: config.ReplicaLag/2 + f.rng.Int64N(config.ReplicaLag+1)})
 		}
 	}
 	return f
@@ -148,185 +148,185 @@
 )
 
 // Admit takes a statement in, and tells when it will be done.
-func (f *Fleet) Admit(now int64, m MemberID, s Statement) (done int64, r Admission) {
-	at := f.members[m]
-	f.seen.arrive(s, m, now)
-	f.judge(now, m, s)
-	turned := !at.warden.Takes(s.Fence) && f.RejectFenced
-	f.seen.fence(s, now, turned)
-	if turned {
-		f.seen.refuse(s)
+func (f *Fleet) Admit(now int64, m MemberID, s Statement) (done int64, admission Admission) {
+	target := f.members[m]
+	f.checker.recordArrival(s, m, now)
+	f.checkArrival(now, m, s)
+	fenced := !target.fenceState.Takes(s.Fence) && f.RejectFenced
+	f.checker.recordFence(s, now, fenced)
+	if fenced {
+		f.checker.recordRejection(s)
 		return 0, Fenced
 	}
-	if s.Write && at.group.primary != m {
-		f.seen.refuse(s)
+	if s.Write && target.group.primary != m {
+		f.checker.recordRejection(s)
 		return 0, NotPrimary
 	}
-	at.starts = slices.DeleteFunc(at.starts, func(start int64) bool { return start <= now })
-	if len(at.starts) >= f.QueueLimit {
-		f.seen.refuse(s)
+	target.queuedStarts = slices.DeleteFunc(target.queuedStarts, func(start int64) bool { return start <= now })
+	if len(target.queuedStarts) >= f.QueueLimit {
+		f.checker.recordRejection(s)
 		return 0, QueueFull
 	}
 	core := 0
-	for c, free := range at.free {
-		if free < at.free[core] {
-			core = c
+	for i, freeAt := range target.coreFreeAt {
+		if freeAt < target.coreFreeAt[core] {
+			core = i
 		}
 	}
-	start := max(now, at.free[core], at.silent)
-	took := int64(float64(f.ServiceTime) * f.service.Rand())
-	if at.slowed > 1 {
-		took *= at.slowed
+	start := max(now, target.coreFreeAt[core], target.pausedUntil)
+	duration := int64(float64(f.ServiceTime) * f.serviceTime.Rand())
+	if target.slowdown > 1 {
+		duration *= target.slowdown
 	}
-	took = int64(float64(took) / f.warmth(now, at))
-	at.free[core] = start + took
+	duration = int64(float64(duration) / f.capacityShare(now, target))
+	target.coreFreeAt[core] = start + duration
 	if start > now {
-		at.starts = append(at.starts, start)
+		target.queuedStarts = append(target.queuedStarts, start)
 	}
-	return start + took, Admitted
+	return start + duration, Admitted
 }
 
-// warmth is the part of its capacity that a member has.
-func (f *Fleet) warmth(now int64, m *member) float64 {
-	age := now - m.started
-	if m.started == 0 || f.ColdCapacity == 0 || age >= f.WarmUpTime {
+// capacityShare is the part of its capacity that a member has.
+func (f *Fleet) capacityShare(now int64, m *member) float64 {
+	age := now - m.startedAt
+	if m.startedAt == 0 || f.ColdCapacity == 0 || age >= f.WarmUpTime {
 		return 1
 	}
 	return f.ColdCapacity + (1-f.ColdCapacity)*float64(age)/float64(f.WarmUpTime)
 }
 
-// judge checks what reaches a member against the rules on members that drain and on cold ones.
-func (f *Fleet) judge(now int64, m MemberID, s Statement) {
-	at := f.members[m]
-	if at.drained != 0 && now-at.drained > f.DrainGrace {
-		f.seen.RecordViolation(RuleDraining, s.ID, "member %d got a call-out %d ms after it began to drain", m, (now-at.drained)/milli)
+// checkArrival checks what reaches a member against the rules on members that drain and on cold ones.
+func (f *Fleet) checkArrival(now int64, m MemberID, s Statement) {
+	target := f.members[m]
+	if target.drainingSince != 0 && now-target.drainingSince > f.DrainGrace {
+		f.checker.RecordViolation(RuleDraining, s.ID, "member %d got a call-out %d ms after it began to drain", m, (now-target.drainingSince)/millisecond)
 	}
-	share := f.warmth(now, at)
+	share := f.capacityShare(now, target)
 	if share == 1 {
-		at.fed = nil
+		target.coldArrivals = nil
 		return
 	}
-	at.fed = append(slices.DeleteFunc(at.fed, func(t int64) bool { return now-t > OverloadWindow }), now)
-	bears := f.OverloadFactor * share * f.MemberRate() * float64(OverloadWindow) / float64(second)
-	if float64(len(at.fed)) > bears+2*math.Sqrt(bears)+2 { // a little for chance
-		f.seen.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, got %d statements in %d ms", m, share, len(at.fed), OverloadWindow/milli)
-		at.silent = now + 10*second
+	target.coldArrivals = append(slices.DeleteFunc(target.coldArrivals, func(t int64) bool { return now-t > OverloadWindow }), now)
+	expectedMax := f.OverloadFactor * share * f.MemberRate() * float64(OverloadWindow) / float64(second)
+	if float64(len(target.coldArrivals)) > expectedMax+2*math.Sqrt(expectedMax)+2 { // a little for chance
+		f.checker.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, got %d statements in %d ms", m, share, len(target.coldArrivals), OverloadWindow/millisecond)
+		target.pausedUntil = now + 10*second
 	}
 }
 
 // SetDraining lets a member drain, or serve again.
-func (f *Fleet) SetDraining(now int64, m MemberID, drains bool) {
-	f.members[m].drained = 0
-	if drains {
-		f.members[m].drained = now
+func (f *Fleet) SetDraining(now int64, m MemberID, draining bool) {
+	f.members[m].drainingSince = 0
+	if draining {
+		f.members[m].drainingSince = now
 	}
 }
 
 // IsDraining tells whether a member drains.
-func (f *Fleet) IsDraining(m MemberID) bool { return f.members[m].drained != 0 }
+func (f *Fleet) IsDraining(m MemberID) bool { return f.members[m].drainingSince != 0 }
 
 // Restart starts a member anew: it is cold, and what it had taken is not done. Its data is still there.
 func (f *Fleet) Restart(now int64, m MemberID) {
-	at := f.members[m]
-	at.started, at.fed, at.starts, at.silent, at.free = now, nil, nil, 0, make([]int64, f.Cores)
-	at.lives++
+	target := f.members[m]
+	target.startedAt, target.coldArrivals, target.queuedStarts, target.pausedUntil, target.coreFreeAt = now, nil, nil, 0, make([]int64, f.Cores)
+	target.restarts++
 }
 
 // Started is when a member started last, 0 for long ago, and its how manieth life it is.
 func (f *Fleet) Started(m MemberID) (at int64, life int) {
-	return f.members[m].started, f.members[m].lives
+	return f.members[m].startedAt, f.members[m].restarts
 }
 
-// Answer is what a member says of itself, and of a statement what came of it.
-type Answer struct {
+// Response is what a member says of itself, and of a statement what came of it.
+type Response struct {
 	Value    string
 	Primary  bool
 	Position int64 // of the member, or of the write
-	Lost     bool  // it does not come
+	IsLost   bool  // it does not come
 }
 
 // Execute does a statement whose time has come.
-func (f *Fleet) Execute(now int64, m MemberID, s Statement) Answer {
-	at := f.members[m]
-	a := Answer{Primary: at.group.primary == m, Lost: at.mute}
+func (f *Fleet) Execute(now int64, m MemberID, s Statement) Response {
+	target := f.members[m]
+	response := Response{Primary: target.group.primary == m, IsLost: target.losesReplies}
 	if !s.Write {
-		a.Position = f.position(now, m)
-		own := at.apply(now) // what fills a group does not take back what it has
-		if a.Primary {
-			own = math.MaxInt64
+		response.Position = f.position(now, m)
+		applied := target.advance(now) // what fills a group does not take back what it has
+		if response.Primary {
+			applied = math.MaxInt64
 		}
-		a.Value = f.value(at.group, s.Key, own, a.Position)
-		return a
+		response.Value = f.visibleValue(target.group, s.Key, applied, response.Position)
+		return response
 	}
-	position := stamp(now)
-	if versions := at.group.log[s.Key]; len(versions) > 0 {
-		position = max(position, versions[len(versions)-1].position+milli)
+	position := roundPosition(now)
+	if writes := target.group.log[s.Key]; len(writes) > 0 {
+		position = max(position, writes[len(writes)-1].position+millisecond)
 	}
-	at.group.log[s.Key] = append(at.group.log[s.Key], version{position, s.ID})
-	f.seen.effect(s, at.group.number, position)
-	a.Value, a.Position = s.ID, position
-	return a
+	target.group.log[s.Key] = append(target.group.log[s.Key], write{position, s.ID})
+	f.checker.recordEffect(s, target.group.number, position)
+	response.Value, response.Position = s.ID, position
+	return response
 }
 
 // Status is what a member tells of itself.
-func (f *Fleet) Status(now int64, m MemberID) Answer {
-	return Answer{Primary: f.IsPrimary(m), Position: f.position(now, m)}
+func (f *Fleet) Status(now int64, m MemberID) Response {
+	return Response{Primary: f.IsPrimary(m), Position: f.position(now, m)}
 }
 
-// stamp is the position of a moment: positions are told in whole milliseconds.
-func stamp(now int64) int64 { return (now + milli - 1) / milli * milli }
+// roundPosition is the position of a moment: positions are told in whole milliseconds.
+func roundPosition(now int64) int64 { return (now + millisecond - 1) / millisecond * millisecond }
 
-// apply is how far a replica has its group's log: it never goes back, however its lag grows.
-func (m *member) apply(now int64) int64 {
-	m.applied = max(m.applied, stamp(now)-m.lag)
-	return m.applied
+// advance is how far a replica has its group's log: it never goes back, however its lag grows.
+func (m *member) advance(now int64) int64 {
+	m.appliedPosition = max(m.appliedPosition, roundPosition(now)-m.lag)
+	return m.appliedPosition
 }
 
 // position is how far a member has come: behind by its lag, and by what fills its group.
 func (f *Fleet) position(now int64, m MemberID) int64 {
-	at, p := f.members[m], stamp(now)
-	if at.group.primary != m {
-		p = at.apply(now)
+	target, p := f.members[m], roundPosition(now)
+	if target.group.primary != m {
+		p = target.advance(now)
 	}
-	if len(at.group.feeds) > 0 {
+	if len(target.group.fills) > 0 {
 		return p - f.FillLag
 	}
 	return p
 }
 
-// value is what a group shows of a key: of its own up to one position, and of what fills it just now up to another.
-func (f *Fleet) value(g *group, key string, own, filled int64) string {
-	v := newest(g.log[key], own)
-	for _, d := range g.feeds {
-		if d.tenant != TenantOf(key) {
+// visibleValue is what a group shows of a key: of its own up to one position, and of what fills it just now up to another.
+func (f *Fleet) visibleValue(g *group, key string, applied, filled int64) string {
+	latest := latestWrite(g.log[key], applied)
+	for _, active := range g.fills {
+		if active.tenant != TenantOf(key) {
 			continue
 		}
-		for _, from := range d.from {
-			if other := newest(f.find(from).log[key], filled); other.position > v.position {
-				v = other
+		for _, source := range active.sources {
+			if other := latestWrite(f.groupByNumber(source).log[key], filled); other.position > latest.position {
+				latest = other
 			}
 		}
 	}
-	return v.value
+	return latest.id
 }
 
-// newest is the newest version up to a position.
-func newest(versions []version, position int64) version {
-	n := sort.Search(len(versions), func(i int) bool { return versions[i].position > position })
+// latestWrite is the newest version up to a position.
+func latestWrite(writes []write, position int64) write {
+	n := sort.Search(len(writes), func(i int) bool { return writes[i].position > position })
 	if n == 0 {
-		return version{}
+		return write{}
 	}
-	return versions[n-1]
+	return writes[n-1]
 }
 
-func (f *Fleet) find(number int64) *group { return f.groups[number-1] }
+func (f *Fleet) groupByNumber(number int64) *group { return f.groups[number-1] }
 
 // BeginFill begins to fill groups with what others have of a tenant. It may be told more than once.
-func (f *Fleet) BeginFill(tenant string, from, to []int64) {
+func (f *Fleet) BeginFill(tenant string, sources, targets []int64) {
 	f.DiscardFill(tenant)
-	for _, number := range to {
-		g := f.find(number)
-		g.feeds = append(g.feeds, &feed{tenant: tenant, from: from})
+	for _, number := range targets {
+		g := f.groupByNumber(number)
+		g.fills = append(g.fills, &fill{tenant: tenant, sources: sources})
 	}
 }
 
@@ -334,12 +334,12 @@
 // nothing later comes.
 func (f *Fleet) EndFill(tenant string, position int64) {
 	for _, g := range f.groups {
-		for _, d := range g.feeds {
-			if d.tenant != tenant {
+		for _, active := range g.fills {
+			if active.tenant != tenant {
 				continue
 			}
-			for _, from := range d.from {
-				g.merge(f.find(from), tenant, position)
+			for _, source := range active.sources {
+				g.merge(f.groupByNumber(source), tenant, position)
 			}
 		}
 	}
@@ -347,15 +347,15 @@
 }
 
 // merge takes over what another group has of a tenant up to a position.
-func (g *group) merge(from *group, tenant string, position int64) {
-	for key, versions := range from.log {
+func (g *group) merge(source *group, tenant string, position int64) {
+	for key, writes := range source.log {
 		if TenantOf(key) != tenant {
 			continue
 		}
-		n := sort.Search(len(versions), func(i int) bool { return versions[i].position > position })
-		all := append(slices.Clone(g.log[key]), versions[:n]...)
-		slices.SortStableFunc(all, func(a, b version) int {
-			return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.value, b.value))
+		n := sort.Search(len(writes), func(i int) bool { return writes[i].position > position })
+		all := append(slices.Clone(g.log[key]), writes[:n]...)
+		slices.SortStableFunc(all, func(a, b write) int {
+			return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.id, b.id))
 		})
 		g.log[key] = slices.Compact(all)
 	}
@@ -364,26 +364,26 @@
 // DiscardFill ends the filling with a tenant's data and throws away what came.
 func (f *Fleet) DiscardFill(tenant string) {
 	for _, g := range f.groups {
-		g.feeds = slices.DeleteFunc(g.feeds, func(d *feed) bool { return d.tenant == tenant })
+		g.fills = slices.DeleteFunc(g.fills, func(candidate *fill) bool { return candidate.tenant == tenant })
 	}
 }
 
 // SetSlowdown makes a member so many times as slow; 1 makes it as before.
-func (f *Fleet) SetSlowdown(m MemberID, times int64) { f.members[m].slowed = times }
+func (f *Fleet) SetSlowdown(m MemberID, factor int64) { f.members[m].slowdown = factor }
 
 // PauseUntil lets a member stand still until a time.
-func (f *Fleet) PauseUntil(m MemberID, until int64) { f.members[m].silent = until }
+func (f *Fleet) PauseUntil(m MemberID, until int64) { f.members[m].pausedUntil = until }
 
 // SetReplyLoss makes a member lose its answers though it does what it is told.
-func (f *Fleet) SetReplyLoss(m MemberID, mute bool) { f.members[m].mute = mute }
+func (f *Fleet) SetReplyLoss(m MemberID, loses bool) { f.members[m].losesReplies = loses }
 
 // SetLag sets how far a replica is behind.
 func (f *Fleet) SetLag(now int64, m MemberID, lag int64) {
-	f.members[m].apply(now)
+	f.members[m].advance(now)
 	f.members[m].lag = lag
 }
 
 // HasWrite tells whether a group has a write of a key.
 func (f *Fleet) HasWrite(number int64, key, id string) bool {
-	return slices.ContainsFunc(f.find(number).log[key], func(v version) bool { return v.value == id })
+	return slices.ContainsFunc(f.groupByNumber(number).log[key], func(entry write) bool { return entry.id == id })
 }
--- a/internal/emulator/links/draw.go
+++ b/internal/emulator/links/draw.go
@@ -21,38 +21,38 @@
 
 // Draw draws a timeline of so long from a seed: each kind's troubles as a Poisson process of its own, so that one more kind
 // leaves the others' where they were.
-func Draw(seed uint64, span time.Duration, kinds []FaultSpec) (t Timeline) {
-	for i, k := range kinds {
+func Draw(seed uint64, span time.Duration, specs []FaultSpec) (timeline Timeline) {
+	for i, spec := range specs {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)+1))
-		gap := distuv.Exponential{Rate: 1 / k.MeanInterval.Seconds(), Src: rng}
-		for at := seconds(gap.Rand()); at < span; at += seconds(gap.Rand()) {
-			t = append(t, k.draw(rng, at)...)
+		interval := distuv.Exponential{Rate: 1 / spec.MeanInterval.Seconds(), Src: rng}
+		for at := seconds(interval.Rand()); at < span; at += seconds(interval.Rand()) {
+			timeline = append(timeline, spec.draw(rng, at)...)
 		}
 	}
-	return t.sorted()
+	return timeline.sorted()
 }
 
 // draw draws one trouble, which is two events where both directions fail.
-func (k *FaultSpec) draw(rng *rand.Rand, at time.Duration) []Event {
-	e := Event{At: at.Truncate(time.Millisecond), Fault: k.Fault, Share: k.Share, Jitter: k.Jitter, Amount: k.Amount}
-	if k.MaxAmount > k.Amount {
-		e.Amount += float64(int(rng.Float64()*(k.MaxAmount-k.Amount)*1000)) / 1000
+func (s *FaultSpec) draw(rng *rand.Rand, at time.Duration) []Event {
+	e := Event{At: at.Truncate(time.Millisecond), Fault: s.Fault, Share: s.Share, Jitter: s.Jitter, Amount: s.Amount}
+	if s.MaxAmount > s.Amount {
+		e.Amount += float64(int(rng.Float64()*(s.MaxAmount-s.Amount)*1000)) / 1000
 	}
-	if k.Fault.lasts() {
-		e.Duration = (k.MinDuration + time.Duration(rng.Float64()*float64(k.MaxDuration-k.MinDuration))).Truncate(time.Millisecond)
+	if s.Fault.hasDuration() {
+		e.Duration = (s.MinDuration + time.Duration(rng.Float64()*float64(s.MaxDuration-s.MinDuration))).Truncate(time.Millisecond)
 	}
-	if !k.Fault.onLinks() {
-		e.Process = k.Processes[rng.IntN(len(k.Processes))]
+	if !s.Fault.affectsLinks() {
+		e.Process = s.Processes[rng.IntN(len(s.Processes))]
 		return []Event{e}
 	}
-	e.Link = Link{k.From[rng.IntN(len(k.From))], k.To[rng.IntN(len(k.To))]}
+	e.Link = Link{s.From[rng.IntN(len(s.From))], s.To[rng.IntN(len(s.To))]}
 	if e.Link.From == e.Link.To {
 		e.Link.To = "*"
 	}
-	if !k.BothDirections {
+	if !s.BothDirections {
 		return []Event{e}
 	}
-	back := e
-	back.Link = e.Link.Reverse()
-	return []Event{e, back}
+	reverse := e
+	reverse.Link = e.Link.Reverse()
+	return []Event{e, reverse}
 }
--- a/internal/emulator/links/links.go
+++ b/internal/emulator/links/links.go
@@ -46,16 +46,16 @@
 	SkewClock                    // a process is killed and started again with a wall clock that is off by Amount
 )
 
-var names = [...]string{"delay", "silent", "cut", "lossy", "doubled", "shuffled", "slow", "reset", "chop", "pause", "kill", "empty",
+var faultNames = [...]string{"delay", "silent", "cut", "lossy", "doubled", "shuffled", "slow", "reset", "chop", "pause", "kill", "empty",
 	"old", "copy", "twin", "skew"}
 
-func (w FaultType) String() string { return names[w] }
+func (w FaultType) String() string { return faultNames[w] }
 
-// onLinks tells whether it happens to links; the others happen to processes.
-func (w FaultType) onLinks() bool { return w <= Truncate }
+// affectsLinks tells whether it happens to links; the others happen to processes.
+func (w FaultType) affectsLinks() bool { return w <= Truncate }
 
-// lasts tells whether it has an end.
-func (w FaultType) lasts() bool { return w != Reset && w != Truncate && w != CopyDisk }
+// hasDuration tells whether it has an end.
+func (w FaultType) hasDuration() bool { return w != Reset && w != Truncate && w != CopyDisk }
 
 // Event is one trouble.
 type Event struct {
@@ -72,11 +72,11 @@
 // String is the event as Parse reads it.
 func (e Event) String() string {
 	var b strings.Builder
-	where := e.Process
-	if e.Fault.onLinks() {
-		where = e.Link.String()
+	target := e.Process
+	if e.Fault.affectsLinks() {
+		target = e.Link.String()
 	}
-	fmt.Fprintf(&b, "%.3f %s %s", e.At.Seconds(), e.Fault, where)
+	fmt.Fprintf(&b, "%.3f %s %s", e.At.Seconds(), e.Fault, target)
 	switch e.Fault {
 	case Delay:
 		fmt.Fprintf(&b, " by %gs", e.Amount)
@@ -92,7 +92,7 @@
 	case Lose, Duplicate, Reorder:
 		fmt.Fprintf(&b, " share %g", e.Share)
 	}
-	if e.Fault.lasts() {
+	if e.Fault.hasDuration() {
 		fmt.Fprintf(&b, " for %gs", e.Duration.Seconds())
 	}
 	return b.String()
@@ -124,15 +124,15 @@
 }
 
 // ActiveFaults is what troubles links at a moment.
-type ActiveFaults struct{ now []Event }
+type ActiveFaults struct{ events []Event }
 
 // Add lets a trouble of links begin.
-func (w *ActiveFaults) Add(e Event) { w.now = append(w.now, e) }
+func (f *ActiveFaults) Add(e Event) { f.events = append(f.events, e) }
 
 // Remove ends it.
-func (w *ActiveFaults) Remove(e Event) {
-	if at := slices.Index(w.now, e); at >= 0 {
-		w.now = slices.Delete(w.now, at, at+1)
+func (f *ActiveFaults) Remove(e Event) {
+	if i := slices.Index(f.events, e); i >= 0 {
+		f.events = slices.Delete(f.events, i, i+1)
 	}
 }
 
@@ -145,35 +145,35 @@
 }
 
 // StateOf is how a way is now: all troubles on it together.
-func (w *ActiveFaults) StateOf(way Link) (s LinkState) {
-	for _, e := range w.now {
-		if !e.Link.Matches(way) {
+func (f *ActiveFaults) StateOf(link Link) (state LinkState) {
+	for _, e := range f.events {
+		if !e.Link.Matches(link) {
 			continue
 		}
 		switch e.Fault {
 		case Delay:
-			s.Delay += seconds(e.Amount)
-			s.Jitter += seconds(e.Jitter)
+			state.Delay += seconds(e.Amount)
+			state.Jitter += seconds(e.Jitter)
 		case Silent:
-			s.Silent = true
+			state.Silent = true
 		case Cut:
-			s.Cut = true
+			state.Cut = true
 		case Lose:
-			s.Lost = either(s.Lost, e.Share)
+			state.Lost = combinedProbability(state.Lost, e.Share)
 		case Duplicate:
-			s.Duplicated = either(s.Duplicated, e.Share)
+			state.Duplicated = combinedProbability(state.Duplicated, e.Share)
 		case Reorder:
-			s.Reordered = either(s.Reordered, e.Share)
+			state.Reordered = combinedProbability(state.Reordered, e.Share)
 		case Throttle:
-			if s.BytesPerSecond == 0 || e.Amount < s.BytesPerSecond {
-				s.BytesPerSecond = e.Amount
+			if state.BytesPerSecond == 0 || e.Amount < state.BytesPerSecond {
+				state.BytesPerSecond = e.Amount
 			}
 		}
 	}
-	return s
+	return state
 }
 
 func seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
 
-// either is the chance of at least one of two.
-func either(a, b float64) float64 { return 1 - (1-a)*(1-b) }
+// combinedProbability is the chance of at least one of two.
+func combinedProbability(a, b float64) float64 { return 1 - (1-a)*(1-b) }
--- a/internal/emulator/links/links_test.go
+++ b/internal/emulator/links/links_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func kinds() []FaultSpec {
+func testSpecs() []FaultSpec {
 	return []FaultSpec{
 		{Fault: Delay, MeanInterval: time.Second, From: []string{"a", "b"}, To: []string{"a", "b"}, MinDuration: time.Second, MaxDuration: 2 * time.Second, Amount: 0.01, MaxAmount: 0.1, Jitter: 0.02},
 		{Fault: Silent, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}, BothDirections: true, MinDuration: time.Second, MaxDuration: time.Second},
@@ -22,31 +22,31 @@
 }
 
 // Guards against a night that can't be played again: what is drawn is the same for a seed, and what is printed says it all.
-func TestTimelinesAreTheSameAgain(t *testing.T) {
-	drawn := Draw(7, 20*time.Second, kinds())
-	require.Equal(t, drawn, Draw(7, 20*time.Second, kinds()))
-	require.NotEqual(t, drawn, Draw(8, 20*time.Second, kinds()))
+func TestTimelineIsReproducible(t *testing.T) {
+	drawn := Draw(7, 20*time.Second, testSpecs())
+	require.Equal(t, drawn, Draw(7, 20*time.Second, testSpecs()))
+	require.NotEqual(t, drawn, Draw(8, 20*time.Second, testSpecs()))
 	require.Greater(t, len(drawn), 100)
-	read, err := Parse(drawn.String())
+	parsed, err := Parse(drawn.String())
 	require.NoError(t, err)
-	require.Equal(t, drawn, read)
+	require.Equal(t, drawn, parsed)
 	seen := map[FaultType]bool{}
 	for _, e := range drawn {
 		seen[e.Fault] = true
 		require.Less(t, e.At, 20*time.Second)
 		require.NotEqual(t, Link{"a", "a"}, e.Link)
 	}
-	require.Len(t, seen, len(kinds()))
+	require.Len(t, seen, len(testSpecs()))
 	require.Greater(t, drawn.End(), 19*time.Second)
-	fewer := Draw(7, 20*time.Second, kinds()[:2])
+	fewer := Draw(7, 20*time.Second, testSpecs()[:2])
 	for _, e := range fewer {
 		require.Contains(t, drawn, e, "one kind more leaves the others where they were")
 	}
 }
 
 // Guards against timelines that say what nobody meant.
-func TestTimelinesThatCantBeRead(t *testing.T) {
-	for text, says := range map[string]string{
+func TestParseRejectsMalformedTimelines(t *testing.T) {
+	for text, message := range map[string]string{
 		"1 delay":                            "line 1: a time, a trouble",
 		"# fine\n\nx delay a>b by 1s for 1s": "line 3: \"x\" is not a number",
 		"1 rain a>b for 1s":                  "no trouble \"rain\"",
@@ -67,7 +67,7 @@
 		"1 pause a for 1":                    "with \"s\"",
 	} {
 		_, err := Parse(text)
-		require.ErrorContains(t, err, says, text)
+		require.ErrorContains(t, err, message, text)
 	}
 	got, err := Parse("2 reset a>*\n1 skew a by -60s for 2s # minutes off")
 	require.NoError(t, err)
@@ -76,22 +76,22 @@
 }
 
 // Guards against troubles that hide one another.
-func TestTroublesAddUp(t *testing.T) {
-	var w ActiveFaults
-	e := func(what FaultType, from, to string, amount, share float64) Event {
-		return Event{Fault: what, Link: Link{from, to}, Amount: amount, Share: share}
+func TestFaultsCombine(t *testing.T) {
+	var faults ActiveFaults
+	event := func(fault FaultType, from, to string, amount, share float64) Event {
+		return Event{Fault: fault, Link: Link{from, to}, Amount: amount, Share: share}
 	}
-	all := []Event{e(Delay, "a", "b", 0.1, 0), e(Delay, "*", "b", 0.2, 0), e(Lose, "a", "*", 0, 0.5), e(Lose, "a", "b", 0, 0.5),
-		e(Throttle, "a", "b", 100, 0), e(Throttle, "a", "b", 10, 0), e(Silent, "b", "a", 0, 0)}
-	for _, k := range all {
-		w.Add(k)
+	all := []Event{event(Delay, "a", "b", 0.1, 0), event(Delay, "*", "b", 0.2, 0), event(Lose, "a", "*", 0, 0.5), event(Lose, "a", "b", 0, 0.5),
+		event(Throttle, "a", "b", 100, 0), event(Throttle, "a", "b", 10, 0), event(Silent, "b", "a", 0, 0)}
+	for _, active := range all {
+		faults.Add(active)
 	}
-	s := w.StateOf(Link{"a", "b"})
-	require.Equal(t, LinkState{Delay: 300 * time.Millisecond, Lost: 0.75, BytesPerSecond: 10}, s)
-	require.Equal(t, LinkState{Silent: true}, w.StateOf(Link{"b", "a"}), "each direction apart")
-	require.Equal(t, LinkState{}, w.StateOf(Link{"c", "d"}))
-	for _, k := range all {
-		w.Remove(k)
+	state := faults.StateOf(Link{"a", "b"})
+	require.Equal(t, LinkState{Delay: 300 * time.Millisecond, Lost: 0.75, BytesPerSecond: 10}, state)
+	require.Equal(t, LinkState{Silent: true}, faults.StateOf(Link{"b", "a"}), "each direction apart")
+	require.Equal(t, LinkState{}, faults.StateOf(Link{"c", "d"}))
+	for _, active := range all {
+		faults.Remove(active)
 	}
-	require.Equal(t, LinkState{}, w.StateOf(Link{"a", "b"}))
+	require.Equal(t, LinkState{}, faults.StateOf(Link{"a", "b"}))
 }
--- a/internal/emulator/links/relays/pair.go
+++ b/internal/emulator/links/relays/pair.go
@@ -10,24 +10,24 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// pair is one connection through a relay: two sockets, and a pipe for each direction.
-type pair struct {
-	n      *Network
-	way    links.Link
-	pipes  [2]*pipe // there, and back
-	life   context.Context
-	die    context.CancelFunc
-	socket [2]*net.TCPConn
-	once   sync.Once
+// connection is one connection through a relay: two sockets, and a pipe for each direction.
+type connection struct {
+	network   *Network
+	link      links.Link
+	streams   [2]*stream // there, and back
+	ctx       context.Context
+	cancel    context.CancelFunc
+	sockets   [2]*net.TCPConn
+	closeOnce sync.Once
 }
 
-// pipe takes bytes one way.
-type pipe struct {
-	p        *pair
-	way      links.Link
-	from, to *net.TCPConn
-	queue    chan chunk
-	left     atomic.Int64 // bytes until the connection is reset, below 0 for no such end
+// stream takes bytes one way.
+type stream struct {
+	connection *connection
+	link       links.Link
+	from, to   *net.TCPConn
+	queue      chan chunk
+	remaining  atomic.Int64 // bytes until the connection is reset, below 0 for no such end
 }
 
 // chunk is bytes on their way; without any it is the end.
@@ -37,34 +37,34 @@
 }
 
 const (
-	chunkBytes = 8 << 10
-	mostChunks = 64 // on their way; more stay with the sender, as they do in a socket's buffer
-	slowBytes  = 64 // at once where so many a second are let through
+	chunkBytes          = 8 << 10
+	maxQueuedChunks     = 64 // on their way; more stay with the sender, as they do in a socket's buffer
+	throttledWriteBytes = 64 // at once where so many a second are let through
 )
 
-func newPair(n *Network, way links.Link, c, d *net.TCPConn) *pair {
-	p := &pair{n: n, way: way, socket: [2]*net.TCPConn{c, d}}
-	p.life, p.die = context.WithCancel(n.life)
-	p.pipes = [2]*pipe{{p: p, way: way, from: c, to: d}, {p: p, way: way.Reverse(), from: d, to: c}}
-	for _, k := range p.pipes {
-		k.queue = make(chan chunk, mostChunks)
-		k.left.Store(-1)
+func newConnection(network *Network, link links.Link, client, server *net.TCPConn) *connection {
+	c := &connection{network: network, link: link, sockets: [2]*net.TCPConn{client, server}}
+	c.ctx, c.cancel = context.WithCancel(network.ctx)
+	c.streams = [2]*stream{{connection: c, link: link, from: client, to: server}, {connection: c, link: link.Reverse(), from: server, to: client}}
+	for _, stream := range c.streams {
+		stream.queue = make(chan chunk, maxQueuedChunks)
+		stream.remaining.Store(-1)
 	}
-	return p
+	return c
 }
 
 // run passes bytes both ways until both have ended, or one can't go on.
-func (p *pair) run() {
-	defer func() { p.close(p.life.Err() != nil) }() // one that was ended is reset, whoever comes to it first
-	defer context.AfterFunc(p.life, func() { p.close(true) })()
+func (c *connection) run() {
+	defer func() { c.close(c.ctx.Err() != nil) }() // one that was ended is reset, whoever comes to it first
+	defer context.AfterFunc(c.ctx, func() { c.close(true) })()
 	var both sync.WaitGroup
-	for _, k := range p.pipes {
+	for _, stream := range c.streams {
 		both.Add(1)
-		go k.read()
+		go stream.read()
 		go func() {
 			defer both.Done()
-			if !k.write() {
-				p.die()
+			if !stream.write() {
+				c.cancel()
 			}
 		}()
 	}
@@ -72,125 +72,125 @@
 }
 
 // close closes both sockets, with a reset if asked to.
-func (p *pair) close(reset bool) {
-	p.once.Do(func() {
-		for _, s := range p.socket {
+func (c *connection) close(reset bool) {
+	c.closeOnce.Do(func() {
+		for _, socket := range c.sockets {
 			if reset {
-				s.SetLinger(0)
+				socket.SetLinger(0)
 			}
-			s.Close()
+			socket.Close()
 		}
 	})
-	p.die()
+	c.cancel()
 }
 
 // reset ends the connection at once.
-func (p *pair) reset() {
-	p.n.count(func(c *Counts) { c.Reset++ })
-	p.close(true)
+func (c *connection) reset() {
+	c.network.updateCounts(func(counts *Counts) { counts.Reset++ })
+	c.close(true)
 }
 
-// chop lets so many more bytes pass on a way before the connection is reset.
-func (p *pair) chop(way links.Link, bytes int64) {
-	for _, k := range p.pipes {
-		if way.Matches(k.way) {
-			k.left.Store(bytes)
+// truncateAfter lets so many more bytes pass on a way before the connection is reset.
+func (c *connection) truncateAfter(link links.Link, bytes int64) {
+	for _, stream := range c.streams {
+		if link.Matches(stream.link) {
+			stream.remaining.Store(bytes)
 		}
 	}
 }
 
 // read takes bytes in and says when they are due. A sender that ends, or that has gone, is told behind what it sent.
-func (k *pipe) read() {
-	defer close(k.queue)
+func (s *stream) read() {
+	defer close(s.queue)
 	for {
 		buffer := make([]byte, chunkBytes)
-		got, err := k.from.Read(buffer)
-		state, _ := k.p.n.of(k.way)
-		if got > 0 && !k.put(chunk{buffer[:got], k.p.n.later(state)}) || err != nil {
+		n, err := s.from.Read(buffer)
+		state, _ := s.connection.network.linkState(s.link)
+		if n > 0 && !s.enqueue(chunk{buffer[:n], s.connection.network.arrivalTime(state)}) || err != nil {
 			return
 		}
 	}
 }
 
-func (k *pipe) put(c chunk) bool {
+func (s *stream) enqueue(c chunk) bool {
 	select {
-	case k.queue <- c:
+	case s.queue <- c:
 		return true
-	case <-k.p.life.Done():
+	case <-s.connection.ctx.Done():
 		return false
 	}
 }
 
 // write passes bytes on when they are due, and tells whether the sender's own end was the reason to stop.
-func (k *pipe) write() bool {
-	for c := range k.queue {
-		if !k.wait(time.Until(c.due)) || !k.pass(c.bytes) {
+func (s *stream) write() bool {
+	for c := range s.queue {
+		if !s.wait(time.Until(c.due)) || !s.forward(c.bytes) {
 			return false
 		}
 	}
-	if !k.hush() {
+	if !s.waitWhileSilent() {
 		return false
 	}
-	return k.to.CloseWrite() == nil
+	return s.to.CloseWrite() == nil
 }
 
 // wait waits, and tells whether the connection still lives.
-func (k *pipe) wait(d time.Duration) bool {
+func (s *stream) wait(d time.Duration) bool {
 	if d <= 0 {
-		return k.p.life.Err() == nil
+		return s.connection.ctx.Err() == nil
 	}
 	select {
 	case <-time.After(d):
 		return true
-	case <-k.p.life.Done():
+	case <-s.connection.ctx.Done():
 		return false
 	}
 }
 
-// hush waits while the way is silent, and tells whether the connection still lives.
-func (k *pipe) hush() bool {
-	begun := time.Now()
-	state, changed := k.p.n.of(k.way)
+// waitWhileSilent waits while the way is silent, and tells whether the connection still lives.
+func (s *stream) waitWhileSilent() bool {
+	start := time.Now()
+	state, changed := s.connection.network.linkState(s.link)
 	held := state.Silent
 	for state.Silent {
 		select {
 		case <-changed:
-		case <-k.p.life.Done():
+		case <-s.connection.ctx.Done():
 			return false
 		}
-		state, changed = k.p.n.of(k.way)
+		state, changed = s.connection.network.linkState(s.link)
 	}
 	if held {
-		k.p.n.count(func(c *Counts) { c.Held += time.Since(begun) })
+		s.connection.network.updateCounts(func(c *Counts) { c.Held += time.Since(start) })
 	}
-	return k.p.life.Err() == nil
+	return s.connection.ctx.Err() == nil
 }
 
-// pass sends bytes on as the way lets it.
-func (k *pipe) pass(bytes []byte) bool {
+// forward sends bytes on as the way lets it.
+func (s *stream) forward(bytes []byte) bool {
 	for len(bytes) > 0 {
-		if !k.hush() {
+		if !s.waitWhileSilent() {
 			return false
 		}
-		state, _ := k.p.n.of(k.way)
-		most := len(bytes)
+		state, _ := s.connection.network.linkState(s.link)
+		limit := len(bytes)
 		if state.BytesPerSecond > 0 {
-			most = min(most, slowBytes)
+			limit = min(limit, throttledWriteBytes)
 		}
-		left := k.left.Load()
-		if left >= 0 {
-			most = min(most, int(left))
+		remaining := s.remaining.Load()
+		if remaining >= 0 {
+			limit = min(limit, int(remaining))
 		}
-		if _, err := k.to.Write(bytes[:most]); err != nil {
+		if _, err := s.to.Write(bytes[:limit]); err != nil {
 			return false
 		}
-		k.p.n.count(func(c *Counts) { c.Bytes += int64(most) })
-		bytes = bytes[most:]
-		if left >= 0 && k.left.Add(-int64(most)) <= 0 {
-			k.p.n.count(func(c *Counts) { c.Truncated++ })
+		s.connection.network.updateCounts(func(c *Counts) { c.Bytes += int64(limit) })
+		bytes = bytes[limit:]
+		if remaining >= 0 && s.remaining.Add(-int64(limit)) <= 0 {
+			s.connection.network.updateCounts(func(c *Counts) { c.Truncated++ })
 			return false
 		}
-		if state.BytesPerSecond > 0 && !k.wait(time.Duration(float64(most)/state.BytesPerSecond*float64(time.Second))) {
+		if state.BytesPerSecond > 0 && !s.wait(time.Duration(float64(limit)/state.BytesPerSecond*float64(time.Second))) {
 			return false
 		}
 	}
--- a/internal/emulator/links/relays/player.go
+++ b/internal/emulator/links/relays/player.go
@@ -26,41 +26,41 @@
 
 // Player plays timelines.
 type Player struct {
-	Network   *Network
-	Processes map[string]Process
-	Output    io.Writer // where what is done is printed, nil for nowhere
-	mu        sync.Mutex
-	faults    map[links.FaultType]int
-	busy      map[string]*sync.Mutex
+	Network      *Network
+	Processes    map[string]Process
+	Output       io.Writer // where what is done is printed, nil for nowhere
+	mu           sync.Mutex
+	faultCounts  map[links.FaultType]int
+	processLocks map[string]*sync.Mutex
 }
 
 // FaultCounts are how many of each trouble were played.
 func (p *Player) FaultCounts() map[links.FaultType]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.faults)
+	return maps.Clone(p.faultCounts)
 }
 
 // Play plays a timeline to its end, or until the context ends; troubles that are on then end at once. What goes wrong with a
 // process is an error.
-func (p *Player) Play(ctx context.Context, t links.Timeline) error {
-	begun := time.Now()
-	var all sync.WaitGroup
-	defer all.Wait()
-	failed := make(chan error, len(t))
-	for _, e := range t {
-		if !Sleep(ctx, time.Until(begun.Add(e.At))) {
+func (p *Player) Play(ctx context.Context, timeline links.Timeline) error {
+	start := time.Now()
+	var wait sync.WaitGroup
+	defer wait.Wait()
+	failed := make(chan error, len(timeline))
+	for _, e := range timeline {
+		if !Sleep(ctx, time.Until(start.Add(e.At))) {
 			break
 		}
-		all.Add(1)
+		wait.Add(1)
 		go func() {
-			defer all.Done()
-			if err := p.play(ctx, e); err != nil {
+			defer wait.Done()
+			if err := p.playEvent(ctx, e); err != nil {
 				failed <- fmt.Errorf("%v: %w", e, err)
 			}
 		}()
 	}
-	all.Wait()
+	wait.Wait()
 	select {
 	case err := <-failed:
 		return err
@@ -69,13 +69,13 @@
 	}
 }
 
-// play lets one trouble begin and end.
-func (p *Player) play(ctx context.Context, e links.Event) error {
+// playEvent lets one trouble begin and end.
+func (p *Player) playEvent(ctx context.Context, e links.Event) error {
 	p.mu.Lock()
-	if p.faults == nil {
-		p.faults, p.busy = map[links.FaultType]int{}, map[string]*sync.Mutex{}
+	if p.faultCounts == nil {
+		p.faultCounts, p.processLocks = map[links.FaultType]int{}, map[string]*sync.Mutex{}
 	}
-	p.faults[e.Fault]++
+	p.faultCounts[e.Fault]++
 	if p.Output != nil {
 		fmt.Fprintln(p.Output, e)
 	}
@@ -90,23 +90,23 @@
 	case process == nil:
 		return fmt.Errorf("there is no process %q", e.Process)
 	}
-	mine := p.of(e.Process) // one trouble of a process at a time
-	mine.Lock()
-	defer mine.Unlock()
-	return p.befall(ctx, process, e)
+	lock := p.processLock(e.Process) // one trouble of a process at a time
+	lock.Lock()
+	defer lock.Unlock()
+	return p.applyToProcess(ctx, process, e)
 }
 
-func (p *Player) of(name string) *sync.Mutex {
+func (p *Player) processLock(name string) *sync.Mutex {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[name] == nil {
-		p.busy[name] = &sync.Mutex{}
+	if p.processLocks[name] == nil {
+		p.processLocks[name] = &sync.Mutex{}
 	}
-	return p.busy[name]
+	return p.processLocks[name]
 }
 
-// befall lets a trouble befall a process.
-func (p *Player) befall(ctx context.Context, process Process, e links.Event) error {
+// applyToProcess lets a trouble befall a process.
+func (p *Player) applyToProcess(ctx context.Context, process Process, e links.Event) error {
 	switch e.Fault {
 	case links.Pause:
 		if err := process.Pause(); err != nil {
--- a/internal/emulator/links/relays/relays.go
+++ b/internal/emulator/links/relays/relays.go
@@ -16,17 +16,17 @@
 
 // Network is all relays of a trial.
 type Network struct {
-	life  context.Context
-	die   context.CancelFunc
-	tasks errgroup.Group
+	ctx    context.Context
+	cancel context.CancelFunc
+	tasks  errgroup.Group
 
-	mu      sync.Mutex
-	weather links.ActiveFaults
-	changed chan struct{} // closed when the weather changes
-	rng     *rand.Rand
-	pairs   map[*pair]bool
-	doors   []interface{ Close() error }
-	counts  Counts
+	mu          sync.Mutex
+	faults      links.ActiveFaults
+	changed     chan struct{} // closed when the weather changes
+	rng         *rand.Rand
+	connections map[*connection]bool
+	listeners   []interface{ Close() error }
+	counts      Counts
 }
 
 // Counts are what was done to bytes, so that a trial can tell that its troubles took place.
@@ -40,20 +40,20 @@
 
 // New makes a net without relays. What is left to chance is drawn from a seed.
 func New(seed uint64) *Network {
-	n := &Network{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 99)), pairs: map[*pair]bool{}}
-	n.life, n.die = context.WithCancel(context.Background())
+	n := &Network{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 99)), connections: map[*connection]bool{}}
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
 }
 
 // Close ends all relays and what goes through them.
 func (n *Network) Close() {
-	n.die()
+	n.cancel()
 	n.mu.Lock()
-	for _, d := range n.doors {
-		d.Close()
+	for _, listener := range n.listeners {
+		listener.Close()
 	}
-	for p := range n.pairs {
-		go p.reset()
+	for c := range n.connections {
+		go c.reset()
 	}
 	n.mu.Unlock()
 	n.tasks.Wait()
@@ -66,56 +66,56 @@
 	return n.counts
 }
 
-func (n *Network) count(do func(c *Counts)) {
+func (n *Network) updateCounts(update func(c *Counts)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do(&n.counts)
+	update(&n.counts)
 }
 
-// of is how a way is, and what is closed once that may have changed.
-func (n *Network) of(way links.Link) (links.LinkState, <-chan struct{}) {
+// linkState is how a way is, and what is closed once that may have changed.
+func (n *Network) linkState(link links.Link) (links.LinkState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.weather.StateOf(way), n.changed
+	return n.faults.StateOf(link), n.changed
 }
 
-// later is when what is sent now arrives.
-func (n *Network) later(s links.LinkState) time.Time {
-	due := time.Now().Add(s.Delay)
-	if s.Jitter > 0 {
+// arrivalTime is when what is sent now arrives.
+func (n *Network) arrivalTime(state links.LinkState) time.Time {
+	due := time.Now().Add(state.Delay)
+	if state.Jitter > 0 {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		due = due.Add(time.Duration(n.rng.Int64N(int64(s.Jitter))))
+		due = due.Add(time.Duration(n.rng.Int64N(int64(state.Jitter))))
 	}
 	return due
 }
 
-// chance draws whether something with a share happens.
-func (n *Network) chance(share float64) bool {
-	if share <= 0 {
+// happens draws whether something with a share happens.
+func (n *Network) happens(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rng.Float64() < share
+	return n.rng.Float64() < probability
 }
 
 // Begin lets a trouble of links begin.
 func (n *Network) Begin(e links.Event) {
 	switch e.Fault {
 	case links.Reset:
-		n.each(e.Link, func(p *pair) { p.reset() })
+		n.forEachConnection(e.Link, func(c *connection) { c.reset() })
 		return
 	case links.Truncate:
-		n.each(e.Link, func(p *pair) { p.chop(e.Link, int64(e.Amount)) })
+		n.forEachConnection(e.Link, func(c *connection) { c.truncateAfter(e.Link, int64(e.Amount)) })
 		return
 	}
 	n.mu.Lock()
-	n.weather.Add(e)
-	n.change()
+	n.faults.Add(e)
+	n.notifyChange()
 	n.mu.Unlock()
 	if e.Fault == links.Cut {
-		n.each(e.Link, func(p *pair) { p.reset() })
+		n.forEachConnection(e.Link, func(c *connection) { c.reset() })
 	}
 }
 
@@ -123,86 +123,86 @@
 func (n *Network) End(e links.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.weather.Remove(e)
-	n.change()
+	n.faults.Remove(e)
+	n.notifyChange()
 }
 
-func (n *Network) change() {
+func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// each does something to all connections that a way is a direction of.
-func (n *Network) each(way links.Link, do func(p *pair)) {
+// forEachConnection does something to all connections that a way is a direction of.
+func (n *Network) forEachConnection(link links.Link, do func(c *connection)) {
 	n.mu.Lock()
-	var hit []*pair
-	for p := range n.pairs {
-		if way.Matches(p.way) || way.Matches(p.way.Reverse()) {
-			hit = append(hit, p)
+	var matching []*connection
+	for c := range n.connections {
+		if link.Matches(c.link) || link.Matches(c.link.Reverse()) {
+			matching = append(matching, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, p := range hit {
-		do(p)
+	for _, c := range matching {
+		do(c)
 	}
 }
 
 // RelayTCP gives the address at which the connections of one process to another are taken on their way to where that is.
-func (n *Network) RelayTCP(way links.Link, target string) (address string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (n *Network) RelayTCP(link links.Link, target string) (address string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	n.keep(l)
+	n.addListener(listener)
 	n.tasks.Go(func() error {
 		for {
-			c, err := l.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return nil
 			}
-			n.tasks.Go(func() error { n.join(way, c.(*net.TCPConn), target); return nil })
+			n.tasks.Go(func() error { n.relayConnection(link, client.(*net.TCPConn), target); return nil })
 		}
 	})
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-func (n *Network) keep(door interface{ Close() error }) {
+func (n *Network) addListener(listener interface{ Close() error }) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.doors = append(n.doors, door)
+	n.listeners = append(n.listeners, listener)
 }
 
-const connectWithin = time.Second
+const connectTimeout = time.Second
 
-// cut tells whether a link is cut in either direction.
-func (n *Network) cut(way links.Link) bool {
-	there, _ := n.of(way)
-	answers, _ := n.of(way.Reverse())
-	return there.Cut || answers.Cut
+// isCut tells whether a link is cut in either direction.
+func (n *Network) isCut(link links.Link) bool {
+	forward, _ := n.linkState(link)
+	reverse, _ := n.linkState(link.Reverse())
+	return forward.Cut || reverse.Cut
 }
 
-// join joins a connection to its target, unless the link is cut.
-func (n *Network) join(way links.Link, c *net.TCPConn, target string) {
-	d, err := net.Conn(nil), error(net.ErrClosed)
-	if !n.cut(way) {
-		d, err = (&net.Dialer{Timeout: connectWithin}).DialContext(n.life, "tcp", target)
+// relayConnection joins a connection to its target, unless the link is cut.
+func (n *Network) relayConnection(link links.Link, client *net.TCPConn, target string) {
+	server, err := net.Conn(nil), error(net.ErrClosed)
+	if !n.isCut(link) {
+		server, err = (&net.Dialer{Timeout: connectTimeout}).DialContext(n.ctx, "tcp", target)
 	}
 	if err != nil {
-		n.count(func(k *Counts) { k.Refused++ })
-		c.SetLinger(0)
-		c.Close()
+		n.updateCounts(func(counts *Counts) { counts.Refused++ })
+		client.SetLinger(0)
+		client.Close()
 		return
 	}
-	p := newPair(n, way, c, d.(*net.TCPConn))
+	c := newConnection(n, link, client, server.(*net.TCPConn))
 	n.mu.Lock()
-	n.pairs[p] = true
+	n.connections[c] = true
 	n.counts.Connections++
 	n.mu.Unlock()
-	if n.cut(way) { // meanwhile
-		p.reset()
+	if n.isCut(link) { // meanwhile
+		c.reset()
 	}
-	p.run()
+	c.run()
 	n.mu.Lock()
-	delete(n.pairs, p)
+	delete(n.connections, c)
 	n.mu.Unlock()
 }
--- a/internal/emulator/sight.go
+++ b/internal/emulator/sight.go
@@ -7,11 +7,11 @@
 
 // Checker is what members and clients saw, and the breaches of the rules found in it. It may be used by many at once.
 type Checker struct {
-	mu       sync.Mutex
-	rpcs     map[string]*sighting
-	acked    map[string][]ack // by key, what its clients were told is there
-	breaches []Violation
-	fenced   []FencedAttempt
+	mu             sync.Mutex
+	rpcs           map[string]*rpcRecord
+	acknowledged   map[string][]acknowledgedWrite // by key, what its clients were told is there
+	violations     []Violation
+	fencedAttempts []FencedAttempt
 }
 
 // FencedAttempt is a call-out that a member got, with the version that its driver says to have made it under.
@@ -23,36 +23,36 @@
 	Rejected bool // the member turned it away for that
 }
 
-// fence notes a call-out that came with a version.
-func (s *Checker) fence(st Statement, now int64, turned bool) {
-	if st.Fence.Version == 0 {
+// recordFence notes a call-out that came with a version.
+func (s *Checker) recordFence(statement Statement, now int64, rejected bool) {
+	if statement.Fence.Version == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fenced = append(s.fenced, FencedAttempt{At: now, Fence: uint64(st.Fence.Version), RPC: st.ID, Write: st.Write, Rejected: turned})
+	s.fencedAttempts = append(s.fencedAttempts, FencedAttempt{At: now, Fence: uint64(statement.Fence.Version), RPC: statement.ID, Write: statement.Write, Rejected: rejected})
 }
 
 // FencedAttempts are all call-outs that came with a version, as they came.
 func (s *Checker) FencedAttempts() []FencedAttempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]FencedAttempt(nil), s.fenced...)
+	return append([]FencedAttempt(nil), s.fencedAttempts...)
 }
 
-// sighting is one RPC.
-type sighting struct {
-	once     bool // non-idempotent
-	key      string
-	calls    int // that members got
-	refused  int // of those, by members that did nothing
-	effects  int
-	group    int64 // where it ran, and the position that it has there
-	position int64
-	answers  int
+// rpcRecord is one RPC.
+type rpcRecord struct {
+	nonIdempotent bool // non-idempotent
+	key           string
+	attempts      int // that members got
+	rejected      int // of those, by members that did nothing
+	effects       int
+	group         int64 // where it ran, and the position that it has there
+	position      int64
+	answers       int
 }
 
-type ack struct {
+type acknowledgedWrite struct {
 	id       string
 	position int64
 }
@@ -65,7 +65,9 @@
 }
 
 // NewChecker makes one that has seen nothing.
-func NewChecker() *Checker { return &Checker{rpcs: map[string]*sighting{}, acked: map[string][]ack{}} }
+func NewChecker() *Checker {
+	return &Checker{rpcs: map[string]*rpcRecord{}, acknowledged: map[string][]acknowledgedWrite{}}
+}
 
 // Names of rules in breaches.
 const (
@@ -80,14 +82,14 @@
 	RuleOldDisk         = "no voter with an old disk"
 )
 
-func (s *Checker) breach(rule, rpc, format string, args ...any) {
-	s.breaches = append(s.breaches, Violation{rule, rpc, fmt.Sprintf(format, args...)})
+func (s *Checker) addViolation(rule, rpc, format string, args ...any) {
+	s.violations = append(s.violations, Violation{rule, rpc, fmt.Sprintf(format, args...)})
 }
 
-func (s *Checker) rpc(id string) *sighting {
+func (s *Checker) record(id string) *rpcRecord {
 	r := s.rpcs[id]
 	if r == nil {
-		r = &sighting{}
+		r = &rpcRecord{}
 		s.rpcs[id] = r
 	}
 	return r
@@ -97,7 +99,7 @@
 func (s *Checker) RecordViolation(rule, rpc, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breach(rule, rpc, format, args...)
+	s.addViolation(rule, rpc, format, args...)
 }
 
 // AllRules are those that are checked.
@@ -106,37 +108,37 @@
 }
 
 // RecordSent notes that a client sends an RPC.
-func (s *Checker) RecordSent(id, key string, once bool) {
+func (s *Checker) RecordSent(id, key string, nonIdempotent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.rpc(id)
-	r.once, r.key = once, key
+	r := s.record(id)
+	r.nonIdempotent, r.key = nonIdempotent, key
 }
 
-// arrive notes that a member got a call-out.
-func (s *Checker) arrive(st Statement, m MemberID, now int64) {
+// recordArrival notes that a member got a call-out.
+func (s *Checker) recordArrival(statement Statement, m MemberID, now int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.rpc(st.ID)
-	r.calls++
-	if r.once && r.calls-r.refused > 1 {
-		s.breach(RuleDuplicateEffect, st.ID, "member %d got a call-out at %d though an earlier one may have run", m, now)
+	r := s.record(statement.ID)
+	r.attempts++
+	if r.nonIdempotent && r.attempts-r.rejected > 1 {
+		s.addViolation(RuleDuplicateEffect, statement.ID, "member %d got a call-out at %d though an earlier one may have run", m, now)
 	}
 }
 
-func (s *Checker) refuse(st Statement) {
+func (s *Checker) recordRejection(statement Statement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rpc(st.ID).refused++
+	s.record(statement.ID).rejected++
 }
 
-// effect notes that a write ran.
-func (s *Checker) effect(st Statement, group, position int64) {
+// recordEffect notes that a write ran.
+func (s *Checker) recordEffect(statement Statement, group, position int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.rpc(st.ID)
+	r := s.record(statement.ID)
 	if r.effects++; r.effects > 1 {
-		s.breach(RuleDuplicateEffect, st.ID, "ran in group %d at %d after it ran in group %d", group, position, r.group)
+		s.addViolation(RuleDuplicateEffect, statement.ID, "ran in group %d at %d after it ran in group %d", group, position, r.group)
 	}
 	r.group, r.position = group, position
 }
@@ -145,24 +147,24 @@
 func (s *Checker) RecordAnswer(id string, served bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.rpc(id)
+	r := s.record(id)
 	if r.answers++; r.answers > 1 {
-		s.breach(RuleOneAnswer, id, "got answer %d", r.answers)
+		s.addViolation(RuleOneAnswer, id, "got answer %d", r.answers)
 	}
-	if !r.once || !served {
+	if !r.nonIdempotent || !served {
 		return
 	}
 	if r.effects == 0 {
-		s.breach(RuleLostWrite, id, "was said to be served and never ran")
+		s.addViolation(RuleLostWrite, id, "was said to be served and never ran")
 	}
-	s.acked[r.key] = append(s.acked[r.key], ack{id, r.position})
+	s.acknowledged[r.key] = append(s.acknowledged[r.key], acknowledgedWrite{id, r.position})
 }
 
 // LastAcknowledged is the write of a key that its client was told of last, with the position that it was told.
 func (s *Checker) LastAcknowledged(key string) (id string, position int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if all := s.acked[key]; len(all) > 0 {
+	if all := s.acknowledged[key]; len(all) > 0 {
 		last := all[len(all)-1]
 		return last.id, last.position
 	}
@@ -171,32 +173,32 @@
 
 // Read notes what a read showed of a key of which its client knew a write. Writes of a key come one after another, and
 // ids grow, so that a lower one is older.
-func (s *Checker) Read(id, key, shown, known string) {
-	if shown >= known {
+func (s *Checker) Read(id, key, shown, acknowledged string) {
+	if shown >= acknowledged {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breach(RuleStaleRead, id, "showed %q of %q, where %q was known to be there", shown, key, known)
+	s.addViolation(RuleStaleRead, id, "showed %q of %q, where %q was known to be there", shown, key, acknowledged)
 }
 
 // RecordNoAnswer notes the RPCs that never got an answer though their clients waited.
 func (s *Checker) RecordNoAnswer(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breach(RuleOneAnswer, id, "got no answer")
+	s.addViolation(RuleOneAnswer, id, "got no answer")
 }
 
 // CheckAcknowledged checks, when all is over, that every acknowledged write is where its key's tenant is in the end.
 func (s *Checker) CheckAcknowledged(f *Fleet, group func(key string) int64) (writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, all := range s.acked {
-		at := group(key)
-		for _, a := range all {
+	for key, all := range s.acknowledged {
+		current := group(key)
+		for _, entry := range all {
 			writes++
-			if !f.HasWrite(at, key, a.id) {
-				s.breach(RuleLostWrite, a.id, "acknowledged for %q, not in group %d (ran in %d)", key, at, s.rpcs[a.id].group)
+			if !f.HasWrite(current, key, entry.id) {
+				s.addViolation(RuleLostWrite, entry.id, "acknowledged for %q, not in group %d (ran in %d)", key, current, s.rpcs[entry.id].group)
 			}
 		}
 	}
@@ -207,5 +209,5 @@
 func (s *Checker) Violations() []Violation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Violation(nil), s.breaches...)
+	return append([]Violation(nil), s.violations...)
 }
--- a/internal/emulator/sockets/addresses_test.go
+++ b/internal/emulator/sockets/addresses_test.go
@@ -7,12 +7,12 @@
 )
 
 // Guards against two drivers of one trial that are told the same address, drawn for each by a call of its own.
-func TestAddressesAreGivenAwayOnce(t *testing.T) {
-	given := map[string]bool{}
+func TestFreeAddressesNeverRepeats(t *testing.T) {
+	seen := map[string]bool{}
 	for range 1000 {
 		free, err := FreeAddresses(1)
 		require.NoError(t, err)
-		require.False(t, given[free[0]], free[0])
-		given[free[0]] = true
+		require.False(t, seen[free[0]], free[0])
+		seen[free[0]] = true
 	}
 }
--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -47,67 +47,67 @@
 
 // Clients ask drivers. Each RPC has a connection of its own while it is open; connections are used again.
 type Clients struct {
-	fleet   *Fleet
-	sockets *transport.Descriptors
-	last    atomic.Uint64
-	mu      sync.Mutex
-	idle    map[string][]protocol.Member
+	fleet       *Fleet
+	descriptors *transport.Descriptors
+	lastID      atomic.Uint64
+	mu          sync.Mutex
+	idle        map[string][]protocol.Member
 }
 
 // NewClients makes clients of a fleet's drivers.
 func (f *Fleet) NewClients() *Clients {
-	return &Clients{fleet: f, sockets: transport.NewDescriptors(mostConns), idle: map[string][]protocol.Member{}}
+	return &Clients{fleet: f, descriptors: transport.NewDescriptors(maxConns), idle: map[string][]protocol.Member{}}
 }
 
 const (
-	connectWithin = time.Second
-	clientSlack   = 100 * time.Millisecond // an answer may come so late and still counts as one
+	connectTimeout = time.Second
+	answerSlack    = 100 * time.Millisecond // an answer may come so late and still counts as one
 )
 
 // Call asks a driver and waits for the answer.
-func (c *Clients) Call(ctx context.Context, address string, r RPC) (reply Reply) {
-	reply.ID = fmt.Sprintf("%016x", c.last.Add(1))
-	begun := time.Now()
-	defer func() { reply.Latency = time.Since(begun) }()
-	m, ok := c.take(address)
+func (c *Clients) Call(ctx context.Context, address string, rpc RPC) (reply Reply) {
+	reply.ID = fmt.Sprintf("%016x", c.lastID.Add(1))
+	start := time.Now()
+	defer func() { reply.Latency = time.Since(start) }()
+	conn, ok := c.takeIdle(address)
 	if !ok {
-		by, stop := context.WithTimeout(ctx, connectWithin)
+		deadline, stop := context.WithTimeout(ctx, connectTimeout)
 		defer stop()
-		var end transport.CloseReason
-		if m, end = protocol.Connect(c.fleet.life, by, c.sockets, address, 1<<20, nil); end != transport.Open {
+		var reason transport.CloseReason
+		if conn, reason = protocol.Connect(c.fleet.ctx, deadline, c.descriptors, address, 1<<20, nil); reason != transport.Open {
 			reply.Outcome = ConnectFailed
 			return reply
 		}
 	}
-	c.fleet.RecordSent(reply.ID, r.Key, r.Write)
-	by, stop := context.WithTimeout(ctx, r.Timeout+clientSlack)
+	c.fleet.RecordSent(reply.ID, rpc.Key, rpc.Write)
+	deadline, stop := context.WithTimeout(ctx, rpc.Timeout+answerSlack)
 	defer stop()
-	a, _, end := m.Query(by, r.statement(reply.ID))
-	reply.Outcome = fateOf(a, end)
-	if a != nil && a.Failure == nil {
-		reply.Value = a.Value()
-	} else if a != nil {
-		millis, _ := strconv.ParseInt(a.Failure.Detail, 10, 64)
+	answer, _, reason := conn.Query(deadline, rpc.statement(reply.ID))
+	reply.Outcome = outcomeOf(answer, reason)
+	if answer != nil && answer.Failure == nil {
+		reply.Value = answer.Value()
+	} else if answer != nil {
+		millis, _ := strconv.ParseInt(answer.Failure.Detail, 10, 64)
 		reply.RetryAfter = time.Duration(millis) * time.Millisecond
 	}
 	if reply.Outcome <= Aborted {
 		c.fleet.RecordAnswer(reply.ID, reply.Outcome == Served)
-		if end == transport.Open {
-			c.give(address, m)
+		if reason == transport.Open {
+			c.putIdle(address, conn)
 		}
 	}
 	return reply
 }
 
-func fateOf(a *protocol.Answer, end transport.CloseReason) Outcome {
+func outcomeOf(answer *protocol.Answer, reason transport.CloseReason) Outcome {
 	switch {
-	case a != nil && a.Failure == nil:
+	case answer != nil && answer.Failure == nil:
 		return Served
-	case a != nil && (a.Failure.SQLState == protocol.StateTooManyConnections || a.Failure.SQLState == protocol.StateCannotConnectNow):
+	case answer != nil && (answer.Failure.SQLState == protocol.StateTooManyConnections || answer.Failure.SQLState == protocol.StateCannotConnectNow):
 		return Rejected
-	case a != nil:
+	case answer != nil:
 		return Aborted
-	case end == transport.TimedOut || end == transport.Cancelled:
+	case reason == transport.TimedOut || reason == transport.Cancelled:
 		return TimedOut
 	}
 	return ConnectionLost
@@ -129,24 +129,24 @@
 	return fmt.Sprintf("SELECT content FROM kv WHERE name = '%s' /* %s */", r.Key, comment)
 }
 
-func (c *Clients) take(address string) (protocol.Member, bool) {
+func (c *Clients) takeIdle(address string) (protocol.Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for n := len(c.idle[address]); n > 0; n = len(c.idle[address]) {
-		m := c.idle[address][n-1]
+		conn := c.idle[address][n-1]
 		c.idle[address] = c.idle[address][:n-1]
-		if m.HasNoPendingInput() {
-			return m, true
+		if conn.HasNoPendingInput() {
+			return conn, true
 		}
-		m.Close(transport.Evicted)
+		conn.Close(transport.Evicted)
 	}
 	return protocol.Member{}, false
 }
 
-func (c *Clients) give(address string, m protocol.Member) {
+func (c *Clients) putIdle(address string, conn protocol.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle[address] = append(c.idle[address], m)
+	c.idle[address] = append(c.idle[address], conn)
 }
 
 // Close lets all connections go.
@@ -154,8 +154,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, idle := range c.idle {
-		for _, m := range idle {
-			m.Close(transport.ShutDown)
+		for _, conn := range idle {
+			conn.Close(transport.ShutDown)
 		}
 	}
 	c.idle = map[string][]protocol.Member{}
--- a/internal/emulator/sockets/drivers.go
+++ b/internal/emulator/sockets/drivers.go
@@ -33,19 +33,19 @@
 
 // Driver is a driver's process.
 type Driver struct {
-	Name     string
-	Address  string
-	Disk     string // what it keeps over a restart, empty for nothing
-	program  string
-	env      []string
-	twin     []string // the environment of another of its name
-	off      time.Duration
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	done     chan struct{}
-	troubled time.Time // it was paused or killed last, or is
-	trouble  sync.Mutex
-	log      bytes.Buffer
+	Name        string
+	Address     string
+	Disk        string // what it keeps over a restart, empty for nothing
+	program     string
+	env         []string
+	twinEnv     []string // the environment of another of its name
+	clockOffset time.Duration
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	done        chan struct{}
+	disruptedAt time.Time // it was paused or killed last, or is
+	exclusive   sync.Mutex
+	log         bytes.Buffer
 }
 
 // write lets a driver's output be kept.
@@ -62,8 +62,8 @@
 	return d.log.String()
 }
 
-// handedOut are the addresses that this process gave away: the system may offer one again before whoever got it listens there.
-var handedOut = struct {
+// reservedAddresses are the addresses that this process gave away: the system may offer one again before whoever got it listens there.
+var reservedAddresses = struct {
 	sync.Mutex
 	addresses map[string]bool
 }{addresses: map[string]bool{}}
@@ -71,16 +71,16 @@
 // FreeAddresses are loopback addresses that were free a moment ago, none given away before. Nobody connects from where they are, which
 // would take the port of one that is not listened on yet, or not for a while.
 func FreeAddresses(count int) (free []string, err error) {
-	handedOut.Lock()
-	defer handedOut.Unlock()
+	reservedAddresses.Lock()
+	defer reservedAddresses.Unlock()
 	for len(free) < count {
-		l, err := net.Listen("tcp", "127.0.0.2:0")
+		listener, err := net.Listen("tcp", "127.0.0.2:0")
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
-		if address := l.Addr().String(); !handedOut.addresses[address] {
-			handedOut.addresses[address] = true
+		defer listener.Close()
+		if address := listener.Addr().String(); !reservedAddresses.addresses[address] {
+			reservedAddresses.addresses[address] = true
 			free = append(free, address)
 		}
 	}
@@ -89,12 +89,12 @@
 
 // NewDrivers writes what so many drivers are told into files in a directory and gives them, not started. The operator's
 // text is each one's, empty for no file.
-func (f *Fleet) NewDrivers(program, dir string, count int, methods []Method, text func(i int) string) (drivers []*Driver, err error) {
-	classes, levels := []any{}, []any{}
+func (f *Fleet) NewDrivers(program, dir string, count int, methods []Method, operatorText func(i int) string) (drivers []*Driver, err error) {
+	classes, readLevels := []any{}, []any{}
 	for _, m := range methods {
 		classes = append(classes, map[string]any{"name": m.Name, "effect": m.Effect, "aimUs": m.SoftDeadline.Microseconds(),
 			"giveUpUs": m.Timeout.Microseconds(), "worth": m.Utility, "lateWorth": m.LateShare})
-		levels = append(levels, m.ReadLevel)
+		readLevels = append(readLevels, m.ReadLevel)
 	}
 	addresses, err := FreeAddresses(count)
 	if err != nil {
@@ -102,15 +102,15 @@
 	}
 	for i := range count {
 		d := &Driver{Name: fmt.Sprintf("n%d", i), program: program, Address: addresses[i]}
-		told := map[string]any{"seed": fmt.Sprintf("%x", i+1), "known": f.DiscoveryList(),
+		driverConfig := map[string]any{"seed": fmt.Sprintf("%x", i+1), "known": f.DiscoveryList(),
 			"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 2048},
 			"settings": map[string]any{"classes": classes,
-				"extra": map[string]any{"readLevel": levels, "guards": "none", "tokens": "client"},
+				"extra": map[string]any{"readLevel": readLevels, "guards": "none", "tokens": "client"},
 				"limits": map[string]any{"probing": true, "cancelling": true, "mostTries": 4, "connectTimeoutUs": 250_000,
 					"keepaliveUs": 30_000_000, "retryAfter": true, "maxRetryAfterUs": 500_000},
 				"safety": map[string]any{"askEveryUs": 20_000_000, "startCapacity": f.model.ColdCapacity, "warmAfterUs": f.model.WarmUpTime / 1000,
 					"fallMultiple": f.model.OverloadFactor, "drainGraceUs": f.model.DrainGrace / 1000}, "discovery": "subscribe", "fleetSize": count}}
-		config, err := json.Marshal(told)
+		config, err := json.Marshal(driverConfig)
 		if err != nil {
 			return nil, err
 		}
@@ -119,12 +119,12 @@
 			return nil, err
 		}
 		d.env = append(os.Environ(), "GW_NAME="+d.Name, "GW_LISTEN="+d.Address, "GW_DISCOVERY="+f.DiscoveryAddress(), "GW_CONFIG="+path)
-		if text := text(i); text != "" {
-			orders := filepath.Join(dir, d.Name+".textproto")
-			if err := os.WriteFile(orders, []byte(text), 0o600); err != nil {
+		if operatorText := operatorText(i); operatorText != "" {
+			operatorPath := filepath.Join(dir, d.Name+".textproto")
+			if err := os.WriteFile(operatorPath, []byte(operatorText), 0o600); err != nil {
 				return nil, err
 			}
-			d.env = append(d.env, "GW_OPERATOR="+orders)
+			d.env = append(d.env, "GW_OPERATOR="+operatorPath)
 		}
 		drivers = append(drivers, d)
 	}
@@ -133,25 +133,25 @@
 
 // ConfigureTwin says what an operator's file tells a twin of a driver. It serves clients at an address of its own.
 func (d *Driver) ConfigureTwin(dir, text string) error {
-	at, err := FreeAddresses(1)
+	addresses, err := FreeAddresses(1)
 	if err != nil {
 		return err
 	}
-	orders := filepath.Join(dir, d.Name+"-twin.textproto")
-	d.twin = append(append([]string(nil), d.env...), "GW_LISTEN="+at[0], "GW_OPERATOR="+orders)
-	return os.WriteFile(orders, []byte(text), 0o600)
+	operatorPath := filepath.Join(dir, d.Name+"-twin.textproto")
+	d.twinEnv = append(append([]string(nil), d.env...), "GW_LISTEN="+addresses[0], "GW_OPERATOR="+operatorPath)
+	return os.WriteFile(operatorPath, []byte(text), 0o600)
 }
 
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
 // Start starts a driver that does not run, and waits until it is ready.
 func (d *Driver) Start(ctx context.Context) error {
 	if err := d.Launch(); err != nil {
 		return err
 	}
-	by, stop := context.WithTimeout(ctx, readyWithin)
+	deadline, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
-	return d.WaitReady(by)
+	return d.WaitReady(deadline)
 }
 
 // StartAll starts drivers that do not run at once, and waits until all are ready: some may need others.
@@ -161,10 +161,10 @@
 			return err
 		}
 	}
-	by, stop := context.WithTimeout(ctx, readyWithin)
+	deadline, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	for _, d := range drivers {
-		if err := d.WaitReady(by); err != nil {
+		if err := d.WaitReady(deadline); err != nil {
 			return err
 		}
 	}
@@ -187,12 +187,12 @@
 
 func (d *Driver) command(env []string) *exec.Cmd {
 	cmd := exec.Command(d.program, "serve")
-	cmd.Env, cmd.Stdout, cmd.Stderr = append(append([]string(nil), env...), clock.OffsetEnv+"="+d.off.String()), d, d
+	cmd.Env, cmd.Stdout, cmd.Stderr = append(append([]string(nil), env...), clock.OffsetEnv+"="+d.clockOffset.String()), d, d
 	return cmd
 }
 
 // OffsetClock lets the driver's wall clock be off at its next starts.
-func (d *Driver) OffsetClock(by time.Duration) { d.off = by }
+func (d *Driver) OffsetClock(by time.Duration) { d.clockOffset = by }
 
 // WipeDisk takes the disk of a driver that does not run away.
 func (d *Driver) WipeDisk() error {
@@ -232,8 +232,8 @@
 }
 
 // StartTwin starts another process of the driver's name beside it, and gives what ends it.
-func (d *Driver) StartTwin(context.Context) (end func(), err error) {
-	cmd := d.command(d.twin)
+func (d *Driver) StartTwin(context.Context) (stop func(), err error) {
+	cmd := d.command(d.twinEnv)
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -244,15 +244,15 @@
 }
 
 // WaitReady waits until a driver that was started takes RPCs.
-func (d *Driver) WaitReady(by context.Context) error {
-	sockets := transport.NewDescriptors(mostConns)
-	for by.Err() == nil {
-		m, end := protocol.Connect(by, by, sockets, d.Address, protocol.RingBytes, nil)
-		if end == transport.Open {
-			end = m.Ping(by)
-			m.Close(transport.ShutDown)
+func (d *Driver) WaitReady(ctx context.Context) error {
+	descriptors := transport.NewDescriptors(maxConns)
+	for ctx.Err() == nil {
+		conn, reason := protocol.Connect(ctx, ctx, descriptors, d.Address, protocol.RingBytes, nil)
+		if reason == transport.Open {
+			reason = conn.Ping(ctx)
+			conn.Close(transport.ShutDown)
 		}
-		if end == transport.Open {
+		if reason == transport.Open {
 			return nil
 		}
 		select {
@@ -268,7 +268,7 @@
 func (d *Driver) Signal(s syscall.Signal) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.troubled = time.Now()
+	d.disruptedAt = time.Now()
 	if d.cmd == nil {
 		return errors.New("the driver does not run")
 	}
@@ -294,10 +294,10 @@
 func (d *Driver) Reload() error { return d.Signal(syscall.SIGHUP) }
 
 // RunExclusive lets one trouble after another befall a driver: each leaves it as it found it.
-func (d *Driver) RunExclusive(trouble func()) {
-	d.trouble.Lock()
-	defer d.trouble.Unlock()
-	trouble()
+func (d *Driver) RunExclusive(fault func()) {
+	d.exclusive.Lock()
+	defer d.exclusive.Unlock()
+	fault()
 }
 
 // IsRunning tells whether a driver was started and has not ended.
@@ -314,5 +314,5 @@
 func (d *Driver) DisruptedSince(since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.troubled.After(since)
+	return d.disruptedAt.After(since)
 }
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -24,63 +24,63 @@
 // Fleet is an emulated fleet on sockets.
 type Fleet struct {
 	*emulator.Checker
-	begun     time.Time
-	life      context.Context
-	die       context.CancelCauseFunc
+	startedAt time.Time
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
 	listeners []*transport.Listener
 	addresses []string
 	tasks     errgroup.Group
 	discovery *httptest.Server
 	fillHook  *httptest.Server
 
-	mu      sync.Mutex
-	model   *emulator.Fleet
-	version int           // of discovery's list
-	changed chan struct{} // closed at the next
-	conns   map[emulator.MemberID]map[*transport.Conn]bool
-	fills   map[string]uint64 // the newest epoch that a tenant's filling was asked for
+	mu         sync.Mutex
+	model      *emulator.Fleet
+	version    int           // of discovery's list
+	changed    chan struct{} // closed at the next
+	conns      map[emulator.MemberID]map[*transport.Conn]bool
+	fillEpochs map[string]uint64 // the newest epoch that a tenant's filling was asked for
 }
 
-const mostConns = 1 << 14
+const maxConns = 1 << 14
 
 // Start puts a fleet of a shape on loopback.
-func Start(s emulator.Config) (*Fleet, error) {
-	sight := emulator.NewChecker()
-	f := &Fleet{Checker: sight, begun: time.Now(), model: emulator.NewFleet(s, sight), fills: map[string]uint64{},
+func Start(config emulator.Config) (*Fleet, error) {
+	checker := emulator.NewChecker()
+	f := &Fleet{Checker: checker, startedAt: time.Now(), model: emulator.NewFleet(config, checker), fillEpochs: map[string]uint64{},
 		version: 1, changed: make(chan struct{}), conns: map[emulator.MemberID]map[*transport.Conn]bool{}}
-	f.life, f.die = context.WithCancelCause(context.Background())
-	d := transport.NewDescriptors(mostConns)
+	f.ctx, f.cancel = context.WithCancelCause(context.Background())
+	descriptors := transport.NewDescriptors(maxConns)
 	for i := range f.model.MemberCount() {
-		l, err := transport.Listen("127.0.0.1:0", d, protocol.RingBytes)
+		listener, err := transport.Listen("127.0.0.1:0", descriptors, protocol.RingBytes)
 		if err != nil {
 			f.Stop()
 			return nil, err
 		}
-		f.listeners, f.addresses = append(f.listeners, l), append(f.addresses, l.Addr())
-		f.tasks.Go(func() error { f.accept(l, emulator.MemberID(i)); return nil })
+		f.listeners, f.addresses = append(f.listeners, listener), append(f.addresses, listener.Addr())
+		f.tasks.Go(func() error { f.accept(listener, emulator.MemberID(i)); return nil })
 	}
-	f.discovery = httptest.NewServer(http.HandlerFunc(f.list))
-	f.fillHook = httptest.NewServer(jsonhttp.ActionHandler(f.fill))
+	f.discovery = httptest.NewServer(http.HandlerFunc(f.serveDiscovery))
+	f.fillHook = httptest.NewServer(jsonhttp.ActionHandler(f.applyFill))
 	return f, nil
 }
 
 // Stop ends all of it.
 func (f *Fleet) Stop() {
-	for _, l := range f.listeners {
-		l.Close()
+	for _, listener := range f.listeners {
+		listener.Close()
 	}
-	f.die(transport.ShutDown)
-	for _, s := range []*httptest.Server{f.discovery, f.fillHook} {
-		if s != nil {
-			s.CloseClientConnections()
-			s.Close()
+	f.cancel(transport.ShutDown)
+	for _, server := range []*httptest.Server{f.discovery, f.fillHook} {
+		if server != nil {
+			server.CloseClientConnections()
+			server.Close()
 		}
 	}
 	f.tasks.Wait()
 }
 
 // Now is the fleet's clock, Unix time in nanoseconds.
-func (f *Fleet) Now() int64 { return f.begun.UnixNano() + int64(time.Since(f.begun)) }
+func (f *Fleet) Now() int64 { return f.startedAt.UnixNano() + int64(time.Since(f.startedAt)) }
 
 // WithModel lets a function at the model, with the time that it is.
 func (f *Fleet) WithModel(do func(now int64, m *emulator.Fleet)) {
@@ -89,9 +89,9 @@
 	do(f.Now(), f.model)
 }
 
-func (f *Fleet) accept(l *transport.Listener, m emulator.MemberID) {
+func (f *Fleet) accept(listener *transport.Listener, m emulator.MemberID) {
 	for {
-		c, err := l.Accept(f.life, 0, func(bool) {})
+		c, err := listener.Accept(f.ctx, 0, func(bool) {})
 		if err != nil {
 			return
 		}
@@ -99,14 +99,14 @@
 	}
 }
 
-// hold keeps a member's connection in mind, or not any more.
-func (f *Fleet) hold(m emulator.MemberID, c *transport.Conn, holds bool) {
+// trackConn keeps a member's connection in mind, or not any more.
+func (f *Fleet) trackConn(m emulator.MemberID, c *transport.Conn, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conns[m] == nil {
 		f.conns[m] = map[*transport.Conn]bool{}
 	}
-	if holds {
+	if open {
 		f.conns[m][c] = true
 	} else {
 		delete(f.conns[m], c)
@@ -115,28 +115,28 @@
 
 // Restart starts a member anew: its connections end, and it is cold.
 func (f *Fleet) Restart(m emulator.MemberID) {
-	f.relist(func(now int64, model *emulator.Fleet) { model.Restart(now, m) })
+	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.Restart(now, m) })
 	f.mu.Lock()
-	var ends []*transport.Conn
+	var closing []*transport.Conn
 	for c := range f.conns[m] {
-		ends = append(ends, c)
+		closing = append(closing, c)
 	}
 	f.mu.Unlock()
-	for _, c := range ends {
+	for _, c := range closing {
 		c.Close(transport.ShutDown)
 	}
 }
 
 // SetDraining lets a member drain, or serve again.
-func (f *Fleet) SetDraining(m emulator.MemberID, drains bool) {
-	f.relist(func(now int64, model *emulator.Fleet) { model.SetDraining(now, m, drains) })
+func (f *Fleet) SetDraining(m emulator.MemberID, draining bool) {
+	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.SetDraining(now, m, draining) })
 }
 
-// relist does what changes discovery's list, and lets those who watch it know.
-func (f *Fleet) relist(do func(now int64, model *emulator.Fleet)) {
+// updateDiscovery does what changes discovery's list, and lets those who watch it know.
+func (f *Fleet) updateDiscovery(update func(now int64, model *emulator.Fleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do(f.Now(), f.model)
+	update(f.Now(), f.model)
 	f.version++
 	close(f.changed)
 	f.changed = make(chan struct{})
@@ -144,86 +144,86 @@
 
 // serve answers one driver's connection as a member does.
 func (f *Fleet) serve(c protocol.Client, m emulator.MemberID) {
-	f.hold(m, c.Conn, true)
-	defer f.hold(m, c.Conn, false)
-	_, end := c.Handshake(protocol.CancelKey{}, func(protocol.CancelKey) {})
-	for end == transport.Open {
+	f.trackConn(m, c.Conn, true)
+	defer f.trackConn(m, c.Conn, false)
+	_, reason := c.Handshake(protocol.CancelKey{}, func(protocol.CancelKey) {})
+	for reason == transport.Open {
 		var text string
-		if text, _, end = c.ReadQuery(); end == transport.Open {
-			end = f.answer(c, m, text)
+		if text, _, reason = c.ReadQuery(); reason == transport.Open {
+			reason = f.answerQuery(c, m, text)
 		}
 	}
-	c.Close(end)
+	c.Close(reason)
 }
 
-func (f *Fleet) answer(c protocol.Client, m emulator.MemberID, text string) transport.CloseReason {
+func (f *Fleet) answerQuery(c protocol.Client, m emulator.MemberID, text string) transport.CloseReason {
 	if text == protocol.LoadQuery {
-		return f.look(c, m)
+		return f.answerLoadQuery(c, m)
 	}
-	s, err := protocol.ParseStatement(text)
+	parsed, err := protocol.ParseStatement(text)
 	if err != nil {
 		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateProtocolViolation, Message: err.Error()})
 	}
-	order := emulator.Statement{ID: s.ID, Key: s.Key, Write: s.Write, Timeout: s.TimeoutMillis * int64(time.Millisecond), Fence: fenceOf(text)}
-	var done int64
-	var refused emulator.Admission
-	var state emulator.Answer
-	life, still := 0, 0
+	statement := emulator.Statement{ID: parsed.ID, Key: parsed.Key, Write: parsed.Write, Timeout: parsed.TimeoutMillis * int64(time.Millisecond), Fence: parseFence(text)}
+	var doneAt int64
+	var admission emulator.Admission
+	var response emulator.Response
+	restartsBefore, restartsAfter := 0, 0
 	f.WithModel(func(now int64, model *emulator.Fleet) {
-		done, refused = model.Admit(now, m, order)
-		state = model.Status(now, m)
-		_, life = model.Started(m)
+		doneAt, admission = model.Admit(now, m, statement)
+		response = model.Status(now, m)
+		_, restartsBefore = model.Started(m)
 	})
-	switch refused {
+	switch admission {
 	case emulator.QueueFull:
-		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateTooManyConnections, Message: "the queue is full"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateTooManyConnections, Message: "the queue is full"}, statusParameters(response)...)
 	case emulator.NotPrimary:
-		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateReadOnly, Message: "this is no primary"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateReadOnly, Message: "this is no primary"}, statusParameters(response)...)
 	case emulator.Fenced:
-		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateFenced, Message: "its version is over"}, told(state)...)
+		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateFenced, Message: "its version is over"}, statusParameters(response)...)
 	}
-	time.Sleep(time.Duration(done - f.Now())) // what a member has begun it finishes, whoever left meanwhile
+	time.Sleep(time.Duration(doneAt - f.Now())) // what a member has begun it finishes, whoever left meanwhile
 	f.WithModel(func(now int64, model *emulator.Fleet) {
-		if _, still = model.Started(m); still == life {
-			state = model.Execute(now, m, order)
+		if _, restartsAfter = model.Started(m); restartsAfter == restartsBefore {
+			response = model.Execute(now, m, statement)
 		}
 	})
-	if still != life { // it has been started anew meanwhile
+	if restartsAfter != restartsBefore { // it has been started anew meanwhile
 		return transport.ShutDown
 	}
-	if state.Lost {
+	if response.IsLost {
 		return c.Await(1)
 	}
-	return c.SendRow(state.Value, told(state)...)
+	return c.SendRow(response.Value, statusParameters(response)...)
 }
 
-// fenceOf is the fence that a statement came with.
-func fenceOf(text string) (f versions.Fence) {
-	told := protocol.ParseFence(text)
-	f.Version, f.Epoch = versions.Number(told.Version), versions.Epoch(told.Epoch)
-	for _, n := range told.Valid {
-		f.Valid = append(f.Valid, versions.Number(n))
+// parseFence is the fence that a statement came with.
+func parseFence(text string) (fence versions.Fence) {
+	parsed := protocol.ParseFence(text)
+	fence.Version, fence.Epoch = versions.Number(parsed.Version), versions.Epoch(parsed.Epoch)
+	for _, n := range parsed.Valid {
+		fence.Valid = append(fence.Valid, versions.Number(n))
 	}
-	return f
+	return fence
 }
 
-func (f *Fleet) look(c protocol.Client, m emulator.MemberID) transport.CloseReason {
-	var a emulator.Answer
-	f.WithModel(func(now int64, model *emulator.Fleet) { a = model.Status(now, m) })
+func (f *Fleet) answerLoadQuery(c protocol.Client, m emulator.MemberID) transport.CloseReason {
+	var status emulator.Response
+	f.WithModel(func(now int64, model *emulator.Fleet) { status = model.Status(now, m) })
 	role := 0
-	if a.Primary {
+	if status.Primary {
 		role = 1
 	}
-	return c.SendRow(fmt.Sprintf("x0=%.3f,x1=%d", float64(a.Position/int64(time.Millisecond))/1000, role), told(a)...)
+	return c.SendRow(fmt.Sprintf("x0=%.3f,x1=%d", float64(status.Position/int64(time.Millisecond))/1000, role), statusParameters(status)...)
 }
 
-func told(a emulator.Answer) []protocol.ParameterStatus {
+func statusParameters(response emulator.Response) []protocol.ParameterStatus {
 	role := "follower"
-	if a.Primary {
+	if response.Primary {
 		role = "leader"
 	}
 	return []protocol.ParameterStatus{{Name: "node_role", Value: role},
-		{Name: "replay_position", Value: strconv.FormatInt(a.Position/int64(time.Millisecond), 10)}}
+		{Name: "replay_position", Value: strconv.FormatInt(response.Position/int64(time.Millisecond), 10)}}
 }
 
 // DiscoveryAddress is where discovery answers.
@@ -250,8 +250,8 @@
 	return map[string]any{"generation": f.version, "reset": true, "instances": entries}
 }
 
-// list answers as discovery does: at once, or where it is watched once it is newer than what the watcher has.
-func (f *Fleet) list(w http.ResponseWriter, r *http.Request) {
+// serveDiscovery answers as discovery does: at once, or where it is watched once it is newer than what the watcher has.
+func (f *Fleet) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	if index, err := strconv.Atoi(r.URL.Query().Get("index")); err == nil {
 		wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 		f.mu.Lock()
@@ -263,7 +263,7 @@
 			case <-time.After(time.Duration(wait) * time.Millisecond):
 			case <-r.Context().Done():
 				return
-			case <-f.life.Done():
+			case <-f.ctx.Done():
 				return
 			}
 		}
@@ -272,19 +272,19 @@
 	jsonhttp.WriteJSON(w, f.DiscoveryList())
 }
 
-// fill takes what a coordinator asks of the store. One that is older than what was asked before changes nothing.
-func (f *Fleet) fill(_ context.Context, asked membership.Filling) error {
+// applyFill takes what a coordinator asks of the store. One that is older than what was asked before changes nothing.
+func (f *Fleet) applyFill(_ context.Context, request membership.Filling) error {
 	f.WithModel(func(_ int64, model *emulator.Fleet) {
-		tenant := string(asked.Tenant)
-		if uint64(asked.Epoch) <= f.fills[tenant] {
+		tenant := string(request.Tenant)
+		if uint64(request.Epoch) <= f.fillEpochs[tenant] {
 			return
 		}
-		f.fills[tenant] = uint64(asked.Epoch)
-		switch asked.Step {
+		f.fillEpochs[tenant] = uint64(request.Epoch)
+		switch request.Step {
 		case "begin":
-			model.BeginFill(tenant, numbers(asked.From), numbers(asked.To))
+			model.BeginFill(tenant, groupNumbers(request.From), groupNumbers(request.To))
 		case "end":
-			model.EndFill(tenant, asked.Cut)
+			model.EndFill(tenant, request.Cut)
 		case "drop":
 			model.DiscardFill(tenant)
 		}
@@ -292,7 +292,7 @@
 	return nil
 }
 
-func numbers[T ~int64](groups []T) (numbers []int64) {
+func groupNumbers[T ~int64](groups []T) (numbers []int64) {
 	for _, g := range groups {
 		numbers = append(numbers, int64(g))
 	}
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -30,74 +30,74 @@
 	FirstLate    []string // and of some that the audit calls late
 }
 
-// mostShown is how many of the writes that are missing are told of.
-const mostShown = 5
+// maxShown is how many of the writes that are missing are told of.
+const maxShown = 5
 
-// audit asks the audit once drivers have told all, and compares it with what members got.
-func (c *changing) audit(ctx context.Context) error {
-	if err := c.told(ctx, time.Now()); err != nil {
+// compareAudit asks the audit once drivers have told all, and compares it with what members got.
+func (c *versionsRun) compareAudit(ctx context.Context) error {
+	if err := c.awaitTrails(ctx, time.Now()); err != nil {
 		return err
 	}
-	f, err := membership.Audit(ctx, c.at, membership.Question{Thing: routing.Rulebook, Clocks: int64(10 * time.Millisecond)})
+	findings, err := membership.Audit(ctx, c.addresses, membership.Question{Thing: routing.Rulebook, Clocks: int64(10 * time.Millisecond)})
 	if err != nil {
 		return err
 	}
 	r := &c.result.Audit
-	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = f.Entries, len(f.Late), f.Faults, len(f.Unknown)
-	for _, late := range f.Late[:min(mostShown, len(f.Late))] {
+	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
+	for _, late := range findings.Late[:min(maxShown, len(findings.Late))] {
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Who.Name, late.Who.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.Sure, late.Why))
 	}
-	trails := readTrails(membership.Parts(ctx, c.at))
-	got := map[string]emulator.FencedAttempt{}
-	for _, fenced := range c.n.Fleet.FencedAttempts() {
-		if fenced.Write && !fenced.Rejected {
-			got[fenced.RPC] = fenced
+	all := newAuditTrails(membership.Parts(ctx, c.addresses))
+	attempts := map[string]emulator.FencedAttempt{}
+	for _, attempt := range c.cluster.Fleet.FencedAttempts() {
+		if attempt.Write && !attempt.Rejected {
+			attempts[attempt.RPC] = attempt
 		}
 	}
-	r.Writes = len(got)
-	for id, fenced := range got {
-		version, there := trails.singles[id]
+	r.Writes = len(attempts)
+	for id, attempt := range attempts {
+		version, found := all.singles[id]
 		switch {
-		case there && version == fenced.Fence:
+		case found && version == attempt.Fence:
 			r.Matched++
-		case there:
+		case found:
 			r.WrongVersion++
-		case trails.counts(fenced):
+		case all.takeCounted(attempt):
 			r.Counted++
-		case slices.ContainsFunc(f.Unknown, func(u audit.Unknown) bool {
-			return u.From-int64(unknownBefore) <= fenced.At && fenced.At <= u.To
+		case slices.ContainsFunc(findings.Unknown, func(u audit.Unknown) bool {
+			return u.From-int64(unknownMargin) <= attempt.At && attempt.At <= u.To
 		}):
 			r.Unknown++
 		default:
-			r.missing(fenced, trails)
+			r.recordMissing(attempt, all)
 		}
 	}
 	return nil
 }
 
-// missing notes a write that the audit does not have.
-func (r *AuditResult) missing(w emulator.FencedAttempt, t *trails) {
-	if r.Missing++; len(r.FirstMissing) < mostShown {
+// recordMissing notes a write that the audit does not have.
+func (r *AuditResult) recordMissing(attempt emulator.FencedAttempt, t *auditTrails) {
+	if r.Missing++; len(r.FirstMissing) < maxShown {
 		r.FirstMissing = append(r.FirstMissing, fmt.Sprintf("%s under version %d, %v after that was first acted on, %v before the last entry",
-			w.RPC, w.Fence, time.Duration(w.At-t.begun[w.Fence]), time.Duration(t.last-w.At)))
+			attempt.RPC, attempt.Fence, time.Duration(attempt.At-t.firstUse[attempt.Fence]), time.Duration(t.lastEntry-attempt.At)))
 	}
 }
 
-// told waits until the voters hold every driver's trail up to a moment at which all writes had ended. Drivers tell a bounded number of
+// awaitTrails waits until the voters hold every driver's trail up to a moment at which all writes had ended. Drivers tell a bounded number of
 // entries at a time, which takes as long as it takes on a busy machine.
-func (c *changing) told(ctx context.Context, ended time.Time) error {
+func (c *versionsRun) awaitTrails(ctx context.Context, writesEnded time.Time) error {
 	if !relays.Sleep(ctx, c.Lease) {
 		return ctx.Err()
 	}
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
-		heard := map[string]bool{}
-		for _, p := range membership.Parts(ctx, c.at) {
-			if n := len(p.Entries); n > 0 && p.Placed && p.Entries[n-1].At+p.Offset > ended.UnixNano() {
-				heard[p.Who.Name] = true
+		reported := map[string]bool{}
+		for _, p := range membership.Parts(ctx, c.addresses) {
+			if n := len(p.Entries); n > 0 && p.Placed && p.Entries[n-1].At+p.Offset > writesEnded.UnixNano() {
+				reported[p.Who.Name] = true
 			}
 		}
-		if len(heard) == c.Drivers {
+		if len(reported) == c.Drivers {
 			return nil
 		}
 		if !relays.Sleep(ctx, c.Lease/4) {
@@ -107,22 +107,22 @@
 	return nil // what was not told is missing
 }
 
-// unknownBefore is how long before a start's last entry an RPC may have reached a member that would be entered after it.
-const unknownBefore = 2500 * time.Millisecond // all that its client waits, and what it may be late
+// unknownMargin is how long before a start's last entry an RPC may have reached a member that would be entered after it.
+const unknownMargin = 2500 * time.Millisecond // all that its client waits, and what it may be late
 
-// trails are all drivers' trails in the terms of the comparison.
-type trails struct {
-	singles map[string]uint64 // the version of each write that stands there by itself
-	counted map[uint64]uint64 // writes of each version that stand only in its counts
-	begun   map[uint64]int64  // when each was first acted on
-	last    int64             // entry of all
+// auditTrails are all drivers' trails in the terms of the comparison.
+type auditTrails struct {
+	singles   map[string]uint64 // the version of each write that stands there by itself
+	counted   map[uint64]uint64 // writes of each version that stand only in its counts
+	firstUse  map[uint64]int64  // when each was first acted on
+	lastEntry int64             // entry of all
 }
 
-func readTrails(parts []audit.Part) *trails {
-	t := &trails{singles: map[string]uint64{}, counted: map[uint64]uint64{}, begun: map[uint64]int64{}}
+func newAuditTrails(parts []audit.Part) *auditTrails {
+	t := &auditTrails{singles: map[string]uint64{}, counted: map[uint64]uint64{}, firstUse: map[uint64]int64{}}
 	for _, p := range parts {
 		for i := range p.Entries {
-			t.take(&p.Entries[i], p.Offset)
+			t.addEntry(&p.Entries[i], p.Offset)
 		}
 	}
 	for _, version := range t.singles {
@@ -131,31 +131,31 @@
 	return t
 }
 
-func (t *trails) take(e *audit.Entry, offset int64) {
-	t.last = max(t.last, e.At+offset)
-	version := uint64(e.Version)
-	switch e.Kind {
+func (t *auditTrails) addEntry(entry *audit.Entry, offset int64) {
+	t.lastEntry = max(t.lastEntry, entry.At+offset)
+	version := uint64(entry.Version)
+	switch entry.Kind {
 	case audit.Single:
-		t.singles[e.RPC] = version
+		t.singles[entry.RPC] = version
 	case audit.Spans:
-		if from, known := t.begun[version]; !known || e.From+offset < from {
-			t.begun[version] = e.From + offset
+		if from, known := t.firstUse[version]; !known || entry.From+offset < from {
+			t.firstUse[version] = entry.From + offset
 		}
 		for effect := audit.Tokened; effect <= audit.NonIdempotent; effect++ {
-			for _, n := range e.Tally[effect] {
+			for _, n := range entry.Tally[effect] {
 				t.counted[version] += n
 			}
 		}
 	}
 }
 
-// counts tells whether a write stands in the counts of its version: those are all that is kept of it once a version was acted on for so long.
+// takeCounted tells whether a write stands in the counts of its version: those are all that is kept of it once a version was acted on for so long.
 // Each such count stands for one write.
-func (t *trails) counts(w emulator.FencedAttempt) bool {
-	begun, known := t.begun[w.Fence]
-	if !known || t.counted[w.Fence] == 0 || time.Duration(w.At-begun) < routing.NearChange {
+func (t *auditTrails) takeCounted(attempt emulator.FencedAttempt) bool {
+	firstUse, known := t.firstUse[attempt.Fence]
+	if !known || t.counted[attempt.Fence] == 0 || time.Duration(attempt.At-firstUse) < routing.NearChange {
 		return false
 	}
-	t.counted[w.Fence]--
+	t.counted[attempt.Fence]--
 	return true
 }
--- a/internal/emulator/trials/convened.go
+++ b/internal/emulator/trials/convened.go
@@ -11,63 +11,63 @@
 	"sedgespread/internal/emulator/links/relays"
 )
 
-// convened is a council among the first drivers of a trial. All that drivers and voters say to voters goes through relays,
+// relayedCouncil is a council among the first drivers of a trial. All that drivers and voters say to voters goes through relays,
 // one for each two of them.
-type convened struct {
-	net    *relays.Network
-	at     []string   // of voters
-	paths  [][]string // by driver and voter, where that driver reaches that voter
-	dir    string
-	player *relays.Player
+type relayedCouncil struct {
+	network        *relays.Network
+	addresses      []string   // of voters
+	relayAddresses [][]string // by driver and voter, where that driver reaches that voter
+	dir            string
+	player         *relays.Player
 }
 
 const tickMs = 20
 
 func driverName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// convene lays the relays between so many drivers and the voters at some addresses, which are the first drivers.
-func convene(seed uint64, at []string, drivers int) (*convened, error) {
-	c := &convened{net: relays.New(seed), at: at}
-	c.player = &relays.Player{Network: c.net}
+// newRelayedCouncil lays the relays between so many drivers and the voters at some addresses, which are the first drivers.
+func newRelayedCouncil(seed uint64, addresses []string, drivers int) (*relayedCouncil, error) {
+	c := &relayedCouncil{network: relays.New(seed), addresses: addresses}
+	c.player = &relays.Player{Network: c.network}
 	for i := range drivers {
-		var paths []string
-		for v, address := range at {
+		var relayAddresses []string
+		for v, address := range addresses {
 			if v != i {
 				var err error
-				if address, err = c.net.RelayTCP(links.Link{From: driverName(i), To: driverName(v)}, address); err != nil {
-					c.net.Close()
+				if address, err = c.network.RelayTCP(links.Link{From: driverName(i), To: driverName(v)}, address); err != nil {
+					c.network.Close()
 					return nil, err
 				}
 			}
-			paths = append(paths, address)
+			relayAddresses = append(relayAddresses, address)
 		}
-		c.paths = append(c.paths, paths)
+		c.relayAddresses = append(c.relayAddresses, relayAddresses)
 	}
 	return c, nil
 }
 
-// text is what the operator's file of driver i says of the council.
-func (c *convened) text(i int) string {
+// operatorText is what the operator's file of driver i says of the council.
+func (c *relayedCouncil) operatorText(i int) string {
 	var b strings.Builder
 	b.WriteString("council {\n")
-	for v, at := range c.paths[i] {
-		fmt.Fprintf(&b, "  voter { id: %d at: \"%s\" }\n", v+1, at)
+	for v, address := range c.relayAddresses[i] {
+		fmt.Fprintf(&b, "  voter { id: %d at: \"%s\" }\n", v+1, address)
 	}
 	fmt.Fprintf(&b, "  tick_ms: %d\n", tickMs)
-	if i < len(c.at) {
+	if i < len(c.addresses) {
 		fmt.Fprintf(&b, "  id: %d\n  disk: \"%s\"\n", i+1, filepath.Join(c.dir, driverName(i)+".council"))
 	}
 	b.WriteString("}\n")
 	return b.String()
 }
 
-// kinds are the troubles of links between drivers and voters, and between voters.
-func (c *convened) kinds() []links.FaultSpec {
+// faultSpecs are the troubles of links between drivers and voters, and between voters.
+func (c *relayedCouncil) faultSpecs() []links.FaultSpec {
 	var all, voters []string
-	for i := range c.paths {
+	for i := range c.relayAddresses {
 		all = append(all, driverName(i))
 	}
-	voters = all[:len(c.at)]
+	voters = all[:len(c.addresses)]
 	const ms = time.Millisecond
 	return []links.FaultSpec{
 		{Fault: links.Delay, MeanInterval: 4 * time.Second, From: all, To: voters, MinDuration: 300 * ms, MaxDuration: 1500 * ms, Amount: 0.005, MaxAmount: 0.06, Jitter: 0.02},
@@ -81,17 +81,17 @@
 	}
 }
 
-const linkSpan = 20 * time.Second // for which troubles are drawn at once
+const linkFaultSpan = 20 * time.Second // for which troubles are drawn at once
 
-// troubles lets links fail until the context ends.
-func (c *convened) troubles(ctx context.Context, seed uint64) {
+// playFaults lets links fail until the context ends.
+func (c *relayedCouncil) playFaults(ctx context.Context, seed uint64) {
 	for round := uint64(0); ctx.Err() == nil; round++ {
-		c.player.Play(ctx, links.Draw(seed<<16+round, linkSpan, c.kinds()))
+		c.player.Play(ctx, links.Draw(seed<<16+round, linkFaultSpan, c.faultSpecs()))
 	}
 }
 
-// befell adds what befell links.
-func (c *convened) befell(faults map[string]int) {
+// addFaultCounts adds what befell links.
+func (c *relayedCouncil) addFaultCounts(faults map[string]int) {
 	for what, n := range c.player.FaultCounts() {
 		faults["a link: "+what.String()] += n
 	}
--- a/internal/emulator/trials/flood.go
+++ b/internal/emulator/trials/flood.go
@@ -26,20 +26,20 @@
 	Outage      bool // instead of a flood, no member of the cell answers
 }
 
-// shape is the fleet of a flood: a primary and two replicas a cell.
-func (f *Flood) shape() emulator.Config {
+// fleetConfig is the fleet of a flood: a primary and two replicas a cell.
+func (f *Flood) fleetConfig() emulator.Config {
 	return emulator.Config{Groups: f.Cells, Members: 3, Cores: 2, QueueLimit: 40, ServiceTime: int64(40 * time.Millisecond), ServiceSigma: 0.3,
 		ReplicaLag: int64(10 * time.Millisecond), FillLag: int64(20 * time.Millisecond), Seed: f.Seed}
 }
 
-// side is how one of the four nights went.
-type side struct {
-	name          string
-	cells, flood  bool
-	inside        *tally // tenants of the flooded cell but for the bots
-	outside       *tally
-	bots          *tally
-	botsPerSecond float64
+// scenario is how one of the four nights went.
+type scenario struct {
+	name               string
+	hasCells, hasFault bool
+	sameCell           *utilityTally // tenants of the flooded cell but for the bots
+	otherCells         *utilityTally
+	bots               *utilityTally
+	botsPerSecond      float64
 }
 
 // FloodResult is what a flood showed.
@@ -50,166 +50,166 @@
 	SameCell               float64 // the same of the flooded cell's other tenants
 }
 
-const bots = "bots"
+const botsTenant = "bots"
 
 // Run plays the four nights, one after another: quiet and flooded, with cells and without.
 func (f *Flood) Run(ctx context.Context) (*FloodResult, error) {
-	trouble := "flood"
+	fault := "flood"
 	if f.Outage {
-		trouble = "dark cell"
+		fault = "dark cell"
 	}
-	sides := []*side{{name: "cells, no " + trouble, cells: true}, {name: "cells, " + trouble, cells: true, flood: true},
-		{name: "no cells, no " + trouble}, {name: "no cells, " + trouble, flood: true}}
-	for _, s := range sides {
-		if err := f.night(ctx, s); err != nil {
+	scenarios := []*scenario{{name: "cells, no " + fault, hasCells: true}, {name: "cells, " + fault, hasCells: true, hasFault: true},
+		{name: "no cells, no " + fault}, {name: "no cells, " + fault, hasFault: true}}
+	for _, s := range scenarios {
+		if err := f.runScenario(ctx, s); err != nil {
 			return nil, fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
 	rows := [][]string{}
-	for _, s := range sides {
-		rows = append(rows, []string{s.name, f3(s.outside.service()), f3(s.inside.service()), f3(s.bots.service()),
-			fmt.Sprintf("%.0f", s.botsPerSecond), counts(s.outside), counts(s.inside), counts(s.bots)})
+	for _, s := range scenarios {
+		rows = append(rows, []string{s.name, formatShare(s.otherCells.utilityShare()), formatShare(s.sameCell.utilityShare()), formatShare(s.bots.utilityShare()),
+			fmt.Sprintf("%.0f", s.botsPerSecond), formatOutcomes(s.otherCells), formatOutcomes(s.sameCell), formatOutcomes(s.bots)})
 	}
-	r := &FloodResult{OtherCellsWithCells: sides[1].outside.service() / sides[0].outside.service(),
-		OtherCellsWithoutCells: sides[3].outside.service() / sides[2].outside.service(),
-		SameCell:               sides[1].inside.service() / sides[0].inside.service()}
-	r.Table = table([]string{"night", "service of other cells' tenants", "of the flooded cell's others", "of the bots",
+	r := &FloodResult{OtherCellsWithCells: scenarios[1].otherCells.utilityShare() / scenarios[0].otherCells.utilityShare(),
+		OtherCellsWithoutCells: scenarios[3].otherCells.utilityShare() / scenarios[2].otherCells.utilityShare(),
+		SameCell:               scenarios[1].sameCell.utilityShare() / scenarios[0].sameCell.utilityShare()}
+	r.Table = markdownTable([]string{"night", "service of other cells' tenants", "of the flooded cell's others", "of the bots",
 		"bots' RPCs a second", "other cells: served, pushed back, aborted, none", "flooded cell's others", "bots"}, rows)
 	return r, nil
 }
 
-func f3(x float64) string { return fmt.Sprintf("%.3f", x) }
+func formatShare(x float64) string { return fmt.Sprintf("%.3f", x) }
 
-func counts(t *tally) string {
-	return fmt.Sprintf("%d, %d, %d, %d", t.fates[sockets.Served], t.fates[sockets.Rejected], t.fates[sockets.Aborted],
-		t.fates[sockets.TimedOut]+t.fates[sockets.ConnectionLost]+t.fates[sockets.ConnectFailed])
+func formatOutcomes(t *utilityTally) string {
+	return fmt.Sprintf("%d, %d, %d, %d", t.outcomes[sockets.Served], t.outcomes[sockets.Rejected], t.outcomes[sockets.Aborted],
+		t.outcomes[sockets.TimedOut]+t.outcomes[sockets.ConnectionLost]+t.outcomes[sockets.ConnectFailed])
 }
 
-// text is the operator's file of a flood: every tenant by the prefix of its keys, spread over the cells by turns.
-func (f *Flood) text() string {
+// operatorText is the operator's file of a flood: every tenant by the prefix of its keys, spread over the cells by turns.
+func (f *Flood) operatorText() string {
 	var b strings.Builder
 	b.WriteString("cells {\n")
 	for c := range f.Cells {
 		fmt.Fprintf(&b, "  cell { name: \"c%d\" group: %d }\n", c, c+1)
 	}
 	b.WriteString("  tenancy {\n    others: \"others\"\n")
-	for _, t := range append(f.tenants(), bots) {
+	for _, t := range append(f.tenantNames(), botsTenant) {
 		fmt.Fprintf(&b, "    rule { prefix: \"%s/\" tenant: \"%s\" }\n", t, t)
 	}
 	b.WriteString("  }\n")
-	for i, t := range f.tenants() {
+	for i, t := range f.tenantNames() {
 		fmt.Fprintf(&b, "  tenant { name: \"%s\" cell: \"c%d\" }\n", t, i%f.Cells)
 	}
-	fmt.Fprintf(&b, "  tenant { name: \"%s\" cell: \"c0\" }\n", bots)
+	fmt.Fprintf(&b, "  tenant { name: \"%s\" cell: \"c0\" }\n", botsTenant)
 	fmt.Fprintf(&b, "  budget { rpcs: %d call_outs: %d answer_kib: 8192 lend: 0.5 }\n}\n", 40*f.Cells, 40*f.Cells)
 	return b.String()
 }
 
-func (f *Flood) tenants() (names []string) {
+func (f *Flood) tenantNames() (names []string) {
 	for i := range f.Tenants {
 		names = append(names, fmt.Sprintf("club%02d", i))
 	}
 	return names
 }
 
-func (f *Flood) night(ctx context.Context, s *side) error {
+func (f *Flood) runScenario(ctx context.Context, s *scenario) error {
 	text := ""
-	if s.cells {
-		text = f.text()
+	if s.hasCells {
+		text = f.operatorText()
 	}
-	n, err := StartCluster(ctx, f.Program, f.shape(), f.Drivers, func(*Cluster, int) string { return text })
+	cluster, err := StartCluster(ctx, f.Program, f.fleetConfig(), f.Drivers, func(*Cluster, int) string { return text })
 	if err != nil {
 		return err
 	}
-	defer n.Close()
-	s.inside, s.outside, s.bots = newTally(), newTally(), newTally()
-	cell := map[string]int{bots: 0}
-	names := f.tenants()
-	for i, t := range names {
-		cell[t] = i % f.Cells
+	defer cluster.Close()
+	s.sameCell, s.otherCells, s.bots = newUtilityTally(), newUtilityTally(), newUtilityTally()
+	cell := map[string]int{botsTenant: 0}
+	names := f.tenantNames()
+	for i, tally := range names {
+		cell[tally] = i % f.Cells
 	}
-	able := f.shape().MemberRate() * float64(f.shape().Members)
+	cellRate := f.fleetConfig().MemberRate() * float64(f.fleetConfig().Members)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		switch {
-		case s.flood && f.Outage:
-			f.dark(n)
-		case s.flood:
-			f.flood(ctx, n, s, able*f.FloodFactor)
+		case s.hasFault && f.Outage:
+			f.pauseFirstCell(cluster)
+		case s.hasFault:
+			f.runBots(ctx, cluster, s, cellRate*f.FloodFactor)
 		}
 	}()
-	chance := &locked{rng: rand.New(rand.NewPCG(f.Seed, 3))}
-	draw := newSkewed(names, 0.5, chance.rng)
-	arrivals(ctx, rand.New(rand.NewPCG(f.Seed, 2)), able*float64(f.Cells)*f.BaseLoad, f.Duration, func() {
-		chance.mu.Lock()
-		tenant := draw.next()
-		chance.mu.Unlock()
-		t := s.outside
+	random := &lockedRand{rng: rand.New(rand.NewPCG(f.Seed, 3))}
+	tenants := newZipfTenants(names, 0.5, random.rng)
+	runOpenLoop(ctx, rand.New(rand.NewPCG(f.Seed, 2)), cellRate*float64(f.Cells)*f.BaseLoad, f.Duration, func() {
+		random.mu.Lock()
+		tenant := tenants.next()
+		random.mu.Unlock()
+		tally := s.otherCells
 		if cell[tenant] == 0 {
-			t = s.inside
+			tally = s.sameCell
 		}
-		m, rpc := f.ask(tenant, chance)
-		began := time.Now()
-		r := f.patient(ctx, n, rpc, chance)
-		t.add(m, r, time.Since(began))
+		method, rpc := f.randomRPC(tenant, random)
+		start := time.Now()
+		reply := f.callWithRetries(ctx, cluster, rpc, random)
+		tally.record(method, reply, time.Since(start))
 	})
 	<-done
 	s.botsPerSecond = float64(s.bots.rpcs) / f.Duration.Seconds()
 	return ctx.Err()
 }
 
-// ask draws what a tenant asks: a tenth moves, seven tenths looks at the own moves, the rest of the archive. Where there
+// randomRPC draws what a tenant asks: a tenth moves, seven tenths looks at the own moves, the rest of the archive. Where there
 // are no cells, keys are spread over all groups.
-func (f *Flood) ask(tenant string, chance *locked) (*sockets.Method, sockets.RPC) {
-	key := fmt.Sprintf("%s/%d", tenant, chance.intN(1000))
-	m := &archive
-	switch x := chance.float(); {
+func (f *Flood) randomRPC(tenant string, random *lockedRand) (*sockets.Method, sockets.RPC) {
+	key := fmt.Sprintf("%s/%d", tenant, random.intN(1000))
+	method := &archiveMethod
+	switch x := random.float64(); {
 	case x < 0.1:
-		m = &move
+		method = &putMethod
 	case x < 0.8:
-		m = &own
+		method = &getOwnMethod
 	}
 	group := int64(xxhash.Sum64String(key)%uint64(f.Cells)) + 1
-	return m, sockets.RPC{Method: m.Name, Key: key, Write: m == &move, Group: group, Timeout: m.Timeout}
+	return method, sockets.RPC{Method: method.Name, Key: key, Write: method == &putMethod, Group: group, Timeout: method.Timeout}
 }
 
-// patient asks as the usual clients do: pushed back, they come again when they are told to, while there is time.
-func (f *Flood) patient(ctx context.Context, n *Cluster, rpc sockets.RPC, chance *locked) (r sockets.Reply) {
-	begun, whole := time.Now(), rpc.Timeout
+// callWithRetries asks as the usual clients do: pushed back, they come again when they are told to, while there is time.
+func (f *Flood) callWithRetries(ctx context.Context, cluster *Cluster, rpc sockets.RPC, random *lockedRand) (reply sockets.Reply) {
+	start, timeout := time.Now(), rpc.Timeout
 	for {
-		d := n.Drivers[chance.intN(len(n.Drivers))]
-		r = n.Clients.Call(ctx, d.Address, rpc)
-		wait := max(r.RetryAfter, 10*time.Millisecond)
-		if r.Outcome != sockets.Rejected || time.Since(begun)+wait+50*time.Millisecond > whole {
-			return r
+		d := cluster.Drivers[random.intN(len(cluster.Drivers))]
+		reply = cluster.Clients.Call(ctx, d.Address, rpc)
+		wait := max(reply.RetryAfter, 10*time.Millisecond)
+		if reply.Outcome != sockets.Rejected || time.Since(start)+wait+50*time.Millisecond > timeout {
+			return reply
 		}
 		time.Sleep(wait)
-		rpc.Timeout, rpc.IsRetry = whole-time.Since(begun), true
+		rpc.Timeout, rpc.IsRetry = timeout-time.Since(start), true
 	}
 }
 
-// dark lets the members of the first cell stand still for the whole night.
-func (f *Flood) dark(n *Cluster) {
-	n.Fleet.WithModel(func(now int64, m *emulator.Fleet) {
-		for id := range f.shape().Members {
+// pauseFirstCell lets the members of the first cell stand still for the whole night.
+func (f *Flood) pauseFirstCell(cluster *Cluster) {
+	cluster.Fleet.WithModel(func(now int64, m *emulator.Fleet) {
+		for id := range f.fleetConfig().Members {
 			m.PauseUntil(emulator.MemberID(id), now+int64(f.Duration))
 		}
 	})
 }
 
-const botTries = 5
-
-// flood asks as bots do: pushed back, they come again at once, several times.
-func (f *Flood) flood(ctx context.Context, n *Cluster, s *side, rate float64) {
-	chance := &locked{rng: rand.New(rand.NewPCG(f.Seed, 4))}
-	arrivals(ctx, rand.New(rand.NewPCG(f.Seed, 5)), rate, f.Duration, func() {
-		m, rpc := f.ask(bots, chance)
-		for range botTries {
-			began := time.Now()
-			r := n.Clients.Call(ctx, n.Drivers[chance.intN(len(n.Drivers))].Address, rpc)
-			s.bots.add(m, r, time.Since(began))
-			if r.Outcome != sockets.Rejected {
+const botAttempts = 5
+
+// runBots asks as bots do: pushed back, they come again at once, several times.
+func (f *Flood) runBots(ctx context.Context, cluster *Cluster, s *scenario, rate float64) {
+	random := &lockedRand{rng: rand.New(rand.NewPCG(f.Seed, 4))}
+	runOpenLoop(ctx, rand.New(rand.NewPCG(f.Seed, 5)), rate, f.Duration, func() {
+		method, rpc := f.randomRPC(botsTenant, random)
+		for range botAttempts {
+			start := time.Now()
+			reply := cluster.Clients.Call(ctx, cluster.Drivers[random.intN(len(cluster.Drivers))].Address, rpc)
+			s.bots.record(method, reply, time.Since(start))
+			if reply.Outcome != sockets.Rejected {
 				return
 			}
 			rpc.IsRetry = true
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -41,7 +41,7 @@
 	moveDrivers = 3
 )
 
-func (v *Moves) shape() emulator.Config {
+func (v *Moves) fleetConfig() emulator.Config {
 	return emulator.Config{Groups: moveCells, Members: 3, Cores: 4, QueueLimit: 100, ServiceTime: int64(2 * time.Millisecond), ServiceSigma: 0.5,
 		ReplicaLag: int64(15 * time.Millisecond), FillLag: int64(30 * time.Millisecond), Seed: v.Seed, ColdCapacity: 0.2, WarmUpTime: int64(4 * time.Second),
 		OverloadFactor: 2, DrainGrace: int64(3 * time.Second)}
@@ -66,120 +66,120 @@
 	StepGapMax                  time.Duration
 }
 
-// moving is a trial at work.
-type moving struct {
+// movesRun is a trial at work.
+type movesRun struct {
 	*Moves
-	*players
-	at      []string  // of the coordinator, or of the voters
-	council *convened // nil without one
-	mu      sync.Mutex
-	result  *MovesResult
-	holds   []float64 // seconds for which moves held writes
-	epochs  map[cells.Epoch]bool
-	journal string
-	admins  []string  // by driver
-	stands  []float64 // seconds from step to step
-	stepped time.Time // when the last one was seen
-	under   bool      // moves were under way then
-	leader  council.VoterID
+	*workload
+	addresses      []string        // of the coordinator, or of the voters
+	council        *relayedCouncil // nil without one
+	mu             sync.Mutex
+	result         *MovesResult
+	holdTimes      []float64 // seconds for which moves held writes
+	seenEpochs     map[cells.Epoch]bool
+	journalPath    string
+	adminAddresses []string  // by driver
+	stepGaps       []float64 // seconds from step to step
+	lastStep       time.Time // when the last one was seen
+	wasMoving      bool      // moves were under way then
+	leader         council.VoterID
 }
 
-// ahead is how many drivers coordinate and take no clients, so that they can be killed for their own sake.
-func (v *Moves) ahead() int { return max(1, v.Voters) }
+// coordinatorCount is how many drivers coordinate and take no clients, so that they can be killed for their own sake.
+func (v *Moves) coordinatorCount() int { return max(1, v.Voters) }
 
-// text is the operator's file of driver i; the first ones coordinate.
-func (v *moving) text(i int) string {
+// operatorText is the operator's file of driver i; the first ones coordinate.
+func (m *movesRun) operatorText(i int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "admin { listen: \"%s\" }\ncells {\n", v.admins[i])
+	fmt.Fprintf(&b, "admin { listen: \"%s\" }\ncells {\n", m.adminAddresses[i])
 	for c := range moveCells {
 		fmt.Fprintf(&b, "  cell { name: \"c%d\" group: %d }\n", c, c+1)
 	}
 	b.WriteString("  tenancy {\n    others: \"others\"\n")
-	for t := range v.Tenants {
+	for t := range m.Tenants {
 		fmt.Fprintf(&b, "    rule { prefix: \"t%d/\" tenant: \"t%d\" }\n", t, t)
 	}
 	fmt.Fprintf(&b, "  }\n  budget { rpcs: 600 call_outs: 600 lend: 0.5 }\n  coordination {\n    lease_ms: %d\n    hold_ms: %d\n    held: 1000\n",
-		v.Lease.Milliseconds(), v.Hold.Milliseconds())
-	if v.council == nil {
-		fmt.Fprintf(&b, "    at: \"%s\"\n", v.at[0])
+		m.Lease.Milliseconds(), m.Hold.Milliseconds())
+	if m.council == nil {
+		fmt.Fprintf(&b, "    at: \"%s\"\n", m.addresses[0])
 	}
-	if v.council == nil && i == 0 {
-		fmt.Fprintf(&b, "    here: true\n    journal: \"%s\"\n", v.journal)
+	if m.council == nil && i == 0 {
+		fmt.Fprintf(&b, "    here: true\n    journal: \"%s\"\n", m.journalPath)
 	}
-	if i < v.ahead() {
-		fmt.Fprintf(&b, "    fill_hook: \"%s\"\n", v.n.Fleet.FillHookURL())
+	if i < m.coordinatorCount() {
+		fmt.Fprintf(&b, "    fill_hook: \"%s\"\n", m.cluster.Fleet.FillHookURL())
 	}
 	b.WriteString("  }\n}\n")
-	if v.council != nil {
-		b.WriteString(v.council.text(i))
+	if m.council != nil {
+		b.WriteString(m.council.operatorText(i))
 	}
 	return b.String()
 }
 
 // Run plays the trial.
 func (v *Moves) Run(ctx context.Context) (*MovesResult, error) {
-	m := &moving{Moves: v, epochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, GateRejections: map[string]int64{}}}
-	m.players = newPlayers(v.Seed, func() *sockets.Driver { return m.n.Drivers[v.ahead()+m.chance.intN(moveDrivers)] })
-	drivers := v.ahead() + moveDrivers
-	at, err := sockets.FreeAddresses(v.ahead() + drivers)
+	m := &movesRun{Moves: v, seenEpochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, GateRejections: map[string]int64{}}}
+	m.workload = newWorkload(v.Seed, func() *sockets.Driver { return m.cluster.Drivers[v.coordinatorCount()+m.random.intN(moveDrivers)] })
+	drivers := v.coordinatorCount() + moveDrivers
+	addresses, err := sockets.FreeAddresses(v.coordinatorCount() + drivers)
 	if err != nil {
 		return nil, err
 	}
-	m.at, m.admins = at[:v.ahead()], at[v.ahead():]
+	m.addresses, m.adminAddresses = addresses[:v.coordinatorCount()], addresses[v.coordinatorCount():]
 	if v.Voters > 0 {
-		if m.council, err = convene(v.Seed, m.at, drivers); err != nil {
+		if m.council, err = newRelayedCouncil(v.Seed, m.addresses, drivers); err != nil {
 			return nil, err
 		}
-		defer m.council.net.Close()
+		defer m.council.network.Close()
 	}
-	n, err := StartCluster(ctx, v.Program, v.shape(), drivers, func(n *Cluster, i int) string {
-		m.n, m.journal = n, filepath.Join(n.dir, "cells.journal")
+	cluster, err := StartCluster(ctx, v.Program, v.fleetConfig(), drivers, func(cluster *Cluster, i int) string {
+		m.cluster, m.journalPath = cluster, filepath.Join(cluster.dir, "cells.journal")
 		if m.council != nil {
-			m.council.dir = n.dir
+			m.council.dir = cluster.dir
 		}
-		return m.text(i)
+		return m.operatorText(i)
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer n.Close()
-	m.n = n
-	var trouble sync.WaitGroup
-	troubles, calm := context.WithCancel(ctx)
-	defer calm()
-	m.play(ctx, v.Tenants, v.Keys)
+	defer cluster.Close()
+	m.cluster = cluster
+	var faults sync.WaitGroup
+	faultCtx, stopFaults := context.WithCancel(ctx)
+	defer stopFaults()
+	m.startClients(ctx, v.Tenants, v.Keys)
 	if v.Faults {
 		if m.council != nil {
-			trouble.Add(1)
-			go func() { defer trouble.Done(); m.council.troubles(troubles, v.Seed) }()
+			faults.Add(1)
+			go func() { defer faults.Done(); m.council.playFaults(faultCtx, v.Seed) }()
 		}
-		for _, fault := range m.faults() {
-			trouble.Add(1)
-			go func() { defer trouble.Done(); m.trouble(troubles, fault) }()
+		for _, fault := range m.periodicFaults() {
+			faults.Add(1)
+			go func() { defer faults.Done(); m.injectRepeatedly(faultCtx, fault) }()
 		}
 	}
-	err = m.move(ctx)
-	calm()
-	trouble.Wait()
-	m.end()
+	err = m.requestMoves(ctx)
+	stopFaults()
+	faults.Wait()
+	m.stop()
 	if err == nil {
-		err = m.settle(ctx)
+		err = m.awaitIdle(ctx)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w\n%s", err, n.logs())
+		return nil, fmt.Errorf("%w\n%s", err, cluster.lastLogLines())
 	}
-	return m.finish(), nil
+	return m.summarize(), nil
 }
 
-// move asks for moves of tenants to cells at random until enough are done, some of them called off, some asked for twice
+// requestMoves asks for moves of tenants to cells at random until enough are done, some of them called off, some asked for twice
 // and some sent back while they settle.
-func (m *moving) move(ctx context.Context) error {
-	c := membership.Dial(m.at...)
+func (m *movesRun) requestMoves(ctx context.Context) error {
+	coordinator := membership.Dial(m.addresses...)
 	deadline := time.Now().Add(m.Timeout)
 	for {
-		state, err := c.State(ctx)
+		state, err := coordinator.State(ctx)
 		if err == nil {
-			m.watch(state)
+			m.observe(state)
 		}
 		m.mu.Lock()
 		done := m.result.Done
@@ -192,34 +192,34 @@
 		case time.Now().After(deadline):
 			return fmt.Errorf("only %d of %d moves were done in %v (%d undone)", done, m.MinMoves, m.Timeout, m.result.RolledBack)
 		}
-		if len(movingOf(state)) < max(1, m.Tenants/2) {
-			m.ask(ctx, c)
+		if len(activeMoves(state)) < max(1, m.Tenants/2) {
+			m.requestMove(ctx, coordinator)
 		}
-		if m.chance.intN(60) == 0 {
-			if under := movingOf(state); len(under) > 0 {
-				c.Abort(ctx, membership.Move{Tenant: under[m.chance.intN(len(under))].Tenant, Why: "trial"})
+		if m.random.intN(60) == 0 {
+			if moving := activeMoves(state); len(moving) > 0 {
+				coordinator.Abort(ctx, membership.Move{Tenant: moving[m.random.intN(len(moving))].Tenant, Why: "trial"})
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func movingOf(s membership.State) (moving []cells.Entry) {
-	for _, e := range s.Entries {
-		if e.Stage != cells.StageIdle {
-			moving = append(moving, e)
+func activeMoves(state membership.State) (moving []cells.Entry) {
+	for _, entry := range state.Entries {
+		if entry.Stage != cells.StageIdle {
+			moving = append(moving, entry)
 		}
 	}
 	return moving
 }
 
-// ask asks for a move, now and then twice at once.
-func (m *moving) ask(ctx context.Context, c membership.Coordinator) {
-	t := cells.Tenant(fmt.Sprintf("t%d", m.chance.intN(m.Tenants)))
-	times := 1 + m.chance.intN(4)/3
+// requestMove asks for a move, now and then twice at once.
+func (m *movesRun) requestMove(ctx context.Context, coordinator membership.Coordinator) {
+	tenant := cells.Tenant(fmt.Sprintf("t%d", m.random.intN(m.Tenants)))
+	times := 1 + m.random.intN(4)/3
 	for range times {
-		to := fmt.Sprintf("c%d", m.chance.intN(moveCells))
-		err := c.Move(ctx, []membership.Move{{Tenant: t, To: to, Why: "trial"}})
+		to := fmt.Sprintf("c%d", m.random.intN(moveCells))
+		err := coordinator.Move(ctx, []membership.Move{{Tenant: tenant, To: to, Why: "trial"}})
 		m.mu.Lock()
 		m.result.Requested++
 		if err != nil {
@@ -229,46 +229,46 @@
 	}
 }
 
-// watch counts moves that have ended since it looked last.
-func (m *moving) watch(s membership.State) {
+// observe counts moves that have ended since it looked last.
+func (m *movesRun) observe(state membership.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if s.Voter != m.leader {
-		m.leader = s.Voter
+	if state.Voter != m.leader {
+		m.leader = state.Voter
 		m.result.Leaders++
 	}
 	now, stepped := time.Now(), false
 	defer func() {
-		if stepped && m.under {
-			m.stands = append(m.stands, now.Sub(m.stepped).Seconds())
+		if stepped && m.wasMoving {
+			m.stepGaps = append(m.stepGaps, now.Sub(m.lastStep).Seconds())
 		}
 		if stepped {
-			m.stepped, m.under = now, len(movingOf(s)) > 0
+			m.lastStep, m.wasMoving = now, len(activeMoves(state)) > 0
 		}
 	}()
-	for _, e := range s.Entries {
-		if m.epochs[e.Epoch] {
+	for _, entry := range state.Entries {
+		if m.seenEpochs[entry.Epoch] {
 			continue
 		}
-		m.epochs[e.Epoch], stepped = true, true
-		switch e.Stage {
+		m.seenEpochs[entry.Epoch], stepped = true, true
+		switch entry.Stage {
 		case cells.StageSwitched:
 			m.result.Done++
-			m.holds = append(m.holds, float64(e.DecidedAt-e.HoldStartedAt)/1e9)
+			m.holdTimes = append(m.holdTimes, float64(entry.DecidedAt-entry.HoldStartedAt)/1e9)
 		case cells.StageRollingBack:
 			m.result.RolledBack++
 		}
 	}
 }
 
-// settle waits until no move is under way.
-func (m *moving) settle(ctx context.Context) error {
-	c := membership.Dial(m.at...)
+// awaitIdle waits until no move is under way.
+func (m *movesRun) awaitIdle(ctx context.Context) error {
+	coordinator := membership.Dial(m.addresses...)
 	for deadline := time.Now().Add(m.Hold + 2*m.Lease + 10*time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		state, err := c.State(ctx)
+		state, err := coordinator.State(ctx)
 		if err == nil {
-			m.watch(state)
-			if len(movingOf(state)) == 0 {
+			m.observe(state)
+			if len(activeMoves(state)) == 0 {
 				return nil
 			}
 		}
@@ -276,39 +276,39 @@
 	return fmt.Errorf("moves do not settle")
 }
 
-// finish checks what is left and sums up.
-func (m *moving) finish() *MovesResult {
+// summarize checks what is left and sums up.
+func (m *movesRun) summarize() *MovesResult {
 	r := m.result
-	state, _ := membership.Dial(m.at...).State(context.Background())
+	state, _ := membership.Dial(m.addresses...).State(context.Background())
 	groups := map[string]int64{}
 	for _, e := range state.Entries {
 		var cell int64
 		fmt.Sscanf(e.Cell, "c%d", &cell)
 		groups[string(e.Tenant)] = cell + 1
 	}
-	m.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
-		r.Writes = m.n.Fleet.CheckAcknowledged(f, func(key string) int64 {
+	m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
+		r.Writes = m.cluster.Fleet.CheckAcknowledged(f, func(key string) int64 {
 			if g, moved := groups[emulator.TenantOf(key)]; moved {
 				return g
 			}
 			return hashedGroup(moveCells, key)
 		})
 	})
-	r.Violations = m.n.Fleet.Violations()
+	r.Violations = m.cluster.Fleet.Violations()
 	r.FoundWrites = r.Writes
 	for _, b := range r.Violations {
 		if b.Rule == emulator.RuleLostWrite {
 			r.FoundWrites--
 		}
 	}
-	r.HoldP50, r.HoldP99 = quantiles(m.holds)
-	r.StepGapP50, r.StepGapP99 = quantiles(m.stands)
-	for _, stood := range m.stands {
+	r.HoldP50, r.HoldP99 = p50p99(m.holdTimes)
+	r.StepGapP50, r.StepGapP99 = p50p99(m.stepGaps)
+	for _, stood := range m.stepGaps {
 		r.StepGapMax = max(r.StepGapMax, time.Duration(stood*float64(time.Second)))
 	}
-	r.WriteP50, r.WriteP99 = quantiles(m.waits)
-	r.RPCs, r.Unexplained = m.rpcs, m.unexplained
-	for _, address := range m.admins {
+	r.WriteP50, r.WriteP99 = p50p99(m.writeLatencies)
+	r.RPCs, r.Unexplained = m.outcomes, m.unexplained
+	for _, address := range m.adminAddresses {
 		var f cells.Stats
 		if admin.Dial(address).Ask(context.Background(), "list", admin.Wanted{}, &f) == nil {
 			for why, n := range f.Rejected {
@@ -317,10 +317,10 @@
 			r.GateFenced += f.Fenced
 		}
 	}
-	r.RejectedShare = float64(m.turned) / float64(max(1, m.writes))
-	m.befell(r.Faults)
+	r.RejectedShare = float64(m.rejectedWrites) / float64(max(1, m.writes))
+	m.addFaultCounts(r.Faults)
 	if m.council != nil {
-		m.council.befell(r.Faults)
+		m.council.addFaultCounts(r.Faults)
 	}
 	return r
 }
@@ -334,7 +334,7 @@
 	return int64(layout.HomeCell(cells.Tenant(emulator.TenantOf(key)))) + 1
 }
 
-func quantiles(seconds []float64) (half, most time.Duration) {
+func p50p99(seconds []float64) (p50, p99 time.Duration) {
 	if len(seconds) == 0 {
 		return 0, 0
 	}
@@ -346,84 +346,86 @@
 	return at(0.5), at(0.99)
 }
 
-// faults are the troubles of a night of moves.
-func (m *moving) faults() []fault {
-	members := m.shape().Groups * m.shape().Members
-	driver := m.some
-	some := func(do func(id emulator.MemberID, f *emulator.Fleet, now int64)) {
-		id := emulator.MemberID(m.chance.intN(members))
-		m.n.Fleet.WithModel(func(now int64, f *emulator.Fleet) { do(id, f, now) })
-	}
-	return append(m.coordinators(), []fault{
+// periodicFaults are the troubles of a night of moves.
+func (m *movesRun) periodicFaults() []periodicFault {
+	members := m.fleetConfig().Groups * m.fleetConfig().Members
+	pickDriver := m.pickDriver
+	onRandomMember := func(update func(id emulator.MemberID, f *emulator.Fleet, now int64)) {
+		id := emulator.MemberID(m.random.intN(members))
+		m.cluster.Fleet.WithModel(func(now int64, f *emulator.Fleet) { update(id, f, now) })
+	}
+	return append(m.coordinatorFaults(), []periodicFault{
 		{"a driver stands still", 4 * time.Second, func(ctx context.Context) {
-			still(ctx, driver(), time.Duration((0.2+2*m.chance.float())*float64(m.Lease)))
+			pauseDriver(ctx, pickDriver(), time.Duration((0.2+2*m.random.float64())*float64(m.Lease)))
 		}},
 		{"a driver is killed and started again", 6 * time.Second, func(ctx context.Context) {
-			again(ctx, driver(), time.Duration(m.chance.float()*float64(m.Lease)))
+			killAndRestart(ctx, pickDriver(), time.Duration(m.random.float64()*float64(m.Lease)))
 		}},
 		{"a member loses its answers", 2 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetReplyLoss(at, true) })
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetReplyLoss(at, true) })
 			relays.Sleep(ctx, 300*time.Millisecond)
-			m.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetReplyLoss(id, false) })
+			m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetReplyLoss(id, false) })
 		}},
 		{"a member is ten times as slow", 3 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetSlowdown(at, 10) })
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetSlowdown(at, 10) })
 			relays.Sleep(ctx, time.Second)
-			m.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetSlowdown(id, 1) })
+			m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetSlowdown(id, 1) })
 		}},
 		{"a member stands still", 2 * time.Second, func(ctx context.Context) {
-			some(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
 				f.PauseUntil(at, now+int64(500*time.Millisecond))
 			})
 		}},
 		{"a replica drains and serves again", 4 * time.Second, func(ctx context.Context) {
-			id := emulator.MemberID(m.chance.intN(moveCells)*m.shape().Members + 1) // never both of a group
-			m.n.Fleet.SetDraining(id, true)
-			relays.Sleep(ctx, m.drained())
-			m.n.Fleet.SetDraining(id, false)
+			id := emulator.MemberID(m.random.intN(moveCells)*m.fleetConfig().Members + 1) // never both of a group
+			m.cluster.Fleet.SetDraining(id, true)
+			relays.Sleep(ctx, m.drainDuration())
+			m.cluster.Fleet.SetDraining(id, false)
 		}},
 		{"a member starts anew and is cold", 4 * time.Second, func(ctx context.Context) {
-			m.n.Fleet.Restart(emulator.MemberID(m.chance.intN(members)))
+			m.cluster.Fleet.Restart(emulator.MemberID(m.random.intN(members)))
 		}},
 		{"a replica lags and answers quickly", 2 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
 				id = at
 				f.SetLag(now, at, int64(2*time.Second))
 			})
 			relays.Sleep(ctx, time.Second)
-			m.n.Fleet.WithModel(func(now int64, f *emulator.Fleet) { f.SetLag(now, id, f.Config.ReplicaLag) })
+			m.cluster.Fleet.WithModel(func(now int64, f *emulator.Fleet) { f.SetLag(now, id, f.Config.ReplicaLag) })
 		}},
 	}...)
 }
 
-// coordinators are the troubles of those who coordinate.
-func (m *moving) coordinators() []fault {
+// coordinatorFaults are the troubles of those who coordinate.
+func (m *movesRun) coordinatorFaults() []periodicFault {
 	if m.council == nil {
-		return []fault{{"the coordinator is killed and started again", 3 * time.Second, func(ctx context.Context) {
-			again(ctx, m.n.Drivers[0], 50*time.Millisecond)
+		return []periodicFault{{"the coordinator is killed and started again", 3 * time.Second, func(ctx context.Context) {
+			killAndRestart(ctx, m.cluster.Drivers[0], 50*time.Millisecond)
 		}}}
 	}
-	return []fault{
+	return []periodicFault{
 		{"the council's leader is killed and started again", 3 * time.Second, func(ctx context.Context) {
-			again(ctx, m.n.Drivers[m.leading()], 50*time.Millisecond)
+			killAndRestart(ctx, m.cluster.Drivers[m.leaderVoter()], 50*time.Millisecond)
 		}},
 		{"the council's leader stands still", 5 * time.Second, func(ctx context.Context) {
-			still(ctx, m.n.Drivers[m.leading()], time.Duration((0.2+2*m.chance.float())*float64(m.Lease)))
+			pauseDriver(ctx, m.cluster.Drivers[m.leaderVoter()], time.Duration((0.2+2*m.random.float64())*float64(m.Lease)))
 		}},
 		{"a voter is killed and started again", 5 * time.Second, func(ctx context.Context) {
-			again(ctx, m.n.Drivers[m.chance.intN(m.Voters)], time.Duration(m.chance.float()*float64(m.Lease)))
+			killAndRestart(ctx, m.cluster.Drivers[m.random.intN(m.Voters)], time.Duration(m.random.float64()*float64(m.Lease)))
 		}},
 	}
 }
 
-// leading is the voter that leads, as the first one that answers knows, or any.
-func (m *moving) leading() int { return leading(m.at, m.chance) }
+// leaderVoter is the voter that leads, as the first one that answers knows, or any.
+func (m *movesRun) leaderVoter() int { return leaderIndex(m.addresses, m.random) }
 
-// drained is how long a member drains: longer than what may still be sent to it.
-func (m *moving) drained() time.Duration { return time.Duration(m.shape().DrainGrace) + 2*time.Second }
+// drainDuration is how long a member drains: longer than what may still be sent to it.
+func (m *movesRun) drainDuration() time.Duration {
+	return time.Duration(m.fleetConfig().DrainGrace) + 2*time.Second
+}
 
 // Table is what a trial showed, in Markdown.
 func (r *MovesResult) Table() string {
@@ -448,12 +450,12 @@
 		rows = append(rows, []string{"turned away by gates: " + w.String(), fmt.Sprint(r.GateRejections[w.String()])})
 	}
 	rows = append(rows, []string{"call-outs and answers given up by gates", fmt.Sprint(r.GateFenced)})
-	rows = append(rows, breachRows(r.Violations)...)
-	return table([]string{"what", "figure"}, append(rows, faultRows(r.Faults)...))
+	rows = append(rows, violationRows(r.Violations)...)
+	return markdownTable([]string{"what", "figure"}, append(rows, faultCountRows(r.Faults)...))
 }
 
-// breachRows counts breaches by rule.
-func breachRows(breaches []emulator.Violation) (rows [][]string) {
+// violationRows counts breaches by rule.
+func violationRows(breaches []emulator.Violation) (rows [][]string) {
 	count := map[string]int{}
 	for _, b := range breaches {
 		count[b.Rule]++
@@ -464,8 +466,8 @@
 	return rows
 }
 
-// faultRows are how often each trouble was brought about.
-func faultRows(faults map[string]int) (rows [][]string) {
+// faultCountRows are how often each trouble was brought about.
+func faultCountRows(faults map[string]int) (rows [][]string) {
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
 		rows = append(rows, []string{"fault: " + name, fmt.Sprint(faults[name])})
 	}
--- a/internal/emulator/trials/players.go
+++ b/internal/emulator/trials/players.go
@@ -13,144 +13,144 @@
 	"sedgespread/internal/emulator/sockets"
 )
 
-// players are clients that each write and read one key, one RPC after another, each at some driver.
-type players struct {
-	n      *Cluster
-	chance *locked
-	some   func() *sockets.Driver // one that takes clients
-	pause  time.Duration          // of one client between its RPCs, in the mean
-	every  time.Duration          // if not 0 one client's RPCs are due so far apart in the mean, however long they take
-	work   sync.WaitGroup
-	stop   atomic.Bool
-
-	counts      sync.Mutex
-	rpcs        map[sockets.Outcome]int
-	waits       []float64 // seconds that served writes took
-	writes      int
-	turned      int // writes that were pushed back
-	unexplained int // RPCs without an answer at drivers that had no trouble
-	faults      map[string]int
+// workload are clients that each write and read one key, one RPC after another, each at some driver.
+type workload struct {
+	cluster      *Cluster
+	random       *lockedRand
+	pickDriver   func() *sockets.Driver // one that takes clients
+	meanPause    time.Duration          // of one client between its RPCs, in the mean
+	meanInterval time.Duration          // if not 0 one client's RPCs are due so far apart in the mean, however long they take
+	wait         sync.WaitGroup
+	stopped      atomic.Bool
+
+	mu             sync.Mutex
+	outcomes       map[sockets.Outcome]int
+	writeLatencies []float64 // seconds that served writes took
+	writes         int
+	rejectedWrites int // writes that were pushed back
+	unexplained    int // RPCs without an answer at drivers that had no trouble
+	faultCounts    map[string]int
 }
 
-const usualPause = 60 * time.Millisecond
+const defaultMeanPause = 60 * time.Millisecond
 
-func newPlayers(seed uint64, some func() *sockets.Driver) *players {
-	return &players{chance: &locked{rng: rand.New(rand.NewPCG(seed, 7))}, some: some, pause: usualPause, rpcs: map[sockets.Outcome]int{}, faults: map[string]int{}}
+func newWorkload(seed uint64, pickDriver func() *sockets.Driver) *workload {
+	return &workload{random: &lockedRand{rng: rand.New(rand.NewPCG(seed, 7))}, pickDriver: pickDriver, meanPause: defaultMeanPause, outcomes: map[sockets.Outcome]int{}, faultCounts: map[string]int{}}
 }
 
-// play starts a client for each key of some tenants.
-func (p *players) play(ctx context.Context, tenants, keys int) {
+// startClients starts a client for each key of some tenants.
+func (p *workload) startClients(ctx context.Context, tenants, keys int) {
 	for t := range tenants {
 		for k := range keys {
-			p.work.Add(1)
-			go func() { defer p.work.Done(); p.client(ctx, fmt.Sprintf("t%d/%d", t, k)) }()
+			p.wait.Add(1)
+			go func() { defer p.wait.Done(); p.runClient(ctx, fmt.Sprintf("t%d/%d", t, k)) }()
 		}
 	}
 }
 
-// end lets all clients end.
-func (p *players) end() {
-	p.stop.Store(true)
-	p.work.Wait()
+// stop lets all clients end.
+func (p *workload) stop() {
+	p.stopped.Store(true)
+	p.wait.Wait()
 }
 
-// client writes and reads one key.
-func (p *players) client(ctx context.Context, key string) {
-	for due := time.Now(); !p.stop.Load() && ctx.Err() == nil; {
-		d := p.some()
-		known, position := p.n.Fleet.LastAcknowledged(key)
-		rpc := sockets.RPC{Method: own.Name, Key: key, Group: 1, Timeout: own.Timeout, MinPosition: position}
-		write := p.chance.intN(2) == 0
-		if write {
-			rpc = sockets.RPC{Method: move.Name, Key: key, Write: true, Group: 1, Timeout: move.Timeout}
+// runClient writes and reads one key.
+func (p *workload) runClient(ctx context.Context, key string) {
+	for due := time.Now(); !p.stopped.Load() && ctx.Err() == nil; {
+		driver := p.pickDriver()
+		acknowledged, position := p.cluster.Fleet.LastAcknowledged(key)
+		rpc := sockets.RPC{Method: getOwnMethod.Name, Key: key, Group: 1, Timeout: getOwnMethod.Timeout, MinPosition: position}
+		isWrite := p.random.intN(2) == 0
+		if isWrite {
+			rpc = sockets.RPC{Method: putMethod.Name, Key: key, Write: true, Group: 1, Timeout: putMethod.Timeout}
 		}
-		begun := time.Now()
-		r := p.n.Clients.Call(ctx, d.Address, rpc)
-		if r.Outcome == sockets.Served && !write {
-			p.n.Fleet.Read(r.ID, key, r.Value, known)
+		start := time.Now()
+		reply := p.cluster.Clients.Call(ctx, driver.Address, rpc)
+		if reply.Outcome == sockets.Served && !isWrite {
+			p.cluster.Fleet.Read(reply.ID, key, reply.Value, acknowledged)
 		}
-		p.count(d, r, begun, write)
-		if r.Outcome == sockets.Rejected {
-			time.Sleep(r.RetryAfter)
+		p.record(driver, reply, start, isWrite)
+		if reply.Outcome == sockets.Rejected {
+			time.Sleep(reply.RetryAfter)
 		}
-		if p.every == 0 {
-			time.Sleep(time.Duration(float64(p.pause) * (0.5 + p.chance.float())))
+		if p.meanInterval == 0 {
+			time.Sleep(time.Duration(float64(p.meanPause) * (0.5 + p.random.float64())))
 			continue
 		}
-		due = due.Add(time.Duration(float64(p.every) * (0.5 + p.chance.float())))
+		due = due.Add(time.Duration(float64(p.meanInterval) * (0.5 + p.random.float64())))
 		time.Sleep(time.Until(due))
 	}
 }
 
-// count notes what came of an RPC. One without an answer is a breach unless its driver was in trouble meanwhile, which
+// record notes what came of an RPC. One without an answer is a breach unless its driver was in trouble meanwhile, which
 // the drivers were told by the trial itself.
-func (p *players) count(d *sockets.Driver, r sockets.Reply, begun time.Time, write bool) {
-	p.counts.Lock()
-	defer p.counts.Unlock()
-	p.rpcs[r.Outcome]++
-	if write {
+func (p *workload) record(driver *sockets.Driver, reply sockets.Reply, start time.Time, isWrite bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.outcomes[reply.Outcome]++
+	if isWrite {
 		p.writes++
-		if r.Outcome == sockets.Rejected {
-			p.turned++
+		if reply.Outcome == sockets.Rejected {
+			p.rejectedWrites++
 		}
-		if r.Outcome == sockets.Served {
-			p.waits = append(p.waits, r.Latency.Seconds())
+		if reply.Outcome == sockets.Served {
+			p.writeLatencies = append(p.writeLatencies, reply.Latency.Seconds())
 		}
 	}
-	if r.Outcome >= sockets.TimedOut && r.Outcome != sockets.ConnectFailed && !d.DisruptedSince(begun.Add(-trouble)) && !p.stop.Load() {
+	if reply.Outcome >= sockets.TimedOut && reply.Outcome != sockets.ConnectFailed && !driver.DisruptedSince(start.Add(-disruptionGrace)) && !p.stopped.Load() {
 		p.unexplained++
-		p.n.Fleet.RecordNoAnswer(r.ID)
+		p.cluster.Fleet.RecordNoAnswer(reply.ID)
 	}
 }
 
-// trouble is how long a driver that was paused or killed may still leave RPCs without an answer.
-const trouble = 3 * time.Second
+// disruptionGrace is how long a driver that was paused or killed may still leave RPCs without an answer.
+const disruptionGrace = 3 * time.Second
 
-// fault is a trouble with how to begin and how to end it.
-type fault struct {
-	name  string
-	every time.Duration // in the mean
-	do    func(ctx context.Context)
+// periodicFault is a trouble with how to begin and how to end it.
+type periodicFault struct {
+	name         string
+	meanInterval time.Duration // in the mean
+	inject       func(ctx context.Context)
 }
 
-// trouble brings a fault about again and again until the context ends.
-func (p *players) trouble(ctx context.Context, f fault) {
-	for relays.Sleep(ctx, time.Duration(float64(f.every)*(0.5+p.chance.float()))) {
-		p.counts.Lock()
-		p.faults[f.name]++
-		p.counts.Unlock()
-		f.do(ctx)
+// injectRepeatedly brings a fault about again and again until the context ends.
+func (p *workload) injectRepeatedly(ctx context.Context, f periodicFault) {
+	for relays.Sleep(ctx, time.Duration(float64(f.meanInterval)*(0.5+p.random.float64()))) {
+		p.mu.Lock()
+		p.faultCounts[f.name]++
+		p.mu.Unlock()
+		f.inject(ctx)
 	}
 }
 
-// befell adds what faults were brought about.
-func (p *players) befell(faults map[string]int) {
-	p.counts.Lock()
-	defer p.counts.Unlock()
-	for name, n := range p.faults {
+// addFaultCounts adds what faults were brought about.
+func (p *workload) addFaultCounts(faults map[string]int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for name, n := range p.faultCounts {
 		faults[name] += n
 	}
 }
 
-// again kills a driver and starts it again after a while.
-func again(ctx context.Context, d *sockets.Driver, after time.Duration) {
-	d.Kill()
-	relays.Sleep(ctx, after)
-	d.Start(context.Background())
+// killAndRestart kills a driver and starts it again after a while.
+func killAndRestart(ctx context.Context, driver *sockets.Driver, delay time.Duration) {
+	driver.Kill()
+	relays.Sleep(ctx, delay)
+	driver.Start(context.Background())
 }
 
-// still lets a driver stand still for a while.
-func still(ctx context.Context, d *sockets.Driver, span time.Duration) {
-	d.Pause()
-	relays.Sleep(ctx, span)
-	d.Continue()
+// pauseDriver lets a driver stand still for a while.
+func pauseDriver(ctx context.Context, driver *sockets.Driver, duration time.Duration) {
+	driver.Pause()
+	relays.Sleep(ctx, duration)
+	driver.Continue()
 }
 
-// logs are the last lines of all drivers.
-func (n *Cluster) logs() (logs string) {
-	for _, d := range n.Drivers {
-		all := strings.Split(strings.TrimSpace(d.Log()), "\n")
-		logs += d.Name + ":\n" + strings.Join(all[max(0, len(all)-12):], "\n") + "\n"
+// lastLogLines are the last lines of all drivers.
+func (c *Cluster) lastLogLines() (text string) {
+	for _, d := range c.Drivers {
+		lines := strings.Split(strings.TrimSpace(d.Log()), "\n")
+		text += d.Name + ":\n" + strings.Join(lines[max(0, len(lines)-12):], "\n") + "\n"
 	}
-	return logs
+	return text
 }
--- a/internal/emulator/trials/trials.go
+++ b/internal/emulator/trials/trials.go
@@ -19,10 +19,10 @@
 
 // Methods of the trials: a player's move, a look at the own moves, and the archive.
 var (
-	move    = sockets.Method{Name: "put", Effect: "once", ReadLevel: "update", SoftDeadline: 400 * time.Millisecond, Timeout: 2 * time.Second, Utility: 5, LateShare: 0.3}
-	own     = sockets.Method{Name: "get-own", Effect: "repeatable", ReadLevel: "own_writes", SoftDeadline: 400 * time.Millisecond, Timeout: 2 * time.Second, Utility: 2, LateShare: 0.3}
-	archive = sockets.Method{Name: "archive", Effect: "repeatable", ReadLevel: "loose", SoftDeadline: 800 * time.Millisecond, Timeout: 2 * time.Second, Utility: 1, LateShare: 0.5}
-	methods = []sockets.Method{move, own, archive}
+	putMethod     = sockets.Method{Name: "put", Effect: "once", ReadLevel: "update", SoftDeadline: 400 * time.Millisecond, Timeout: 2 * time.Second, Utility: 5, LateShare: 0.3}
+	getOwnMethod  = sockets.Method{Name: "get-own", Effect: "repeatable", ReadLevel: "own_writes", SoftDeadline: 400 * time.Millisecond, Timeout: 2 * time.Second, Utility: 2, LateShare: 0.3}
+	archiveMethod = sockets.Method{Name: "archive", Effect: "repeatable", ReadLevel: "loose", SoftDeadline: 800 * time.Millisecond, Timeout: 2 * time.Second, Utility: 1, LateShare: 0.5}
+	methods       = []sockets.Method{putMethod, getOwnMethod, archiveMethod}
 )
 
 // Cluster is a fleet with drivers and clients, for one side of a trial.
@@ -34,93 +34,93 @@
 }
 
 // StartCluster starts a night. The operator's text of a driver is empty for none.
-func StartCluster(ctx context.Context, program string, s emulator.Config, drivers int, text func(n *Cluster, i int) string) (*Cluster, error) {
-	n := &Cluster{}
-	if err := n.open(ctx, program, s, drivers, text); err != nil {
-		n.Close()
+func StartCluster(ctx context.Context, program string, config emulator.Config, drivers int, operatorText func(c *Cluster, i int) string) (*Cluster, error) {
+	c := &Cluster{}
+	if err := c.start(ctx, program, config, drivers, operatorText); err != nil {
+		c.Close()
 		return nil, err
 	}
-	return n, nil
+	return c, nil
 }
 
-func (n *Cluster) open(ctx context.Context, program string, s emulator.Config, drivers int, text func(n *Cluster, i int) string) (err error) {
-	if n.dir, err = os.MkdirTemp("", "sedgespread-trial"); err != nil {
+func (c *Cluster) start(ctx context.Context, program string, config emulator.Config, drivers int, operatorText func(c *Cluster, i int) string) (err error) {
+	if c.dir, err = os.MkdirTemp("", "sedgespread-trial"); err != nil {
 		return err
 	}
-	if n.Fleet, err = sockets.Start(s); err != nil {
+	if c.Fleet, err = sockets.Start(config); err != nil {
 		return err
 	}
-	n.Clients = n.Fleet.NewClients()
-	n.Drivers, err = n.Fleet.NewDrivers(program, n.dir, drivers, methods, func(i int) string { return text(n, i) })
+	c.Clients = c.Fleet.NewClients()
+	c.Drivers, err = c.Fleet.NewDrivers(program, c.dir, drivers, methods, func(i int) string { return operatorText(c, i) })
 	if err != nil {
 		return err
 	}
-	return sockets.StartAll(ctx, n.Drivers)
+	return sockets.StartAll(ctx, c.Drivers)
 }
 
 // Close ends a night.
-func (n *Cluster) Close() {
-	for _, d := range n.Drivers {
+func (c *Cluster) Close() {
+	for _, d := range c.Drivers {
 		d.Continue()
 		d.Kill()
 	}
-	if n.Clients != nil {
-		n.Clients.Close()
+	if c.Clients != nil {
+		c.Clients.Close()
 	}
-	if n.Fleet != nil {
-		n.Fleet.Stop()
+	if c.Fleet != nil {
+		c.Fleet.Stop()
 	}
-	os.RemoveAll(n.dir)
+	os.RemoveAll(c.dir)
 }
 
-// tally counts what came of RPCs.
-type tally struct {
-	mu      sync.Mutex
-	offered float64 // utility
-	got     float64
-	fates   map[sockets.Outcome]int
-	rpcs    int
+// utilityTally counts what came of RPCs.
+type utilityTally struct {
+	mu             sync.Mutex
+	offeredUtility float64 // utility
+	earnedUtility  float64
+	outcomes       map[sockets.Outcome]int
+	rpcs           int
 }
 
-func newTally() *tally { return &tally{fates: map[sockets.Outcome]int{}} }
+func newUtilityTally() *utilityTally { return &utilityTally{outcomes: map[sockets.Outcome]int{}} }
 
-func (t *tally) add(m *sockets.Method, r sockets.Reply, took time.Duration) {
+func (t *utilityTally) record(method *sockets.Method, reply sockets.Reply, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rpcs++
-	t.offered += m.Utility
-	t.fates[r.Outcome]++
+	t.offeredUtility += method.Utility
+	t.outcomes[reply.Outcome]++
 	switch {
-	case r.Outcome != sockets.Served:
-	case took <= m.SoftDeadline:
-		t.got += m.Utility
+	case reply.Outcome != sockets.Served:
+	case latency <= method.SoftDeadline:
+		t.earnedUtility += method.Utility
 	default:
-		t.got += m.Utility * m.LateShare
+		t.earnedUtility += method.Utility * method.LateShare
 	}
 }
 
-// service is the part of the utility that was had.
-func (t *tally) service() float64 {
+// utilityShare is the part of the utility that was had.
+func (t *utilityTally) utilityShare() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.offered == 0 {
+	if t.offeredUtility == 0 {
 		return 1
 	}
-	return t.got / t.offered
+	return t.earnedUtility / t.offeredUtility
 }
 
-// arrivals calls each arrival of a Poisson process at so many a second until the context ends or a time has passed. What
+// runOpenLoop calls each arrival of a Poisson process at so many a second until the context ends or a time has passed. What
 // is done for one does not hold the next up: an open loop.
-func arrivals(ctx context.Context, rng *rand.Rand, rate float64, span time.Duration, each func()) {
-	gap := distuv.Exponential{Rate: rate, Src: rng}
-	var open sync.WaitGroup
-	begun, next := time.Now(), time.Duration(0)
+func runOpenLoop(ctx context.Context, rng *rand.Rand, rate float64, duration time.Duration, call func()) {
+	interval := distuv.Exponential{Rate: rate, Src: rng}
+	var running sync.WaitGroup
+	start, next := time.Now(), time.Duration(0)
 	for {
-		next += time.Duration(gap.Rand() * float64(time.Second))
-		if next >= span {
+		next += time.Duration(interval.Rand() * float64(time.Second))
+		if next >= duration {
 			break
 		}
-		if wait := time.Until(begun.Add(next)); wait > 0 {
+		if wait := time.Until(start.Add(next)); wait > 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(wait):
@@ -129,52 +129,52 @@
 		if ctx.Err() != nil {
 			break
 		}
-		open.Add(1)
-		go func() { defer open.Done(); each() }()
+		running.Add(1)
+		go func() { defer running.Done(); call() }()
 	}
-	open.Wait()
+	running.Wait()
 }
 
-// skewed draws tenants by Zipf's law: the first comes most often.
-type skewed struct {
-	names []string
-	draw  distuv.Categorical
+// zipfTenants draws tenants by Zipf's law: the first comes most often.
+type zipfTenants struct {
+	names        []string
+	distribution distuv.Categorical
 }
 
-func newSkewed(names []string, skew float64, rng *rand.Rand) *skewed {
+func newZipfTenants(names []string, exponent float64, rng *rand.Rand) *zipfTenants {
 	weights := make([]float64, len(names))
 	for i := range weights {
-		weights[i] = 1 / math.Pow(float64(i+1), skew)
+		weights[i] = 1 / math.Pow(float64(i+1), exponent)
 	}
-	return &skewed{names: names, draw: distuv.NewCategorical(weights, rng)}
+	return &zipfTenants{names: names, distribution: distuv.NewCategorical(weights, rng)}
 }
 
-func (s *skewed) next() string { return s.names[int(s.draw.Rand())] }
+func (s *zipfTenants) next() string { return s.names[int(s.distribution.Rand())] }
 
-// locked makes a source of chances that many may use.
-type locked struct {
+// lockedRand makes a source of chances that many may use.
+type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-func (l *locked) intN(n int) int {
+func (l *lockedRand) intN(n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.IntN(n)
 }
 
-func (l *locked) float() float64 {
+func (l *lockedRand) float64() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
-// table lays out Markdown.
-func table(head []string, rows [][]string) string {
+// markdownTable lays out Markdown.
+func markdownTable(head []string, rows [][]string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat(" --- |", len(head)))
-	for _, r := range rows {
-		fmt.Fprintf(&b, "| %s |\n", strings.Join(r, " | "))
+	for _, row := range rows {
+		fmt.Fprintf(&b, "| %s |\n", strings.Join(row, " | "))
 	}
 	return b.String()
 }
--- a/internal/emulator/trials/trials_test.go
+++ b/internal/emulator/trials/trials_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// programs are those built, by tags: linking one takes longer than some trials.
-var programs struct {
+// builtPrograms are those built, by tags: linking one takes longer than some trials.
+var builtPrograms struct {
 	sync.Mutex
 	dir string
 	at  map[string]string
@@ -24,32 +24,32 @@
 func TestMain(m *testing.M) {
 	code := 1
 	if dir, err := os.MkdirTemp("", "sedgespread-built"); err == nil {
-		programs.dir, programs.at = dir, map[string]string{}
+		builtPrograms.dir, builtPrograms.at = dir, map[string]string{}
 		code = m.Run()
 		os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
 
-// built is the program with some tags.
-func built(t *testing.T, tags ...string) string {
-	programs.Lock()
-	defer programs.Unlock()
-	of := strings.Join(tags, ",")
-	if at := programs.at[of]; at != "" {
-		return at
+// buildProgram is the program with some tags.
+func buildProgram(t *testing.T, tags ...string) string {
+	builtPrograms.Lock()
+	defer builtPrograms.Unlock()
+	key := strings.Join(tags, ",")
+	if path := builtPrograms.at[key]; path != "" {
+		return path
 	}
-	program := filepath.Join(programs.dir, "sedgespread-"+of)
-	out, err := exec.Command("go", "build", "-o", program, "-tags", of, "sedgespread/cmd/sedgespread").CombinedOutput()
+	program := filepath.Join(builtPrograms.dir, "sedgespread-"+key)
+	out, err := exec.Command("go", "build", "-o", program, "-tags", key, "sedgespread/cmd/sedgespread").CombinedOutput()
 	require.NoError(t, err, string(out))
-	programs.at[of] = program
+	builtPrograms.at[key] = program
 	return program
 }
 
 // A flood into one cell in short: the others keep what they have without it, and without cells they do not. The figures
 // of a long one are in docs/results/cells.
-func TestAFloodIsContained(t *testing.T) {
-	f := Flood{Program: built(t), Seed: 1, Duration: 2 * time.Second, Cells: 4, Drivers: 2, FloodFactor: 5, BaseLoad: 0.25, Tenants: 20}
+func TestFloodIsContainedInItsCell(t *testing.T) {
+	f := Flood{Program: buildProgram(t), Seed: 1, Duration: 2 * time.Second, Cells: 4, Drivers: 2, FloodFactor: 5, BaseLoad: 0.25, Tenants: 20}
 	r, err := f.Run(context.Background())
 	require.NoError(t, err)
 	t.Log("\n" + r.Table)
@@ -59,8 +59,8 @@
 }
 
 // A cell of which no member answers is its own tenants' trouble alone.
-func TestADarkCellIsContained(t *testing.T) {
-	f := Flood{Program: built(t), Seed: 1, Duration: 1500 * time.Millisecond, Cells: 4, Drivers: 2, BaseLoad: 0.25, Tenants: 20, Outage: true}
+func TestOutageIsContainedInItsCell(t *testing.T) {
+	f := Flood{Program: buildProgram(t), Seed: 1, Duration: 1500 * time.Millisecond, Cells: 4, Drivers: 2, BaseLoad: 0.25, Tenants: 20, Outage: true}
 	r, err := f.Run(context.Background())
 	require.NoError(t, err)
 	t.Log("\n" + r.Table)
@@ -71,7 +71,7 @@
 
 // A few moves under writes and faults: no rule is broken.
 func TestMovesUnderFaults(t *testing.T) {
-	v := Moves{Program: built(t), Seed: 3, MinMoves: 25, Timeout: time.Minute, Faults: true, Tenants: 6, Keys: 3, Lease: 600 * time.Millisecond,
+	v := Moves{Program: buildProgram(t), Seed: 3, MinMoves: 25, Timeout: time.Minute, Faults: true, Tenants: 6, Keys: 3, Lease: 600 * time.Millisecond,
 		Hold: 1500 * time.Millisecond}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
@@ -83,8 +83,8 @@
 }
 
 // A few moves that a council sees to, whose leader is killed and stands still, and whose links fail: no rule is broken.
-func TestMovesByACouncil(t *testing.T) {
-	v := Moves{Program: built(t), Seed: 3, MinMoves: 20, Timeout: time.Minute, Faults: true, Tenants: 6, Keys: 3, Lease: time.Second,
+func TestMovesCoordinatedByCouncil(t *testing.T) {
+	v := Moves{Program: buildProgram(t), Seed: 3, MinMoves: 20, Timeout: time.Minute, Faults: true, Tenants: 6, Keys: 3, Lease: time.Second,
 		Hold: 1500 * time.Millisecond, Voters: 3}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
@@ -97,7 +97,7 @@
 
 // Some versions of the rulebook while drivers, voters and links fail: nobody acts on one that was closed.
 func TestVersionsUnderFaults(t *testing.T) {
-	v := Versions{Program: built(t), Seed: 1, MinClosed: 20, Timeout: time.Minute, Faults: true, Drivers: 9, Voters: 3, Lease: 600 * time.Millisecond,
+	v := Versions{Program: buildProgram(t), Seed: 1, MinClosed: 20, Timeout: time.Minute, Faults: true, Drivers: 9, Voters: 3, Lease: 600 * time.Millisecond,
 		Tenants: 4, Keys: 4}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
@@ -109,9 +109,9 @@
 
 // A version that ends its canaries is withdrawn, which takes their lease where drivers do not gossip. The council does not fall
 // with them.
-func TestCanariesThatEnd(t *testing.T) {
+func TestCrashingCanariesAreWithdrawn(t *testing.T) {
 	t.Setenv("SEDGESPREAD_PLANTED", "crash")
-	v := Versions{Program: built(t, "planted"), Seed: 4, Timeout: 20 * time.Second, Drivers: 6, Voters: 3, Lease: 4 * time.Second, Tenants: 4, Keys: 4,
+	v := Versions{Program: buildProgram(t, "planted"), Seed: 4, Timeout: 20 * time.Second, Drivers: 6, Voters: 3, Lease: 4 * time.Second, Tenants: 4, Keys: 4,
 		Crash: true, Gossip: true}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
@@ -127,14 +127,14 @@
 
 // A voter whose disk came back old is refused while the others go on, and with the fault planted the trial finds that it is not.
 func TestOldDisksAreRefused(t *testing.T) {
-	v := Versions{Program: built(t), Seed: 3, MinClosed: 2, Timeout: 20 * time.Second, Drivers: 4, Voters: 3, Lease: time.Second, Tenants: 4, Keys: 4,
+	v := Versions{Program: buildProgram(t), Seed: 3, MinClosed: 2, Timeout: 20 * time.Second, Drivers: 4, Voters: 3, Lease: time.Second, Tenants: 4, Keys: 4,
 		OldDisk: true}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
 	require.Equal(t, []int{2, 0, 6}, []int{r.OldDisks, r.OldDisksAccepted, r.Closed})
 	t.Setenv("SEDGESPREAD_PLANTED", "old disk")
-	v.Program, v.MinClosed = built(t, "planted"), 1
+	v.Program, v.MinClosed = buildProgram(t, "planted"), 1
 	r, err = v.Run(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, 1, r.OldDisksAccepted)
@@ -142,15 +142,15 @@
 
 // A version under which every fourth RPC is pushed back is withdrawn for how its canaries fare, and the same one without that
 // fault is not.
-func TestABadVersionIsWithdrawn(t *testing.T) {
-	v := Versions{Program: built(t), Seed: 2, MinClosed: 1, Timeout: time.Minute, Drivers: 6, Voters: 3, Lease: time.Second, Tenants: 4, Keys: 4,
+func TestHarmfulVersionIsWithdrawn(t *testing.T) {
+	v := Versions{Program: buildProgram(t), Seed: 2, MinClosed: 1, Timeout: time.Minute, Drivers: 6, Voters: 3, Lease: time.Second, Tenants: 4, Keys: 4,
 		CanaryTrial: time.Second}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, []int{1, 0}, []int{r.Closed, r.Withdrawn}, r.Reasons)
 	require.Contains(t, r.Reasons[0], "its canaries fare no worse")
 	t.Setenv("SEDGESPREAD_PLANTED", "harm")
-	v.Program, v.MinClosed, v.MinWithdrawn = built(t, "planted"), 0, 1
+	v.Program, v.MinClosed, v.MinWithdrawn = buildProgram(t, "planted"), 0, 1
 	r, err = v.Run(context.Background())
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
@@ -160,16 +160,16 @@
 
 // A driver that the council can't reach stops by its own clock before the others count it out, and its acts stand in the
 // audit. With each of the faults planted the same trial finds it.
-func TestACutOffDriverStops(t *testing.T) {
-	sound, planted := built(t), built(t, "planted")
-	night := func(program string, count int, fences bool) *VersionsResult {
+func TestPartitionedDriverStops(t *testing.T) {
+	sound, faulty := buildProgram(t), buildProgram(t, "planted")
+	run := func(program string, count int, rejectFenced bool) *VersionsResult {
 		v := Versions{Program: program, Seed: 1, MinClosed: count, Timeout: 20 * time.Second, Drivers: 5, Voters: 3, Lease: time.Second, Tenants: 4, Keys: 4,
-			CutOff: true, RejectFenced: fences}
+			CutOff: true, RejectFenced: rejectFenced}
 		r, err := v.Run(context.Background())
 		require.NoError(t, err)
 		return r
 	}
-	r := night(sound, 2, true)
+	r := run(sound, 2, true)
 	t.Log("\n" + r.Table())
 	require.Empty(t, r.Violations)
 	require.Zero(t, r.LateAttempts)
@@ -185,7 +185,7 @@
 		"audit":     func(r *VersionsResult) bool { return r.Audit.Missing > 0 },
 	} {
 		t.Setenv("SEDGESPREAD_PLANTED", fault)
-		r := night(planted, 1, false)
+		r := run(faulty, 1, false)
 		t.Logf("%s: %d taken up to %v after the closing", fault, r.LateAttempts, r.MaxLateness)
 		require.True(t, found(r), fault)
 		if fault == "lease" {
@@ -193,7 +193,7 @@
 		}
 	}
 	t.Setenv("SEDGESPREAD_PLANTED", "lease")
-	r = night(planted, 1, true)
+	r = run(faulty, 1, true)
 	t.Logf("with fences %d turned away, %d taken up to %v after the closing", r.RejectedAttempts, r.LateAttempts, r.MaxLateness)
 	require.Greater(t, r.RejectedAttempts, 0)
 	require.Less(t, 2*r.LateAttempts, unfenced)
@@ -202,8 +202,8 @@
 // A driver that is cut off while it takes a thousand writes a second tells nobody of them before it can be reached again, and none is lost: nine in ten
 // of 2,400 RPCs a second go to it, half of them writes. The trail used to keep 512 of those between two flushes, which it made only as it was told:
 // alone on its cores, without any load, the same night missed writes each time.
-func TestACutOffDriverKeepsItsTrail(t *testing.T) {
-	v := Versions{Program: built(t), Seed: 2, MinClosed: 1, Timeout: 20 * time.Second, Drivers: 5, Voters: 3, Lease: time.Second, Tenants: 8, Keys: 8,
+func TestPartitionedDriverKeepsItsTrail(t *testing.T) {
+	v := Versions{Program: buildProgram(t), Seed: 2, MinClosed: 1, Timeout: 20 * time.Second, Drivers: 5, Voters: 3, Lease: time.Second, Tenants: 8, Keys: 8,
 		CutOff: true, RejectFenced: true, Rate: 2400}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
@@ -223,12 +223,12 @@
 		_, err := fmt.Sscanf(text, "%d-%d", &first, &last)
 		require.NoError(t, err)
 	}
-	program, places := built(t), make(chan struct{}, 3)
+	program, slots := buildProgram(t), make(chan struct{}, 3)
 	for seed := first; seed <= last; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			v := Versions{Program: program, Seed: uint64(seed), MinClosed: 1, Timeout: 30 * time.Second, Drivers: 5, Voters: 3, Lease: time.Second, Tenants: 8, Keys: 8,
 				CutOff: true, RejectFenced: true, CutOffLeases: 3 + seed%6, Rate: 600 + 200*(seed%8)}
 			r, err := v.Run(context.Background())
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -70,34 +70,34 @@
 	Audit                        AuditResult
 }
 
-// changing is a trial at work.
-type changing struct {
+// versionsRun is a trial at work.
+type versionsRun struct {
 	*Versions
-	*players
-	council *convened
-	at      []string
-	fellows []string // where drivers gossip
-	result  *VersionsResult
-	mu      sync.Mutex
-	seen    map[versions.Number]versions.Version // as they stood last
-	begun   map[versions.Number]time.Time
-	took    []float64
-	shut    map[string]bool
-	crowded atomic.Int64 // the driver at which most clients are, 0 for none
+	*workload
+	council         *relayedCouncil
+	addresses       []string
+	gossipAddresses []string // where drivers gossip
+	result          *VersionsResult
+	mu              sync.Mutex
+	seen            map[versions.Number]versions.Version // as they stood last
+	firstSeen       map[versions.Number]time.Time
+	closeTimes      []float64
+	shutOut         map[string]bool
+	busiestDriver   atomic.Int64 // the driver at which most clients are, 0 for none
 }
 
-// shape is a fleet that is never the bottleneck.
-func (v *Versions) shape() emulator.Config {
+// fleetConfig is a fleet that is never the bottleneck.
+func (v *Versions) fleetConfig() emulator.Config {
 	return emulator.Config{Groups: 2, Members: 3, Cores: 8, QueueLimit: 200, ServiceTime: int64(2 * time.Millisecond), ServiceSigma: 0.5,
 		ReplicaLag: int64(15 * time.Millisecond), FillLag: int64(30 * time.Millisecond), Seed: v.Seed, ColdCapacity: 0.2, WarmUpTime: int64(4 * time.Second),
 		OverloadFactor: 2, DrainGrace: int64(3 * time.Second), RejectFenced: v.RejectFenced}
 }
 
-// rulebook is the shared part of the operators' files, different for each n. A wrong one can be read, and no driver that
+// rulebookText is the shared part of the operators' files, different for each n. A wrong one can be read, and no driver that
 // runs can act on it.
-func (v *Versions) rulebook(n int, wrong bool) string {
+func (v *Versions) rulebookText(n int, invalid bool) string {
 	groups := [2]int{1, 2}
-	if wrong {
+	if invalid {
 		groups = [2]int{2, 1}
 	}
 	var b strings.Builder
@@ -109,121 +109,121 @@
 	return b.String()
 }
 
-// text is the operator's file of driver i.
-func (c *changing) text(i int) string {
-	rulebook := strings.TrimSuffix(c.rulebook(0, false), "}\n")
-	cells := c.Lease
+// operatorText is the operator's file of driver i.
+func (c *versionsRun) operatorText(i int) string {
+	rulebook := strings.TrimSuffix(c.rulebookText(0, false), "}\n")
+	cellLease := c.Lease
 	if c.CutOff { // so that it is not the lease on cells that stops a driver
-		cells = 10 * c.Lease
+		cellLease = 10 * c.Lease
 	}
 	return fmt.Sprintf("%s  budget { rpcs: 600 call_outs: 600 lend: 0.5 }\n  coordination { lease_ms: %d hold_ms: 1500 held: 1000 }\n}\n%sfleet { lease_ms: %d most_shut_out: 0.34 %s}\n",
-		rulebook, cells.Milliseconds(), c.council.text(i), c.Lease.Milliseconds(), c.gossips(i))
+		rulebook, cellLease.Milliseconds(), c.council.operatorText(i), c.Lease.Milliseconds(), c.gossipText(i))
 }
 
-// gossips is what the operator's file of driver i says of gossip.
-func (c *changing) gossips(i int) string {
+// gossipText is what the operator's file of driver i says of gossip.
+func (c *versionsRun) gossipText(i int) string {
 	if !c.Gossip {
 		return ""
 	}
-	return fmt.Sprintf("gossip { listen: %q fellow: %q fellow: %q probe_ms: 100 } ", c.fellows[i], c.fellows[0], c.fellows[1])
+	return fmt.Sprintf("gossip { listen: %q fellow: %q fellow: %q probe_ms: 100 } ", c.gossipAddresses[i], c.gossipAddresses[0], c.gossipAddresses[1])
 }
 
 // Run plays the trial.
 func (v *Versions) Run(ctx context.Context) (*VersionsResult, error) {
-	c := &changing{Versions: v, result: &VersionsResult{RPCs: map[sockets.Outcome]int{}, Faults: map[string]int{}},
-		seen: map[versions.Number]versions.Version{}, begun: map[versions.Number]time.Time{}, shut: map[string]bool{}}
-	c.players = newPlayers(v.Seed, func() *sockets.Driver {
-		if i := c.crowded.Load(); i > 0 && c.chance.intN(10) > 0 {
-			return c.n.Drivers[i]
+	c := &versionsRun{Versions: v, result: &VersionsResult{RPCs: map[sockets.Outcome]int{}, Faults: map[string]int{}},
+		seen: map[versions.Number]versions.Version{}, firstSeen: map[versions.Number]time.Time{}, shutOut: map[string]bool{}}
+	c.workload = newWorkload(v.Seed, func() *sockets.Driver {
+		if i := c.busiestDriver.Load(); i > 0 && c.random.intN(10) > 0 {
+			return c.cluster.Drivers[i]
 		}
-		return c.n.Drivers[c.chance.intN(v.Drivers)]
+		return c.cluster.Drivers[c.random.intN(v.Drivers)]
 	})
 	if v.CutOff || v.CanaryTrial > 0 {
-		c.pause = 5 * time.Millisecond
+		c.meanPause = 5 * time.Millisecond
 	}
 	if v.Rate > 0 {
-		c.every = time.Second * time.Duration(v.Tenants*v.Keys) / time.Duration(v.Rate)
+		c.meanInterval = time.Second * time.Duration(v.Tenants*v.Keys) / time.Duration(v.Rate)
 	}
 	var err error
-	if c.at, err = sockets.FreeAddresses(v.Voters); err != nil {
+	if c.addresses, err = sockets.FreeAddresses(v.Voters); err != nil {
 		return nil, err
 	}
-	if c.fellows, err = sockets.FreeAddresses(v.Drivers); err != nil {
+	if c.gossipAddresses, err = sockets.FreeAddresses(v.Drivers); err != nil {
 		return nil, err
 	}
-	if c.council, err = convene(v.Seed, c.at, v.Drivers); err != nil {
+	if c.council, err = newRelayedCouncil(v.Seed, c.addresses, v.Drivers); err != nil {
 		return nil, err
 	}
-	defer c.council.net.Close()
-	n, err := StartCluster(ctx, v.Program, v.shape(), v.Drivers, func(n *Cluster, i int) string {
-		c.council.dir = n.dir
-		return c.text(i)
+	defer c.council.network.Close()
+	cluster, err := StartCluster(ctx, v.Program, v.fleetConfig(), v.Drivers, func(cluster *Cluster, i int) string {
+		c.council.dir = cluster.dir
+		return c.operatorText(i)
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer n.Close()
-	c.n = n
-	for i, d := range n.Drivers {
-		if err := d.ConfigureTwin(n.dir, c.text(max(i, v.Voters))); err != nil {
+	defer cluster.Close()
+	c.cluster = cluster
+	for i, d := range cluster.Drivers {
+		if err := d.ConfigureTwin(cluster.dir, c.operatorText(max(i, v.Voters))); err != nil {
 			return nil, err
 		}
 	}
-	c.play(ctx, v.Tenants, v.Keys)
-	var trouble sync.WaitGroup
-	troubles, calm := context.WithCancel(ctx)
-	defer calm()
+	c.startClients(ctx, v.Tenants, v.Keys)
+	var faults sync.WaitGroup
+	faultCtx, stopFaults := context.WithCancel(ctx)
+	defer stopFaults()
 	if v.Faults {
-		trouble.Add(1)
-		go func() { defer trouble.Done(); c.council.troubles(troubles, v.Seed) }()
-		for _, f := range c.faults() {
-			trouble.Add(1)
-			go func() { defer trouble.Done(); c.trouble(troubles, f) }()
+		faults.Add(1)
+		go func() { defer faults.Done(); c.council.playFaults(faultCtx, v.Seed) }()
+		for _, f := range c.periodicFaults() {
+			faults.Add(1)
+			go func() { defer faults.Done(); c.injectRepeatedly(faultCtx, f) }()
 		}
 	}
 	switch {
 	case v.CutOff:
-		err = c.cutOff(ctx)
+		err = c.runCutOff(ctx)
 	case v.Crash:
-		err = c.crash(ctx)
+		err = c.runCrash(ctx)
 	case v.OldDisk:
-		err = c.oldDisks(ctx)
+		err = c.runOldDisks(ctx)
 	default:
-		err = c.change(ctx)
+		err = c.runRandomChanges(ctx)
 	}
-	calm()
-	trouble.Wait()
+	stopFaults()
+	faults.Wait()
 	if err == nil && !v.Crash {
-		err = c.settle(ctx)
+		err = c.awaitIdle(ctx)
 	}
-	c.end()
+	c.stop()
 	if err != nil {
-		return nil, fmt.Errorf("%w\n%s", err, n.logs())
+		return nil, fmt.Errorf("%w\n%s", err, cluster.lastLogLines())
 	}
-	return c.finish(), nil
+	return c.summarize(), nil
 }
 
-// faults are the troubles of drivers and voters.
-func (c *changing) faults() []fault {
-	short := func() time.Duration { return time.Duration((0.2 + 2*c.chance.float()) * float64(c.Lease)) }
-	follower := func() *sockets.Driver { return c.n.Drivers[c.Voters+c.chance.intN(c.Drivers-c.Voters)] }
-	leader := func() *sockets.Driver { return c.n.Drivers[c.leading()] }
-	return []fault{
+// periodicFaults are the troubles of drivers and voters.
+func (c *versionsRun) periodicFaults() []periodicFault {
+	randomDuration := func() time.Duration { return time.Duration((0.2 + 2*c.random.float64()) * float64(c.Lease)) }
+	follower := func() *sockets.Driver { return c.cluster.Drivers[c.Voters+c.random.intN(c.Drivers-c.Voters)] }
+	leader := func() *sockets.Driver { return c.cluster.Drivers[c.leaderVoter()] }
+	return []periodicFault{
 		{"a driver stands still", 3 * time.Second, func(ctx context.Context) {
-			d := c.some()
-			d.RunExclusive(func() { still(ctx, d, short()) })
+			d := c.pickDriver()
+			d.RunExclusive(func() { pauseDriver(ctx, d, randomDuration()) })
 		}},
 		{"a driver is killed and started again", 4 * time.Second, func(ctx context.Context) {
-			d := c.some()
-			d.RunExclusive(func() { again(ctx, d, time.Duration(c.chance.float()*float64(c.Lease))) })
+			d := c.pickDriver()
+			d.RunExclusive(func() { killAndRestart(ctx, d, time.Duration(c.random.float64()*float64(c.Lease))) })
 		}},
 		{"the council's leader is killed and started again", 5 * time.Second, func(ctx context.Context) {
 			d := leader()
-			d.RunExclusive(func() { again(ctx, d, 50*time.Millisecond) })
+			d.RunExclusive(func() { killAndRestart(ctx, d, 50*time.Millisecond) })
 		}},
 		{"the council's leader stands still", 7 * time.Second, func(ctx context.Context) {
 			d := leader()
-			d.RunExclusive(func() { still(ctx, d, short()) })
+			d.RunExclusive(func() { pauseDriver(ctx, d, randomDuration()) })
 		}},
 		{"a driver has a twin", 9 * time.Second, func(ctx context.Context) {
 			d := follower()
@@ -232,16 +232,16 @@
 				if err != nil {
 					return
 				}
-				relays.Sleep(ctx, short())
+				relays.Sleep(ctx, randomDuration())
 				end()
-				again(ctx, d, 0) // the older one has lost its name for good
+				killAndRestart(ctx, d, 0) // the older one has lost its name for good
 			})
 		}},
 		{"a driver starts with a wall clock minutes off", 8 * time.Second, func(ctx context.Context) {
 			d := follower()
 			d.RunExclusive(func() {
-				d.OffsetClock(time.Duration((c.chance.float() - 0.5) * float64(10*time.Minute)))
-				again(ctx, d, 0)
+				d.OffsetClock(time.Duration((c.random.float64() - 0.5) * float64(10*time.Minute)))
+				killAndRestart(ctx, d, 0)
 			})
 		}},
 		{"two of the voters are cut off for longer than a lease", 17 * time.Second, func(ctx context.Context) {
@@ -256,25 +256,25 @@
 	}
 }
 
-// leading is the voter that leads, as the first one that answers knows, or any.
-func (c *changing) leading() int { return leading(c.at, c.chance) }
+// leaderVoter is the voter that leads, as the first one that answers knows, or any.
+func (c *versionsRun) leaderVoter() int { return leaderIndex(c.addresses, c.random) }
 
-func leading(at []string, chance *locked) int {
-	state, err := membership.Dial(at...).Council(context.Background())
+func leaderIndex(addresses []string, random *lockedRand) int {
+	state, err := membership.Dial(addresses...).Council(context.Background())
 	if err != nil || state.Leader == 0 {
-		return chance.intN(len(at))
+		return random.intN(len(addresses))
 	}
 	return int(state.Leader) - 1
 }
 
-// plan draws how a version is to come.
-func (c *changing) plan() versions.Plan {
+// randomPlan draws how a version is to come.
+func (c *versionsRun) randomPlan() versions.Plan {
 	p := versions.Plan{Tell: int64(4 * c.Lease), Adopt: int64(4 * c.Lease), Close: int64(6 * c.Lease), Trial: int64(100 * time.Millisecond)}
 	if c.CanaryTrial > 0 {
 		p.Canaries, p.Trial = 0.2, int64(c.CanaryTrial)
 		return p
 	}
-	switch c.chance.intN(3) {
+	switch c.random.intN(3) {
 	case 0:
 		p.Exclusive = true
 	case 1:
@@ -283,57 +283,57 @@
 	return p
 }
 
-// change proposes versions one after another until enough are closed. Some are wrong, and some are called off.
-func (c *changing) change(ctx context.Context) error {
-	council := membership.Dial(c.at...)
+// runRandomChanges proposes versions one after another until enough are closed. Some are wrong, and some are called off.
+func (c *versionsRun) runRandomChanges(ctx context.Context) error {
+	council := membership.Dial(c.addresses...)
 	deadline := time.Now().Add(c.Timeout)
 	for n := 1; ; {
-		by, stop := context.WithTimeout(ctx, 2*time.Second)
-		f, err := council.Fleet(by)
+		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		fleet, err := council.Fleet(callCtx)
 		if err == nil {
-			c.watch(&f)
+			c.observe(&fleet)
 		}
-		p := c.plan()
+		plan := c.randomPlan()
 		switch {
 		case c.result.Closed >= c.MinClosed && c.result.Withdrawn >= c.MinWithdrawn:
-			stop()
+			cancel()
 			return nil
 		case ctx.Err() != nil:
-			stop()
+			cancel()
 			return ctx.Err()
 		case time.Now().After(deadline):
-			stop()
-			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.MinClosed, c.Timeout, c.stands(&f))
-		case err == nil && !c.under(&f):
-			wrong := c.CanaryTrial == 0 && p.Canaries > 0 && c.chance.intN(4) == 0
-			err := council.Wish(by, membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, wrong), Why: "trial", Plan: p}})
+			cancel()
+			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.MinClosed, c.Timeout, c.newestStatus(&fleet))
+		case err == nil && !c.isChanging(&fleet):
+			invalid := c.CanaryTrial == 0 && plan.Canaries > 0 && c.random.intN(4) == 0
+			err := council.Wish(callCtx, membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, invalid), Why: "trial", Plan: plan}})
 			n++
 			c.result.Proposed++
 			if err != nil {
 				c.result.Refused++
 			}
-		case err == nil && c.CanaryTrial == 0 && c.chance.intN(300) == 0:
-			council.Wish(by, membership.Wish{CallOff: routing.Rulebook, Why: "trial"})
+		case err == nil && c.CanaryTrial == 0 && c.random.intN(300) == 0:
+			council.Wish(callCtx, membership.Wish{CallOff: routing.Rulebook, Why: "trial"})
 		}
-		for _, d := range f.Drivers {
-			if d.State.String() == "shut out" && c.chance.intN(40) == 0 {
-				council.Wish(by, membership.Wish{Readmit: d.Name, Why: "trial"})
+		for _, d := range fleet.Drivers {
+			if d.State.String() == "shut out" && c.random.intN(40) == 0 {
+				council.Wish(callCtx, membership.Wish{Readmit: d.Name, Why: "trial"})
 			}
 		}
-		stop()
+		cancel()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// cutOff proposes one version after another, each while a driver can't be reached by the council for longer than its lease,
+// runCutOff proposes one version after another, each while a driver can't be reached by the council for longer than its lease,
 // and waits until it is closed.
-func (c *changing) cutOff(ctx context.Context) error {
+func (c *versionsRun) runCutOff(ctx context.Context) error {
 	for n := 1; n <= c.MinClosed; n++ {
-		alone := c.Voters + n%(c.Drivers-c.Voters)
-		c.crowded.Store(int64(alone))
+		isolated := c.Voters + n%(c.Drivers-c.Voters)
+		c.busiestDriver.Store(int64(isolated))
 		cut := links.Timeline{}
 		for v := range c.Voters {
-			for _, way := range []links.Link{{From: driverName(alone), To: driverName(v)}, {From: driverName(v), To: driverName(alone)}} {
+			for _, way := range []links.Link{{From: driverName(isolated), To: driverName(v)}, {From: driverName(v), To: driverName(isolated)}} {
 				cut = append(cut, links.Event{Fault: links.Silent, Link: way, Duration: time.Duration(cmp.Or(c.CutOffLeases, 3)) * c.Lease})
 			}
 		}
@@ -342,7 +342,7 @@
 		if !relays.Sleep(ctx, 50*time.Millisecond) {
 			return ctx.Err()
 		}
-		if err := c.closes(ctx, n); err != nil {
+		if err := c.closeVersion(ctx, n); err != nil {
 			return err
 		}
 		if err := <-played; err != nil {
@@ -355,11 +355,11 @@
 	return nil
 }
 
-// closes proposes the n-th version and waits until it is closed.
-func (c *changing) closes(ctx context.Context, n int) (err error) {
-	council, deadline := membership.Dial(c.at...), time.Now().Add(c.Timeout)
-	p := versions.Plan{Tell: int64(20 * c.Lease), Adopt: int64(20 * c.Lease), Close: int64(20 * c.Lease)}
-	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, false), Why: "trial", Plan: p}}
+// closeVersion proposes the n-th version and waits until it is closed.
+func (c *versionsRun) closeVersion(ctx context.Context, n int) (err error) {
+	council, deadline := membership.Dial(c.addresses...), time.Now().Add(c.Timeout)
+	plan := versions.Plan{Tell: int64(20 * c.Lease), Adopt: int64(20 * c.Lease), Close: int64(20 * c.Lease)}
+	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Why: "trial", Plan: plan}}
 	for err = council.Wish(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.Wish(ctx, wish) {
 		time.Sleep(20 * time.Millisecond) // nobody leads just now
 	}
@@ -368,182 +368,182 @@
 	}
 	c.result.Proposed++
 	for ; c.result.Closed < n; time.Sleep(5 * time.Millisecond) {
-		f, err := council.Fleet(ctx)
+		fleet, err := council.Fleet(ctx)
 		if err == nil {
-			c.watch(&f)
+			c.observe(&fleet)
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("version %d was not closed in %v: %s", n, c.Timeout, c.stands(&f))
+			return fmt.Errorf("version %d was not closed in %v: %s", n, c.Timeout, c.newestStatus(&fleet))
 		}
 	}
 	return nil
 }
 
-// crash proposes a version that ends its canaries, and waits until it is withdrawn.
-func (c *changing) crash(ctx context.Context) error {
-	council := membership.Dial(c.at...)
-	p := versions.Plan{Canaries: 0.2, Trial: int64(time.Minute), Tell: int64(time.Minute), Adopt: int64(time.Minute), Close: int64(time.Minute)}
-	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(1, false), Why: "trial", Plan: p}}
+// runCrash proposes a version that ends its canaries, and waits until it is withdrawn.
+func (c *versionsRun) runCrash(ctx context.Context) error {
+	council := membership.Dial(c.addresses...)
+	plan := versions.Plan{Canaries: 0.2, Trial: int64(time.Minute), Tell: int64(time.Minute), Adopt: int64(time.Minute), Close: int64(time.Minute)}
+	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Why: "trial", Plan: plan}}
 	if err := council.Wish(ctx, wish); err != nil {
 		return err
 	}
-	var tried time.Time
-	for begun := time.Now(); time.Since(begun) < c.Timeout; time.Sleep(5 * time.Millisecond) {
-		f, err := council.Fleet(ctx)
-		all := f.Versions[routing.Rulebook]
-		if err != nil || len(all) == 0 {
+	var trialStart time.Time
+	for start := time.Now(); time.Since(start) < c.Timeout; time.Sleep(5 * time.Millisecond) {
+		fleet, err := council.Fleet(ctx)
+		known := fleet.Versions[routing.Rulebook]
+		if err != nil || len(known) == 0 {
 			continue
 		}
-		switch last := all[len(all)-1]; {
-		case last.Stage == versions.Trying && tried.IsZero():
-			tried = time.Now()
+		switch last := known[len(known)-1]; {
+		case last.Stage == versions.Trying && trialStart.IsZero():
+			trialStart = time.Now()
 		case last.Stage >= versions.Withdrawing:
 			c.result.Reasons = append(c.result.Reasons, last.Why)
-			c.result.WithdrawDelay = time.Since(tried)
+			c.result.WithdrawDelay = time.Since(trialStart)
 			return nil
 		}
 	}
 	return fmt.Errorf("a version that ends its canaries was not withdrawn in %v", c.Timeout)
 }
 
-// stands says how the newest version stands.
-func (c *changing) stands(f *membership.Fleet) string {
-	all := f.Versions[routing.Rulebook]
-	if len(all) == 0 {
+// newestStatus says how the newest version stands.
+func (c *versionsRun) newestStatus(fleet *membership.Fleet) string {
+	known := fleet.Versions[routing.Rulebook]
+	if len(known) == 0 {
 		return "none is known"
 	}
-	last := all[len(all)-1]
-	return fmt.Sprintf("version %d is %v, held back by %v", last.Number, last.Stage, f.Behind)
+	last := known[len(known)-1]
+	return fmt.Sprintf("version %d is %v, held back by %v", last.Number, last.Stage, fleet.Behind)
 }
 
-// under tells whether a version is under way.
-func (c *changing) under(f *membership.Fleet) bool {
-	all := f.Versions[routing.Rulebook]
-	if len(all) == 0 {
+// isChanging tells whether a version is under way.
+func (c *versionsRun) isChanging(fleet *membership.Fleet) bool {
+	known := fleet.Versions[routing.Rulebook]
+	if len(known) == 0 {
 		return false
 	}
-	s := all[len(all)-1].Stage
-	return s != versions.Closed && s != versions.Withdrawn
+	stage := known[len(known)-1].Stage
+	return stage != versions.Closed && stage != versions.Withdrawn
 }
 
-// watch counts what has happened since it looked last.
-func (c *changing) watch(f *membership.Fleet) {
-	for _, v := range f.Versions[routing.Rulebook] {
-		had := c.seen[v.Number]
-		if c.begun[v.Number].IsZero() {
-			c.begun[v.Number] = time.Now()
+// observe counts what has happened since it looked last.
+func (c *versionsRun) observe(fleet *membership.Fleet) {
+	for _, version := range fleet.Versions[routing.Rulebook] {
+		previous := c.seen[version.Number]
+		if c.firstSeen[version.Number].IsZero() {
+			c.firstSeen[version.Number] = time.Now()
 		}
-		if v.Stage == versions.Closed && had.Stage != versions.Closed {
+		if version.Stage == versions.Closed && previous.Stage != versions.Closed {
 			c.result.Closed++
-			c.took = append(c.took, float64(v.Closes-c.begun[v.Number].UnixNano())/1e9)
-			if v.Plan.Exclusive {
+			c.closeTimes = append(c.closeTimes, float64(version.Closes-c.firstSeen[version.Number].UnixNano())/1e9)
+			if version.Plan.Exclusive {
 				c.result.Exclusive++
 			}
-			if len(v.Tried) > 0 {
+			if len(version.Tried) > 0 {
 				c.result.Canaried++
-				c.result.Reasons = append(c.result.Reasons, v.Judged)
+				c.result.Reasons = append(c.result.Reasons, version.Judged)
 			}
 		}
-		if v.Stage == versions.Withdrawn && had.Stage != versions.Withdrawn {
+		if version.Stage == versions.Withdrawn && previous.Stage != versions.Withdrawn {
 			c.result.Withdrawn++
-			c.result.Reasons = append(c.result.Reasons, v.Why)
+			c.result.Reasons = append(c.result.Reasons, version.Why)
 		}
-		c.seen[v.Number] = v
+		c.seen[version.Number] = version
 	}
-	for _, d := range f.Drivers {
-		key := fmt.Sprint(d.Name, d.Start, d.When)
-		if d.State.String() == "shut out" && !c.shut[key] {
-			c.shut[key] = true
+	for _, driver := range fleet.Drivers {
+		key := fmt.Sprint(driver.Name, driver.Start, driver.When)
+		if driver.State.String() == "shut out" && !c.shutOut[key] {
+			c.shutOut[key] = true
 			c.result.ShutOut++
 		}
 	}
 }
 
-// settle waits until no version is under way and every driver acts on the newest.
-func (c *changing) settle(ctx context.Context) error {
-	council := membership.Dial(c.at...)
+// awaitIdle waits until no version is under way and every driver acts on the newest.
+func (c *versionsRun) awaitIdle(ctx context.Context) error {
+	council := membership.Dial(c.addresses...)
 	var last membership.Fleet
 	for deadline := time.Now().Add(20*c.Lease + 10*time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		f, err := council.Fleet(ctx)
+		fleet, err := council.Fleet(ctx)
 		if err != nil {
 			continue
 		}
-		last = f
-		c.watch(&f)
-		for _, d := range f.Drivers {
-			if d.State.String() == "shut out" {
-				council.Wish(ctx, membership.Wish{Readmit: d.Name, Why: "the night is over"})
+		last = fleet
+		c.observe(&fleet)
+		for _, driver := range fleet.Drivers {
+			if driver.State.String() == "shut out" {
+				council.Wish(ctx, membership.Wish{Readmit: driver.Name, Why: "the night is over"})
 			}
 		}
-		closed, _ := f.Closed(routing.Rulebook)
+		closed, _ := fleet.Closed(routing.Rulebook)
 		closed = max(closed, versions.Origin)
 		acting := 0
-		for _, d := range f.Drivers {
-			if d.May && slices.ContainsFunc(d.Seen, func(s versions.Sighting) bool { return s.Thing == routing.Rulebook && s.Acts == closed }) {
+		for _, driver := range fleet.Drivers {
+			if driver.May && slices.ContainsFunc(driver.Seen, func(s versions.Sighting) bool { return s.Thing == routing.Rulebook && s.Acts == closed }) {
 				acting++
 			}
 		}
-		if !c.under(&f) && acting == c.Drivers {
-			c.result.Drivers = f.Drivers
-			c.end()
-			return c.audit(ctx)
+		if !c.isChanging(&fleet) && acting == c.Drivers {
+			c.result.Drivers = fleet.Drivers
+			c.stop()
+			return c.compareAudit(ctx)
 		}
 	}
-	return fmt.Errorf("versions do not settle: %s", c.stands(&last))
+	return fmt.Errorf("versions do not settle: %s", c.newestStatus(&last))
 }
 
-// finish judges by what members saw, and sums up.
-func (c *changing) finish() *VersionsResult {
+// summarize judges by what members saw, and sums up.
+func (c *versionsRun) summarize() *VersionsResult {
 	r := c.result
-	r.CloseP50, r.CloseP99 = quantiles(c.took)
-	for _, t := range c.took {
+	r.CloseP50, r.CloseP99 = p50p99(c.closeTimes)
+	for _, t := range c.closeTimes {
 		r.CloseMax = max(r.CloseMax, time.Duration(t*float64(time.Second)))
 	}
-	c.judge(c.n.Fleet.FencedAttempts())
-	c.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
-		r.Writes = c.n.Fleet.CheckAcknowledged(f, func(key string) int64 { return c.group(key) })
+	c.checkFences(c.cluster.Fleet.FencedAttempts())
+	c.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
+		r.Writes = c.cluster.Fleet.CheckAcknowledged(f, func(key string) int64 { return c.tenantGroup(key) })
 	})
-	r.Violations = append(r.Violations, c.n.Fleet.Violations()...)
-	r.RPCs, r.Unexplained = c.rpcs, c.unexplained
-	r.RejectedShare = float64(c.turned) / float64(max(1, c.writes))
-	r.WriteP50, r.WriteP99 = quantiles(c.waits)
-	c.befell(r.Faults)
-	c.council.befell(r.Faults)
+	r.Violations = append(r.Violations, c.cluster.Fleet.Violations()...)
+	r.RPCs, r.Unexplained = c.outcomes, c.unexplained
+	r.RejectedShare = float64(c.rejectedWrites) / float64(max(1, c.writes))
+	r.WriteP50, r.WriteP99 = p50p99(c.writeLatencies)
+	c.addFaultCounts(r.Faults)
+	c.council.addFaultCounts(r.Faults)
 	return r
 }
 
-// group is where a key's tenant is all the night: no tenant is moved.
-func (c *changing) group(key string) int64 {
+// tenantGroup is where a key's tenant is all the night: no tenant is moved.
+func (c *versionsRun) tenantGroup(key string) int64 {
 	return hashedGroup(2, key)
 }
 
-// judge looks for call-outs under a version that came after a newer one was closed, and for two versions at once that must
+// checkFences looks for call-outs under a version that came after a newer one was closed, and for two versions at once that must
 // not overlap.
-func (c *changing) judge(fenced []emulator.FencedAttempt) {
+func (c *versionsRun) checkFences(attempts []emulator.FencedAttempt) {
 	r := c.result
-	r.Attempts, r.MinCloseMargin = len(fenced), time.Hour
-	fenced = slices.DeleteFunc(fenced, func(f emulator.FencedAttempt) bool { return f.Rejected })
-	r.RejectedAttempts = r.Attempts - len(fenced)
-	slices.SortFunc(fenced, func(a, b emulator.FencedAttempt) int { return int(a.At - b.At) })
+	r.Attempts, r.MinCloseMargin = len(attempts), time.Hour
+	attempts = slices.DeleteFunc(attempts, func(attempt emulator.FencedAttempt) bool { return attempt.Rejected })
+	r.RejectedAttempts = r.Attempts - len(attempts)
+	slices.SortFunc(attempts, func(a, b emulator.FencedAttempt) int { return int(a.At - b.At) })
 	newest := uint64(0)
-	for _, f := range fenced {
+	for _, attempt := range attempts {
 		for _, v := range c.seen {
-			if v.Stage == versions.Closed && uint64(v.Number) > f.Fence {
-				if gap := time.Duration(v.Closes - f.At); gap < 0 {
+			if v.Stage == versions.Closed && uint64(v.Number) > attempt.Fence {
+				if margin := time.Duration(v.Closes - attempt.At); margin < 0 {
 					r.LateAttempts++
-					r.MaxLateness = max(r.MaxLateness, -gap)
-					r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleClosedVersion, RPC: f.RPC,
-						Detail: fmt.Sprintf("a call-out under version %d came %v after version %d was closed", f.Fence, -gap, v.Number)})
-				} else if uint64(v.Base) == f.Fence {
-					r.MinCloseMargin = min(r.MinCloseMargin, gap)
+					r.MaxLateness = max(r.MaxLateness, -margin)
+					r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleClosedVersion, RPC: attempt.RPC,
+						Detail: fmt.Sprintf("a call-out under version %d came %v after version %d was closed", attempt.Fence, -margin, v.Number)})
+				} else if uint64(v.Base) == attempt.Fence {
+					r.MinCloseMargin = min(r.MinCloseMargin, margin)
 				}
 			}
 		}
-		if f.Fence < newest && c.seen[versions.Number(newest)].Plan.Exclusive {
-			r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleVersionOverlap, RPC: f.RPC,
-				Detail: fmt.Sprintf("a call-out under version %d came after one under %d, which must not overlap", f.Fence, newest)})
+		if attempt.Fence < newest && c.seen[versions.Number(newest)].Plan.Exclusive {
+			r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleVersionOverlap, RPC: attempt.RPC,
+				Detail: fmt.Sprintf("a call-out under version %d came after one under %d, which must not overlap", attempt.Fence, newest)})
 		}
-		newest = max(newest, f.Fence)
+		newest = max(newest, attempt.Fence)
 	}
 }
 
@@ -569,16 +569,16 @@
 		{"time of a served write, p50 and p99", fmt.Sprintf("%s, %s", ms(r.WriteP50), ms(r.WriteP99))},
 		{"share of writes pushed back", fmt.Sprintf("%.4f", r.RejectedShare)},
 	}
-	a := &r.Audit
+	audit := &r.Audit
 	rows = append(rows, [][]string{
-		{"audit: entries, faults in trails, spans of unknown time", fmt.Sprintf("%d, %d, %d", a.Entries, len(a.Faults), a.UnknownSpans)},
-		{"audit: acts that it finds under a version after a newer one was closed", fmt.Sprint(a.LateActs)},
+		{"audit: entries, faults in trails, spans of unknown time", fmt.Sprintf("%d, %d, %d", audit.Entries, len(audit.Faults), audit.UnknownSpans)},
+		{"audit: acts that it finds under a version after a newer one was closed", fmt.Sprint(audit.LateActs)},
 		{"audit: writes that members got; there at their version, counted there, at another, in unknown time, missing",
-			fmt.Sprintf("%d; %d, %d, %d, %d, %d", a.Writes, a.Matched, a.Counted, a.WrongVersion, a.Unknown, a.Missing)},
+			fmt.Sprintf("%d; %d, %d, %d, %d, %d", audit.Writes, audit.Matched, audit.Counted, audit.WrongVersion, audit.Unknown, audit.Missing)},
 	}...)
-	for _, what := range slices.Concat(a.FirstMissing, a.FirstLate) {
+	for _, what := range slices.Concat(audit.FirstMissing, audit.FirstLate) {
 		rows = append(rows, []string{"audit: for instance", what})
 	}
-	rows = append(rows, breachRows(r.Violations)...)
-	return table([]string{"what", "figure"}, append(rows, faultRows(r.Faults)...))
+	rows = append(rows, violationRows(r.Violations)...)
+	return markdownTable([]string{"what", "figure"}, append(rows, faultCountRows(r.Faults)...))
 }
