--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,11 +1,11 @@
-// Package emulator is a model of members, their logs and what they do to statements, and a checker of the rules over
-// what was seen. It does no I/O and reads no clock: whoever drives it says what time it is. Package sockets gives it a
-// face on loopback.
+// Package emulator simulates the members of a replicated store and checks what clients observe
+// against the store's guarantees. It does no I/O and reads no clock: the caller passes the time.
+// Package sockets serves a simulated fleet on loopback.
 //
-// A member has cores and a queue in front of them, and takes a drawn time for each statement. A primary appends writes
-// to its group's log when they are done; a replica shows the log as it was a lag ago, and answers as quickly. Positions
-// are Unix time. The store can fill a group with a tenant's data from other groups; until that has caught up the group's
-// members report what they have reached of it.
+// A member has cores with a queue in front of them and draws a service time for each statement. A
+// primary appends completed writes to its group's log; a replica shows that log with a lag.
+// Positions are Unix time. A group can be filled with a tenant's data from other groups; until it
+// has caught up, its members report the position that the fill has reached.
 package emulator
 
 import (
@@ -26,36 +26,36 @@
 	second      = 1000 * millisecond
 )
 
-// Config is what a fleet is made of. Times are nanoseconds.
+// Config describes a simulated fleet. Times are in nanoseconds.
 type Config struct {
 	Groups         int
-	Members        int // of a group, its primary among them
-	Cores          int // of a member
-	QueueLimit     int // statements that may wait for a core
+	Members        int // per group, including the primary
+	Cores          int // per member
+	QueueLimit     int // statements waiting for a core, per member
 	ServiceTime    int64
-	ServiceSigma   float64 // of the logarithm of the service time
-	ReplicaLag     int64   // of a replica, in the mean
-	FillLag        int64   // that a group is behind what fills it
+	ServiceSigma   float64 // standard deviation of the logarithm of the service time
+	ReplicaLag     int64   // mean lag of a replica behind its primary
+	FillLag        int64   // lag of a fill behind its source groups
 	Seed           uint64
-	ColdCapacity   float64 // of its capacity that a member has just after its start, 0 for all
-	WarmUpTime     int64   // it has all of it after so long
-	OverloadFactor float64 // sent more than this times its capacity for TopplesIn, a cold member falls over
-	DrainGrace     int64   // a member that drains may still be sent statements for so long
-	RejectFenced   bool    // members turn away what comes under a version that is over
+	ColdCapacity   float64 // share of its capacity that a member has right after a start; 0 disables warm-up
+	WarmUpTime     int64   // after a start, until a member has its full capacity
+	OverloadFactor float64 // a cold member overloads above this multiple of its capacity for OverloadWindow
+	DrainGrace     int64   // statements are still allowed for this long after a member starts draining
+	RejectFenced   bool    // members reject statements with a fence that is no longer valid
 }
 
-// OverloadWindow is the time in which a cold member must not be sent more than it bears.
+// OverloadWindow is the period over which the load of a cold member is measured.
 const OverloadWindow = 2 * second
 
-// MemberRate is how many statements a second one member can do.
+// MemberRate returns the number of statements per second that a fully warm member can execute.
 func (s Config) MemberRate() float64 {
 	return float64(s.Cores) / (float64(s.ServiceTime) / float64(second))
 }
 
-// MemberID is a member's place in the fleet.
+// MemberID is the index of a member in the fleet.
 type MemberID int
 
-// Fleet is all members with what they hold. Its methods are to be called one after another.
+// Fleet is the simulated fleet. Its methods must not be called concurrently.
 type Fleet struct {
 	Config
 	groups      []*group
@@ -68,17 +68,17 @@
 type group struct {
 	number  int64
 	primary MemberID
-	log     map[string][]write // by key, the oldest first
+	log     map[string][]write // by key, oldest first
 	fills   []*fill
 }
 
-// write is what a write left.
+// write is one entry of a group's log.
 type write struct {
 	position int64
 	id       string
 }
 
-// fill brings a tenant's writes of other groups into a group.
+// fill copies a tenant's writes from other groups into a group.
 type fill struct {
 	tenant  string
 	sources []int64
@@ -86,21 +86,21 @@
 
 type member struct {
 	group           *group
-	coreFreeAt      []int64 // by core, when it will be
-	queuedStarts    []int64 // of statements that wait, the first first
-	lag             int64   // of a replica
+	coreFreeAt      []int64 // by core, the time at which it becomes free
+	queuedStarts    []int64 // start times of queued statements, in order
+	lag             int64   // of a replica, behind its primary
 	appliedPosition int64
-	slowdown        int64 // everything takes so many times as long, 0 for 1
-	pausedUntil     int64 // it says nothing until then
-	losesReplies    bool  // it does what it is told and loses the answers
-	startedAt       int64 // its last start, 0 for long ago
-	restarts        int   // its starts, counted, so that what was taken before is not done after
-	drainingSince   int64 // it drains since, 0 for not
+	slowdown        int64 // factor on the service time, 0 for none
+	pausedUntil     int64 // no statement starts before this time
+	losesReplies    bool  // statements are executed but their replies are lost
+	startedAt       int64 // last start, 0 if it has run since before the simulation
+	restarts        int   // distinguishes starts, so that statements of an earlier one are not executed
+	drainingSince   int64 // 0 if it is not draining
 	fenceState      versions.Warden
-	coldArrivals    []int64 // while it is cold, when statements came, the first first
+	coldArrivals    []int64 // arrival times in the last OverloadWindow while it is cold, in order
 }
 
-// NewFleet makes a fleet; groups are numbered from 1, and the first member of each is its primary.
+// NewFleet returns a fleet. Groups are numbered from 1; the first member of each is its primary.
 func NewFleet(config Config, checker *Checker) *Fleet {
 	f := &Fleet{Config: config, rng: rand.New(rand.NewPCG(config.Seed, 1)), checker: checker}
 	f.serviceTime = distuv.LogNormal{Mu: 0, Sigma: config.ServiceSigma, Src: f.rng}
@@ -114,30 +114,30 @@
 	return f
 }
 
-// MemberCount is how many members there are.
+// MemberCount returns the number of members.
 func (f *Fleet) MemberCount() int { return len(f.members) }
 
-// Group is a member's group.
+// Group returns the number of a member's group.
 func (f *Fleet) Group(m MemberID) int64 { return f.members[m].group.number }
 
-// IsPrimary tells whether a member is its group's primary.
+// IsPrimary reports whether a member is its group's primary.
 func (f *Fleet) IsPrimary(m MemberID) bool { return f.members[m].group.primary == m }
 
-// Statement is what a member is sent.
+// Statement is a read or write sent to a member.
 type Statement struct {
 	ID, Key string
 	Write   bool
-	Timeout int64 // its sender waits so long
+	Timeout int64 // how long its sender waits, in nanoseconds
 	Fence   versions.Fence
 }
 
-// TenantOf is the tenant whose key it is: the part before the first slash.
+// TenantOf returns the tenant that owns a key: the part before the first slash.
 func TenantOf(key string) string {
 	tenant, _, _ := strings.Cut(key, "/")
 	return tenant
 }
 
-// Admission is why a member does not do a statement.
+// Admission is the result of offering a statement to a member.
 type Admission int
 
 const (
@@ -147,7 +147,7 @@
 	Fenced
 )
 
-// Admit takes a statement in, and tells when it will be done.
+// Admit offers a statement to a member. If it is admitted, done is the time at which to execute it.
 func (f *Fleet) Admit(now int64, m MemberID, s Statement) (done int64, admission Admission) {
 	target := f.members[m]
 	f.checker.recordArrival(s, m, now)
@@ -186,7 +186,7 @@
 	return start + duration, Admitted
 }
 
-// capacityShare is the part of its capacity that a member has.
+// capacityShare returns the share of its full capacity that a member has, depending on its warm-up.
 func (f *Fleet) capacityShare(now int64, m *member) float64 {
 	age := now - m.startedAt
 	if m.startedAt == 0 || f.ColdCapacity == 0 || age >= f.WarmUpTime {
@@ -195,11 +195,11 @@
 	return f.ColdCapacity + (1-f.ColdCapacity)*float64(age)/float64(f.WarmUpTime)
 }
 
-// checkArrival checks what reaches a member against the rules on members that drain and on cold ones.
+// checkArrival records violations of the rules on draining and cold members.
 func (f *Fleet) checkArrival(now int64, m MemberID, s Statement) {
 	target := f.members[m]
 	if target.drainingSince != 0 && now-target.drainingSince > f.DrainGrace {
-		f.checker.RecordViolation(RuleDraining, s.ID, "member %d got a call-out %d ms after it began to drain", m, (now-target.drainingSince)/millisecond)
+		f.checker.RecordViolation(RuleDraining, s.ID, "member %d received an attempt %d ms after it started draining", m, (now-target.drainingSince)/millisecond)
 	}
 	share := f.capacityShare(now, target)
 	if share == 1 {
@@ -208,13 +208,13 @@
 	}
 	target.coldArrivals = append(slices.DeleteFunc(target.coldArrivals, func(t int64) bool { return now-t > OverloadWindow }), now)
 	expectedMax := f.OverloadFactor * share * f.MemberRate() * float64(OverloadWindow) / float64(second)
-	if float64(len(target.coldArrivals)) > expectedMax+2*math.Sqrt(expectedMax)+2 { // a little for chance
-		f.checker.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, got %d statements in %d ms", m, share, len(target.coldArrivals), OverloadWindow/millisecond)
+	if float64(len(target.coldArrivals)) > expectedMax+2*math.Sqrt(expectedMax)+2 { // allow for random bursts
+		f.checker.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, received %d statements in %d ms", m, share, len(target.coldArrivals), OverloadWindow/millisecond)
 		target.pausedUntil = now + 10*second
 	}
 }
 
-// SetDraining lets a member drain, or serve again.
+// SetDraining makes a member drain or serve again.
 func (f *Fleet) SetDraining(now int64, m MemberID, draining bool) {
 	f.members[m].drainingSince = 0
 	if draining {
@@ -222,36 +222,37 @@
 	}
 }
 
-// IsDraining tells whether a member drains.
+// IsDraining reports whether a member is draining.
 func (f *Fleet) IsDraining(m MemberID) bool { return f.members[m].drainingSince != 0 }
 
-// Restart starts a member anew: it is cold, and what it had taken is not done. Its data is still there.
+// Restart restarts a member: it is cold, keeps its data and loses the statements it had admitted.
 func (f *Fleet) Restart(now int64, m MemberID) {
 	target := f.members[m]
 	target.startedAt, target.coldArrivals, target.queuedStarts, target.pausedUntil, target.coreFreeAt = now, nil, nil, 0, make([]int64, f.Cores)
 	target.restarts++
 }
 
-// Started is when a member started last, 0 for long ago, and its how manieth life it is.
+// Started returns the time of a member's last start, 0 if before the simulation, and how often it
+// was restarted.
 func (f *Fleet) Started(m MemberID) (at int64, life int) {
 	return f.members[m].startedAt, f.members[m].restarts
 }
 
-// Response is what a member says of itself, and of a statement what came of it.
+// Response is a member's status and, for a statement, its result.
 type Response struct {
 	Value    string
 	Primary  bool
-	Position int64 // of the member, or of the write
-	IsLost   bool  // it does not come
+	Position int64 // of the write, or for a read of the member
+	IsLost   bool  // the reply does not reach the sender
 }
 
-// Execute does a statement whose time has come.
+// Execute executes an admitted statement. The caller calls it at the time returned by Admit.
 func (f *Fleet) Execute(now int64, m MemberID, s Statement) Response {
 	target := f.members[m]
 	response := Response{Primary: target.group.primary == m, IsLost: target.losesReplies}
 	if !s.Write {
 		response.Position = f.position(now, m)
-		applied := target.advance(now) // what fills a group does not take back what it has
+		applied := target.advance(now) // a fill does not hide writes that are already applied
 		if response.Primary {
 			applied = math.MaxInt64
 		}
@@ -268,21 +269,23 @@
 	return response
 }
 
-// Status is what a member tells of itself.
+// Status returns a member's role and position.
 func (f *Fleet) Status(now int64, m MemberID) Response {
 	return Response{Primary: f.IsPrimary(m), Position: f.position(now, m)}
 }
 
-// roundPosition is the position of a moment: positions are told in whole milliseconds.
+// roundPosition rounds a time up to a position: positions are whole milliseconds.
 func roundPosition(now int64) int64 { return (now + millisecond - 1) / millisecond * millisecond }
 
-// advance is how far a replica has its group's log: it never goes back, however its lag grows.
+// advance returns the position up to which a replica has applied its group's log. It never goes
+// back, even if the lag grows.
 func (m *member) advance(now int64) int64 {
 	m.appliedPosition = max(m.appliedPosition, roundPosition(now)-m.lag)
 	return m.appliedPosition
 }
 
-// position is how far a member has come: behind by its lag, and by what fills its group.
+// position returns the position that a member reports, which includes the lag of any fill of its
+// group.
 func (f *Fleet) position(now int64, m MemberID) int64 {
 	target, p := f.members[m], roundPosition(now)
 	if target.group.primary != m {
@@ -294,7 +297,8 @@
 	return p
 }
 
-// visibleValue is what a group shows of a key: of its own up to one position, and of what fills it just now up to another.
+// visibleValue returns the newest value of a key from the group's own log up to applied and from
+// its fills up to filled.
 func (f *Fleet) visibleValue(g *group, key string, applied, filled int64) string {
 	latest := latestWrite(g.log[key], applied)
 	for _, active := range g.fills {
@@ -310,7 +314,7 @@
 	return latest.id
 }
 
-// latestWrite is the newest version up to a position.
+// latestWrite returns the last write at or before a position.
 func latestWrite(writes []write, position int64) write {
 	n := sort.Search(len(writes), func(i int) bool { return writes[i].position > position })
 	if n == 0 {
@@ -321,7 +325,8 @@
 
 func (f *Fleet) groupByNumber(number int64) *group { return f.groups[number-1] }
 
-// BeginFill begins to fill groups with what others have of a tenant. It may be told more than once.
+// BeginFill starts filling groups with a tenant's data from other groups, replacing a fill of that
+// tenant that is in progress.
 func (f *Fleet) BeginFill(tenant string, sources, targets []int64) {
 	f.DiscardFill(tenant)
 	for _, number := range targets {
@@ -330,8 +335,8 @@
 	}
 }
 
-// EndFill ends the filling with a tenant's data at a position: what came up to there is the group's own from here on, and
-// nothing later comes.
+// EndFill ends the fill of a tenant at a position: writes up to it become part of the filled
+// groups, later ones are not copied.
 func (f *Fleet) EndFill(tenant string, position int64) {
 	for _, g := range f.groups {
 		for _, active := range g.fills {
@@ -346,7 +351,7 @@
 	f.DiscardFill(tenant)
 }
 
-// merge takes over what another group has of a tenant up to a position.
+// merge copies a tenant's writes up to a position from another group's log.
 func (g *group) merge(source *group, tenant string, position int64) {
 	for key, writes := range source.log {
 		if TenantOf(key) != tenant {
@@ -361,29 +366,29 @@
 	}
 }
 
-// DiscardFill ends the filling with a tenant's data and throws away what came.
+// DiscardFill ends the fill of a tenant and drops the data that it copied.
 func (f *Fleet) DiscardFill(tenant string) {
 	for _, g := range f.groups {
 		g.fills = slices.DeleteFunc(g.fills, func(candidate *fill) bool { return candidate.tenant == tenant })
 	}
 }
 
-// SetSlowdown makes a member so many times as slow; 1 makes it as before.
+// SetSlowdown multiplies a member's service times; a factor of 1 restores them.
 func (f *Fleet) SetSlowdown(m MemberID, factor int64) { f.members[m].slowdown = factor }
 
-// PauseUntil lets a member stand still until a time.
+// PauseUntil keeps a member from starting statements until a time.
 func (f *Fleet) PauseUntil(m MemberID, until int64) { f.members[m].pausedUntil = until }
 
-// SetReplyLoss makes a member lose its answers though it does what it is told.
+// SetReplyLoss makes a member execute statements without its replies reaching the sender.
 func (f *Fleet) SetReplyLoss(m MemberID, loses bool) { f.members[m].losesReplies = loses }
 
-// SetLag sets how far a replica is behind.
+// SetLag sets the lag of a replica.
 func (f *Fleet) SetLag(now int64, m MemberID, lag int64) {
 	f.members[m].advance(now)
 	f.members[m].lag = lag
 }
 
-// HasWrite tells whether a group has a write of a key.
+// HasWrite reports whether a group's log has a write of a key.
 func (f *Fleet) HasWrite(number int64, key, id string) bool {
 	return slices.ContainsFunc(f.groupByNumber(number).log[key], func(entry write) bool { return entry.id == id })
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -20,11 +20,11 @@
 	return rules
 }
 
-// The checker must find each breach; it finds none where there is none.
+// The checker must find each violation, and none in a correct run.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	write := func(id, key string) Statement { return Statement{ID: id, Key: key, Write: true} }
 	for name, do := range map[string]func(f *Fleet, s *Checker){
-		RuleDuplicateEffect: func(f *Fleet, s *Checker) { // a second call-out though the first may have run
+		RuleDuplicateEffect: func(f *Fleet, s *Checker) { // a second attempt although the first may have been executed
 			s.RecordSent("1", "t/k", true)
 			f.Admit(second, 0, write("1", "t/k"))
 			f.Admit(second, 0, write("1", "t/k"))
@@ -40,7 +40,7 @@
 		},
 		RuleOneAnswer + ", none": func(f *Fleet, s *Checker) { s.RecordNoAnswer("1") },
 		RuleStaleRead:            func(f *Fleet, s *Checker) { s.Read("3", "t/k", "1", "2") },
-		RuleLostWrite: func(f *Fleet, s *Checker) { // acknowledged in one cell, and the tenant is in another
+		RuleLostWrite: func(f *Fleet, s *Checker) { // acknowledged in one group, but the tenant is in another
 			s.RecordSent("1", "t/k", true)
 			f.Execute(second, 0, write("1", "t/k"))
 			s.RecordAnswer("1", true)
@@ -56,7 +56,7 @@
 		},
 		RuleColdOverload: func(f *Fleet, s *Checker) {
 			f.Restart(second, 1)
-			for i := range 200 { // it bears about 80 in two seconds
+			for i := range 200 { // it can execute about 80 in two seconds
 				f.Admit(second+int64(i)*millisecond, 1, Statement{ID: fmt.Sprint(i), Key: "t/k"})
 			}
 		},
@@ -84,32 +84,32 @@
 	require.Empty(t, violatedRules(s))
 }
 
-// Members queue, refuse and tire as they should, and show no more than they have.
+// Members must queue and reject statements, and replicas must return only what they have applied.
 func TestMemberQueueAndReplication(t *testing.T) {
 	f, _ := newTestFleet()
 	read := func(id string) Statement { return Statement{ID: id, Key: "t/k"} }
 	first, _ := f.Admit(second, 1, read("1"))
 	next, _ := f.Admit(second, 1, read("2"))
-	require.Greater(t, next, first, "one core does one after another")
+	require.Greater(t, next, first, "a core executes one statement at a time")
 	f.Admit(second, 1, read("3"))
 	_, admission := f.Admit(second, 1, read("4"))
 	require.Equal(t, QueueFull, admission)
 	_, admission = f.Admit(first+millisecond, 1, read("5"))
-	require.Equal(t, Admitted, admission, "one has begun meanwhile")
+	require.Equal(t, Admitted, admission, "one queued statement has started")
 	f.PauseUntil(2, 5*second)
 	done, _ := f.Admit(second, 2, read("6"))
 	require.Greater(t, done, 5*second)
 	f.Execute(second, 0, Statement{ID: "a", Key: "t/k", Write: true})
 	require.Equal(t, "a", f.Execute(second, 0, read("7")).Value)
-	require.Empty(t, f.Execute(second, 1, read("8")).Value, "a replica lags")
+	require.Empty(t, f.Execute(second, 1, read("8")).Value, "the replica has not applied the write yet")
 	require.Equal(t, "a", f.Execute(second+50*millisecond, 1, read("9")).Value)
 	f.SetLag(second+50*millisecond, 1, 10*second)
-	require.Equal(t, "a", f.Execute(second+60*millisecond, 1, read("10")).Value, "what it has it keeps")
+	require.Equal(t, "a", f.Execute(second+60*millisecond, 1, read("10")).Value, "applied writes stay visible")
 	before := f.Status(second+60*millisecond, 1).Position
 	require.Equal(t, before, f.Status(2*second, 1).Position)
 }
 
-// A group that is filled shows a tenant's data up to what has come, and after the end up to the cut.
+// A group being filled must return the tenant's data up to the fill's position, and after its end up to the cut.
 func TestFillVisibility(t *testing.T) {
 	f, _ := newTestFleet()
 	write := func(now int64, id string) { f.Execute(now, 0, Statement{ID: id, Key: "t/k", Write: true}) }
@@ -120,14 +120,14 @@
 	require.Equal(t, second, f.Status(second+50*millisecond, 3).Position)
 	require.Empty(t, read(second+40*millisecond, "t/k"))
 	require.Equal(t, "a", read(second+50*millisecond, "t/k"))
-	require.Empty(t, read(second+50*millisecond, "u/k"), "another tenant's")
+	require.Empty(t, read(second+50*millisecond, "u/k"), "the key belongs to another tenant")
 	f.DiscardFill("t")
 	require.Empty(t, read(2*second, "t/k"))
 	f.BeginFill("t", []int64{1}, []int64{2})
 	write(2*second, "b")
 	write(3*second, "c")
 	f.EndFill("t", 2*second)
-	require.Equal(t, "b", read(4*second, "t/k"), "nothing after the cut")
+	require.Equal(t, "b", read(4*second, "t/k"), "writes after the cut are not copied")
 	require.True(t, f.HasWrite(2, "t/k", "a"))
 	require.False(t, f.HasWrite(2, "t/k", "c"))
 	require.Equal(t, 4*second, f.Status(4*second, 3).Position)
--- a/internal/emulator/links/draw.go
+++ b/internal/emulator/links/draw.go
@@ -7,20 +7,21 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// FaultSpec is a trouble to be drawn: whom it may befall, how often in the mean, and how long and how much.
+// FaultSpec describes random faults of one type: how often they occur, where, for how long and how
+// strongly.
 type FaultSpec struct {
 	Fault                    FaultType
-	MeanInterval             time.Duration // between two of it, in the mean
-	From, To                 []string      // of links
-	Processes                []string      // of processes
-	BothDirections           bool          // a link fails in both directions
-	MinDuration, MaxDuration time.Duration // it lasts
+	MeanInterval             time.Duration // between the starts of two faults
+	From, To                 []string      // candidates for the ends of a link
+	Processes                []string      // candidates for faults of processes
+	BothDirections           bool          // affect both directions of a link
+	MinDuration, MaxDuration time.Duration
 	Amount, MaxAmount        float64
 	Jitter, Share            float64
 }
 
-// Draw draws a timeline of so long from a seed: each kind's troubles as a Poisson process of its own, so that one more kind
-// leaves the others' where they were.
+// Draw generates a timeline of the given length from a seed. Each spec is a Poisson process with
+// its own random source, so that adding a spec does not change the events of the others.
 func Draw(seed uint64, span time.Duration, specs []FaultSpec) (timeline Timeline) {
 	for i, spec := range specs {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)+1))
@@ -32,7 +33,7 @@
 	return timeline.sorted()
 }
 
-// draw draws one trouble, which is two events where both directions fail.
+// draw generates one fault: one event, or two if both directions are affected.
 func (s *FaultSpec) draw(rng *rand.Rand, at time.Duration) []Event {
 	e := Event{At: at.Truncate(time.Millisecond), Fault: s.Fault, Share: s.Share, Jitter: s.Jitter, Amount: s.Amount}
 	if s.MaxAmount > s.Amount {
--- a/internal/emulator/links/links.go
+++ b/internal/emulator/links/links.go
@@ -1,6 +1,7 @@
-// Package links lets the links between processes fail on purpose, and the processes themselves: by a timeline that is drawn
-// from a seed or read from a file, printed as it is played, and played again from what was printed. What is said about a
-// link is decided in this package without I/O; package relays does it to bytes on loopback.
+// Package links describes faults of the links between processes and of the processes themselves as
+// a timeline of events. A timeline is generated from a seed or parsed from text; its text form can
+// be parsed and played again. The package does no I/O; package relays applies the faults to
+// connections on loopback.
 package links
 
 import (
@@ -11,39 +12,39 @@
 	"time"
 )
 
-// Link is one direction between two named processes. A star stands for any.
+// Link is one direction between two named processes. An asterisk matches any process.
 type Link struct{ From, To string }
 
 func (w Link) String() string { return w.From + ">" + w.To }
 
-// Reverse is the other direction.
+// Reverse returns the other direction.
 func (w Link) Reverse() Link { return Link{w.To, w.From} }
 
-// Matches tells whether a way, maybe with stars, is about another.
+// Matches reports whether a link, which may have asterisks, includes another.
 func (w Link) Matches(other Link) bool {
 	return (w.From == "*" || w.From == other.From) && (w.To == "*" || w.To == other.To)
 }
 
-// FaultType is a kind of trouble.
+// FaultType is a kind of fault.
 type FaultType int
 
 const (
-	Delay       FaultType = iota // bytes and datagrams come later, by Amount and up to Spread more
-	Silent                       // nothing arrives; what is sent meanwhile arrives afterwards, as it does when it is sent again
-	Cut                          // connections end at once, and no new one is to be had
-	Lose                         // a part of the datagrams is lost: Share
-	Duplicate                    // a part of the datagrams arrives twice: Share
-	Reorder                      // a part of the datagrams is overtaken by the next: Share
-	Throttle                     // so many bytes a second: Amount
-	Reset                        // connections are reset, once
-	Truncate                     // Amount more bytes of each connection arrive, and then it is reset: a frame cut in the middle
-	Pause                        // a process stands still
-	Kill                         // a process is killed, and started again at the end, with its disk
-	WipeDisk                     // the same, with an empty disk
-	RestoreDisk                  // the same, with the copy of its disk made last
-	CopyDisk                     // a copy of a process's disk is made
-	Twin                         // a second process of its name runs
-	SkewClock                    // a process is killed and started again with a wall clock that is off by Amount
+	Delay       FaultType = iota // data is delayed by Amount, plus a random time up to Jitter
+	Silent                       // data is held and delivered when the fault ends, as if retransmitted; datagrams are lost
+	Cut                          // connections are reset and new ones refused
+	Lose                         // a Share of the datagrams is lost
+	Duplicate                    // a Share of the datagrams is duplicated
+	Reorder                      // a Share of the datagrams is overtaken by later ones
+	Throttle                     // throughput is limited to Amount bytes per second
+	Reset                        // connections are reset once
+	Truncate                     // connections are reset after Amount more bytes, as in the middle of a frame
+	Pause                        // a process is paused
+	Kill                         // a process is killed and restarted with its disk when the fault ends
+	WipeDisk                     // like Kill, with an empty disk
+	RestoreDisk                  // like Kill, with the last copy of its disk
+	CopyDisk                     // the disk of a process is copied
+	Twin                         // a second process of the same name runs
+	SkewClock                    // a process is killed and restarted with a wall clock offset of Amount
 )
 
 var faultNames = [...]string{"delay", "silent", "cut", "lossy", "doubled", "shuffled", "slow", "reset", "chop", "pause", "kill", "empty",
@@ -51,25 +52,25 @@
 
 func (w FaultType) String() string { return faultNames[w] }
 
-// affectsLinks tells whether it happens to links; the others happen to processes.
+// affectsLinks reports whether the fault applies to links; the others apply to processes.
 func (w FaultType) affectsLinks() bool { return w <= Truncate }
 
-// hasDuration tells whether it has an end.
+// hasDuration reports whether the fault has an end.
 func (w FaultType) hasDuration() bool { return w != Reset && w != Truncate && w != CopyDisk }
 
-// Event is one trouble.
+// Event is one fault of a timeline.
 type Event struct {
-	At       time.Duration // after the timeline's begin
+	At       time.Duration // since the start of the timeline
 	Fault    FaultType
-	Link     Link   // of links
-	Process  string // of a process
+	Link     Link   // for faults of links
+	Process  string // for faults of processes
 	Duration time.Duration
-	Amount   float64 // seconds, bytes, or bytes a second
+	Amount   float64 // seconds, bytes, or bytes per second
 	Jitter   float64 // seconds
 	Share    float64 // from 0 to 1
 }
 
-// String is the event as Parse reads it.
+// String formats the event for Parse.
 func (e Event) String() string {
 	var b strings.Builder
 	target := e.Process
@@ -98,10 +99,10 @@
 	return b.String()
 }
 
-// Timeline is troubles in the order in which they begin.
+// Timeline is a list of events ordered by start.
 type Timeline []Event
 
-// String is the timeline as Parse reads it, a line an event.
+// String formats the timeline for Parse, one event per line.
 func (t Timeline) String() string {
 	var b strings.Builder
 	for _, e := range t {
@@ -110,7 +111,7 @@
 	return b.String()
 }
 
-// End is when the last trouble is over.
+// End returns the time at which the last fault ends.
 func (t Timeline) End() (end time.Duration) {
 	for _, e := range t {
 		end = max(end, e.At+e.Duration)
@@ -123,28 +124,28 @@
 	return t
 }
 
-// ActiveFaults is what troubles links at a moment.
+// ActiveFaults are the faults of links that are in effect.
 type ActiveFaults struct{ events []Event }
 
-// Add lets a trouble of links begin.
+// Add puts a fault into effect.
 func (f *ActiveFaults) Add(e Event) { f.events = append(f.events, e) }
 
-// Remove ends it.
+// Remove ends a fault.
 func (f *ActiveFaults) Remove(e Event) {
 	if i := slices.Index(f.events, e); i >= 0 {
 		f.events = slices.Delete(f.events, i, i+1)
 	}
 }
 
-// LinkState is how a way is.
+// LinkState is the combined effect of the active faults on one link.
 type LinkState struct {
 	Delay, Jitter               time.Duration
 	Silent, Cut                 bool
 	Lost, Duplicated, Reordered float64
-	BytesPerSecond              float64 // bytes a second, 0 for no limit
+	BytesPerSecond              float64 // 0 for no limit
 }
 
-// StateOf is how a way is now: all troubles on it together.
+// StateOf returns the combined effect of all active faults on a link.
 func (f *ActiveFaults) StateOf(link Link) (state LinkState) {
 	for _, e := range f.events {
 		if !e.Link.Matches(link) {
@@ -175,5 +176,5 @@
 
 func seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
 
-// combinedProbability is the chance of at least one of two.
+// combinedProbability returns the probability that at least one of two independent events happens.
 func combinedProbability(a, b float64) float64 { return 1 - (1-a)*(1-b) }
--- a/internal/emulator/links/links_test.go
+++ b/internal/emulator/links/links_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// Guards against a night that can't be played again: what is drawn is the same for a seed, and what is printed says it all.
+// Guards against timelines that can't be replayed: a seed must give the same timeline, and the text
+// form must be complete.
 func TestTimelineIsReproducible(t *testing.T) {
 	drawn := Draw(7, 20*time.Second, testSpecs())
 	require.Equal(t, drawn, Draw(7, 20*time.Second, testSpecs()))
@@ -40,31 +41,31 @@
 	require.Greater(t, drawn.End(), 19*time.Second)
 	fewer := Draw(7, 20*time.Second, testSpecs()[:2])
 	for _, e := range fewer {
-		require.Contains(t, drawn, e, "one kind more leaves the others where they were")
+		require.Contains(t, drawn, e, "an additional spec must not change the events of the others")
 	}
 }
 
-// Guards against timelines that say what nobody meant.
+// Guards against malformed timelines being accepted.
 func TestParseRejectsMalformedTimelines(t *testing.T) {
 	for text, message := range map[string]string{
-		"1 delay":                            "line 1: a time, a trouble",
-		"# fine\n\nx delay a>b by 1s for 1s": "line 3: \"x\" is not a number",
-		"1 rain a>b for 1s":                  "no trouble \"rain\"",
-		"1 delay a by 1s for 1s":             "\"a\" is not a way",
-		"1 pause a>b for 1s":                 "befalls a process",
-		"1 delay a>b for 1s":                 "delay needs \"by\"",
-		"1 delay a>b by 1s":                  "delay needs \"for\"",
-		"1 delay a>b by 1s by 2s for 1s":     "stands alone or twice",
-		"1 delay a>b by -1s for 1s":          "below 0",
-		"1 delay a>b by 1s for":              "stands alone",
-		"1 silent a>b by 1s for 1s":          "silent takes no \"by\"",
-		"1 silent a>b spread 1s for 1s":      "takes no \"spread\"",
-		"1 lossy a>b share 1.5 for 1s":       "more than all",
-		"1 slow a>b to 0B/s for 1s":          "silence",
-		"1 slow a>b to NaNB/s for 1s":        "is not a number",
-		"1 pause a for 1e9s":                 "is not a number",
-		"-1 pause a for 1s":                  "is not a number",
-		"1 pause a for 1":                    "with \"s\"",
+		"1 delay":                            "line 1: want a time, a fault",
+		"# fine\n\nx delay a>b by 1s for 1s": "line 3: \"x\" is not a non-negative number",
+		"1 rain a>b for 1s":                  "unknown fault \"rain\"",
+		"1 delay a by 1s for 1s":             "\"a\" is not a link",
+		"1 pause a>b for 1s":                 "applies to a process",
+		"1 delay a>b for 1s":                 "delay needs parameter \"by\"",
+		"1 delay a>b by 1s":                  "delay needs parameter \"for\"",
+		"1 delay a>b by 1s by 2s for 1s":     "has no value or is repeated",
+		"1 delay a>b by -1s for 1s":          "delay is negative",
+		"1 delay a>b by 1s for":              "has no value or is repeated",
+		"1 silent a>b by 1s for 1s":          "silent has no parameter \"by\"",
+		"1 silent a>b spread 1s for 1s":      "has no parameter \"spread\"",
+		"1 lossy a>b share 1.5 for 1s":       "is greater than 1",
+		"1 slow a>b to 0B/s for 1s":          "use silent instead",
+		"1 slow a>b to NaNB/s for 1s":        "is not a non-negative number",
+		"1 pause a for 1e9s":                 "is not a non-negative number",
+		"-1 pause a for 1s":                  "is not a non-negative number",
+		"1 pause a for 1":                    "with unit \"s\"",
 	} {
 		_, err := Parse(text)
 		require.ErrorContains(t, err, message, text)
@@ -75,7 +76,7 @@
 		{At: 2 * time.Second, Fault: Reset, Link: Link{"a", "*"}}}, got)
 }
 
-// Guards against troubles that hide one another.
+// Guards against concurrent faults on a link masking one another.
 func TestFaultsCombine(t *testing.T) {
 	var faults ActiveFaults
 	event := func(fault FaultType, from, to string, amount, share float64) Event {
@@ -88,7 +89,7 @@
 	}
 	state := faults.StateOf(Link{"a", "b"})
 	require.Equal(t, LinkState{Delay: 300 * time.Millisecond, Lost: 0.75, BytesPerSecond: 10}, state)
-	require.Equal(t, LinkState{Silent: true}, faults.StateOf(Link{"b", "a"}), "each direction apart")
+	require.Equal(t, LinkState{Silent: true}, faults.StateOf(Link{"b", "a"}), "directions are independent")
 	require.Equal(t, LinkState{}, faults.StateOf(Link{"c", "d"}))
 	for _, active := range all {
 		faults.Remove(active)
--- a/internal/emulator/links/parse.go
+++ b/internal/emulator/links/parse.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Parse reads a timeline: a line an event, as String prints them, with comments after a #. The error names the line.
+// Parse parses a timeline of one event per line, as formatted by String. Comments start with #.
+// Errors name the line.
 func Parse(text string) (timeline Timeline, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
@@ -29,7 +30,7 @@
 
 func parseEvent(fields []string) (e Event, err error) {
 	if len(fields) < 3 {
-		return e, errors.New("a time, a trouble and whom it befalls are needed")
+		return e, errors.New("want a time, a fault and a link or process")
 	}
 	at, err := parseNumber(fields[0], "")
 	if err != nil {
@@ -38,29 +39,29 @@
 	e.At = seconds(at)
 	fault := slices.Index(faultNames[:], fields[1])
 	if fault < 0 {
-		return e, fmt.Errorf("there is no trouble %q", fields[1])
+		return e, fmt.Errorf("unknown fault %q", fields[1])
 	}
 	e.Fault = FaultType(fault)
 	from, to, isLink := strings.Cut(fields[2], ">")
 	switch {
 	case e.Fault.affectsLinks() && (!isLink || from == "" || to == ""):
-		return e, fmt.Errorf("%q is not a way from one process to another", fields[2])
+		return e, fmt.Errorf("%q is not a link (want FROM>TO)", fields[2])
 	case e.Fault.affectsLinks():
 		e.Link = Link{from, to}
 	case isLink:
-		return e, fmt.Errorf("%v befalls a process, and %q is a way", e.Fault, fields[2])
+		return e, fmt.Errorf("%v applies to a process, but %q is a link", e.Fault, fields[2])
 	default:
 		e.Process = fields[2]
 	}
 	return e, e.parseParameters(fields[3:])
 }
 
-// parseParameters reads what follows in pairs of a word and a number.
+// parseParameters parses pairs of a parameter name and a value.
 func (e *Event) parseParameters(words []string) (err error) {
 	given := map[string]bool{}
 	for ; len(words) > 0; words = words[2:] {
 		if len(words) == 1 || given[words[0]] {
-			return fmt.Errorf("%q stands alone or twice", words[0])
+			return fmt.Errorf("parameter %q has no value or is repeated", words[0])
 		}
 		given[words[0]] = true
 		if err := e.parseParameter(words[0], words[1]); err != nil {
@@ -69,13 +70,13 @@
 	}
 	for _, name := range e.requiredParameters() {
 		if !given[name] {
-			return fmt.Errorf("%v needs %q and a number", e.Fault, name)
+			return fmt.Errorf("%v needs parameter %q with a number", e.Fault, name)
 		}
 	}
 	return nil
 }
 
-// requiredParameters are the words that must follow.
+// requiredParameters returns the names of the parameters that the fault must have.
 func (e *Event) requiredParameters() (words []string) {
 	switch e.Fault {
 	case Delay, SkewClock:
@@ -95,7 +96,7 @@
 
 func (e *Event) parseParameter(name, text string) (err error) {
 	if name != "spread" && !slices.Contains(e.requiredParameters(), name) || name == "spread" && e.Fault != Delay {
-		return fmt.Errorf("%v takes no %q", e.Fault, name)
+		return fmt.Errorf("%v has no parameter %q", e.Fault, name)
 	}
 	switch name {
 	case "by":
@@ -108,7 +109,7 @@
 		e.Jitter, err = parseNumber(text, "s")
 	case "share":
 		if e.Share, err = parseNumber(text, ""); err == nil && e.Share > 1 {
-			err = fmt.Errorf("a share of %v is more than all", e.Share)
+			err = fmt.Errorf("share %v is greater than 1", e.Share)
 		}
 	case "for":
 		var duration float64
@@ -116,10 +117,10 @@
 		e.Duration = seconds(duration)
 	}
 	if err == nil && e.Fault == Delay && e.Amount < 0 {
-		err = errors.New("a delay can't be below 0")
+		err = errors.New("delay is negative")
 	}
 	if err == nil && name == "to" && e.Amount == 0 {
-		err = errors.New("no bytes a second is silence")
+		err = errors.New("rate of 0 bytes per second (use silent instead)")
 	}
 	return err
 }
@@ -129,7 +130,7 @@
 func parseNumber(text, unit string) (float64, error) {
 	n, err := strconv.ParseFloat(strings.TrimSuffix(text, unit), 64)
 	if err != nil || !strings.HasSuffix(text, unit) || !(n >= 0) || math.IsInf(n, 0) || unit != "B/s" && n > maxSeconds {
-		return 0, fmt.Errorf("%q is not a number from 0 on with %q", text, unit)
+		return 0, fmt.Errorf("%q is not a non-negative number with unit %q", text, unit)
 	}
 	return n, nil
 }
--- a/internal/emulator/links/relays/datagrams.go
+++ b/internal/emulator/links/relays/datagrams.go
@@ -8,13 +8,13 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// maxDatagramBytes is more than any that drivers send.
+// maxDatagramBytes is larger than any datagram that drivers send.
 const maxDatagramBytes = 64 << 10
 
-// reorderDelay is by how much a datagram that is shuffled comes later.
+// reorderDelay is the extra delay of a reordered datagram.
 const reorderDelay = 5 * time.Millisecond
 
-// RelayUDP gives the address at which one process's datagrams to another are taken on their way to where that hears them.
+// RelayUDP starts a relay for the datagrams of a link and returns the address to send them to.
 func (n *Network) RelayUDP(link links.Link, target string) (address string, err error) {
 	to, err := netip.ParseAddrPort(target)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return socket.LocalAddr().String(), nil
 }
 
-// relayDatagram passes one on, or loses it, or more.
+// relayDatagram forwards a datagram according to the state of the link.
 func (n *Network) relayDatagram(socket *net.UDPConn, link links.Link, to netip.AddrPort, payload []byte) {
 	state, _ := n.linkState(link)
 	n.updateCounts(func(c *Counts) { c.Datagrams++; c.DatagramBytes += int64(len(payload)) })
--- a/internal/emulator/links/relays/pair.go
+++ b/internal/emulator/links/relays/pair.go
@@ -10,27 +10,27 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// connection is one connection through a relay: two sockets, and a pipe for each direction.
+// connection is one connection through a relay: two sockets with a stream in each direction.
 type connection struct {
 	network   *Network
 	link      links.Link
-	streams   [2]*stream // there, and back
+	streams   [2]*stream // from client to server, and back
 	ctx       context.Context
 	cancel    context.CancelFunc
 	sockets   [2]*net.TCPConn
 	closeOnce sync.Once
 }
 
-// stream takes bytes one way.
+// stream carries bytes in one direction.
 type stream struct {
 	connection *connection
 	link       links.Link
 	from, to   *net.TCPConn
 	queue      chan chunk
-	remaining  atomic.Int64 // bytes until the connection is reset, below 0 for no such end
+	remaining  atomic.Int64 // bytes until the connection is reset, negative for no limit
 }
 
-// chunk is bytes on their way; without any it is the end.
+// chunk is data in transit with the time at which to deliver it.
 type chunk struct {
 	bytes []byte
 	due   time.Time
@@ -38,8 +38,8 @@
 
 const (
 	chunkBytes          = 8 << 10
-	maxQueuedChunks     = 64 // on their way; more stay with the sender, as they do in a socket's buffer
-	throttledWriteBytes = 64 // at once where so many a second are let through
+	maxQueuedChunks     = 64 // further data stays in the socket buffers, which slows the sender down
+	throttledWriteBytes = 64 // largest single write while the link is throttled
 )
 
 func newConnection(network *Network, link links.Link, client, server *net.TCPConn) *connection {
@@ -53,9 +53,9 @@
 	return c
 }
 
-// run passes bytes both ways until both have ended, or one can't go on.
+// run forwards data in both directions until both have ended or one fails.
 func (c *connection) run() {
-	defer func() { c.close(c.ctx.Err() != nil) }() // one that was ended is reset, whoever comes to it first
+	defer func() { c.close(c.ctx.Err() != nil) }() // a canceled connection is reset, whichever path closes it first
 	defer context.AfterFunc(c.ctx, func() { c.close(true) })()
 	var both sync.WaitGroup
 	for _, stream := range c.streams {
@@ -71,7 +71,7 @@
 	both.Wait()
 }
 
-// close closes both sockets, with a reset if asked to.
+// close closes both sockets, optionally with a TCP reset.
 func (c *connection) close(reset bool) {
 	c.closeOnce.Do(func() {
 		for _, socket := range c.sockets {
@@ -84,13 +84,13 @@
 	c.cancel()
 }
 
-// reset ends the connection at once.
+// reset resets the connection.
 func (c *connection) reset() {
 	c.network.updateCounts(func(counts *Counts) { counts.Reset++ })
 	c.close(true)
 }
 
-// truncateAfter lets so many more bytes pass on a way before the connection is reset.
+// truncateAfter resets the connection after the given number of further bytes on a link.
 func (c *connection) truncateAfter(link links.Link, bytes int64) {
 	for _, stream := range c.streams {
 		if link.Matches(stream.link) {
@@ -99,7 +99,8 @@
 	}
 }
 
-// read takes bytes in and says when they are due. A sender that ends, or that has gone, is told behind what it sent.
+// read queues incoming data with its delivery time. The end of the sender's data is delivered after
+// what it sent.
 func (s *stream) read() {
 	defer close(s.queue)
 	for {
@@ -121,7 +122,8 @@
 	}
 }
 
-// write passes bytes on when they are due, and tells whether the sender's own end was the reason to stop.
+// write delivers queued data when it is due. It returns true if it stopped because the sender
+// closed its side.
 func (s *stream) write() bool {
 	for c := range s.queue {
 		if !s.wait(time.Until(c.due)) || !s.forward(c.bytes) {
@@ -134,7 +136,7 @@
 	return s.to.CloseWrite() == nil
 }
 
-// wait waits, and tells whether the connection still lives.
+// wait waits and reports whether the connection is still open.
 func (s *stream) wait(d time.Duration) bool {
 	if d <= 0 {
 		return s.connection.ctx.Err() == nil
@@ -147,7 +149,8 @@
 	}
 }
 
-// waitWhileSilent waits while the way is silent, and tells whether the connection still lives.
+// waitWhileSilent waits until the link is no longer silent and reports whether the connection is
+// still open.
 func (s *stream) waitWhileSilent() bool {
 	start := time.Now()
 	state, changed := s.connection.network.linkState(s.link)
@@ -166,7 +169,7 @@
 	return s.connection.ctx.Err() == nil
 }
 
-// forward sends bytes on as the way lets it.
+// forward writes data subject to the faults of the link.
 func (s *stream) forward(bytes []byte) bool {
 	for len(bytes) > 0 {
 		if !s.waitWhileSilent() {
--- a/internal/emulator/links/relays/player.go
+++ b/internal/emulator/links/relays/player.go
@@ -11,16 +11,16 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// Process is one that can be made to fail. Its disk is what it keeps over a restart.
+// Process is a process that can be made to fail. Its disk is the state it keeps across restarts.
 type Process interface {
 	Pause() error
 	Continue() error
 	Kill() error
 	Start(ctx context.Context) error
-	WipeDisk() error              // takes its disk away; it does not run
-	CopyDisk() error              // makes a copy of its disk, in place of the one before
-	RestoreDisk() error           // puts the copy in place of its disk; it does not run
-	OffsetClock(by time.Duration) // its wall clock is off at its next starts
+	WipeDisk() error              // deletes the disk; the process must not be running
+	CopyDisk() error              // copies the disk, replacing the previous copy
+	RestoreDisk() error           // replaces the disk by the copy; the process must not be running
+	OffsetClock(by time.Duration) // sets the offset of the wall clock from the next start on
 	StartTwin(ctx context.Context) (end func(), err error)
 }
 
@@ -28,21 +28,21 @@
 type Player struct {
 	Network      *Network
 	Processes    map[string]Process
-	Output       io.Writer // where what is done is printed, nil for nowhere
+	Output       io.Writer // played events are printed here; nil for no output
 	mu           sync.Mutex
 	faultCounts  map[links.FaultType]int
 	processLocks map[string]*sync.Mutex
 }
 
-// FaultCounts are how many of each trouble were played.
+// FaultCounts returns the number of played events by fault.
 func (p *Player) FaultCounts() map[links.FaultType]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.faultCounts)
 }
 
-// Play plays a timeline to its end, or until the context ends; troubles that are on then end at once. What goes wrong with a
-// process is an error.
+// Play plays a timeline until its end or until the context ends, in which case active faults end at
+// once. It returns the first failure to apply a fault to a process.
 func (p *Player) Play(ctx context.Context, timeline links.Timeline) error {
 	start := time.Now()
 	var wait sync.WaitGroup
@@ -69,7 +69,7 @@
 	}
 }
 
-// playEvent lets one trouble begin and end.
+// playEvent starts and ends one fault.
 func (p *Player) playEvent(ctx context.Context, e links.Event) error {
 	p.mu.Lock()
 	if p.faultCounts == nil {
@@ -88,9 +88,9 @@
 		p.Network.End(e)
 		return nil
 	case process == nil:
-		return fmt.Errorf("there is no process %q", e.Process)
+		return fmt.Errorf("unknown process %q", e.Process)
 	}
-	lock := p.processLock(e.Process) // one trouble of a process at a time
+	lock := p.processLock(e.Process) // one fault of a process at a time
 	lock.Lock()
 	defer lock.Unlock()
 	return p.applyToProcess(ctx, process, e)
@@ -105,7 +105,7 @@
 	return p.processLocks[name]
 }
 
-// applyToProcess lets a trouble befall a process.
+// applyToProcess applies one fault to a process.
 func (p *Player) applyToProcess(ctx context.Context, process Process, e links.Event) error {
 	switch e.Fault {
 	case links.Pause:
@@ -144,7 +144,7 @@
 	return err
 }
 
-// Sleep waits, and tells whether the context has not ended meanwhile.
+// Sleep waits for a duration and reports whether the context is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/emulator/links/relays/relays.go
+++ b/internal/emulator/links/relays/relays.go
@@ -1,5 +1,5 @@
-// Package relays stands between processes on loopback and does to their connections and datagrams what a timeline says:
-// every link between two named processes goes through one of its relays, each direction apart.
+// Package relays applies the faults of package links to TCP connections and datagrams between
+// processes on loopback. Each link between two named processes goes through a relay of its own.
 package relays
 
 import (
@@ -14,7 +14,7 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// Network is all relays of a trial.
+// Network is the set of relays of a trial.
 type Network struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -22,30 +22,31 @@
 
 	mu          sync.Mutex
 	faults      links.ActiveFaults
-	changed     chan struct{} // closed when the weather changes
+	changed     chan struct{} // closed when the active faults change
 	rng         *rand.Rand
 	connections map[*connection]bool
 	listeners   []interface{ Close() error }
 	counts      Counts
 }
 
-// Counts are what was done to bytes, so that a trial can tell that its troubles took place.
+// Counts are totals of what the relays did, from which a trial can tell that its faults took
+// effect.
 type Counts struct {
 	Connections, Refused, Reset, Truncated int
 	Datagrams, Lost, Duplicated, Reordered int
-	Held                                   time.Duration // for which bytes were held by silence, over all directions
+	Held                                   time.Duration // time for which data was held by silent links, summed over all streams
 	Bytes                                  int64
 	DatagramBytes                          int64
 }
 
-// New makes a net without relays. What is left to chance is drawn from a seed.
+// New returns a network without relays. Random decisions are drawn from the seed.
 func New(seed uint64) *Network {
 	n := &Network{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 99)), connections: map[*connection]bool{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
 }
 
-// Close ends all relays and what goes through them.
+// Close closes all relays and their connections.
 func (n *Network) Close() {
 	n.cancel()
 	n.mu.Lock()
@@ -59,7 +60,7 @@
 	n.tasks.Wait()
 }
 
-// Counts are those so far.
+// Counts returns the totals so far.
 func (n *Network) Counts() Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,14 +73,15 @@
 	update(&n.counts)
 }
 
-// linkState is how a way is, and what is closed once that may have changed.
+// linkState returns the state of a link and a channel that is closed when the state may have
+// changed.
 func (n *Network) linkState(link links.Link) (links.LinkState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults.StateOf(link), n.changed
 }
 
-// arrivalTime is when what is sent now arrives.
+// arrivalTime returns the time at which data that is sent now arrives.
 func (n *Network) arrivalTime(state links.LinkState) time.Time {
 	due := time.Now().Add(state.Delay)
 	if state.Jitter > 0 {
@@ -90,7 +92,7 @@
 	return due
 }
 
-// happens draws whether something with a share happens.
+// happens returns true with the given probability.
 func (n *Network) happens(probability float64) bool {
 	if probability <= 0 {
 		return false
@@ -100,7 +102,7 @@
 	return n.rng.Float64() < probability
 }
 
-// Begin lets a trouble of links begin.
+// Begin starts a fault of links.
 func (n *Network) Begin(e links.Event) {
 	switch e.Fault {
 	case links.Reset:
@@ -119,7 +121,7 @@
 	}
 }
 
-// End ends it.
+// End ends a fault of links.
 func (n *Network) End(e links.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,7 +134,7 @@
 	n.changed = make(chan struct{})
 }
 
-// forEachConnection does something to all connections that a way is a direction of.
+// forEachConnection calls a function for each connection that has a direction matching the link.
 func (n *Network) forEachConnection(link links.Link, do func(c *connection)) {
 	n.mu.Lock()
 	var matching []*connection
@@ -147,7 +149,7 @@
 	}
 }
 
-// RelayTCP gives the address at which the connections of one process to another are taken on their way to where that is.
+// RelayTCP starts a relay for the connections of a link and returns the address to connect to.
 func (n *Network) RelayTCP(link links.Link, target string) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -174,14 +176,14 @@
 
 const connectTimeout = time.Second
 
-// isCut tells whether a link is cut in either direction.
+// isCut reports whether a link is cut in either direction.
 func (n *Network) isCut(link links.Link) bool {
 	forward, _ := n.linkState(link)
 	reverse, _ := n.linkState(link.Reverse())
 	return forward.Cut || reverse.Cut
 }
 
-// relayConnection joins a connection to its target, unless the link is cut.
+// relayConnection connects a client to its target and forwards data, unless the link is cut.
 func (n *Network) relayConnection(link links.Link, client *net.TCPConn, target string) {
 	server, err := net.Conn(nil), error(net.ErrClosed)
 	if !n.isCut(link) {
@@ -198,7 +200,7 @@
 	n.connections[c] = true
 	n.counts.Connections++
 	n.mu.Unlock()
-	if n.isCut(link) { // meanwhile
+	if n.isCut(link) { // the link may have been cut while connecting
 		c.reset()
 	}
 	c.run()
--- a/internal/emulator/links/relays/relays_test.go
+++ b/internal/emulator/links/relays/relays_test.go
@@ -16,7 +16,7 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// startEchoServer is a process that sends back what it gets.
+// startEchoServer starts a server that sends back what it receives.
 func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -50,7 +50,7 @@
 	return c
 }
 
-// readBytes reads so many bytes, and tells after how long they were there.
+// readBytes reads the given number of bytes and returns them with the time it took.
 func readBytes(t *testing.T, c net.Conn, count int) (string, time.Duration) {
 	start := time.Now()
 	buffer := make([]byte, count)
@@ -67,7 +67,7 @@
 	require.True(t, errors.As(err, &netErr) && netErr.Timeout(), "%v", err)
 }
 
-// Guards against relays that change what they are not told to.
+// Guards against relays that alter data while no fault is active.
 func TestRelayForwardsUnchanged(t *testing.T) {
 	network, address := newEchoRelay(t)
 	c := dial(t, address)
@@ -79,7 +79,7 @@
 	require.EqualValues(t, 2*len(text), network.Counts().Bytes)
 }
 
-// Each trouble of connections does what it says, in its own direction.
+// Each connection fault must take effect, and only in its own direction.
 func TestConnectionFaults(t *testing.T) {
 	const ms = time.Millisecond
 	network, address := newEchoRelay(t)
@@ -97,7 +97,7 @@
 	requireNoData(t, c, 50*ms)
 	network.End(silence)
 	got, _ := readBytes(t, c, 4)
-	require.Equal(t, "held", got, "as what is sent again arrives")
+	require.Equal(t, "held", got, "data held by a silent link must be delivered afterwards")
 	require.Positive(t, network.Counts().Held)
 
 	slow := links.Event{Fault: links.Throttle, Link: forwardLink, Amount: 1000}
@@ -125,19 +125,19 @@
 	c = dial(t, address)
 	network.Begin(cut)
 	_, err = c.Read(make([]byte, 1))
-	require.Error(t, err, "the old one ends")
+	require.Error(t, err, "existing connections must end")
 	c, err = net.Dial("tcp", address)
 	if err == nil {
 		_, err = c.Read(make([]byte, 1))
 	}
-	require.Error(t, err, "there is no new one")
+	require.Error(t, err, "new connections must fail")
 	network.End(cut)
 	c = dial(t, address)
 	io.WriteString(c, "x")
 	readBytes(t, c, 1)
 }
 
-// Each trouble of datagrams does what it says.
+// Each datagram fault must take effect.
 func TestDatagramFaults(t *testing.T) {
 	receiver, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -186,7 +186,7 @@
 	require.Positive(t, inversions)
 }
 
-// fakeProcess is a process that notes what befalls it.
+// fakeProcess records the calls that it receives.
 type fakeProcess struct {
 	mu    sync.Mutex
 	calls []string
@@ -212,7 +212,8 @@
 	return func() { f.record("twin ends") }, nil
 }
 
-// Guards against troubles of a process that overlap, and against one that is left as it was when a night ends early.
+// Guards against overlapping faults of one process, and against faults left in effect when the
+// context ends early.
 func TestPlayerRunsTimelines(t *testing.T) {
 	network := New(1)
 	defer network.Close()
@@ -225,9 +226,9 @@
 	require.NoError(t, player.Play(context.Background(), timeline))
 	require.Equal(t, []string{"copy", "pause", "continue", "kill", "put back", "start", "kill", "wipe", "start", "twin", "twin ends", "kill",
 		"start", "kill", "off by -1m0s", "start"}, process.calls)
-	require.Equal(t, text, out.String(), "what is printed can be played again")
+	require.Equal(t, text, out.String(), "the output must be a timeline that can be parsed")
 	require.Equal(t, 1, player.FaultCounts()[links.RestoreDisk])
-	require.ErrorContains(t, player.Play(context.Background(), links.Timeline{{Fault: links.Pause, Process: "b"}}), `there is no process "b"`)
+	require.ErrorContains(t, player.Play(context.Background(), links.Timeline{{Fault: links.Pause, Process: "b"}}), `unknown process "b"`)
 
 	process.calls = nil
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Millisecond)
--- a/internal/emulator/sight.go
+++ b/internal/emulator/sight.go
@@ -5,49 +5,50 @@
 	"sync"
 )
 
-// Checker is what members and clients saw, and the breaches of the rules found in it. It may be used by many at once.
+// Checker records what members and clients observe, and the violations found in it. It is safe for
+// concurrent use.
 type Checker struct {
 	mu             sync.Mutex
 	rpcs           map[string]*rpcRecord
-	acknowledged   map[string][]acknowledgedWrite // by key, what its clients were told is there
+	acknowledged   map[string][]acknowledgedWrite // by key, in the order in which clients were told
 	violations     []Violation
 	fencedAttempts []FencedAttempt
 }
 
-// FencedAttempt is a call-out that a member got, with the version that its driver says to have made it under.
+// FencedAttempt is an attempt that reached a member with a fence.
 type FencedAttempt struct {
 	At       int64 // Unix time in nanoseconds
 	Fence    uint64
 	RPC      string
 	Write    bool
-	Rejected bool // the member turned it away for that
+	Rejected bool // by the member, because the fence was no longer valid
 }
 
-// recordFence notes a call-out that came with a version.
-func (s *Checker) recordFence(statement Statement, now int64, rejected bool) {
+// recordFence records an attempt that has a fence.
+func (c *Checker) recordFence(statement Statement, now int64, rejected bool) {
 	if statement.Fence.Version == 0 {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.fencedAttempts = append(s.fencedAttempts, FencedAttempt{At: now, Fence: uint64(statement.Fence.Version), RPC: statement.ID, Write: statement.Write, Rejected: rejected})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.fencedAttempts = append(c.fencedAttempts, FencedAttempt{At: now, Fence: uint64(statement.Fence.Version), RPC: statement.ID, Write: statement.Write, Rejected: rejected})
 }
 
-// FencedAttempts are all call-outs that came with a version, as they came.
-func (s *Checker) FencedAttempts() []FencedAttempt {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]FencedAttempt(nil), s.fencedAttempts...)
+// FencedAttempts returns all attempts with a fence in the order of their arrival.
+func (c *Checker) FencedAttempts() []FencedAttempt {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]FencedAttempt(nil), c.fencedAttempts...)
 }
 
-// rpcRecord is one RPC.
+// rpcRecord is what was observed of one RPC.
 type rpcRecord struct {
-	nonIdempotent bool // non-idempotent
+	nonIdempotent bool
 	key           string
-	attempts      int // that members got
-	rejected      int // of those, by members that did nothing
+	attempts      int // that reached a member
+	rejected      int // attempts that were not executed
 	effects       int
-	group         int64 // where it ran, and the position that it has there
+	group         int64 // where the write was executed, and its position there
 	position      int64
 	answers       int
 }
@@ -57,157 +58,158 @@
 	position int64
 }
 
-// Violation is a rule that was broken.
+// Violation is a broken rule.
 type Violation struct {
 	Rule   string
 	RPC    string
 	Detail string
 }
 
-// NewChecker makes one that has seen nothing.
+// NewChecker returns a checker without observations.
 func NewChecker() *Checker {
 	return &Checker{rpcs: map[string]*rpcRecord{}, acknowledged: map[string][]acknowledgedWrite{}}
 }
 
-// Names of rules in breaches.
+// Rules, as named in violations.
 const (
 	RuleOneAnswer       = "one final answer"
 	RuleDuplicateEffect = "no effect twice"
 	RuleStaleRead       = "no stale read"
 	RuleLostWrite       = "no acknowledged write lost"
-	RuleDraining        = "nothing new after the drain grace"
-	RuleColdOverload    = "no cold member pushed over"
-	RuleClosedVersion   = "nothing under a version that was closed"
-	RuleVersionOverlap  = "no two versions at once that must not overlap"
-	RuleOldDisk         = "no voter with an old disk"
+	RuleDraining        = "no attempt after the drain grace period"
+	RuleColdOverload    = "no cold member overloaded"
+	RuleClosedVersion   = "no attempt under a closed version"
+	RuleVersionOverlap  = "no overlap with an exclusive version"
+	RuleOldDisk         = "no voter started with an outdated disk"
 )
 
-func (s *Checker) addViolation(rule, rpc, format string, args ...any) {
-	s.violations = append(s.violations, Violation{rule, rpc, fmt.Sprintf(format, args...)})
+func (c *Checker) addViolation(rule, rpc, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, rpc, fmt.Sprintf(format, args...)})
 }
 
-func (s *Checker) record(id string) *rpcRecord {
-	r := s.rpcs[id]
+func (c *Checker) record(id string) *rpcRecord {
+	r := c.rpcs[id]
 	if r == nil {
 		r = &rpcRecord{}
-		s.rpcs[id] = r
+		c.rpcs[id] = r
 	}
 	return r
 }
 
-// RecordViolation notes that a rule was broken.
-func (s *Checker) RecordViolation(rule, rpc, format string, args ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.addViolation(rule, rpc, format, args...)
+// RecordViolation records a broken rule.
+func (c *Checker) RecordViolation(rule, rpc, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation(rule, rpc, format, args...)
 }
 
-// AllRules are those that are checked.
+// AllRules returns the rules that are checked.
 func AllRules() []string {
 	return []string{RuleOneAnswer, RuleDuplicateEffect, RuleDraining, RuleColdOverload, RuleStaleRead, RuleLostWrite, RuleClosedVersion, RuleVersionOverlap, RuleOldDisk}
 }
 
-// RecordSent notes that a client sends an RPC.
-func (s *Checker) RecordSent(id, key string, nonIdempotent bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r := s.record(id)
+// RecordSent records that a client sends an RPC.
+func (c *Checker) RecordSent(id, key string, nonIdempotent bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.record(id)
 	r.nonIdempotent, r.key = nonIdempotent, key
 }
 
-// recordArrival notes that a member got a call-out.
-func (s *Checker) recordArrival(statement Statement, m MemberID, now int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r := s.record(statement.ID)
+// recordArrival records that an attempt reached a member.
+func (c *Checker) recordArrival(statement Statement, m MemberID, now int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.record(statement.ID)
 	r.attempts++
 	if r.nonIdempotent && r.attempts-r.rejected > 1 {
-		s.addViolation(RuleDuplicateEffect, statement.ID, "member %d got a call-out at %d though an earlier one may have run", m, now)
+		c.addViolation(RuleDuplicateEffect, statement.ID, "member %d received an attempt at %d although an earlier one may have been executed", m, now)
 	}
 }
 
-func (s *Checker) recordRejection(statement Statement) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.record(statement.ID).rejected++
+func (c *Checker) recordRejection(statement Statement) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.record(statement.ID).rejected++
 }
 
-// recordEffect notes that a write ran.
-func (s *Checker) recordEffect(statement Statement, group, position int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r := s.record(statement.ID)
+// recordEffect records that a write was executed.
+func (c *Checker) recordEffect(statement Statement, group, position int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.record(statement.ID)
 	if r.effects++; r.effects > 1 {
-		s.addViolation(RuleDuplicateEffect, statement.ID, "ran in group %d at %d after it ran in group %d", group, position, r.group)
+		c.addViolation(RuleDuplicateEffect, statement.ID, "executed in group %d at %d after it was executed in group %d", group, position, r.group)
 	}
 	r.group, r.position = group, position
 }
 
-// RecordAnswer notes the final answer of an RPC. Of a write that is served the client knows from here on that it is there.
-func (s *Checker) RecordAnswer(id string, served bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r := s.record(id)
+// RecordAnswer records the final answer of an RPC. A write that was served counts as acknowledged.
+func (c *Checker) RecordAnswer(id string, served bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.record(id)
 	if r.answers++; r.answers > 1 {
-		s.addViolation(RuleOneAnswer, id, "got answer %d", r.answers)
+		c.addViolation(RuleOneAnswer, id, "received answer %d", r.answers)
 	}
 	if !r.nonIdempotent || !served {
 		return
 	}
 	if r.effects == 0 {
-		s.addViolation(RuleLostWrite, id, "was said to be served and never ran")
+		c.addViolation(RuleLostWrite, id, "was reported as served but never executed")
 	}
-	s.acknowledged[r.key] = append(s.acknowledged[r.key], acknowledgedWrite{id, r.position})
+	c.acknowledged[r.key] = append(c.acknowledged[r.key], acknowledgedWrite{id, r.position})
 }
 
-// LastAcknowledged is the write of a key that its client was told of last, with the position that it was told.
-func (s *Checker) LastAcknowledged(key string) (id string, position int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if all := s.acknowledged[key]; len(all) > 0 {
+// LastAcknowledged returns the last acknowledged write of a key and its position.
+func (c *Checker) LastAcknowledged(key string) (id string, position int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if all := c.acknowledged[key]; len(all) > 0 {
 		last := all[len(all)-1]
 		return last.id, last.position
 	}
 	return "", 0
 }
 
-// Read notes what a read showed of a key of which its client knew a write. Writes of a key come one after another, and
-// ids grow, so that a lower one is older.
-func (s *Checker) Read(id, key, shown, acknowledged string) {
+// Read checks the value that a read returned against the write that was acknowledged before it.
+// Writes of a key are sequential and their ids grow, so a lower id is an older write.
+func (c *Checker) Read(id, key, shown, acknowledged string) {
 	if shown >= acknowledged {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.addViolation(RuleStaleRead, id, "showed %q of %q, where %q was known to be there", shown, key, acknowledged)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation(RuleStaleRead, id, "returned %q for %q although %q had been acknowledged", shown, key, acknowledged)
 }
 
-// RecordNoAnswer notes the RPCs that never got an answer though their clients waited.
-func (s *Checker) RecordNoAnswer(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.addViolation(RuleOneAnswer, id, "got no answer")
+// RecordNoAnswer records an RPC whose client waited and got no answer.
+func (c *Checker) RecordNoAnswer(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation(RuleOneAnswer, id, "received no answer")
 }
 
-// CheckAcknowledged checks, when all is over, that every acknowledged write is where its key's tenant is in the end.
-func (s *Checker) CheckAcknowledged(f *Fleet, group func(key string) int64) (writes int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for key, all := range s.acknowledged {
+// CheckAcknowledged checks at the end of a trial that each acknowledged write is in its tenant's
+// final group.
+func (c *Checker) CheckAcknowledged(f *Fleet, group func(key string) int64) (writes int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for key, all := range c.acknowledged {
 		current := group(key)
 		for _, entry := range all {
 			writes++
 			if !f.HasWrite(current, key, entry.id) {
-				s.addViolation(RuleLostWrite, entry.id, "acknowledged for %q, not in group %d (ran in %d)", key, current, s.rpcs[entry.id].group)
+				c.addViolation(RuleLostWrite, entry.id, "acknowledged for %q but not in group %d (executed in %d)", key, current, c.rpcs[entry.id].group)
 			}
 		}
 	}
 	return writes
 }
 
-// Violations are those found so far.
-func (s *Checker) Violations() []Violation {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]Violation(nil), s.violations...)
+// Violations returns the violations found so far.
+func (c *Checker) Violations() []Violation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]Violation(nil), c.violations...)
 }
--- a/internal/emulator/sockets/addresses_test.go
+++ b/internal/emulator/sockets/addresses_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against two drivers of one trial that are told the same address, drawn for each by a call of its own.
+// Guards against giving the same address to two drivers of one trial that ask for theirs
+// separately.
 func TestFreeAddressesNeverRepeats(t *testing.T) {
 	seen := map[string]bool{}
 	for range 1000 {
--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -13,30 +13,30 @@
 	"sedgespread/internal/transport"
 )
 
-// RPC is what a client asks.
+// RPC is a request of a client.
 type RPC struct {
 	Method      string
 	Key         string
 	Write       bool
 	Group       int64
 	Timeout     time.Duration
-	MinPosition int64 // position that a read must see, Unix time in nanoseconds, 0 for none
+	MinPosition int64 // oldest position a read may reflect, Unix time in nanoseconds; 0 for none
 	IsRetry     bool
 }
 
-// Outcome is how an RPC ended for its client.
+// Outcome is the result of an RPC as its client sees it.
 type Outcome int
 
 const (
 	Served Outcome = iota
 	Rejected
 	Aborted
-	TimedOut       // its client gave up waiting
+	TimedOut       // the client stopped waiting
 	ConnectionLost // the connection ended without an answer
-	ConnectFailed  // no connection could be had, and nothing was sent
+	ConnectFailed  // the connection could not be established and nothing was sent
 )
 
-// Reply is what a client got.
+// Reply is what a client received for an RPC.
 type Reply struct {
 	ID         string
 	Outcome    Outcome
@@ -45,7 +45,8 @@
 	Latency    time.Duration
 }
 
-// Clients ask drivers. Each RPC has a connection of its own while it is open; connections are used again.
+// Clients send RPCs to drivers. Each running RPC has its own connection; idle connections are
+// reused.
 type Clients struct {
 	fleet       *Fleet
 	descriptors *transport.Descriptors
@@ -54,17 +55,17 @@
 	idle        map[string][]protocol.Member
 }
 
-// NewClients makes clients of a fleet's drivers.
+// NewClients returns clients for the drivers of a fleet.
 func (f *Fleet) NewClients() *Clients {
 	return &Clients{fleet: f, descriptors: transport.NewDescriptors(maxConns), idle: map[string][]protocol.Member{}}
 }
 
 const (
 	connectTimeout = time.Second
-	answerSlack    = 100 * time.Millisecond // an answer may come so late and still counts as one
+	answerSlack    = 100 * time.Millisecond // how long after the RPC's timeout an answer is still accepted
 )
 
-// Call asks a driver and waits for the answer.
+// Call sends an RPC to a driver and waits for the answer.
 func (c *Clients) Call(ctx context.Context, address string, rpc RPC) (reply Reply) {
 	reply.ID = fmt.Sprintf("%016x", c.lastID.Add(1))
 	start := time.Now()
@@ -113,7 +114,7 @@
 	return ConnectionLost
 }
 
-// statement is what is sent for an RPC.
+// statement returns the SQL text for an RPC.
 func (r *RPC) statement(id string) string {
 	comment := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, r.Method, r.Timeout.Milliseconds(), r.Group)
 	if r.IsRetry {
@@ -149,7 +150,7 @@
 	c.idle[address] = append(c.idle[address], conn)
 }
 
-// Close lets all connections go.
+// Close closes all idle connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/sockets/drivers.go
+++ b/internal/emulator/sockets/drivers.go
@@ -20,56 +20,58 @@
 	"sedgespread/internal/transport"
 )
 
-// Method is what drivers are told of a method.
+// Method is the configuration of a method.
 type Method struct {
 	Name         string
-	Effect       string // repeatable or once
-	ReadLevel    string // what a read needs: loose, own_writes or latest; update for a write
+	Effect       string // repeatable or once (non-idempotent)
+	ReadLevel    string // loose, own_writes or latest for a read; update for a write
 	SoftDeadline time.Duration
-	Timeout      time.Duration // all that a client waits
+	Timeout      time.Duration // how long a client waits
 	Utility      float64
-	LateShare    float64 // share of Utility after the soft deadline
+	LateShare    float64 // share of Utility earned after the soft deadline
 }
 
-// Driver is a driver's process.
+// Driver is a driver process.
 type Driver struct {
 	Name        string
 	Address     string
-	Disk        string // what it keeps over a restart, empty for nothing
+	Disk        string // path of the file that it keeps across restarts, empty for none
 	program     string
 	env         []string
-	twinEnv     []string // the environment of another of its name
+	twinEnv     []string // environment of a second process of the same name
 	clockOffset time.Duration
 	mu          sync.Mutex
 	cmd         *exec.Cmd
 	done        chan struct{}
-	disruptedAt time.Time // it was paused or killed last, or is
+	disruptedAt time.Time // last signal sent by Signal
 	exclusive   sync.Mutex
 	log         bytes.Buffer
 }
 
-// write lets a driver's output be kept.
+// Write appends output of the process to its log.
 func (d *Driver) Write(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.Write(p)
 }
 
-// Log is what a driver has written.
+// Log returns the output of the process.
 func (d *Driver) Log() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.String()
 }
 
-// reservedAddresses are the addresses that this process gave away: the system may offer one again before whoever got it listens there.
+// reservedAddresses are the addresses that FreeAddresses has returned. The system may offer one
+// again before its receiver listens on it.
 var reservedAddresses = struct {
 	sync.Mutex
 	addresses map[string]bool
 }{addresses: map[string]bool{}}
 
-// FreeAddresses are loopback addresses that were free a moment ago, none given away before. Nobody connects from where they are, which
-// would take the port of one that is not listened on yet, or not for a while.
+// FreeAddresses returns free loopback addresses, none of which it returned before. They are on
+// 127.0.0.2, which no outgoing connection uses, so that ephemeral ports can't collide with
+// addresses that are not listened on yet.
 func FreeAddresses(count int) (free []string, err error) {
 	reservedAddresses.Lock()
 	defer reservedAddresses.Unlock()
@@ -87,8 +89,9 @@
 	return free, nil
 }
 
-// NewDrivers writes what so many drivers are told into files in a directory and gives them, not started. The operator's
-// text is each one's, empty for no file.
+// NewDrivers writes the configuration files of a number of drivers into a directory and returns the
+// drivers, not started. The text function returns the text of a driver's operator file, empty for
+// none.
 func (f *Fleet) NewDrivers(program, dir string, count int, methods []Method, operatorText func(i int) string) (drivers []*Driver, err error) {
 	classes, readLevels := []any{}, []any{}
 	for _, m := range methods {
@@ -131,7 +134,8 @@
 	return drivers, nil
 }
 
-// ConfigureTwin says what an operator's file tells a twin of a driver. It serves clients at an address of its own.
+// ConfigureTwin writes the operator file of a second process of the same name, which gets its own
+// listening address.
 func (d *Driver) ConfigureTwin(dir, text string) error {
 	addresses, err := FreeAddresses(1)
 	if err != nil {
@@ -144,7 +148,7 @@
 
 const readyTimeout = 10 * time.Second
 
-// Start starts a driver that does not run, and waits until it is ready.
+// Start starts a driver that is not running and waits until it is ready.
 func (d *Driver) Start(ctx context.Context) error {
 	if err := d.Launch(); err != nil {
 		return err
@@ -154,7 +158,7 @@
 	return d.WaitReady(deadline)
 }
 
-// StartAll starts drivers that do not run at once, and waits until all are ready: some may need others.
+// StartAll starts drivers concurrently and waits until all are ready, as some may depend on others.
 func StartAll(ctx context.Context, drivers []*Driver) error {
 	for _, d := range drivers {
 		if err := d.Launch(); err != nil {
@@ -171,7 +175,7 @@
 	return nil
 }
 
-// Launch starts a driver that does not run.
+// Launch starts a driver that is not running without waiting.
 func (d *Driver) Launch() error {
 	cmd := d.command(d.env)
 	if err := cmd.Start(); err != nil {
@@ -191,10 +195,10 @@
 	return cmd
 }
 
-// OffsetClock lets the driver's wall clock be off at its next starts.
+// OffsetClock sets the offset of the driver's wall clock from its next start on.
 func (d *Driver) OffsetClock(by time.Duration) { d.clockOffset = by }
 
-// WipeDisk takes the disk of a driver that does not run away.
+// WipeDisk deletes the disk of a driver that is not running.
 func (d *Driver) WipeDisk() error {
 	err := os.Remove(d.Disk)
 	if errors.Is(err, os.ErrNotExist) {
@@ -203,7 +207,7 @@
 	return err
 }
 
-// CopyDisk makes a copy of the disk. The driver stands still meanwhile, so that the copy is what the disk was at one moment.
+// CopyDisk copies the disk. A running driver is paused meanwhile so that the copy is consistent.
 func (d *Driver) CopyDisk() error {
 	if d.IsRunning() {
 		d.Pause()
@@ -212,7 +216,8 @@
 	return copyFile(d.Disk, d.Disk+".copy")
 }
 
-// RestoreDisk puts the copy in place of the disk of a driver that does not run, and keeps that for Return.
+// RestoreDisk replaces the disk of a driver that is not running by its copy and keeps the replaced
+// one for RestoreNewestDisk.
 func (d *Driver) RestoreDisk() error {
 	if err := os.Rename(d.Disk, d.Disk+".newest"); err != nil {
 		return err
@@ -220,7 +225,7 @@
 	return copyFile(d.Disk+".copy", d.Disk)
 }
 
-// RestoreNewestDisk gives a driver that does not run the disk again that it had before PutBack.
+// RestoreNewestDisk undoes RestoreDisk for a driver that is not running.
 func (d *Driver) RestoreNewestDisk() error { return os.Rename(d.Disk+".newest", d.Disk) }
 
 func copyFile(from, to string) error {
@@ -231,7 +236,7 @@
 	return os.WriteFile(to, text, 0o600)
 }
 
-// StartTwin starts another process of the driver's name beside it, and gives what ends it.
+// StartTwin starts a second process of the same name and returns a function that kills it.
 func (d *Driver) StartTwin(context.Context) (stop func(), err error) {
 	cmd := d.command(d.twinEnv)
 	if err := cmd.Start(); err != nil {
@@ -243,7 +248,7 @@
 	}, nil
 }
 
-// WaitReady waits until a driver that was started takes RPCs.
+// WaitReady waits until a driver that was started accepts RPCs.
 func (d *Driver) WaitReady(ctx context.Context) error {
 	descriptors := transport.NewDescriptors(maxConns)
 	for ctx.Err() == nil {
@@ -257,31 +262,31 @@
 		}
 		select {
 		case <-d.done:
-			return fmt.Errorf("driver %s ended: %s", d.Name, strings.TrimSpace(d.Log()))
+			return fmt.Errorf("driver %s exited before it was ready: %s", d.Name, strings.TrimSpace(d.Log()))
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("driver %s is not ready: %s", d.Name, strings.TrimSpace(d.Log()))
+	return fmt.Errorf("timed out waiting for driver %s to become ready: %s", d.Name, strings.TrimSpace(d.Log()))
 }
 
-// Signal sends a signal to a driver that runs.
+// Signal sends a signal to a driver.
 func (d *Driver) Signal(s syscall.Signal) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.disruptedAt = time.Now()
 	if d.cmd == nil {
-		return errors.New("the driver does not run")
+		return errors.New("driver was never started")
 	}
 	return d.cmd.Process.Signal(s)
 }
 
-// Pause lets a driver stand still.
+// Pause stops the process with SIGSTOP.
 func (d *Driver) Pause() error { return d.Signal(syscall.SIGSTOP) }
 
-// Continue lets a driver that stands still go on.
+// Continue resumes a paused process.
 func (d *Driver) Continue() error { return d.Signal(syscall.SIGCONT) }
 
-// Kill ends a driver at once, and waits until it is gone.
+// Kill kills the process and waits for its end.
 func (d *Driver) Kill() error {
 	err := d.Signal(syscall.SIGKILL)
 	if err == nil {
@@ -290,17 +295,18 @@
 	return err
 }
 
-// Reload lets a driver read its files again.
+// Reload makes the driver read its configuration files again.
 func (d *Driver) Reload() error { return d.Signal(syscall.SIGHUP) }
 
-// RunExclusive lets one trouble after another befall a driver: each leaves it as it found it.
+// RunExclusive runs a function that disturbs the driver, one at a time, so that each finds the
+// driver undisturbed.
 func (d *Driver) RunExclusive(fault func()) {
 	d.exclusive.Lock()
 	defer d.exclusive.Unlock()
 	fault()
 }
 
-// IsRunning tells whether a driver was started and has not ended.
+// IsRunning reports whether the driver was started and has not ended.
 func (d *Driver) IsRunning() bool {
 	select {
 	case <-d.done:
@@ -310,7 +316,7 @@
 	}
 }
 
-// DisruptedSince tells whether a driver was paused, continued, killed or started again since a time.
+// DisruptedSince reports whether the driver was sent a signal after the given time.
 func (d *Driver) DisruptedSince(since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -1,5 +1,5 @@
-// Package sockets gives an emulated fleet a face on loopback: members that speak the platform's PostgreSQL form,
-// discovery over HTTP, and clients. Decisions on what happens are the model's, in package emulator.
+// Package sockets serves an emulated fleet on loopback: members that speak the PostgreSQL protocol,
+// discovery over HTTP, and clients. Package emulator decides how members respond.
 package sockets
 
 import (
@@ -21,7 +21,7 @@
 	"sedgespread/internal/versions"
 )
 
-// Fleet is an emulated fleet on sockets.
+// Fleet is an emulated fleet that listens on sockets.
 type Fleet struct {
 	*emulator.Checker
 	startedAt time.Time
@@ -35,15 +35,15 @@
 
 	mu         sync.Mutex
 	model      *emulator.Fleet
-	version    int           // of discovery's list
-	changed    chan struct{} // closed at the next
+	version    int           // of the discovery list
+	changed    chan struct{} // closed when the version changes
 	conns      map[emulator.MemberID]map[*transport.Conn]bool
-	fillEpochs map[string]uint64 // the newest epoch that a tenant's filling was asked for
+	fillEpochs map[string]uint64 // newest epoch of a fill request by tenant
 }
 
 const maxConns = 1 << 14
 
-// Start puts a fleet of a shape on loopback.
+// Start starts a fleet on loopback.
 func Start(config emulator.Config) (*Fleet, error) {
 	checker := emulator.NewChecker()
 	f := &Fleet{Checker: checker, startedAt: time.Now(), model: emulator.NewFleet(config, checker), fillEpochs: map[string]uint64{},
@@ -64,7 +64,7 @@
 	return f, nil
 }
 
-// Stop ends all of it.
+// Stop closes all listeners and connections and waits for their goroutines.
 func (f *Fleet) Stop() {
 	for _, listener := range f.listeners {
 		listener.Close()
@@ -79,10 +79,10 @@
 	f.tasks.Wait()
 }
 
-// Now is the fleet's clock, Unix time in nanoseconds.
+// Now returns the fleet's clock, Unix time in nanoseconds.
 func (f *Fleet) Now() int64 { return f.startedAt.UnixNano() + int64(time.Since(f.startedAt)) }
 
-// WithModel lets a function at the model, with the time that it is.
+// WithModel calls a function with the current time and exclusive access to the model.
 func (f *Fleet) WithModel(do func(now int64, m *emulator.Fleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// trackConn keeps a member's connection in mind, or not any more.
+// trackConn adds or removes an open connection of a member.
 func (f *Fleet) trackConn(m emulator.MemberID, c *transport.Conn, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-// Restart starts a member anew: its connections end, and it is cold.
+// Restart restarts a member: its connections are closed and it is cold.
 func (f *Fleet) Restart(m emulator.MemberID) {
 	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.Restart(now, m) })
 	f.mu.Lock()
@@ -127,12 +127,12 @@
 	}
 }
 
-// SetDraining lets a member drain, or serve again.
+// SetDraining makes a member drain or serve again.
 func (f *Fleet) SetDraining(m emulator.MemberID, draining bool) {
 	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.SetDraining(now, m, draining) })
 }
 
-// updateDiscovery does what changes discovery's list, and lets those who watch it know.
+// updateDiscovery applies a change that affects the discovery list and wakes up watchers.
 func (f *Fleet) updateDiscovery(update func(now int64, model *emulator.Fleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,7 +142,7 @@
 	f.changed = make(chan struct{})
 }
 
-// serve answers one driver's connection as a member does.
+// serve serves one connection to a member.
 func (f *Fleet) serve(c protocol.Client, m emulator.MemberID) {
 	f.trackConn(m, c.Conn, true)
 	defer f.trackConn(m, c.Conn, false)
@@ -182,13 +182,13 @@
 	case emulator.Fenced:
 		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateFenced, Message: "its version is over"}, statusParameters(response)...)
 	}
-	time.Sleep(time.Duration(doneAt - f.Now())) // what a member has begun it finishes, whoever left meanwhile
+	time.Sleep(time.Duration(doneAt - f.Now())) // an admitted statement is executed even if its sender has gone
 	f.WithModel(func(now int64, model *emulator.Fleet) {
 		if _, restartsAfter = model.Started(m); restartsAfter == restartsBefore {
 			response = model.Execute(now, m, statement)
 		}
 	})
-	if restartsAfter != restartsBefore { // it has been started anew meanwhile
+	if restartsAfter != restartsBefore { // the member was restarted meanwhile
 		return transport.ShutDown
 	}
 	if response.IsLost {
@@ -197,7 +197,7 @@
 	return c.SendRow(response.Value, statusParameters(response)...)
 }
 
-// parseFence is the fence that a statement came with.
+// parseFence returns the fence of a statement.
 func parseFence(text string) (fence versions.Fence) {
 	parsed := protocol.ParseFence(text)
 	fence.Version, fence.Epoch = versions.Number(parsed.Version), versions.Epoch(parsed.Epoch)
@@ -226,13 +226,13 @@
 		{Name: "replay_position", Value: strconv.FormatInt(response.Position/int64(time.Millisecond), 10)}}
 }
 
-// DiscoveryAddress is where discovery answers.
+// DiscoveryAddress returns the address of the discovery service.
 func (f *Fleet) DiscoveryAddress() string { return f.discovery.Listener.Addr().String() }
 
-// FillHookURL is where the store is asked to fill groups.
+// FillHookURL returns the URL that receives fill requests.
 func (f *Fleet) FillHookURL() string { return f.fillHook.URL + "/fill" }
 
-// DiscoveryList is discovery's list.
+// DiscoveryList returns the discovery list.
 func (f *Fleet) DiscoveryList() map[string]any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -250,7 +250,8 @@
 	return map[string]any{"generation": f.version, "reset": true, "instances": entries}
 }
 
-// serveDiscovery answers as discovery does: at once, or where it is watched once it is newer than what the watcher has.
+// serveDiscovery returns the discovery list. A watch request waits until the list is newer than the
+// watcher's version or the wait is over.
 func (f *Fleet) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	if index, err := strconv.Atoi(r.URL.Query().Get("index")); err == nil {
 		wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
@@ -272,7 +273,8 @@
 	jsonhttp.WriteJSON(w, f.DiscoveryList())
 }
 
-// applyFill takes what a coordinator asks of the store. One that is older than what was asked before changes nothing.
+// applyFill applies a fill request. Requests with an epoch that is not newer than the last are
+// ignored.
 func (f *Fleet) applyFill(_ context.Context, request membership.Filling) error {
 	f.WithModel(func(_ int64, model *emulator.Fleet) {
 		tenant := string(request.Tenant)
