--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -48,8 +48,8 @@
 const OverloadWindow = 2 * second
 
 // MemberRate returns the number of statements per second that a fully warm member can execute.
-func (s Config) MemberRate() float64 {
-	return float64(s.Cores) / (float64(s.ServiceTime) / float64(second))
+func (c Config) MemberRate() float64 {
+	return float64(c.Cores) / (float64(c.ServiceTime) / float64(second))
 }
 
 // MemberID is the index of a member in the fleet.
@@ -234,7 +234,7 @@
 
 // Started returns the time of a member's last start, 0 if before the simulation, and how often it
 // was restarted.
-func (f *Fleet) Started(m MemberID) (at int64, life int) {
+func (f *Fleet) Started(m MemberID) (at int64, restarts int) {
 	return f.members[m].startedAt, f.members[m].restarts
 }
 
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -23,65 +23,65 @@
 // The checker must find each violation, and none in a correct run.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	write := func(id, key string) Statement { return Statement{ID: id, Key: key, Write: true} }
-	for name, do := range map[string]func(f *Fleet, s *Checker){
-		RuleDuplicateEffect: func(f *Fleet, s *Checker) { // a second attempt although the first may have been executed
-			s.RecordSent("1", "t/k", true)
+	for name, run := range map[string]func(f *Fleet, checker *Checker){
+		RuleDuplicateEffect: func(f *Fleet, checker *Checker) { // a second attempt although the first may have been executed
+			checker.RecordSent("1", "t/k", true)
 			f.Admit(second, 0, write("1", "t/k"))
 			f.Admit(second, 0, write("1", "t/k"))
 		},
-		RuleDuplicateEffect + " in two cells": func(f *Fleet, s *Checker) {
+		RuleDuplicateEffect + " in two cells": func(f *Fleet, checker *Checker) {
 			f.Execute(second, 0, write("1", "t/k"))
 			f.Execute(second, 3, write("1", "t/k"))
 		},
-		RuleOneAnswer: func(f *Fleet, s *Checker) {
-			s.RecordSent("1", "t/k", false)
-			s.RecordAnswer("1", false)
-			s.RecordAnswer("1", true)
+		RuleOneAnswer: func(f *Fleet, checker *Checker) {
+			checker.RecordSent("1", "t/k", false)
+			checker.RecordAnswer("1", false)
+			checker.RecordAnswer("1", true)
 		},
-		RuleOneAnswer + ", none": func(f *Fleet, s *Checker) { s.RecordNoAnswer("1") },
-		RuleStaleRead:            func(f *Fleet, s *Checker) { s.Read("3", "t/k", "1", "2") },
-		RuleLostWrite: func(f *Fleet, s *Checker) { // acknowledged in one group, but the tenant is in another
-			s.RecordSent("1", "t/k", true)
+		RuleOneAnswer + ", none": func(f *Fleet, checker *Checker) { checker.RecordNoAnswer("1") },
+		RuleStaleRead:            func(f *Fleet, checker *Checker) { checker.Read("3", "t/k", "1", "2") },
+		RuleLostWrite: func(f *Fleet, checker *Checker) { // acknowledged in one group, but the tenant is in another
+			checker.RecordSent("1", "t/k", true)
 			f.Execute(second, 0, write("1", "t/k"))
-			s.RecordAnswer("1", true)
-			require.Equal(t, 1, s.CheckAcknowledged(f, func(string) int64 { return 2 }))
+			checker.RecordAnswer("1", true)
+			require.Equal(t, 1, checker.CheckAcknowledged(f, func(string) int64 { return 2 }))
 		},
-		RuleLostWrite + ", never ran": func(f *Fleet, s *Checker) {
-			s.RecordSent("1", "t/k", true)
-			s.RecordAnswer("1", true)
+		RuleLostWrite + ", never ran": func(f *Fleet, checker *Checker) {
+			checker.RecordSent("1", "t/k", true)
+			checker.RecordAnswer("1", true)
 		},
-		RuleDraining: func(f *Fleet, s *Checker) {
+		RuleDraining: func(f *Fleet, checker *Checker) {
 			f.SetDraining(second, 1, true)
 			f.Admit(2*second+millisecond, 1, Statement{ID: "1", Key: "t/k"})
 		},
-		RuleColdOverload: func(f *Fleet, s *Checker) {
+		RuleColdOverload: func(f *Fleet, checker *Checker) {
 			f.Restart(second, 1)
 			for i := range 200 { // it can execute about 80 in two seconds
 				f.Admit(second+int64(i)*millisecond, 1, Statement{ID: fmt.Sprint(i), Key: "t/k"})
 			}
 		},
 	} {
-		f, s := newTestFleet()
-		do(f, s)
-		require.NotEmpty(t, violatedRules(s), name)
-		require.Contains(t, name, violatedRules(s)[0])
+		f, checker := newTestFleet()
+		run(f, checker)
+		require.NotEmpty(t, violatedRules(checker), name)
+		require.Contains(t, name, violatedRules(checker)[0])
 	}
-	f, s := newTestFleet()
-	s.RecordSent("1", "t/k", true)
+	f, checker := newTestFleet()
+	checker.RecordSent("1", "t/k", true)
 	_, admission := f.Admit(second, 1, write("1", "t/k"))
 	require.Equal(t, NotPrimary, admission)
 	f.Admit(second, 0, write("1", "t/k"))
 	f.Execute(second, 0, write("1", "t/k"))
-	s.RecordAnswer("1", true)
-	s.Read("2", "t/k", "1", "1")
+	checker.RecordAnswer("1", true)
+	checker.Read("2", "t/k", "1", "1")
 	f.SetDraining(second, 1, true)
 	f.Admit(2*second, 1, Statement{ID: "3", Key: "t/k"})
 	f.Restart(2*second, 2)
 	for i := range 60 {
 		f.Admit(2*second+int64(i)*30*millisecond, 2, Statement{ID: fmt.Sprint(i + 10), Key: "t/k"})
 	}
-	s.CheckAcknowledged(f, func(string) int64 { return 1 })
-	require.Empty(t, violatedRules(s))
+	checker.CheckAcknowledged(f, func(string) int64 { return 1 })
+	require.Empty(t, violatedRules(checker))
 }
 
 // Members must queue and reject statements, and replicas must return only what they have applied.
--- a/internal/emulator/links/draw.go
+++ b/internal/emulator/links/draw.go
@@ -22,11 +22,11 @@
 
 // Draw generates a timeline of the given length from a seed. Each spec is a Poisson process with
 // its own random source, so that adding a spec does not change the events of the others.
-func Draw(seed uint64, span time.Duration, specs []FaultSpec) (timeline Timeline) {
+func Draw(seed uint64, length time.Duration, specs []FaultSpec) (timeline Timeline) {
 	for i, spec := range specs {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)+1))
 		interval := distuv.Exponential{Rate: 1 / spec.MeanInterval.Seconds(), Src: rng}
-		for at := seconds(interval.Rand()); at < span; at += seconds(interval.Rand()) {
+		for at := seconds(interval.Rand()); at < length; at += seconds(interval.Rand()) {
 			timeline = append(timeline, spec.draw(rng, at)...)
 		}
 	}
--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -72,18 +72,18 @@
 	defer func() { reply.Latency = time.Since(start) }()
 	conn, ok := c.takeIdle(address)
 	if !ok {
-		deadline, stop := context.WithTimeout(ctx, connectTimeout)
-		defer stop()
+		callCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+		defer cancel()
 		var reason transport.CloseReason
-		if conn, reason = protocol.Connect(c.fleet.ctx, deadline, c.descriptors, address, 1<<20, nil); reason != transport.Open {
+		if conn, reason = protocol.Connect(c.fleet.ctx, callCtx, c.descriptors, address, 1<<20, nil); reason != transport.Open {
 			reply.Outcome = ConnectFailed
 			return reply
 		}
 	}
 	c.fleet.RecordSent(reply.ID, rpc.Key, rpc.Write)
-	deadline, stop := context.WithTimeout(ctx, rpc.Timeout+answerSlack)
-	defer stop()
-	answer, _, reason := conn.Query(deadline, rpc.statement(reply.ID))
+	callCtx, cancel := context.WithTimeout(ctx, rpc.Timeout+answerSlack)
+	defer cancel()
+	answer, _, reason := conn.Query(callCtx, rpc.statement(reply.ID))
 	reply.Outcome = outcomeOf(answer, reason)
 	if answer != nil && answer.Failure == nil {
 		reply.Value = answer.Value()
--- a/internal/emulator/sockets/drivers.go
+++ b/internal/emulator/sockets/drivers.go
@@ -153,9 +153,9 @@
 	if err := d.Launch(); err != nil {
 		return err
 	}
-	deadline, stop := context.WithTimeout(ctx, readyTimeout)
-	defer stop()
-	return d.WaitReady(deadline)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	return d.WaitReady(readyCtx)
 }
 
 // StartAll starts drivers concurrently and waits until all are ready, as some may depend on others.
@@ -165,10 +165,10 @@
 			return err
 		}
 	}
-	deadline, stop := context.WithTimeout(ctx, readyTimeout)
-	defer stop()
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
 	for _, d := range drivers {
-		if err := d.WaitReady(deadline); err != nil {
+		if err := d.WaitReady(readyCtx); err != nil {
 			return err
 		}
 	}
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -83,10 +83,10 @@
 func (f *Fleet) Now() int64 { return f.startedAt.UnixNano() + int64(time.Since(f.startedAt)) }
 
 // WithModel calls a function with the current time and exclusive access to the model.
-func (f *Fleet) WithModel(do func(now int64, m *emulator.Fleet)) {
+func (f *Fleet) WithModel(use func(now int64, m *emulator.Fleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do(f.Now(), f.model)
+	use(f.Now(), f.model)
 }
 
 func (f *Fleet) accept(listener *transport.Listener, m emulator.MemberID) {
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -49,7 +49,7 @@
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Who.Name, late.Who.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.Sure, late.Why))
 	}
-	all := newAuditTrails(membership.Parts(ctx, c.addresses))
+	trails := newAuditTrails(membership.Parts(ctx, c.addresses))
 	attempts := map[string]emulator.FencedAttempt{}
 	for _, attempt := range c.cluster.Fleet.FencedAttempts() {
 		if attempt.Write && !attempt.Rejected {
@@ -58,30 +58,30 @@
 	}
 	r.Writes = len(attempts)
 	for id, attempt := range attempts {
-		version, found := all.singles[id]
+		version, found := trails.singles[id]
 		switch {
 		case found && version == attempt.Fence:
 			r.Matched++
 		case found:
 			r.WrongVersion++
-		case all.takeCounted(attempt):
+		case trails.takeCounted(attempt):
 			r.Counted++
 		case slices.ContainsFunc(findings.Unknown, func(u audit.Unknown) bool {
 			return u.From-int64(unknownMargin) <= attempt.At && attempt.At <= u.To
 		}):
 			r.Unknown++
 		default:
-			r.recordMissing(attempt, all)
+			r.recordMissing(attempt, trails)
 		}
 	}
 	return nil
 }
 
 // recordMissing records a write that is not in the audit.
-func (r *AuditResult) recordMissing(attempt emulator.FencedAttempt, t *auditTrails) {
+func (r *AuditResult) recordMissing(attempt emulator.FencedAttempt, trails *auditTrails) {
 	if r.Missing++; len(r.FirstMissing) < maxShown {
 		r.FirstMissing = append(r.FirstMissing, fmt.Sprintf("%s under version %d, %v after the first act under it, %v before the last entry",
-			attempt.RPC, attempt.Fence, time.Duration(attempt.At-t.firstUse[attempt.Fence]), time.Duration(t.lastEntry-attempt.At)))
+			attempt.RPC, attempt.Fence, time.Duration(attempt.At-trails.firstUse[attempt.Fence]), time.Duration(trails.lastEntry-attempt.At)))
 	}
 }
 
--- a/internal/emulator/trials/disks.go
+++ b/internal/emulator/trials/disks.go
@@ -33,27 +33,27 @@
 		if err := c.closeVersion(ctx, n+1); err != nil {
 			return err
 		}
-		if err := restartAfter(ctx, driver, driver.RestoreDisk); err != nil {
+		if err := restartWithDisk(ctx, driver, driver.RestoreDisk); err != nil {
 			return err
 		}
 		c.result.OldDisks++
 		if !c.isRefused(ctx, voter) {
-			c.result.OldDisksAccepted++
+			c.result.AcceptedOldDisks++
 			c.result.Violations = append(c.result.Violations, emulator.Violation{Rule: emulator.RuleOldDisk,
 				Detail: "voter " + driver.Name + " started with an outdated disk"})
 		}
 		if err := c.closeVersion(ctx, n+2); err != nil {
 			return err
 		}
-		if err := restartAfter(ctx, driver, driver.RestoreNewestDisk); err != nil {
+		if err := restartWithDisk(ctx, driver, driver.RestoreNewestDisk); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restartAfter kills a driver, replaces its disk and starts it.
-func restartAfter(ctx context.Context, d *sockets.Driver, replaceDisk func() error) error {
+// restartWithDisk kills a driver, replaces its disk and starts it.
+func restartWithDisk(ctx context.Context, d *sockets.Driver, replaceDisk func() error) error {
 	d.Kill()
 	if err := replaceDisk(); err != nil {
 		return err
--- a/internal/emulator/trials/flood.go
+++ b/internal/emulator/trials/flood.go
@@ -129,8 +129,8 @@
 	s.sameCell, s.otherCells, s.bots = newUtilityTally(), newUtilityTally(), newUtilityTally()
 	cell := map[string]int{botsTenant: 0}
 	names := f.tenantNames()
-	for i, tally := range names {
-		cell[tally] = i % f.Cells
+	for i, name := range names {
+		cell[name] = i % f.Cells
 	}
 	cellRate := f.fleetConfig().MemberRate() * float64(f.fleetConfig().Members)
 	done := make(chan struct{})
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -50,7 +50,7 @@
 // MovesResult is the result of a trial of moves.
 type MovesResult struct {
 	Done, RolledBack, Requested int
-	Refused                     int // move requests that the coordinator rejected
+	Rejected                    int // move requests that the coordinator rejected
 	RPCs                        map[sockets.Outcome]int
 	Writes, FoundWrites         int           // acknowledged writes, and those found in their tenant's final cell
 	HoldP50, HoldP99            time.Duration // how long completed moves held writes
@@ -205,13 +205,13 @@
 	}
 }
 
-func activeMoves(state membership.State) (moving []cells.Entry) {
+func activeMoves(state membership.State) (active []cells.Entry) {
 	for _, entry := range state.Entries {
 		if entry.Stage != cells.StageIdle {
-			moving = append(moving, entry)
+			active = append(active, entry)
 		}
 	}
-	return moving
+	return active
 }
 
 // requestMove requests a random move, sometimes two of the same tenant.
@@ -224,7 +224,7 @@
 		m.mu.Lock()
 		m.result.Requested++
 		if err != nil {
-			m.result.Refused++
+			m.result.Rejected++
 		}
 		m.mu.Unlock()
 	}
@@ -282,13 +282,13 @@
 	r := m.result
 	state, _ := membership.Dial(m.addresses...).State(context.Background())
 	groups := map[string]int64{}
-	for _, e := range state.Entries {
+	for _, entry := range state.Entries {
 		var cell int64
-		fmt.Sscanf(e.Cell, "c%d", &cell)
-		groups[string(e.Tenant)] = cell + 1
+		fmt.Sscanf(entry.Cell, "c%d", &cell)
+		groups[string(entry.Tenant)] = cell + 1
 	}
-	m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
-		r.Writes = m.cluster.Fleet.CheckAcknowledged(f, func(key string) int64 {
+	m.cluster.Fleet.WithModel(func(_ int64, stats *emulator.Fleet) {
+		r.Writes = m.cluster.Fleet.CheckAcknowledged(stats, func(key string) int64 {
 			if g, moved := groups[emulator.TenantOf(key)]; moved {
 				return g
 			}
@@ -297,25 +297,25 @@
 	})
 	r.Violations = m.cluster.Fleet.Violations()
 	r.FoundWrites = r.Writes
-	for _, b := range r.Violations {
-		if b.Rule == emulator.RuleLostWrite {
+	for _, violation := range r.Violations {
+		if violation.Rule == emulator.RuleLostWrite {
 			r.FoundWrites--
 		}
 	}
 	r.HoldP50, r.HoldP99 = p50p99(m.holdTimes)
 	r.StepGapP50, r.StepGapP99 = p50p99(m.stepGaps)
-	for _, stood := range m.stepGaps {
-		r.StepGapMax = max(r.StepGapMax, time.Duration(stood*float64(time.Second)))
+	for _, gap := range m.stepGaps {
+		r.StepGapMax = max(r.StepGapMax, time.Duration(gap*float64(time.Second)))
 	}
 	r.WriteP50, r.WriteP99 = p50p99(m.writeLatencies)
 	r.RPCs, r.Unexplained = m.outcomes, m.unexplained
 	for _, address := range m.adminAddresses {
-		var f cells.Stats
-		if admin.Dial(address).Ask(context.Background(), "list", admin.Wanted{}, &f) == nil {
-			for why, n := range f.Rejected {
-				r.GateRejections[why] += n
+		var stats cells.Stats
+		if admin.Dial(address).Ask(context.Background(), "list", admin.Wanted{}, &stats) == nil {
+			for reason, n := range stats.Rejected {
+				r.GateRejections[reason] += n
 			}
-			r.GateFenced += f.Fenced
+			r.GateFenced += stats.Fenced
 		}
 	}
 	r.RejectedShare = float64(m.rejectedWrites) / float64(max(1, m.writes))
@@ -433,7 +433,7 @@
 // Table formats the result as a Markdown table.
 func (r *MovesResult) Table() string {
 	rows := [][]string{
-		{"moves requested, rejected", fmt.Sprintf("%d, %d", r.Requested, r.Refused)},
+		{"moves requested, rejected", fmt.Sprintf("%d, %d", r.Requested, r.Rejected)},
 		{"moves completed, rolled back", fmt.Sprintf("%d, %d", r.Done, r.RolledBack)},
 		{"RPCs served, rejected, aborted, timed out, connection lost, connect failed", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
 			r.RPCs[sockets.Served], r.RPCs[sockets.Rejected], r.RPCs[sockets.Aborted], r.RPCs[sockets.TimedOut],
@@ -459,12 +459,12 @@
 
 // violationRows counts violations by rule.
 func violationRows(violations []emulator.Violation) (rows [][]string) {
-	count := map[string]int{}
-	for _, b := range violations {
-		count[b.Rule]++
+	counts := map[string]int{}
+	for _, violation := range violations {
+		counts[violation.Rule]++
 	}
 	for _, rule := range emulator.AllRules() {
-		rows = append(rows, []string{"violations: " + rule, fmt.Sprint(count[rule])})
+		rows = append(rows, []string{"violations: " + rule, fmt.Sprint(counts[rule])})
 	}
 	return rows
 }
--- a/internal/emulator/trials/players.go
+++ b/internal/emulator/trials/players.go
@@ -39,67 +39,67 @@
 }
 
 // startClients starts a client for each key of each tenant.
-func (p *workload) startClients(ctx context.Context, tenants, keys int) {
+func (w *workload) startClients(ctx context.Context, tenants, keys int) {
 	for t := range tenants {
 		for k := range keys {
-			p.wait.Add(1)
-			go func() { defer p.wait.Done(); p.runClient(ctx, fmt.Sprintf("t%d/%d", t, k)) }()
+			w.wait.Add(1)
+			go func() { defer w.wait.Done(); w.runClient(ctx, fmt.Sprintf("t%d/%d", t, k)) }()
 		}
 	}
 }
 
 // stop stops all clients and waits for them.
-func (p *workload) stop() {
-	p.stopped.Store(true)
-	p.wait.Wait()
+func (w *workload) stop() {
+	w.stopped.Store(true)
+	w.wait.Wait()
 }
 
 // runClient reads and writes one key.
-func (p *workload) runClient(ctx context.Context, key string) {
-	for due := time.Now(); !p.stopped.Load() && ctx.Err() == nil; {
-		driver := p.pickDriver()
-		acknowledged, position := p.cluster.Fleet.LastAcknowledged(key)
+func (w *workload) runClient(ctx context.Context, key string) {
+	for due := time.Now(); !w.stopped.Load() && ctx.Err() == nil; {
+		driver := w.pickDriver()
+		acknowledged, position := w.cluster.Fleet.LastAcknowledged(key)
 		rpc := sockets.RPC{Method: getOwnMethod.Name, Key: key, Group: 1, Timeout: getOwnMethod.Timeout, MinPosition: position}
-		isWrite := p.random.intN(2) == 0
+		isWrite := w.random.intN(2) == 0
 		if isWrite {
 			rpc = sockets.RPC{Method: putMethod.Name, Key: key, Write: true, Group: 1, Timeout: putMethod.Timeout}
 		}
 		start := time.Now()
-		reply := p.cluster.Clients.Call(ctx, driver.Address, rpc)
+		reply := w.cluster.Clients.Call(ctx, driver.Address, rpc)
 		if reply.Outcome == sockets.Served && !isWrite {
-			p.cluster.Fleet.Read(reply.ID, key, reply.Value, acknowledged)
+			w.cluster.Fleet.Read(reply.ID, key, reply.Value, acknowledged)
 		}
-		p.record(driver, reply, start, isWrite)
+		w.record(driver, reply, start, isWrite)
 		if reply.Outcome == sockets.Rejected {
 			time.Sleep(reply.RetryAfter)
 		}
-		if p.meanInterval == 0 {
-			time.Sleep(time.Duration(float64(p.meanPause) * (0.5 + p.random.float64())))
+		if w.meanInterval == 0 {
+			time.Sleep(time.Duration(float64(w.meanPause) * (0.5 + w.random.float64())))
 			continue
 		}
-		due = due.Add(time.Duration(float64(p.meanInterval) * (0.5 + p.random.float64())))
+		due = due.Add(time.Duration(float64(w.meanInterval) * (0.5 + w.random.float64())))
 		time.Sleep(time.Until(due))
 	}
 }
 
 // record records the outcome of an RPC. An RPC without an answer is a violation unless its driver
 // was disrupted meanwhile.
-func (p *workload) record(driver *sockets.Driver, reply sockets.Reply, start time.Time, isWrite bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.outcomes[reply.Outcome]++
+func (w *workload) record(driver *sockets.Driver, reply sockets.Reply, start time.Time, isWrite bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.outcomes[reply.Outcome]++
 	if isWrite {
-		p.writes++
+		w.writes++
 		if reply.Outcome == sockets.Rejected {
-			p.rejectedWrites++
+			w.rejectedWrites++
 		}
 		if reply.Outcome == sockets.Served {
-			p.writeLatencies = append(p.writeLatencies, reply.Latency.Seconds())
+			w.writeLatencies = append(w.writeLatencies, reply.Latency.Seconds())
 		}
 	}
-	if reply.Outcome >= sockets.TimedOut && reply.Outcome != sockets.ConnectFailed && !driver.DisruptedSince(start.Add(-disruptionGrace)) && !p.stopped.Load() {
-		p.unexplained++
-		p.cluster.Fleet.RecordNoAnswer(reply.ID)
+	if reply.Outcome >= sockets.TimedOut && reply.Outcome != sockets.ConnectFailed && !driver.DisruptedSince(start.Add(-disruptionGrace)) && !w.stopped.Load() {
+		w.unexplained++
+		w.cluster.Fleet.RecordNoAnswer(reply.ID)
 	}
 }
 
@@ -114,20 +114,20 @@
 }
 
 // injectRepeatedly injects a fault repeatedly until the context ends.
-func (p *workload) injectRepeatedly(ctx context.Context, f periodicFault) {
-	for relays.Sleep(ctx, time.Duration(float64(f.meanInterval)*(0.5+p.random.float64()))) {
-		p.mu.Lock()
-		p.faultCounts[f.name]++
-		p.mu.Unlock()
+func (w *workload) injectRepeatedly(ctx context.Context, f periodicFault) {
+	for relays.Sleep(ctx, time.Duration(float64(f.meanInterval)*(0.5+w.random.float64()))) {
+		w.mu.Lock()
+		w.faultCounts[f.name]++
+		w.mu.Unlock()
 		f.inject(ctx)
 	}
 }
 
 // addFaultCounts adds the number of injected faults by name.
-func (p *workload) addFaultCounts(faults map[string]int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for name, n := range p.faultCounts {
+func (w *workload) addFaultCounts(faults map[string]int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for name, n := range w.faultCounts {
 		faults[name] += n
 	}
 }
--- a/internal/emulator/trials/trials_test.go
+++ b/internal/emulator/trials/trials_test.go
@@ -135,12 +135,12 @@
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
-	require.Equal(t, []int{2, 0, 6}, []int{r.OldDisks, r.OldDisksAccepted, r.Closed})
+	require.Equal(t, []int{2, 0, 6}, []int{r.OldDisks, r.AcceptedOldDisks, r.Closed})
 	t.Setenv("SEDGESPREAD_PLANTED", "old disk")
 	v.Program, v.MinClosed = buildProgram(t, "planted"), 1
 	r, err = v.Run(context.Background())
 	require.NoError(t, err)
-	require.Equal(t, 1, r.OldDisksAccepted)
+	require.Equal(t, 1, r.AcceptedOldDisks)
 }
 
 // Guards against keeping a version under which canaries fail more RPCs, and against withdrawing a
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -46,7 +46,7 @@
 
 // VersionsResult is the result of a trial of versions.
 type VersionsResult struct {
-	Proposed, Refused            int // by the council
+	Proposed, Rejected           int // by the council
 	Closed, Withdrawn            int
 	Exclusive, Canaried          int           // of the closed versions
 	Reasons                      []string      // why versions were withdrawn, or how the canaries of closed ones performed
@@ -65,7 +65,7 @@
 	Faults                       map[string]int
 	Violations                   []emulator.Violation
 	Drivers                      []membership.Seen
-	OldDisks, OldDisksAccepted   int           // restored, and not refused
+	OldDisks, AcceptedOldDisks   int           // restored, and not refused
 	WithdrawDelay                time.Duration // from the start of a trial until a failed canary ends it
 	Audit                        AuditResult
 }
@@ -246,8 +246,8 @@
 		{"two voters are partitioned for longer than a lease", 17 * time.Second, func(ctx context.Context) {
 			var cut links.Timeline
 			for v := range 2 {
-				for _, way := range []links.Link{{From: driverName(v), To: "*"}, {From: "*", To: driverName(v)}} {
-					cut = append(cut, links.Event{Fault: links.Silent, Link: way, Duration: 3 * c.Lease / 2})
+				for _, link := range []links.Link{{From: driverName(v), To: "*"}, {From: "*", To: driverName(v)}} {
+					cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: 3 * c.Lease / 2})
 				}
 			}
 			c.council.player.Play(ctx, cut)
@@ -311,7 +311,7 @@
 			n++
 			c.result.Proposed++
 			if err != nil {
-				c.result.Refused++
+				c.result.Rejected++
 			}
 		case err == nil && c.CanaryTrial == 0 && c.random.intN(300) == 0:
 			council.Wish(callCtx, membership.Wish{CallOff: routing.Rulebook, Why: "trial"})
@@ -334,8 +334,8 @@
 		c.busiestDriver.Store(int64(isolated))
 		cut := links.Timeline{}
 		for v := range c.Voters {
-			for _, way := range []links.Link{{From: driverName(isolated), To: driverName(v)}, {From: driverName(v), To: driverName(isolated)}} {
-				cut = append(cut, links.Event{Fault: links.Silent, Link: way, Duration: time.Duration(cmp.Or(c.CutOffLeases, 3)) * c.Lease})
+			for _, link := range []links.Link{{From: driverName(isolated), To: driverName(v)}, {From: driverName(v), To: driverName(isolated)}} {
+				cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: time.Duration(cmp.Or(c.CutOffLeases, 3)) * c.Lease})
 			}
 		}
 		played := make(chan error, 1)
@@ -552,7 +552,7 @@
 func (r *VersionsResult) Table() string {
 	ms := func(d time.Duration) string { return d.Round(time.Millisecond).String() }
 	rows := [][]string{
-		{"versions proposed, rejected", fmt.Sprintf("%d, %d", r.Proposed, r.Refused)},
+		{"versions proposed, rejected", fmt.Sprintf("%d, %d", r.Proposed, r.Rejected)},
 		{"versions closed, of these exclusive, tried by canaries", fmt.Sprintf("%d, %d, %d", r.Closed, r.Exclusive, r.Canaried)},
 		{"versions withdrawn", fmt.Sprint(r.Withdrawn)},
 		{"drivers shut out", fmt.Sprint(r.ShutOut)},
