--- a/internal/emulator/links/links.go
+++ b/internal/emulator/links/links.go
@@ -15,14 +15,15 @@
 // Link is one direction between two named processes. An asterisk matches any process.
 type Link struct{ From, To string }
 
-func (w Link) String() string { return w.From + ">" + w.To }
+// String returns the link in the notation of timelines, FROM>TO.
+func (l Link) String() string { return l.From + ">" + l.To }
 
 // Reverse returns the other direction.
-func (w Link) Reverse() Link { return Link{w.To, w.From} }
+func (l Link) Reverse() Link { return Link{l.To, l.From} }
 
 // Matches reports whether a link, which may have asterisks, includes another.
-func (w Link) Matches(other Link) bool {
-	return (w.From == "*" || w.From == other.From) && (w.To == "*" || w.To == other.To)
+func (l Link) Matches(other Link) bool {
+	return (l.From == "*" || l.From == other.From) && (l.To == "*" || l.To == other.To)
 }
 
 // FaultType is a kind of fault.
@@ -50,13 +51,14 @@
 var faultNames = [...]string{"delay", "silent", "cut", "lossy", "doubled", "shuffled", "slow", "reset", "chop", "pause", "kill", "empty",
 	"old", "copy", "twin", "skew"}
 
-func (w FaultType) String() string { return faultNames[w] }
+// String returns the name of the fault in the notation of timelines.
+func (f FaultType) String() string { return faultNames[f] }
 
 // affectsLinks reports whether the fault applies to links; the others apply to processes.
-func (w FaultType) affectsLinks() bool { return w <= Truncate }
+func (f FaultType) affectsLinks() bool { return f <= Truncate }
 
 // hasDuration reports whether the fault has an end.
-func (w FaultType) hasDuration() bool { return w != Reset && w != Truncate && w != CopyDisk }
+func (f FaultType) hasDuration() bool { return f != Reset && f != Truncate && f != CopyDisk }
 
 // Event is one fault of a timeline.
 type Event struct {
