--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -96,7 +96,7 @@
 	startedAt       int64 // last start, 0 if it has run since before the simulation
 	restarts        int   // distinguishes starts, so that statements of an earlier one are not executed
 	drainingSince   int64 // 0 if it is not draining
-	fenceState      versions.Warden
+	fenceState      versions.FenceChecker
 	coldArrivals    []int64 // arrival times in the last OverloadWindow while it is cold, in order
 }
 
@@ -152,7 +152,7 @@
 	target := f.members[m]
 	f.checker.recordArrival(s, m, now)
 	f.checkArrival(now, m, s)
-	fenced := !target.fenceState.Takes(s.Fence) && f.RejectFenced
+	fenced := !target.fenceState.Accept(s.Fence) && f.RejectFenced
 	f.checker.recordFence(s, now, fenced)
 	if fenced {
 		f.checker.recordRejection(s)
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -46,8 +46,8 @@
 	r := &c.result.Audit
 	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
 	for _, late := range findings.Late[:min(maxShown, len(findings.Late))] {
-		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Who.Name, late.Who.Start, late.RPC,
-			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.Sure, late.Why))
+		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
+			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
 	}
 	trails := newAuditTrails(membership.Parts(ctx, c.addresses))
 	attempts := map[string]emulator.FencedAttempt{}
@@ -66,7 +66,7 @@
 			r.WrongVersion++
 		case trails.takeCounted(attempt):
 			r.Counted++
-		case slices.ContainsFunc(findings.Unknown, func(u audit.Unknown) bool {
+		case slices.ContainsFunc(findings.Unknown, func(u audit.Gap) bool {
 			return u.From-int64(unknownMargin) <= attempt.At && attempt.At <= u.To
 		}):
 			r.Unknown++
@@ -94,8 +94,8 @@
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
 		reported := map[string]bool{}
 		for _, p := range membership.Parts(ctx, c.addresses) {
-			if n := len(p.Entries); n > 0 && p.Placed && p.Entries[n-1].At+p.Offset > writesEnded.UnixNano() {
-				reported[p.Who.Name] = true
+			if n := len(p.Entries); n > 0 && p.IsClockOffsetKnown && p.Entries[n-1].At+p.ClockOffset > writesEnded.UnixNano() {
+				reported[p.Instance.Name] = true
 			}
 		}
 		if len(reported) == c.Drivers {
@@ -120,11 +120,11 @@
 	lastEntry int64             // time of the last entry of all trails
 }
 
-func newAuditTrails(parts []audit.Part) *auditTrails {
+func newAuditTrails(parts []audit.Segment) *auditTrails {
 	t := &auditTrails{singles: map[string]uint64{}, counted: map[uint64]uint64{}, firstUse: map[uint64]int64{}}
 	for _, p := range parts {
 		for i := range p.Entries {
-			t.addEntry(&p.Entries[i], p.Offset)
+			t.addEntry(&p.Entries[i], p.ClockOffset)
 		}
 	}
 	for _, version := range t.singles {
@@ -137,14 +137,14 @@
 	t.lastEntry = max(t.lastEntry, entry.At+offset)
 	version := uint64(entry.Version)
 	switch entry.Kind {
-	case audit.Single:
+	case audit.KindRPC:
 		t.singles[entry.RPC] = version
-	case audit.Spans:
+	case audit.KindSpan:
 		if from, known := t.firstUse[version]; !known || entry.From+offset < from {
 			t.firstUse[version] = entry.From + offset
 		}
-		for effect := audit.Tokened; effect <= audit.NonIdempotent; effect++ {
-			for _, n := range entry.Tally[effect] {
+		for effect := audit.Deduplicated; effect <= audit.NonIdempotent; effect++ {
+			for _, n := range entry.Counts[effect] {
 				t.counted[version] += n
 			}
 		}
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -269,16 +269,16 @@
 
 // randomPlan draws the rollout plan of a version.
 func (c *versionsRun) randomPlan() versions.Plan {
-	p := versions.Plan{Tell: int64(4 * c.Lease), Adopt: int64(4 * c.Lease), Close: int64(6 * c.Lease), Trial: int64(100 * time.Millisecond)}
+	p := versions.Plan{AnnounceTimeout: int64(4 * c.Lease), AdoptTimeout: int64(4 * c.Lease), DrainTimeout: int64(6 * c.Lease), TrialTime: int64(100 * time.Millisecond)}
 	if c.CanaryTrial > 0 {
-		p.Canaries, p.Trial = 0.2, int64(c.CanaryTrial)
+		p.CanaryFraction, p.TrialTime = 0.2, int64(c.CanaryTrial)
 		return p
 	}
 	switch c.random.intN(3) {
 	case 0:
 		p.Exclusive = true
 	case 1:
-		p.Canaries = 0.2
+		p.CanaryFraction = 0.2
 	}
 	return p
 }
@@ -306,7 +306,7 @@
 			cancel()
 			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.MinClosed, c.Timeout, c.newestStatus(&fleet))
 		case err == nil && !c.isChanging(&fleet):
-			invalid := c.CanaryTrial == 0 && plan.Canaries > 0 && c.random.intN(4) == 0
+			invalid := c.CanaryTrial == 0 && plan.CanaryFraction > 0 && c.random.intN(4) == 0
 			err := council.Wish(callCtx, membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, invalid), Why: "trial", Plan: plan}})
 			n++
 			c.result.Proposed++
@@ -359,7 +359,7 @@
 // closeVersion proposes the n-th version and waits until it is closed.
 func (c *versionsRun) closeVersion(ctx context.Context, n int) (err error) {
 	council, deadline := membership.Dial(c.addresses...), time.Now().Add(c.Timeout)
-	plan := versions.Plan{Tell: int64(20 * c.Lease), Adopt: int64(20 * c.Lease), Close: int64(20 * c.Lease)}
+	plan := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
 	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Why: "trial", Plan: plan}}
 	for err = council.Wish(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.Wish(ctx, wish) {
 		time.Sleep(20 * time.Millisecond) // there may be no leader at the moment
@@ -383,7 +383,7 @@
 // runCrash proposes a version that crashes its canaries and waits until it is withdrawn.
 func (c *versionsRun) runCrash(ctx context.Context) error {
 	council := membership.Dial(c.addresses...)
-	plan := versions.Plan{Canaries: 0.2, Trial: int64(time.Minute), Tell: int64(time.Minute), Adopt: int64(time.Minute), Close: int64(time.Minute)}
+	plan := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
 	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Why: "trial", Plan: plan}}
 	if err := council.Wish(ctx, wish); err != nil {
 		return err
@@ -396,10 +396,10 @@
 			continue
 		}
 		switch last := known[len(known)-1]; {
-		case last.Stage == versions.Trying && trialStart.IsZero():
+		case last.Stage == versions.StageCanary && trialStart.IsZero():
 			trialStart = time.Now()
-		case last.Stage >= versions.Withdrawing:
-			c.result.Reasons = append(c.result.Reasons, last.Why)
+		case last.Stage >= versions.StageRollingBack:
+			c.result.Reasons = append(c.result.Reasons, last.Reason)
 			c.result.WithdrawDelay = time.Since(trialStart)
 			return nil
 		}
@@ -424,7 +424,7 @@
 		return false
 	}
 	stage := known[len(known)-1].Stage
-	return stage != versions.Closed && stage != versions.Withdrawn
+	return stage != versions.StageCompleted && stage != versions.StageRolledBack
 }
 
 // observe counts what has changed since the last call.
@@ -434,20 +434,20 @@
 		if c.firstSeen[version.Number].IsZero() {
 			c.firstSeen[version.Number] = time.Now()
 		}
-		if version.Stage == versions.Closed && previous.Stage != versions.Closed {
+		if version.Stage == versions.StageCompleted && previous.Stage != versions.StageCompleted {
 			c.result.Closed++
-			c.closeTimes = append(c.closeTimes, float64(version.Closes-c.firstSeen[version.Number].UnixNano())/1e9)
+			c.closeTimes = append(c.closeTimes, float64(version.CompletedAt-c.firstSeen[version.Number].UnixNano())/1e9)
 			if version.Plan.Exclusive {
 				c.result.Exclusive++
 			}
-			if len(version.Tried) > 0 {
+			if len(version.Canaries) > 0 {
 				c.result.Canaried++
-				c.result.Reasons = append(c.result.Reasons, version.Judged)
+				c.result.Reasons = append(c.result.Reasons, version.TrialResult)
 			}
 		}
-		if version.Stage == versions.Withdrawn && previous.Stage != versions.Withdrawn {
+		if version.Stage == versions.StageRolledBack && previous.Stage != versions.StageRolledBack {
 			c.result.Withdrawn++
-			c.result.Reasons = append(c.result.Reasons, version.Why)
+			c.result.Reasons = append(c.result.Reasons, version.Reason)
 		}
 		c.seen[version.Number] = version
 	}
@@ -477,10 +477,10 @@
 			}
 		}
 		closed, _ := fleet.Closed(routing.Rulebook)
-		closed = max(closed, versions.Origin)
+		closed = max(closed, versions.InitialVersion)
 		acting := 0
 		for _, driver := range fleet.Drivers {
-			if driver.May && slices.ContainsFunc(driver.Seen, func(s versions.Sighting) bool { return s.Thing == routing.Rulebook && s.Acts == closed }) {
+			if driver.May && slices.ContainsFunc(driver.Seen, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
 				acting++
 			}
 		}
@@ -529,8 +529,8 @@
 	newest := uint64(0)
 	for _, attempt := range attempts {
 		for _, v := range c.seen {
-			if v.Stage == versions.Closed && uint64(v.Number) > attempt.Fence {
-				if margin := time.Duration(v.Closes - attempt.At); margin < 0 {
+			if v.Stage == versions.StageCompleted && uint64(v.Number) > attempt.Fence {
+				if margin := time.Duration(v.CompletedAt - attempt.At); margin < 0 {
 					r.LateAttempts++
 					r.MaxLateness = max(r.MaxLateness, -margin)
 					r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleClosedVersion, RPC: attempt.RPC,
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -35,9 +35,9 @@
 
 // enlist lets this driver act on the versions that the fleet agrees on.
 func (c *confinement) enlist() (err error) {
-	c.p.router.Heed(versions.NewHolder())
-	c.p.router.Observe(versions.Program, Level, build())
-	c.p.router.Observe(versions.File, 1, membership.Digest(c.orders().Common())[:digestShown])
+	c.p.router.Heed(versions.NewDriverState())
+	c.p.router.Observe(versions.Build, Level, build())
+	c.p.router.Observe(versions.OperatorFile, 1, membership.Digest(c.orders().Common())[:digestShown])
 	claim := roster.Claim{Name: c.p.posting.Name, At: c.p.posting.Listen, Build: build(), Level: Level, Votes: c.orders().Council.GetId() != 0}
 	c.agent = membership.NewAgent(c.orders().VotersAt(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
 	g := c.orders().Fleet.Gossip
@@ -52,10 +52,10 @@
 }
 
 // Sightings is what the fleet is told.
-func (c *confinement) Sightings() ([]versions.Sighting, int64) { return c.p.router.Sightings() }
+func (c *confinement) Sightings() ([]versions.Report, int64) { return c.p.router.Sightings() }
 
 // Joined takes in the number of this driver's start.
-func (c *confinement) Joined(who versions.Sign, token string) {
+func (c *confinement) Joined(who versions.Instance, token string) {
 	c.p.router.ReportStart(who, token)
 	select {
 	case c.number <- who.Start:
@@ -64,10 +64,10 @@
 }
 
 // Trail gives the entries of this driver's trail after one.
-func (c *confinement) Trail(seq uint64, most int) audit.Part { return c.p.router.Trail(seq, most) }
+func (c *confinement) Trail(seq uint64, most int) audit.Segment { return c.p.router.Trail(seq, most) }
 
 // LastTrail gives all that is left of it.
-func (c *confinement) LastTrail(seq uint64) audit.Part { return c.p.router.LastTrail(seq) }
+func (c *confinement) LastTrail(seq uint64) audit.Segment { return c.p.router.LastTrail(seq) }
 
 // Audit answers a question from what all voters hold of drivers' trails.
 func (c *confinement) Audit(ctx context.Context, q membership.Question) (membership.Finding, error) {
@@ -82,7 +82,7 @@
 	for _, a := range c.p.router.ReportOrders(asked, g) {
 		err := c.adopts(a)
 		c.p.router.ReportAdopted(a, err)
-		log := c.p.log.WithField("thing", a.Thing).WithField("version", a.Number)
+		log := c.p.log.WithField("thing", a.Resource).WithField("version", a.Number)
 		if err != nil {
 			log.WithError(err).Error("a version can't be acted on")
 		} else {
@@ -96,8 +96,8 @@
 
 // adopts does what it takes to act on a version.
 func (c *confinement) adopts(a versions.Adoption) error {
-	if a.Thing != routing.Rulebook {
-		return fmt.Errorf("this build does not know what %q is", a.Thing)
+	if a.Resource != routing.Rulebook {
+		return fmt.Errorf("this build does not know what %q is", a.Resource)
 	}
 	if planted.Active(planted.CrashOnVersion) {
 		os.Exit(3)
