--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -155,7 +155,7 @@
 // count. Writes long after the first use of a version are only counted.
 func (t *auditTrails) takeCounted(attempt emulator.FencedAttempt) bool {
 	firstUse, known := t.firstUse[attempt.Fence]
-	if !known || t.counted[attempt.Fence] == 0 || time.Duration(attempt.At-firstUse) < routing.NearChange {
+	if !known || t.counted[attempt.Fence] == 0 || time.Duration(attempt.At-firstUse) < routing.AuditWindow {
 		return false
 	}
 	t.counted[attempt.Fence]--
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -73,8 +73,8 @@
 		}
 	}
 	if o.Cells != nil {
-		p.router.Confine(o.Gate(p.descriptors.Limit() / roomShare))
-		p.lobby.crowded = p.router.Crowded
+		p.router.EnableAdmission(o.Gate(p.descriptors.Limit() / roomShare))
+		p.lobby.crowded = p.router.MostOverConnectionShare
 	}
 	if o.Fleet != nil {
 		if err = c.enlist(); err != nil {
@@ -280,7 +280,7 @@
 		err = c.chair.Become(next.Layout(), next.Pins())
 	}
 	if err == nil {
-		err = routing.Cells(c.p.router, func(_ int64, g *cells.AdmissionController) error {
+		err = routing.ReadAdmission(c.p.router, func(_ int64, g *cells.AdmissionController) error {
 			return g.Update(next.Layout(), next.Tenancy(), next.Pins(), next.Weights())
 		})
 	}
@@ -305,7 +305,7 @@
 	if c.orders().Cells == nil {
 		return cells.Stats{}
 	}
-	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, heaviestShown) })
+	return routing.ReadAdmission(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, heaviestShown) })
 }
 
 // Where tells where a tenant is.
@@ -313,7 +313,7 @@
 	if c.orders().Cells == nil {
 		return admin.Place{Tenant: t, Why: errNoCells.Error()}
 	}
-	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) admin.Place {
+	return routing.ReadAdmission(c.p.router, func(now int64, g *cells.AdmissionController) admin.Place {
 		l, b := g.Layout(), g.Directory()
 		seat, place := b.Placement(t), admin.Place{Tenant: t, Why: "hashed"}
 		if e, moved := b.Entry(t); moved {
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -35,9 +35,9 @@
 
 // enlist lets this driver act on the versions that the fleet agrees on.
 func (c *confinement) enlist() (err error) {
-	c.p.router.Heed(versions.NewDriverState())
-	c.p.router.Observe(versions.Build, Level, build())
-	c.p.router.Observe(versions.OperatorFile, 1, membership.Digest(c.orders().Common())[:digestShown])
+	c.p.router.EnableVersions(versions.NewDriverState())
+	c.p.router.ObserveVersion(versions.Build, Level, build())
+	c.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(c.orders().Common())[:digestShown])
 	claim := roster.Claim{Name: c.p.posting.Name, At: c.p.posting.Listen, Build: build(), Level: Level, Votes: c.orders().Council.GetId() != 0}
 	c.agent = membership.NewAgent(c.orders().VotersAt(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
 	g := c.orders().Fleet.Gossip
@@ -52,11 +52,11 @@
 }
 
 // Sightings is what the fleet is told.
-func (c *confinement) Sightings() ([]versions.Report, int64) { return c.p.router.Sightings() }
+func (c *confinement) Sightings() ([]versions.Report, int64) { return c.p.router.VersionSightings() }
 
 // Joined takes in the number of this driver's start.
 func (c *confinement) Joined(who versions.Instance, token string) {
-	c.p.router.ReportStart(who, token)
+	c.p.router.StartTrail(who, token)
 	select {
 	case c.number <- who.Start:
 	default: // it has joined before
@@ -64,10 +64,12 @@
 }
 
 // Trail gives the entries of this driver's trail after one.
-func (c *confinement) Trail(seq uint64, most int) audit.Segment { return c.p.router.Trail(seq, most) }
+func (c *confinement) Trail(seq uint64, most int) audit.Segment {
+	return c.p.router.TrailSince(seq, most)
+}
 
 // LastTrail gives all that is left of it.
-func (c *confinement) LastTrail(seq uint64) audit.Segment { return c.p.router.LastTrail(seq) }
+func (c *confinement) LastTrail(seq uint64) audit.Segment { return c.p.router.FlushTrail(seq) }
 
 // Audit answers a question from what all voters hold of drivers' trails.
 func (c *confinement) Audit(ctx context.Context, q membership.Question) (membership.Finding, error) {
@@ -79,9 +81,9 @@
 
 // Granted takes in what the fleet granted, and adopts what it says.
 func (c *confinement) Granted(asked int64, g versions.Grant) {
-	for _, a := range c.p.router.ReportOrders(asked, g) {
+	for _, a := range c.p.router.ApplyOrders(asked, g) {
 		err := c.adopts(a)
-		c.p.router.ReportAdopted(a, err)
+		c.p.router.ReportAdoption(a, err)
 		log := c.p.log.WithField("thing", a.Resource).WithField("version", a.Number)
 		if err != nil {
 			log.WithError(err).Error("a version can't be acted on")
--- a/internal/program/follow.go
+++ b/internal/program/follow.go
@@ -155,7 +155,7 @@
 func (p *Program) unasked(err error) {
 	p.ready.listed(p.router, protocol.Targets{})
 	p.log.WithError(err).Warn("discovery broke off")
-	p.router.ReportNoList()
+	p.router.ReportListFailure()
 }
 
 // watch reports the list and its changes until a call fails or the context ends. A watch that has fallen silent, or tells
@@ -179,7 +179,7 @@
 			return err
 		default:
 			p.source.accept(ctx, t, func() {
-				p.router.ReportList(t)
+				p.router.ApplyList(t)
 				p.ready.listed(p.router, t)
 			})
 			ask = p.askSince
--- a/internal/program/looks.go
+++ b/internal/program/looks.go
@@ -30,10 +30,10 @@
 	if usable {
 		o = l.ask(by, to, w, may)
 	}
-	if !usable || o.Answer == nil && o.End != transport.TimedOut && o.End != transport.Withheld { // one that broke tells nothing now
+	if !usable || o.Answer == nil && o.CloseReason != transport.TimedOut && o.CloseReason != transport.Withheld { // one that broke tells nothing now
 		o = l.lookAnew(by, to, address, mute, may)
 	}
-	if o.End != transport.Withheld && o.End != transport.NoDescriptor { // else none was made, which tells nothing
+	if o.CloseReason != transport.Withheld && o.CloseReason != transport.NoDescriptor { // else none was made, which tells nothing
 		l.setMute(to, o.Answer == nil)
 	}
 	return o
@@ -43,7 +43,7 @@
 func (l *looks) lookAnew(by context.Context, to rules.MemberID, address string, mute bool, may func() bool) routing.Outcome {
 	w, end := l.pools.open(by, to, address)
 	if end != transport.Open {
-		return routing.Outcome{End: end}
+		return routing.Outcome{CloseReason: end}
 	}
 	o := l.ask(by, to, w, may)
 	if o.Answer == nil || !mute {
@@ -61,14 +61,14 @@
 func (l *looks) ask(by context.Context, to rules.MemberID, w link, may func() bool) routing.Outcome {
 	if end := begins(by, may); end != transport.Open {
 		l.pools.give(to, w, w.since)
-		return routing.Outcome{End: end}
+		return routing.Outcome{CloseReason: end}
 	}
 	answer, sent, end := w.Query(by, protocol.LoadQuery)
 	l.pools.answered(to, answer != nil, end)
 	if end == transport.Open {
 		l.pools.give(to, w, time.Now())
 	}
-	return routing.Outcome{Answer: answer, Sent: sent, End: end, Opened: w.opened}
+	return routing.Outcome{Answer: answer, WasSent: sent, CloseReason: end, OpenedAt: w.opened}
 }
 
 func (l *looks) isMute(to rules.MemberID) bool {
--- a/internal/program/peers.go
+++ b/internal/program/peers.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			return
 		}
-		if !r.ReportNews(buffer[:n]) {
+		if !r.ReceiveObservations(buffer[:n]) {
 			p.log.WithField("from", from).WithField("dropped", p.dropped.Add(1)).Warn("datagram is not a driver's")
 			continue
 		}
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -65,12 +65,12 @@
 	l, ok := p.waiting(to, address)
 	if end := transport.Open; !ok {
 		if l, end = p.open(by, to, address); end != transport.Open {
-			return routing.Outcome{End: end}
+			return routing.Outcome{CloseReason: end}
 		}
 	}
 	if end := begins(by, may); end != transport.Open {
 		p.give(to, l, l.since)
-		return routing.Outcome{End: end}
+		return routing.Outcome{CloseReason: end}
 	}
 	deadline, _ := by.Deadline()
 	answer, sent, end := l.Query(by, statement(time.Until(deadline))...)
@@ -78,7 +78,7 @@
 	if end == transport.Open {
 		p.give(to, l, time.Now())
 	}
-	return routing.Outcome{Answer: answer, Sent: sent, End: end, Opened: l.opened}
+	return routing.Outcome{Answer: answer, WasSent: sent, CloseReason: end, OpenedAt: l.opened}
 }
 
 // begins tells that what waited for a connection may begin, or the End for which it may not.
--- a/internal/program/pools_test.go
+++ b/internal/program/pools_test.go
@@ -42,9 +42,9 @@
 	d := transport.NewDescriptors(0) // one, which is discovery's
 	l := newLooks(newPools(context.Background(), d, &Posting{ConnectWithin: 20 * time.Millisecond, MemoryMB: 32}, nil))
 	may := func() bool { return true }
-	require.Equal(t, transport.NoDescriptor, l.look(context.Background(), member, "127.0.0.1:9", may).End)
+	require.Equal(t, transport.NoDescriptor, l.look(context.Background(), member, "127.0.0.1:9", may).CloseReason)
 	require.False(t, l.isMute(member))
 	d.Resize(1000)
-	require.Equal(t, transport.DialRefused, l.look(context.Background(), member, "127.0.0.1:9", may).End)
+	require.Equal(t, transport.DialRefused, l.look(context.Background(), member, "127.0.0.1:9", may).CloseReason)
 	require.True(t, l.isMute(member), "one that refuses is")
 }
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -25,7 +25,7 @@
 	Cores                   float64
 	MemoryMB, Sockets       int64
 	Known                   protocol.Targets
-	Deployment              *briefing.Parts
+	Deployment              *briefing.Fields
 	ConnectWithin           time.Duration
 	IdleFor                 time.Duration    // a connection to a member may be idle so long
 	WatchFor                time.Duration    // a watch waits for news so long
@@ -120,15 +120,15 @@
 	delete(file.Rest, "known")
 	delete(file.Rest, "settings")
 	rest := briefing.Flatten("file", file.Rest)
-	p := &Posting{Name: rest.At("name"), Listen: rest.At("listen"), Discovery: rest.At("discovery"),
-		PeerListen: rest.At("peer_listen"), PeersAll: rest.At("peers_all"), Cores: rest.NumberOr("limits.cores", 1), MemoryMB: rest.Integer("limits.memory_mb"),
-		Sockets: rest.Integer("limits.sockets"), Deployment: briefing.Flatten("settings", file.Settings)}
-	seed, err := strconv.ParseUint(rest.Text("seed"), 16, 64)
+	p := &Posting{Name: rest.Value("name"), Listen: rest.Value("listen"), Discovery: rest.Value("discovery"),
+		PeerListen: rest.Value("peer_listen"), PeersAll: rest.Value("peers_all"), Cores: rest.NumberOr("limits.cores", 1), MemoryMB: rest.RequiredInteger("limits.memory_mb"),
+		Sockets: rest.RequiredInteger("limits.sockets"), Deployment: briefing.Flatten("settings", file.Settings)}
+	seed, err := strconv.ParseUint(rest.RequiredString("seed"), 16, 64)
 	switch {
 	case rest.Err != nil:
 		return nil, rest.Err
 	case err != nil:
-		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", rest.At("seed"))
+		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", rest.Value("seed"))
 	case p.Cores <= 0 || p.MemoryMB < 16 || p.Sockets < 64:
 		return nil, fmt.Errorf("limits: cores, memory_mb or sockets is too small to work with")
 	}
@@ -148,7 +148,7 @@
 // spans reads how long the network may take.
 func (p *Posting) spans() error {
 	span := func(name string, usual time.Duration) time.Duration {
-		if t := p.Deployment.Time(name); t > 0 {
+		if t := p.Deployment.MicrosOrZero(name); t > 0 {
 			return time.Duration(t)
 		}
 		return usual
@@ -157,7 +157,7 @@
 	p.IdleFor = span("limits.keepaliveUs", usualIdle)
 	p.WatchFor = min(longestWatch, span("safety.askEveryUs", usualWatch))
 	p.AnswerWithin = answerWithin
-	if notice := p.Deployment.Notice(); !notice.OnRequest {
+	if notice := p.Deployment.Discovery(); !notice.OnRequest {
 		p.AnswerWithin = min(answerWithin, max(leastAnswer, time.Duration(notice.DrainGrace/4)))
 	}
 	if !p.Deployment.BoolOr("limits.peerMessages", false) {
--- a/internal/program/posting_test.go
+++ b/internal/program/posting_test.go
@@ -38,8 +38,8 @@
 		require.True(t, json.Valid([]byte(text)))
 		r, err := routing.New(p.Deployment, p.Seed, p.Known, log)
 		if err == nil {
-			r.ReportList(protocol.Targets{IsFull: true})
-			require.Positive(t, r.LongestLeft())
+			r.ApplyList(protocol.Targets{IsFull: true})
+			require.Positive(t, r.MaxTimeLeft())
 		}
 	})
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	p.ready = newReadiness()
-	p.pools = newPools(life, p.descriptors, posting, p.router.ReportDenied)
+	p.pools = newPools(life, p.descriptors, posting, p.router.ReportNotPrimary)
 	p.looks = newLooks(p.pools)
 	if p.peers, err = newPeers(posting.PeerListen, posting.PeersAll, log); err != nil {
 		return err
@@ -135,7 +135,7 @@
 	go func() { sessions.Wait(); close(gone) }()
 	select {
 	case <-gone:
-	case <-time.After(restFor + p.router.LongestLeft() + longestWrite + lingerFor):
+	case <-time.After(restFor + p.router.MaxTimeLeft() + longestWrite + lingerFor):
 		p.log.Warn("clients are still here")
 	}
 }
--- a/internal/program/readiness.go
+++ b/internal/program/readiness.go
@@ -49,7 +49,7 @@
 // settle waits no longer for members that are known of by now, or are to get nothing new: those are not probed any more. The
 // lock is held.
 func (r *readiness) settle(router *routing.Router) {
-	maps.DeleteFunc(r.await, func(m rules.MemberID, _ bool) bool { return router.Met(m) || !router.MayLook(m) })
+	maps.DeleteFunc(r.await, func(m rules.MemberID, _ bool) bool { return router.HasObservation(m) || !router.MayProbe(m) })
 	r.check()
 }
 
@@ -61,8 +61,8 @@
 		return
 	}
 	for _, e := range t.Entries {
-		m, known := router.Member(e.ID)
-		if known && router.Probes() && e.Lifecycle == protocol.Serving && !r.seen[m] && !router.Met(m) {
+		m, known := router.MemberID(e.ID)
+		if known && router.ProbesMembers() && e.Lifecycle == protocol.Serving && !r.seen[m] && !router.HasObservation(m) {
 			r.await[m] = true
 		}
 	}
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -30,13 +30,13 @@
 			break
 		}
 		leave()
-		var trip *routing.Trip
+		var trip *routing.ActiveRPC
 		trip, end = p.query(c, h, from, text, came)
 		if trip != nil {
 			guest = true
 			last := cell
 			cell = trip.Cell()
-			p.router.Seat(last, cell)
+			p.router.MoveConnection(last, cell)
 		}
 		leave = func() {}
 		if end == transport.Open {
@@ -44,7 +44,7 @@
 		}
 	}
 	leave()
-	p.router.Seat(cell, cells.NoCell)
+	p.router.MoveConnection(cell, cells.NoCell)
 	if while := lingers[end]; while > 0 {
 		c.Linger(while, mostWaste)
 	}
@@ -75,7 +75,7 @@
 // query serves a client's query, whose last byte came at a time, and gives the trip of the RPC that it stood for, nil where none
 // was taken.
 func (p *Program) query(c protocol.Client, h *held, from protocol.Identity, text string,
-	came time.Time) (trip *routing.Trip, end transport.CloseReason) {
+	came time.Time) (trip *routing.ActiveRPC, end transport.CloseReason) {
 	if strings.Trim(text, " \t\r\n;") == "" {
 		return nil, p.emptyQuery(c)
 	}
@@ -91,10 +91,10 @@
 }
 
 // call is the RPC that a statement stands for which came at a time.
-func call(s *protocol.Statement, from protocol.Identity, came time.Time) routing.Call {
+func call(s *protocol.Statement, from protocol.Identity, came time.Time) routing.Request {
 	const milli = int64(time.Millisecond)
-	return routing.Call{ID: s.ID, Method: s.Method, Key: s.Key, Write: s.Write, Repeat: s.IsRetry, Group: rules.GroupID(s.Group),
-		Left: s.TimeoutMillis * milli, Came: came, Token: s.MinPositionMillis * milli, User: from.User, Base: from.Database}
+	return routing.Request{ID: s.ID, Method: s.Method, Key: s.Key, IsWrite: s.Write, IsRetry: s.IsRetry, Group: rules.GroupID(s.Group),
+		TimeLeft: s.TimeoutMillis * milli, ReceivedAt: came, MinPosition: s.MinPositionMillis * milli, User: from.User, Database: from.Database}
 }
 
 // emptyQuery is answered once this driver is ready.
@@ -119,10 +119,10 @@
 
 // rpc does what the router picks for an RPC until that has its answer, and passes it on. Meanwhile the client is attended
 // to: once it has gone, or cancels, the RPC is left.
-func (p *Program) rpc(c protocol.Client, h *held, s *protocol.Statement, trip *routing.Trip) transport.CloseReason {
+func (p *Program) rpc(c protocol.Client, h *held, s *protocol.Statement, trip *routing.ActiveRPC) transport.CloseReason {
 	final := p.steps(c, h, s, trip)
-	if final.Act == routing.Serve {
-		defer trip.Passed()
+	if final.Action == routing.ActionServe {
+		defer trip.AnswerDelivered()
 	}
 	last := p.lobby.last(c)
 	end := p.answer(c, final)
@@ -133,17 +133,17 @@
 }
 
 // steps makes the attempts of an RPC, and gives its last step.
-func (p *Program) steps(c protocol.Client, h *held, s *protocol.Statement, trip *routing.Trip) routing.Step {
-	defer context.AfterFunc(c.Context(), trip.Leave)()
-	defer p.cancels.open(h, trip.Leave)()
+func (p *Program) steps(c protocol.Client, h *held, s *protocol.Statement, trip *routing.ActiveRPC) routing.Step {
+	defer context.AfterFunc(c.Context(), trip.ClientLeft)()
+	defer p.cancels.open(h, trip.ClientLeft)()
 	defer c.WatchForClose(p.spare)()
 	for {
-		step := trip.Pick()
-		if step.Act != routing.Attempt {
+		step := trip.NextStep()
+		if step.Action != routing.ActionAttempt {
 			return step
 		}
 		p.tasks.Go(func() error {
-			trip.Report(step.Number, p.attempt(step, s, trip))
+			trip.ReportAttempt(step.AttemptNumber, p.attempt(step, s, trip))
 			return nil
 		})
 	}
@@ -151,12 +151,12 @@
 
 // answer gives a client its final answer.
 func (p *Program) answer(c protocol.Client, final routing.Step) transport.CloseReason {
-	switch final.Act {
-	case routing.Serve:
+	switch final.Action {
+	case routing.ActionServe:
 		return c.Forward(final.Answer)
-	case routing.PushBack:
-		return c.SendFailure(protocol.Pushback(final.ComeBack / int64(time.Millisecond)))
-	case routing.Abort:
+	case routing.ActionReject:
+		return c.SendFailure(protocol.Pushback(final.RetryAfter / int64(time.Millisecond)))
+	case routing.ActionAbort:
 		return c.SendFailure(protocol.Aborted())
 	}
 	if end := c.CloseReason(); end != transport.Open {
@@ -166,9 +166,9 @@
 }
 
 // attempt makes an attempt. The member is told how long this driver waits.
-func (p *Program) attempt(step routing.Step, s *protocol.Statement, trip *routing.Trip) routing.Outcome {
-	may := func() bool { return trip.May(step.Number) }
-	return p.pools.ask(step.By, step.Member, step.Address, may, func(within time.Duration) []string {
+func (p *Program) attempt(step routing.Step, s *protocol.Statement, trip *routing.ActiveRPC) routing.Outcome {
+	may := func() bool { return trip.MayBegin(step.AttemptNumber) }
+	return p.pools.ask(step.Context, step.Member, step.Address, may, func(within time.Duration) []string {
 		return s.WithTimeout(max(1, within.Milliseconds()), step.Fence)
 	})
 }
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -30,24 +30,24 @@
 	"598": {rules.MayHaveExecuted, rules.Reset},
 }
 
-func parseMember(fields *briefing.Parts) rules.MemberEntry {
+func parseMember(fields *briefing.Fields) rules.MemberEntry {
 	return rules.MemberEntry{
-		Member:  rules.MemberID(fields.ID("member")),
+		Member:  rules.MemberID(fields.RequiredID("member")),
 		Group:   rules.GroupID(fields.IntegerOr("group", 0)),
-		Zone:    fields.At("hall"),
-		State:   briefing.Choice(fields, "stageState", fields.Text("stageState"), states),
-		Started: fields.Time("bootTimeUs"),
+		Zone:    fields.Value("hall"),
+		State:   briefing.Lookup(fields, "stageState", fields.RequiredString("stageState"), states),
+		Started: fields.MicrosOrZero("bootTimeUs"),
 		Primary: fields.NumberOr("head", 0) == 1,
 		Weight:  fields.NumberOr("size", 0),
 	}
 }
 
-func parseResult(fields *briefing.Parts, epoch int64) rules.Result {
-	outcome := briefing.Choice(fields, "outcome", fields.Text("outcome"), outcomes)
-	r := rules.Result{Outcome: outcome.outcome, Cause: outcome.cause, Latency: fields.Time("waitTimeUs"), Final: fields.BoolOr("final", false)}
+func parseResult(fields *briefing.Fields, epoch int64) rules.Result {
+	outcome := briefing.Lookup(fields, "outcome", fields.RequiredString("outcome"), outcomes)
+	r := rules.Result{Outcome: outcome.outcome, Cause: outcome.cause, Latency: fields.MicrosOrZero("waitTimeUs"), Final: fields.BoolOr("final", false)}
 	positionRole := fields.IntegerOr("posRole", 0)
 	if positionRole < 0 || positionRole%4 == 3 {
-		fields.Wrong("posRole=%d is not a position and role", positionRole)
+		fields.Fail("posRole=%d is not a position and role", positionRole)
 	}
 	r.Role = rules.Role(positionRole % 4)
 	if positionRole >= 4 {
@@ -56,11 +56,11 @@
 	return r
 }
 
-func parseProbeResult(fields *briefing.Parts, epoch int64) rules.ProbeResult {
-	outcome := briefing.Choice(fields, "outcome", fields.Text("outcome"), outcomes)
+func parseProbeResult(fields *briefing.Fields, epoch int64) rules.ProbeResult {
+	outcome := briefing.Lookup(fields, "outcome", fields.RequiredString("outcome"), outcomes)
 	r := rules.ProbeResult{Cause: outcome.cause}
-	var report briefing.Parts
-	report.Parse("report,"+fields.At("report"), ",", ":")
+	var report briefing.Fields
+	report.Parse("report,"+fields.Value("report"), ",", ":")
 	r.Report = report.Observation(epoch)
 	if report.Err != nil && fields.Err == nil {
 		fields.Err = report.Err
--- a/internal/simwire/news.go
+++ b/internal/simwire/news.go
@@ -9,7 +9,7 @@
 
 // SendReports sends reports to all peers, unless there is nothing that can be sent.
 func (d *driver) SendReports(reports []rules.PeerReport) {
-	message := briefing.Message(reports, func(m rules.MemberID) uint32 { return uint32(m) }, d.epoch, d.conn.now)
+	message := briefing.EncodeObservations(reports, func(m rules.MemberID) uint32 { return uint32(m) }, d.epoch, d.conn.now)
 	if len(message) == 0 {
 		return
 	}
@@ -20,20 +20,20 @@
 const emptyContent = "-"
 
 // handlePeerMessage applies the reports of a peer. Messages of an unknown format are ignored.
-func (d *driver) handlePeerMessage(fields *briefing.Parts) {
-	content := fields.Text("content")
+func (d *driver) handlePeerMessage(fields *briefing.Fields) {
+	content := fields.RequiredString("content")
 	if content == emptyContent {
 		content = ""
 	}
 	message, err := base64.StdEncoding.DecodeString(content)
 	if err != nil {
-		fields.Wrong("content is not base64")
+		fields.Fail("content is not base64")
 	}
 	if fields.Err != nil {
 		return
 	}
 	anyMember := func(key uint32) (rules.MemberID, bool) { return rules.MemberID(key), true }
-	if reports, ok := briefing.News(message, anyMember, d.epoch, d.conn.now); ok {
+	if reports, ok := briefing.DecodeObservations(message, anyMember, d.epoch, d.conn.now); ok {
 		d.ReceiveReports(reports)
 	}
 }
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -19,14 +19,14 @@
 
 // connection is the connection to the simulator.
 type connection struct {
-	in             *bufio.Reader
-	out            *bufio.Writer
-	lineNumber     int
-	briefing.Parts        // fields of the last line read
-	output         []byte // line being written
-	now            int64
-	memberLists    map[int64][]rules.MemberEntry
-	drivers        map[int64]*driver
+	in              *bufio.Reader
+	out             *bufio.Writer
+	lineNumber      int
+	briefing.Fields        // fields of the last line read
+	output          []byte // line being written
+	now             int64
+	memberLists     map[int64][]rules.MemberEntry
+	drivers         map[int64]*driver
 }
 
 // driver is one driver instance and the callbacks that it waits for.
@@ -66,7 +66,7 @@
 }
 
 // readMessage returns the next line that is not empty.
-func (c *connection) readMessage() (*briefing.Parts, error) {
+func (c *connection) readMessage() (*briefing.Fields, error) {
 	for {
 		text, err := c.in.ReadString('\n')
 		if err == io.EOF && text != "" {
@@ -79,13 +79,13 @@
 		c.lineNumber++
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
 			c.Parse(text, "\t", "=")
-			return &c.Parts, c.Err
+			return &c.Fields, c.Err
 		}
 	}
 }
 
 // readRequired reads a message where the input must not end.
-func (c *connection) readRequired(container string) (*briefing.Parts, error) {
+func (c *connection) readRequired(container string) (*briefing.Fields, error) {
 	fields, err := c.readMessage()
 	if errors.Is(err, io.EOF) {
 		return nil, fmt.Errorf("unexpected end of input in a %s", container)
@@ -101,9 +101,9 @@
 	if fields.Name != "BEGIN_BATCH" {
 		return fmt.Errorf("expected BEGIN_BATCH, got %q", fields.Name)
 	}
-	c.now = fields.Time("simTimeUs")
-	n := fields.Integer("n")
-	if fields.Text("simTimeUs"); fields.Err != nil {
+	c.now = fields.MicrosOrZero("simTimeUs")
+	n := fields.RequiredInteger("n")
+	if fields.RequiredString("simTimeUs"); fields.Err != nil {
 		return fields.Err
 	}
 	for {
@@ -121,19 +121,19 @@
 	}
 }
 
-func (c *connection) handleEvent(fields *briefing.Parts) error {
+func (c *connection) handleEvent(fields *briefing.Fields) error {
 	switch fields.Name {
 	case "PAGE":
 		return c.handlePage(fields)
 	case "NEW_INSTANCE":
 		return c.handleNewInstance(fields)
 	}
-	d := c.drivers[fields.Integer("who")]
+	d := c.drivers[fields.RequiredInteger("who")]
 	if fields.Err != nil {
 		return fields.Err
 	}
 	if d == nil {
-		return fmt.Errorf("%s: who=%s is not running", fields.Name, fields.At("who"))
+		return fmt.Errorf("%s: who=%s is not running", fields.Name, fields.Value("who"))
 	}
 	switch fields.Name {
 	case "STOP":
@@ -143,11 +143,11 @@
 	case "REQUEST":
 		d.handleRequest(fields)
 	case "FIRST":
-		d.handleResult(fields, false, rules.Result{Outcome: rules.Started, Latency: fields.Time("waitTimeUs")})
+		d.handleResult(fields, false, rules.Result{Outcome: rules.Started, Latency: fields.MicrosOrZero("waitTimeUs")})
 	case "RESOLVED":
 		d.handleResult(fields, true, parseResult(fields, d.epoch))
 	case "VANISHED":
-		id := rules.RPCID(fields.ID("xid"))
+		id := rules.RPCID(fields.RequiredID("xid"))
 		d.markEnded(id)
 		if fields.Err == nil {
 			d.ClientLeft(id)
@@ -164,8 +164,8 @@
 	return fields.Err
 }
 
-func (c *connection) handlePage(fields *briefing.Parts) error {
-	slot, count := fields.Integer("slot"), fields.Integer("elements")
+func (c *connection) handlePage(fields *briefing.Fields) error {
+	slot, count := fields.RequiredInteger("slot"), fields.RequiredInteger("elements")
 	if fields.Err != nil {
 		return fields.Err
 	}
@@ -187,15 +187,15 @@
 	return nil
 }
 
-func (c *connection) handleNewInstance(fields *briefing.Parts) error {
-	d := &driver{conn: c, id: fields.Integer("who"), epoch: fields.Time("extra.countedFromUs"), methods: map[string]rules.MethodID{},
+func (c *connection) handleNewInstance(fields *briefing.Fields) error {
+	d := &driver{conn: c, id: fields.RequiredInteger("who"), epoch: fields.MicrosOrZero("extra.countedFromUs"), methods: map[string]rules.MethodID{},
 		rpcs: map[rules.RPCID]*pendingRPC{}, pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){}}
 	methods := fields.Methods()
 	for i, m := range methods {
 		d.methods[m.Name] = rules.MethodID(i)
 	}
-	seed := fields.Integer("salt")
-	fleet, store, policy, slowStart, discovery := fields.Fleet(), fields.Store(), fields.Allowed(), fields.SlowStart(), fields.Notice()
+	seed := fields.RequiredInteger("salt")
+	fleet, store, policy, slowStart, discovery := fields.Fleet(), fields.Store(), fields.Limits(), fields.SlowStart(), fields.Discovery()
 	if fields.Err != nil {
 		return fields.Err
 	}
@@ -204,26 +204,26 @@
 	return nil
 }
 
-func (d *driver) handleView(fields *briefing.Parts) {
-	mode := fields.Text("mode")
+func (d *driver) handleView(fields *briefing.Fields) {
+	mode := fields.RequiredString("mode")
 	if mode == "FAILED" {
 		d.WatchFailed()
 		return
 	}
-	isComplete := briefing.Choice(fields, "mode", mode, modes)
-	entries, ok := d.conn.memberLists[fields.Integer("slot")]
+	isComplete := briefing.Lookup(fields, "mode", mode, modes)
+	entries, ok := d.conn.memberLists[fields.RequiredInteger("slot")]
 	if !ok {
-		fields.Wrong("slot=%s holds no member list", fields.At("slot"))
+		fields.Fail("slot=%s holds no member list", fields.Value("slot"))
 	}
 	if fields.Err == nil {
 		d.UpdateMembers(entries, isComplete)
 	}
 }
 
-func (d *driver) handleRequest(fields *briefing.Parts) {
-	method := briefing.Choice(fields, "tierClass", fields.Text("tierClass"), d.methods)
-	rpc := rules.RPC{ID: rules.RPCID(fields.ID("xid")), Method: method, Group: rules.GroupID(fields.IntegerOr("cluster", 0)),
-		Session: fields.At("key"), TimeLeft: fields.Integer("graceUs") * microsecond, IsRetry: fields.IntegerOr("flags", 0)&retryFlag != 0}
+func (d *driver) handleRequest(fields *briefing.Fields) {
+	method := briefing.Lookup(fields, "tierClass", fields.RequiredString("tierClass"), d.methods)
+	rpc := rules.RPC{ID: rules.RPCID(fields.RequiredID("xid")), Method: method, Group: rules.GroupID(fields.IntegerOr("cluster", 0)),
+		Session: fields.Value("key"), TimeLeft: fields.RequiredInteger("graceUs") * microsecond, IsRetry: fields.IntegerOr("flags", 0)&retryFlag != 0}
 	if writeAge := fields.NumberOr("lastWriteMs", 0); writeAge > 0 {
 		rpc.SessionToken = d.conn.now - int64(writeAge*1e6)
 	}
@@ -233,14 +233,14 @@
 	}
 }
 
-func (d *driver) handleResult(fields *briefing.Parts, isLast bool, r rules.Result) {
-	id, n := rules.RPCID(fields.ID("xid")), int(fields.Integer("n"))
+func (d *driver) handleResult(fields *briefing.Fields, isLast bool, r rules.Result) {
+	id, n := rules.RPCID(fields.RequiredID("xid")), int(fields.RequiredInteger("n"))
 	if fields.Err != nil {
 		return
 	}
 	rpc := d.rpcs[id]
 	if rpc == nil || n < 0 || n >= len(rpc.callbacks) || rpc.callbacks[n] == nil {
-		fields.Wrong("xid=%d n=%d is not in flight", id, n)
+		fields.Fail("xid=%d n=%d is not in flight", id, n)
 		return
 	}
 	next := rpc.callbacks[n]
@@ -269,10 +269,10 @@
 	}
 }
 
-func (d *driver) handleTimer(fields *briefing.Parts) {
-	handle := fields.Integer("handle")
+func (d *driver) handleTimer(fields *briefing.Fields) {
+	handle := fields.RequiredInteger("handle")
 	if handle < 0 || handle >= int64(len(d.timers)) || d.timers[handle] == nil {
-		fields.Wrong("handle=%d is not set", handle)
+		fields.Fail("handle=%d is not set", handle)
 		return
 	}
 	next := d.timers[handle]
@@ -281,11 +281,11 @@
 	next()
 }
 
-func (d *driver) handleProbe(fields *briefing.Parts) {
-	to, r := rules.MemberID(fields.ID("member")), parseProbeResult(fields, d.epoch)
+func (d *driver) handleProbe(fields *briefing.Fields) {
+	to, r := rules.MemberID(fields.RequiredID("member")), parseProbeResult(fields, d.epoch)
 	callbacks := d.pendingProbes[to]
 	if len(callbacks) == 0 {
-		fields.Wrong("member=%d is not being probed", to)
+		fields.Fail("member=%d is not being probed", to)
 	}
 	if fields.Err == nil {
 		d.pendingProbes[to] = callbacks[1:]
