--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -275,7 +275,7 @@
 
 // applyFill applies a fill request. Requests with an epoch that is not newer than the last are
 // ignored.
-func (f *Fleet) applyFill(_ context.Context, request membership.Filling) error {
+func (f *Fleet) applyFill(_ context.Context, request membership.FillRequest) error {
 	f.WithModel(func(_ int64, model *emulator.Fleet) {
 		tenant := string(request.Tenant)
 		if uint64(request.Epoch) <= f.fillEpochs[tenant] {
@@ -286,7 +286,7 @@
 		case "begin":
 			model.BeginFill(tenant, groupNumbers(request.From), groupNumbers(request.To))
 		case "end":
-			model.EndFill(tenant, request.Cut)
+			model.EndFill(tenant, request.CutoverPosition)
 		case "drop":
 			model.DiscardFill(tenant)
 		}
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -175,7 +175,7 @@
 // requestMoves requests random moves until enough have completed. Some are aborted, requested twice
 // or reversed while in progress.
 func (m *movesRun) requestMoves(ctx context.Context) error {
-	coordinator := membership.Dial(m.addresses...)
+	coordinator := membership.NewClient(m.addresses...)
 	deadline := time.Now().Add(m.Timeout)
 	for {
 		state, err := coordinator.State(ctx)
@@ -198,14 +198,14 @@
 		}
 		if m.random.intN(60) == 0 {
 			if moving := activeMoves(state); len(moving) > 0 {
-				coordinator.Abort(ctx, membership.Move{Tenant: moving[m.random.intN(len(moving))].Tenant, Why: "trial"})
+				coordinator.Abort(ctx, membership.MoveRequest{Tenant: moving[m.random.intN(len(moving))].Tenant, Reason: "trial"})
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func activeMoves(state membership.State) (active []cells.Entry) {
+func activeMoves(state membership.CoordinatorState) (active []cells.Entry) {
 	for _, entry := range state.Entries {
 		if entry.Stage != cells.StageIdle {
 			active = append(active, entry)
@@ -215,12 +215,12 @@
 }
 
 // requestMove requests a random move, sometimes two of the same tenant.
-func (m *movesRun) requestMove(ctx context.Context, coordinator membership.Coordinator) {
+func (m *movesRun) requestMove(ctx context.Context, coordinator membership.Client) {
 	tenant := cells.Tenant(fmt.Sprintf("t%d", m.random.intN(m.Tenants)))
 	times := 1 + m.random.intN(4)/3
 	for range times {
 		to := fmt.Sprintf("c%d", m.random.intN(moveCells))
-		err := coordinator.Move(ctx, []membership.Move{{Tenant: tenant, To: to, Why: "trial"}})
+		err := coordinator.Move(ctx, []membership.MoveRequest{{Tenant: tenant, To: to, Reason: "trial"}})
 		m.mu.Lock()
 		m.result.Requested++
 		if err != nil {
@@ -231,7 +231,7 @@
 }
 
 // observe counts the moves that ended since the last call.
-func (m *movesRun) observe(state membership.State) {
+func (m *movesRun) observe(state membership.CoordinatorState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if state.Voter != m.leader {
@@ -264,7 +264,7 @@
 
 // awaitIdle waits until no move is in progress.
 func (m *movesRun) awaitIdle(ctx context.Context) error {
-	coordinator := membership.Dial(m.addresses...)
+	coordinator := membership.NewClient(m.addresses...)
 	for deadline := time.Now().Add(m.Hold + 2*m.Lease + 10*time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		state, err := coordinator.State(ctx)
 		if err == nil {
@@ -280,7 +280,7 @@
 // summarize checks the final state and computes the result.
 func (m *movesRun) summarize() *MovesResult {
 	r := m.result
-	state, _ := membership.Dial(m.addresses...).State(context.Background())
+	state, _ := membership.NewClient(m.addresses...).State(context.Background())
 	groups := map[string]int64{}
 	for _, entry := range state.Entries {
 		var cell int64
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -64,7 +64,7 @@
 	WriteP50, WriteP99           time.Duration
 	Faults                       map[string]int
 	Violations                   []emulator.Violation
-	Drivers                      []membership.Seen
+	Drivers                      []membership.DriverStatus
 	OldDisks, AcceptedOldDisks   int           // restored, and not refused
 	WithdrawDelay                time.Duration // from the start of a trial until a failed canary ends it
 	Audit                        AuditResult
@@ -260,7 +260,7 @@
 func (c *versionsRun) leaderVoter() int { return leaderIndex(c.addresses, c.random) }
 
 func leaderIndex(addresses []string, random *lockedRand) int {
-	state, err := membership.Dial(addresses...).Council(context.Background())
+	state, err := membership.NewClient(addresses...).Council(context.Background())
 	if err != nil || state.Leader == 0 {
 		return random.intN(len(addresses))
 	}
@@ -286,11 +286,11 @@
 // runRandomChanges proposes versions until enough are closed. Some are invalid and some are called
 // off.
 func (c *versionsRun) runRandomChanges(ctx context.Context) error {
-	council := membership.Dial(c.addresses...)
+	council := membership.NewClient(c.addresses...)
 	deadline := time.Now().Add(c.Timeout)
 	for n := 1; ; {
 		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		fleet, err := council.Fleet(callCtx)
+		fleet, err := council.FleetState(callCtx)
 		if err == nil {
 			c.observe(&fleet)
 		}
@@ -307,18 +307,18 @@
 			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.MinClosed, c.Timeout, c.newestStatus(&fleet))
 		case err == nil && !c.isChanging(&fleet):
 			invalid := c.CanaryTrial == 0 && plan.CanaryFraction > 0 && c.random.intN(4) == 0
-			err := council.Wish(callCtx, membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, invalid), Why: "trial", Plan: plan}})
+			err := council.ChangeFleet(callCtx, membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, invalid), Reason: "trial", Plan: plan}})
 			n++
 			c.result.Proposed++
 			if err != nil {
 				c.result.Rejected++
 			}
 		case err == nil && c.CanaryTrial == 0 && c.random.intN(300) == 0:
-			council.Wish(callCtx, membership.Wish{CallOff: routing.Rulebook, Why: "trial"})
+			council.ChangeFleet(callCtx, membership.FleetChange{Withdraw: routing.Rulebook, Reason: "trial"})
 		}
 		for _, d := range fleet.Drivers {
 			if d.State.String() == "shut out" && c.random.intN(40) == 0 {
-				council.Wish(callCtx, membership.Wish{Readmit: d.Name, Why: "trial"})
+				council.ChangeFleet(callCtx, membership.FleetChange{Readmit: d.Name, Reason: "trial"})
 			}
 		}
 		cancel()
@@ -358,10 +358,10 @@
 
 // closeVersion proposes the n-th version and waits until it is closed.
 func (c *versionsRun) closeVersion(ctx context.Context, n int) (err error) {
-	council, deadline := membership.Dial(c.addresses...), time.Now().Add(c.Timeout)
+	council, deadline := membership.NewClient(c.addresses...), time.Now().Add(c.Timeout)
 	plan := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
-	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Why: "trial", Plan: plan}}
-	for err = council.Wish(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.Wish(ctx, wish) {
+	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Reason: "trial", Plan: plan}}
+	for err = council.ChangeFleet(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.ChangeFleet(ctx, wish) {
 		time.Sleep(20 * time.Millisecond) // there may be no leader at the moment
 	}
 	if err != nil {
@@ -369,7 +369,7 @@
 	}
 	c.result.Proposed++
 	for ; c.result.Closed < n; time.Sleep(5 * time.Millisecond) {
-		fleet, err := council.Fleet(ctx)
+		fleet, err := council.FleetState(ctx)
 		if err == nil {
 			c.observe(&fleet)
 		}
@@ -382,15 +382,15 @@
 
 // runCrash proposes a version that crashes its canaries and waits until it is withdrawn.
 func (c *versionsRun) runCrash(ctx context.Context) error {
-	council := membership.Dial(c.addresses...)
+	council := membership.NewClient(c.addresses...)
 	plan := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
-	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Why: "trial", Plan: plan}}
-	if err := council.Wish(ctx, wish); err != nil {
+	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Reason: "trial", Plan: plan}}
+	if err := council.ChangeFleet(ctx, wish); err != nil {
 		return err
 	}
 	var trialStart time.Time
 	for start := time.Now(); time.Since(start) < c.Timeout; time.Sleep(5 * time.Millisecond) {
-		fleet, err := council.Fleet(ctx)
+		fleet, err := council.FleetState(ctx)
 		known := fleet.Versions[routing.Rulebook]
 		if err != nil || len(known) == 0 {
 			continue
@@ -408,7 +408,7 @@
 }
 
 // newestStatus describes the state of the newest version.
-func (c *versionsRun) newestStatus(fleet *membership.Fleet) string {
+func (c *versionsRun) newestStatus(fleet *membership.FleetState) string {
 	known := fleet.Versions[routing.Rulebook]
 	if len(known) == 0 {
 		return "no version is known"
@@ -418,7 +418,7 @@
 }
 
 // isChanging reports whether a version is being rolled out or withdrawn.
-func (c *versionsRun) isChanging(fleet *membership.Fleet) bool {
+func (c *versionsRun) isChanging(fleet *membership.FleetState) bool {
 	known := fleet.Versions[routing.Rulebook]
 	if len(known) == 0 {
 		return false
@@ -428,7 +428,7 @@
 }
 
 // observe counts what has changed since the last call.
-func (c *versionsRun) observe(fleet *membership.Fleet) {
+func (c *versionsRun) observe(fleet *membership.FleetState) {
 	for _, version := range fleet.Versions[routing.Rulebook] {
 		previous := c.seen[version.Number]
 		if c.firstSeen[version.Number].IsZero() {
@@ -452,7 +452,7 @@
 		c.seen[version.Number] = version
 	}
 	for _, driver := range fleet.Drivers {
-		key := fmt.Sprint(driver.Name, driver.Start, driver.When)
+		key := fmt.Sprint(driver.Name, driver.Start, driver.ChangedAt)
 		if driver.State.String() == "shut out" && !c.shutOut[key] {
 			c.shutOut[key] = true
 			c.result.ShutOut++
@@ -462,10 +462,10 @@
 
 // awaitIdle waits until no version is being rolled out and all drivers act on the newest.
 func (c *versionsRun) awaitIdle(ctx context.Context) error {
-	council := membership.Dial(c.addresses...)
-	var last membership.Fleet
+	council := membership.NewClient(c.addresses...)
+	var last membership.FleetState
 	for deadline := time.Now().Add(20*c.Lease + 10*time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		fleet, err := council.Fleet(ctx)
+		fleet, err := council.FleetState(ctx)
 		if err != nil {
 			continue
 		}
@@ -473,14 +473,14 @@
 		c.observe(&fleet)
 		for _, driver := range fleet.Drivers {
 			if driver.State.String() == "shut out" {
-				council.Wish(ctx, membership.Wish{Readmit: driver.Name, Why: "the night is over"})
+				council.ChangeFleet(ctx, membership.FleetChange{Readmit: driver.Name, Reason: "the night is over"})
 			}
 		}
-		closed, _ := fleet.Closed(routing.Rulebook)
+		closed, _ := fleet.LatestClosed(routing.Rulebook)
 		closed = max(closed, versions.InitialVersion)
 		acting := 0
 		for _, driver := range fleet.Drivers {
-			if driver.May && slices.ContainsFunc(driver.Seen, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
+			if driver.MayAct && slices.ContainsFunc(driver.Sightings, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
 				acting++
 			}
 		}
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -30,12 +30,12 @@
 // commands. Where there is no file there is none of it.
 type confinement struct {
 	p            *Program
-	chair        *membership.Chair
+	chair        *membership.CoordinatorServer
 	journal      *store.Journal
-	chamber      *chamber.Server          // nil where this is no voter of a council
-	registration *membership.Registration // the fleet's machine there, nil for none
-	agent        *membership.Agent        // nil where nothing has versions
-	ring         *gossip.Ring             // nil where drivers do not gossip
+	chamber      *chamber.Server         // nil where this is no voter of a council
+	registration *membership.FleetServer // the fleet's machine there, nil for none
+	agent        *membership.FleetAgent  // nil where nothing has versions
+	ring         *gossip.Gossiper        // nil where drivers do not gossip
 	heed         sync.Once
 	origin       *operator.Orders                // as this driver started
 	number       chan uint64                     // takes that of this start once it has one
@@ -94,9 +94,9 @@
 func (c *confinement) orders() *operator.Orders { return c.acted.Load() }
 
 // fill is how the store is asked to fill cells.
-func (c *confinement) fill() membership.Fill {
+func (c *confinement) fill() membership.FillFunc {
 	if hook := c.orders().Cells.GetCoordination().GetFillHook(); hook != "" {
-		return membership.HTTPFill(hook)
+		return membership.NewHTTPFill(hook)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	if c.journal, err = store.Open(k.Journal); err != nil {
 		return o.Reject("cells.coordination.journal", err)
 	}
-	c.chair, err = membership.NewChair(o.Book(), c.journal, millis(k.LeaseMs), millis(k.HoldMs), c.fill(), c.p.log)
+	c.chair, err = membership.NewCoordinatorServer(o.Book(), c.journal, millis(k.LeaseMs), millis(k.HoldMs), c.fill(), c.p.log)
 	if err != nil {
 		return o.Reject("cells.coordination.journal", err)
 	}
@@ -129,17 +129,17 @@
 	k := o.Council
 	machines := map[string]chamber.StateMachine{}
 	if l := o.Cells.GetCoordination(); l != nil {
-		c.chair, err = membership.NewFellow(o.Book(), millis(l.LeaseMs), millis(l.HoldMs), millis(k.ClockErrorMs), c.fill(), c.p.log)
+		c.chair, err = membership.NewReplicatedCoordinatorServer(o.Book(), millis(l.LeaseMs), millis(l.HoldMs), millis(k.ClockErrorMs), c.fill(), c.p.log)
 		if err != nil {
 			return o.Reject("cells", err)
 		}
-		machines[membership.MachineName] = c.chair.Place()
+		machines[membership.CoordinatorStateMachineName] = c.chair.StateMachine()
 	}
 	if o.Fleet != nil {
-		c.registration = membership.NewRegistration(membership.Terms{Lease: millis(o.Fleet.LeaseMs), Forget: time.Duration(o.ForgetS()) * time.Second,
-			Most: o.Fleet.MostShutOut}, c.p.log)
-		machines[membership.RegistrationName] = c.registration
-		if err := c.registration.Keep(k.Disk + ".trails"); err != nil {
+		c.registration = membership.NewFleetServer(membership.FleetConfig{Lease: millis(o.Fleet.LeaseMs), ForgetAfter: time.Duration(o.ForgetS()) * time.Second,
+			MaxShutOutShare: o.Fleet.MostShutOut}, c.p.log)
+		machines[membership.FleetStateMachineName] = c.registration
+		if err := c.registration.OpenTrails(k.Disk + ".trails"); err != nil {
 			return o.Reject("council.disk", err)
 		}
 	}
@@ -152,10 +152,10 @@
 		return o.Reject("council.disk", err)
 	}
 	if c.chair != nil {
-		c.chair.Join(c.chamber)
+		c.chair.AttachCouncil(c.chamber)
 	}
 	if c.registration != nil {
-		c.registration.Join(c.chamber)
+		c.registration.AttachCouncil(c.chamber)
 	}
 	c.seat, err = c.open("council.listen", o.SeatAt())
 	return err
@@ -224,7 +224,7 @@
 			return
 		}
 	}
-	membership.NewFollower(c.orders().CoordinatorsAt(), c.p.posting.Name, incarnation, lease, c, c.p.log).Run(ctx)
+	membership.NewCellAgent(c.orders().CoordinatorsAt(), c.p.posting.Name, incarnation, lease, c, c.p.log).Run(ctx)
 }
 
 // answers is what drivers and voters may ask here.
@@ -277,7 +277,7 @@
 		return nil
 	}
 	if c.chair != nil { // which knows all that this driver's gate does
-		err = c.chair.Become(next.Layout(), next.Pins())
+		err = c.chair.UpdateLayout(next.Layout(), next.Pins())
 	}
 	if err == nil {
 		err = routing.ReadAdmission(c.p.router, func(_ int64, g *cells.AdmissionController) error {
@@ -331,11 +331,11 @@
 }
 
 // coordinator is the way to the coordinator.
-func (c *confinement) coordinator() (membership.Coordinator, error) {
+func (c *confinement) coordinator() (membership.Client, error) {
 	if c.orders().Cells.GetCoordination() == nil {
-		return membership.Coordinator{}, errNoCoordinator
+		return membership.Client{}, errNoCoordinator
 	}
-	return membership.Dial(c.orders().CoordinatorsAt()...), nil
+	return membership.NewClient(c.orders().CoordinatorsAt()...), nil
 }
 
 // Council tells how the council stands, as this instance's own seat knows, or else as the first voter does that answers.
@@ -346,7 +346,7 @@
 	case c.orders().Council == nil:
 		return chamber.State{}, errNoCouncil
 	}
-	return membership.Dial(c.orders().VotersAt()...).Council(ctx)
+	return membership.NewClient(c.orders().VotersAt()...).Council(ctx)
 }
 
 // ChangeCouncil asks the council's leader for other voters.
@@ -354,20 +354,20 @@
 	if c.orders().Council == nil {
 		return errNoCouncil
 	}
-	return membership.Dial(c.orders().VotersAt()...).ChangeCouncil(ctx, change)
+	return membership.NewClient(c.orders().VotersAt()...).ChangeCouncil(ctx, change)
 }
 
 // State tells where moves stand.
-func (c *confinement) State(ctx context.Context) (membership.State, error) {
+func (c *confinement) State(ctx context.Context) (membership.CoordinatorState, error) {
 	at, err := c.coordinator()
 	if err != nil {
-		return membership.State{}, err
+		return membership.CoordinatorState{}, err
 	}
 	return at.State(ctx)
 }
 
 // Move asks the coordinator for moves.
-func (c *confinement) Move(ctx context.Context, moves []membership.Move) error {
+func (c *confinement) Move(ctx context.Context, moves []membership.MoveRequest) error {
 	at, err := c.coordinator()
 	if err != nil {
 		return err
@@ -376,7 +376,7 @@
 }
 
 // Abort asks the coordinator to call a move off.
-func (c *confinement) Abort(ctx context.Context, m membership.Move) error {
+func (c *confinement) Abort(ctx context.Context, m membership.MoveRequest) error {
 	at, err := c.coordinator()
 	if err != nil {
 		return err
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -38,8 +38,8 @@
 	c.p.router.EnableVersions(versions.NewDriverState())
 	c.p.router.ObserveVersion(versions.Build, Level, build())
 	c.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(c.orders().Common())[:digestShown])
-	claim := roster.Claim{Name: c.p.posting.Name, At: c.p.posting.Listen, Build: build(), Level: Level, Votes: c.orders().Council.GetId() != 0}
-	c.agent = membership.NewAgent(c.orders().VotersAt(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
+	claim := roster.Claim{Name: c.p.posting.Name, Address: c.p.posting.Listen, Build: build(), Level: Level, IsVoter: c.orders().Council.GetId() != 0}
+	c.agent = membership.NewFleetAgent(c.orders().VotersAt(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
 	g := c.orders().Fleet.Gossip
 	if g == nil {
 		return nil
@@ -47,7 +47,7 @@
 	if c.ring, err = gossip.Listen(c.p.posting.Name, g.Listen, g.Fellow, millis(c.orders().ProbeMs()), c.p.log); err != nil {
 		return c.orders().Reject("fleet.gossip.listen", err)
 	}
-	c.agent.Listens(c.ring)
+	c.agent.SetPeerMonitor(c.ring)
 	return nil
 }
 
@@ -72,9 +72,9 @@
 func (c *confinement) LastTrail(seq uint64) audit.Segment { return c.p.router.FlushTrail(seq) }
 
 // Audit answers a question from what all voters hold of drivers' trails.
-func (c *confinement) Audit(ctx context.Context, q membership.Question) (membership.Finding, error) {
+func (c *confinement) Audit(ctx context.Context, q membership.AuditQuery) (membership.AuditResult, error) {
 	if c.orders().Fleet == nil {
-		return membership.Finding{}, errNoFleet
+		return membership.AuditResult{}, errNoFleet
 	}
 	return membership.Audit(ctx, c.orders().VotersAt(), q)
 }
@@ -112,15 +112,15 @@
 }
 
 // Fleet tells how the fleet stands.
-func (c *confinement) Fleet(ctx context.Context) (membership.Fleet, error) {
+func (c *confinement) Fleet(ctx context.Context) (membership.FleetState, error) {
 	if c.orders().Fleet == nil {
-		return membership.Fleet{}, errNoFleet
+		return membership.FleetState{}, errNoFleet
 	}
-	return membership.Dial(c.orders().VotersAt()...).Fleet(ctx)
+	return membership.NewClient(c.orders().VotersAt()...).FleetState(ctx)
 }
 
 // Wish asks something of the fleet. A rulebook is checked here before it is proposed.
-func (c *confinement) Wish(ctx context.Context, w membership.Wish) error {
+func (c *confinement) Wish(ctx context.Context, w membership.FleetChange) error {
 	if c.orders().Fleet == nil {
 		return errNoFleet
 	}
@@ -132,5 +132,5 @@
 			return err
 		}
 	}
-	return membership.Dial(c.orders().VotersAt()...).Wish(ctx, w)
+	return membership.NewClient(c.orders().VotersAt()...).ChangeFleet(ctx, w)
 }
