--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -311,7 +311,7 @@
 	r.RPCs, r.Unexplained = m.outcomes, m.unexplained
 	for _, address := range m.adminAddresses {
 		var stats cells.Stats
-		if admin.Dial(address).Ask(context.Background(), "list", admin.Wanted{}, &stats) == nil {
+		if admin.NewCellsClient(address).Call(context.Background(), "list", admin.Query{}, &stats) == nil {
 			for reason, n := range stats.Rejected {
 				r.GateRejections[reason] += n
 			}
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -37,12 +37,12 @@
 	agent        *membership.FleetAgent  // nil where nothing has versions
 	ring         *gossip.Gossiper        // nil where drivers do not gossip
 	heed         sync.Once
-	origin       *operator.Orders                // as this driver started
+	origin       *operator.Config                // as this driver started
 	number       chan uint64                     // takes that of this start once it has one
 	heeds        chan struct{}                   // closed once it acts on versions, if it needs to
 	desk         net.Listener                    // for commands, nil for none
 	seat         net.Listener                    // for drivers and voters, nil for none
-	acted        atomic.Pointer[operator.Orders] // what is acted on now
+	acted        atomic.Pointer[operator.Config] // what is acted on now
 	leased       chan struct{}                   // closed once it has had a lease, if it needs one
 	once         sync.Once
 }
@@ -73,7 +73,7 @@
 		}
 	}
 	if o.Cells != nil {
-		p.router.EnableAdmission(o.Gate(p.descriptors.Limit() / roomShare))
+		p.router.EnableAdmission(o.AdmissionController(p.descriptors.Limit() / roomShare))
 		p.lobby.crowded = p.router.MostOverConnectionShare
 	}
 	if o.Fleet != nil {
@@ -91,7 +91,7 @@
 }
 
 // orders is the file that is acted on now.
-func (c *confinement) orders() *operator.Orders { return c.acted.Load() }
+func (c *confinement) orders() *operator.Config { return c.acted.Load() }
 
 // fill is how the store is asked to fill cells.
 func (c *confinement) fill() membership.FillFunc {
@@ -106,11 +106,11 @@
 	o := c.orders()
 	k := o.Cells.Coordination
 	if c.journal, err = store.Open(k.Journal); err != nil {
-		return o.Reject("cells.coordination.journal", err)
+		return o.ErrorAt("cells.coordination.journal", err)
 	}
-	c.chair, err = membership.NewCoordinatorServer(o.Book(), c.journal, millis(k.LeaseMs), millis(k.HoldMs), c.fill(), c.p.log)
+	c.chair, err = membership.NewCoordinatorServer(o.Directory(), c.journal, millis(k.LeaseMs), millis(k.HoldMs), c.fill(), c.p.log)
 	if err != nil {
-		return o.Reject("cells.coordination.journal", err)
+		return o.ErrorAt("cells.coordination.journal", err)
 	}
 	c.seat, err = c.open("cells.coordination.at", k.At)
 	return err
@@ -129,18 +129,18 @@
 	k := o.Council
 	machines := map[string]chamber.StateMachine{}
 	if l := o.Cells.GetCoordination(); l != nil {
-		c.chair, err = membership.NewReplicatedCoordinatorServer(o.Book(), millis(l.LeaseMs), millis(l.HoldMs), millis(k.ClockErrorMs), c.fill(), c.p.log)
+		c.chair, err = membership.NewReplicatedCoordinatorServer(o.Directory(), millis(l.LeaseMs), millis(l.HoldMs), millis(k.ClockErrorMs), c.fill(), c.p.log)
 		if err != nil {
-			return o.Reject("cells", err)
+			return o.ErrorAt("cells", err)
 		}
 		machines[membership.CoordinatorStateMachineName] = c.chair.StateMachine()
 	}
 	if o.Fleet != nil {
-		c.registration = membership.NewFleetServer(membership.FleetConfig{Lease: millis(o.Fleet.LeaseMs), ForgetAfter: time.Duration(o.ForgetS()) * time.Second,
+		c.registration = membership.NewFleetServer(membership.FleetConfig{Lease: millis(o.Fleet.LeaseMs), ForgetAfter: time.Duration(o.ForgetSeconds()) * time.Second,
 			MaxShutOutShare: o.Fleet.MostShutOut}, c.p.log)
 		machines[membership.FleetStateMachineName] = c.registration
 		if err := c.registration.OpenTrails(k.Disk + ".trails"); err != nil {
-			return o.Reject("council.disk", err)
+			return o.ErrorAt("council.disk", err)
 		}
 	}
 	peers := chamber.VoterAddresses{}
@@ -149,7 +149,7 @@
 	}
 	pace := council.Timing{Tick: int64(millis(o.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
 	if c.chamber, err = chamber.Open(council.VoterID(k.Id), peers, k.Join, k.Disk, pace, machines, c.p.log); err != nil {
-		return o.Reject("council.disk", err)
+		return o.ErrorAt("council.disk", err)
 	}
 	if c.chair != nil {
 		c.chair.AttachCouncil(c.chamber)
@@ -157,7 +157,7 @@
 	if c.registration != nil {
 		c.registration.AttachCouncil(c.chamber)
 	}
-	c.seat, err = c.open("council.listen", o.SeatAt())
+	c.seat, err = c.open("council.listen", o.VoterAddress())
 	return err
 }
 
@@ -166,7 +166,7 @@
 func (c *confinement) open(field, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, c.orders().Reject(field, err)
+		return nil, c.orders().ErrorAt(field, err)
 	}
 	return l, nil
 }
@@ -224,7 +224,7 @@
 			return
 		}
 	}
-	membership.NewCellAgent(c.orders().CoordinatorsAt(), c.p.posting.Name, incarnation, lease, c, c.p.log).Run(ctx)
+	membership.NewCellAgent(c.orders().CoordinatorAddresses(), c.p.posting.Name, incarnation, lease, c, c.p.log).Run(ctx)
 }
 
 // answers is what drivers and voters may ask here.
@@ -262,17 +262,17 @@
 	if err != nil {
 		return err
 	}
-	if next.Fixed() != c.orders().Fixed() {
-		return next.Reject("", errors.New("admin, council, fleet, groups_a_tenant, budget and coordination need a restart"))
+	if next.StartupSettings() != c.orders().StartupSettings() {
+		return next.ErrorAt("", errors.New("admin, council, fleet, groups_a_tenant, budget and coordination need a restart"))
 	}
 	if next.Fleet != nil {
-		return next.Reject("fleet", errors.New("all drivers act on one rulebook: `sedgespread fleet propose` brings another"))
+		return next.ErrorAt("fleet", errors.New("all drivers act on one rulebook: `sedgespread fleet propose` brings another"))
 	}
 	return c.become(next)
 }
 
 // become acts on another file from now on: all of it, or an error and nothing.
-func (c *confinement) become(next *operator.Orders) (err error) {
+func (c *confinement) become(next *operator.Config) (err error) {
 	if next.Cells == nil {
 		return nil
 	}
@@ -281,11 +281,11 @@
 	}
 	if err == nil {
 		err = routing.ReadAdmission(c.p.router, func(_ int64, g *cells.AdmissionController) error {
-			return g.Update(next.Layout(), next.Tenancy(), next.Pins(), next.Weights())
+			return g.Update(next.Layout(), next.TenantResolver(), next.Pins(), next.Weights())
 		})
 	}
 	if err != nil {
-		return next.Reject("cells", err)
+		return next.ErrorAt("cells", err)
 	}
 	c.acted.Store(next)
 	return nil
@@ -308,18 +308,18 @@
 	return routing.ReadAdmission(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, heaviestShown) })
 }
 
-// Where tells where a tenant is.
-func (c *confinement) Where(t cells.Tenant, key string) admin.Place {
+// TenantPlacement tells where a tenant is.
+func (c *confinement) TenantPlacement(t cells.Tenant, key string) admin.Placement {
 	if c.orders().Cells == nil {
-		return admin.Place{Tenant: t, Why: errNoCells.Error()}
+		return admin.Placement{Tenant: t, Reason: errNoCells.Error()}
 	}
-	return routing.ReadAdmission(c.p.router, func(now int64, g *cells.AdmissionController) admin.Place {
+	return routing.ReadAdmission(c.p.router, func(now int64, g *cells.AdmissionController) admin.Placement {
 		l, b := g.Layout(), g.Directory()
-		seat, place := b.Placement(t), admin.Place{Tenant: t, Why: "hashed"}
+		seat, place := b.Placement(t), admin.Placement{Tenant: t, Reason: "hashed"}
 		if e, moved := b.Entry(t); moved {
-			place.Why, place.To, place.Epoch, place.Floor = "moved", e.To, e.Epoch, e.MinPosition
+			place.Reason, place.TargetCell, place.Epoch, place.MinPosition = "moved", e.To, e.Epoch, e.MinPosition
 		} else if b.Pinned(t) {
-			place.Why = "pinned"
+			place.Reason = "pinned"
 		}
 		place.Cell, place.Stage = l.Name(seat.Cell), seat.Stage.String()
 		if seat.Cell != cells.NoCell {
@@ -335,7 +335,7 @@
 	if c.orders().Cells.GetCoordination() == nil {
 		return membership.Client{}, errNoCoordinator
 	}
-	return membership.NewClient(c.orders().CoordinatorsAt()...), nil
+	return membership.NewClient(c.orders().CoordinatorAddresses()...), nil
 }
 
 // Council tells how the council stands, as this instance's own seat knows, or else as the first voter does that answers.
@@ -346,7 +346,7 @@
 	case c.orders().Council == nil:
 		return chamber.State{}, errNoCouncil
 	}
-	return membership.NewClient(c.orders().VotersAt()...).Council(ctx)
+	return membership.NewClient(c.orders().VoterAddresses()...).Council(ctx)
 }
 
 // ChangeCouncil asks the council's leader for other voters.
@@ -354,7 +354,7 @@
 	if c.orders().Council == nil {
 		return errNoCouncil
 	}
-	return membership.NewClient(c.orders().VotersAt()...).ChangeCouncil(ctx, change)
+	return membership.NewClient(c.orders().VoterAddresses()...).ChangeCouncil(ctx, change)
 }
 
 // State tells where moves stand.
@@ -397,7 +397,7 @@
 		}
 		loads = state.Loads
 	}
-	rooms, halls := c.orders().Rooms(), c.orders().Halls()
+	rooms, halls := c.orders().PlannerCells(), c.orders().TenantHalls()
 	for _, r := range rooms {
 		if r.Capacity <= 0 {
 			return admin.Plan{}, fmt.Errorf("cell %q: the file does not say its capacity, which a plan needs", r.Name)
@@ -409,13 +409,13 @@
 	}
 	tenants := make([]planner.Tenant, 0, len(loads))
 	for _, w := range loads {
-		place := c.Where(w.Tenant, "")
+		place := c.TenantPlacement(w.Tenant, "")
 		at, known := index[place.Cell]
 		if !known {
 			at = planner.NoCell
 		}
 		tenants = append(tenants, planner.Tenant{Name: string(w.Tenant), Load: w.Load, CurrentCell: at, Hall: halls[w.Tenant],
-			Pinned: place.Why == "pinned" || place.Stage != cells.StageIdle.String()})
+			Pinned: place.Reason == "pinned" || place.Stage != cells.StageIdle.String()})
 	}
-	return admin.Explained(tenants, rooms, most), nil
+	return admin.NewPlan(tenants, rooms, most), nil
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -37,15 +37,15 @@
 func (c *confinement) enlist() (err error) {
 	c.p.router.EnableVersions(versions.NewDriverState())
 	c.p.router.ObserveVersion(versions.Build, Level, build())
-	c.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(c.orders().Common())[:digestShown])
+	c.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(c.orders().SharedSettings())[:digestShown])
 	claim := roster.Claim{Name: c.p.posting.Name, Address: c.p.posting.Listen, Build: build(), Level: Level, IsVoter: c.orders().Council.GetId() != 0}
-	c.agent = membership.NewFleetAgent(c.orders().VotersAt(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
+	c.agent = membership.NewFleetAgent(c.orders().VoterAddresses(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
 	g := c.orders().Fleet.Gossip
 	if g == nil {
 		return nil
 	}
 	if c.ring, err = gossip.Listen(c.p.posting.Name, g.Listen, g.Fellow, millis(c.orders().ProbeMs()), c.p.log); err != nil {
-		return c.orders().Reject("fleet.gossip.listen", err)
+		return c.orders().ErrorAt("fleet.gossip.listen", err)
 	}
 	c.agent.SetPeerMonitor(c.ring)
 	return nil
@@ -76,7 +76,7 @@
 	if c.orders().Fleet == nil {
 		return membership.AuditResult{}, errNoFleet
 	}
-	return membership.Audit(ctx, c.orders().VotersAt(), q)
+	return membership.Audit(ctx, c.orders().VoterAddresses(), q)
 }
 
 // Granted takes in what the fleet granted, and adopts what it says.
@@ -104,7 +104,7 @@
 	if planted.Active(planted.CrashOnVersion) {
 		os.Exit(3)
 	}
-	next, err := c.origin.With(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
+	next, err := c.origin.WithRulebook(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	if c.orders().Fleet == nil {
 		return membership.FleetState{}, errNoFleet
 	}
-	return membership.NewClient(c.orders().VotersAt()...).FleetState(ctx)
+	return membership.NewClient(c.orders().VoterAddresses()...).FleetState(ctx)
 }
 
 // Wish asks something of the fleet. A rulebook is checked here before it is proposed.
@@ -128,9 +128,9 @@
 		if p.Thing != routing.Rulebook {
 			return fmt.Errorf("there is no thing %q that has versions", p.Thing)
 		}
-		if _, err := c.origin.With("the rulebook", p.Text); err != nil {
+		if _, err := c.origin.WithRulebook("the rulebook", p.Text); err != nil {
 			return err
 		}
 	}
-	return membership.NewClient(c.orders().VotersAt()...).ChangeFleet(ctx, w)
+	return membership.NewClient(c.orders().VoterAddresses()...).ChangeFleet(ctx, w)
 }
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -30,7 +30,7 @@
 	IdleFor                 time.Duration    // a connection to a member may be idle so long
 	WatchFor                time.Duration    // a watch waits for news so long
 	AnswerWithin            time.Duration    // discovery may take so long for an answer
-	Orders                  *operator.Orders // nil without an operator's file
+	Orders                  *operator.Config // nil without an operator's file
 	path, ordersPath        string
 }
 
