--- a/cmd/sedgespread/emulate.go
+++ b/cmd/sedgespread/emulate.go
@@ -64,8 +64,8 @@
 	if err != nil {
 		return err
 	}
-	trial := trials.Flood{Program: program, Seed: f.Seed, Span: f.Span, Cells: f.Cells, Drivers: f.Drivers, Factor: f.Factor,
-		Usual: f.Usual, Tenants: f.Tenants, Dark: f.Dark}
+	trial := trials.Flood{Program: program, Seed: f.Seed, Duration: f.Span, Cells: f.Cells, Drivers: f.Drivers, FloodFactor: f.Factor,
+		BaseLoad: f.Usual, Tenants: f.Tenants, Outage: f.Dark}
 	result, err := trial.Run(ctx)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 		"tenants at %g of the fleet's capacity. Service is the fraction of the utility obtained, within the soft deadline or late.\n\n%s\n",
 		environment(), f.Seed, f.Span, f.Cells, f.Drivers, disturbance, f.Tenants, f.Usual, result.Table)
 	fmt.Printf("Relative to a run without the disturbance, service of tenants in other cells was %.3f with cells and %.3f without;\n"+
-		"service of the other tenants in the disturbed cell was %.3f.\n", result.Kept, result.KeptOff, result.Within)
+		"service of the other tenants in the disturbed cell was %.3f.\n", result.OtherCellsWithCells, result.OtherCellsWithoutCells, result.SameCell)
 	return nil
 }
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	trial := trials.Moves{Program: program, Seed: v.Seed, Count: v.Count, Span: v.Span, Faults: !v.Calm, Tenants: v.Tenants,
+	trial := trials.Moves{Program: program, Seed: v.Seed, MinMoves: v.Count, Timeout: v.Span, Faults: !v.Calm, Tenants: v.Tenants,
 		Keys: v.Keys, Lease: v.Lease, Hold: v.Hold, Voters: v.Voters}
 	startedAt := time.Now()
 	result, err := trial.Run(ctx)
@@ -115,8 +115,8 @@
 	}
 	fmt.Printf("%s\nseed %d, 3 cells of 3 members, 3 drivers and %s, %d tenants of %d keys, lease %v, hold %v, took %v\n\n%s",
 		environment(), v.Seed, coordinator, v.Tenants, v.Keys, v.Lease, v.Hold, time.Since(startedAt).Round(time.Second), result.Table())
-	if len(result.Breaches) > 0 {
-		return fmt.Errorf("%d violations, the first: %+v", len(result.Breaches), result.Breaches[0])
+	if len(result.Violations) > 0 {
+		return fmt.Errorf("%d violations, the first: %+v", len(result.Violations), result.Violations[0])
 	}
 	return nil
 }
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	trial := trials.Versions{Program: program, Seed: v.Seed, Count: v.Count, Span: v.Span, Faults: !v.Calm, Drivers: v.Drivers, Voters: v.Voters,
+	trial := trials.Versions{Program: program, Seed: v.Seed, MinClosed: v.Count, Timeout: v.Span, Faults: !v.Calm, Drivers: v.Drivers, Voters: v.Voters,
 		Lease: v.Lease, Tenants: 4, Keys: 6}
 	startedAt := time.Now()
 	result, err := trial.Run(ctx)
@@ -152,8 +152,8 @@
 	for _, driver := range result.Drivers {
 		fmt.Printf("- %s, start %d, %s, active: %s\n", driver.Name, driver.Start, driver.State, formatVersions(driver.Sightings))
 	}
-	if len(result.Breaches) > 0 {
-		return fmt.Errorf("%d violations, the first: %+v", len(result.Breaches), result.Breaches[0])
+	if len(result.Violations) > 0 {
+		return fmt.Errorf("%d violations, the first: %+v", len(result.Violations), result.Violations[0])
 	}
 	return nil
 }
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -41,8 +41,8 @@
 	program := filepath.Join(dir, "sedgespread")
 	out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
 	require.NoError(t, err, string(out))
-	fleet, err := sockets.Start(emulator.Shape{Groups: 2, Members: 2, Cores: 2, Queue: 10, Service: int64(time.Millisecond), Spread: 0.1,
-		Lag: int64(5 * time.Millisecond), Behind: int64(5 * time.Millisecond), Seed: 1})
+	fleet, err := sockets.Start(emulator.Config{Groups: 2, Members: 2, Cores: 2, QueueLimit: 10, ServiceTime: int64(time.Millisecond), ServiceSigma: 0.1,
+		ReplicaLag: int64(5 * time.Millisecond), FillLag: int64(5 * time.Millisecond), Seed: 1})
 	require.NoError(t, err)
 	defer fleet.Stop()
 	addresses, err := sockets.FreeAddresses(2)
@@ -57,10 +57,10 @@
   budget { rpcs: 50 call_outs: 50 lend: 0.5 }
   coordination { at: %q here: true journal: %q lease_ms: 500 hold_ms: 2000 held: 10 fill_hook: %q }
 }
-`, addresses[0], extra, addresses[1], filepath.Join(dir, "journal"), fleet.FillHook())
+`, addresses[0], extra, addresses[1], filepath.Join(dir, "journal"), fleet.FillHookURL())
 	}
-	methods := []sockets.Method{{Name: "write", Effect: "once", Level: "update", Soft: time.Second, Give: 2 * time.Second, Utility: 1}}
-	drivers, err := fleet.Drivers(program, dir, 1, methods, func(int) string { return configText("") })
+	methods := []sockets.Method{{Name: "write", Effect: "once", ReadLevel: "update", SoftDeadline: time.Second, Timeout: 2 * time.Second, Utility: 1}}
+	drivers, err := fleet.NewDrivers(program, dir, 1, methods, func(int) string { return configText("") })
 	require.NoError(t, err)
 	configPath := filepath.Join(dir, "n0.textproto")
 	writeConfig := func(content string) { require.NoError(t, os.WriteFile(configPath, []byte(content), 0o600)) }
@@ -80,10 +80,10 @@
 	runCells := func(args ...string) (string, bool) {
 		return runProgram(t, program, append([]string{"cells", "--admin", addresses[0]}, args...)...)
 	}
-	clients := fleet.Clients()
+	clients := fleet.NewClients()
 	defer clients.Close()
-	write := func() sockets.Fate {
-		return clients.Ask(context.Background(), driver.Address, sockets.RPC{Method: "write", Key: "club/1", Write: true, Group: 9, Give: 2 * time.Second}).Fate
+	write := func() sockets.Outcome {
+		return clients.Call(context.Background(), driver.Address, sockets.RPC{Method: "write", Key: "club/1", Write: true, Group: 9, Timeout: 2 * time.Second}).Outcome
 	}
 	require.Equal(t, sockets.Served, write())
 
@@ -122,7 +122,7 @@
 	output, _ = runCells("show", "club")
 	require.Contains(t, output, "two (moved)")
 
-	sendHangup := func() { require.NoError(t, driver.Hup()) }
+	sendHangup := func() { require.NoError(t, driver.Reload()) }
 	for _, c := range []struct{ content, message string }{
 		{strings.Replace(configText(""), `weight: 0`, `weight: 2`, 1), `its weight was 0`},
 		{strings.Replace(configText(""), `  cell { name: "two" group: 2 capacity: 100 hall: "turin" weight: 0 }`, "", 1), `it still has club`},
@@ -138,7 +138,7 @@
 	sendHangup()
 	eventually(t, "the new cell is listed", func() bool { output, _ := runCells("list"); return strings.Contains(output, "three") })
 	require.NoError(t, driver.Signal(syscall.SIGTERM))
-	eventually(t, "the driver stops", func() bool { return !driver.Runs() })
+	eventually(t, "the driver stops", func() bool { return !driver.IsRunning() })
 	output, ok = runProgram(t, program, "version")
 	require.True(t, ok)
 	require.Contains(t, output, "sedgespread ")
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,11 +1,11 @@
-// Package emulator is a model of members, their logs and what they do to statements, and a checker of the rules over
-// what was seen. It does no I/O and reads no clock: whoever drives it says what time it is. Package sockets gives it a
-// face on loopback.
+// Package emulator simulates the members of a replicated store and checks what clients observe
+// against the store's guarantees. It does no I/O and reads no clock: the caller passes the time.
+// Package sockets serves a simulated fleet on loopback.
 //
-// A member has cores and a queue in front of them, and takes a drawn time for each statement. A primary appends writes
-// to its group's log when they are done; a replica shows the log as it was a lag ago, and answers as quickly. Positions
-// are Unix time. The store can fill a group with a tenant's data from other groups; until that has caught up the group's
-// members report what they have reached of it.
+// A member has cores with a queue in front of them and draws a service time for each statement. A
+// primary appends completed writes to its group's log; a replica shows that log with a lag.
+// Positions are Unix time. A group can be filled with a tenant's data from other groups; until it
+// has caught up, its members report the position that the fill has reached.
 package emulator
 
 import (
@@ -22,366 +22,373 @@
 )
 
 const (
-	milli  = int64(1_000_000)
-	second = 1000 * milli
+	millisecond = int64(1_000_000)
+	second      = 1000 * millisecond
 )
 
-// Shape is what a fleet is made of. Times are nanoseconds.
-type Shape struct {
-	Groups  int
-	Members int // of a group, its primary among them
-	Cores   int // of a member
-	Queue   int // statements that may wait for a core
-	Service int64
-	Spread  float64 // of the logarithm of the service time
-	Lag     int64   // of a replica, in the mean
-	Behind  int64   // that a group is behind what fills it
-	Seed    uint64
-	Cold    float64 // of its capacity that a member has just after its start, 0 for all
-	Warm    int64   // it has all of it after so long
-	Topple  float64 // sent more than this times its capacity for TopplesIn, a cold member falls over
-	Grace   int64   // a member that drains may still be sent statements for so long
-	Fences  bool    // members turn away what comes under a version that is over
+// Config describes a simulated fleet. Times are in nanoseconds.
+type Config struct {
+	Groups         int
+	Members        int // per group, including the primary
+	Cores          int // per member
+	QueueLimit     int // statements waiting for a core, per member
+	ServiceTime    int64
+	ServiceSigma   float64 // standard deviation of the logarithm of the service time
+	ReplicaLag     int64   // mean lag of a replica behind its primary
+	FillLag        int64   // lag of a fill behind its source groups
+	Seed           uint64
+	ColdCapacity   float64 // share of its capacity that a member has right after a start; 0 disables warm-up
+	WarmUpTime     int64   // after a start, until a member has its full capacity
+	OverloadFactor float64 // a cold member overloads above this multiple of its capacity for OverloadWindow
+	DrainGrace     int64   // statements are still allowed for this long after a member starts draining
+	RejectFenced   bool    // members reject statements with a fence that is no longer valid
 }
 
-// TopplesIn is the time in which a cold member must not be sent more than it bears.
-const TopplesIn = 2 * second
+// OverloadWindow is the period over which the load of a cold member is measured.
+const OverloadWindow = 2 * second
 
-// Able is how many statements a second one member can do.
-func (s Shape) Able() float64 { return float64(s.Cores) / (float64(s.Service) / float64(second)) }
+// MemberRate returns the number of statements per second that a fully warm member can execute.
+func (c Config) MemberRate() float64 {
+	return float64(c.Cores) / (float64(c.ServiceTime) / float64(second))
+}
 
-// MemberID is a member's place in the fleet.
+// MemberID is the index of a member in the fleet.
 type MemberID int
 
-// Fleet is all members with what they hold. Its methods are to be called one after another.
+// Fleet is the simulated fleet. Its methods must not be called concurrently.
 type Fleet struct {
-	Shape
-	groups  []*group
-	members []*member
-	rng     *rand.Rand
-	service distuv.LogNormal
-	seen    *Sight
+	Config
+	groups      []*group
+	members     []*member
+	rng         *rand.Rand
+	serviceTime distuv.LogNormal
+	checker     *Checker
 }
 
 type group struct {
 	number  int64
 	primary MemberID
-	log     map[string][]version // by key, the oldest first
-	feeds   []*feed
+	log     map[string][]write // by key, oldest first
+	fills   []*fill
 }
 
-// version is what a write left.
-type version struct {
+// write is one entry of a group's log.
+type write struct {
 	position int64
-	value    string
+	id       string
 }
 
-// feed brings a tenant's writes of other groups into a group.
-type feed struct {
-	tenant string
-	from   []int64
+// fill copies a tenant's writes from other groups into a group.
+type fill struct {
+	tenant  string
+	sources []int64
 }
 
 type member struct {
-	group   *group
-	free    []int64 // by core, when it will be
-	starts  []int64 // of statements that wait, the first first
-	lag     int64   // of a replica
-	applied int64
-	slowed  int64 // everything takes so many times as long, 0 for 1
-	silent  int64 // it says nothing until then
-	mute    bool  // it does what it is told and loses the answers
-	started int64 // its last start, 0 for long ago
-	lives   int   // its starts, counted, so that what was taken before is not done after
-	drained int64 // it drains since, 0 for not
-	warden  versions.FenceChecker
-	fed     []int64 // while it is cold, when statements came, the first first
+	group           *group
+	coreFreeAt      []int64 // by core, the time at which it becomes free
+	queuedStarts    []int64 // start times of queued statements, in order
+	lag             int64   // of a replica, behind its primary
+	appliedPosition int64
+	slowdown        int64 // factor on the service time, 0 for none
+	pausedUntil     int64 // no statement starts before this time
+	losesReplies    bool  // statements are executed but their replies are lost
+	startedAt       int64 // last start, 0 if it has run since before the simulation
+	restarts        int   // distinguishes starts, so that statements of an earlier one are not executed
+	drainingSince   int64 // 0 if it is not draining
+	fenceState      versions.FenceChecker
+	coldArrivals    []int64 // arrival times in the last OverloadWindow while it is cold, in order
 }
 
-// NewFleet makes a fleet; groups are numbered from 1, and the first member of each is its primary.
-func NewFleet(s Shape, seen *Sight) *Fleet {
-	f := &Fleet{Shape: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), seen: seen}
-	f.service = distuv.LogNormal{Mu: 0, Sigma: s.Spread, Src: f.rng}
-	for g := range s.Groups {
-		at := &group{number: int64(g + 1), primary: MemberID(g * s.Members), log: map[string][]version{}}
-		f.groups = append(f.groups, at)
-		for range s.Members {
-			f.members = append(f.members, &member{group: at, free: make([]int64, s.Cores), lag: s.Lag/2 + f.rng.Int64N(s.Lag+1)})
+// NewFleet returns a fleet. Groups are numbered from 1; the first member of each is its primary.
+func NewFleet(config Config, checker *Checker) *Fleet {
+	f := &Fleet{Config: config, rng: rand.New(rand.NewPCG(config.Seed, 1)), checker: checker}
+	f.serviceTime = distuv.LogNormal{Mu: 0, Sigma: config.ServiceSigma, Src: f.rng}
+	for index := range config.Groups {
+		newGroup := &group{number: int64(index + 1), primary: MemberID(index * config.Members), log: map[string][]write{}}
+		f.groups = append(f.groups, newGroup)
+		for range config.Members {
+			f.members = append(f.members, &member{group: newGroup, coreFreeAt: make([]int64, config.Cores), lag: config.ReplicaLag/2 + f.rng.Int64N(config.ReplicaLag+1)})
 		}
 	}
 	return f
 }
 
-// Count is how many members there are.
-func (f *Fleet) Count() int { return len(f.members) }
+// MemberCount returns the number of members.
+func (f *Fleet) MemberCount() int { return len(f.members) }
 
-// Group is a member's group.
+// Group returns the number of a member's group.
 func (f *Fleet) Group(m MemberID) int64 { return f.members[m].group.number }
 
-// Primary tells whether a member is its group's primary.
-func (f *Fleet) Primary(m MemberID) bool { return f.members[m].group.primary == m }
+// IsPrimary reports whether a member is its group's primary.
+func (f *Fleet) IsPrimary(m MemberID) bool { return f.members[m].group.primary == m }
 
-// Statement is what a member is sent.
+// Statement is a read or write sent to a member.
 type Statement struct {
 	ID, Key string
 	Write   bool
-	Within  int64 // its sender waits so long
+	Timeout int64 // how long its sender waits, in nanoseconds
 	Fence   versions.Fence
 }
 
-// TenantOf is the tenant whose key it is: the part before the first slash.
+// TenantOf returns the tenant that owns a key: the part before the first slash.
 func TenantOf(key string) string {
 	tenant, _, _ := strings.Cut(key, "/")
 	return tenant
 }
 
-// Refusal is why a member does not do a statement.
-type Refusal int
+// Admission is the result of offering a statement to a member.
+type Admission int
 
 const (
-	Taken Refusal = iota
-	Full
-	ReadOnly
+	Admitted Admission = iota
+	QueueFull
+	NotPrimary
 	Fenced
 )
 
-// Arrive takes a statement in, and tells when it will be done.
-func (f *Fleet) Arrive(now int64, m MemberID, s Statement) (done int64, r Refusal) {
-	at := f.members[m]
-	f.seen.arrive(s, m, now)
-	f.judge(now, m, s)
-	turned := !at.warden.Accept(s.Fence) && f.Fences
-	f.seen.fence(s, now, turned)
-	if turned {
-		f.seen.refuse(s)
+// Admit offers a statement to a member. If it is admitted, done is the time at which to execute it.
+func (f *Fleet) Admit(now int64, m MemberID, s Statement) (done int64, admission Admission) {
+	target := f.members[m]
+	f.checker.recordArrival(s, m, now)
+	f.checkArrival(now, m, s)
+	fenced := !target.fenceState.Accept(s.Fence) && f.RejectFenced
+	f.checker.recordFence(s, now, fenced)
+	if fenced {
+		f.checker.recordRejection(s)
 		return 0, Fenced
 	}
-	if s.Write && at.group.primary != m {
-		f.seen.refuse(s)
-		return 0, ReadOnly
+	if s.Write && target.group.primary != m {
+		f.checker.recordRejection(s)
+		return 0, NotPrimary
 	}
-	at.starts = slices.DeleteFunc(at.starts, func(start int64) bool { return start <= now })
-	if len(at.starts) >= f.Queue {
-		f.seen.refuse(s)
-		return 0, Full
+	target.queuedStarts = slices.DeleteFunc(target.queuedStarts, func(start int64) bool { return start <= now })
+	if len(target.queuedStarts) >= f.QueueLimit {
+		f.checker.recordRejection(s)
+		return 0, QueueFull
 	}
 	core := 0
-	for c, free := range at.free {
-		if free < at.free[core] {
-			core = c
+	for i, freeAt := range target.coreFreeAt {
+		if freeAt < target.coreFreeAt[core] {
+			core = i
 		}
 	}
-	start := max(now, at.free[core], at.silent)
-	took := int64(float64(f.Service) * f.service.Rand())
-	if at.slowed > 1 {
-		took *= at.slowed
+	start := max(now, target.coreFreeAt[core], target.pausedUntil)
+	duration := int64(float64(f.ServiceTime) * f.serviceTime.Rand())
+	if target.slowdown > 1 {
+		duration *= target.slowdown
 	}
-	took = int64(float64(took) / f.warmth(now, at))
-	at.free[core] = start + took
+	duration = int64(float64(duration) / f.capacityShare(now, target))
+	target.coreFreeAt[core] = start + duration
 	if start > now {
-		at.starts = append(at.starts, start)
+		target.queuedStarts = append(target.queuedStarts, start)
 	}
-	return start + took, Taken
+	return start + duration, Admitted
 }
 
-// warmth is the part of its capacity that a member has.
-func (f *Fleet) warmth(now int64, m *member) float64 {
-	age := now - m.started
-	if m.started == 0 || f.Cold == 0 || age >= f.Warm {
+// capacityShare returns the share of its full capacity that a member has, depending on its warm-up.
+func (f *Fleet) capacityShare(now int64, m *member) float64 {
+	age := now - m.startedAt
+	if m.startedAt == 0 || f.ColdCapacity == 0 || age >= f.WarmUpTime {
 		return 1
 	}
-	return f.Cold + (1-f.Cold)*float64(age)/float64(f.Warm)
+	return f.ColdCapacity + (1-f.ColdCapacity)*float64(age)/float64(f.WarmUpTime)
 }
 
-// judge checks what reaches a member against the rules on members that drain and on cold ones.
-func (f *Fleet) judge(now int64, m MemberID, s Statement) {
-	at := f.members[m]
-	if at.drained != 0 && now-at.drained > f.Grace {
-		f.seen.Breach(RuleDrain, s.ID, "member %d got a call-out %d ms after it began to drain", m, (now-at.drained)/milli)
+// checkArrival records violations of the rules on draining and cold members.
+func (f *Fleet) checkArrival(now int64, m MemberID, s Statement) {
+	target := f.members[m]
+	if target.drainingSince != 0 && now-target.drainingSince > f.DrainGrace {
+		f.checker.RecordViolation(RuleDraining, s.ID, "member %d received an attempt %d ms after it started draining", m, (now-target.drainingSince)/millisecond)
 	}
-	share := f.warmth(now, at)
+	share := f.capacityShare(now, target)
 	if share == 1 {
-		at.fed = nil
+		target.coldArrivals = nil
 		return
 	}
-	at.fed = append(slices.DeleteFunc(at.fed, func(t int64) bool { return now-t > TopplesIn }), now)
-	bears := f.Topple * share * f.Able() * float64(TopplesIn) / float64(second)
-	if float64(len(at.fed)) > bears+2*math.Sqrt(bears)+2 { // a little for chance
-		f.seen.Breach(RuleCold, s.ID, "member %d, at %.2f of its capacity, got %d statements in %d ms", m, share, len(at.fed), TopplesIn/milli)
-		at.silent = now + 10*second
+	target.coldArrivals = append(slices.DeleteFunc(target.coldArrivals, func(t int64) bool { return now-t > OverloadWindow }), now)
+	expectedMax := f.OverloadFactor * share * f.MemberRate() * float64(OverloadWindow) / float64(second)
+	if float64(len(target.coldArrivals)) > expectedMax+2*math.Sqrt(expectedMax)+2 { // allow for random bursts
+		f.checker.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, received %d statements in %d ms", m, share, len(target.coldArrivals), OverloadWindow/millisecond)
+		target.pausedUntil = now + 10*second
 	}
 }
 
-// Drain lets a member drain, or serve again.
-func (f *Fleet) Drain(now int64, m MemberID, drains bool) {
-	f.members[m].drained = 0
-	if drains {
-		f.members[m].drained = now
+// SetDraining makes a member drain or serve again.
+func (f *Fleet) SetDraining(now int64, m MemberID, draining bool) {
+	f.members[m].drainingSince = 0
+	if draining {
+		f.members[m].drainingSince = now
 	}
 }
 
-// Drains tells whether a member drains.
-func (f *Fleet) Drains(m MemberID) bool { return f.members[m].drained != 0 }
+// IsDraining reports whether a member is draining.
+func (f *Fleet) IsDraining(m MemberID) bool { return f.members[m].drainingSince != 0 }
 
-// Restart starts a member anew: it is cold, and what it had taken is not done. Its data is still there.
+// Restart restarts a member: it is cold, keeps its data and loses the statements it had admitted.
 func (f *Fleet) Restart(now int64, m MemberID) {
-	at := f.members[m]
-	at.started, at.fed, at.starts, at.silent, at.free = now, nil, nil, 0, make([]int64, f.Cores)
-	at.lives++
+	target := f.members[m]
+	target.startedAt, target.coldArrivals, target.queuedStarts, target.pausedUntil, target.coreFreeAt = now, nil, nil, 0, make([]int64, f.Cores)
+	target.restarts++
 }
 
-// Started is when a member started last, 0 for long ago, and its how manieth life it is.
-func (f *Fleet) Started(m MemberID) (at int64, life int) {
-	return f.members[m].started, f.members[m].lives
+// Started returns the time of a member's last start, 0 if before the simulation, and how often it
+// was restarted.
+func (f *Fleet) Started(m MemberID) (at int64, restarts int) {
+	return f.members[m].startedAt, f.members[m].restarts
 }
 
-// Answer is what a member says of itself, and of a statement what came of it.
-type Answer struct {
+// Response is a member's status and, for a statement, its result.
+type Response struct {
 	Value    string
 	Primary  bool
-	Position int64 // of the member, or of the write
-	Lost     bool  // it does not come
+	Position int64 // of the write, or for a read of the member
+	IsLost   bool  // the reply does not reach the sender
 }
 
-// Do does a statement whose time has come.
-func (f *Fleet) Do(now int64, m MemberID, s Statement) Answer {
-	at := f.members[m]
-	a := Answer{Primary: at.group.primary == m, Lost: at.mute}
+// Execute executes an admitted statement. The caller calls it at the time returned by Admit.
+func (f *Fleet) Execute(now int64, m MemberID, s Statement) Response {
+	target := f.members[m]
+	response := Response{Primary: target.group.primary == m, IsLost: target.losesReplies}
 	if !s.Write {
-		a.Position = f.position(now, m)
-		own := at.apply(now) // what fills a group does not take back what it has
-		if a.Primary {
-			own = math.MaxInt64
+		response.Position = f.position(now, m)
+		applied := target.advance(now) // a fill does not hide writes that are already applied
+		if response.Primary {
+			applied = math.MaxInt64
 		}
-		a.Value = f.value(at.group, s.Key, own, a.Position)
-		return a
+		response.Value = f.visibleValue(target.group, s.Key, applied, response.Position)
+		return response
 	}
-	position := stamp(now)
-	if versions := at.group.log[s.Key]; len(versions) > 0 {
-		position = max(position, versions[len(versions)-1].position+milli)
+	position := roundPosition(now)
+	if writes := target.group.log[s.Key]; len(writes) > 0 {
+		position = max(position, writes[len(writes)-1].position+millisecond)
 	}
-	at.group.log[s.Key] = append(at.group.log[s.Key], version{position, s.ID})
-	f.seen.effect(s, at.group.number, position)
-	a.Value, a.Position = s.ID, position
-	return a
+	target.group.log[s.Key] = append(target.group.log[s.Key], write{position, s.ID})
+	f.checker.recordEffect(s, target.group.number, position)
+	response.Value, response.Position = s.ID, position
+	return response
 }
 
-// Look is what a member tells of itself.
-func (f *Fleet) Look(now int64, m MemberID) Answer {
-	return Answer{Primary: f.Primary(m), Position: f.position(now, m)}
+// Status returns a member's role and position.
+func (f *Fleet) Status(now int64, m MemberID) Response {
+	return Response{Primary: f.IsPrimary(m), Position: f.position(now, m)}
 }
 
-// stamp is the position of a moment: positions are told in whole milliseconds.
-func stamp(now int64) int64 { return (now + milli - 1) / milli * milli }
+// roundPosition rounds a time up to a position: positions are whole milliseconds.
+func roundPosition(now int64) int64 { return (now + millisecond - 1) / millisecond * millisecond }
 
-// apply is how far a replica has its group's log: it never goes back, however its lag grows.
-func (m *member) apply(now int64) int64 {
-	m.applied = max(m.applied, stamp(now)-m.lag)
-	return m.applied
+// advance returns the position up to which a replica has applied its group's log. It never goes
+// back, even if the lag grows.
+func (m *member) advance(now int64) int64 {
+	m.appliedPosition = max(m.appliedPosition, roundPosition(now)-m.lag)
+	return m.appliedPosition
 }
 
-// position is how far a member has come: behind by its lag, and by what fills its group.
+// position returns the position that a member reports, which includes the lag of any fill of its
+// group.
 func (f *Fleet) position(now int64, m MemberID) int64 {
-	at, p := f.members[m], stamp(now)
-	if at.group.primary != m {
-		p = at.apply(now)
+	target, p := f.members[m], roundPosition(now)
+	if target.group.primary != m {
+		p = target.advance(now)
 	}
-	if len(at.group.feeds) > 0 {
-		return p - f.Behind
+	if len(target.group.fills) > 0 {
+		return p - f.FillLag
 	}
 	return p
 }
 
-// value is what a group shows of a key: of its own up to one position, and of what fills it just now up to another.
-func (f *Fleet) value(g *group, key string, own, filled int64) string {
-	v := newest(g.log[key], own)
-	for _, d := range g.feeds {
-		if d.tenant != TenantOf(key) {
+// visibleValue returns the newest value of a key from the group's own log up to applied and from
+// its fills up to filled.
+func (f *Fleet) visibleValue(g *group, key string, applied, filled int64) string {
+	latest := latestWrite(g.log[key], applied)
+	for _, active := range g.fills {
+		if active.tenant != TenantOf(key) {
 			continue
 		}
-		for _, from := range d.from {
-			if other := newest(f.find(from).log[key], filled); other.position > v.position {
-				v = other
+		for _, source := range active.sources {
+			if other := latestWrite(f.groupByNumber(source).log[key], filled); other.position > latest.position {
+				latest = other
 			}
 		}
 	}
-	return v.value
+	return latest.id
 }
 
-// newest is the newest version up to a position.
-func newest(versions []version, position int64) version {
-	n := sort.Search(len(versions), func(i int) bool { return versions[i].position > position })
+// latestWrite returns the last write at or before a position.
+func latestWrite(writes []write, position int64) write {
+	n := sort.Search(len(writes), func(i int) bool { return writes[i].position > position })
 	if n == 0 {
-		return version{}
+		return write{}
 	}
-	return versions[n-1]
+	return writes[n-1]
 }
 
-func (f *Fleet) find(number int64) *group { return f.groups[number-1] }
+func (f *Fleet) groupByNumber(number int64) *group { return f.groups[number-1] }
 
-// Fill begins to fill groups with what others have of a tenant. It may be told more than once.
-func (f *Fleet) Fill(tenant string, from, to []int64) {
-	f.DropFill(tenant)
-	for _, number := range to {
-		g := f.find(number)
-		g.feeds = append(g.feeds, &feed{tenant: tenant, from: from})
+// BeginFill starts filling groups with a tenant's data from other groups, replacing a fill of that
+// tenant that is in progress.
+func (f *Fleet) BeginFill(tenant string, sources, targets []int64) {
+	f.DiscardFill(tenant)
+	for _, number := range targets {
+		g := f.groupByNumber(number)
+		g.fills = append(g.fills, &fill{tenant: tenant, sources: sources})
 	}
 }
 
-// EndFill ends the filling with a tenant's data at a position: what came up to there is the group's own from here on, and
-// nothing later comes.
+// EndFill ends the fill of a tenant at a position: writes up to it become part of the filled
+// groups, later ones are not copied.
 func (f *Fleet) EndFill(tenant string, position int64) {
 	for _, g := range f.groups {
-		for _, d := range g.feeds {
-			if d.tenant != tenant {
+		for _, active := range g.fills {
+			if active.tenant != tenant {
 				continue
 			}
-			for _, from := range d.from {
-				g.merge(f.find(from), tenant, position)
+			for _, source := range active.sources {
+				g.merge(f.groupByNumber(source), tenant, position)
 			}
 		}
 	}
-	f.DropFill(tenant)
+	f.DiscardFill(tenant)
 }
 
-// merge takes over what another group has of a tenant up to a position.
-func (g *group) merge(from *group, tenant string, position int64) {
-	for key, versions := range from.log {
+// merge copies a tenant's writes up to a position from another group's log.
+func (g *group) merge(source *group, tenant string, position int64) {
+	for key, writes := range source.log {
 		if TenantOf(key) != tenant {
 			continue
 		}
-		n := sort.Search(len(versions), func(i int) bool { return versions[i].position > position })
-		all := append(slices.Clone(g.log[key]), versions[:n]...)
-		slices.SortStableFunc(all, func(a, b version) int {
-			return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.value, b.value))
+		n := sort.Search(len(writes), func(i int) bool { return writes[i].position > position })
+		all := append(slices.Clone(g.log[key]), writes[:n]...)
+		slices.SortStableFunc(all, func(a, b write) int {
+			return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.id, b.id))
 		})
 		g.log[key] = slices.Compact(all)
 	}
 }
 
-// DropFill ends the filling with a tenant's data and throws away what came.
-func (f *Fleet) DropFill(tenant string) {
+// DiscardFill ends the fill of a tenant and drops the data that it copied.
+func (f *Fleet) DiscardFill(tenant string) {
 	for _, g := range f.groups {
-		g.feeds = slices.DeleteFunc(g.feeds, func(d *feed) bool { return d.tenant == tenant })
+		g.fills = slices.DeleteFunc(g.fills, func(candidate *fill) bool { return candidate.tenant == tenant })
 	}
 }
 
-// Slow makes a member so many times as slow; 1 makes it as before.
-func (f *Fleet) Slow(m MemberID, times int64) { f.members[m].slowed = times }
+// SetSlowdown multiplies a member's service times; a factor of 1 restores them.
+func (f *Fleet) SetSlowdown(m MemberID, factor int64) { f.members[m].slowdown = factor }
 
-// Pause lets a member stand still until a time.
-func (f *Fleet) Pause(m MemberID, until int64) { f.members[m].silent = until }
+// PauseUntil keeps a member from starting statements until a time.
+func (f *Fleet) PauseUntil(m MemberID, until int64) { f.members[m].pausedUntil = until }
 
-// Mute makes a member lose its answers though it does what it is told.
-func (f *Fleet) Mute(m MemberID, mute bool) { f.members[m].mute = mute }
+// SetReplyLoss makes a member execute statements without its replies reaching the sender.
+func (f *Fleet) SetReplyLoss(m MemberID, loses bool) { f.members[m].losesReplies = loses }
 
-// LagBy sets how far a replica is behind.
-func (f *Fleet) LagBy(now int64, m MemberID, lag int64) {
-	f.members[m].apply(now)
+// SetLag sets the lag of a replica.
+func (f *Fleet) SetLag(now int64, m MemberID, lag int64) {
+	f.members[m].advance(now)
 	f.members[m].lag = lag
 }
 
-// Holds tells whether a group has a write of a key.
-func (f *Fleet) Holds(number int64, key, id string) bool {
-	return slices.ContainsFunc(f.find(number).log[key], func(v version) bool { return v.value == id })
+// HasWrite reports whether a group's log has a write of a key.
+func (f *Fleet) HasWrite(number int64, key, id string) bool {
+	return slices.ContainsFunc(f.groupByNumber(number).log[key], func(entry write) bool { return entry.id == id })
 }
--- a/internal/emulator/links/draw.go
+++ b/internal/emulator/links/draw.go
@@ -7,52 +7,53 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Kind is a trouble to be drawn: whom it may befall, how often in the mean, and how long and how much.
-type Kind struct {
-	What          What
-	Every         time.Duration // between two of it, in the mean
-	From, To      []string      // of links
-	Names         []string      // of processes
-	Both          bool          // a link fails in both directions
-	Least, Most   time.Duration // it lasts
-	Amount, Upto  float64
-	Spread, Share float64
+// FaultSpec describes random faults of one type: how often they occur, where, for how long and how
+// strongly.
+type FaultSpec struct {
+	Fault                    FaultType
+	MeanInterval             time.Duration // between the starts of two faults
+	From, To                 []string      // candidates for the ends of a link
+	Processes                []string      // candidates for faults of processes
+	BothDirections           bool          // affect both directions of a link
+	MinDuration, MaxDuration time.Duration
+	Amount, MaxAmount        float64
+	Jitter, Share            float64
 }
 
-// Draw draws a timeline of so long from a seed: each kind's troubles as a Poisson process of its own, so that one more kind
-// leaves the others' where they were.
-func Draw(seed uint64, span time.Duration, kinds []Kind) (t Timeline) {
-	for i, k := range kinds {
+// Draw generates a timeline of the given length from a seed. Each spec is a Poisson process with
+// its own random source, so that adding a spec does not change the events of the others.
+func Draw(seed uint64, length time.Duration, specs []FaultSpec) (timeline Timeline) {
+	for i, spec := range specs {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)+1))
-		gap := distuv.Exponential{Rate: 1 / k.Every.Seconds(), Src: rng}
-		for at := seconds(gap.Rand()); at < span; at += seconds(gap.Rand()) {
-			t = append(t, k.draw(rng, at)...)
+		interval := distuv.Exponential{Rate: 1 / spec.MeanInterval.Seconds(), Src: rng}
+		for at := seconds(interval.Rand()); at < length; at += seconds(interval.Rand()) {
+			timeline = append(timeline, spec.draw(rng, at)...)
 		}
 	}
-	return t.sorted()
+	return timeline.sorted()
 }
 
-// draw draws one trouble, which is two events where both directions fail.
-func (k *Kind) draw(rng *rand.Rand, at time.Duration) []Event {
-	e := Event{At: at.Truncate(time.Millisecond), What: k.What, Share: k.Share, Spread: k.Spread, Amount: k.Amount}
-	if k.Upto > k.Amount {
-		e.Amount += float64(int(rng.Float64()*(k.Upto-k.Amount)*1000)) / 1000
+// draw generates one fault: one event, or two if both directions are affected.
+func (s *FaultSpec) draw(rng *rand.Rand, at time.Duration) []Event {
+	e := Event{At: at.Truncate(time.Millisecond), Fault: s.Fault, Share: s.Share, Jitter: s.Jitter, Amount: s.Amount}
+	if s.MaxAmount > s.Amount {
+		e.Amount += float64(int(rng.Float64()*(s.MaxAmount-s.Amount)*1000)) / 1000
 	}
-	if k.What.lasts() {
-		e.For = (k.Least + time.Duration(rng.Float64()*float64(k.Most-k.Least))).Truncate(time.Millisecond)
+	if s.Fault.hasDuration() {
+		e.Duration = (s.MinDuration + time.Duration(rng.Float64()*float64(s.MaxDuration-s.MinDuration))).Truncate(time.Millisecond)
 	}
-	if !k.What.onLinks() {
-		e.Name = k.Names[rng.IntN(len(k.Names))]
+	if !s.Fault.affectsLinks() {
+		e.Process = s.Processes[rng.IntN(len(s.Processes))]
 		return []Event{e}
 	}
-	e.Way = Way{k.From[rng.IntN(len(k.From))], k.To[rng.IntN(len(k.To))]}
-	if e.Way.From == e.Way.To {
-		e.Way.To = "*"
+	e.Link = Link{s.From[rng.IntN(len(s.From))], s.To[rng.IntN(len(s.To))]}
+	if e.Link.From == e.Link.To {
+		e.Link.To = "*"
 	}
-	if !k.Both {
+	if !s.BothDirections {
 		return []Event{e}
 	}
-	back := e
-	back.Way = e.Way.Back()
-	return []Event{e, back}
+	reverse := e
+	reverse.Link = e.Link.Reverse()
+	return []Event{e, reverse}
 }
--- a/internal/emulator/links/links.go
+++ b/internal/emulator/links/links.go
@@ -1,6 +1,7 @@
-// Package links lets the links between processes fail on purpose, and the processes themselves: by a timeline that is drawn
-// from a seed or read from a file, printed as it is played, and played again from what was printed. What is said about a
-// link is decided in this package without I/O; package relays does it to bytes on loopback.
+// Package links describes faults of the links between processes and of the processes themselves as
+// a timeline of events. A timeline is generated from a seed or parsed from text; its text form can
+// be parsed and played again. The package does no I/O; package relays applies the faults to
+// connections on loopback.
 package links
 
 import (
@@ -11,97 +12,99 @@
 	"time"
 )
 
-// Way is one direction between two named processes. A star stands for any.
-type Way struct{ From, To string }
+// Link is one direction between two named processes. An asterisk matches any process.
+type Link struct{ From, To string }
 
-func (w Way) String() string { return w.From + ">" + w.To }
+// String returns the link in the notation of timelines, FROM>TO.
+func (l Link) String() string { return l.From + ">" + l.To }
 
-// Back is the other direction.
-func (w Way) Back() Way { return Way{w.To, w.From} }
+// Reverse returns the other direction.
+func (l Link) Reverse() Link { return Link{l.To, l.From} }
 
-// Covers tells whether a way, maybe with stars, is about another.
-func (w Way) Covers(other Way) bool {
-	return (w.From == "*" || w.From == other.From) && (w.To == "*" || w.To == other.To)
+// Matches reports whether a link, which may have asterisks, includes another.
+func (l Link) Matches(other Link) bool {
+	return (l.From == "*" || l.From == other.From) && (l.To == "*" || l.To == other.To)
 }
 
-// What is a kind of trouble.
-type What int
+// FaultType is a kind of fault.
+type FaultType int
 
 const (
-	Delay    What = iota // bytes and datagrams come later, by Amount and up to Spread more
-	Silent               // nothing arrives; what is sent meanwhile arrives afterwards, as it does when it is sent again
-	Cut                  // connections end at once, and no new one is to be had
-	Lossy                // a part of the datagrams is lost: Share
-	Doubled              // a part of the datagrams arrives twice: Share
-	Shuffled             // a part of the datagrams is overtaken by the next: Share
-	Slow                 // so many bytes a second: Amount
-	Reset                // connections are reset, once
-	Chop                 // Amount more bytes of each connection arrive, and then it is reset: a frame cut in the middle
-	Pause                // a process stands still
-	Kill                 // a process is killed, and started again at the end, with its disk
-	Empty                // the same, with an empty disk
-	Old                  // the same, with the copy of its disk made last
-	Copy                 // a copy of a process's disk is made
-	Twin                 // a second process of its name runs
-	Skew                 // a process is killed and started again with a wall clock that is off by Amount
+	Delay       FaultType = iota // data is delayed by Amount, plus a random time up to Jitter
+	Silent                       // data is held and delivered when the fault ends, as if retransmitted; datagrams are lost
+	Cut                          // connections are reset and new ones refused
+	Lose                         // a Share of the datagrams is lost
+	Duplicate                    // a Share of the datagrams is duplicated
+	Reorder                      // a Share of the datagrams is overtaken by later ones
+	Throttle                     // throughput is limited to Amount bytes per second
+	Reset                        // connections are reset once
+	Truncate                     // connections are reset after Amount more bytes, as in the middle of a frame
+	Pause                        // a process is paused
+	Kill                         // a process is killed and restarted with its disk when the fault ends
+	WipeDisk                     // like Kill, with an empty disk
+	RestoreDisk                  // like Kill, with the last copy of its disk
+	CopyDisk                     // the disk of a process is copied
+	Twin                         // a second process of the same name runs
+	SkewClock                    // a process is killed and restarted with a wall clock offset of Amount
 )
 
-var names = [...]string{"delay", "silent", "cut", "lossy", "doubled", "shuffled", "slow", "reset", "chop", "pause", "kill", "empty",
+var faultNames = [...]string{"delay", "silent", "cut", "lossy", "doubled", "shuffled", "slow", "reset", "chop", "pause", "kill", "empty",
 	"old", "copy", "twin", "skew"}
 
-func (w What) String() string { return names[w] }
+// String returns the name of the fault in the notation of timelines.
+func (f FaultType) String() string { return faultNames[f] }
 
-// onLinks tells whether it happens to links; the others happen to processes.
-func (w What) onLinks() bool { return w <= Chop }
+// affectsLinks reports whether the fault applies to links; the others apply to processes.
+func (f FaultType) affectsLinks() bool { return f <= Truncate }
 
-// lasts tells whether it has an end.
-func (w What) lasts() bool { return w != Reset && w != Chop && w != Copy }
+// hasDuration reports whether the fault has an end.
+func (f FaultType) hasDuration() bool { return f != Reset && f != Truncate && f != CopyDisk }
 
-// Event is one trouble.
+// Event is one fault of a timeline.
 type Event struct {
-	At     time.Duration // after the timeline's begin
-	What   What
-	Way    Way    // of links
-	Name   string // of a process
-	For    time.Duration
-	Amount float64 // seconds, bytes, or bytes a second
-	Spread float64 // seconds
-	Share  float64 // from 0 to 1
+	At       time.Duration // since the start of the timeline
+	Fault    FaultType
+	Link     Link   // for faults of links
+	Process  string // for faults of processes
+	Duration time.Duration
+	Amount   float64 // seconds, bytes, or bytes per second
+	Jitter   float64 // seconds
+	Share    float64 // from 0 to 1
 }
 
-// String is the event as Parse reads it.
+// String formats the event for Parse.
 func (e Event) String() string {
 	var b strings.Builder
-	where := e.Name
-	if e.What.onLinks() {
-		where = e.Way.String()
+	target := e.Process
+	if e.Fault.affectsLinks() {
+		target = e.Link.String()
 	}
-	fmt.Fprintf(&b, "%.3f %s %s", e.At.Seconds(), e.What, where)
-	switch e.What {
+	fmt.Fprintf(&b, "%.3f %s %s", e.At.Seconds(), e.Fault, target)
+	switch e.Fault {
 	case Delay:
 		fmt.Fprintf(&b, " by %gs", e.Amount)
-		if e.Spread > 0 {
-			fmt.Fprintf(&b, " spread %gs", e.Spread)
+		if e.Jitter > 0 {
+			fmt.Fprintf(&b, " spread %gs", e.Jitter)
 		}
-	case Slow:
+	case Throttle:
 		fmt.Fprintf(&b, " to %gB/s", e.Amount)
-	case Chop:
+	case Truncate:
 		fmt.Fprintf(&b, " after %gB", e.Amount)
-	case Skew:
+	case SkewClock:
 		fmt.Fprintf(&b, " by %gs", e.Amount)
-	case Lossy, Doubled, Shuffled:
+	case Lose, Duplicate, Reorder:
 		fmt.Fprintf(&b, " share %g", e.Share)
 	}
-	if e.What.lasts() {
-		fmt.Fprintf(&b, " for %gs", e.For.Seconds())
+	if e.Fault.hasDuration() {
+		fmt.Fprintf(&b, " for %gs", e.Duration.Seconds())
 	}
 	return b.String()
 }
 
-// Timeline is troubles in the order in which they begin.
+// Timeline is a list of events ordered by start.
 type Timeline []Event
 
-// String is the timeline as Parse reads it, a line an event.
+// String formats the timeline for Parse, one event per line.
 func (t Timeline) String() string {
 	var b strings.Builder
 	for _, e := range t {
@@ -110,10 +113,10 @@
 	return b.String()
 }
 
-// Ends is when the last trouble is over.
-func (t Timeline) Ends() (end time.Duration) {
+// End returns the time at which the last fault ends.
+func (t Timeline) End() (end time.Duration) {
 	for _, e := range t {
-		end = max(end, e.At+e.For)
+		end = max(end, e.At+e.Duration)
 	}
 	return end
 }
@@ -123,57 +126,57 @@
 	return t
 }
 
-// Weather is what troubles links at a moment.
-type Weather struct{ now []Event }
+// ActiveFaults are the faults of links that are in effect.
+type ActiveFaults struct{ events []Event }
 
-// Begin lets a trouble of links begin.
-func (w *Weather) Begin(e Event) { w.now = append(w.now, e) }
+// Add puts a fault into effect.
+func (f *ActiveFaults) Add(e Event) { f.events = append(f.events, e) }
 
-// End ends it.
-func (w *Weather) End(e Event) {
-	if at := slices.Index(w.now, e); at >= 0 {
-		w.now = slices.Delete(w.now, at, at+1)
+// Remove ends a fault.
+func (f *ActiveFaults) Remove(e Event) {
+	if i := slices.Index(f.events, e); i >= 0 {
+		f.events = slices.Delete(f.events, i, i+1)
 	}
 }
 
-// State is how a way is.
-type State struct {
-	Delay, Spread           time.Duration
-	Silent, Cut             bool
-	Loss, Doubled, Shuffled float64
-	Pace                    float64 // bytes a second, 0 for no limit
+// LinkState is the combined effect of the active faults on one link.
+type LinkState struct {
+	Delay, Jitter               time.Duration
+	Silent, Cut                 bool
+	Lost, Duplicated, Reordered float64
+	BytesPerSecond              float64 // 0 for no limit
 }
 
-// Of is how a way is now: all troubles on it together.
-func (w *Weather) Of(way Way) (s State) {
-	for _, e := range w.now {
-		if !e.Way.Covers(way) {
+// StateOf returns the combined effect of all active faults on a link.
+func (f *ActiveFaults) StateOf(link Link) (state LinkState) {
+	for _, e := range f.events {
+		if !e.Link.Matches(link) {
 			continue
 		}
-		switch e.What {
+		switch e.Fault {
 		case Delay:
-			s.Delay += seconds(e.Amount)
-			s.Spread += seconds(e.Spread)
+			state.Delay += seconds(e.Amount)
+			state.Jitter += seconds(e.Jitter)
 		case Silent:
-			s.Silent = true
+			state.Silent = true
 		case Cut:
-			s.Cut = true
-		case Lossy:
-			s.Loss = either(s.Loss, e.Share)
-		case Doubled:
-			s.Doubled = either(s.Doubled, e.Share)
-		case Shuffled:
-			s.Shuffled = either(s.Shuffled, e.Share)
-		case Slow:
-			if s.Pace == 0 || e.Amount < s.Pace {
-				s.Pace = e.Amount
+			state.Cut = true
+		case Lose:
+			state.Lost = combinedProbability(state.Lost, e.Share)
+		case Duplicate:
+			state.Duplicated = combinedProbability(state.Duplicated, e.Share)
+		case Reorder:
+			state.Reordered = combinedProbability(state.Reordered, e.Share)
+		case Throttle:
+			if state.BytesPerSecond == 0 || e.Amount < state.BytesPerSecond {
+				state.BytesPerSecond = e.Amount
 			}
 		}
 	}
-	return s
+	return state
 }
 
 func seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
 
-// either is the chance of at least one of two.
-func either(a, b float64) float64 { return 1 - (1-a)*(1-b) }
+// combinedProbability returns the probability that at least one of two independent events happens.
+func combinedProbability(a, b float64) float64 { return 1 - (1-a)*(1-b) }
--- a/internal/emulator/links/links_test.go
+++ b/internal/emulator/links/links_test.go
@@ -7,91 +7,92 @@
 	"github.com/stretchr/testify/require"
 )
 
-func kinds() []Kind {
-	return []Kind{
-		{What: Delay, Every: time.Second, From: []string{"a", "b"}, To: []string{"a", "b"}, Least: time.Second, Most: 2 * time.Second, Amount: 0.01, Upto: 0.1, Spread: 0.02},
-		{What: Silent, Every: time.Second, From: []string{"a"}, To: []string{"b"}, Both: true, Least: time.Second, Most: time.Second},
-		{What: Lossy, Every: time.Second, From: []string{"a"}, To: []string{"*"}, Least: time.Second, Most: time.Second, Share: 0.25},
-		{What: Slow, Every: time.Second, From: []string{"a"}, To: []string{"b"}, Least: time.Second, Most: time.Second, Amount: 10, Upto: 100},
-		{What: Reset, Every: time.Second, From: []string{"a"}, To: []string{"b"}},
-		{What: Chop, Every: time.Second, From: []string{"a"}, To: []string{"b"}, Amount: 1, Upto: 100},
-		{What: Skew, Every: time.Second, Names: []string{"a"}, Least: time.Second, Most: time.Second, Amount: -120, Upto: 120},
-		{What: Pause, Every: time.Second, Names: []string{"a", "b"}, Least: 0, Most: time.Second},
-		{What: Copy, Every: time.Second, Names: []string{"a"}},
+func testSpecs() []FaultSpec {
+	return []FaultSpec{
+		{Fault: Delay, MeanInterval: time.Second, From: []string{"a", "b"}, To: []string{"a", "b"}, MinDuration: time.Second, MaxDuration: 2 * time.Second, Amount: 0.01, MaxAmount: 0.1, Jitter: 0.02},
+		{Fault: Silent, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}, BothDirections: true, MinDuration: time.Second, MaxDuration: time.Second},
+		{Fault: Lose, MeanInterval: time.Second, From: []string{"a"}, To: []string{"*"}, MinDuration: time.Second, MaxDuration: time.Second, Share: 0.25},
+		{Fault: Throttle, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}, MinDuration: time.Second, MaxDuration: time.Second, Amount: 10, MaxAmount: 100},
+		{Fault: Reset, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}},
+		{Fault: Truncate, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}, Amount: 1, MaxAmount: 100},
+		{Fault: SkewClock, MeanInterval: time.Second, Processes: []string{"a"}, MinDuration: time.Second, MaxDuration: time.Second, Amount: -120, MaxAmount: 120},
+		{Fault: Pause, MeanInterval: time.Second, Processes: []string{"a", "b"}, MinDuration: 0, MaxDuration: time.Second},
+		{Fault: CopyDisk, MeanInterval: time.Second, Processes: []string{"a"}},
 	}
 }
 
-// Guards against a night that can't be played again: what is drawn is the same for a seed, and what is printed says it all.
-func TestTimelinesAreTheSameAgain(t *testing.T) {
-	drawn := Draw(7, 20*time.Second, kinds())
-	require.Equal(t, drawn, Draw(7, 20*time.Second, kinds()))
-	require.NotEqual(t, drawn, Draw(8, 20*time.Second, kinds()))
+// Guards against timelines that can't be replayed: a seed must give the same timeline, and the text
+// form must be complete.
+func TestTimelineIsReproducible(t *testing.T) {
+	drawn := Draw(7, 20*time.Second, testSpecs())
+	require.Equal(t, drawn, Draw(7, 20*time.Second, testSpecs()))
+	require.NotEqual(t, drawn, Draw(8, 20*time.Second, testSpecs()))
 	require.Greater(t, len(drawn), 100)
-	read, err := Parse(drawn.String())
+	parsed, err := Parse(drawn.String())
 	require.NoError(t, err)
-	require.Equal(t, drawn, read)
-	seen := map[What]bool{}
+	require.Equal(t, drawn, parsed)
+	seen := map[FaultType]bool{}
 	for _, e := range drawn {
-		seen[e.What] = true
+		seen[e.Fault] = true
 		require.Less(t, e.At, 20*time.Second)
-		require.NotEqual(t, Way{"a", "a"}, e.Way)
+		require.NotEqual(t, Link{"a", "a"}, e.Link)
 	}
-	require.Len(t, seen, len(kinds()))
-	require.Greater(t, drawn.Ends(), 19*time.Second)
-	fewer := Draw(7, 20*time.Second, kinds()[:2])
+	require.Len(t, seen, len(testSpecs()))
+	require.Greater(t, drawn.End(), 19*time.Second)
+	fewer := Draw(7, 20*time.Second, testSpecs()[:2])
 	for _, e := range fewer {
-		require.Contains(t, drawn, e, "one kind more leaves the others where they were")
+		require.Contains(t, drawn, e, "an additional spec must not change the events of the others")
 	}
 }
 
-// Guards against timelines that say what nobody meant.
-func TestTimelinesThatCantBeRead(t *testing.T) {
-	for text, says := range map[string]string{
-		"1 delay":                            "line 1: a time, a trouble",
-		"# fine\n\nx delay a>b by 1s for 1s": "line 3: \"x\" is not a number",
-		"1 rain a>b for 1s":                  "no trouble \"rain\"",
-		"1 delay a by 1s for 1s":             "\"a\" is not a way",
-		"1 pause a>b for 1s":                 "befalls a process",
-		"1 delay a>b for 1s":                 "delay needs \"by\"",
-		"1 delay a>b by 1s":                  "delay needs \"for\"",
-		"1 delay a>b by 1s by 2s for 1s":     "stands alone or twice",
-		"1 delay a>b by -1s for 1s":          "below 0",
-		"1 delay a>b by 1s for":              "stands alone",
-		"1 silent a>b by 1s for 1s":          "silent takes no \"by\"",
-		"1 silent a>b spread 1s for 1s":      "takes no \"spread\"",
-		"1 lossy a>b share 1.5 for 1s":       "more than all",
-		"1 slow a>b to 0B/s for 1s":          "silence",
-		"1 slow a>b to NaNB/s for 1s":        "is not a number",
-		"1 pause a for 1e9s":                 "is not a number",
-		"-1 pause a for 1s":                  "is not a number",
-		"1 pause a for 1":                    "with \"s\"",
+// Guards against malformed timelines being accepted.
+func TestParseRejectsMalformedTimelines(t *testing.T) {
+	for text, message := range map[string]string{
+		"1 delay":                            "line 1: want a time, a fault",
+		"# fine\n\nx delay a>b by 1s for 1s": "line 3: \"x\" is not a non-negative number",
+		"1 rain a>b for 1s":                  "unknown fault \"rain\"",
+		"1 delay a by 1s for 1s":             "\"a\" is not a link",
+		"1 pause a>b for 1s":                 "applies to a process",
+		"1 delay a>b for 1s":                 "delay needs parameter \"by\"",
+		"1 delay a>b by 1s":                  "delay needs parameter \"for\"",
+		"1 delay a>b by 1s by 2s for 1s":     "has no value or is repeated",
+		"1 delay a>b by -1s for 1s":          "delay is negative",
+		"1 delay a>b by 1s for":              "has no value or is repeated",
+		"1 silent a>b by 1s for 1s":          "silent has no parameter \"by\"",
+		"1 silent a>b spread 1s for 1s":      "has no parameter \"spread\"",
+		"1 lossy a>b share 1.5 for 1s":       "is greater than 1",
+		"1 slow a>b to 0B/s for 1s":          "use silent instead",
+		"1 slow a>b to NaNB/s for 1s":        "is not a non-negative number",
+		"1 pause a for 1e9s":                 "is not a non-negative number",
+		"-1 pause a for 1s":                  "is not a non-negative number",
+		"1 pause a for 1":                    "with unit \"s\"",
 	} {
 		_, err := Parse(text)
-		require.ErrorContains(t, err, says, text)
+		require.ErrorContains(t, err, message, text)
 	}
 	got, err := Parse("2 reset a>*\n1 skew a by -60s for 2s # minutes off")
 	require.NoError(t, err)
-	require.Equal(t, Timeline{{At: time.Second, What: Skew, Name: "a", Amount: -60, For: 2 * time.Second},
-		{At: 2 * time.Second, What: Reset, Way: Way{"a", "*"}}}, got)
+	require.Equal(t, Timeline{{At: time.Second, Fault: SkewClock, Process: "a", Amount: -60, Duration: 2 * time.Second},
+		{At: 2 * time.Second, Fault: Reset, Link: Link{"a", "*"}}}, got)
 }
 
-// Guards against troubles that hide one another.
-func TestTroublesAddUp(t *testing.T) {
-	var w Weather
-	e := func(what What, from, to string, amount, share float64) Event {
-		return Event{What: what, Way: Way{from, to}, Amount: amount, Share: share}
+// Guards against concurrent faults on a link masking one another.
+func TestFaultsCombine(t *testing.T) {
+	var faults ActiveFaults
+	event := func(fault FaultType, from, to string, amount, share float64) Event {
+		return Event{Fault: fault, Link: Link{from, to}, Amount: amount, Share: share}
 	}
-	all := []Event{e(Delay, "a", "b", 0.1, 0), e(Delay, "*", "b", 0.2, 0), e(Lossy, "a", "*", 0, 0.5), e(Lossy, "a", "b", 0, 0.5),
-		e(Slow, "a", "b", 100, 0), e(Slow, "a", "b", 10, 0), e(Silent, "b", "a", 0, 0)}
-	for _, k := range all {
-		w.Begin(k)
+	all := []Event{event(Delay, "a", "b", 0.1, 0), event(Delay, "*", "b", 0.2, 0), event(Lose, "a", "*", 0, 0.5), event(Lose, "a", "b", 0, 0.5),
+		event(Throttle, "a", "b", 100, 0), event(Throttle, "a", "b", 10, 0), event(Silent, "b", "a", 0, 0)}
+	for _, active := range all {
+		faults.Add(active)
 	}
-	s := w.Of(Way{"a", "b"})
-	require.Equal(t, State{Delay: 300 * time.Millisecond, Loss: 0.75, Pace: 10}, s)
-	require.Equal(t, State{Silent: true}, w.Of(Way{"b", "a"}), "each direction apart")
-	require.Equal(t, State{}, w.Of(Way{"c", "d"}))
-	for _, k := range all {
-		w.End(k)
+	state := faults.StateOf(Link{"a", "b"})
+	require.Equal(t, LinkState{Delay: 300 * time.Millisecond, Lost: 0.75, BytesPerSecond: 10}, state)
+	require.Equal(t, LinkState{Silent: true}, faults.StateOf(Link{"b", "a"}), "directions are independent")
+	require.Equal(t, LinkState{}, faults.StateOf(Link{"c", "d"}))
+	for _, active := range all {
+		faults.Remove(active)
 	}
-	require.Equal(t, State{}, w.Of(Way{"a", "b"}))
+	require.Equal(t, LinkState{}, faults.StateOf(Link{"a", "b"}))
 }
--- a/internal/emulator/links/relays/player.go
+++ b/internal/emulator/links/relays/player.go
@@ -11,56 +11,56 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// Process is one that can be made to fail. Its disk is what it keeps over a restart.
+// Process is a process that can be made to fail. Its disk is the state it keeps across restarts.
 type Process interface {
 	Pause() error
 	Continue() error
 	Kill() error
 	Start(ctx context.Context) error
-	Wipe() error          // takes its disk away; it does not run
-	Copy() error          // makes a copy of its disk, in place of the one before
-	PutBack() error       // puts the copy in place of its disk; it does not run
-	Off(by time.Duration) // its wall clock is off at its next starts
-	Twin(ctx context.Context) (end func(), err error)
+	WipeDisk() error              // deletes the disk; the process must not be running
+	CopyDisk() error              // copies the disk, replacing the previous copy
+	RestoreDisk() error           // replaces the disk by the copy; the process must not be running
+	OffsetClock(by time.Duration) // sets the offset of the wall clock from the next start on
+	StartTwin(ctx context.Context) (end func(), err error)
 }
 
 // Player plays timelines.
 type Player struct {
-	Net       *Net
-	Processes map[string]Process
-	Out       io.Writer // where what is done is printed, nil for nowhere
-	mu        sync.Mutex
-	faults    map[links.What]int
-	busy      map[string]*sync.Mutex
+	Network      *Network
+	Processes    map[string]Process
+	Output       io.Writer // played events are printed here; nil for no output
+	mu           sync.Mutex
+	faultCounts  map[links.FaultType]int
+	processLocks map[string]*sync.Mutex
 }
 
-// Faults are how many of each trouble were played.
-func (p *Player) Faults() map[links.What]int {
+// FaultCounts returns the number of played events by fault.
+func (p *Player) FaultCounts() map[links.FaultType]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.faults)
+	return maps.Clone(p.faultCounts)
 }
 
-// Play plays a timeline to its end, or until the context ends; troubles that are on then end at once. What goes wrong with a
-// process is an error.
-func (p *Player) Play(ctx context.Context, t links.Timeline) error {
-	begun := time.Now()
-	var all sync.WaitGroup
-	defer all.Wait()
-	failed := make(chan error, len(t))
-	for _, e := range t {
-		if !Sleep(ctx, time.Until(begun.Add(e.At))) {
+// Play plays a timeline until its end or until the context ends, in which case active faults end at
+// once. It returns the first failure to apply a fault to a process.
+func (p *Player) Play(ctx context.Context, timeline links.Timeline) error {
+	start := time.Now()
+	var wait sync.WaitGroup
+	defer wait.Wait()
+	failed := make(chan error, len(timeline))
+	for _, e := range timeline {
+		if !Sleep(ctx, time.Until(start.Add(e.At))) {
 			break
 		}
-		all.Add(1)
+		wait.Add(1)
 		go func() {
-			defer all.Done()
-			if err := p.play(ctx, e); err != nil {
+			defer wait.Done()
+			if err := p.playEvent(ctx, e); err != nil {
 				failed <- fmt.Errorf("%v: %w", e, err)
 			}
 		}()
 	}
-	all.Wait()
+	wait.Wait()
 	select {
 	case err := <-failed:
 		return err
@@ -69,74 +69,74 @@
 	}
 }
 
-// play lets one trouble begin and end.
-func (p *Player) play(ctx context.Context, e links.Event) error {
+// playEvent starts and ends one fault.
+func (p *Player) playEvent(ctx context.Context, e links.Event) error {
 	p.mu.Lock()
-	if p.faults == nil {
-		p.faults, p.busy = map[links.What]int{}, map[string]*sync.Mutex{}
+	if p.faultCounts == nil {
+		p.faultCounts, p.processLocks = map[links.FaultType]int{}, map[string]*sync.Mutex{}
 	}
-	p.faults[e.What]++
-	if p.Out != nil {
-		fmt.Fprintln(p.Out, e)
+	p.faultCounts[e.Fault]++
+	if p.Output != nil {
+		fmt.Fprintln(p.Output, e)
 	}
 	p.mu.Unlock()
-	process := p.Processes[e.Name]
+	process := p.Processes[e.Process]
 	switch {
-	case e.Name == "":
-		p.Net.Begin(e)
-		Sleep(ctx, e.For)
-		p.Net.End(e)
+	case e.Process == "":
+		p.Network.Begin(e)
+		Sleep(ctx, e.Duration)
+		p.Network.End(e)
 		return nil
 	case process == nil:
-		return fmt.Errorf("there is no process %q", e.Name)
+		return fmt.Errorf("unknown process %q", e.Process)
 	}
-	mine := p.of(e.Name) // one trouble of a process at a time
-	mine.Lock()
-	defer mine.Unlock()
-	return p.befall(ctx, process, e)
+	lock := p.processLock(e.Process) // one fault of a process at a time
+	lock.Lock()
+	defer lock.Unlock()
+	return p.applyToProcess(ctx, process, e)
 }
 
-func (p *Player) of(name string) *sync.Mutex {
+func (p *Player) processLock(name string) *sync.Mutex {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[name] == nil {
-		p.busy[name] = &sync.Mutex{}
+	if p.processLocks[name] == nil {
+		p.processLocks[name] = &sync.Mutex{}
 	}
-	return p.busy[name]
+	return p.processLocks[name]
 }
 
-// befall lets a trouble befall a process.
-func (p *Player) befall(ctx context.Context, process Process, e links.Event) error {
-	switch e.What {
+// applyToProcess applies one fault to a process.
+func (p *Player) applyToProcess(ctx context.Context, process Process, e links.Event) error {
+	switch e.Fault {
 	case links.Pause:
 		if err := process.Pause(); err != nil {
 			return err
 		}
-		Sleep(ctx, e.For)
+		Sleep(ctx, e.Duration)
 		return process.Continue()
-	case links.Copy:
-		return process.Copy()
+	case links.CopyDisk:
+		return process.CopyDisk()
 	case links.Twin:
-		end, err := process.Twin(ctx)
+		end, err := process.StartTwin(ctx)
 		if err != nil {
 			return err
 		}
-		Sleep(ctx, e.For)
+		Sleep(ctx, e.Duration)
 		end()
 		return nil
 	}
 	if err := process.Kill(); err != nil {
 		return err
 	}
-	Sleep(ctx, e.For)
+	Sleep(ctx, e.Duration)
 	var err error
-	switch e.What {
-	case links.Empty:
-		err = process.Wipe()
-	case links.Old:
-		err = process.PutBack()
-	case links.Skew:
-		process.Off(time.Duration(e.Amount * float64(time.Second)))
+	switch e.Fault {
+	case links.WipeDisk:
+		err = process.WipeDisk()
+	case links.RestoreDisk:
+		err = process.RestoreDisk()
+	case links.SkewClock:
+		process.OffsetClock(time.Duration(e.Amount * float64(time.Second)))
 	}
 	if err == nil {
 		err = process.Start(context.WithoutCancel(ctx))
@@ -144,7 +144,7 @@
 	return err
 }
 
-// Sleep waits, and tells whether the context has not ended meanwhile.
+// Sleep waits for a duration and reports whether the context is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/emulator/links/relays/relays.go
+++ b/internal/emulator/links/relays/relays.go
@@ -1,5 +1,5 @@
-// Package relays stands between processes on loopback and does to their connections and datagrams what a timeline says:
-// every link between two named processes goes through one of its relays, each direction apart.
+// Package relays applies the faults of package links to TCP connections and datagrams between
+// processes on loopback. Each link between two named processes goes through a relay of its own.
 package relays
 
 import (
@@ -14,195 +14,197 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// Net is all relays of a trial.
-type Net struct {
-	life  context.Context
-	die   context.CancelFunc
-	tasks errgroup.Group
+// Network is the set of relays of a trial.
+type Network struct {
+	ctx    context.Context
+	cancel context.CancelFunc
+	tasks  errgroup.Group
 
-	mu      sync.Mutex
-	weather links.Weather
-	changed chan struct{} // closed when the weather changes
-	rng     *rand.Rand
-	pairs   map[*pair]bool
-	doors   []interface{ Close() error }
-	counts  Counts
+	mu          sync.Mutex
+	faults      links.ActiveFaults
+	changed     chan struct{} // closed when the active faults change
+	rng         *rand.Rand
+	connections map[*connection]bool
+	listeners   []interface{ Close() error }
+	counts      Counts
 }
 
-// Counts are what was done to bytes, so that a trial can tell that its troubles took place.
+// Counts are totals of what the relays did, from which a trial can tell that its faults took
+// effect.
 type Counts struct {
-	Connections, Refused, Reset, Chopped int
-	Datagrams, Lost, Doubled, Shuffled   int
-	Held                                 time.Duration // for which bytes were held by silence, over all directions
-	Bytes                                int64
-	DatagramBytes                        int64
+	Connections, Refused, Reset, Truncated int
+	Datagrams, Lost, Duplicated, Reordered int
+	Held                                   time.Duration // time for which data was held by silent links, summed over all streams
+	Bytes                                  int64
+	DatagramBytes                          int64
 }
 
-// New makes a net without relays. What is left to chance is drawn from a seed.
-func New(seed uint64) *Net {
-	n := &Net{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 99)), pairs: map[*pair]bool{}}
-	n.life, n.die = context.WithCancel(context.Background())
+// New returns a network without relays. Random decisions are drawn from the seed.
+func New(seed uint64) *Network {
+	n := &Network{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 99)), connections: map[*connection]bool{}}
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
 }
 
-// Close ends all relays and what goes through them.
-func (n *Net) Close() {
-	n.die()
+// Close closes all relays and their connections.
+func (n *Network) Close() {
+	n.cancel()
 	n.mu.Lock()
-	for _, d := range n.doors {
-		d.Close()
+	for _, listener := range n.listeners {
+		listener.Close()
 	}
-	for p := range n.pairs {
-		go p.reset()
+	for c := range n.connections {
+		go c.reset()
 	}
 	n.mu.Unlock()
 	n.tasks.Wait()
 }
 
-// Counts are those so far.
-func (n *Net) Counts() Counts {
+// Counts returns the totals so far.
+func (n *Network) Counts() Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-func (n *Net) count(do func(c *Counts)) {
+func (n *Network) updateCounts(update func(c *Counts)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do(&n.counts)
+	update(&n.counts)
 }
 
-// of is how a way is, and what is closed once that may have changed.
-func (n *Net) of(way links.Way) (links.State, <-chan struct{}) {
+// linkState returns the state of a link and a channel that is closed when the state may have
+// changed.
+func (n *Network) linkState(link links.Link) (links.LinkState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.weather.Of(way), n.changed
+	return n.faults.StateOf(link), n.changed
 }
 
-// later is when what is sent now arrives.
-func (n *Net) later(s links.State) time.Time {
-	due := time.Now().Add(s.Delay)
-	if s.Spread > 0 {
+// arrivalTime returns the time at which data that is sent now arrives.
+func (n *Network) arrivalTime(state links.LinkState) time.Time {
+	due := time.Now().Add(state.Delay)
+	if state.Jitter > 0 {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		due = due.Add(time.Duration(n.rng.Int64N(int64(s.Spread))))
+		due = due.Add(time.Duration(n.rng.Int64N(int64(state.Jitter))))
 	}
 	return due
 }
 
-// chance draws whether something with a share happens.
-func (n *Net) chance(share float64) bool {
-	if share <= 0 {
+// happens returns true with the given probability.
+func (n *Network) happens(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rng.Float64() < share
+	return n.rng.Float64() < probability
 }
 
-// Begin lets a trouble of links begin.
-func (n *Net) Begin(e links.Event) {
-	switch e.What {
+// Begin starts a fault of links.
+func (n *Network) Begin(e links.Event) {
+	switch e.Fault {
 	case links.Reset:
-		n.each(e.Way, func(p *pair) { p.reset() })
+		n.forEachConnection(e.Link, func(c *connection) { c.reset() })
 		return
-	case links.Chop:
-		n.each(e.Way, func(p *pair) { p.chop(e.Way, int64(e.Amount)) })
+	case links.Truncate:
+		n.forEachConnection(e.Link, func(c *connection) { c.truncateAfter(e.Link, int64(e.Amount)) })
 		return
 	}
 	n.mu.Lock()
-	n.weather.Begin(e)
-	n.change()
+	n.faults.Add(e)
+	n.notifyChange()
 	n.mu.Unlock()
-	if e.What == links.Cut {
-		n.each(e.Way, func(p *pair) { p.reset() })
+	if e.Fault == links.Cut {
+		n.forEachConnection(e.Link, func(c *connection) { c.reset() })
 	}
 }
 
-// End ends it.
-func (n *Net) End(e links.Event) {
+// End ends a fault of links.
+func (n *Network) End(e links.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.weather.End(e)
-	n.change()
+	n.faults.Remove(e)
+	n.notifyChange()
 }
 
-func (n *Net) change() {
+func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// each does something to all connections that a way is a direction of.
-func (n *Net) each(way links.Way, do func(p *pair)) {
+// forEachConnection calls a function for each connection that has a direction matching the link.
+func (n *Network) forEachConnection(link links.Link, do func(c *connection)) {
 	n.mu.Lock()
-	var hit []*pair
-	for p := range n.pairs {
-		if way.Covers(p.way) || way.Covers(p.way.Back()) {
-			hit = append(hit, p)
+	var matching []*connection
+	for c := range n.connections {
+		if link.Matches(c.link) || link.Matches(c.link.Reverse()) {
+			matching = append(matching, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, p := range hit {
-		do(p)
+	for _, c := range matching {
+		do(c)
 	}
 }
 
-// Relay gives the address at which the connections of one process to another are taken on their way to where that is.
-func (n *Net) Relay(way links.Way, target string) (address string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// RelayTCP starts a relay for the connections of a link and returns the address to connect to.
+func (n *Network) RelayTCP(link links.Link, target string) (address string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	n.keep(l)
+	n.addListener(listener)
 	n.tasks.Go(func() error {
 		for {
-			c, err := l.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return nil
 			}
-			n.tasks.Go(func() error { n.join(way, c.(*net.TCPConn), target); return nil })
+			n.tasks.Go(func() error { n.relayConnection(link, client.(*net.TCPConn), target); return nil })
 		}
 	})
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-func (n *Net) keep(door interface{ Close() error }) {
+func (n *Network) addListener(listener interface{ Close() error }) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.doors = append(n.doors, door)
+	n.listeners = append(n.listeners, listener)
 }
 
-const connectWithin = time.Second
+const connectTimeout = time.Second
 
-// cut tells whether a link is cut in either direction.
-func (n *Net) cut(way links.Way) bool {
-	there, _ := n.of(way)
-	answers, _ := n.of(way.Back())
-	return there.Cut || answers.Cut
+// isCut reports whether a link is cut in either direction.
+func (n *Network) isCut(link links.Link) bool {
+	forward, _ := n.linkState(link)
+	reverse, _ := n.linkState(link.Reverse())
+	return forward.Cut || reverse.Cut
 }
 
-// join joins a connection to its target, unless the link is cut.
-func (n *Net) join(way links.Way, c *net.TCPConn, target string) {
-	d, err := net.Conn(nil), error(net.ErrClosed)
-	if !n.cut(way) {
-		d, err = (&net.Dialer{Timeout: connectWithin}).DialContext(n.life, "tcp", target)
+// relayConnection connects a client to its target and forwards data, unless the link is cut.
+func (n *Network) relayConnection(link links.Link, client *net.TCPConn, target string) {
+	server, err := net.Conn(nil), error(net.ErrClosed)
+	if !n.isCut(link) {
+		server, err = (&net.Dialer{Timeout: connectTimeout}).DialContext(n.ctx, "tcp", target)
 	}
 	if err != nil {
-		n.count(func(k *Counts) { k.Refused++ })
-		c.SetLinger(0)
-		c.Close()
+		n.updateCounts(func(counts *Counts) { counts.Refused++ })
+		client.SetLinger(0)
+		client.Close()
 		return
 	}
-	p := newPair(n, way, c, d.(*net.TCPConn))
+	c := newConnection(n, link, client, server.(*net.TCPConn))
 	n.mu.Lock()
-	n.pairs[p] = true
+	n.connections[c] = true
 	n.counts.Connections++
 	n.mu.Unlock()
-	if n.cut(way) { // meanwhile
-		p.reset()
+	if n.isCut(link) { // the link may have been cut while connecting
+		c.reset()
 	}
-	p.run()
+	c.run()
 	n.mu.Lock()
-	delete(n.pairs, p)
+	delete(n.connections, c)
 	n.mu.Unlock()
 }
--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -13,114 +13,115 @@
 	"sedgespread/internal/transport"
 )
 
-// RPC is what a client asks.
+// RPC is a request of a client.
 type RPC struct {
-	Method string
-	Key    string
-	Write  bool
-	Group  int64
-	Give   time.Duration
-	After  int64 // position that a read must see, Unix time in nanoseconds, 0 for none
-	Again  bool
+	Method      string
+	Key         string
+	Write       bool
+	Group       int64
+	Timeout     time.Duration
+	MinPosition int64 // oldest position a read may reflect, Unix time in nanoseconds; 0 for none
+	IsRetry     bool
 }
 
-// Fate is how an RPC ended for its client.
-type Fate int
+// Outcome is the result of an RPC as its client sees it.
+type Outcome int
 
 const (
-	Served Fate = iota
-	PushedBack
+	Served Outcome = iota
+	Rejected
 	Aborted
-	Unanswered // its client gave up waiting
-	Broken     // the connection ended without an answer
-	NoDriver   // no connection could be had, and nothing was sent
+	TimedOut       // the client stopped waiting
+	ConnectionLost // the connection ended without an answer
+	ConnectFailed  // the connection could not be established and nothing was sent
 )
 
-// Reply is what a client got.
+// Reply is what a client received for an RPC.
 type Reply struct {
-	ID       string
-	Fate     Fate
-	Value    string
-	ComeBack time.Duration
-	Took     time.Duration
+	ID         string
+	Outcome    Outcome
+	Value      string
+	RetryAfter time.Duration
+	Latency    time.Duration
 }
 
-// Clients ask drivers. Each RPC has a connection of its own while it is open; connections are used again.
+// Clients send RPCs to drivers. Each running RPC has its own connection; idle connections are
+// reused.
 type Clients struct {
-	fleet   *Fleet
-	sockets *transport.Descriptors
-	last    atomic.Uint64
-	mu      sync.Mutex
-	idle    map[string][]protocol.Member
+	fleet       *Fleet
+	descriptors *transport.Descriptors
+	lastID      atomic.Uint64
+	mu          sync.Mutex
+	idle        map[string][]protocol.Member
 }
 
-// Clients makes clients of a fleet's drivers.
-func (f *Fleet) Clients() *Clients {
-	return &Clients{fleet: f, sockets: transport.NewDescriptors(mostConns), idle: map[string][]protocol.Member{}}
+// NewClients returns clients for the drivers of a fleet.
+func (f *Fleet) NewClients() *Clients {
+	return &Clients{fleet: f, descriptors: transport.NewDescriptors(maxConns), idle: map[string][]protocol.Member{}}
 }
 
 const (
-	connectWithin = time.Second
-	clientSlack   = 100 * time.Millisecond // an answer may come so late and still counts as one
+	connectTimeout = time.Second
+	answerSlack    = 100 * time.Millisecond // how long after the RPC's timeout an answer is still accepted
 )
 
-// Ask asks a driver and waits for the answer.
-func (c *Clients) Ask(ctx context.Context, address string, r RPC) (reply Reply) {
-	reply.ID = fmt.Sprintf("%016x", c.last.Add(1))
-	begun := time.Now()
-	defer func() { reply.Took = time.Since(begun) }()
-	m, ok := c.take(address)
+// Call sends an RPC to a driver and waits for the answer.
+func (c *Clients) Call(ctx context.Context, address string, rpc RPC) (reply Reply) {
+	reply.ID = fmt.Sprintf("%016x", c.lastID.Add(1))
+	start := time.Now()
+	defer func() { reply.Latency = time.Since(start) }()
+	conn, ok := c.takeIdle(address)
 	if !ok {
-		by, stop := context.WithTimeout(ctx, connectWithin)
-		defer stop()
-		var end transport.CloseReason
-		if m, end = protocol.Connect(c.fleet.life, by, c.sockets, address, 1<<20, nil); end != transport.Open {
-			reply.Fate = NoDriver
+		callCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+		defer cancel()
+		var reason transport.CloseReason
+		if conn, reason = protocol.Connect(c.fleet.ctx, callCtx, c.descriptors, address, 1<<20, nil); reason != transport.Open {
+			reply.Outcome = ConnectFailed
 			return reply
 		}
 	}
-	c.fleet.Sent(reply.ID, r.Key, r.Write)
-	by, stop := context.WithTimeout(ctx, r.Give+clientSlack)
-	defer stop()
-	a, _, end := m.Query(by, r.statement(reply.ID))
-	reply.Fate = fateOf(a, end)
-	if a != nil && a.Failure == nil {
-		reply.Value = a.Value()
-	} else if a != nil {
-		millis, _ := strconv.ParseInt(a.Failure.Detail, 10, 64)
-		reply.ComeBack = time.Duration(millis) * time.Millisecond
+	c.fleet.RecordSent(reply.ID, rpc.Key, rpc.Write)
+	callCtx, cancel := context.WithTimeout(ctx, rpc.Timeout+answerSlack)
+	defer cancel()
+	answer, _, reason := conn.Query(callCtx, rpc.statement(reply.ID))
+	reply.Outcome = outcomeOf(answer, reason)
+	if answer != nil && answer.Failure == nil {
+		reply.Value = answer.Value()
+	} else if answer != nil {
+		millis, _ := strconv.ParseInt(answer.Failure.Detail, 10, 64)
+		reply.RetryAfter = time.Duration(millis) * time.Millisecond
 	}
-	if reply.Fate <= Aborted {
-		c.fleet.Answered(reply.ID, reply.Fate == Served)
-		if end == transport.Open {
-			c.give(address, m)
+	if reply.Outcome <= Aborted {
+		c.fleet.RecordAnswer(reply.ID, reply.Outcome == Served)
+		if reason == transport.Open {
+			c.putIdle(address, conn)
 		}
 	}
 	return reply
 }
 
-func fateOf(a *protocol.Answer, end transport.CloseReason) Fate {
+func outcomeOf(answer *protocol.Answer, reason transport.CloseReason) Outcome {
 	switch {
-	case a != nil && a.Failure == nil:
+	case answer != nil && answer.Failure == nil:
 		return Served
-	case a != nil && (a.Failure.SQLState == protocol.StateTooManyConnections || a.Failure.SQLState == protocol.StateCannotConnectNow):
-		return PushedBack
-	case a != nil:
+	case answer != nil && (answer.Failure.SQLState == protocol.StateTooManyConnections || answer.Failure.SQLState == protocol.StateCannotConnectNow):
+		return Rejected
+	case answer != nil:
 		return Aborted
-	case end == transport.TimedOut || end == transport.Cancelled:
-		return Unanswered
+	case reason == transport.TimedOut || reason == transport.Cancelled:
+		return TimedOut
 	}
-	return Broken
+	return ConnectionLost
 }
 
-// statement is what is sent for an RPC.
+// statement returns the SQL text for an RPC.
 func (r *RPC) statement(id string) string {
-	comment := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, r.Method, r.Give.Milliseconds(), r.Group)
-	if r.Again {
+	comment := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, r.Method, r.Timeout.Milliseconds(), r.Group)
+	if r.IsRetry {
 		comment += ",r=1"
 	}
-	if r.After > 0 {
-		comment += fmt.Sprintf(",after=%d", r.After/int64(time.Millisecond))
+	if r.MinPosition > 0 {
+		comment += fmt.Sprintf(",after=%d", r.MinPosition/int64(time.Millisecond))
 	}
 	if r.Write {
 		return fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x%s') RETURNING content /* %s */`, r.Key,
@@ -129,33 +130,33 @@
 	return fmt.Sprintf("SELECT content FROM kv WHERE name = '%s' /* %s */", r.Key, comment)
 }
 
-func (c *Clients) take(address string) (protocol.Member, bool) {
+func (c *Clients) takeIdle(address string) (protocol.Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for n := len(c.idle[address]); n > 0; n = len(c.idle[address]) {
-		m := c.idle[address][n-1]
+		conn := c.idle[address][n-1]
 		c.idle[address] = c.idle[address][:n-1]
-		if m.HasNoPendingInput() {
-			return m, true
+		if conn.HasNoPendingInput() {
+			return conn, true
 		}
-		m.Close(transport.Evicted)
+		conn.Close(transport.Evicted)
 	}
 	return protocol.Member{}, false
 }
 
-func (c *Clients) give(address string, m protocol.Member) {
+func (c *Clients) putIdle(address string, conn protocol.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle[address] = append(c.idle[address], m)
+	c.idle[address] = append(c.idle[address], conn)
 }
 
-// Close lets all connections go.
+// Close closes all idle connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, idle := range c.idle {
-		for _, m := range idle {
-			m.Close(transport.ShutDown)
+		for _, conn := range idle {
+			conn.Close(transport.ShutDown)
 		}
 	}
 	c.idle = map[string][]protocol.Member{}
--- a/internal/emulator/sockets/drivers.go
+++ b/internal/emulator/sockets/drivers.go
@@ -20,81 +20,84 @@
 	"sedgespread/internal/transport"
 )
 
-// Method is what drivers are told of a method.
+// Method is the configuration of a method.
 type Method struct {
-	Name    string
-	Effect  string // repeatable or once
-	Level   string // what a read needs: loose, own_writes or latest; update for a write
-	Soft    time.Duration
-	Give    time.Duration // all that a client waits
-	Utility float64
-	Late    float64 // share of Utility after the soft deadline
+	Name         string
+	Effect       string // repeatable or once (non-idempotent)
+	ReadLevel    string // loose, own_writes or latest for a read; update for a write
+	SoftDeadline time.Duration
+	Timeout      time.Duration // how long a client waits
+	Utility      float64
+	LateShare    float64 // share of Utility earned after the soft deadline
 }
 
-// Driver is a driver's process.
+// Driver is a driver process.
 type Driver struct {
-	Name     string
-	Address  string
-	Disk     string // what it keeps over a restart, empty for nothing
-	program  string
-	env      []string
-	twin     []string // the environment of another of its name
-	off      time.Duration
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	done     chan struct{}
-	troubled time.Time // it was paused or killed last, or is
-	trouble  sync.Mutex
-	log      bytes.Buffer
+	Name        string
+	Address     string
+	Disk        string // path of the file that it keeps across restarts, empty for none
+	program     string
+	env         []string
+	twinEnv     []string // environment of a second process of the same name
+	clockOffset time.Duration
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	done        chan struct{}
+	disruptedAt time.Time // last signal sent by Signal
+	exclusive   sync.Mutex
+	log         bytes.Buffer
 }
 
-// write lets a driver's output be kept.
+// Write appends output of the process to its log.
 func (d *Driver) Write(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.Write(p)
 }
 
-// Log is what a driver has written.
+// Log returns the output of the process.
 func (d *Driver) Log() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.String()
 }
 
-// handedOut are the addresses that this process gave away: the system may offer one again before whoever got it listens there.
-var handedOut = struct {
+// reservedAddresses are the addresses that FreeAddresses has returned. The system may offer one
+// again before its receiver listens on it.
+var reservedAddresses = struct {
 	sync.Mutex
 	addresses map[string]bool
 }{addresses: map[string]bool{}}
 
-// FreeAddresses are loopback addresses that were free a moment ago, none given away before. Nobody connects from where they are, which
-// would take the port of one that is not listened on yet, or not for a while.
+// FreeAddresses returns free loopback addresses, none of which it returned before. They are on
+// 127.0.0.2, which no outgoing connection uses, so that ephemeral ports can't collide with
+// addresses that are not listened on yet.
 func FreeAddresses(count int) (free []string, err error) {
-	handedOut.Lock()
-	defer handedOut.Unlock()
+	reservedAddresses.Lock()
+	defer reservedAddresses.Unlock()
 	for len(free) < count {
-		l, err := net.Listen("tcp", "127.0.0.2:0")
+		listener, err := net.Listen("tcp", "127.0.0.2:0")
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
-		if address := l.Addr().String(); !handedOut.addresses[address] {
-			handedOut.addresses[address] = true
+		defer listener.Close()
+		if address := listener.Addr().String(); !reservedAddresses.addresses[address] {
+			reservedAddresses.addresses[address] = true
 			free = append(free, address)
 		}
 	}
 	return free, nil
 }
 
-// Drivers writes what so many drivers are told into files in a directory and gives them, not started. The operator's
-// text is each one's, empty for no file.
-func (f *Fleet) Drivers(program, dir string, count int, methods []Method, text func(i int) string) (drivers []*Driver, err error) {
-	classes, levels := []any{}, []any{}
+// NewDrivers writes the configuration files of a number of drivers into a directory and returns the
+// drivers, not started. The text function returns the text of a driver's operator file, empty for
+// none.
+func (f *Fleet) NewDrivers(program, dir string, count int, methods []Method, operatorText func(i int) string) (drivers []*Driver, err error) {
+	classes, readLevels := []any{}, []any{}
 	for _, m := range methods {
-		classes = append(classes, map[string]any{"name": m.Name, "effect": m.Effect, "aimUs": m.Soft.Microseconds(),
-			"giveUpUs": m.Give.Microseconds(), "worth": m.Utility, "lateWorth": m.Late})
-		levels = append(levels, m.Level)
+		classes = append(classes, map[string]any{"name": m.Name, "effect": m.Effect, "aimUs": m.SoftDeadline.Microseconds(),
+			"giveUpUs": m.Timeout.Microseconds(), "worth": m.Utility, "lateWorth": m.LateShare})
+		readLevels = append(readLevels, m.ReadLevel)
 	}
 	addresses, err := FreeAddresses(count)
 	if err != nil {
@@ -102,15 +105,15 @@
 	}
 	for i := range count {
 		d := &Driver{Name: fmt.Sprintf("n%d", i), program: program, Address: addresses[i]}
-		told := map[string]any{"seed": fmt.Sprintf("%x", i+1), "known": f.List(),
+		driverConfig := map[string]any{"seed": fmt.Sprintf("%x", i+1), "known": f.DiscoveryList(),
 			"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 2048},
 			"settings": map[string]any{"classes": classes,
-				"extra": map[string]any{"readLevel": levels, "guards": "none", "tokens": "client"},
+				"extra": map[string]any{"readLevel": readLevels, "guards": "none", "tokens": "client"},
 				"limits": map[string]any{"probing": true, "cancelling": true, "mostTries": 4, "connectTimeoutUs": 250_000,
 					"keepaliveUs": 30_000_000, "retryAfter": true, "maxRetryAfterUs": 500_000},
-				"safety": map[string]any{"askEveryUs": 20_000_000, "startCapacity": f.model.Cold, "warmAfterUs": f.model.Warm / 1000,
-					"fallMultiple": f.model.Topple, "drainGraceUs": f.model.Grace / 1000}, "discovery": "subscribe", "fleetSize": count}}
-		config, err := json.Marshal(told)
+				"safety": map[string]any{"askEveryUs": 20_000_000, "startCapacity": f.model.ColdCapacity, "warmAfterUs": f.model.WarmUpTime / 1000,
+					"fallMultiple": f.model.OverloadFactor, "drainGraceUs": f.model.DrainGrace / 1000}, "discovery": "subscribe", "fleetSize": count}}
+		config, err := json.Marshal(driverConfig)
 		if err != nil {
 			return nil, err
 		}
@@ -118,60 +121,61 @@
 		if err := os.WriteFile(path, config, 0o600); err != nil {
 			return nil, err
 		}
-		d.env = append(os.Environ(), "GW_NAME="+d.Name, "GW_LISTEN="+d.Address, "GW_DISCOVERY="+f.Discovery(), "GW_CONFIG="+path)
-		if text := text(i); text != "" {
-			orders := filepath.Join(dir, d.Name+".textproto")
-			if err := os.WriteFile(orders, []byte(text), 0o600); err != nil {
+		d.env = append(os.Environ(), "GW_NAME="+d.Name, "GW_LISTEN="+d.Address, "GW_DISCOVERY="+f.DiscoveryAddress(), "GW_CONFIG="+path)
+		if operatorText := operatorText(i); operatorText != "" {
+			operatorPath := filepath.Join(dir, d.Name+".textproto")
+			if err := os.WriteFile(operatorPath, []byte(operatorText), 0o600); err != nil {
 				return nil, err
 			}
-			d.env = append(d.env, "GW_OPERATOR="+orders)
+			d.env = append(d.env, "GW_OPERATOR="+operatorPath)
 		}
 		drivers = append(drivers, d)
 	}
 	return drivers, nil
 }
 
-// TwinBy says what an operator's file tells a twin of a driver. It serves clients at an address of its own.
-func (d *Driver) TwinBy(dir, text string) error {
-	at, err := FreeAddresses(1)
+// ConfigureTwin writes the operator file of a second process of the same name, which gets its own
+// listening address.
+func (d *Driver) ConfigureTwin(dir, text string) error {
+	addresses, err := FreeAddresses(1)
 	if err != nil {
 		return err
 	}
-	orders := filepath.Join(dir, d.Name+"-twin.textproto")
-	d.twin = append(append([]string(nil), d.env...), "GW_LISTEN="+at[0], "GW_OPERATOR="+orders)
-	return os.WriteFile(orders, []byte(text), 0o600)
+	operatorPath := filepath.Join(dir, d.Name+"-twin.textproto")
+	d.twinEnv = append(append([]string(nil), d.env...), "GW_LISTEN="+addresses[0], "GW_OPERATOR="+operatorPath)
+	return os.WriteFile(operatorPath, []byte(text), 0o600)
 }
 
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
-// Start starts a driver that does not run, and waits until it is ready.
+// Start starts a driver that is not running and waits until it is ready.
 func (d *Driver) Start(ctx context.Context) error {
 	if err := d.Launch(); err != nil {
 		return err
 	}
-	by, stop := context.WithTimeout(ctx, readyWithin)
-	defer stop()
-	return d.Ready(by)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	return d.WaitReady(readyCtx)
 }
 
-// StartAll starts drivers that do not run at once, and waits until all are ready: some may need others.
+// StartAll starts drivers concurrently and waits until all are ready, as some may depend on others.
 func StartAll(ctx context.Context, drivers []*Driver) error {
 	for _, d := range drivers {
 		if err := d.Launch(); err != nil {
 			return err
 		}
 	}
-	by, stop := context.WithTimeout(ctx, readyWithin)
-	defer stop()
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
 	for _, d := range drivers {
-		if err := d.Ready(by); err != nil {
+		if err := d.WaitReady(readyCtx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Launch starts a driver that does not run.
+// Launch starts a driver that is not running without waiting.
 func (d *Driver) Launch() error {
 	cmd := d.command(d.env)
 	if err := cmd.Start(); err != nil {
@@ -187,15 +191,15 @@
 
 func (d *Driver) command(env []string) *exec.Cmd {
 	cmd := exec.Command(d.program, "serve")
-	cmd.Env, cmd.Stdout, cmd.Stderr = append(append([]string(nil), env...), clock.OffsetEnv+"="+d.off.String()), d, d
+	cmd.Env, cmd.Stdout, cmd.Stderr = append(append([]string(nil), env...), clock.OffsetEnv+"="+d.clockOffset.String()), d, d
 	return cmd
 }
 
-// Off lets the driver's wall clock be off at its next starts.
-func (d *Driver) Off(by time.Duration) { d.off = by }
+// OffsetClock sets the offset of the driver's wall clock from its next start on.
+func (d *Driver) OffsetClock(by time.Duration) { d.clockOffset = by }
 
-// Wipe takes the disk of a driver that does not run away.
-func (d *Driver) Wipe() error {
+// WipeDisk deletes the disk of a driver that is not running.
+func (d *Driver) WipeDisk() error {
 	err := os.Remove(d.Disk)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -203,25 +207,26 @@
 	return err
 }
 
-// Copy makes a copy of the disk. The driver stands still meanwhile, so that the copy is what the disk was at one moment.
-func (d *Driver) Copy() error {
-	if d.Runs() {
+// CopyDisk copies the disk. A running driver is paused meanwhile so that the copy is consistent.
+func (d *Driver) CopyDisk() error {
+	if d.IsRunning() {
 		d.Pause()
 		defer d.Continue()
 	}
 	return copyFile(d.Disk, d.Disk+".copy")
 }
 
-// PutBack puts the copy in place of the disk of a driver that does not run, and keeps that for Return.
-func (d *Driver) PutBack() error {
+// RestoreDisk replaces the disk of a driver that is not running by its copy and keeps the replaced
+// one for RestoreNewestDisk.
+func (d *Driver) RestoreDisk() error {
 	if err := os.Rename(d.Disk, d.Disk+".newest"); err != nil {
 		return err
 	}
 	return copyFile(d.Disk+".copy", d.Disk)
 }
 
-// Return gives a driver that does not run the disk again that it had before PutBack.
-func (d *Driver) Return() error { return os.Rename(d.Disk+".newest", d.Disk) }
+// RestoreNewestDisk undoes RestoreDisk for a driver that is not running.
+func (d *Driver) RestoreNewestDisk() error { return os.Rename(d.Disk+".newest", d.Disk) }
 
 func copyFile(from, to string) error {
 	text, err := os.ReadFile(from)
@@ -231,9 +236,9 @@
 	return os.WriteFile(to, text, 0o600)
 }
 
-// Twin starts another process of the driver's name beside it, and gives what ends it.
-func (d *Driver) Twin(context.Context) (end func(), err error) {
-	cmd := d.command(d.twin)
+// StartTwin starts a second process of the same name and returns a function that kills it.
+func (d *Driver) StartTwin(context.Context) (stop func(), err error) {
+	cmd := d.command(d.twinEnv)
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -243,45 +248,45 @@
 	}, nil
 }
 
-// Ready waits until a driver that was started takes RPCs.
-func (d *Driver) Ready(by context.Context) error {
-	sockets := transport.NewDescriptors(mostConns)
-	for by.Err() == nil {
-		m, end := protocol.Connect(by, by, sockets, d.Address, protocol.RingBytes, nil)
-		if end == transport.Open {
-			end = m.Ping(by)
-			m.Close(transport.ShutDown)
+// WaitReady waits until a driver that was started accepts RPCs.
+func (d *Driver) WaitReady(ctx context.Context) error {
+	descriptors := transport.NewDescriptors(maxConns)
+	for ctx.Err() == nil {
+		conn, reason := protocol.Connect(ctx, ctx, descriptors, d.Address, protocol.RingBytes, nil)
+		if reason == transport.Open {
+			reason = conn.Ping(ctx)
+			conn.Close(transport.ShutDown)
 		}
-		if end == transport.Open {
+		if reason == transport.Open {
 			return nil
 		}
 		select {
 		case <-d.done:
-			return fmt.Errorf("driver %s ended: %s", d.Name, strings.TrimSpace(d.Log()))
+			return fmt.Errorf("driver %s exited before it was ready: %s", d.Name, strings.TrimSpace(d.Log()))
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("driver %s is not ready: %s", d.Name, strings.TrimSpace(d.Log()))
+	return fmt.Errorf("timed out waiting for driver %s to become ready: %s", d.Name, strings.TrimSpace(d.Log()))
 }
 
-// Signal sends a signal to a driver that runs.
+// Signal sends a signal to a driver.
 func (d *Driver) Signal(s syscall.Signal) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.troubled = time.Now()
+	d.disruptedAt = time.Now()
 	if d.cmd == nil {
-		return errors.New("the driver does not run")
+		return errors.New("driver was never started")
 	}
 	return d.cmd.Process.Signal(s)
 }
 
-// Pause lets a driver stand still.
+// Pause stops the process with SIGSTOP.
 func (d *Driver) Pause() error { return d.Signal(syscall.SIGSTOP) }
 
-// Continue lets a driver that stands still go on.
+// Continue resumes a paused process.
 func (d *Driver) Continue() error { return d.Signal(syscall.SIGCONT) }
 
-// Kill ends a driver at once, and waits until it is gone.
+// Kill kills the process and waits for its end.
 func (d *Driver) Kill() error {
 	err := d.Signal(syscall.SIGKILL)
 	if err == nil {
@@ -290,18 +295,19 @@
 	return err
 }
 
-// Hup lets a driver read its files again.
-func (d *Driver) Hup() error { return d.Signal(syscall.SIGHUP) }
+// Reload makes the driver read its configuration files again.
+func (d *Driver) Reload() error { return d.Signal(syscall.SIGHUP) }
 
-// Alone lets one trouble after another befall a driver: each leaves it as it found it.
-func (d *Driver) Alone(trouble func()) {
-	d.trouble.Lock()
-	defer d.trouble.Unlock()
-	trouble()
+// RunExclusive runs a function that disturbs the driver, one at a time, so that each finds the
+// driver undisturbed.
+func (d *Driver) RunExclusive(fault func()) {
+	d.exclusive.Lock()
+	defer d.exclusive.Unlock()
+	fault()
 }
 
-// Runs tells whether a driver was started and has not ended.
-func (d *Driver) Runs() bool {
+// IsRunning reports whether the driver was started and has not ended.
+func (d *Driver) IsRunning() bool {
 	select {
 	case <-d.done:
 		return false
@@ -310,9 +316,9 @@
 	}
 }
 
-// Troubled tells whether a driver was paused, continued, killed or started again since a time.
-func (d *Driver) Troubled(since time.Time) bool {
+// DisruptedSince reports whether the driver was sent a signal after the given time.
+func (d *Driver) DisruptedSince(since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.troubled.After(since)
+	return d.disruptedAt.After(since)
 }
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -13,149 +13,151 @@
 	"sedgespread/internal/routing"
 )
 
-// AuditResult is how what the audit says of writes compares with what members got.
+// AuditResult compares the audit's records of writes with the writes that members received.
 type AuditResult struct {
-	Writes  int // that members got with a version
-	Right   int // that stand in the audit at that version
-	Counted int // that came so long after a change that they stand there in the counts of that version alone
-	Wrong   int // that stand there at another
-	Unknown int // that do not, of a time of which the audit says that it is unknown
-	Missing int // that do not
-	Entries int
-	Late    int // acts that the audit itself finds after a closing
-	Faults  []string
-	Spans   int // of unknown time
+	Writes       int // writes with a fence that members received
+	Matched      int // in the audit by themselves with the right version
+	Counted      int // only in the audit's counts for the version, as they came long after a change
+	WrongVersion int // in the audit with another version
+	Unknown      int // not in the audit, but in a span that it reports as unknown
+	Missing      int // not in the audit at all
+	Entries      int
+	LateActs     int // acts that the audit itself finds after their version was closed
+	Faults       []string
+	UnknownSpans int // spans of time that the audit reports as unknown
 
-	FirstMissing []string // what is known of some of those that are missing
-	FirstLate    []string // and of some that the audit calls late
+	FirstMissing []string // details of the first missing writes
+	FirstLate    []string // details of the first late acts
 }
 
-// mostShown is how many of the writes that are missing are told of.
-const mostShown = 5
+// maxShown limits the number of details in AuditResult.
+const maxShown = 5
 
-// audit asks the audit once drivers have told all, and compares it with what members got.
-func (c *changing) audit(ctx context.Context) error {
-	if err := c.told(ctx, time.Now()); err != nil {
+// compareAudit queries the audit once all trails have arrived and compares it with what members
+// received.
+func (c *versionsRun) compareAudit(ctx context.Context) error {
+	if err := c.awaitTrails(ctx, time.Now()); err != nil {
 		return err
 	}
-	f, err := membership.Audit(ctx, c.at, membership.AuditQuery{Thing: routing.Rulebook, MaxClockSkew: int64(10 * time.Millisecond)})
+	findings, err := membership.Audit(ctx, c.addresses, membership.AuditQuery{Thing: routing.Rulebook, MaxClockSkew: int64(10 * time.Millisecond)})
 	if err != nil {
 		return err
 	}
 	r := &c.result.Audit
-	r.Entries, r.Late, r.Faults, r.Spans = f.Entries, len(f.Late), f.Faults, len(f.Unknown)
-	for _, late := range f.Late[:min(mostShown, len(f.Late))] {
+	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
+	for _, late := range findings.Late[:min(maxShown, len(findings.Late))] {
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
 	}
-	trails := readTrails(membership.CollectParts(ctx, c.at))
-	got := map[string]emulator.UnderFence{}
-	for _, fenced := range c.n.Fleet.Fenced() {
-		if fenced.Write && !fenced.Turned {
-			got[fenced.RPC] = fenced
+	trails := newAuditTrails(membership.CollectParts(ctx, c.addresses))
+	attempts := map[string]emulator.FencedAttempt{}
+	for _, attempt := range c.cluster.Fleet.FencedAttempts() {
+		if attempt.Write && !attempt.Rejected {
+			attempts[attempt.RPC] = attempt
 		}
 	}
-	r.Writes = len(got)
-	for id, fenced := range got {
-		version, there := trails.singles[id]
+	r.Writes = len(attempts)
+	for id, attempt := range attempts {
+		version, found := trails.singles[id]
 		switch {
-		case there && version == fenced.Fence:
-			r.Right++
-		case there:
-			r.Wrong++
-		case trails.counts(fenced):
+		case found && version == attempt.Fence:
+			r.Matched++
+		case found:
+			r.WrongVersion++
+		case trails.takeCounted(attempt):
 			r.Counted++
-		case slices.ContainsFunc(f.Unknown, func(u audit.Gap) bool {
-			return u.From-int64(unknownBefore) <= fenced.At && fenced.At <= u.To
+		case slices.ContainsFunc(findings.Unknown, func(u audit.Gap) bool {
+			return u.From-int64(unknownMargin) <= attempt.At && attempt.At <= u.To
 		}):
 			r.Unknown++
 		default:
-			r.missing(fenced, trails)
+			r.recordMissing(attempt, trails)
 		}
 	}
 	return nil
 }
 
-// missing notes a write that the audit does not have.
-func (r *AuditResult) missing(w emulator.UnderFence, t *trails) {
-	if r.Missing++; len(r.FirstMissing) < mostShown {
-		r.FirstMissing = append(r.FirstMissing, fmt.Sprintf("%s under version %d, %v after that was first acted on, %v before the last entry",
-			w.RPC, w.Fence, time.Duration(w.At-t.begun[w.Fence]), time.Duration(t.last-w.At)))
+// recordMissing records a write that is not in the audit.
+func (r *AuditResult) recordMissing(attempt emulator.FencedAttempt, trails *auditTrails) {
+	if r.Missing++; len(r.FirstMissing) < maxShown {
+		r.FirstMissing = append(r.FirstMissing, fmt.Sprintf("%s under version %d, %v after the first act under it, %v before the last entry",
+			attempt.RPC, attempt.Fence, time.Duration(attempt.At-trails.firstUse[attempt.Fence]), time.Duration(trails.lastEntry-attempt.At)))
 	}
 }
 
-// told waits until the voters hold every driver's trail up to a moment at which all writes had ended. Drivers tell a bounded number of
-// entries at a time, which takes as long as it takes on a busy machine.
-func (c *changing) told(ctx context.Context, ended time.Time) error {
+// awaitTrails waits until the voters hold each driver's trail up to the end of all writes. Drivers
+// send a bounded number of entries at a time, so this may take long on a busy machine.
+func (c *versionsRun) awaitTrails(ctx context.Context, writesEnded time.Time) error {
 	if !relays.Sleep(ctx, c.Lease) {
 		return ctx.Err()
 	}
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
-		heard := map[string]bool{}
-		for _, p := range membership.CollectParts(ctx, c.at) {
-			if n := len(p.Entries); n > 0 && p.IsClockOffsetKnown && p.Entries[n-1].At+p.ClockOffset > ended.UnixNano() {
-				heard[p.Instance.Name] = true
+		reported := map[string]bool{}
+		for _, p := range membership.CollectParts(ctx, c.addresses) {
+			if n := len(p.Entries); n > 0 && p.IsClockOffsetKnown && p.Entries[n-1].At+p.ClockOffset > writesEnded.UnixNano() {
+				reported[p.Instance.Name] = true
 			}
 		}
-		if len(heard) == c.Drivers {
+		if len(reported) == c.Drivers {
 			return nil
 		}
 		if !relays.Sleep(ctx, c.Lease/4) {
 			return ctx.Err()
 		}
 	}
-	return nil // what was not told is missing
+	return nil // entries that have not arrived count as missing
 }
 
-// unknownBefore is how long before a start's last entry an RPC may have reached a member that would be entered after it.
-const unknownBefore = 2500 * time.Millisecond // all that its client waits, and what it may be late
+// unknownMargin is how long before the last entry of a process an RPC may have reached a member
+// without being in the trail.
+const unknownMargin = 2500 * time.Millisecond // client timeout plus slack
 
-// trails are all drivers' trails in the terms of the comparison.
-type trails struct {
-	singles map[string]uint64 // the version of each write that stands there by itself
-	counted map[uint64]uint64 // writes of each version that stand only in its counts
-	begun   map[uint64]int64  // when each was first acted on
-	last    int64             // entry of all
+// auditTrails are the trails of all drivers, indexed for the comparison.
+type auditTrails struct {
+	singles   map[string]uint64 // version of each write with an entry of its own, by RPC
+	counted   map[uint64]uint64 // by version, writes that are only counted
+	firstUse  map[uint64]int64  // by version, the time of the first act
+	lastEntry int64             // time of the last entry of all trails
 }
 
-func readTrails(parts []audit.Segment) *trails {
-	t := &trails{singles: map[string]uint64{}, counted: map[uint64]uint64{}, begun: map[uint64]int64{}}
+func newAuditTrails(parts []audit.Segment) *auditTrails {
+	t := &auditTrails{singles: map[string]uint64{}, counted: map[uint64]uint64{}, firstUse: map[uint64]int64{}}
 	for _, p := range parts {
 		for i := range p.Entries {
-			t.take(&p.Entries[i], p.ClockOffset)
+			t.addEntry(&p.Entries[i], p.ClockOffset)
 		}
 	}
 	for _, version := range t.singles {
-		t.counted[version] -= min(1, t.counted[version]) // what stands by itself is counted too
+		t.counted[version] -= min(1, t.counted[version]) // writes with an entry of their own are also counted
 	}
 	return t
 }
 
-func (t *trails) take(e *audit.Entry, offset int64) {
-	t.last = max(t.last, e.At+offset)
-	version := uint64(e.Version)
-	switch e.Kind {
+func (t *auditTrails) addEntry(entry *audit.Entry, offset int64) {
+	t.lastEntry = max(t.lastEntry, entry.At+offset)
+	version := uint64(entry.Version)
+	switch entry.Kind {
 	case audit.KindRPC:
-		t.singles[e.RPC] = version
+		t.singles[entry.RPC] = version
 	case audit.KindSpan:
-		if from, known := t.begun[version]; !known || e.From+offset < from {
-			t.begun[version] = e.From + offset
+		if from, known := t.firstUse[version]; !known || entry.From+offset < from {
+			t.firstUse[version] = entry.From + offset
 		}
 		for effect := audit.Deduplicated; effect <= audit.NonIdempotent; effect++ {
-			for _, n := range e.Counts[effect] {
+			for _, n := range entry.Counts[effect] {
 				t.counted[version] += n
 			}
 		}
 	}
 }
 
-// counts tells whether a write stands in the counts of its version: those are all that is kept of it once a version was acted on for so long.
-// Each such count stands for one write.
-func (t *trails) counts(w emulator.UnderFence) bool {
-	begun, known := t.begun[w.Fence]
-	if !known || t.counted[w.Fence] == 0 || time.Duration(w.At-begun) < routing.AuditWindow {
+// takeCounted reports whether a write is covered by the counts of its version, and uses up one
+// count. Writes long after the first use of a version are only counted.
+func (t *auditTrails) takeCounted(attempt emulator.FencedAttempt) bool {
+	firstUse, known := t.firstUse[attempt.Fence]
+	if !known || t.counted[attempt.Fence] == 0 || time.Duration(attempt.At-firstUse) < routing.AuditWindow {
 		return false
 	}
-	t.counted[w.Fence]--
+	t.counted[attempt.Fence]--
 	return true
 }
--- a/internal/emulator/trials/convened.go
+++ b/internal/emulator/trials/convened.go
@@ -11,88 +11,88 @@
 	"sedgespread/internal/emulator/links/relays"
 )
 
-// convened is a council among the first drivers of a trial. All that drivers and voters say to voters goes through relays,
-// one for each two of them.
-type convened struct {
-	net    *relays.Net
-	at     []string   // of voters
-	paths  [][]string // by driver and voter, where that driver reaches that voter
-	dir    string
-	player *relays.Player
+// relayedCouncil is a council of the first drivers of a trial. All traffic from drivers and voters
+// to voters goes through relays, one per pair.
+type relayedCouncil struct {
+	network        *relays.Network
+	addresses      []string   // of the voters
+	relayAddresses [][]string // by driver and voter, the address at which the driver reaches the voter
+	dir            string
+	player         *relays.Player
 }
 
 const tickMs = 20
 
 func driverName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// convene lays the relays between so many drivers and the voters at some addresses, which are the first drivers.
-func convene(seed uint64, at []string, drivers int) (*convened, error) {
-	c := &convened{net: relays.New(seed), at: at}
-	c.player = &relays.Player{Net: c.net}
+// newRelayedCouncil starts relays between all drivers and the voters, which are the first drivers.
+func newRelayedCouncil(seed uint64, addresses []string, drivers int) (*relayedCouncil, error) {
+	c := &relayedCouncil{network: relays.New(seed), addresses: addresses}
+	c.player = &relays.Player{Network: c.network}
 	for i := range drivers {
-		var paths []string
-		for v, address := range at {
+		var relayAddresses []string
+		for v, address := range addresses {
 			if v != i {
 				var err error
-				if address, err = c.net.Relay(links.Way{From: driverName(i), To: driverName(v)}, address); err != nil {
-					c.net.Close()
+				if address, err = c.network.RelayTCP(links.Link{From: driverName(i), To: driverName(v)}, address); err != nil {
+					c.network.Close()
 					return nil, err
 				}
 			}
-			paths = append(paths, address)
+			relayAddresses = append(relayAddresses, address)
 		}
-		c.paths = append(c.paths, paths)
+		c.relayAddresses = append(c.relayAddresses, relayAddresses)
 	}
 	return c, nil
 }
 
-// text is what the operator's file of driver i says of the council.
-func (c *convened) text(i int) string {
+// operatorText returns the council section of a driver's operator file.
+func (c *relayedCouncil) operatorText(i int) string {
 	var b strings.Builder
 	b.WriteString("council {\n")
-	for v, at := range c.paths[i] {
-		fmt.Fprintf(&b, "  voter { id: %d at: \"%s\" }\n", v+1, at)
+	for v, address := range c.relayAddresses[i] {
+		fmt.Fprintf(&b, "  voter { id: %d at: \"%s\" }\n", v+1, address)
 	}
 	fmt.Fprintf(&b, "  tick_ms: %d\n", tickMs)
-	if i < len(c.at) {
+	if i < len(c.addresses) {
 		fmt.Fprintf(&b, "  id: %d\n  disk: \"%s\"\n", i+1, filepath.Join(c.dir, driverName(i)+".council"))
 	}
 	b.WriteString("}\n")
 	return b.String()
 }
 
-// kinds are the troubles of links between drivers and voters, and between voters.
-func (c *convened) kinds() []links.Kind {
+// faultSpecs describes the random faults of the links from drivers and voters to voters.
+func (c *relayedCouncil) faultSpecs() []links.FaultSpec {
 	var all, voters []string
-	for i := range c.paths {
+	for i := range c.relayAddresses {
 		all = append(all, driverName(i))
 	}
-	voters = all[:len(c.at)]
+	voters = all[:len(c.addresses)]
 	const ms = time.Millisecond
-	return []links.Kind{
-		{What: links.Delay, Every: 4 * time.Second, From: all, To: voters, Least: 300 * ms, Most: 1500 * ms, Amount: 0.005, Upto: 0.06, Spread: 0.02},
-		{What: links.Silent, Every: 5 * time.Second, From: all, To: voters, Least: 200 * ms, Most: 1500 * ms},
-		{What: links.Silent, Every: 9 * time.Second, From: voters, To: voters, Both: true, Least: 200 * ms, Most: 1500 * ms},
-		{What: links.Silent, Every: 13 * time.Second, From: voters, To: []string{"*"}, Both: true, Least: 200 * ms, Most: 1200 * ms},
-		{What: links.Cut, Every: 6 * time.Second, From: all, To: voters, Least: 100 * ms, Most: 1000 * ms},
-		{What: links.Slow, Every: 8 * time.Second, From: all, To: voters, Least: 300 * ms, Most: time.Second, Amount: 2000, Upto: 20000},
-		{What: links.Reset, Every: 3 * time.Second, From: all, To: voters},
-		{What: links.Chop, Every: 4 * time.Second, From: all, To: voters, Amount: 1, Upto: 400},
+	return []links.FaultSpec{
+		{Fault: links.Delay, MeanInterval: 4 * time.Second, From: all, To: voters, MinDuration: 300 * ms, MaxDuration: 1500 * ms, Amount: 0.005, MaxAmount: 0.06, Jitter: 0.02},
+		{Fault: links.Silent, MeanInterval: 5 * time.Second, From: all, To: voters, MinDuration: 200 * ms, MaxDuration: 1500 * ms},
+		{Fault: links.Silent, MeanInterval: 9 * time.Second, From: voters, To: voters, BothDirections: true, MinDuration: 200 * ms, MaxDuration: 1500 * ms},
+		{Fault: links.Silent, MeanInterval: 13 * time.Second, From: voters, To: []string{"*"}, BothDirections: true, MinDuration: 200 * ms, MaxDuration: 1200 * ms},
+		{Fault: links.Cut, MeanInterval: 6 * time.Second, From: all, To: voters, MinDuration: 100 * ms, MaxDuration: 1000 * ms},
+		{Fault: links.Throttle, MeanInterval: 8 * time.Second, From: all, To: voters, MinDuration: 300 * ms, MaxDuration: time.Second, Amount: 2000, MaxAmount: 20000},
+		{Fault: links.Reset, MeanInterval: 3 * time.Second, From: all, To: voters},
+		{Fault: links.Truncate, MeanInterval: 4 * time.Second, From: all, To: voters, Amount: 1, MaxAmount: 400},
 	}
 }
 
-const linkSpan = 20 * time.Second // for which troubles are drawn at once
+const linkFaultSpan = 20 * time.Second // length of one generated timeline
 
-// troubles lets links fail until the context ends.
-func (c *convened) troubles(ctx context.Context, seed uint64) {
+// playFaults plays random faults of links until the context ends.
+func (c *relayedCouncil) playFaults(ctx context.Context, seed uint64) {
 	for round := uint64(0); ctx.Err() == nil; round++ {
-		c.player.Play(ctx, links.Draw(seed<<16+round, linkSpan, c.kinds()))
+		c.player.Play(ctx, links.Draw(seed<<16+round, linkFaultSpan, c.faultSpecs()))
 	}
 }
 
-// befell adds what befell links.
-func (c *convened) befell(faults map[string]int) {
-	for what, n := range c.player.Faults() {
+// addFaultCounts adds the number of link faults by type.
+func (c *relayedCouncil) addFaultCounts(faults map[string]int) {
+	for what, n := range c.player.FaultCounts() {
 		faults["a link: "+what.String()] += n
 	}
 }
--- a/internal/emulator/trials/disks.go
+++ b/internal/emulator/trials/disks.go
@@ -11,58 +11,60 @@
 	"sedgespread/internal/membership"
 )
 
-// refusedWithin is how long a voter may take to be refused, in ticks of the council: it asks the others once a tick, and
-// begins without the last of them after twice an election's ten.
-const refusedWithin = 100 * tickMs * time.Millisecond
+// refusalTimeout is the time within which a voter with an outdated disk must be refused. A voter
+// queries the others once per tick and starts without the unreachable ones after two election
+// timeouts of ten ticks.
+const refusalTimeout = 100 * tickMs * time.Millisecond
 
-// oldDisks lets, in each round, a voter that does not lead come back with its disk as it was a version before. It has to be
-// refused, the others have to go on without it, and with its own disk again it has to catch up.
-func (c *changing) oldDisks(ctx context.Context) error {
-	for n := 1; n <= 3*c.Count; n += 3 {
-		if err := c.closes(ctx, n); err != nil {
+// runOldDisks restarts, in each round, a voter that is not the leader with its disk of one version
+// earlier. The voter must be refused, the others must continue, and with its newest disk it must
+// catch up.
+func (c *versionsRun) runOldDisks(ctx context.Context) error {
+	for n := 1; n <= 3*c.MinClosed; n += 3 {
+		if err := c.closeVersion(ctx, n); err != nil {
 			return err
 		}
-		v := (c.leading() + 1) % c.Voters
-		d := c.n.Drivers[v]
-		d.Disk = filepath.Join(c.n.dir, driverName(v)+".council")
-		if err := d.Copy(); err != nil {
+		voter := (c.leaderVoter() + 1) % c.Voters
+		driver := c.cluster.Drivers[voter]
+		driver.Disk = filepath.Join(c.cluster.dir, driverName(voter)+".council")
+		if err := driver.CopyDisk(); err != nil {
 			return err
 		}
-		if err := c.closes(ctx, n+1); err != nil {
+		if err := c.closeVersion(ctx, n+1); err != nil {
 			return err
 		}
-		if err := startsOver(ctx, d, d.PutBack); err != nil {
+		if err := restartWithDisk(ctx, driver, driver.RestoreDisk); err != nil {
 			return err
 		}
 		c.result.OldDisks++
-		if !c.refused(ctx, v) {
-			c.result.Accepted++
-			c.result.Breaches = append(c.result.Breaches, emulator.Breach{Rule: emulator.RuleOldDisk,
-				What: "voter " + d.Name + " began with a disk older than what it had told"})
+		if !c.isRefused(ctx, voter) {
+			c.result.AcceptedOldDisks++
+			c.result.Violations = append(c.result.Violations, emulator.Violation{Rule: emulator.RuleOldDisk,
+				Detail: "voter " + driver.Name + " started with an outdated disk"})
 		}
-		if err := c.closes(ctx, n+2); err != nil {
+		if err := c.closeVersion(ctx, n+2); err != nil {
 			return err
 		}
-		if err := startsOver(ctx, d, d.Return); err != nil {
+		if err := restartWithDisk(ctx, driver, driver.RestoreNewestDisk); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startsOver starts a driver with another disk.
-func startsOver(ctx context.Context, d *sockets.Driver, change func() error) error {
+// restartWithDisk kills a driver, replaces its disk and starts it.
+func restartWithDisk(ctx context.Context, d *sockets.Driver, replaceDisk func() error) error {
 	d.Kill()
-	if err := change(); err != nil {
+	if err := replaceDisk(); err != nil {
 		return err
 	}
 	return d.Start(ctx)
 }
 
-// refused tells whether a voter says in time that its disk is old.
-func (c *changing) refused(ctx context.Context, v int) bool {
-	for begun := time.Now(); time.Since(begun) < refusedWithin && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
-		s, err := membership.NewClient(c.at[v]).Council(ctx)
+// isRefused reports whether a voter reports within refusalTimeout that its disk is outdated.
+func (c *versionsRun) isRefused(ctx context.Context, voter int) bool {
+	for start := time.Now(); time.Since(start) < refusalTimeout && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+		s, err := membership.NewClient(c.addresses[voter]).Council(ctx)
 		if err == nil && strings.Contains(s.RefusalReason, "is older than what it had told") {
 			return true
 		}
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -21,19 +21,19 @@
 	"sedgespread/internal/membership"
 )
 
-// Moves is a trial in which tenants are moved between cells again and again while they write and read, and while
-// members, drivers and the coordinator fail.
+// Moves is a trial that keeps moving tenants between cells during reads and writes while members,
+// drivers and the coordinator fail.
 type Moves struct {
-	Program string
-	Seed    uint64
-	Count   int // of moves that must have been done
-	Span    time.Duration
-	Faults  bool
-	Tenants int
-	Keys    int // of a tenant, each written by one client
-	Lease   time.Duration
-	Hold    time.Duration
-	Voters  int // of a council that coordinates; 0 for one coordinator without fellows
+	Program  string
+	Seed     uint64
+	MinMoves int // moves that must complete
+	Timeout  time.Duration
+	Faults   bool
+	Tenants  int
+	Keys     int // per tenant, each with its own client
+	Lease    time.Duration
+	Hold     time.Duration
+	Voters   int // of a coordinating council; 0 for a single coordinator
 }
 
 const (
@@ -41,291 +41,293 @@
 	moveDrivers = 3
 )
 
-func (v *Moves) shape() emulator.Shape {
-	return emulator.Shape{Groups: moveCells, Members: 3, Cores: 4, Queue: 100, Service: int64(2 * time.Millisecond), Spread: 0.5,
-		Lag: int64(15 * time.Millisecond), Behind: int64(30 * time.Millisecond), Seed: v.Seed, Cold: 0.2, Warm: int64(4 * time.Second),
-		Topple: 2, Grace: int64(3 * time.Second)}
+func (v *Moves) fleetConfig() emulator.Config {
+	return emulator.Config{Groups: moveCells, Members: 3, Cores: 4, QueueLimit: 100, ServiceTime: int64(2 * time.Millisecond), ServiceSigma: 0.5,
+		ReplicaLag: int64(15 * time.Millisecond), FillLag: int64(30 * time.Millisecond), Seed: v.Seed, ColdCapacity: 0.2, WarmUpTime: int64(4 * time.Second),
+		OverloadFactor: 2, DrainGrace: int64(3 * time.Second)}
 }
 
-// MovesResult is what a trial of moves showed.
+// MovesResult is the result of a trial of moves.
 type MovesResult struct {
-	Done, Undone, Asked int
-	Refused             int // moves that the coordinator did not begin
-	RPCs                map[sockets.Fate]int
-	Writes, Kept        int           // acknowledged, and those checked to be in the cell where their tenant was in the end
-	Held50, Held99      time.Duration // for which moves that were done held their tenant's writes
-	Wrote50, Wrote99    time.Duration // that served writes took
-	PushedBack          float64       // share of the writes
-	Faults              map[string]int
-	Turned              map[string]int64 // RPCs by why the gates of drivers turned them away, since their last start
-	Lapsed              int64            // call-outs and answers that gates gave up, since then
-	Breaches            []emulator.Breach
-	Unexplained         int           // RPCs without an answer at drivers that had no trouble
-	Leaders             int           // that coordinated one after another
-	Stood50, Stood99    time.Duration // from one step of any move to the next while moves were under way
-	StoodMost           time.Duration
+	Done, RolledBack, Requested int
+	Rejected                    int // move requests that the coordinator rejected
+	RPCs                        map[sockets.Outcome]int
+	Writes, FoundWrites         int           // acknowledged writes, and those found in their tenant's final cell
+	HoldP50, HoldP99            time.Duration // how long completed moves held writes
+	WriteP50, WriteP99          time.Duration // latency of served writes
+	RejectedShare               float64       // share of writes that were rejected
+	Faults                      map[string]int
+	GateRejections              map[string]int64 // rejected RPCs by reason, from the admission gates of drivers since their last start
+	GateFenced                  int64            // attempts and answers dropped by these gates as fenced
+	Violations                  []emulator.Violation
+	Unexplained                 int           // RPCs without an answer at drivers that were not disrupted
+	Leaders                     int           // number of successive coordinators
+	StepGapP50, StepGapP99      time.Duration // between successive steps of moves while any move was in progress
+	StepGapMax                  time.Duration
 }
 
-// moving is a trial at work.
-type moving struct {
+// movesRun is a running trial of moves.
+type movesRun struct {
 	*Moves
-	*players
-	at      []string  // of the coordinator, or of the voters
-	council *convened // nil without one
-	mu      sync.Mutex
-	result  *MovesResult
-	holds   []float64 // seconds for which moves held writes
-	epochs  map[cells.Epoch]bool
-	journal string
-	admins  []string  // by driver
-	stands  []float64 // seconds from step to step
-	stepped time.Time // when the last one was seen
-	under   bool      // moves were under way then
-	leader  council.VoterID
+	*workload
+	addresses      []string        // of the coordinator or the voters
+	council        *relayedCouncil // nil for a single coordinator
+	mu             sync.Mutex
+	result         *MovesResult
+	holdTimes      []float64 // in seconds
+	seenEpochs     map[cells.Epoch]bool
+	journalPath    string
+	adminAddresses []string  // by driver
+	stepGaps       []float64 // in seconds
+	lastStep       time.Time // when the last step was observed
+	wasMoving      bool      // whether moves were in progress at lastStep
+	leader         council.VoterID
 }
 
-// ahead is how many drivers coordinate and take no clients, so that they can be killed for their own sake.
-func (v *Moves) ahead() int { return max(1, v.Voters) }
+// coordinatorCount returns the number of drivers that coordinate. They serve no clients, so that
+// they can be killed independently.
+func (v *Moves) coordinatorCount() int { return max(1, v.Voters) }
 
-// text is the operator's file of driver i; the first ones coordinate.
-func (v *moving) text(i int) string {
+// operatorText returns the operator file of driver i; the first drivers coordinate.
+func (m *movesRun) operatorText(i int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "admin { listen: \"%s\" }\ncells {\n", v.admins[i])
+	fmt.Fprintf(&b, "admin { listen: \"%s\" }\ncells {\n", m.adminAddresses[i])
 	for c := range moveCells {
 		fmt.Fprintf(&b, "  cell { name: \"c%d\" group: %d }\n", c, c+1)
 	}
 	b.WriteString("  tenancy {\n    others: \"others\"\n")
-	for t := range v.Tenants {
+	for t := range m.Tenants {
 		fmt.Fprintf(&b, "    rule { prefix: \"t%d/\" tenant: \"t%d\" }\n", t, t)
 	}
 	fmt.Fprintf(&b, "  }\n  budget { rpcs: 600 call_outs: 600 lend: 0.5 }\n  coordination {\n    lease_ms: %d\n    hold_ms: %d\n    held: 1000\n",
-		v.Lease.Milliseconds(), v.Hold.Milliseconds())
-	if v.council == nil {
-		fmt.Fprintf(&b, "    at: \"%s\"\n", v.at[0])
+		m.Lease.Milliseconds(), m.Hold.Milliseconds())
+	if m.council == nil {
+		fmt.Fprintf(&b, "    at: \"%s\"\n", m.addresses[0])
 	}
-	if v.council == nil && i == 0 {
-		fmt.Fprintf(&b, "    here: true\n    journal: \"%s\"\n", v.journal)
+	if m.council == nil && i == 0 {
+		fmt.Fprintf(&b, "    here: true\n    journal: \"%s\"\n", m.journalPath)
 	}
-	if i < v.ahead() {
-		fmt.Fprintf(&b, "    fill_hook: \"%s\"\n", v.n.Fleet.FillHook())
+	if i < m.coordinatorCount() {
+		fmt.Fprintf(&b, "    fill_hook: \"%s\"\n", m.cluster.Fleet.FillHookURL())
 	}
 	b.WriteString("  }\n}\n")
-	if v.council != nil {
-		b.WriteString(v.council.text(i))
+	if m.council != nil {
+		b.WriteString(m.council.operatorText(i))
 	}
 	return b.String()
 }
 
-// Run plays the trial.
+// Run runs the trial.
 func (v *Moves) Run(ctx context.Context) (*MovesResult, error) {
-	m := &moving{Moves: v, epochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, Turned: map[string]int64{}}}
-	m.players = newPlayers(v.Seed, func() *sockets.Driver { return m.n.Drivers[v.ahead()+m.chance.intN(moveDrivers)] })
-	drivers := v.ahead() + moveDrivers
-	at, err := sockets.FreeAddresses(v.ahead() + drivers)
+	m := &movesRun{Moves: v, seenEpochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, GateRejections: map[string]int64{}}}
+	m.workload = newWorkload(v.Seed, func() *sockets.Driver { return m.cluster.Drivers[v.coordinatorCount()+m.random.intN(moveDrivers)] })
+	drivers := v.coordinatorCount() + moveDrivers
+	addresses, err := sockets.FreeAddresses(v.coordinatorCount() + drivers)
 	if err != nil {
 		return nil, err
 	}
-	m.at, m.admins = at[:v.ahead()], at[v.ahead():]
+	m.addresses, m.adminAddresses = addresses[:v.coordinatorCount()], addresses[v.coordinatorCount():]
 	if v.Voters > 0 {
-		if m.council, err = convene(v.Seed, m.at, drivers); err != nil {
+		if m.council, err = newRelayedCouncil(v.Seed, m.addresses, drivers); err != nil {
 			return nil, err
 		}
-		defer m.council.net.Close()
+		defer m.council.network.Close()
 	}
-	n, err := Open(ctx, v.Program, v.shape(), drivers, func(n *Night, i int) string {
-		m.n, m.journal = n, filepath.Join(n.dir, "cells.journal")
+	cluster, err := StartCluster(ctx, v.Program, v.fleetConfig(), drivers, func(cluster *Cluster, i int) string {
+		m.cluster, m.journalPath = cluster, filepath.Join(cluster.dir, "cells.journal")
 		if m.council != nil {
-			m.council.dir = n.dir
+			m.council.dir = cluster.dir
 		}
-		return m.text(i)
+		return m.operatorText(i)
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer n.Close()
-	m.n = n
-	var trouble sync.WaitGroup
-	troubles, calm := context.WithCancel(ctx)
-	defer calm()
-	m.play(ctx, v.Tenants, v.Keys)
+	defer cluster.Close()
+	m.cluster = cluster
+	var faults sync.WaitGroup
+	faultCtx, stopFaults := context.WithCancel(ctx)
+	defer stopFaults()
+	m.startClients(ctx, v.Tenants, v.Keys)
 	if v.Faults {
 		if m.council != nil {
-			trouble.Add(1)
-			go func() { defer trouble.Done(); m.council.troubles(troubles, v.Seed) }()
+			faults.Add(1)
+			go func() { defer faults.Done(); m.council.playFaults(faultCtx, v.Seed) }()
 		}
-		for _, fault := range m.faults() {
-			trouble.Add(1)
-			go func() { defer trouble.Done(); m.trouble(troubles, fault) }()
+		for _, fault := range m.periodicFaults() {
+			faults.Add(1)
+			go func() { defer faults.Done(); m.injectRepeatedly(faultCtx, fault) }()
 		}
 	}
-	err = m.move(ctx)
-	calm()
-	trouble.Wait()
-	m.end()
+	err = m.requestMoves(ctx)
+	stopFaults()
+	faults.Wait()
+	m.stop()
 	if err == nil {
-		err = m.settle(ctx)
+		err = m.awaitIdle(ctx)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w\n%s", err, n.logs())
+		return nil, fmt.Errorf("%w\n%s", err, cluster.lastLogLines())
 	}
-	return m.finish(), nil
+	return m.summarize(), nil
 }
 
-// move asks for moves of tenants to cells at random until enough are done, some of them called off, some asked for twice
-// and some sent back while they settle.
-func (m *moving) move(ctx context.Context) error {
-	c := membership.NewClient(m.at...)
-	deadline := time.Now().Add(m.Span)
+// requestMoves requests random moves until enough have completed. Some are aborted, requested twice
+// or reversed while in progress.
+func (m *movesRun) requestMoves(ctx context.Context) error {
+	coordinator := membership.NewClient(m.addresses...)
+	deadline := time.Now().Add(m.Timeout)
 	for {
-		state, err := c.State(ctx)
+		state, err := coordinator.State(ctx)
 		if err == nil {
-			m.watch(state)
+			m.observe(state)
 		}
 		m.mu.Lock()
 		done := m.result.Done
 		m.mu.Unlock()
 		switch {
-		case done >= m.Count:
+		case done >= m.MinMoves:
 			return nil
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case time.Now().After(deadline):
-			return fmt.Errorf("only %d of %d moves were done in %v (%d undone)", done, m.Count, m.Span, m.result.Undone)
+			return fmt.Errorf("only %d of %d moves completed in %v (%d rolled back)", done, m.MinMoves, m.Timeout, m.result.RolledBack)
 		}
-		if len(movingOf(state)) < max(1, m.Tenants/2) {
-			m.ask(ctx, c)
+		if len(activeMoves(state)) < max(1, m.Tenants/2) {
+			m.requestMove(ctx, coordinator)
 		}
-		if m.chance.intN(60) == 0 {
-			if under := movingOf(state); len(under) > 0 {
-				c.Abort(ctx, membership.MoveRequest{Tenant: under[m.chance.intN(len(under))].Tenant, Reason: "trial"})
+		if m.random.intN(60) == 0 {
+			if moving := activeMoves(state); len(moving) > 0 {
+				coordinator.Abort(ctx, membership.MoveRequest{Tenant: moving[m.random.intN(len(moving))].Tenant, Reason: "trial"})
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func movingOf(s membership.CoordinatorState) (moving []cells.Entry) {
-	for _, e := range s.Entries {
-		if e.Stage != cells.StageIdle {
-			moving = append(moving, e)
+func activeMoves(state membership.CoordinatorState) (active []cells.Entry) {
+	for _, entry := range state.Entries {
+		if entry.Stage != cells.StageIdle {
+			active = append(active, entry)
 		}
 	}
-	return moving
+	return active
 }
 
-// ask asks for a move, now and then twice at once.
-func (m *moving) ask(ctx context.Context, c membership.Client) {
-	t := cells.Tenant(fmt.Sprintf("t%d", m.chance.intN(m.Tenants)))
-	times := 1 + m.chance.intN(4)/3
+// requestMove requests a random move, sometimes two of the same tenant.
+func (m *movesRun) requestMove(ctx context.Context, coordinator membership.Client) {
+	tenant := cells.Tenant(fmt.Sprintf("t%d", m.random.intN(m.Tenants)))
+	times := 1 + m.random.intN(4)/3
 	for range times {
-		to := fmt.Sprintf("c%d", m.chance.intN(moveCells))
-		err := c.Move(ctx, []membership.MoveRequest{{Tenant: t, To: to, Reason: "trial"}})
+		to := fmt.Sprintf("c%d", m.random.intN(moveCells))
+		err := coordinator.Move(ctx, []membership.MoveRequest{{Tenant: tenant, To: to, Reason: "trial"}})
 		m.mu.Lock()
-		m.result.Asked++
+		m.result.Requested++
 		if err != nil {
-			m.result.Refused++
+			m.result.Rejected++
 		}
 		m.mu.Unlock()
 	}
 }
 
-// watch counts moves that have ended since it looked last.
-func (m *moving) watch(s membership.CoordinatorState) {
+// observe counts the moves that ended since the last call.
+func (m *movesRun) observe(state membership.CoordinatorState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if s.Voter != m.leader {
-		m.leader = s.Voter
+	if state.Voter != m.leader {
+		m.leader = state.Voter
 		m.result.Leaders++
 	}
-	now, stepped := time.Now(), false
+	now, hasStepped := time.Now(), false
 	defer func() {
-		if stepped && m.under {
-			m.stands = append(m.stands, now.Sub(m.stepped).Seconds())
+		if hasStepped && m.wasMoving {
+			m.stepGaps = append(m.stepGaps, now.Sub(m.lastStep).Seconds())
 		}
-		if stepped {
-			m.stepped, m.under = now, len(movingOf(s)) > 0
+		if hasStepped {
+			m.lastStep, m.wasMoving = now, len(activeMoves(state)) > 0
 		}
 	}()
-	for _, e := range s.Entries {
-		if m.epochs[e.Epoch] {
+	for _, entry := range state.Entries {
+		if m.seenEpochs[entry.Epoch] {
 			continue
 		}
-		m.epochs[e.Epoch], stepped = true, true
-		switch e.Stage {
+		m.seenEpochs[entry.Epoch], hasStepped = true, true
+		switch entry.Stage {
 		case cells.StageSwitched:
 			m.result.Done++
-			m.holds = append(m.holds, float64(e.DecidedAt-e.HoldStartedAt)/1e9)
+			m.holdTimes = append(m.holdTimes, float64(entry.DecidedAt-entry.HoldStartedAt)/1e9)
 		case cells.StageRollingBack:
-			m.result.Undone++
+			m.result.RolledBack++
 		}
 	}
 }
 
-// settle waits until no move is under way.
-func (m *moving) settle(ctx context.Context) error {
-	c := membership.NewClient(m.at...)
+// awaitIdle waits until no move is in progress.
+func (m *movesRun) awaitIdle(ctx context.Context) error {
+	coordinator := membership.NewClient(m.addresses...)
 	for deadline := time.Now().Add(m.Hold + 2*m.Lease + 10*time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		state, err := c.State(ctx)
+		state, err := coordinator.State(ctx)
 		if err == nil {
-			m.watch(state)
-			if len(movingOf(state)) == 0 {
+			m.observe(state)
+			if len(activeMoves(state)) == 0 {
 				return nil
 			}
 		}
 	}
-	return fmt.Errorf("moves do not settle")
+	return fmt.Errorf("timed out waiting for moves to end")
 }
 
-// finish checks what is left and sums up.
-func (m *moving) finish() *MovesResult {
+// summarize checks the final state and computes the result.
+func (m *movesRun) summarize() *MovesResult {
 	r := m.result
-	state, _ := membership.NewClient(m.at...).State(context.Background())
+	state, _ := membership.NewClient(m.addresses...).State(context.Background())
 	groups := map[string]int64{}
-	for _, e := range state.Entries {
+	for _, entry := range state.Entries {
 		var cell int64
-		fmt.Sscanf(e.Cell, "c%d", &cell)
-		groups[string(e.Tenant)] = cell + 1
+		fmt.Sscanf(entry.Cell, "c%d", &cell)
+		groups[string(entry.Tenant)] = cell + 1
 	}
-	m.n.Fleet.Model(func(_ int64, f *emulator.Fleet) {
-		r.Writes = m.n.Fleet.Settle(f, func(key string) int64 {
+	m.cluster.Fleet.WithModel(func(_ int64, stats *emulator.Fleet) {
+		r.Writes = m.cluster.Fleet.CheckAcknowledged(stats, func(key string) int64 {
 			if g, moved := groups[emulator.TenantOf(key)]; moved {
 				return g
 			}
 			return hashedGroup(moveCells, key)
 		})
 	})
-	r.Breaches = m.n.Fleet.Breaches()
-	r.Kept = r.Writes
-	for _, b := range r.Breaches {
-		if b.Rule == emulator.RuleLost {
-			r.Kept--
+	r.Violations = m.cluster.Fleet.Violations()
+	r.FoundWrites = r.Writes
+	for _, violation := range r.Violations {
+		if violation.Rule == emulator.RuleLostWrite {
+			r.FoundWrites--
 		}
 	}
-	r.Held50, r.Held99 = quantiles(m.holds)
-	r.Stood50, r.Stood99 = quantiles(m.stands)
-	for _, stood := range m.stands {
-		r.StoodMost = max(r.StoodMost, time.Duration(stood*float64(time.Second)))
-	}
-	r.Wrote50, r.Wrote99 = quantiles(m.waits)
-	r.RPCs, r.Unexplained = m.rpcs, m.unexplained
-	for _, address := range m.admins {
-		var f cells.Stats
-		if admin.NewCellsClient(address).Call(context.Background(), "list", admin.Query{}, &f) == nil {
-			for why, n := range f.Rejected {
-				r.Turned[why] += n
+	r.HoldP50, r.HoldP99 = p50p99(m.holdTimes)
+	r.StepGapP50, r.StepGapP99 = p50p99(m.stepGaps)
+	for _, gap := range m.stepGaps {
+		r.StepGapMax = max(r.StepGapMax, time.Duration(gap*float64(time.Second)))
+	}
+	r.WriteP50, r.WriteP99 = p50p99(m.writeLatencies)
+	r.RPCs, r.Unexplained = m.outcomes, m.unexplained
+	for _, address := range m.adminAddresses {
+		var stats cells.Stats
+		if admin.NewCellsClient(address).Call(context.Background(), "list", admin.Query{}, &stats) == nil {
+			for reason, n := range stats.Rejected {
+				r.GateRejections[reason] += n
 			}
-			r.Lapsed += f.Fenced
+			r.GateFenced += stats.Fenced
 		}
 	}
-	r.PushedBack = float64(m.turned) / float64(max(1, m.writes))
-	m.befell(r.Faults)
+	r.RejectedShare = float64(m.rejectedWrites) / float64(max(1, m.writes))
+	m.addFaultCounts(r.Faults)
 	if m.council != nil {
-		m.council.befell(r.Faults)
+		m.council.addFaultCounts(r.Faults)
 	}
 	return r
 }
 
-// hashedGroup is the group of a key's tenant where so many cells of one group each take tenants by hash alone.
+// hashedGroup returns the group of a key's tenant if tenants are placed by hash on cells of one
+// group each.
 func hashedGroup(count int, key string) int64 {
 	layout := cells.NewLayout(1)
 	for c := range count {
@@ -334,7 +336,7 @@
 	return int64(layout.HomeCell(cells.Tenant(emulator.TenantOf(key)))) + 1
 }
 
-func quantiles(seconds []float64) (half, most time.Duration) {
+func p50p99(seconds []float64) (p50, p99 time.Duration) {
 	if len(seconds) == 0 {
 		return 0, 0
 	}
@@ -346,124 +348,129 @@
 	return at(0.5), at(0.99)
 }
 
-// faults are the troubles of a night of moves.
-func (m *moving) faults() []fault {
-	members := m.shape().Groups * m.shape().Members
-	driver := m.some
-	some := func(do func(id emulator.MemberID, f *emulator.Fleet, now int64)) {
-		id := emulator.MemberID(m.chance.intN(members))
-		m.n.Fleet.Model(func(now int64, f *emulator.Fleet) { do(id, f, now) })
-	}
-	return append(m.coordinators(), []fault{
-		{"a driver stands still", 4 * time.Second, func(ctx context.Context) {
-			still(ctx, driver(), time.Duration((0.2+2*m.chance.float())*float64(m.Lease)))
+// periodicFaults returns the faults of members, drivers and coordinators.
+func (m *movesRun) periodicFaults() []periodicFault {
+	members := m.fleetConfig().Groups * m.fleetConfig().Members
+	pickDriver := m.pickDriver
+	onRandomMember := func(update func(id emulator.MemberID, f *emulator.Fleet, now int64)) {
+		id := emulator.MemberID(m.random.intN(members))
+		m.cluster.Fleet.WithModel(func(now int64, f *emulator.Fleet) { update(id, f, now) })
+	}
+	return append(m.coordinatorFaults(), []periodicFault{
+		{"a driver is paused", 4 * time.Second, func(ctx context.Context) {
+			pauseDriver(ctx, pickDriver(), time.Duration((0.2+2*m.random.float64())*float64(m.Lease)))
 		}},
-		{"a driver is killed and started again", 6 * time.Second, func(ctx context.Context) {
-			again(ctx, driver(), time.Duration(m.chance.float()*float64(m.Lease)))
+		{"a driver is killed and restarted", 6 * time.Second, func(ctx context.Context) {
+			killAndRestart(ctx, pickDriver(), time.Duration(m.random.float64()*float64(m.Lease)))
 		}},
-		{"a member loses its answers", 2 * time.Second, func(ctx context.Context) {
+		{"replies of a member are lost", 2 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.Mute(at, true) })
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetReplyLoss(at, true) })
 			relays.Sleep(ctx, 300*time.Millisecond)
-			m.n.Fleet.Model(func(_ int64, f *emulator.Fleet) { f.Mute(id, false) })
+			m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetReplyLoss(id, false) })
 		}},
 		{"a member is ten times as slow", 3 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.Slow(at, 10) })
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetSlowdown(at, 10) })
 			relays.Sleep(ctx, time.Second)
-			m.n.Fleet.Model(func(_ int64, f *emulator.Fleet) { f.Slow(id, 1) })
+			m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetSlowdown(id, 1) })
 		}},
-		{"a member stands still", 2 * time.Second, func(ctx context.Context) {
-			some(func(at emulator.MemberID, f *emulator.Fleet, now int64) { f.Pause(at, now+int64(500*time.Millisecond)) })
+		{"a member is paused", 2 * time.Second, func(ctx context.Context) {
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
+				f.PauseUntil(at, now+int64(500*time.Millisecond))
+			})
 		}},
-		{"a replica drains and serves again", 4 * time.Second, func(ctx context.Context) {
-			id := emulator.MemberID(m.chance.intN(moveCells)*m.shape().Members + 1) // never both of a group
-			m.n.Fleet.Drain(id, true)
-			relays.Sleep(ctx, m.drained())
-			m.n.Fleet.Drain(id, false)
+		{"a replica drains and returns to service", 4 * time.Second, func(ctx context.Context) {
+			id := emulator.MemberID(m.random.intN(moveCells)*m.fleetConfig().Members + 1) // at most one replica of each group
+			m.cluster.Fleet.SetDraining(id, true)
+			relays.Sleep(ctx, m.drainDuration())
+			m.cluster.Fleet.SetDraining(id, false)
 		}},
-		{"a member starts anew and is cold", 4 * time.Second, func(ctx context.Context) {
-			m.n.Fleet.Restart(emulator.MemberID(m.chance.intN(members)))
+		{"a member restarts cold", 4 * time.Second, func(ctx context.Context) {
+			m.cluster.Fleet.Restart(emulator.MemberID(m.random.intN(members)))
 		}},
-		{"a replica lags and answers quickly", 2 * time.Second, func(ctx context.Context) {
+		{"a replica lags", 2 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
+			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
 				id = at
-				f.LagBy(now, at, int64(2*time.Second))
+				f.SetLag(now, at, int64(2*time.Second))
 			})
 			relays.Sleep(ctx, time.Second)
-			m.n.Fleet.Model(func(now int64, f *emulator.Fleet) { f.LagBy(now, id, f.Shape.Lag) })
+			m.cluster.Fleet.WithModel(func(now int64, f *emulator.Fleet) { f.SetLag(now, id, f.Config.ReplicaLag) })
 		}},
 	}...)
 }
 
-// coordinators are the troubles of those who coordinate.
-func (m *moving) coordinators() []fault {
+// coordinatorFaults returns the faults of the coordinators.
+func (m *movesRun) coordinatorFaults() []periodicFault {
 	if m.council == nil {
-		return []fault{{"the coordinator is killed and started again", 3 * time.Second, func(ctx context.Context) {
-			again(ctx, m.n.Drivers[0], 50*time.Millisecond)
+		return []periodicFault{{"the coordinator is killed and restarted", 3 * time.Second, func(ctx context.Context) {
+			killAndRestart(ctx, m.cluster.Drivers[0], 50*time.Millisecond)
 		}}}
 	}
-	return []fault{
-		{"the council's leader is killed and started again", 3 * time.Second, func(ctx context.Context) {
-			again(ctx, m.n.Drivers[m.leading()], 50*time.Millisecond)
+	return []periodicFault{
+		{"the council's leader is killed and restarted", 3 * time.Second, func(ctx context.Context) {
+			killAndRestart(ctx, m.cluster.Drivers[m.leaderVoter()], 50*time.Millisecond)
 		}},
-		{"the council's leader stands still", 5 * time.Second, func(ctx context.Context) {
-			still(ctx, m.n.Drivers[m.leading()], time.Duration((0.2+2*m.chance.float())*float64(m.Lease)))
+		{"the council's leader is paused", 5 * time.Second, func(ctx context.Context) {
+			pauseDriver(ctx, m.cluster.Drivers[m.leaderVoter()], time.Duration((0.2+2*m.random.float64())*float64(m.Lease)))
 		}},
-		{"a voter is killed and started again", 5 * time.Second, func(ctx context.Context) {
-			again(ctx, m.n.Drivers[m.chance.intN(m.Voters)], time.Duration(m.chance.float()*float64(m.Lease)))
+		{"a voter is killed and restarted", 5 * time.Second, func(ctx context.Context) {
+			killAndRestart(ctx, m.cluster.Drivers[m.random.intN(m.Voters)], time.Duration(m.random.float64()*float64(m.Lease)))
 		}},
 	}
 }
 
-// leading is the voter that leads, as the first one that answers knows, or any.
-func (m *moving) leading() int { return leading(m.at, m.chance) }
+// leaderVoter returns the index of the leader as reported by the first voter that answers, or a
+// random voter.
+func (m *movesRun) leaderVoter() int { return leaderIndex(m.addresses, m.random) }
 
-// drained is how long a member drains: longer than what may still be sent to it.
-func (m *moving) drained() time.Duration { return time.Duration(m.shape().Grace) + 2*time.Second }
+// drainDuration is longer than the grace period in which draining members still receive statements.
+func (m *movesRun) drainDuration() time.Duration {
+	return time.Duration(m.fleetConfig().DrainGrace) + 2*time.Second
+}
 
-// Table is what a trial showed, in Markdown.
+// Table formats the result as a Markdown table.
 func (r *MovesResult) Table() string {
 	rows := [][]string{
-		{"moves asked for, refused", fmt.Sprintf("%d, %d", r.Asked, r.Refused)},
-		{"moves done, undone", fmt.Sprintf("%d, %d", r.Done, r.Undone)},
-		{"RPCs served, pushed back, aborted, no answer, connection broken, no driver", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
-			r.RPCs[sockets.Served], r.RPCs[sockets.PushedBack], r.RPCs[sockets.Aborted], r.RPCs[sockets.Unanswered],
-			r.RPCs[sockets.Broken], r.RPCs[sockets.NoDriver])},
-		{"of those without an answer, at drivers in no trouble", fmt.Sprint(r.Unexplained)},
-		{"acknowledged writes, found in the last cell", fmt.Sprintf("%d, %d", r.Writes, r.Kept)},
-		{"writes held by a move that was done, p50 and p99", fmt.Sprintf("%v, %v", r.Held50.Round(time.Millisecond), r.Held99.Round(time.Millisecond))},
-		{"time of a served write, p50 and p99", fmt.Sprintf("%v, %v", r.Wrote50.Round(time.Millisecond), r.Wrote99.Round(time.Millisecond))},
-		{"share of writes pushed back", fmt.Sprintf("%.4f", r.PushedBack)},
-		{"from one step of a move to the next, p50, p99 and most", fmt.Sprintf("%v, %v, %v", r.Stood50.Round(time.Millisecond),
-			r.Stood99.Round(time.Millisecond), r.StoodMost.Round(time.Millisecond))},
+		{"moves requested, rejected", fmt.Sprintf("%d, %d", r.Requested, r.Rejected)},
+		{"moves completed, rolled back", fmt.Sprintf("%d, %d", r.Done, r.RolledBack)},
+		{"RPCs served, rejected, aborted, timed out, connection lost, connect failed", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
+			r.RPCs[sockets.Served], r.RPCs[sockets.Rejected], r.RPCs[sockets.Aborted], r.RPCs[sockets.TimedOut],
+			r.RPCs[sockets.ConnectionLost], r.RPCs[sockets.ConnectFailed])},
+		{"of those without an answer, at undisturbed drivers", fmt.Sprint(r.Unexplained)},
+		{"acknowledged writes, found in the final cell", fmt.Sprintf("%d, %d", r.Writes, r.FoundWrites)},
+		{"time for which completed moves held writes, p50 and p99", fmt.Sprintf("%v, %v", r.HoldP50.Round(time.Millisecond), r.HoldP99.Round(time.Millisecond))},
+		{"latency of served writes, p50 and p99", fmt.Sprintf("%v, %v", r.WriteP50.Round(time.Millisecond), r.WriteP99.Round(time.Millisecond))},
+		{"share of writes rejected", fmt.Sprintf("%.4f", r.RejectedShare)},
+		{"time between steps of moves, p50, p99 and maximum", fmt.Sprintf("%v, %v, %v", r.StepGapP50.Round(time.Millisecond),
+			r.StepGapP99.Round(time.Millisecond), r.StepGapMax.Round(time.Millisecond))},
 	}
 	if r.Leaders > 1 {
-		rows = append(rows, []string{"leaders that coordinated one after another, as seen", fmt.Sprint(r.Leaders)})
+		rows = append(rows, []string{"successive leaders observed", fmt.Sprint(r.Leaders)})
 	}
 	for w := cells.ReasonDriverFull; w <= cells.ReasonUnknownCell; w++ {
-		rows = append(rows, []string{"turned away by gates: " + w.String(), fmt.Sprint(r.Turned[w.String()])})
+		rows = append(rows, []string{"rejected by admission gates: " + w.String(), fmt.Sprint(r.GateRejections[w.String()])})
 	}
-	rows = append(rows, []string{"call-outs and answers given up by gates", fmt.Sprint(r.Lapsed)})
-	rows = append(rows, breachRows(r.Breaches)...)
-	return table([]string{"what", "figure"}, append(rows, faultRows(r.Faults)...))
+	rows = append(rows, []string{"attempts and answers dropped by gates as fenced", fmt.Sprint(r.GateFenced)})
+	rows = append(rows, violationRows(r.Violations)...)
+	return markdownTable([]string{"what", "figure"}, append(rows, faultCountRows(r.Faults)...))
 }
 
-// breachRows counts breaches by rule.
-func breachRows(breaches []emulator.Breach) (rows [][]string) {
-	count := map[string]int{}
-	for _, b := range breaches {
-		count[b.Rule]++
+// violationRows counts violations by rule.
+func violationRows(violations []emulator.Violation) (rows [][]string) {
+	counts := map[string]int{}
+	for _, violation := range violations {
+		counts[violation.Rule]++
 	}
-	for _, rule := range emulator.Rules() {
-		rows = append(rows, []string{"breaches: " + rule, fmt.Sprint(count[rule])})
+	for _, rule := range emulator.AllRules() {
+		rows = append(rows, []string{"violations: " + rule, fmt.Sprint(counts[rule])})
 	}
 	return rows
 }
 
-// faultRows are how often each trouble was brought about.
-func faultRows(faults map[string]int) (rows [][]string) {
+// faultCountRows lists how often each fault was injected.
+func faultCountRows(faults map[string]int) (rows [][]string) {
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
 		rows = append(rows, []string{"fault: " + name, fmt.Sprint(faults[name])})
 	}
--- a/internal/emulator/trials/players.go
+++ b/internal/emulator/trials/players.go
@@ -13,144 +13,144 @@
 	"sedgespread/internal/emulator/sockets"
 )
 
-// players are clients that each write and read one key, one RPC after another, each at some driver.
-type players struct {
-	n      *Night
-	chance *locked
-	some   func() *sockets.Driver // one that takes clients
-	pause  time.Duration          // of one client between its RPCs, in the mean
-	every  time.Duration          // if not 0 one client's RPCs are due so far apart in the mean, however long they take
-	work   sync.WaitGroup
-	stop   atomic.Bool
-
-	counts      sync.Mutex
-	rpcs        map[sockets.Fate]int
-	waits       []float64 // seconds that served writes took
-	writes      int
-	turned      int // writes that were pushed back
-	unexplained int // RPCs without an answer at drivers that had no trouble
-	faults      map[string]int
+// workload runs clients that each read and write one key, one RPC at a time.
+type workload struct {
+	cluster      *Cluster
+	random       *lockedRand
+	pickDriver   func() *sockets.Driver // returns a driver that accepts clients
+	meanPause    time.Duration          // of a client between two RPCs
+	meanInterval time.Duration          // between two RPCs of a client regardless of their latency; 0 to use meanPause
+	wait         sync.WaitGroup
+	stopped      atomic.Bool
+
+	mu             sync.Mutex
+	outcomes       map[sockets.Outcome]int
+	writeLatencies []float64 // latencies of served writes, in seconds
+	writes         int
+	rejectedWrites int
+	unexplained    int // RPCs without an answer at drivers that were not disrupted
+	faultCounts    map[string]int
 }
 
-const usualPause = 60 * time.Millisecond
+const defaultMeanPause = 60 * time.Millisecond
 
-func newPlayers(seed uint64, some func() *sockets.Driver) *players {
-	return &players{chance: &locked{rng: rand.New(rand.NewPCG(seed, 7))}, some: some, pause: usualPause, rpcs: map[sockets.Fate]int{}, faults: map[string]int{}}
+func newWorkload(seed uint64, pickDriver func() *sockets.Driver) *workload {
+	return &workload{random: &lockedRand{rng: rand.New(rand.NewPCG(seed, 7))}, pickDriver: pickDriver, meanPause: defaultMeanPause, outcomes: map[sockets.Outcome]int{}, faultCounts: map[string]int{}}
 }
 
-// play starts a client for each key of some tenants.
-func (p *players) play(ctx context.Context, tenants, keys int) {
+// startClients starts a client for each key of each tenant.
+func (w *workload) startClients(ctx context.Context, tenants, keys int) {
 	for t := range tenants {
 		for k := range keys {
-			p.work.Add(1)
-			go func() { defer p.work.Done(); p.client(ctx, fmt.Sprintf("t%d/%d", t, k)) }()
+			w.wait.Add(1)
+			go func() { defer w.wait.Done(); w.runClient(ctx, fmt.Sprintf("t%d/%d", t, k)) }()
 		}
 	}
 }
 
-// end lets all clients end.
-func (p *players) end() {
-	p.stop.Store(true)
-	p.work.Wait()
+// stop stops all clients and waits for them.
+func (w *workload) stop() {
+	w.stopped.Store(true)
+	w.wait.Wait()
 }
 
-// client writes and reads one key.
-func (p *players) client(ctx context.Context, key string) {
-	for due := time.Now(); !p.stop.Load() && ctx.Err() == nil; {
-		d := p.some()
-		known, position := p.n.Fleet.Known(key)
-		rpc := sockets.RPC{Method: own.Name, Key: key, Group: 1, Give: own.Give, After: position}
-		write := p.chance.intN(2) == 0
-		if write {
-			rpc = sockets.RPC{Method: move.Name, Key: key, Write: true, Group: 1, Give: move.Give}
+// runClient reads and writes one key.
+func (w *workload) runClient(ctx context.Context, key string) {
+	for due := time.Now(); !w.stopped.Load() && ctx.Err() == nil; {
+		driver := w.pickDriver()
+		acknowledged, position := w.cluster.Fleet.LastAcknowledged(key)
+		rpc := sockets.RPC{Method: getOwnMethod.Name, Key: key, Group: 1, Timeout: getOwnMethod.Timeout, MinPosition: position}
+		isWrite := w.random.intN(2) == 0
+		if isWrite {
+			rpc = sockets.RPC{Method: putMethod.Name, Key: key, Write: true, Group: 1, Timeout: putMethod.Timeout}
 		}
-		begun := time.Now()
-		r := p.n.Clients.Ask(ctx, d.Address, rpc)
-		if r.Fate == sockets.Served && !write {
-			p.n.Fleet.Read(r.ID, key, r.Value, known)
+		start := time.Now()
+		reply := w.cluster.Clients.Call(ctx, driver.Address, rpc)
+		if reply.Outcome == sockets.Served && !isWrite {
+			w.cluster.Fleet.Read(reply.ID, key, reply.Value, acknowledged)
 		}
-		p.count(d, r, begun, write)
-		if r.Fate == sockets.PushedBack {
-			time.Sleep(r.ComeBack)
+		w.record(driver, reply, start, isWrite)
+		if reply.Outcome == sockets.Rejected {
+			time.Sleep(reply.RetryAfter)
 		}
-		if p.every == 0 {
-			time.Sleep(time.Duration(float64(p.pause) * (0.5 + p.chance.float())))
+		if w.meanInterval == 0 {
+			time.Sleep(time.Duration(float64(w.meanPause) * (0.5 + w.random.float64())))
 			continue
 		}
-		due = due.Add(time.Duration(float64(p.every) * (0.5 + p.chance.float())))
+		due = due.Add(time.Duration(float64(w.meanInterval) * (0.5 + w.random.float64())))
 		time.Sleep(time.Until(due))
 	}
 }
 
-// count notes what came of an RPC. One without an answer is a breach unless its driver was in trouble meanwhile, which
-// the drivers were told by the trial itself.
-func (p *players) count(d *sockets.Driver, r sockets.Reply, begun time.Time, write bool) {
-	p.counts.Lock()
-	defer p.counts.Unlock()
-	p.rpcs[r.Fate]++
-	if write {
-		p.writes++
-		if r.Fate == sockets.PushedBack {
-			p.turned++
+// record records the outcome of an RPC. An RPC without an answer is a violation unless its driver
+// was disrupted meanwhile.
+func (w *workload) record(driver *sockets.Driver, reply sockets.Reply, start time.Time, isWrite bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.outcomes[reply.Outcome]++
+	if isWrite {
+		w.writes++
+		if reply.Outcome == sockets.Rejected {
+			w.rejectedWrites++
 		}
-		if r.Fate == sockets.Served {
-			p.waits = append(p.waits, r.Took.Seconds())
+		if reply.Outcome == sockets.Served {
+			w.writeLatencies = append(w.writeLatencies, reply.Latency.Seconds())
 		}
 	}
-	if r.Fate >= sockets.Unanswered && r.Fate != sockets.NoDriver && !d.Troubled(begun.Add(-trouble)) && !p.stop.Load() {
-		p.unexplained++
-		p.n.Fleet.Unanswered(r.ID)
+	if reply.Outcome >= sockets.TimedOut && reply.Outcome != sockets.ConnectFailed && !driver.DisruptedSince(start.Add(-disruptionGrace)) && !w.stopped.Load() {
+		w.unexplained++
+		w.cluster.Fleet.RecordNoAnswer(reply.ID)
 	}
 }
 
-// trouble is how long a driver that was paused or killed may still leave RPCs without an answer.
-const trouble = 3 * time.Second
+// disruptionGrace is how long after a disruption a driver may leave RPCs without an answer.
+const disruptionGrace = 3 * time.Second
 
-// fault is a trouble with how to begin and how to end it.
-type fault struct {
-	name  string
-	every time.Duration // in the mean
-	do    func(ctx context.Context)
+// periodicFault is a fault that is injected repeatedly at random intervals.
+type periodicFault struct {
+	name         string
+	meanInterval time.Duration
+	inject       func(ctx context.Context)
 }
 
-// trouble brings a fault about again and again until the context ends.
-func (p *players) trouble(ctx context.Context, f fault) {
-	for relays.Sleep(ctx, time.Duration(float64(f.every)*(0.5+p.chance.float()))) {
-		p.counts.Lock()
-		p.faults[f.name]++
-		p.counts.Unlock()
-		f.do(ctx)
+// injectRepeatedly injects a fault repeatedly until the context ends.
+func (w *workload) injectRepeatedly(ctx context.Context, f periodicFault) {
+	for relays.Sleep(ctx, time.Duration(float64(f.meanInterval)*(0.5+w.random.float64()))) {
+		w.mu.Lock()
+		w.faultCounts[f.name]++
+		w.mu.Unlock()
+		f.inject(ctx)
 	}
 }
 
-// befell adds what faults were brought about.
-func (p *players) befell(faults map[string]int) {
-	p.counts.Lock()
-	defer p.counts.Unlock()
-	for name, n := range p.faults {
+// addFaultCounts adds the number of injected faults by name.
+func (w *workload) addFaultCounts(faults map[string]int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for name, n := range w.faultCounts {
 		faults[name] += n
 	}
 }
 
-// again kills a driver and starts it again after a while.
-func again(ctx context.Context, d *sockets.Driver, after time.Duration) {
-	d.Kill()
-	relays.Sleep(ctx, after)
-	d.Start(context.Background())
+// killAndRestart kills a driver and restarts it after a delay.
+func killAndRestart(ctx context.Context, driver *sockets.Driver, delay time.Duration) {
+	driver.Kill()
+	relays.Sleep(ctx, delay)
+	driver.Start(context.Background())
 }
 
-// still lets a driver stand still for a while.
-func still(ctx context.Context, d *sockets.Driver, span time.Duration) {
-	d.Pause()
-	relays.Sleep(ctx, span)
-	d.Continue()
+// pauseDriver pauses a driver for a duration.
+func pauseDriver(ctx context.Context, driver *sockets.Driver, duration time.Duration) {
+	driver.Pause()
+	relays.Sleep(ctx, duration)
+	driver.Continue()
 }
 
-// logs are the last lines of all drivers.
-func (n *Night) logs() (logs string) {
-	for _, d := range n.Drivers {
-		all := strings.Split(strings.TrimSpace(d.Log()), "\n")
-		logs += d.Name + ":\n" + strings.Join(all[max(0, len(all)-12):], "\n") + "\n"
+// lastLogLines returns the last log lines of each driver.
+func (c *Cluster) lastLogLines() (text string) {
+	for _, d := range c.Drivers {
+		lines := strings.Split(strings.TrimSpace(d.Log()), "\n")
+		text += d.Name + ":\n" + strings.Join(lines[max(0, len(lines)-12):], "\n") + "\n"
 	}
-	return logs
+	return text
 }
