--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -19,85 +19,84 @@
 	"sedgespread/internal/versions"
 )
 
-// Versions is a trial in which the rulebook of a fleet of drivers changes again and again while links between drivers and
-// the council fail, and drivers and voters stand still, are killed, or have a twin. Whether anybody acted on a version
-// after it was closed is judged by the call-outs that members got.
+// Versions is a trial that keeps changing the rulebook of a fleet of drivers while links to the
+// council fail and drivers and voters are paused, killed or duplicated. The attempts that members
+// receive show whether a driver acted on a closed version.
 type Versions struct {
-	Program string
-	Seed    uint64
-	Count   int // of versions that must have been closed
-	Span    time.Duration
-	Faults  bool
-	Drivers int // the first Voters of them vote
-	Voters  int
-	Lease   time.Duration
-	Tenants int
-	Keys    int
-	Trial   time.Duration // if not 0 all versions are sound and tried by canaries for so long
-	Undone  int           // of versions that must have been withdrawn
-	Fences  bool          // members turn away what comes under a version that is over
-	Gossip  bool          // drivers hear of one another
-	Crash   bool          // a version is proposed that ends whatever process is to act on it
-	OldDisk bool          // in each round a voter's disk is put back as it was a version before
-	Rate    int           // of RPCs a second in all; 0 leaves it to how fast clients and machine are
-	CutOff  bool          // in each round one driver, at which most clients are, is cut off from the council as a version is proposed
-	CutFor  int           // for so many leases, 0 for three
+	Program      string
+	Seed         uint64
+	MinClosed    int // versions that must be closed
+	Timeout      time.Duration
+	Faults       bool
+	Drivers      int // including the voters, which come first
+	Voters       int
+	Lease        time.Duration
+	Tenants      int
+	Keys         int
+	CanaryTrial  time.Duration // if not 0, all versions are valid and tried by canaries for this long
+	MinWithdrawn int           // versions that must be withdrawn
+	RejectFenced bool          // members reject attempts with a closed version
+	Gossip       bool          // drivers exchange gossip
+	Crash        bool          // propose a version that crashes the processes that act on it
+	OldDisk      bool          // in each round, restore a voter's disk of one version earlier
+	Rate         int           // RPCs per second in total; 0 for no fixed rate
+	CutOff       bool          // in each round, partition the busiest driver from the council while a version is proposed
+	CutOffLeases int           // length of the partition in leases; 0 for three
 }
 
-// VersionsResult is what a trial of versions showed.
+// VersionsResult is the result of a trial of versions.
 type VersionsResult struct {
-	Proposed, Refused        int // by the council
-	Closed, Withdrawn        int
-	Exclusive, Tried         int           // of those closed
-	Reasons                  []string      // why versions were withdrawn, or how canaries of those closed fared
-	Shut                     int           // drivers shut out, counted by record
-	CallOuts                 int           // that members got with a version
-	Turned                   int           // of those, that members turned away
-	Old                      int           // of the others, after it was closed
-	Latest                   time.Duration // that one of them came after the closing
-	Nearest                  time.Duration // from the last call-out under a version to its closing, the least over all
-	Took50, Took99, TookMost time.Duration // from the proposal to the moment from which nobody acts on an older one
-	RPCs                     map[sockets.Fate]int
-	Writes                   int
-	Unexplained              int
-	PushedBack               float64
-	Wrote50, Wrote99         time.Duration
-	Faults                   map[string]int
-	Breaches                 []emulator.Breach
-	Drivers                  []membership.DriverStatus
-	OldDisks, Accepted       int           // put back, and not refused
-	Noticed                  time.Duration // from the begin of a trial to its end by a canary that has failed
-	Audit                    AuditResult
+	Proposed, Rejected           int // by the council
+	Closed, Withdrawn            int
+	Exclusive, Canaried          int           // of the closed versions
+	Reasons                      []string      // why versions were withdrawn, or how the canaries of closed ones performed
+	ShutOut                      int           // drivers shut out, counted per registration
+	Attempts                     int           // attempts with a version that members received
+	RejectedAttempts             int           // of these, rejected by members
+	LateAttempts                 int           // of the others, after the version was closed
+	MaxLateness                  time.Duration // of LateAttempts, after the closing
+	MinCloseMargin               time.Duration // shortest time from the last attempt under a version to its closing
+	CloseP50, CloseP99, CloseMax time.Duration // from proposal until no driver acts on an older version
+	RPCs                         map[sockets.Outcome]int
+	Writes                       int
+	Unexplained                  int
+	RejectedShare                float64
+	WriteP50, WriteP99           time.Duration
+	Faults                       map[string]int
+	Violations                   []emulator.Violation
+	Drivers                      []membership.DriverStatus
+	OldDisks, AcceptedOldDisks   int           // restored, and not refused
+	WithdrawDelay                time.Duration // from the start of a trial until a failed canary ends it
+	Audit                        AuditResult
 }
 
-// changing is a trial at work.
-type changing struct {
+// versionsRun is a running trial of versions.
+type versionsRun struct {
 	*Versions
-	*players
-	council *convened
-	at      []string
-	fellows []string // where drivers gossip
-	result  *VersionsResult
-	mu      sync.Mutex
-	seen    map[versions.Number]versions.Version // as they stood last
-	begun   map[versions.Number]time.Time
-	took    []float64
-	shut    map[string]bool
-	crowded atomic.Int64 // the driver at which most clients are, 0 for none
+	*workload
+	council         *relayedCouncil
+	addresses       []string
+	gossipAddresses []string // of the drivers
+	result          *VersionsResult
+	seen            map[versions.Number]versions.Version // as last observed
+	firstSeen       map[versions.Number]time.Time
+	closeTimes      []float64
+	shutOut         map[string]bool
+	busiestDriver   atomic.Int64 // index of the driver that gets most clients, 0 for none
 }
 
-// shape is a fleet that is never the bottleneck.
-func (v *Versions) shape() emulator.Shape {
-	return emulator.Shape{Groups: 2, Members: 3, Cores: 8, Queue: 200, Service: int64(2 * time.Millisecond), Spread: 0.5,
-		Lag: int64(15 * time.Millisecond), Behind: int64(30 * time.Millisecond), Seed: v.Seed, Cold: 0.2, Warm: int64(4 * time.Second),
-		Topple: 2, Grace: int64(3 * time.Second), Fences: v.Fences}
+// fleetConfig returns a fleet with ample capacity.
+func (v *Versions) fleetConfig() emulator.Config {
+	return emulator.Config{Groups: 2, Members: 3, Cores: 8, QueueLimit: 200, ServiceTime: int64(2 * time.Millisecond), ServiceSigma: 0.5,
+		ReplicaLag: int64(15 * time.Millisecond), FillLag: int64(30 * time.Millisecond), Seed: v.Seed, ColdCapacity: 0.2, WarmUpTime: int64(4 * time.Second),
+		OverloadFactor: 2, DrainGrace: int64(3 * time.Second), RejectFenced: v.RejectFenced}
 }
 
-// rulebook is the shared part of the operators' files, different for each n. A wrong one can be read, and no driver that
-// runs can act on it.
-func (v *Versions) rulebook(n int, wrong bool) string {
+// rulebookText returns the shared part of the operator files, different for each n. An invalid one
+// can be parsed but not applied by a running driver.
+func (v *Versions) rulebookText(n int, invalid bool) string {
 	groups := [2]int{1, 2}
-	if wrong {
+	if invalid {
 		groups = [2]int{2, 1}
 	}
 	var b strings.Builder
@@ -109,146 +108,146 @@
 	return b.String()
 }
 
-// text is the operator's file of driver i.
-func (c *changing) text(i int) string {
-	rulebook := strings.TrimSuffix(c.rulebook(0, false), "}\n")
-	cells := c.Lease
-	if c.CutOff { // so that it is not the lease on cells that stops a driver
-		cells = 10 * c.Lease
+// operatorText returns the operator file of driver i.
+func (c *versionsRun) operatorText(i int) string {
+	rulebook := strings.TrimSuffix(c.rulebookText(0, false), "}\n")
+	cellLease := c.Lease
+	if c.CutOff { // keep the lease on cells from stopping a driver first
+		cellLease = 10 * c.Lease
 	}
 	return fmt.Sprintf("%s  budget { rpcs: 600 call_outs: 600 lend: 0.5 }\n  coordination { lease_ms: %d hold_ms: 1500 held: 1000 }\n}\n%sfleet { lease_ms: %d most_shut_out: 0.34 %s}\n",
-		rulebook, cells.Milliseconds(), c.council.text(i), c.Lease.Milliseconds(), c.gossips(i))
+		rulebook, cellLease.Milliseconds(), c.council.operatorText(i), c.Lease.Milliseconds(), c.gossipText(i))
 }
 
-// gossips is what the operator's file of driver i says of gossip.
-func (c *changing) gossips(i int) string {
+// gossipText returns the gossip section of the operator file of driver i.
+func (c *versionsRun) gossipText(i int) string {
 	if !c.Gossip {
 		return ""
 	}
-	return fmt.Sprintf("gossip { listen: %q fellow: %q fellow: %q probe_ms: 100 } ", c.fellows[i], c.fellows[0], c.fellows[1])
+	return fmt.Sprintf("gossip { listen: %q fellow: %q fellow: %q probe_ms: 100 } ", c.gossipAddresses[i], c.gossipAddresses[0], c.gossipAddresses[1])
 }
 
-// Run plays the trial.
+// Run runs the trial.
 func (v *Versions) Run(ctx context.Context) (*VersionsResult, error) {
-	c := &changing{Versions: v, result: &VersionsResult{RPCs: map[sockets.Fate]int{}, Faults: map[string]int{}},
-		seen: map[versions.Number]versions.Version{}, begun: map[versions.Number]time.Time{}, shut: map[string]bool{}}
-	c.players = newPlayers(v.Seed, func() *sockets.Driver {
-		if i := c.crowded.Load(); i > 0 && c.chance.intN(10) > 0 {
-			return c.n.Drivers[i]
+	c := &versionsRun{Versions: v, result: &VersionsResult{RPCs: map[sockets.Outcome]int{}, Faults: map[string]int{}},
+		seen: map[versions.Number]versions.Version{}, firstSeen: map[versions.Number]time.Time{}, shutOut: map[string]bool{}}
+	c.workload = newWorkload(v.Seed, func() *sockets.Driver {
+		if i := c.busiestDriver.Load(); i > 0 && c.random.intN(10) > 0 {
+			return c.cluster.Drivers[i]
 		}
-		return c.n.Drivers[c.chance.intN(v.Drivers)]
+		return c.cluster.Drivers[c.random.intN(v.Drivers)]
 	})
-	if v.CutOff || v.Trial > 0 {
-		c.pause = 5 * time.Millisecond
+	if v.CutOff || v.CanaryTrial > 0 {
+		c.meanPause = 5 * time.Millisecond
 	}
 	if v.Rate > 0 {
-		c.every = time.Second * time.Duration(v.Tenants*v.Keys) / time.Duration(v.Rate)
+		c.meanInterval = time.Second * time.Duration(v.Tenants*v.Keys) / time.Duration(v.Rate)
 	}
 	var err error
-	if c.at, err = sockets.FreeAddresses(v.Voters); err != nil {
+	if c.addresses, err = sockets.FreeAddresses(v.Voters); err != nil {
 		return nil, err
 	}
-	if c.fellows, err = sockets.FreeAddresses(v.Drivers); err != nil {
+	if c.gossipAddresses, err = sockets.FreeAddresses(v.Drivers); err != nil {
 		return nil, err
 	}
-	if c.council, err = convene(v.Seed, c.at, v.Drivers); err != nil {
+	if c.council, err = newRelayedCouncil(v.Seed, c.addresses, v.Drivers); err != nil {
 		return nil, err
 	}
-	defer c.council.net.Close()
-	n, err := Open(ctx, v.Program, v.shape(), v.Drivers, func(n *Night, i int) string {
-		c.council.dir = n.dir
-		return c.text(i)
+	defer c.council.network.Close()
+	cluster, err := StartCluster(ctx, v.Program, v.fleetConfig(), v.Drivers, func(cluster *Cluster, i int) string {
+		c.council.dir = cluster.dir
+		return c.operatorText(i)
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer n.Close()
-	c.n = n
-	for i, d := range n.Drivers {
-		if err := d.TwinBy(n.dir, c.text(max(i, v.Voters))); err != nil {
+	defer cluster.Close()
+	c.cluster = cluster
+	for i, d := range cluster.Drivers {
+		if err := d.ConfigureTwin(cluster.dir, c.operatorText(max(i, v.Voters))); err != nil {
 			return nil, err
 		}
 	}
-	c.play(ctx, v.Tenants, v.Keys)
-	var trouble sync.WaitGroup
-	troubles, calm := context.WithCancel(ctx)
-	defer calm()
+	c.startClients(ctx, v.Tenants, v.Keys)
+	var faults sync.WaitGroup
+	faultCtx, stopFaults := context.WithCancel(ctx)
+	defer stopFaults()
 	if v.Faults {
-		trouble.Add(1)
-		go func() { defer trouble.Done(); c.council.troubles(troubles, v.Seed) }()
-		for _, f := range c.faults() {
-			trouble.Add(1)
-			go func() { defer trouble.Done(); c.trouble(troubles, f) }()
+		faults.Add(1)
+		go func() { defer faults.Done(); c.council.playFaults(faultCtx, v.Seed) }()
+		for _, f := range c.periodicFaults() {
+			faults.Add(1)
+			go func() { defer faults.Done(); c.injectRepeatedly(faultCtx, f) }()
 		}
 	}
 	switch {
 	case v.CutOff:
-		err = c.cutOff(ctx)
+		err = c.runCutOff(ctx)
 	case v.Crash:
-		err = c.crash(ctx)
+		err = c.runCrash(ctx)
 	case v.OldDisk:
-		err = c.oldDisks(ctx)
+		err = c.runOldDisks(ctx)
 	default:
-		err = c.change(ctx)
+		err = c.runRandomChanges(ctx)
 	}
-	calm()
-	trouble.Wait()
+	stopFaults()
+	faults.Wait()
 	if err == nil && !v.Crash {
-		err = c.settle(ctx)
+		err = c.awaitIdle(ctx)
 	}
-	c.end()
+	c.stop()
 	if err != nil {
-		return nil, fmt.Errorf("%w\n%s", err, n.logs())
+		return nil, fmt.Errorf("%w\n%s", err, cluster.lastLogLines())
 	}
-	return c.finish(), nil
+	return c.summarize(), nil
 }
 
-// faults are the troubles of drivers and voters.
-func (c *changing) faults() []fault {
-	short := func() time.Duration { return time.Duration((0.2 + 2*c.chance.float()) * float64(c.Lease)) }
-	follower := func() *sockets.Driver { return c.n.Drivers[c.Voters+c.chance.intN(c.Drivers-c.Voters)] }
-	leader := func() *sockets.Driver { return c.n.Drivers[c.leading()] }
-	return []fault{
-		{"a driver stands still", 3 * time.Second, func(ctx context.Context) {
-			d := c.some()
-			d.Alone(func() { still(ctx, d, short()) })
+// periodicFaults returns the faults of drivers and voters.
+func (c *versionsRun) periodicFaults() []periodicFault {
+	randomDuration := func() time.Duration { return time.Duration((0.2 + 2*c.random.float64()) * float64(c.Lease)) }
+	follower := func() *sockets.Driver { return c.cluster.Drivers[c.Voters+c.random.intN(c.Drivers-c.Voters)] }
+	leader := func() *sockets.Driver { return c.cluster.Drivers[c.leaderVoter()] }
+	return []periodicFault{
+		{"a driver is paused", 3 * time.Second, func(ctx context.Context) {
+			d := c.pickDriver()
+			d.RunExclusive(func() { pauseDriver(ctx, d, randomDuration()) })
 		}},
-		{"a driver is killed and started again", 4 * time.Second, func(ctx context.Context) {
-			d := c.some()
-			d.Alone(func() { again(ctx, d, time.Duration(c.chance.float()*float64(c.Lease))) })
+		{"a driver is killed and restarted", 4 * time.Second, func(ctx context.Context) {
+			d := c.pickDriver()
+			d.RunExclusive(func() { killAndRestart(ctx, d, time.Duration(c.random.float64()*float64(c.Lease))) })
 		}},
-		{"the council's leader is killed and started again", 5 * time.Second, func(ctx context.Context) {
+		{"the council's leader is killed and restarted", 5 * time.Second, func(ctx context.Context) {
 			d := leader()
-			d.Alone(func() { again(ctx, d, 50*time.Millisecond) })
+			d.RunExclusive(func() { killAndRestart(ctx, d, 50*time.Millisecond) })
 		}},
-		{"the council's leader stands still", 7 * time.Second, func(ctx context.Context) {
+		{"the council's leader is paused", 7 * time.Second, func(ctx context.Context) {
 			d := leader()
-			d.Alone(func() { still(ctx, d, short()) })
+			d.RunExclusive(func() { pauseDriver(ctx, d, randomDuration()) })
 		}},
-		{"a driver has a twin", 9 * time.Second, func(ctx context.Context) {
+		{"a second process with the name of a driver runs", 9 * time.Second, func(ctx context.Context) {
 			d := follower()
-			d.Alone(func() {
-				end, err := d.Twin(ctx)
+			d.RunExclusive(func() {
+				end, err := d.StartTwin(ctx)
 				if err != nil {
 					return
 				}
-				relays.Sleep(ctx, short())
+				relays.Sleep(ctx, randomDuration())
 				end()
-				again(ctx, d, 0) // the older one has lost its name for good
+				killAndRestart(ctx, d, 0) // the older process has lost its name and must restart
 			})
 		}},
-		{"a driver starts with a wall clock minutes off", 8 * time.Second, func(ctx context.Context) {
+		{"a driver restarts with a wall clock offset of minutes", 8 * time.Second, func(ctx context.Context) {
 			d := follower()
-			d.Alone(func() {
-				d.Off(time.Duration((c.chance.float() - 0.5) * float64(10*time.Minute)))
-				again(ctx, d, 0)
+			d.RunExclusive(func() {
+				d.OffsetClock(time.Duration((c.random.float64() - 0.5) * float64(10*time.Minute)))
+				killAndRestart(ctx, d, 0)
 			})
 		}},
-		{"two of the voters are cut off for longer than a lease", 17 * time.Second, func(ctx context.Context) {
+		{"two voters are partitioned for longer than a lease", 17 * time.Second, func(ctx context.Context) {
 			var cut links.Timeline
 			for v := range 2 {
-				for _, way := range []links.Way{{From: driverName(v), To: "*"}, {From: "*", To: driverName(v)}} {
-					cut = append(cut, links.Event{What: links.Silent, Way: way, For: 3 * c.Lease / 2})
+				for _, link := range []links.Link{{From: driverName(v), To: "*"}, {From: "*", To: driverName(v)}} {
+					cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: 3 * c.Lease / 2})
 				}
 			}
 			c.council.player.Play(ctx, cut)
@@ -256,25 +255,26 @@
 	}
 }
 
-// leading is the voter that leads, as the first one that answers knows, or any.
-func (c *changing) leading() int { return leading(c.at, c.chance) }
+// leaderVoter returns the index of the leader as reported by the first voter that answers, or a
+// random voter.
+func (c *versionsRun) leaderVoter() int { return leaderIndex(c.addresses, c.random) }
 
-func leading(at []string, chance *locked) int {
-	state, err := membership.NewClient(at...).Council(context.Background())
+func leaderIndex(addresses []string, random *lockedRand) int {
+	state, err := membership.NewClient(addresses...).Council(context.Background())
 	if err != nil || state.Leader == 0 {
-		return chance.intN(len(at))
+		return random.intN(len(addresses))
 	}
 	return int(state.Leader) - 1
 }
 
-// plan draws how a version is to come.
-func (c *changing) plan() versions.Plan {
+// randomPlan draws the rollout plan of a version.
+func (c *versionsRun) randomPlan() versions.Plan {
 	p := versions.Plan{AnnounceTimeout: int64(4 * c.Lease), AdoptTimeout: int64(4 * c.Lease), DrainTimeout: int64(6 * c.Lease), TrialTime: int64(100 * time.Millisecond)}
-	if c.Trial > 0 {
-		p.CanaryFraction, p.TrialTime = 0.2, int64(c.Trial)
+	if c.CanaryTrial > 0 {
+		p.CanaryFraction, p.TrialTime = 0.2, int64(c.CanaryTrial)
 		return p
 	}
-	switch c.chance.intN(3) {
+	switch c.random.intN(3) {
 	case 0:
 		p.Exclusive = true
 	case 1:
@@ -283,58 +283,59 @@
 	return p
 }
 
-// change proposes versions one after another until enough are closed. Some are wrong, and some are called off.
-func (c *changing) change(ctx context.Context) error {
-	council := membership.NewClient(c.at...)
-	deadline := time.Now().Add(c.Span)
+// runRandomChanges proposes versions until enough are closed. Some are invalid and some are called
+// off.
+func (c *versionsRun) runRandomChanges(ctx context.Context) error {
+	council := membership.NewClient(c.addresses...)
+	deadline := time.Now().Add(c.Timeout)
 	for n := 1; ; {
-		by, stop := context.WithTimeout(ctx, 2*time.Second)
-		f, err := council.FleetState(by)
+		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		fleet, err := council.FleetState(callCtx)
 		if err == nil {
-			c.watch(&f)
+			c.observe(&fleet)
 		}
-		p := c.plan()
+		plan := c.randomPlan()
 		switch {
-		case c.result.Closed >= c.Count && c.result.Withdrawn >= c.Undone:
-			stop()
+		case c.result.Closed >= c.MinClosed && c.result.Withdrawn >= c.MinWithdrawn:
+			cancel()
 			return nil
 		case ctx.Err() != nil:
-			stop()
+			cancel()
 			return ctx.Err()
 		case time.Now().After(deadline):
-			stop()
-			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.Count, c.Span, c.stands(&f))
-		case err == nil && !c.under(&f):
-			wrong := c.Trial == 0 && p.CanaryFraction > 0 && c.chance.intN(4) == 0
-			err := council.ChangeFleet(by, membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, wrong), Reason: "trial", Plan: p}})
+			cancel()
+			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.MinClosed, c.Timeout, c.newestStatus(&fleet))
+		case err == nil && !c.isChanging(&fleet):
+			invalid := c.CanaryTrial == 0 && plan.CanaryFraction > 0 && c.random.intN(4) == 0
+			err := council.ChangeFleet(callCtx, membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, invalid), Reason: "trial", Plan: plan}})
 			n++
 			c.result.Proposed++
 			if err != nil {
-				c.result.Refused++
+				c.result.Rejected++
 			}
-		case err == nil && c.Trial == 0 && c.chance.intN(300) == 0:
-			council.ChangeFleet(by, membership.FleetChange{Withdraw: routing.Rulebook, Reason: "trial"})
+		case err == nil && c.CanaryTrial == 0 && c.random.intN(300) == 0:
+			council.ChangeFleet(callCtx, membership.FleetChange{Withdraw: routing.Rulebook, Reason: "trial"})
 		}
-		for _, d := range f.Drivers {
-			if d.State.String() == "shut out" && c.chance.intN(40) == 0 {
-				council.ChangeFleet(by, membership.FleetChange{Readmit: d.Name, Reason: "trial"})
+		for _, d := range fleet.Drivers {
+			if d.State.String() == "shut out" && c.random.intN(40) == 0 {
+				council.ChangeFleet(callCtx, membership.FleetChange{Readmit: d.Name, Reason: "trial"})
 			}
 		}
-		stop()
+		cancel()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// cutOff proposes one version after another, each while a driver can't be reached by the council for longer than its lease,
-// and waits until it is closed.
-func (c *changing) cutOff(ctx context.Context) error {
-	for n := 1; n <= c.Count; n++ {
-		alone := c.Voters + n%(c.Drivers-c.Voters)
-		c.crowded.Store(int64(alone))
+// runCutOff proposes versions one after another, each while a driver is partitioned from the
+// council for longer than its lease, and waits until each is closed.
+func (c *versionsRun) runCutOff(ctx context.Context) error {
+	for n := 1; n <= c.MinClosed; n++ {
+		isolated := c.Voters + n%(c.Drivers-c.Voters)
+		c.busiestDriver.Store(int64(isolated))
 		cut := links.Timeline{}
 		for v := range c.Voters {
-			for _, way := range []links.Way{{From: driverName(alone), To: driverName(v)}, {From: driverName(v), To: driverName(alone)}} {
-				cut = append(cut, links.Event{What: links.Silent, Way: way, For: time.Duration(cmp.Or(c.CutFor, 3)) * c.Lease})
+			for _, link := range []links.Link{{From: driverName(isolated), To: driverName(v)}, {From: driverName(v), To: driverName(isolated)}} {
+				cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: time.Duration(cmp.Or(c.CutOffLeases, 3)) * c.Lease})
 			}
 		}
 		played := make(chan error, 1)
@@ -342,7 +343,7 @@
 		if !relays.Sleep(ctx, 50*time.Millisecond) {
 			return ctx.Err()
 		}
-		if err := c.closes(ctx, n); err != nil {
+		if err := c.closeVersion(ctx, n); err != nil {
 			return err
 		}
 		if err := <-played; err != nil {
@@ -355,230 +356,230 @@
 	return nil
 }
 
-// closes proposes the n-th version and waits until it is closed.
-func (c *changing) closes(ctx context.Context, n int) (err error) {
-	council, deadline := membership.NewClient(c.at...), time.Now().Add(c.Span)
-	p := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
-	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, false), Reason: "trial", Plan: p}}
+// closeVersion proposes the n-th version and waits until it is closed.
+func (c *versionsRun) closeVersion(ctx context.Context, n int) (err error) {
+	council, deadline := membership.NewClient(c.addresses...), time.Now().Add(c.Timeout)
+	plan := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
+	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Reason: "trial", Plan: plan}}
 	for err = council.ChangeFleet(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.ChangeFleet(ctx, wish) {
-		time.Sleep(20 * time.Millisecond) // nobody leads just now
+		time.Sleep(20 * time.Millisecond) // there may be no leader at the moment
 	}
 	if err != nil {
 		return err
 	}
 	c.result.Proposed++
 	for ; c.result.Closed < n; time.Sleep(5 * time.Millisecond) {
-		f, err := council.FleetState(ctx)
+		fleet, err := council.FleetState(ctx)
 		if err == nil {
-			c.watch(&f)
+			c.observe(&fleet)
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("version %d was not closed in %v: %s", n, c.Span, c.stands(&f))
+			return fmt.Errorf("version %d was not closed in %v: %s", n, c.Timeout, c.newestStatus(&fleet))
 		}
 	}
 	return nil
 }
 
-// crash proposes a version that ends its canaries, and waits until it is withdrawn.
-func (c *changing) crash(ctx context.Context) error {
-	council := membership.NewClient(c.at...)
-	p := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
-	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(1, false), Reason: "trial", Plan: p}}
+// runCrash proposes a version that crashes its canaries and waits until it is withdrawn.
+func (c *versionsRun) runCrash(ctx context.Context) error {
+	council := membership.NewClient(c.addresses...)
+	plan := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
+	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Reason: "trial", Plan: plan}}
 	if err := council.ChangeFleet(ctx, wish); err != nil {
 		return err
 	}
-	var tried time.Time
-	for begun := time.Now(); time.Since(begun) < c.Span; time.Sleep(5 * time.Millisecond) {
-		f, err := council.FleetState(ctx)
-		all := f.Versions[routing.Rulebook]
-		if err != nil || len(all) == 0 {
+	var trialStart time.Time
+	for start := time.Now(); time.Since(start) < c.Timeout; time.Sleep(5 * time.Millisecond) {
+		fleet, err := council.FleetState(ctx)
+		known := fleet.Versions[routing.Rulebook]
+		if err != nil || len(known) == 0 {
 			continue
 		}
-		switch last := all[len(all)-1]; {
-		case last.Stage == versions.StageCanary && tried.IsZero():
-			tried = time.Now()
+		switch last := known[len(known)-1]; {
+		case last.Stage == versions.StageCanary && trialStart.IsZero():
+			trialStart = time.Now()
 		case last.Stage >= versions.StageRollingBack:
 			c.result.Reasons = append(c.result.Reasons, last.Reason)
-			c.result.Noticed = time.Since(tried)
+			c.result.WithdrawDelay = time.Since(trialStart)
 			return nil
 		}
 	}
-	return fmt.Errorf("a version that ends its canaries was not withdrawn in %v", c.Span)
+	return fmt.Errorf("version that crashes its canaries was not withdrawn in %v", c.Timeout)
 }
 
-// stands says how the newest version stands.
-func (c *changing) stands(f *membership.FleetState) string {
-	all := f.Versions[routing.Rulebook]
-	if len(all) == 0 {
-		return "none is known"
-	}
-	last := all[len(all)-1]
-	return fmt.Sprintf("version %d is %v, held back by %v", last.Number, last.Stage, f.Behind)
+// newestStatus describes the state of the newest version.
+func (c *versionsRun) newestStatus(fleet *membership.FleetState) string {
+	known := fleet.Versions[routing.Rulebook]
+	if len(known) == 0 {
+		return "no version is known"
+	}
+	last := known[len(known)-1]
+	return fmt.Sprintf("version %d is %v, held back by %v", last.Number, last.Stage, fleet.Behind)
 }
 
-// under tells whether a version is under way.
-func (c *changing) under(f *membership.FleetState) bool {
-	all := f.Versions[routing.Rulebook]
-	if len(all) == 0 {
+// isChanging reports whether a version is being rolled out or withdrawn.
+func (c *versionsRun) isChanging(fleet *membership.FleetState) bool {
+	known := fleet.Versions[routing.Rulebook]
+	if len(known) == 0 {
 		return false
 	}
-	s := all[len(all)-1].Stage
-	return s != versions.StageCompleted && s != versions.StageRolledBack
+	stage := known[len(known)-1].Stage
+	return stage != versions.StageCompleted && stage != versions.StageRolledBack
 }
 
-// watch counts what has happened since it looked last.
-func (c *changing) watch(f *membership.FleetState) {
-	for _, v := range f.Versions[routing.Rulebook] {
-		had := c.seen[v.Number]
-		if c.begun[v.Number].IsZero() {
-			c.begun[v.Number] = time.Now()
+// observe counts what has changed since the last call.
+func (c *versionsRun) observe(fleet *membership.FleetState) {
+	for _, version := range fleet.Versions[routing.Rulebook] {
+		previous := c.seen[version.Number]
+		if c.firstSeen[version.Number].IsZero() {
+			c.firstSeen[version.Number] = time.Now()
 		}
-		if v.Stage == versions.StageCompleted && had.Stage != versions.StageCompleted {
+		if version.Stage == versions.StageCompleted && previous.Stage != versions.StageCompleted {
 			c.result.Closed++
-			c.took = append(c.took, float64(v.CompletedAt-c.begun[v.Number].UnixNano())/1e9)
-			if v.Plan.Exclusive {
+			c.closeTimes = append(c.closeTimes, float64(version.CompletedAt-c.firstSeen[version.Number].UnixNano())/1e9)
+			if version.Plan.Exclusive {
 				c.result.Exclusive++
 			}
-			if len(v.Canaries) > 0 {
-				c.result.Tried++
-				c.result.Reasons = append(c.result.Reasons, v.TrialResult)
+			if len(version.Canaries) > 0 {
+				c.result.Canaried++
+				c.result.Reasons = append(c.result.Reasons, version.TrialResult)
 			}
 		}
-		if v.Stage == versions.StageRolledBack && had.Stage != versions.StageRolledBack {
+		if version.Stage == versions.StageRolledBack && previous.Stage != versions.StageRolledBack {
 			c.result.Withdrawn++
-			c.result.Reasons = append(c.result.Reasons, v.Reason)
+			c.result.Reasons = append(c.result.Reasons, version.Reason)
 		}
-		c.seen[v.Number] = v
+		c.seen[version.Number] = version
 	}
-	for _, d := range f.Drivers {
-		key := fmt.Sprint(d.Name, d.Start, d.ChangedAt)
-		if d.State.String() == "shut out" && !c.shut[key] {
-			c.shut[key] = true
-			c.result.Shut++
+	for _, driver := range fleet.Drivers {
+		key := fmt.Sprint(driver.Name, driver.Start, driver.ChangedAt)
+		if driver.State.String() == "shut out" && !c.shutOut[key] {
+			c.shutOut[key] = true
+			c.result.ShutOut++
 		}
 	}
 }
 
-// settle waits until no version is under way and every driver acts on the newest.
-func (c *changing) settle(ctx context.Context) error {
-	council := membership.NewClient(c.at...)
+// awaitIdle waits until no version is being rolled out and all drivers act on the newest.
+func (c *versionsRun) awaitIdle(ctx context.Context) error {
+	council := membership.NewClient(c.addresses...)
 	var last membership.FleetState
 	for deadline := time.Now().Add(20*c.Lease + 10*time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		f, err := council.FleetState(ctx)
+		fleet, err := council.FleetState(ctx)
 		if err != nil {
 			continue
 		}
-		last = f
-		c.watch(&f)
-		for _, d := range f.Drivers {
-			if d.State.String() == "shut out" {
-				council.ChangeFleet(ctx, membership.FleetChange{Readmit: d.Name, Reason: "the night is over"})
+		last = fleet
+		c.observe(&fleet)
+		for _, driver := range fleet.Drivers {
+			if driver.State.String() == "shut out" {
+				council.ChangeFleet(ctx, membership.FleetChange{Readmit: driver.Name, Reason: "the night is over"})
 			}
 		}
-		closed, _ := f.LatestClosed(routing.Rulebook)
+		closed, _ := fleet.LatestClosed(routing.Rulebook)
 		closed = max(closed, versions.InitialVersion)
 		acting := 0
-		for _, d := range f.Drivers {
-			if d.MayAct && slices.ContainsFunc(d.Sightings, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
+		for _, driver := range fleet.Drivers {
+			if driver.MayAct && slices.ContainsFunc(driver.Sightings, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
 				acting++
 			}
 		}
-		if !c.under(&f) && acting == c.Drivers {
-			c.result.Drivers = f.Drivers
-			c.end()
-			return c.audit(ctx)
+		if !c.isChanging(&fleet) && acting == c.Drivers {
+			c.result.Drivers = fleet.Drivers
+			c.stop()
+			return c.compareAudit(ctx)
 		}
 	}
-	return fmt.Errorf("versions do not settle: %s", c.stands(&last))
+	return fmt.Errorf("timed out waiting for versions to settle: %s", c.newestStatus(&last))
 }
 
-// finish judges by what members saw, and sums up.
-func (c *changing) finish() *VersionsResult {
+// summarize checks what members received and computes the result.
+func (c *versionsRun) summarize() *VersionsResult {
 	r := c.result
-	r.Took50, r.Took99 = quantiles(c.took)
-	for _, t := range c.took {
-		r.TookMost = max(r.TookMost, time.Duration(t*float64(time.Second)))
+	r.CloseP50, r.CloseP99 = p50p99(c.closeTimes)
+	for _, t := range c.closeTimes {
+		r.CloseMax = max(r.CloseMax, time.Duration(t*float64(time.Second)))
 	}
-	c.judge(c.n.Fleet.Fenced())
-	c.n.Fleet.Model(func(_ int64, f *emulator.Fleet) {
-		r.Writes = c.n.Fleet.Settle(f, func(key string) int64 { return c.group(key) })
+	c.checkFences(c.cluster.Fleet.FencedAttempts())
+	c.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
+		r.Writes = c.cluster.Fleet.CheckAcknowledged(f, func(key string) int64 { return c.tenantGroup(key) })
 	})
-	r.Breaches = append(r.Breaches, c.n.Fleet.Breaches()...)
-	r.RPCs, r.Unexplained = c.rpcs, c.unexplained
-	r.PushedBack = float64(c.turned) / float64(max(1, c.writes))
-	r.Wrote50, r.Wrote99 = quantiles(c.waits)
-	c.befell(r.Faults)
-	c.council.befell(r.Faults)
+	r.Violations = append(r.Violations, c.cluster.Fleet.Violations()...)
+	r.RPCs, r.Unexplained = c.outcomes, c.unexplained
+	r.RejectedShare = float64(c.rejectedWrites) / float64(max(1, c.writes))
+	r.WriteP50, r.WriteP99 = p50p99(c.writeLatencies)
+	c.addFaultCounts(r.Faults)
+	c.council.addFaultCounts(r.Faults)
 	return r
 }
 
-// group is where a key's tenant is all the night: no tenant is moved.
-func (c *changing) group(key string) int64 {
+// tenantGroup returns the group of a key's tenant. No tenant is moved in this trial.
+func (c *versionsRun) tenantGroup(key string) int64 {
 	return hashedGroup(2, key)
 }
 
-// judge looks for call-outs under a version that came after a newer one was closed, and for two versions at once that must
-// not overlap.
-func (c *changing) judge(fenced []emulator.UnderFence) {
+// checkFences looks for attempts under a version that was closed before and for concurrent use of a
+// version that must be exclusive.
+func (c *versionsRun) checkFences(attempts []emulator.FencedAttempt) {
 	r := c.result
-	r.CallOuts, r.Nearest = len(fenced), time.Hour
-	fenced = slices.DeleteFunc(fenced, func(f emulator.UnderFence) bool { return f.Turned })
-	r.Turned = r.CallOuts - len(fenced)
-	slices.SortFunc(fenced, func(a, b emulator.UnderFence) int { return int(a.At - b.At) })
+	r.Attempts, r.MinCloseMargin = len(attempts), time.Hour
+	attempts = slices.DeleteFunc(attempts, func(attempt emulator.FencedAttempt) bool { return attempt.Rejected })
+	r.RejectedAttempts = r.Attempts - len(attempts)
+	slices.SortFunc(attempts, func(a, b emulator.FencedAttempt) int { return int(a.At - b.At) })
 	newest := uint64(0)
-	for _, f := range fenced {
+	for _, attempt := range attempts {
 		for _, v := range c.seen {
-			if v.Stage == versions.StageCompleted && uint64(v.Number) > f.Fence {
-				if gap := time.Duration(v.CompletedAt - f.At); gap < 0 {
-					r.Old++
-					r.Latest = max(r.Latest, -gap)
-					r.Breaches = append(r.Breaches, emulator.Breach{Rule: emulator.RuleVersion, RPC: f.RPC,
-						What: fmt.Sprintf("a call-out under version %d came %v after version %d was closed", f.Fence, -gap, v.Number)})
-				} else if uint64(v.Base) == f.Fence {
-					r.Nearest = min(r.Nearest, gap)
+			if v.Stage == versions.StageCompleted && uint64(v.Number) > attempt.Fence {
+				if margin := time.Duration(v.CompletedAt - attempt.At); margin < 0 {
+					r.LateAttempts++
+					r.MaxLateness = max(r.MaxLateness, -margin)
+					r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleClosedVersion, RPC: attempt.RPC,
+						Detail: fmt.Sprintf("attempt under version %d arrived %v after version %d was closed", attempt.Fence, -margin, v.Number)})
+				} else if uint64(v.Base) == attempt.Fence {
+					r.MinCloseMargin = min(r.MinCloseMargin, margin)
 				}
 			}
 		}
-		if f.Fence < newest && c.seen[versions.Number(newest)].Plan.Exclusive {
-			r.Breaches = append(r.Breaches, emulator.Breach{Rule: emulator.RuleOverlap, RPC: f.RPC,
-				What: fmt.Sprintf("a call-out under version %d came after one under %d, which must not overlap", f.Fence, newest)})
+		if attempt.Fence < newest && c.seen[versions.Number(newest)].Plan.Exclusive {
+			r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleVersionOverlap, RPC: attempt.RPC,
+				Detail: fmt.Sprintf("attempt under version %d arrived after one under exclusive version %d", attempt.Fence, newest)})
 		}
-		newest = max(newest, f.Fence)
+		newest = max(newest, attempt.Fence)
 	}
 }
 
-// Table is what a trial showed, in Markdown.
+// Table formats the result as a Markdown table.
 func (r *VersionsResult) Table() string {
 	ms := func(d time.Duration) string { return d.Round(time.Millisecond).String() }
 	rows := [][]string{
-		{"versions proposed, refused", fmt.Sprintf("%d, %d", r.Proposed, r.Refused)},
-		{"versions closed, of them exclusive, tried by canaries first", fmt.Sprintf("%d, %d, %d", r.Closed, r.Exclusive, r.Tried)},
+		{"versions proposed, rejected", fmt.Sprintf("%d, %d", r.Proposed, r.Rejected)},
+		{"versions closed, of these exclusive, tried by canaries", fmt.Sprintf("%d, %d, %d", r.Closed, r.Exclusive, r.Canaried)},
 		{"versions withdrawn", fmt.Sprint(r.Withdrawn)},
-		{"drivers shut out", fmt.Sprint(r.Shut)},
-		{"call-outs that members got with a version", fmt.Sprint(r.CallOuts)},
-		{"of those, turned away by members that fence", fmt.Sprint(r.Turned)},
-		{"taken by members under a version after a newer one was closed (bound: 0)", fmt.Sprint(r.Old)},
-		{"the latest of those, after the closing", ms(r.Latest)},
-		{"nearest that a version's last call-out came to the next one's closing", ms(r.Nearest)},
-		{"from proposal to closing, p50, p99 and most", fmt.Sprintf("%s, %s, %s", ms(r.Took50), ms(r.Took99), ms(r.TookMost))},
-		{"RPCs served, pushed back, aborted, no answer, connection broken, no driver", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
-			r.RPCs[sockets.Served], r.RPCs[sockets.PushedBack], r.RPCs[sockets.Aborted], r.RPCs[sockets.Unanswered],
-			r.RPCs[sockets.Broken], r.RPCs[sockets.NoDriver])},
-		{"of those without an answer, at drivers in no trouble", fmt.Sprint(r.Unexplained)},
+		{"drivers shut out", fmt.Sprint(r.ShutOut)},
+		{"attempts with a version that members received", fmt.Sprint(r.Attempts)},
+		{"of these, rejected by members as fenced", fmt.Sprint(r.RejectedAttempts)},
+		{"accepted by members under a version after a newer one was closed (bound: 0)", fmt.Sprint(r.LateAttempts)},
+		{"of these, the longest time after the closing", ms(r.MaxLateness)},
+		{"shortest time from the last attempt under a version to the closing of the next", ms(r.MinCloseMargin)},
+		{"time from proposal to closing, p50, p99 and maximum", fmt.Sprintf("%s, %s, %s", ms(r.CloseP50), ms(r.CloseP99), ms(r.CloseMax))},
+		{"RPCs served, rejected, aborted, timed out, connection lost, connect failed", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
+			r.RPCs[sockets.Served], r.RPCs[sockets.Rejected], r.RPCs[sockets.Aborted], r.RPCs[sockets.TimedOut],
+			r.RPCs[sockets.ConnectionLost], r.RPCs[sockets.ConnectFailed])},
+		{"of those without an answer, at undisturbed drivers", fmt.Sprint(r.Unexplained)},
 		{"acknowledged writes", fmt.Sprint(r.Writes)},
-		{"time of a served write, p50 and p99", fmt.Sprintf("%s, %s", ms(r.Wrote50), ms(r.Wrote99))},
-		{"share of writes pushed back", fmt.Sprintf("%.4f", r.PushedBack)},
+		{"latency of served writes, p50 and p99", fmt.Sprintf("%s, %s", ms(r.WriteP50), ms(r.WriteP99))},
+		{"share of writes rejected", fmt.Sprintf("%.4f", r.RejectedShare)},
 	}
-	a := &r.Audit
+	audit := &r.Audit
 	rows = append(rows, [][]string{
-		{"audit: entries, faults in trails, spans of unknown time", fmt.Sprintf("%d, %d, %d", a.Entries, len(a.Faults), a.Spans)},
-		{"audit: acts that it finds under a version after a newer one was closed", fmt.Sprint(a.Late)},
-		{"audit: writes that members got; there at their version, counted there, at another, in unknown time, missing",
-			fmt.Sprintf("%d; %d, %d, %d, %d, %d", a.Writes, a.Right, a.Counted, a.Wrong, a.Unknown, a.Missing)},
+		{"audit: entries, faults in trails, unknown spans", fmt.Sprintf("%d, %d, %d", audit.Entries, len(audit.Faults), audit.UnknownSpans)},
+		{"audit: acts found under a version after a newer one was closed", fmt.Sprint(audit.LateActs)},
+		{"audit: writes received by members; with the right version, only counted, with another version, in an unknown span, missing",
+			fmt.Sprintf("%d; %d, %d, %d, %d, %d", audit.Writes, audit.Matched, audit.Counted, audit.WrongVersion, audit.Unknown, audit.Missing)},
 	}...)
-	for _, what := range slices.Concat(a.FirstMissing, a.FirstLate) {
-		rows = append(rows, []string{"audit: for instance", what})
+	for _, what := range slices.Concat(audit.FirstMissing, audit.FirstLate) {
+		rows = append(rows, []string{"audit: example", what})
 	}
-	rows = append(rows, breachRows(r.Breaches)...)
-	return table([]string{"what", "figure"}, append(rows, faultRows(r.Faults)...))
+	rows = append(rows, violationRows(r.Violations)...)
+	return markdownTable([]string{"what", "figure"}, append(rows, faultCountRows(r.Faults)...))
 }
--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -1,21 +1,21 @@
 //go:build planted
 
-// Package planted plants the fault that a variable names.
+// Package planted activates the fault named by the environment variable SEDGESPREAD_PLANTED.
 package planted
 
 import "os"
 
-// Names of faults, as in a sound build.
+// Fault names, as in builds without the tag.
 const (
-	Lease     = "lease"
-	Straggler = "straggler"
-	Audit     = "audit"
-	Crash     = "crash"
-	OldDisk   = "old disk"
-	Harm      = "harm"
+	LongLease        = "lease"
+	IgnoreStragglers = "straggler"
+	DropAuditEntries = "audit"
+	CrashOnVersion   = "crash"
+	AcceptOldDisk    = "old disk"
+	RejectRPCs       = "harm"
 )
 
 var fault = os.Getenv("SEDGESPREAD_PLANTED")
 
-// Is tells whether this build has a fault.
-func Is(name string) bool { return name == fault }
+// Active reports whether the named fault is active in this build.
+func Active(name string) bool { return name == fault }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -101,7 +101,7 @@
 	if a.Resource != routing.Rulebook {
 		return fmt.Errorf("this build does not know what %q is", a.Resource)
 	}
-	if planted.Is(planted.Crash) {
+	if planted.Active(planted.CrashOnVersion) {
 		os.Exit(3)
 	}
 	next, err := c.origin.WithRulebook(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
