--- a/cmd/sedgespread/serve.go
+++ b/cmd/sedgespread/serve.go
@@ -24,7 +24,7 @@
 	defer stop()
 	reload := make(chan os.Signal, 1) // one that waits stands for all: the files are read after it
 	signal.Notify(reload, syscall.SIGHUP)
-	posting, err := program.ReadPosting(func(name string) string {
+	posting, err := program.ReadConfig(func(name string) string {
 		if name == "GW_OPERATOR" {
 			return s.Operator
 		}
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	posting.Limit()
+	posting.ApplyLimits()
 	return program.Run(ctx, posting, reload, log.WithField("driver", posting.Name))
 }
 
--- a/internal/program/limits.go
+++ b/internal/program/limits.go
@@ -8,8 +8,8 @@
 
 const heapShare = 0.7 // of the memory allowed
 
-// Limit tells the runtime what this process may use.
-func (p *Posting) Limit() {
+// ApplyLimits tells the runtime what this process may use.
+func (p *Config) ApplyLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	debug.SetMemoryLimit(int64(float64(p.MemoryMB<<20) * heapShare))
 }
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -52,7 +52,7 @@
 	return false
 }
 
-func newPools(life context.Context, d *transport.Descriptors, posting *Posting, denied func(rules.MemberID)) *pools {
+func newPools(life context.Context, d *transport.Descriptors, posting *Config, denied func(rules.MemberID)) *pools {
 	return &pools{life: life, d: d, connectWithin: posting.ConnectWithin, idleFor: posting.IdleFor,
 		mostAnswer: int(posting.MemoryMB << 20 / answerShare), denied: denied, idle: map[rules.MemberID][]link{},
 		doubt: map[rules.MemberID]bool{}, used: map[rules.MemberID]*uses{}}
--- a/internal/program/pools_test.go
+++ b/internal/program/pools_test.go
@@ -40,7 +40,7 @@
 func TestNoDescriptorTellsNothing(t *testing.T) {
 	const member = rules.MemberID(1)
 	d := transport.NewDescriptors(0) // one, which is discovery's
-	l := newLooks(newPools(context.Background(), d, &Posting{ConnectWithin: 20 * time.Millisecond, MemoryMB: 32}, nil))
+	l := newLooks(newPools(context.Background(), d, &Config{ConnectWithin: 20 * time.Millisecond, MemoryMB: 32}, nil))
 	may := func() bool { return true }
 	require.Equal(t, transport.NoDescriptor, l.look(context.Background(), member, "127.0.0.1:9", may).End)
 	require.False(t, l.isMute(member))
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -17,8 +17,8 @@
 	"sedgespread/internal/protocol"
 )
 
-// Posting is where a driver is to work, and what it is told before it starts.
-type Posting struct {
+// Config is where a driver is to work, and what it is told before it starts.
+type Config struct {
 	Name, Listen, Discovery string
 	PeerListen, PeersAll    string // empty where drivers send one another nothing
 	Seed                    int64
@@ -42,8 +42,8 @@
 	mostPosting  = 4 << 20
 )
 
-// ReadPosting reads the environment and the file that it names.
-func ReadPosting(env func(string) string) (*Posting, error) {
+// ReadConfig reads the environment and the file that it names.
+func ReadConfig(env func(string) string) (*Config, error) {
 	for _, name := range []string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"} {
 		if env(name) == "" {
 			return nil, fmt.Errorf("%s is missing from the environment", name)
@@ -64,7 +64,7 @@
 }
 
 // Again reads the file once more. What it does not say stays; the environment counts at the start alone.
-func (p *Posting) Again() (*Posting, error) {
+func (p *Config) Again() (*Config, error) {
 	next, err := readFile(p.path)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	return next, nil
 }
 
-func readFile(path string) (*Posting, error) {
+func readFile(path string) (*Config, error) {
 	text, err := readBounded(path)
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
@@ -102,7 +102,7 @@
 	return text, err
 }
 
-func parsePosting(text []byte) (*Posting, error) {
+func parsePosting(text []byte) (*Config, error) {
 	var file struct {
 		Known    json.RawMessage `json:"known"`
 		Settings map[string]any  `json:"settings"`
@@ -120,7 +120,7 @@
 	delete(file.Rest, "known")
 	delete(file.Rest, "settings")
 	rest := briefing.Flatten("file", file.Rest)
-	p := &Posting{Name: rest.At("name"), Listen: rest.At("listen"), Discovery: rest.At("discovery"),
+	p := &Config{Name: rest.At("name"), Listen: rest.At("listen"), Discovery: rest.At("discovery"),
 		PeerListen: rest.At("peer_listen"), PeersAll: rest.At("peers_all"), Cores: rest.NumberOr("limits.cores", 1), MemoryMB: rest.Integer("limits.memory_mb"),
 		Sockets: rest.Integer("limits.sockets"), Deployment: briefing.Flatten("settings", file.Settings)}
 	seed, err := strconv.ParseUint(rest.Text("seed"), 16, 64)
@@ -146,7 +146,7 @@
 }
 
 // spans reads how long the network may take.
-func (p *Posting) spans() error {
+func (p *Config) spans() error {
 	span := func(name string, usual time.Duration) time.Duration {
 		if t := p.Deployment.Time(name); t > 0 {
 			return time.Duration(t)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -19,7 +19,7 @@
 
 // Program is one driver at work.
 type Program struct {
-	posting     *Posting
+	posting     *Config
 	log         logrus.FieldLogger
 	life        context.Context // of connections
 	descriptors *transport.Descriptors
@@ -41,7 +41,7 @@
 
 // Run serves until the context ends, and then leaves in good order. Each time reload tells something the posting's
 // file is read again.
-func Run(ctx context.Context, posting *Posting, reload <-chan os.Signal, log logrus.FieldLogger) error {
+func Run(ctx context.Context, posting *Config, reload <-chan os.Signal, log logrus.FieldLogger) error {
 	life, die := context.WithCancelCause(context.Background())
 	defer die(transport.ShutDown)
 	d := transport.NewDescriptors(int(posting.Sockets))
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -22,7 +22,7 @@
 
 // reload puts to work what the file says now, as far as that can change while running, and gives what is held from
 // here on. A file that can't be read changes nothing.
-func (p *Program) reload(held *Posting) *Posting {
+func (p *Program) reload(held *Config) *Config {
 	next, err := held.Again()
 	if err == nil && p.confined != nil {
 		err = p.confined.reload(p.posting.ordersPath)
@@ -31,7 +31,7 @@
 		p.log.WithError(err).Warn("reload refused")
 		return held
 	}
-	next.Limit()
+	next.ApplyLimits()
 	p.descriptors.Resize(int(next.Sockets))
 	if p.source.move(next.Discovery) {
 		p.tasks.Go(func() error { p.follow(p.life); return nil })
@@ -42,7 +42,7 @@
 }
 
 // fixed names what a posting says otherwise than another and what only a start can change.
-func (p *Posting) fixed(other *Posting) (names []string) {
+func (p *Config) fixed(other *Config) (names []string) {
 	for name, same := range map[string]bool{
 		"name":        other.Name == p.Name,
 		"listen":      other.Listen == p.Listen,
--- a/internal/program/standins_test.go
+++ b/internal/program/standins_test.go
@@ -355,7 +355,7 @@
 func startAt(t *testing.T, d *discovery, address string, change func(file map[string]any)) *driver {
 	env := posting(t, d, change)
 	env["GW_DISCOVERY"] = address
-	p, err := program.ReadPosting(func(name string) string { return env[name] })
+	p, err := program.ReadConfig(func(name string) string { return env[name] })
 	require.NoError(t, err)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
