--- a/internal/program/cancels.go
+++ b/internal/program/cancels.go
@@ -8,61 +8,61 @@
 	"sedgespread/internal/protocol"
 )
 
-// cancels knows the clients' connections by the keys that they were told, so that what one cancels is its own. It guards
+// cancelRegistry knows the clients' connections by the keys that they were told, so that what one cancels is its own. It guards
 // against work that goes on for a client that has said, on another connection as the protocol has it, that it does not want it.
-type cancels struct {
-	mu   sync.Mutex
-	last uint32
-	held map[uint32]*held // by process number
+type cancelRegistry struct {
+	mu          sync.Mutex
+	lastProcess uint32
+	entries     map[uint32]*cancelEntry // by process number
 }
 
-// held is a connection with what is open on it.
-type held struct {
-	key   protocol.CancelKey
-	leave func() // nil while nothing is
+// cancelEntry is a connection with what is open on it.
+type cancelEntry struct {
+	key    protocol.CancelKey
+	cancel func() // nil while nothing is
 }
 
-func newCancels() *cancels { return &cancels{held: map[uint32]*held{}} }
+func newCancelRegistry() *cancelRegistry { return &cancelRegistry{entries: map[uint32]*cancelEntry{}} }
 
-// enter gives a connection its key, until the function it gives is called.
-func (c *cancels) enter() (h *held, leave func()) {
+// register gives a connection its key, until the function it gives is called.
+func (c *cancelRegistry) register() (entry *cancelEntry, unregister func()) {
 	var secret [4]byte
 	rand.Read(secret[:]) // which never fails; a key that could be foreseen would let clients cancel for others
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.last++; c.held[c.last] != nil || c.last == 0; {
-		c.last++
+	for c.lastProcess++; c.entries[c.lastProcess] != nil || c.lastProcess == 0; {
+		c.lastProcess++
 	}
-	h = &held{key: protocol.CancelKey{Process: c.last, Secret: binary.BigEndian.Uint32(secret[:])}}
-	c.held[c.last] = h
-	return h, func() {
+	entry = &cancelEntry{key: protocol.CancelKey{Process: c.lastProcess, Secret: binary.BigEndian.Uint32(secret[:])}}
+	c.entries[c.lastProcess] = entry
+	return entry, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.held, h.key.Process)
+		delete(c.entries, entry.key.Process)
 	}
 }
 
-// open says what a cancel of this connection is to call off, until the function it gives is called.
-func (c *cancels) open(h *held, leave func()) (done func()) {
+// setCancel says what a cancel of this connection is to call off, until the function it gives is called.
+func (c *cancelRegistry) setCancel(entry *cancelEntry, cancel func()) (clear func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h.leave = leave
+	entry.cancel = cancel
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		h.leave = nil
+		entry.cancel = nil
 	}
 }
 
 // cancel calls off what is open on the connection of a key. Any other key, and one with nothing open, does nothing.
-func (c *cancels) cancel(key protocol.CancelKey) {
+func (c *cancelRegistry) cancel(key protocol.CancelKey) {
 	c.mu.Lock()
-	h := c.held[key.Process]
-	if h == nil || h.key != key || h.leave == nil {
+	entry := c.entries[key.Process]
+	if entry == nil || entry.key != key || entry.cancel == nil {
 		c.mu.Unlock()
 		return
 	}
-	leave := h.leave
+	cancel := entry.cancel
 	c.mu.Unlock()
-	leave()
+	cancel()
 }
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -26,41 +26,41 @@
 	"sedgespread/internal/store"
 )
 
-// confinement is what the operator's file adds to a driver: cells, the coordinator where it is here, and the operator's
+// operatorServices is what the operator's file adds to a driver: cells, the coordinator where it is here, and the operator's
 // commands. Where there is no file there is none of it.
-type confinement struct {
-	p            *Program
-	chair        *membership.Chair
-	journal      *store.Journal
-	chamber      *chamber.Chamber         // nil where this is no voter of a council
-	registration *membership.Registration // the fleet's machine there, nil for none
-	agent        *membership.Agent        // nil where nothing has versions
-	ring         *gossip.Ring             // nil where drivers do not gossip
-	heed         sync.Once
-	origin       *operator.Orders                // as this driver started
-	number       chan uint64                     // takes that of this start once it has one
-	heeds        chan struct{}                   // closed once it acts on versions, if it needs to
-	desk         net.Listener                    // for commands, nil for none
-	seat         net.Listener                    // for drivers and voters, nil for none
-	acted        atomic.Pointer[operator.Orders] // what is acted on now
-	leased       chan struct{}                   // closed once it has had a lease, if it needs one
-	once         sync.Once
+type operatorServices struct {
+	p             *Program
+	coordinator   *membership.Chair
+	journal       *store.Journal
+	councilNode   *chamber.Chamber         // nil where this is no voter of a council
+	fleetRegistry *membership.Registration // the fleet's machine there, nil for none
+	agent         *membership.Agent        // nil where nothing has versions
+	gossipRing    *gossip.Ring             // nil where drivers do not gossip
+	versionsOnce  sync.Once
+	startConfig   *operator.Orders                // as this driver started
+	startNumber   chan uint64                     // takes that of this start once it has one
+	versionsReady chan struct{}                   // closed once it acts on versions, if it needs to
+	adminListener net.Listener                    // for commands, nil for none
+	peerListener  net.Listener                    // for drivers and voters, nil for none
+	current       atomic.Pointer[operator.Orders] // what is acted on now
+	leaseReady    chan struct{}                   // closed once it has had a lease, if it needs one
+	leaseOnce     sync.Once
 }
 
-// confine opens what the operator's file asks for. Nothing serves yet.
-func (p *Program) confine() (c *confinement, err error) {
-	o := p.posting.Orders
+// openOperatorServices opens what the operator's file asks for. Nothing serves yet.
+func (p *Program) openOperatorServices() (c *operatorServices, err error) {
+	o := p.config.OperatorConfig
 	if o == nil {
 		return nil, nil
 	}
-	c = &confinement{p: p, origin: o, leased: make(chan struct{}), heeds: make(chan struct{}),
-		number: make(chan uint64, 1)}
-	c.acted.Store(o)
+	c = &operatorServices{p: p, startConfig: o, leaseReady: make(chan struct{}), versionsReady: make(chan struct{}),
+		startNumber: make(chan uint64, 1)}
+	c.current.Store(o)
 	if o.Cells.GetCoordination() == nil {
-		close(c.leased)
+		close(c.leaseReady)
 	}
 	if o.Fleet == nil {
-		close(c.heeds)
+		close(c.versionsReady)
 	}
 	defer func() {
 		if err != nil {
@@ -68,51 +68,51 @@
 		}
 	}()
 	if o.Admin != nil {
-		if c.desk, err = c.open("admin.listen", o.Admin.Listen); err != nil {
+		if c.adminListener, err = c.listen("admin.listen", o.Admin.Listen); err != nil {
 			return nil, err
 		}
 	}
 	if o.Cells != nil {
-		p.router.Confine(o.Gate(p.descriptors.Limit() / roomShare))
-		p.lobby.crowded = p.router.Crowded
+		p.router.Confine(o.Gate(p.descriptors.Limit() / idleClientsDivisor))
+		p.idleClients.overusedCell = p.router.Crowded
 	}
 	if o.Fleet != nil {
-		if err = c.enlist(); err != nil {
+		if err = c.joinFleet(); err != nil {
 			return nil, err
 		}
 	}
 	if o.Council.GetId() != 0 {
-		return c, c.convene()
+		return c, c.openCouncil()
 	}
 	if o.Cells.GetCoordination().GetHere() {
-		return c, c.coordinate()
+		return c, c.openCoordinator()
 	}
 	return c, nil
 }
 
-// orders is the file that is acted on now.
-func (c *confinement) orders() *operator.Orders { return c.acted.Load() }
+// config is the file that is acted on now.
+func (c *operatorServices) config() *operator.Orders { return c.current.Load() }
 
-// fill is how the store is asked to fill cells.
-func (c *confinement) fill() membership.Fill {
-	if hook := c.orders().Cells.GetCoordination().GetFillHook(); hook != "" {
+// cellFill is how the store is asked to fill cells.
+func (c *operatorServices) cellFill() membership.Fill {
+	if hook := c.config().Cells.GetCoordination().GetFillHook(); hook != "" {
 		return membership.HTTPFill(hook)
 	}
 	return nil
 }
 
-// coordinate opens the coordinator that has no fellows.
-func (c *confinement) coordinate() (err error) {
-	o := c.orders()
+// openCoordinator opens the coordinator that has no fellows.
+func (c *operatorServices) openCoordinator() (err error) {
+	o := c.config()
 	k := o.Cells.Coordination
 	if c.journal, err = store.Open(k.Journal); err != nil {
 		return o.Reject("cells.coordination.journal", err)
 	}
-	c.chair, err = membership.NewChair(o.Book(), c.journal, millis(k.LeaseMs), millis(k.HoldMs), c.fill(), c.p.log)
+	c.coordinator, err = membership.NewChair(o.Book(), c.journal, milliseconds(k.LeaseMs), milliseconds(k.HoldMs), c.cellFill(), c.p.log)
 	if err != nil {
 		return o.Reject("cells.coordination.journal", err)
 	}
-	c.seat, err = c.open("cells.coordination.at", k.At)
+	c.peerListener, err = c.listen("cells.coordination.at", k.At)
 	return err
 }
 
@@ -123,23 +123,23 @@
 	clockDrift    = 0.01
 )
 
-// convene opens this instance's seat in the council.
-func (c *confinement) convene() (err error) {
-	o := c.orders()
+// openCouncil opens this instance's seat in the council.
+func (c *operatorServices) openCouncil() (err error) {
+	o := c.config()
 	k := o.Council
 	machines := map[string]chamber.Machine{}
 	if l := o.Cells.GetCoordination(); l != nil {
-		c.chair, err = membership.NewFellow(o.Book(), millis(l.LeaseMs), millis(l.HoldMs), millis(k.ClockErrorMs), c.fill(), c.p.log)
+		c.coordinator, err = membership.NewFellow(o.Book(), milliseconds(l.LeaseMs), milliseconds(l.HoldMs), milliseconds(k.ClockErrorMs), c.cellFill(), c.p.log)
 		if err != nil {
 			return o.Reject("cells", err)
 		}
-		machines[membership.MachineName] = c.chair.Place()
+		machines[membership.MachineName] = c.coordinator.Place()
 	}
 	if o.Fleet != nil {
-		c.registration = membership.NewRegistration(membership.Terms{Lease: millis(o.Fleet.LeaseMs), Forget: time.Duration(o.ForgetS()) * time.Second,
+		c.fleetRegistry = membership.NewRegistration(membership.Terms{Lease: milliseconds(o.Fleet.LeaseMs), Forget: time.Duration(o.ForgetS()) * time.Second,
 			Most: o.Fleet.MostShutOut}, c.p.log)
-		machines[membership.RegistrationName] = c.registration
-		if err := c.registration.Keep(k.Disk + ".trails"); err != nil {
+		machines[membership.RegistrationName] = c.fleetRegistry
+		if err := c.fleetRegistry.Keep(k.Disk + ".trails"); err != nil {
 			return o.Reject("council.disk", err)
 		}
 	}
@@ -147,32 +147,32 @@
 	for _, v := range k.Voter {
 		peers[council.VoterID(v.Id)] = v.At
 	}
-	pace := council.Pace{Tick: int64(millis(o.TickMs())), Election: electionTicks, Drift: clockDrift}
-	if c.chamber, err = chamber.Open(council.VoterID(k.Id), peers, k.Join, k.Disk, pace, machines, c.p.log); err != nil {
+	pace := council.Pace{Tick: int64(milliseconds(o.TickMs())), Election: electionTicks, Drift: clockDrift}
+	if c.councilNode, err = chamber.Open(council.VoterID(k.Id), peers, k.Join, k.Disk, pace, machines, c.p.log); err != nil {
 		return o.Reject("council.disk", err)
 	}
-	if c.chair != nil {
-		c.chair.Join(c.chamber)
+	if c.coordinator != nil {
+		c.coordinator.Join(c.councilNode)
 	}
-	if c.registration != nil {
-		c.registration.Join(c.chamber)
+	if c.fleetRegistry != nil {
+		c.fleetRegistry.Join(c.councilNode)
 	}
-	c.seat, err = c.open("council.listen", o.SeatAt())
+	c.peerListener, err = c.listen("council.listen", o.SeatAt())
 	return err
 }
 
-func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func (c *confinement) open(field, address string) (net.Listener, error) {
+func (c *operatorServices) listen(field, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, c.orders().Reject(field, err)
+		return nil, c.config().Reject(field, err)
 	}
 	return l, nil
 }
 
-func (c *confinement) close() {
-	for _, l := range []net.Listener{c.desk, c.seat} {
+func (c *operatorServices) close() {
+	for _, l := range []net.Listener{c.adminListener, c.peerListener} {
 		if l != nil {
 			l.Close()
 		}
@@ -183,101 +183,101 @@
 }
 
 // run serves until the context ends.
-func (c *confinement) run(ctx context.Context) error {
+func (c *operatorServices) run(ctx context.Context) error {
 	defer c.close()
 	var tasks errgroup.Group
-	if c.desk != nil {
-		tasks.Go(func() error { return admin.Serve(ctx, c.desk, c) })
+	if c.adminListener != nil {
+		tasks.Go(func() error { return admin.Serve(ctx, c.adminListener, c) })
 	}
-	if c.seat != nil {
-		tasks.Go(func() error { return jsonhttp.Serve(ctx, c.seat, c.answers()) })
+	if c.peerListener != nil {
+		tasks.Go(func() error { return jsonhttp.Serve(ctx, c.peerListener, c.peerHandler()) })
 	}
-	if c.chamber != nil {
-		tasks.Go(func() error { c.chamber.Run(ctx); return nil })
+	if c.councilNode != nil {
+		tasks.Go(func() error { c.councilNode.Run(ctx); return nil })
 	}
-	if c.chair != nil {
-		tasks.Go(func() error { c.chair.Run(ctx); return nil })
+	if c.coordinator != nil {
+		tasks.Go(func() error { c.coordinator.Run(ctx); return nil })
 	}
-	if k := c.orders().Cells.GetCoordination(); k != nil {
-		tasks.Go(func() error { c.follow(ctx, millis(k.LeaseMs)); return nil })
+	if k := c.config().Cells.GetCoordination(); k != nil {
+		tasks.Go(func() error { c.followLeases(ctx, milliseconds(k.LeaseMs)); return nil })
 	}
-	if c.registration != nil {
-		tasks.Go(func() error { c.registration.Run(ctx); return nil })
+	if c.fleetRegistry != nil {
+		tasks.Go(func() error { c.fleetRegistry.Run(ctx); return nil })
 	}
 	if c.agent != nil {
 		tasks.Go(func() error { c.agent.Run(ctx); return nil })
 	}
-	if c.ring != nil {
-		tasks.Go(func() error { c.ring.Run(ctx); return nil })
+	if c.gossipRing != nil {
+		tasks.Go(func() error { c.gossipRing.Run(ctx); return nil })
 	}
 	return tasks.Wait()
 }
 
-// follow asks for leases on cells until the context ends. Where there is a fleet this start is known by its number there, and
+// followLeases asks for leases on cells until the context ends. Where there is a fleet this start is known by its number there, and
 // else by its clock.
-func (c *confinement) follow(ctx context.Context, lease time.Duration) {
+func (c *operatorServices) followLeases(ctx context.Context, lease time.Duration) {
 	incarnation := uint64(clock.New().Now())
 	if c.agent != nil {
 		select {
-		case incarnation = <-c.number:
+		case incarnation = <-c.startNumber:
 		case <-ctx.Done():
 			return
 		}
 	}
-	membership.NewFollower(c.orders().CoordinatorsAt(), c.p.posting.Name, incarnation, lease, c, c.p.log).Run(ctx)
+	membership.NewFollower(c.config().CoordinatorsAt(), c.p.config.Name, incarnation, lease, c, c.p.log).Run(ctx)
 }
 
-// answers is what drivers and voters may ask here.
-func (c *confinement) answers() http.Handler {
+// peerHandler is what drivers and voters may ask here.
+func (c *operatorServices) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	if c.chair != nil {
-		c.chair.Handle(mux)
+	if c.coordinator != nil {
+		c.coordinator.Handle(mux)
 	}
-	if c.registration != nil {
-		c.registration.Handle(mux)
+	if c.fleetRegistry != nil {
+		c.fleetRegistry.Handle(mux)
 	}
-	if c.chamber != nil {
-		c.chamber.Handle(mux)
+	if c.councilNode != nil {
+		c.councilNode.Handle(mux)
 	}
 	return mux
 }
 
 // Report is what the coordinator is told.
-func (c *confinement) Report(name string, incarnation uint64) (cells.Report, int64) {
+func (c *operatorServices) Report(name string, incarnation uint64) (cells.Report, int64) {
 	return c.p.router.Report(name, incarnation)
 }
 
 // ReportGrant takes what the coordinator granted. With the first lease this driver is ready to take clients.
-func (c *confinement) ReportGrant(asked int64, g cells.Grant) error {
+func (c *operatorServices) ReportGrant(asked int64, g cells.Grant) error {
 	err := c.p.router.ReportGrant(asked, g)
 	if err == nil {
-		c.once.Do(func() { close(c.leased) })
+		c.leaseOnce.Do(func() { close(c.leaseReady) })
 	}
 	return err
 }
 
 // reload takes over the operator's file as it is now: all of it, or an error and nothing.
-func (c *confinement) reload(path string) error {
+func (c *operatorServices) reload(path string) error {
 	next, err := operator.Read(path)
 	if err != nil {
 		return err
 	}
-	if next.Fixed() != c.orders().Fixed() {
+	if next.Fixed() != c.config().Fixed() {
 		return next.Reject("", errors.New("admin, council, fleet, groups_a_tenant, budget and coordination need a restart"))
 	}
 	if next.Fleet != nil {
 		return next.Reject("fleet", errors.New("all drivers act on one rulebook: `sedgespread fleet propose` brings another"))
 	}
-	return c.become(next)
+	return c.apply(next)
 }
 
-// become acts on another file from now on: all of it, or an error and nothing.
-func (c *confinement) become(next *operator.Orders) (err error) {
+// apply acts on another file from now on: all of it, or an error and nothing.
+func (c *operatorServices) apply(next *operator.Orders) (err error) {
 	if next.Cells == nil {
 		return nil
 	}
-	if c.chair != nil { // which knows all that this driver's gate does
-		err = c.chair.Become(next.Layout(), next.Pins())
+	if c.coordinator != nil { // which knows all that this driver's gate does
+		err = c.coordinator.Become(next.Layout(), next.Pins())
 	}
 	if err == nil {
 		err = routing.Cells(c.p.router, func(_ int64, g *cells.AdmissionController) error {
@@ -287,7 +287,7 @@
 	if err != nil {
 		return next.Reject("cells", err)
 	}
-	c.acted.Store(next)
+	c.current.Store(next)
 	return nil
 }
 
@@ -298,19 +298,19 @@
 	errNoCoordinator = errors.New("this instance has no coordinator: its operator's file says nothing of coordination")
 )
 
-const heaviestShown = 20
+const maxTenantsShown = 20
 
 // Cells tells what the gate has counted and holds.
-func (c *confinement) Cells() cells.Stats {
-	if c.orders().Cells == nil {
+func (c *operatorServices) Cells() cells.Stats {
+	if c.config().Cells == nil {
 		return cells.Stats{}
 	}
-	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, heaviestShown) })
+	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, maxTenantsShown) })
 }
 
 // Where tells where a tenant is.
-func (c *confinement) Where(t cells.Tenant, key string) admin.Place {
-	if c.orders().Cells == nil {
+func (c *operatorServices) Where(t cells.Tenant, key string) admin.Place {
+	if c.config().Cells == nil {
 		return admin.Place{Tenant: t, Why: errNoCells.Error()}
 	}
 	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) admin.Place {
@@ -330,36 +330,36 @@
 	})
 }
 
-// coordinator is the way to the coordinator.
-func (c *confinement) coordinator() (membership.Coordinator, error) {
-	if c.orders().Cells.GetCoordination() == nil {
+// dialCoordinator is the way to the coordinator.
+func (c *operatorServices) dialCoordinator() (membership.Coordinator, error) {
+	if c.config().Cells.GetCoordination() == nil {
 		return membership.Coordinator{}, errNoCoordinator
 	}
-	return membership.Dial(c.orders().CoordinatorsAt()...), nil
+	return membership.Dial(c.config().CoordinatorsAt()...), nil
 }
 
 // Council tells how the council stands, as this instance's own seat knows, or else as the first voter does that answers.
-func (c *confinement) Council(ctx context.Context) (chamber.State, error) {
+func (c *operatorServices) Council(ctx context.Context) (chamber.State, error) {
 	switch {
-	case c.chamber != nil:
-		return c.chamber.State(), nil
-	case c.orders().Council == nil:
+	case c.councilNode != nil:
+		return c.councilNode.State(), nil
+	case c.config().Council == nil:
 		return chamber.State{}, errNoCouncil
 	}
-	return membership.Dial(c.orders().VotersAt()...).Council(ctx)
+	return membership.Dial(c.config().VotersAt()...).Council(ctx)
 }
 
 // ChangeCouncil asks the council's leader for other voters.
-func (c *confinement) ChangeCouncil(ctx context.Context, change chamber.Change) error {
-	if c.orders().Council == nil {
+func (c *operatorServices) ChangeCouncil(ctx context.Context, change chamber.Change) error {
+	if c.config().Council == nil {
 		return errNoCouncil
 	}
-	return membership.Dial(c.orders().VotersAt()...).ChangeCouncil(ctx, change)
+	return membership.Dial(c.config().VotersAt()...).ChangeCouncil(ctx, change)
 }
 
 // State tells where moves stand.
-func (c *confinement) State(ctx context.Context) (membership.State, error) {
-	at, err := c.coordinator()
+func (c *operatorServices) State(ctx context.Context) (membership.State, error) {
+	at, err := c.dialCoordinator()
 	if err != nil {
 		return membership.State{}, err
 	}
@@ -367,8 +367,8 @@
 }
 
 // Move asks the coordinator for moves.
-func (c *confinement) Move(ctx context.Context, moves []membership.Move) error {
-	at, err := c.coordinator()
+func (c *operatorServices) Move(ctx context.Context, moves []membership.Move) error {
+	at, err := c.dialCoordinator()
 	if err != nil {
 		return err
 	}
@@ -376,8 +376,8 @@
 }
 
 // Abort asks the coordinator to call a move off.
-func (c *confinement) Abort(ctx context.Context, m membership.Move) error {
-	at, err := c.coordinator()
+func (c *operatorServices) Abort(ctx context.Context, m membership.Move) error {
+	at, err := c.dialCoordinator()
 	if err != nil {
 		return err
 	}
@@ -385,19 +385,19 @@
 }
 
 // Plan plans for the loads that the drivers tell of, or for those of this instance where there is no coordinator.
-func (c *confinement) Plan(ctx context.Context, most int) (admin.Plan, error) {
-	if c.orders().Cells == nil {
+func (c *operatorServices) Plan(ctx context.Context, most int) (admin.Plan, error) {
+	if c.config().Cells == nil {
 		return admin.Plan{}, errNoCells
 	}
 	loads := c.Cells().HeaviestTenants
-	if c.orders().Cells.Coordination != nil {
+	if c.config().Cells.Coordination != nil {
 		state, err := c.State(ctx)
 		if err != nil {
 			return admin.Plan{}, err
 		}
 		loads = state.Loads
 	}
-	rooms, halls := c.orders().Rooms(), c.orders().Halls()
+	rooms, halls := c.config().Rooms(), c.config().Halls()
 	for _, r := range rooms {
 		if r.Capacity <= 0 {
 			return admin.Plan{}, fmt.Errorf("cell %q: the file does not say its capacity, which a plan needs", r.Name)
--- a/internal/program/duties.go
+++ b/internal/program/duties.go
@@ -7,8 +7,8 @@
 	"sedgespread/internal/transport"
 )
 
-// duties does what falls due without an RPC, until the context ends.
-func (p *Program) duties(ctx context.Context) error {
+// runScheduledWork does what falls due without an RPC, until the context ends.
+func (p *Program) runScheduledWork(ctx context.Context) error {
 	for {
 		duty, err := p.router.Tick(ctx)
 		if err != nil {
@@ -16,23 +16,23 @@
 		}
 		switch d := duty.(type) {
 		case routing.Look:
-			p.tasks.Go(func() error { p.look(d); return nil })
+			p.tasks.Go(func() error { p.probe(d); return nil })
 		case routing.Shed:
-			p.looks.shed(d.Member)
+			p.prober.closeIdle(d.Member)
 		case routing.Forget:
-			p.looks.drop(d.Member)
+			p.prober.forget(d.Member)
 		case routing.Spread:
-			p.peers.spread(d.Message)
+			p.peers.send(d.Message)
 		case routing.Follow:
-			p.tasks.Go(func() error { p.follow(ctx); return nil })
+			p.tasks.Go(func() error { p.followDiscovery(ctx); return nil })
 		}
 	}
 }
 
-// look probes a member.
-func (p *Program) look(d routing.Look) {
-	by, stop := context.WithTimeoutCause(p.life, p.posting.ConnectWithin, transport.TimedOut)
+// probe probes a member.
+func (p *Program) probe(look routing.Look) {
+	ctx, stop := context.WithTimeoutCause(p.lifetime, p.config.ConnectTimeout, transport.TimedOut)
 	defer stop()
-	p.router.ReportLook(d.Member, p.looks.look(by, d.Member, d.Address, func() bool { return p.router.MayLook(d.Member) }))
-	p.ready.looked(d.Member)
+	p.router.ReportLook(look.Member, p.prober.probe(ctx, look.Member, look.Address, func() bool { return p.router.MayLook(look.Member) }))
+	p.readiness.recordProbe(look.Member)
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -15,11 +15,11 @@
 	"sedgespread/internal/versions"
 )
 
-// Level is the highest feature level that this build knows. It grows with whatever older builds can't take part in.
-const Level = 1
+// FeatureLevel is the highest feature level that this build knows. It grows with whatever older builds can't take part in.
+const FeatureLevel = 1
 
-// build is what this program says of itself in the roster.
-func build() string {
+// buildRevision is what this program says of itself in the roster.
+func buildRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			if s.Key == "vcs.revision" {
@@ -30,57 +30,57 @@
 	return "unreleased"
 }
 
-// digestShown is how much of a digest is told of things that the fleet does not decide.
-const digestShown = 16
+// digestPrefixLength is how much of a digest is told of things that the fleet does not decide.
+const digestPrefixLength = 16
 
-// enlist lets this driver act on the versions that the fleet agrees on.
-func (c *confinement) enlist() (err error) {
+// joinFleet lets this driver act on the versions that the fleet agrees on.
+func (c *operatorServices) joinFleet() (err error) {
 	c.p.router.Heed(versions.NewHolder())
-	c.p.router.Observe(versions.Program, Level, build())
-	c.p.router.Observe(versions.File, 1, membership.Digest(c.orders().Common())[:digestShown])
-	claim := roster.Claim{Name: c.p.posting.Name, At: c.p.posting.Listen, Build: build(), Level: Level, Votes: c.orders().Council.GetId() != 0}
-	c.agent = membership.NewAgent(c.orders().VotersAt(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
-	g := c.orders().Fleet.Gossip
+	c.p.router.Observe(versions.Program, FeatureLevel, buildRevision())
+	c.p.router.Observe(versions.File, 1, membership.Digest(c.config().Common())[:digestPrefixLength])
+	claim := roster.Claim{Name: c.p.config.Name, At: c.p.config.Listen, Build: buildRevision(), Level: FeatureLevel, Votes: c.config().Council.GetId() != 0}
+	c.agent = membership.NewAgent(c.config().VotersAt(), claim, milliseconds(c.config().Fleet.LeaseMs), c, c.p.log)
+	g := c.config().Fleet.Gossip
 	if g == nil {
 		return nil
 	}
-	if c.ring, err = gossip.Listen(c.p.posting.Name, g.Listen, g.Fellow, millis(c.orders().ProbeMs()), c.p.log); err != nil {
-		return c.orders().Reject("fleet.gossip.listen", err)
+	if c.gossipRing, err = gossip.Listen(c.p.config.Name, g.Listen, g.Fellow, milliseconds(c.config().ProbeMs()), c.p.log); err != nil {
+		return c.config().Reject("fleet.gossip.listen", err)
 	}
-	c.agent.Listens(c.ring)
+	c.agent.Listens(c.gossipRing)
 	return nil
 }
 
 // Sightings is what the fleet is told.
-func (c *confinement) Sightings() ([]versions.Sighting, int64) { return c.p.router.Sightings() }
+func (c *operatorServices) Sightings() ([]versions.Sighting, int64) { return c.p.router.Sightings() }
 
 // Joined takes in the number of this driver's start.
-func (c *confinement) Joined(who versions.Sign, token string) {
+func (c *operatorServices) Joined(who versions.Sign, token string) {
 	c.p.router.ReportStart(who, token)
 	select {
-	case c.number <- who.Start:
+	case c.startNumber <- who.Start:
 	default: // it has joined before
 	}
 }
 
 // Trail gives the entries of this driver's trail after one.
-func (c *confinement) Trail(seq uint64, most int) audit.Part { return c.p.router.Trail(seq, most) }
+func (c *operatorServices) Trail(seq uint64, most int) audit.Part { return c.p.router.Trail(seq, most) }
 
 // LastTrail gives all that is left of it.
-func (c *confinement) LastTrail(seq uint64) audit.Part { return c.p.router.LastTrail(seq) }
+func (c *operatorServices) LastTrail(seq uint64) audit.Part { return c.p.router.LastTrail(seq) }
 
 // Audit answers a question from what all voters hold of drivers' trails.
-func (c *confinement) Audit(ctx context.Context, q membership.Question) (membership.Finding, error) {
-	if c.orders().Fleet == nil {
+func (c *operatorServices) Audit(ctx context.Context, q membership.Question) (membership.Finding, error) {
+	if c.config().Fleet == nil {
 		return membership.Finding{}, errNoFleet
 	}
-	return membership.Audit(ctx, c.orders().VotersAt(), q)
+	return membership.Audit(ctx, c.config().VotersAt(), q)
 }
 
 // Granted takes in what the fleet granted, and adopts what it says.
-func (c *confinement) Granted(asked int64, g versions.Grant) {
+func (c *operatorServices) Granted(asked int64, g versions.Grant) {
 	for _, a := range c.p.router.ReportOrders(asked, g) {
-		err := c.adopts(a)
+		err := c.adopt(a)
 		c.p.router.ReportAdopted(a, err)
 		log := c.p.log.WithField("thing", a.Thing).WithField("version", a.Number)
 		if err != nil {
@@ -90,45 +90,45 @@
 		}
 	}
 	if g.Lease > 0 {
-		c.heed.Do(func() { close(c.heeds) })
+		c.versionsOnce.Do(func() { close(c.versionsReady) })
 	}
 }
 
-// adopts does what it takes to act on a version.
-func (c *confinement) adopts(a versions.Adoption) error {
+// adopt does what it takes to act on a version.
+func (c *operatorServices) adopt(a versions.Adoption) error {
 	if a.Thing != routing.Rulebook {
 		return fmt.Errorf("this build does not know what %q is", a.Thing)
 	}
 	if planted.Is(planted.Crash) {
 		os.Exit(3)
 	}
-	next, err := c.origin.With(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
+	next, err := c.startConfig.With(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
 	if err != nil {
 		return err
 	}
-	return c.become(next)
+	return c.apply(next)
 }
 
 // Fleet tells how the fleet stands.
-func (c *confinement) Fleet(ctx context.Context) (membership.Fleet, error) {
-	if c.orders().Fleet == nil {
+func (c *operatorServices) Fleet(ctx context.Context) (membership.Fleet, error) {
+	if c.config().Fleet == nil {
 		return membership.Fleet{}, errNoFleet
 	}
-	return membership.Dial(c.orders().VotersAt()...).Fleet(ctx)
+	return membership.Dial(c.config().VotersAt()...).Fleet(ctx)
 }
 
 // Wish asks something of the fleet. A rulebook is checked here before it is proposed.
-func (c *confinement) Wish(ctx context.Context, w membership.Wish) error {
-	if c.orders().Fleet == nil {
+func (c *operatorServices) Wish(ctx context.Context, w membership.Wish) error {
+	if c.config().Fleet == nil {
 		return errNoFleet
 	}
 	if p := w.Propose; p != nil {
 		if p.Thing != routing.Rulebook {
 			return fmt.Errorf("there is no thing %q that has versions", p.Thing)
 		}
-		if _, err := c.origin.With("the rulebook", p.Text); err != nil {
+		if _, err := c.startConfig.With("the rulebook", p.Text); err != nil {
 			return err
 		}
 	}
-	return membership.Dial(c.orders().VotersAt()...).Wish(ctx, w)
+	return membership.Dial(c.config().VotersAt()...).Wish(ctx, w)
 }
--- a/internal/program/follow.go
+++ b/internal/program/follow.go
@@ -21,15 +21,15 @@
 // Where lists are pushed an agent is asked, and what it has when it comes back from an outage counts at once: then a call that
 // hangs and the pause after it take a quarter each of the grace in which a drain has to be kept.
 const (
-	toldWithin   = 6 * time.Second // a change counts as told so long after discovery had it and could be reached
-	answerWithin = toldWithin / 3  // for a call that does not wait: it is one of many, which are handled in turn
-	watchWait    = toldWithin / 3  // a watch waits so long at the most, though it may wait longer
-	lateBy       = toldWithin / 6  // and its answer may come so much later
-	leastAnswer  = 100 * time.Millisecond
-	earlier      = 0.25 // waits are shorter by up to this share, by lot, so that drivers do not ask all at once
+	changeDeadline       = 6 * time.Second    // a change counts as told so long after discovery had it and could be reached
+	discoveryCallTimeout = changeDeadline / 3 // for a call that does not wait: it is one of many, which are handled in turn
+	maxWatchWait         = changeDeadline / 3 // a watch waits so long at the most, though it may wait longer
+	watchAnswerGrace     = changeDeadline / 6 // and its answer may come so much later
+	minDiscoveryTimeout  = 100 * time.Millisecond
+	waitJitter           = 0.25 // waits are shorter by up to this share, by lot, so that drivers do not ask all at once
 )
 
-// source is where the list comes from: an address, which changes with the file, and whoever follows it there, one at a time.
+// discoverySource is where the list comes from: an address, which changes with the file, and whoever follows it there, one at a time.
 //
 //	state     what happens                            and then
 //	resting   nobody asks                             the module wants the list, or the address changes: asking
@@ -40,49 +40,49 @@
 //	watching  a call waits for what is newer than     answered: watching; late: asking, at once and on a new connection;
 //	          the list that is held                   broken, or nonsense: resting; older than the list: asking for all of it
 //	moved     the address has changed meanwhile       asking at the new one; what still comes from the old changes nothing
-type source struct {
-	mu      sync.Mutex
-	address string
-	leave   context.CancelCauseFunc // of the one that asks, nil for none
-	overdue bool
-	listed  bool       // a list is held that what is newer may be asked for
-	held    int64      // and its generation
-	rng     *rand.Rand // of whoever asks
+type discoverySource struct {
+	mu           sync.Mutex
+	address      string
+	cancelFollow context.CancelCauseFunc // of the one that asks, nil for none
+	overdue      bool
+	hasList      bool       // a list is held that what is newer may be asked for
+	generation   int64      // and its generation
+	rng          *rand.Rand // of whoever asks
 }
 
-// wait is how long the next call of a watch waits.
-func (s *source) wait(most time.Duration) time.Duration {
-	most = min(most, watchWait)
-	return most - time.Duration(s.rng.Float64()*earlier*float64(most))
+// nextWait is how long the next call of a watch waits.
+func (s *discoverySource) nextWait(maxWait time.Duration) time.Duration {
+	maxWait = min(maxWait, maxWatchWait)
+	return maxWait - time.Duration(s.rng.Float64()*waitJitter*float64(maxWait))
 }
 
 // accept takes in an answer, unless the address has changed since it was asked for: the list is another's by then.
-func (s *source) accept(stay context.Context, t protocol.Targets, take func()) {
+func (s *discoverySource) accept(ctx context.Context, targets protocol.Targets, apply func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if stay.Err() == nil {
-		s.listed, s.held, s.overdue = true, t.Generation, false
-		take()
+	if ctx.Err() == nil {
+		s.hasList, s.generation, s.overdue = true, targets.Generation, false
+		apply()
 	}
 }
 
-// holds is the generation of the list that is held, and whether what is newer may be asked for.
-func (s *source) holds() (generation int64, listed bool) {
+// heldGeneration is the generation of the list that is held, and whether what is newer may be asked for.
+func (s *discoverySource) heldGeneration() (generation int64, hasList bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held, s.listed
+	return s.generation, s.hasList
 }
 
-// disown makes the whole list be asked for next.
-func (s *source) disown() {
+// dropGeneration makes the whole list be asked for next.
+func (s *discoverySource) dropGeneration() {
 	s.mu.Lock()
-	s.listed = false
+	s.hasList = false
 	s.mu.Unlock()
 }
 
-// late notes that a call has taken too long, and tells whether it is still out. The next asks for the same: where many drivers ask at once that is
+// markOverdue notes that a call has taken too long, and tells whether it is still out. The next asks for the same: where many drivers ask at once that is
 // less for discovery to tell than whole lists, of which it may not bear one for each in the time in which a change has to be known.
-func (s *source) late(call context.Context) bool {
+func (s *discoverySource) markOverdue(call context.Context) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if call.Err() != nil {
@@ -92,128 +92,128 @@
 	return true
 }
 
-// enter gives whoever will ask the address and a context that ends once that has changed; ok is false while
+// begin gives whoever will ask the address and a context that ends once that has changed; ok is false while
 // somebody else asks. A call that is overdue is given up: whoever made it asks again.
-func (s *source) enter(ctx context.Context) (stay context.Context, address string, ok bool) {
+func (s *discoverySource) begin(ctx context.Context) (followCtx context.Context, address string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leave != nil && s.overdue {
-		s.leave(transport.TimedOut)
+	if s.cancelFollow != nil && s.overdue {
+		s.cancelFollow(transport.TimedOut)
 	}
-	if s.leave != nil {
+	if s.cancelFollow != nil {
 		return nil, "", false
 	}
-	stay, s.leave = context.WithCancelCause(ctx)
-	return stay, s.address, true
+	followCtx, s.cancelFollow = context.WithCancelCause(ctx)
+	return followCtx, s.address, true
 }
 
-// exit ends the asking, and tells whether that was because it is to be begun anew, since the address has changed or an overdue
+// finish ends the asking, and tells whether that was because it is to be begun anew, since the address has changed or an overdue
 // call was given up, and else whether the module has heard that it failed.
-func (s *source) exit(stay context.Context) (anew, told bool) {
+func (s *discoverySource) finish(followCtx context.Context) (restart, reported bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	anew, told = stay.Err() != nil, s.overdue
-	s.leave(transport.Cancelled)
-	s.leave, s.overdue = nil, false
-	return anew, told
+	restart, reported = followCtx.Err() != nil, s.overdue
+	s.cancelFollow(transport.Cancelled)
+	s.cancelFollow, s.overdue = nil, false
+	return restart, reported
 }
 
-// move changes the address. What is asked at the old one is left at once; moved and idle tells that nobody asks now.
-func (s *source) move(address string) (idle bool) {
+// setAddress changes the address. What is asked at the old one is left at once; moved and idle tells that nobody asks now.
+func (s *discoverySource) setAddress(address string) (idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.address == address {
 		return false
 	}
 	s.address = address
-	if s.leave != nil {
-		s.leave(transport.Cancelled)
+	if s.cancelFollow != nil {
+		s.cancelFollow(transport.Cancelled)
 	}
-	return s.leave == nil
+	return s.cancelFollow == nil
 }
 
-// follow asks for the list and then watches it until that breaks off; where the list comes from elsewhere by then
+// followDiscovery asks for the list and then watches it until that breaks off; where the list comes from elsewhere by then
 // it is asked for there at once.
-func (p *Program) follow(ctx context.Context) {
+func (p *Program) followDiscovery(ctx context.Context) {
 	for {
-		stay, address, ok := p.source.enter(ctx)
+		followCtx, address, ok := p.discovery.begin(ctx)
 		if !ok {
 			return
 		}
-		err := p.watch(stay, address)
-		anew, told := p.source.exit(stay)
-		if !anew && !told {
-			p.unasked(err)
+		err := p.watchDiscovery(followCtx, address)
+		restart, reported := p.discovery.finish(followCtx)
+		if !restart && !reported {
+			p.reportDiscoveryFailure(err)
 		}
-		if !anew || ctx.Err() != nil {
+		if !restart || ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// unasked reports that discovery did not answer.
-func (p *Program) unasked(err error) {
-	p.ready.listed(p.router, protocol.Targets{})
+// reportDiscoveryFailure reports that discovery did not answer.
+func (p *Program) reportDiscoveryFailure(err error) {
+	p.readiness.recordList(p.router, protocol.Targets{})
 	p.log.WithError(err).Warn("discovery broke off")
 	p.router.ReportNoList()
 }
 
-// watch reports the list and its changes until a call fails or the context ends. A watch that has fallen silent, or tells
+// watchDiscovery reports the list and its changes until a call fails or the context ends. A watch that has fallen silent, or tells
 // what is older than the list, is given up for the whole list.
-func (p *Program) watch(ctx context.Context, address string) error {
-	d := protocol.NewDiscovery(p.descriptors, address)
-	defer d.Close(transport.ShutDown)
-	for ask := p.askNow; ; {
-		t, all, err := ask(ctx, d)
+func (p *Program) watchDiscovery(ctx context.Context, address string) error {
+	client := protocol.NewDiscovery(p.descriptors, address)
+	defer client.Close(transport.ShutDown)
+	for fetch := p.fetchNow; ; {
+		targets, isFullFetch, err := fetch(ctx, client)
 		if ctx.Err() != nil {
 			return err
 		}
-		held, _ := p.source.holds()
-		silent := errors.Is(err, transport.TimedOut)
+		generation, _ := p.discovery.heldGeneration()
+		timedOut := errors.Is(err, transport.TimedOut)
 		switch {
-		case silent || err == nil && !all && !t.IsFull && t.Generation < held:
-			p.log.WithField("silent", silent).Info("the whole list is asked for")
-			p.source.disown()
-			ask = p.askNow
+		case timedOut || err == nil && !isFullFetch && !targets.IsFull && targets.Generation < generation:
+			p.log.WithField("silent", timedOut).Info("the whole list is asked for")
+			p.discovery.dropGeneration()
+			fetch = p.fetchNow
 		case err != nil:
 			return err
 		default:
-			p.source.accept(ctx, t, func() {
-				p.router.ReportList(t)
-				p.ready.listed(p.router, t)
+			p.discovery.accept(ctx, targets, func() {
+				p.router.ReportList(targets)
+				p.readiness.recordList(p.router, targets)
 			})
-			ask = p.askSince
+			fetch = p.fetchChanges
 		}
 	}
 }
 
-// askNow asks for what is newer than the list that is held, which is less for discovery to tell when many drivers come back to
+// fetchNow asks for what is newer than the list that is held, which is less for discovery to tell when many drivers come back to
 // it at once, or for all of it where there is none, and tells which. That takes no longer than the context lasts: after
 // AnswerWithin the module hears that it failed, and the call is given up once it wants another. It guards against answers that are
 // written as they are given up, time after time, where discovery has many to answer in turn.
-func (p *Program) askNow(ctx context.Context, d *protocol.Discovery) (t protocol.Targets, all bool, err error) {
-	call, ended := context.WithCancel(ctx)
-	late := time.AfterFunc(p.posting.AnswerWithin, func() {
-		if p.source.late(call) {
-			p.unasked(transport.TimedOut)
+func (p *Program) fetchNow(ctx context.Context, client *protocol.Discovery) (targets protocol.Targets, isFullFetch bool, err error) {
+	call, cancel := context.WithCancel(ctx)
+	timer := time.AfterFunc(p.config.DiscoveryTimeout, func() {
+		if p.discovery.markOverdue(call) {
+			p.reportDiscoveryFailure(transport.TimedOut)
 		}
 	})
-	defer late.Stop()
-	defer ended()
-	if held, listed := p.source.holds(); listed {
-		t, err = d.FetchChanges(ctx, ctx, held, 0)
-		return t, false, err
+	defer timer.Stop()
+	defer cancel()
+	if generation, hasList := p.discovery.heldGeneration(); hasList {
+		targets, err = client.FetchChanges(ctx, ctx, generation, 0)
+		return targets, false, err
 	}
-	t, err = d.FetchAll(ctx, ctx)
-	return t, true, err
+	targets, err = client.FetchAll(ctx, ctx)
+	return targets, true, err
 }
 
-// askSince waits for what is newer than the list that is held.
-func (p *Program) askSince(ctx context.Context, d *protocol.Discovery) (t protocol.Targets, all bool, err error) {
-	wait := p.source.wait(p.posting.WatchFor)
-	by, stop := context.WithTimeoutCause(ctx, wait+lateBy, transport.TimedOut)
-	defer stop()
-	held, _ := p.source.holds()
-	t, err = d.FetchChanges(ctx, by, held, wait.Milliseconds())
-	return t, false, err
+// fetchChanges waits for what is newer than the list that is held.
+func (p *Program) fetchChanges(ctx context.Context, client *protocol.Discovery) (targets protocol.Targets, isFullFetch bool, err error) {
+	wait := p.discovery.nextWait(p.config.WatchTimeout)
+	callCtx, cancel := context.WithTimeoutCause(ctx, wait+watchAnswerGrace, transport.TimedOut)
+	defer cancel()
+	generation, _ := p.discovery.heldGeneration()
+	targets, err = client.FetchChanges(ctx, callCtx, generation, wait.Milliseconds())
+	return targets, false, err
 }
--- a/internal/program/follow_test.go
+++ b/internal/program/follow_test.go
@@ -14,25 +14,25 @@
 
 // Guards against a list from the old address that is applied after the address has changed: its answer was on its way.
 func TestAnswerFromTheOldAddress(t *testing.T) {
-	s := &source{address: "old"}
-	stay, address, ok := s.enter(context.Background())
+	s := &discoverySource{address: "old"}
+	stay, address, ok := s.begin(context.Background())
 	require.True(t, ok)
 	require.Equal(t, "old", address)
 	taken := 0
 	s.accept(stay, protocol.Targets{Generation: 7}, func() { taken++ })
 	require.Equal(t, 1, taken)
-	require.False(t, s.move("new"), "somebody asks")
+	require.False(t, s.setAddress("new"), "somebody asks")
 	s.accept(stay, protocol.Targets{Generation: 7}, func() { taken++ })
 	require.Equal(t, 1, taken, "the answer came, and is another's list by now")
-	anew, told := s.exit(stay)
+	anew, told := s.finish(stay)
 	require.True(t, anew)
 	require.False(t, told)
-	_, listed := s.holds()
+	_, listed := s.heldGeneration()
 	require.True(t, listed, "discovery is one service, wherever it is asked")
-	stay, address, ok = s.enter(context.Background())
+	stay, address, ok = s.begin(context.Background())
 	require.True(t, ok)
 	require.Equal(t, "new", address)
-	_, _, ok = s.enter(context.Background())
+	_, _, ok = s.begin(context.Background())
 	require.False(t, ok, "one asks at a time")
 	s.accept(stay, protocol.Targets{Generation: 7}, func() { taken++ })
 	require.Equal(t, 2, taken)
@@ -41,14 +41,14 @@
 
 // Guards against waits that would let a change be known too late, and against all drivers asking at once.
 func TestWaitsOfWatches(t *testing.T) {
-	s := &source{rng: rand.New(rand.NewSource(1))}
+	s := &discoverySource{rng: rand.New(rand.NewSource(1))}
 	shortest, longest := time.Hour, time.Duration(0)
 	for range 1000 {
-		wait := s.wait(20 * time.Second)
+		wait := s.nextWait(20 * time.Second)
 		shortest, longest = min(shortest, wait), max(longest, wait)
-		require.LessOrEqual(t, s.wait(time.Second), time.Second, "not longer than the settings have it")
+		require.LessOrEqual(t, s.nextWait(time.Second), time.Second, "not longer than the settings have it")
 	}
-	require.Less(t, longest+lateBy+answerWithin, toldWithin-500*time.Millisecond)
+	require.Less(t, longest+watchAnswerGrace+discoveryCallTimeout, changeDeadline-500*time.Millisecond)
 	require.Less(t, shortest, longest*4/5)
 	require.Greater(t, shortest, longest/2)
 }
@@ -57,16 +57,16 @@
 // followed by one for the whole list. Days with 40 drivers on which discovery bears those of a few (herd+brink and herd+crowd+brink, seeds 14 and 15) broke
 // the rule on drains, 1 to 22 times, each by a driver that had not heard of a drain 6 s after it could be told.
 func TestACallThatIsOverdueIsMadeAgain(t *testing.T) {
-	s := &source{address: "at"}
-	stay, _, ok := s.enter(context.Background())
+	s := &discoverySource{address: "at"}
+	stay, _, ok := s.begin(context.Background())
 	require.True(t, ok)
 	s.accept(stay, protocol.Targets{Generation: 7}, func() {})
-	require.True(t, s.late(stay))
-	held, listed := s.holds()
+	require.True(t, s.markOverdue(stay))
+	held, listed := s.heldGeneration()
 	require.True(t, listed, "what is newer than the list that is held is enough")
 	require.EqualValues(t, 7, held)
-	_, _, ok = s.enter(context.Background())
+	_, _, ok = s.begin(context.Background())
 	require.False(t, ok, "whoever asks gives the overdue call up")
 	require.Error(t, stay.Err())
-	require.False(t, s.late(stay))
+	require.False(t, s.markOverdue(stay))
 }
--- a/internal/program/lobby_test.go
+++ b/internal/program/lobby_test.go
@@ -30,14 +30,14 @@
 		return protocol.Client{Conn: c}, far.(*net.TCPConn)
 	}
 	const query = "Q\x00\x00\x00\x06x\x00"
-	l := &lobby{d: d}
+	l := &idleClients{descriptors: d}
 	c, far := connect()
-	require.False(t, l.last(c), "clients are not to go yet")
+	require.False(t, l.stopBeforeLastAnswer(c), "clients are not to go yet")
 	io.WriteString(far, query)
 	_, _, end := c.ReadQuery()
 	require.Equal(t, transport.Open, end)
-	l.clear()
-	require.True(t, l.last(c))
+	l.drain()
+	require.True(t, l.stopBeforeLastAnswer(c))
 	require.Equal(t, transport.Open, c.SendEmpty())
 	answer := make([]byte, 11)
 	_, err = io.ReadFull(far, answer)
@@ -50,8 +50,8 @@
 	c, far = connect()
 	io.WriteString(far, query)
 	require.Equal(t, transport.Open, c.Await(7))
-	require.False(t, l.last(c), "what was read before is to be answered first")
+	require.False(t, l.stopBeforeLastAnswer(c), "what was read before is to be answered first")
 	_, _, end = c.ReadQuery()
 	require.Equal(t, transport.Open, end)
-	require.True(t, l.last(c))
+	require.True(t, l.stopBeforeLastAnswer(c))
 }
--- a/internal/program/looks.go
+++ b/internal/program/looks.go
@@ -11,90 +11,92 @@
 	"sedgespread/rules"
 )
 
-// looks makes probes over the connections that attempts use too. While a member does not answer new ones are tried,
+// prober makes probes over the connections that attempts use too. While a member does not answer new ones are tried,
 // and if one left over from before still works once the member answers, that ran all along.
-type looks struct {
-	pools *pools
-	mu    sync.Mutex
-	mute  map[rules.MemberID]bool // its last probe was not answered
+type prober struct {
+	pools        *memberPools
+	mu           sync.Mutex
+	unresponsive map[rules.MemberID]bool // its last probe was not answered
 }
 
-func newLooks(p *pools) *looks { return &looks{pools: p, mute: map[rules.MemberID]bool{}} }
+func newProber(pools *memberPools) *prober {
+	return &prober{pools: pools, unresponsive: map[rules.MemberID]bool{}}
+}
 
-// look probes a member. The module has one probe of a member out at a time.
-func (l *looks) look(by context.Context, to rules.MemberID, address string, may func() bool) (o routing.Outcome) {
-	mute, usable, w := l.isMute(to), false, link{}
-	if !mute {
-		w, usable = l.pools.waiting(to, address)
+// probe probes a member. The module has one probe of a member out at a time.
+func (l *prober) probe(ctx context.Context, member rules.MemberID, address string, mayStart func() bool) (outcome routing.Outcome) {
+	wasUnresponsive, usable, conn := l.isUnresponsive(member), false, memberConn{}
+	if !wasUnresponsive {
+		conn, usable = l.pools.takeIdle(member, address)
 	}
 	if usable {
-		o = l.ask(by, to, w, may)
+		outcome = l.query(ctx, member, conn, mayStart)
 	}
-	if !usable || o.Answer == nil && o.End != transport.TimedOut && o.End != transport.Withheld { // one that broke tells nothing now
-		o = l.lookAnew(by, to, address, mute, may)
+	if !usable || outcome.Answer == nil && outcome.End != transport.TimedOut && outcome.End != transport.Withheld { // one that broke tells nothing now
+		outcome = l.probeNewConn(ctx, member, address, wasUnresponsive, mayStart)
 	}
-	if o.End != transport.Withheld && o.End != transport.NoDescriptor { // else none was made, which tells nothing
-		l.setMute(to, o.Answer == nil)
+	if outcome.End != transport.Withheld && outcome.End != transport.NoDescriptor { // else none was made, which tells nothing
+		l.setUnresponsive(member, outcome.Answer == nil)
 	}
-	return o
+	return outcome
 }
 
-// lookAnew probes over a new connection, and then over one from before, where the member did not answer meanwhile.
-func (l *looks) lookAnew(by context.Context, to rules.MemberID, address string, mute bool, may func() bool) routing.Outcome {
-	w, end := l.pools.open(by, to, address)
-	if end != transport.Open {
-		return routing.Outcome{End: end}
+// probeNewConn probes over a new connection, and then over one from before, where the member did not answer meanwhile.
+func (l *prober) probeNewConn(ctx context.Context, member rules.MemberID, address string, wasUnresponsive bool, mayStart func() bool) routing.Outcome {
+	conn, reason := l.pools.dial(ctx, member, address)
+	if reason != transport.Open {
+		return routing.Outcome{End: reason}
 	}
-	o := l.ask(by, to, w, may)
-	if o.Answer == nil || !mute {
-		return o
+	outcome := l.query(ctx, member, conn, mayStart)
+	if outcome.Answer == nil || !wasUnresponsive {
+		return outcome
 	}
-	if old, left := l.pools.left(to, address); left {
-		if again := l.ask(by, to, old, may); again.Answer != nil {
+	if old, found := l.pools.takeOldest(member, address); found {
+		if again := l.query(ctx, member, old, mayStart); again.Answer != nil {
 			return again
 		}
 	}
-	return o
+	return outcome
 }
 
-// ask probes over a connection, and gives it to the pool if it is still good.
-func (l *looks) ask(by context.Context, to rules.MemberID, w link, may func() bool) routing.Outcome {
-	if end := begins(by, may); end != transport.Open {
-		l.pools.give(to, w, w.since)
-		return routing.Outcome{End: end}
+// query probes over a connection, and gives it to the pool if it is still good.
+func (l *prober) query(ctx context.Context, member rules.MemberID, conn memberConn, mayStart func() bool) routing.Outcome {
+	if reason := checkStart(ctx, mayStart); reason != transport.Open {
+		l.pools.put(member, conn, conn.idleSince)
+		return routing.Outcome{End: reason}
 	}
-	answer, sent, end := w.Query(by, protocol.LoadQuery)
-	l.pools.answered(to, answer != nil, end)
-	if end == transport.Open {
-		l.pools.give(to, w, time.Now())
+	answer, sent, reason := conn.Query(ctx, protocol.LoadQuery)
+	l.pools.recordResult(member, answer != nil, reason)
+	if reason == transport.Open {
+		l.pools.put(member, conn, time.Now())
 	}
-	return routing.Outcome{Answer: answer, Sent: sent, End: end, Opened: w.opened}
+	return routing.Outcome{Answer: answer, Sent: sent, End: reason, Opened: conn.openedAt}
 }
 
-func (l *looks) isMute(to rules.MemberID) bool {
+func (l *prober) isUnresponsive(member rules.MemberID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.mute[to]
+	return l.unresponsive[member]
 }
 
-func (l *looks) setMute(to rules.MemberID, mute bool) {
+func (l *prober) setUnresponsive(member rules.MemberID, unresponsive bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mute[to] = mute
+	l.unresponsive[member] = unresponsive
 }
 
-// shed closes the connections to a member that carry nothing, but for what is left to tell whether one that does not
+// closeIdle closes the connections to a member that carry nothing, but for what is left to tell whether one that does not
 // answer ran on.
-func (l *looks) shed(to rules.MemberID) {
-	if !l.isMute(to) {
-		l.pools.shed(to)
+func (l *prober) closeIdle(member rules.MemberID) {
+	if !l.isUnresponsive(member) {
+		l.pools.closeIdle(member)
 	}
 }
 
-// drop lets go of all that is kept for a member.
-func (l *looks) drop(to rules.MemberID) {
-	l.pools.drop(to)
+// forget lets go of all that is kept for a member.
+func (l *prober) forget(member rules.MemberID) {
+	l.pools.forget(member)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.mute, to)
+	delete(l.unresponsive, member)
 }
--- a/internal/program/peers.go
+++ b/internal/program/peers.go
@@ -14,41 +14,41 @@
 
 // peers are the fellow drivers, reached by datagrams.
 type peers struct {
-	socket  *net.UDPConn
-	all     netip.AddrPort
-	log     logrus.FieldLogger
-	dropped atomic.Int64
+	socket      *net.UDPConn
+	destination netip.AddrPort
+	log         logrus.FieldLogger
+	dropped     atomic.Int64
 }
 
 // newPeers opens the datagram socket, where drivers may send one another something.
-func newPeers(listen, all string, log logrus.FieldLogger) (*peers, error) {
-	if listen == "" || all == "" {
+func newPeers(listen, peersAddress string, log logrus.FieldLogger) (*peers, error) {
+	if listen == "" || peersAddress == "" {
 		return &peers{}, nil
 	}
-	to, err := netip.ParseAddrPort(all)
+	destination, err := netip.ParseAddrPort(peersAddress)
 	if err != nil {
 		return nil, fmt.Errorf("peers_all: %w", err)
 	}
-	here, err := netip.ParseAddrPort(listen)
+	local, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(here))
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return &peers{socket: socket, all: to, log: log}, nil
+	return &peers{socket: socket, destination: destination, log: log}, nil
 }
 
-// spread sends a message to all fellow drivers. One that can't be sent is lost, as it might be on its way.
-func (p *peers) spread(message []byte) {
+// send sends a message to all fellow drivers. One that can't be sent is lost, as it might be on its way.
+func (p *peers) send(message []byte) {
 	if p.socket != nil {
-		p.socket.WriteToUDPAddrPort(message, p.all)
+		p.socket.WriteToUDPAddrPort(message, p.destination)
 	}
 }
 
-// hear reports what fellow drivers send, and tells so, until the socket is closed.
-func (p *peers) hear(r *routing.Router, heard func()) {
+// receive reports what fellow drivers send, and tells so, until the socket is closed.
+func (p *peers) receive(r *routing.Router, onMessage func()) {
 	if p.socket == nil {
 		return
 	}
@@ -62,7 +62,7 @@
 			p.log.WithField("from", from).WithField("dropped", p.dropped.Add(1)).Warn("datagram is not a driver's")
 			continue
 		}
-		heard()
+		onMessage()
 	}
 }
 
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -12,39 +12,39 @@
 	"sedgespread/rules"
 )
 
-// pools are the connections to members. Each carries one statement at a time.
-type pools struct {
-	life          context.Context
-	d             *transport.Descriptors
-	connectWithin time.Duration
-	idleFor       time.Duration
-	mostAnswer    int                  // bytes
-	denied        func(rules.MemberID) // hears at once of a member's word that it is no primary
+// memberPools are the connections to members. Each carries one statement at a time.
+type memberPools struct {
+	lifetime       context.Context
+	descriptors    *transport.Descriptors
+	connectTimeout time.Duration
+	idleTimeout    time.Duration
+	maxAnswerBytes int                  // bytes
+	onNotPrimary   func(rules.MemberID) // hears at once of a member's word that it is no primary
 
-	mu    sync.Mutex
-	idle  map[rules.MemberID][]link
-	doubt map[rules.MemberID]bool  // what was sent to it last was not answered in time
-	used  map[rules.MemberID]*uses // when connections to it were given back
+	mu         sync.Mutex
+	idle       map[rules.MemberID][]memberConn
+	unanswered map[rules.MemberID]bool         // what was sent to it last was not answered in time
+	returns    map[rules.MemberID]*returnTimes // when connections to it were given back
 }
 
-const answerShare = 16 // an answer may take this part of the memory allowed
+const maxAnswerDivisor = 16 // an answer may take this part of the memory allowed
 
-// link is a connection that carries nothing.
-type link struct {
+// memberConn is a connection that carries nothing.
+type memberConn struct {
 	protocol.Member
-	address string
-	opened  time.Time
-	since   time.Time
+	address   string
+	openedAt  time.Time
+	idleSince time.Time
 }
 
-// good tells whether an idle connection leads to an address, and will not just be closed there for being idle.
-func (l link) good(address string, idleFor time.Duration) bool {
-	return l.Idle() && l.address == address && time.Since(l.since) < idleFor*9/10
+// isUsable tells whether an idle connection leads to an address, and will not just be closed there for being idle.
+func (l memberConn) isUsable(address string, idleTimeout time.Duration) bool {
+	return l.Idle() && l.address == address && time.Since(l.idleSince) < idleTimeout*9/10
 }
 
-// keptQuiet tells whether nothing came while it was idle. One on which something did is closed: that would be taken for
+// closeUnlessQuiet tells whether nothing came while it was idle. One on which something did is closed: that would be taken for
 // the next answer.
-func (l link) keptQuiet() bool {
+func (l memberConn) closeUnlessQuiet() bool {
 	if l.HasNoPendingInput() {
 		return true
 	}
@@ -52,166 +52,166 @@
 	return false
 }
 
-func newPools(life context.Context, d *transport.Descriptors, posting *Config, denied func(rules.MemberID)) *pools {
-	return &pools{life: life, d: d, connectWithin: posting.ConnectWithin, idleFor: posting.IdleFor,
-		mostAnswer: int(posting.MemoryMB << 20 / answerShare), denied: denied, idle: map[rules.MemberID][]link{},
-		doubt: map[rules.MemberID]bool{}, used: map[rules.MemberID]*uses{}}
+func newMemberPools(lifetime context.Context, descriptors *transport.Descriptors, config *Config, onNotPrimary func(rules.MemberID)) *memberPools {
+	return &memberPools{lifetime: lifetime, descriptors: descriptors, connectTimeout: config.ConnectTimeout, idleTimeout: config.IdleTimeout,
+		maxAnswerBytes: int(config.MemoryMB << 20 / maxAnswerDivisor), onNotPrimary: onNotPrimary, idle: map[rules.MemberID][]memberConn{},
+		unanswered: map[rules.MemberID]bool{}, returns: map[rules.MemberID]*returnTimes{}}
 }
 
-// ask sends a statement to a member and waits for what comes of it. The statement is told how long that may take. Whether
+// query sends a statement to a member and waits for what comes of it. The statement is told how long that may take. Whether
 // it may begin is asked once it has its connection, just before the first byte is written.
-func (p *pools) ask(by context.Context, to rules.MemberID, address string, may func() bool,
+func (p *memberPools) query(ctx context.Context, member rules.MemberID, address string, mayStart func() bool,
 	statement func(within time.Duration) []string) routing.Outcome {
-	l, ok := p.waiting(to, address)
-	if end := transport.Open; !ok {
-		if l, end = p.open(by, to, address); end != transport.Open {
-			return routing.Outcome{End: end}
+	conn, ok := p.takeIdle(member, address)
+	if reason := transport.Open; !ok {
+		if conn, reason = p.dial(ctx, member, address); reason != transport.Open {
+			return routing.Outcome{End: reason}
 		}
 	}
-	if end := begins(by, may); end != transport.Open {
-		p.give(to, l, l.since)
-		return routing.Outcome{End: end}
+	if reason := checkStart(ctx, mayStart); reason != transport.Open {
+		p.put(member, conn, conn.idleSince)
+		return routing.Outcome{End: reason}
 	}
-	deadline, _ := by.Deadline()
-	answer, sent, end := l.Query(by, statement(time.Until(deadline))...)
-	p.answered(to, answer != nil, end)
-	if end == transport.Open {
-		p.give(to, l, time.Now())
+	deadline, _ := ctx.Deadline()
+	answer, sent, reason := conn.Query(ctx, statement(time.Until(deadline))...)
+	p.recordResult(member, answer != nil, reason)
+	if reason == transport.Open {
+		p.put(member, conn, time.Now())
 	}
-	return routing.Outcome{Answer: answer, Sent: sent, End: end, Opened: l.opened}
+	return routing.Outcome{Answer: answer, Sent: sent, End: reason, Opened: conn.openedAt}
 }
 
-// begins tells that what waited for a connection may begin, or the End for which it may not.
-func begins(by context.Context, may func() bool) transport.CloseReason {
-	if end := transport.CloseReasonOf(by); end != transport.Open {
-		return end
+// checkStart tells that what waited for a connection may begin, or the End for which it may not.
+func checkStart(ctx context.Context, mayStart func() bool) transport.CloseReason {
+	if reason := transport.CloseReasonOf(ctx); reason != transport.Open {
+		return reason
 	}
-	if !may() {
+	if !mayStart() {
 		return transport.Withheld
 	}
 	return transport.Open
 }
 
-// descriptorRest is how long to wait before it is looked again for a descriptor: what holds one is an attempt, a probe or a
+// descriptorRetryInterval is how long to wait before it is looked again for a descriptor: what holds one is an attempt, a probe or a
 // client, which take some milliseconds.
-const descriptorRest = 5 * time.Millisecond
+const descriptorRetryInterval = 5 * time.Millisecond
 
-// open opens a connection, if need be in place of one that is idle, or once there is one or a descriptor to spare. It guards
+// dial opens a connection, if need be in place of one that is idle, or once there is one or a descriptor to spare. It guards
 // against members that are taken for silent where there are more of them than descriptors, and against clients kept out since
 // connections to members that carry nothing hold all.
-func (p *pools) open(by context.Context, to rules.MemberID, address string) (link, transport.CloseReason) {
-	within, stop := context.WithTimeoutCause(by, p.connectWithin, transport.DialTimedOut)
+func (p *memberPools) dial(ctx context.Context, member rules.MemberID, address string) (memberConn, transport.CloseReason) {
+	dialCtx, stop := context.WithTimeoutCause(ctx, p.connectTimeout, transport.DialTimedOut)
 	defer stop()
-	if p.d.Free() <= p.d.Limit()/roomShare { // as much as waiting clients may hold is left to clients
+	if p.descriptors.Free() <= p.descriptors.Limit()/idleClientsDivisor { // as much as waiting clients may hold is left to clients
 		p.evict()
 	}
-	denied := func() { p.denied(to) }
-	m, end := protocol.Connect(p.life, within, p.d, address, p.mostAnswer, denied)
-	for end == transport.NoDescriptor && (p.evict() || rest(within, descriptorRest)) {
-		m, end = protocol.Connect(p.life, within, p.d, address, p.mostAnswer, denied)
+	onNotPrimary := func() { p.onNotPrimary(member) }
+	conn, reason := protocol.Connect(p.lifetime, dialCtx, p.descriptors, address, p.maxAnswerBytes, onNotPrimary)
+	for reason == transport.NoDescriptor && (p.evict() || sleep(dialCtx, descriptorRetryInterval)) {
+		conn, reason = protocol.Connect(p.lifetime, dialCtx, p.descriptors, address, p.maxAnswerBytes, onNotPrimary)
 	}
 	now := time.Now()
-	return link{Member: m, address: address, opened: now, since: now}, end
+	return memberConn{Member: conn, address: address, openedAt: now, idleSince: now}, reason
 }
 
-// rest waits for a while, and tells whether the context lasts longer.
-func rest(by context.Context, while time.Duration) bool {
-	after := time.NewTimer(while)
-	defer after.Stop()
+// sleep waits for a while, and tells whether the context lasts longer.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-by.Done():
+	case <-ctx.Done():
 		return false
-	case <-after.C:
+	case <-timer.C:
 		return true
 	}
 }
 
-// answered notes whether a member answered in time.
-func (p *pools) answered(to rules.MemberID, answered bool, end transport.CloseReason) {
+// recordResult notes whether a member answered in time.
+func (p *memberPools) recordResult(member rules.MemberID, answered bool, reason transport.CloseReason) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if answered {
-		delete(p.doubt, to)
-	} else if end == transport.TimedOut {
-		p.doubt[to] = true
+		delete(p.unanswered, member)
+	} else if reason == transport.TimedOut {
+		p.unanswered[member] = true
 	}
 }
 
-// uses are the last times when a connection was given back, oldest at next.
-type uses struct {
-	at   [steadyUses]time.Time
+// returnTimes are the last times when a connection was given back, oldest at next.
+type returnTimes struct {
+	at   [steadyReturns]time.Time
 	next int
 }
 
 // A member's connections are in steady use where so many were given back within that time: more often than it is probed.
 // Where use is thinner, one left alone is a connection more for an attempt now and then.
 const (
-	steadyUses = 4
-	busyFor    = time.Second
+	steadyReturns = 4
+	steadyWindow  = time.Second
 )
 
-func (u *uses) note(now time.Time) {
+func (u *returnTimes) record(now time.Time) {
 	u.at[u.next] = now
-	u.next = (u.next + 1) % steadyUses
+	u.next = (u.next + 1) % steadyReturns
 }
 
-func (u *uses) steady() bool { return u != nil && time.Since(u.at[u.next]) < busyFor }
+func (u *returnTimes) isSteady() bool { return u != nil && time.Since(u.at[u.next]) < steadyWindow }
 
-// leave is how many idle connections to a member are to be left alone: the last one, where they are in steady use, so that
+// reserved is how many idle connections to a member are to be left alone: the last one, where they are in steady use, so that
 // it costs little, or where what was sent last was not answered. If the member falls silent and answers later, and on that
 // one too, it ran all along. The lock is held.
-func (p *pools) leave(to rules.MemberID) int {
-	if p.doubt[to] || p.used[to].steady() {
+func (p *memberPools) reserved(member rules.MemberID) int {
+	if p.unanswered[member] || p.returns[member].isSteady() {
 		return 1
 	}
 	return 0
 }
 
-// waiting takes the idle connection to a member that was used last, if it is not to be left alone.
-func (p *pools) waiting(to rules.MemberID, address string) (link, bool) {
+// takeIdle takes the idle connection to a member that was used last, if it is not to be left alone.
+func (p *memberPools) takeIdle(member rules.MemberID, address string) (memberConn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.take(to, address, p.leave(to))
+	return p.takeNewest(member, address, p.reserved(member))
 }
 
-// left takes the idle connection to a member that was left alone longest, if the one given back last is another.
-func (p *pools) left(to rules.MemberID, address string) (link, bool) {
+// takeOldest takes the idle connection to a member that was left alone longest, if the one given back last is another.
+func (p *memberPools) takeOldest(member rules.MemberID, address string) (memberConn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.prune(to, func(l link) bool { return !l.good(address, p.idleFor) })
-	if len(p.idle[to]) < 2 {
-		return link{}, false
+	p.prune(member, func(conn memberConn) bool { return !conn.isUsable(address, p.idleTimeout) })
+	if len(p.idle[member]) < 2 {
+		return memberConn{}, false
 	}
-	l := p.idle[to][0]
-	p.idle[to] = p.idle[to][1:]
-	return l, l.keptQuiet()
+	conn := p.idle[member][0]
+	p.idle[member] = p.idle[member][1:]
+	return conn, conn.closeUnlessQuiet()
 }
 
-// take takes the idle connection to a member that was used last, if more than so many are there. The lock is held.
-func (p *pools) take(to rules.MemberID, address string, leave int) (link, bool) {
-	p.prune(to, func(l link) bool { return !l.good(address, p.idleFor) })
-	for last := len(p.idle[to]) - 1; last >= leave; last-- {
-		l := p.idle[to][last]
-		p.idle[to] = p.idle[to][:last]
-		if l.keptQuiet() {
-			return l, true
+// takeNewest takes the idle connection to a member that was used last, if more than so many are there. The lock is held.
+func (p *memberPools) takeNewest(member rules.MemberID, address string, reserved int) (memberConn, bool) {
+	p.prune(member, func(conn memberConn) bool { return !conn.isUsable(address, p.idleTimeout) })
+	for last := len(p.idle[member]) - 1; last >= reserved; last-- {
+		conn := p.idle[member][last]
+		p.idle[member] = p.idle[member][:last]
+		if conn.closeUnlessQuiet() {
+			return conn, true
 		}
 	}
-	return link{}, false
+	return memberConn{}, false
 }
 
 // prune lets go of idle connections that have ended or are unwanted. The lock is held.
-func (p *pools) prune(to rules.MemberID, unwanted func(link) bool) {
-	p.idle[to] = pruned(p.idle[to], func(l link) bool { return l.Idle() && !unwanted(l) })
-	if len(p.idle[to]) == 0 {
-		delete(p.idle, to)
+func (p *memberPools) prune(member rules.MemberID, unwanted func(memberConn) bool) {
+	p.idle[member] = closeUnless(p.idle[member], func(l memberConn) bool { return l.Idle() && !unwanted(l) })
+	if len(p.idle[member]) == 0 {
+		delete(p.idle, member)
 	}
 }
 
-// pruned lets go of the links that are not good.
-func pruned(links []link, good func(link) bool) []link {
-	return slices.DeleteFunc(links, func(l link) bool {
-		if good(l) {
+// closeUnless lets go of the links that are not good.
+func closeUnless(conns []memberConn, isWanted func(memberConn) bool) []memberConn {
+	return slices.DeleteFunc(conns, func(l memberConn) bool {
+		if isWanted(l) {
 			return false
 		}
 		l.Close(transport.Evicted)
@@ -219,44 +219,44 @@
 	})
 }
 
-// give gives a connection back that carries nothing since a time.
-func (p *pools) give(to rules.MemberID, l link, since time.Time) {
+// put gives a connection back that carries nothing since a time.
+func (p *memberPools) put(member rules.MemberID, conn memberConn, idleSince time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.since = since
-	if p.used[to] == nil {
-		p.used[to] = &uses{}
+	conn.idleSince = idleSince
+	if p.returns[member] == nil {
+		p.returns[member] = &returnTimes{}
 	}
-	p.used[to].note(time.Now())
-	p.prune(to, func(link) bool { return false })
-	p.idle[to] = append(p.idle[to], l)
+	p.returns[member].record(time.Now())
+	p.prune(member, func(memberConn) bool { return false })
+	p.idle[member] = append(p.idle[member], conn)
 }
 
-// shed closes the idle connections to a member.
-func (p *pools) shed(to rules.MemberID) {
+// closeIdle closes the idle connections to a member.
+func (p *memberPools) closeIdle(member rules.MemberID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.prune(to, func(link) bool { return true })
+	p.prune(member, func(memberConn) bool { return true })
 }
 
-// drop lets go of all that is known of a member.
-func (p *pools) drop(to rules.MemberID) {
+// forget lets go of all that is known of a member.
+func (p *memberPools) forget(member rules.MemberID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.prune(to, func(link) bool { return true })
-	delete(p.doubt, to)
-	delete(p.used, to)
+	p.prune(member, func(memberConn) bool { return true })
+	delete(p.unanswered, member)
+	delete(p.returns, member)
 }
 
 // evict closes the connection that has been idle longest, and tells whether there was one.
-func (p *pools) evict() bool {
+func (p *memberPools) evict() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var oldest link
-	for _, links := range p.idle {
-		for _, l := range links {
-			if l.Idle() && (oldest.Conn == nil || l.since.Before(oldest.since)) {
-				oldest = l
+	var oldest memberConn
+	for _, conns := range p.idle {
+		for _, conn := range conns {
+			if conn.Idle() && (oldest.Conn == nil || conn.idleSince.Before(oldest.idleSince)) {
+				oldest = conn
 			}
 		}
 	}
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -19,27 +19,27 @@
 
 // Config is where a driver is to work, and what it is told before it starts.
 type Config struct {
-	Name, Listen, Discovery string
-	PeerListen, PeersAll    string // empty where drivers send one another nothing
-	Seed                    int64
-	Cores                   float64
-	MemoryMB, Sockets       int64
-	Known                   protocol.Targets
-	Deployment              *briefing.Parts
-	ConnectWithin           time.Duration
-	IdleFor                 time.Duration    // a connection to a member may be idle so long
-	WatchFor                time.Duration    // a watch waits for news so long
-	AnswerWithin            time.Duration    // discovery may take so long for an answer
-	Orders                  *operator.Orders // nil without an operator's file
-	path, ordersPath        string
+	Name, Listen, Discovery  string
+	PeerListen, PeersAddress string // empty where drivers send one another nothing
+	Seed                     int64
+	Cores                    float64
+	MemoryMB, Sockets        int64
+	KnownTargets             protocol.Targets
+	Settings                 *briefing.Parts
+	ConnectTimeout           time.Duration
+	IdleTimeout              time.Duration    // a connection to a member may be idle so long
+	WatchTimeout             time.Duration    // a watch waits for news so long
+	DiscoveryTimeout         time.Duration    // discovery may take so long for an answer
+	OperatorConfig           *operator.Orders // nil without an operator's file
+	path, operatorPath       string
 }
 
 const (
-	longestWatch = time.Minute
-	usualWatch   = 20 * time.Second
-	usualConnect = 250 * time.Millisecond
-	usualIdle    = 30 * time.Second
-	mostPosting  = 4 << 20
+	maxWatchTimeout       = time.Minute
+	defaultWatchTimeout   = 20 * time.Second
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultIdleTimeout    = 30 * time.Second
+	maxConfigBytes        = 4 << 20
 )
 
 // ReadConfig reads the environment and the file that it names.
@@ -49,7 +49,7 @@
 			return nil, fmt.Errorf("%s is missing from the environment", name)
 		}
 	}
-	p, err := readFile(env("GW_CONFIG"))
+	p, err := readConfigFile(env("GW_CONFIG"))
 	if err != nil {
 		return nil, err
 	}
@@ -57,15 +57,15 @@
 	if _, _, err := net.SplitHostPort(p.Discovery); err != nil {
 		return nil, fmt.Errorf("GW_DISCOVERY: %w", err)
 	}
-	if p.ordersPath = env("GW_OPERATOR"); p.ordersPath != "" {
-		p.Orders, err = operator.Read(p.ordersPath)
+	if p.operatorPath = env("GW_OPERATOR"); p.operatorPath != "" {
+		p.OperatorConfig, err = operator.Read(p.operatorPath)
 	}
 	return p, err
 }
 
-// Again reads the file once more. What it does not say stays; the environment counts at the start alone.
-func (p *Config) Again() (*Config, error) {
-	next, err := readFile(p.path)
+// Reload reads the file once more. What it does not say stays; the environment counts at the start alone.
+func (p *Config) Reload() (*Config, error) {
+	next, err := readConfigFile(p.path)
 	if err != nil {
 		return nil, err
 	}
@@ -75,12 +75,12 @@
 	return next, nil
 }
 
-func readFile(path string) (*Config, error) {
+func readConfigFile(path string) (*Config, error) {
 	text, err := readBounded(path)
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	p, err := parsePosting(text)
+	p, err := parseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
@@ -95,23 +95,23 @@
 		return nil, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, mostPosting+1))
-	if err == nil && len(text) > mostPosting {
+	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
+	if err == nil && len(text) > maxConfigBytes {
 		err = errors.New("the file is too long")
 	}
 	return text, err
 }
 
-func parsePosting(text []byte) (*Config, error) {
+func parseConfig(text []byte) (*Config, error) {
 	var file struct {
 		Known    json.RawMessage `json:"known"`
 		Settings map[string]any  `json:"settings"`
 		Rest     map[string]any  `json:"-"`
 	}
-	if err := decode(text, &file); err != nil {
+	if err := decodeJSON(text, &file); err != nil {
 		return nil, err
 	}
-	if err := decode(text, &file.Rest); err != nil {
+	if err := decodeJSON(text, &file.Rest); err != nil {
 		return nil, err
 	}
 	if file.Settings == nil {
@@ -121,8 +121,8 @@
 	delete(file.Rest, "settings")
 	rest := briefing.Flatten("file", file.Rest)
 	p := &Config{Name: rest.At("name"), Listen: rest.At("listen"), Discovery: rest.At("discovery"),
-		PeerListen: rest.At("peer_listen"), PeersAll: rest.At("peers_all"), Cores: rest.NumberOr("limits.cores", 1), MemoryMB: rest.Integer("limits.memory_mb"),
-		Sockets: rest.Integer("limits.sockets"), Deployment: briefing.Flatten("settings", file.Settings)}
+		PeerListen: rest.At("peer_listen"), PeersAddress: rest.At("peers_all"), Cores: rest.NumberOr("limits.cores", 1), MemoryMB: rest.Integer("limits.memory_mb"),
+		Sockets: rest.Integer("limits.sockets"), Settings: briefing.Flatten("settings", file.Settings)}
 	seed, err := strconv.ParseUint(rest.Text("seed"), 16, 64)
 	switch {
 	case rest.Err != nil:
@@ -137,36 +137,36 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if len(file.Known) > 0 {
-		if p.Known, err = protocol.ParseTargets(file.Known); err != nil {
+		if p.KnownTargets, err = protocol.ParseTargets(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	p.Known.IsFull = true
-	return p, p.spans()
+	p.KnownTargets.IsFull = true
+	return p, p.readTimeouts()
 }
 
-// spans reads how long the network may take.
-func (p *Config) spans() error {
-	span := func(name string, usual time.Duration) time.Duration {
-		if t := p.Deployment.Time(name); t > 0 {
+// readTimeouts reads how long the network may take.
+func (p *Config) readTimeouts() error {
+	duration := func(name string, fallback time.Duration) time.Duration {
+		if t := p.Settings.Time(name); t > 0 {
 			return time.Duration(t)
 		}
-		return usual
+		return fallback
 	}
-	p.ConnectWithin = span("limits.connectTimeoutUs", usualConnect)
-	p.IdleFor = span("limits.keepaliveUs", usualIdle)
-	p.WatchFor = min(longestWatch, span("safety.askEveryUs", usualWatch))
-	p.AnswerWithin = answerWithin
-	if notice := p.Deployment.Notice(); !notice.Asked {
-		p.AnswerWithin = min(answerWithin, max(leastAnswer, time.Duration(notice.Grace/4)))
+	p.ConnectTimeout = duration("limits.connectTimeoutUs", defaultConnectTimeout)
+	p.IdleTimeout = duration("limits.keepaliveUs", defaultIdleTimeout)
+	p.WatchTimeout = min(maxWatchTimeout, duration("safety.askEveryUs", defaultWatchTimeout))
+	p.DiscoveryTimeout = discoveryCallTimeout
+	if notice := p.Settings.Notice(); !notice.Asked {
+		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(notice.Grace/4)))
 	}
-	if !p.Deployment.BoolOr("limits.peerMessages", false) {
-		p.PeersAll = ""
+	if !p.Settings.BoolOr("limits.peerMessages", false) {
+		p.PeersAddress = ""
 	}
-	return p.Deployment.Err
+	return p.Settings.Err
 }
 
-func decode(text []byte, into any) error {
+func decodeJSON(text []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	if err := d.Decode(into); err != nil {
--- a/internal/program/posting_test.go
+++ b/internal/program/posting_test.go
@@ -27,16 +27,16 @@
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
 	f.Fuzz(func(t *testing.T, text string) {
-		p, err := parsePosting([]byte(text))
+		p, err := parseConfig([]byte(text))
 		if err != nil {
 			require.NotContains(t, err.Error(), "\n", "one line")
 			return
 		}
 		require.Positive(t, p.MemoryMB)
-		require.Positive(t, p.ConnectWithin)
-		require.Positive(t, p.WatchFor)
+		require.Positive(t, p.ConnectTimeout)
+		require.Positive(t, p.WatchTimeout)
 		require.True(t, json.Valid([]byte(text)))
-		r, err := routing.New(p.Deployment, p.Seed, p.Known, log)
+		r, err := routing.New(p.Settings, p.Seed, p.KnownTargets, log)
 		if err == nil {
 			r.ReportList(protocol.Targets{IsFull: true})
 			require.Positive(t, r.LongestLeft())
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -19,102 +19,105 @@
 
 // Program is one driver at work.
 type Program struct {
-	posting     *Config
-	log         logrus.FieldLogger
-	life        context.Context // of connections
-	descriptors *transport.Descriptors
-	router      *routing.Router
-	pools       *pools
-	looks       *looks
-	lobby       *lobby
-	cancels     *cancels
-	spare       *transport.OverflowBudget // for what clients send behind open queries
-	peers       *peers
-	source      *source
-	ready       *readiness
-	confined    *confinement   // nil without an operator's file
-	tasks       errgroup.Group // attempts, probes and the watch
+	config           *Config
+	log              logrus.FieldLogger
+	lifetime         context.Context // of connections
+	descriptors      *transport.Descriptors
+	router           *routing.Router
+	pools            *memberPools
+	prober           *prober
+	idleClients      *idleClients
+	cancels          *cancelRegistry
+	overflow         *transport.OverflowBudget // for what clients send behind open queries
+	peers            *peers
+	discovery        *discoverySource
+	readiness        *readiness
+	operatorServices *operatorServices // nil without an operator's file
+	tasks            errgroup.Group    // attempts, probes and the watch
 }
 
-// stayFor is how long after a notice to leave clients may still be sent here.
-const stayFor = 600 * time.Millisecond
+// drainDelay is how long after a notice to leave clients may still be sent here.
+const drainDelay = 600 * time.Millisecond
 
 // Run serves until the context ends, and then leaves in good order. Each time reload tells something the posting's
 // file is read again.
-func Run(ctx context.Context, posting *Config, reload <-chan os.Signal, log logrus.FieldLogger) error {
-	life, die := context.WithCancelCause(context.Background())
-	defer die(transport.ShutDown)
-	d := transport.NewDescriptors(int(posting.Sockets))
-	p := &Program{posting: posting, log: log, life: life, lobby: &lobby{d: d}, cancels: newCancels(), descriptors: d,
-		spare:  transport.NewOverflowBudget(int(posting.MemoryMB<<20)/behindShare, mostBehind),
-		source: &source{address: posting.Discovery, rng: rand.New(rand.NewSource(posting.Seed))}}
+func Run(ctx context.Context, config *Config, reload <-chan os.Signal, log logrus.FieldLogger) error {
+	lifetime, endLifetime := context.WithCancelCause(context.Background())
+	defer endLifetime(transport.ShutDown)
+	descriptors := transport.NewDescriptors(int(config.Sockets))
+	p := &Program{config: config, log: log, lifetime: lifetime, idleClients: &idleClients{descriptors: descriptors}, cancels: newCancelRegistry(), descriptors: descriptors,
+		overflow:  transport.NewOverflowBudget(int(config.MemoryMB<<20)/pipelinedMemoryDivisor, maxPipelinedBytes),
+		discovery: &discoverySource{address: config.Discovery, rng: rand.New(rand.NewSource(config.Seed))}}
 	var err error
-	if p.router, err = routing.New(posting.Deployment, posting.Seed, posting.Known, log); err != nil {
+	if p.router, err = routing.New(config.Settings, config.Seed, config.KnownTargets, log); err != nil {
 		return err
 	}
-	p.ready = newReadiness()
-	p.pools = newPools(life, p.descriptors, posting, p.router.ReportDenied)
-	p.looks = newLooks(p.pools)
-	if p.peers, err = newPeers(posting.PeerListen, posting.PeersAll, log); err != nil {
+	p.readiness = newReadiness()
+	p.pools = newMemberPools(lifetime, p.descriptors, config, p.router.ReportDenied)
+	p.prober = newProber(p.pools)
+	if p.peers, err = newPeers(config.PeerListen, config.PeersAddress, log); err != nil {
 		return err
 	}
 	defer p.peers.close()
-	if p.confined, err = p.confine(); err != nil {
+	if p.operatorServices, err = p.openOperatorServices(); err != nil {
 		return err
 	}
-	if p.confined != nil {
-		defer p.confined.close()
+	if p.operatorServices != nil {
+		defer p.operatorServices.close()
 	}
-	door, err := transport.Listen(posting.Listen, p.descriptors, protocol.RingBytes)
+	listener, err := transport.Listen(config.Listen, p.descriptors, protocol.RingBytes)
 	if err != nil {
 		return fmt.Errorf("GW_LISTEN: %w", err)
 	}
-	defer door.Close()
-	return p.serve(ctx, die, door, reload)
+	defer listener.Close()
+	return p.serve(ctx, endLifetime, listener, reload)
 }
 
 // serve works until the context ends, leaves, and then lets everything end.
-func (p *Program) serve(ctx context.Context, die context.CancelCauseFunc, door *transport.Listener,
+func (p *Program) serve(ctx context.Context, endLifetime context.CancelCauseFunc, listener *transport.Listener,
 	reload <-chan os.Signal) error {
 	var sessions errgroup.Group
-	p.tasks.Go(func() error { return p.duties(p.life) })
-	p.tasks.Go(func() error { p.lobby.keep(p.life); return nil })
-	p.tasks.Go(func() error { p.reloads(reload); return nil })
-	p.tasks.Go(func() error { p.peers.hear(p.router, func() { p.ready.told(p.router) }); return nil })
-	if p.confined != nil {
-		p.tasks.Go(func() error { return p.confined.run(p.life) })
+	p.tasks.Go(func() error { return p.runScheduledWork(p.lifetime) })
+	p.tasks.Go(func() error { p.idleClients.runSweeper(p.lifetime); return nil })
+	p.tasks.Go(func() error { p.reloadOnSignal(reload); return nil })
+	p.tasks.Go(func() error {
+		p.peers.receive(p.router, func() { p.readiness.recordPeerMessage(p.router) })
+		return nil
+	})
+	if p.operatorServices != nil {
+		p.tasks.Go(func() error { return p.operatorServices.run(p.lifetime) })
 	}
-	sessions.Go(func() error { return p.welcome(door, &sessions) })
-	p.log.WithField("listen", p.posting.Listen).Info("serving")
+	sessions.Go(func() error { return p.acceptClients(listener, &sessions) })
+	p.log.WithField("listen", p.config.Listen).Info("serving")
 	<-ctx.Done()
-	p.leave(door, &sessions)
-	die(transport.ShutDown)
+	p.shutDown(listener, &sessions)
+	endLifetime(transport.ShutDown)
 	p.peers.close()
 	sessions.Wait()
 	return p.tasks.Wait()
 }
 
-// welcome accepts clients until the door closes.
-func (p *Program) welcome(door *transport.Listener, sessions *errgroup.Group) error {
-	spare := p.descriptors.Limit() / 3 // for attempts and probes
+// acceptClients accepts clients until the door closes.
+func (p *Program) acceptClients(listener *transport.Listener, sessions *errgroup.Group) error {
+	reserved := p.descriptors.Limit() / 3 // for attempts and probes
 	for {
-		c, err := door.Accept(p.life, spare, p.makeRoom)
+		c, err := listener.Accept(p.lifetime, reserved, p.freeDescriptor)
 		if err != nil {
 			return nil
 		}
-		sessions.Go(func() error { p.session(protocol.Client{Conn: c}); return nil })
+		sessions.Go(func() error { p.serveClient(protocol.Client{Conn: c}); return nil })
 	}
 }
 
-// makeRoom lets go of what holds a descriptor that a new client needs: a client that waits, or where none does and it must be a
+// freeDescriptor lets go of what holds a descriptor that a new client needs: a client that waits, or where none does and it must be a
 // connection to a member that carries nothing.
-func (p *Program) makeRoom(must bool) {
-	if !p.lobby.evict(must) && must {
+func (p *Program) freeDescriptor(force bool) {
+	if !p.idleClients.evict(force) && force {
 		p.pools.evict()
 	}
 }
 
-// leave serves on while clients may still be sent here, then lets them go, each as soon as what was read from it is answered.
+// shutDown serves on while clients may still be sent here, then lets them go, each as soon as what was read from it is answered.
 //
 //	phase    what                                                                    for at most
 //	staying  all is as ever: clients may still be sent here                          stayFor
@@ -126,16 +129,16 @@
 //
 // An RPC takes no longer than its client waits, so the whole ends by itself. The bound is for clients that send so many
 // queries behind one another that they would not all be answered.
-func (p *Program) leave(door *transport.Listener, sessions *errgroup.Group) {
+func (p *Program) shutDown(listener *transport.Listener, sessions *errgroup.Group) {
 	p.log.Info("leaving")
-	time.Sleep(stayFor)
-	door.Close()
-	p.lobby.clear()
-	gone := make(chan struct{})
-	go func() { sessions.Wait(); close(gone) }()
+	time.Sleep(drainDelay)
+	listener.Close()
+	p.idleClients.drain()
+	ended := make(chan struct{})
+	go func() { sessions.Wait(); close(ended) }()
 	select {
-	case <-gone:
-	case <-time.After(restFor + p.router.LongestLeft() + longestWrite + lingerFor):
+	case <-ended:
+	case <-time.After(partialMessageTimeout + p.router.LongestLeft() + clientWriteTimeout + lingerTime):
 		p.log.Warn("clients are still here")
 	}
 }
--- a/internal/program/readiness.go
+++ b/internal/program/readiness.go
@@ -12,68 +12,68 @@
 // readiness is reached once discovery has been asked and each member it serves has been probed, or told
 // of by a fellow driver, if probes are made.
 type readiness struct {
-	reached chan struct{}
+	ready chan struct{}
 
-	mu    sync.Mutex
-	asked bool
-	done  bool
-	seen  map[rules.MemberID]bool // probed, of no more use once ready
-	await map[rules.MemberID]bool
+	mu             sync.Mutex
+	discoveryAsked bool
+	isReady        bool
+	probed         map[rules.MemberID]bool // probed, of no more use once ready
+	awaited        map[rules.MemberID]bool
 }
 
 func newReadiness() *readiness {
-	return &readiness{reached: make(chan struct{}), seen: map[rules.MemberID]bool{}, await: map[rules.MemberID]bool{}}
+	return &readiness{ready: make(chan struct{}), probed: map[rules.MemberID]bool{}, awaited: map[rules.MemberID]bool{}}
 }
 
-// looked notes that a probe of a member has ended.
-func (r *readiness) looked(m rules.MemberID) {
+// recordProbe notes that a probe of a member has ended.
+func (r *readiness) recordProbe(member rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.done {
-		r.seen[m] = true
-		delete(r.await, m)
+	if !r.isReady {
+		r.probed[member] = true
+		delete(r.awaited, member)
 		r.check()
 	}
 }
 
-// told looks whether fellow drivers told of members that are waited for.
-func (r *readiness) told(router *routing.Router) {
+// recordPeerMessage looks whether fellow drivers told of members that are waited for.
+func (r *readiness) recordPeerMessage(router *routing.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
+	if r.isReady {
 		return
 	}
-	r.settle(router)
+	r.dropKnown(router)
 }
 
-// settle waits no longer for members that are known of by now, or are to get nothing new: those are not probed any more. The
+// dropKnown waits no longer for members that are known of by now, or are to get nothing new: those are not probed any more. The
 // lock is held.
-func (r *readiness) settle(router *routing.Router) {
-	maps.DeleteFunc(r.await, func(m rules.MemberID, _ bool) bool { return router.Met(m) || !router.MayLook(m) })
+func (r *readiness) dropKnown(router *routing.Router) {
+	maps.DeleteFunc(r.awaited, func(m rules.MemberID, _ bool) bool { return router.Met(m) || !router.MayLook(m) })
 	r.check()
 }
 
-// listed notes what discovery told; nothing where it could not be asked: what was known before must do.
-func (r *readiness) listed(router *routing.Router, t protocol.Targets) {
+// recordList notes what discovery told; nothing where it could not be asked: what was known before must do.
+func (r *readiness) recordList(router *routing.Router, targets protocol.Targets) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
+	if r.isReady {
 		return
 	}
-	for _, e := range t.Entries {
-		m, known := router.Member(e.ID)
-		if known && router.Probes() && e.Lifecycle == protocol.Serving && !r.seen[m] && !router.Met(m) {
-			r.await[m] = true
+	for _, entry := range targets.Entries {
+		member, known := router.Member(entry.ID)
+		if known && router.Probes() && entry.Lifecycle == protocol.Serving && !r.probed[member] && !router.Met(member) {
+			r.awaited[member] = true
 		}
 	}
-	r.asked = true
-	r.settle(router)
+	r.discoveryAsked = true
+	r.dropKnown(router)
 }
 
 // check tells once that readiness is reached. The lock is held.
 func (r *readiness) check() {
-	if r.asked && len(r.await) == 0 {
-		r.done, r.seen, r.await = true, nil, nil
-		close(r.reached)
+	if r.discoveryAsked && len(r.awaited) == 0 {
+		r.isReady, r.probed, r.awaited = true, nil, nil
+		close(r.ready)
 	}
 }
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -12,96 +12,96 @@
 	"sedgespread/rules"
 )
 
-// session serves one client for as long as its connection lasts.
-func (p *Program) session(c protocol.Client) {
+// serveClient serves one client for as long as its connection lasts.
+func (p *Program) serveClient(c protocol.Client) {
 	cell := cells.NoCell // of its last RPC, for which its connection counts
-	leave := p.lobby.enter(c, false, cell)
-	c.SetWriteTimeout(longestWrite)
-	h, forget := p.cancels.enter()
-	defer forget()
-	from, end := c.Handshake(h.key, p.cancels.cancel)
-	for guest := false; end == transport.Open; {
+	removeIdle := p.idleClients.add(c, false, cell)
+	c.SetWriteTimeout(clientWriteTimeout)
+	entry, unregister := p.cancels.register()
+	defer unregister()
+	identity, reason := c.Handshake(entry.key, p.cancels.cancel)
+	for isServed := false; reason == transport.Open; {
 		var text string
-		var came time.Time
-		if text, came, end = c.ReadQuery(); end != transport.Open {
+		var receivedAt time.Time
+		if text, receivedAt, reason = c.ReadQuery(); reason != transport.Open {
 			break
 		}
-		if end = c.CloseReason(); end != transport.Open { // it asked and went: nothing is begun for it
+		if reason = c.CloseReason(); reason != transport.Open { // it asked and went: nothing is begun for it
 			break
 		}
-		leave()
+		removeIdle()
 		var trip *routing.Trip
-		trip, end = p.query(c, h, from, text, came)
+		trip, reason = p.serveQuery(c, entry, identity, text, receivedAt)
 		if trip != nil {
-			guest = true
-			last := cell
+			isServed = true
+			previous := cell
 			cell = trip.Cell()
-			p.router.Seat(last, cell)
+			p.router.Seat(previous, cell)
 		}
-		leave = func() {}
-		if end == transport.Open {
-			leave = p.lobby.enter(c, guest, cell)
+		removeIdle = func() {}
+		if reason == transport.Open {
+			removeIdle = p.idleClients.add(c, isServed, cell)
 		}
 	}
-	leave()
+	removeIdle()
 	p.router.Seat(cell, cells.NoCell)
-	if while := lingers[end]; while > 0 {
-		c.Linger(while, mostWaste)
+	if linger := lingerTimes[reason]; linger > 0 {
+		c.Linger(linger, maxLingerBytes)
 	}
-	p.log.Debugf("client connection closed end=%q", end)
-	c.Close(end)
+	p.log.Debugf("client connection closed end=%q", reason)
+	c.Close(reason)
 }
 
-// lingers is how long, where this side ends a client's connection, the client may take to read what it was sent and to end
+// lingerTimes is how long, where this side ends a client's connection, the client may take to read what it was sent and to end
 // its own side. What it still sends meanwhile is read and thrown away: unread it would make the close a reset, which takes
 // an answer with it that is on its way. A request among it was never taken: its client, told of the end, asks elsewhere.
-var lingers = map[transport.CloseReason]time.Duration{
-	transport.Malformed: lingerFor,
-	transport.TooLong:   lingerFor,
-	transport.Stalled:   lingerFor,
-	transport.ShutDown:  lingerFor,
-	transport.Evicted:   lingerFor / 10, // its descriptor is wanted
+var lingerTimes = map[transport.CloseReason]time.Duration{
+	transport.Malformed: lingerTime,
+	transport.TooLong:   lingerTime,
+	transport.Stalled:   lingerTime,
+	transport.ShutDown:  lingerTime,
+	transport.Evicted:   lingerTime / 10, // its descriptor is wanted
 }
 
 const (
-	lingerFor    = 200 * time.Millisecond // a client may take to read what it was sent before its connection closes
-	mostWaste    = 1 << 20                // bytes that it may still send meanwhile
-	longestWrite = 2 * time.Second        // a client may take to take its answer
+	lingerTime         = 200 * time.Millisecond // a client may take to read what it was sent before its connection closes
+	maxLingerBytes     = 1 << 20                // bytes that it may still send meanwhile
+	clientWriteTimeout = 2 * time.Second        // a client may take to take its answer
 
-	mostBehind  = 1 << 20 // bytes that a client may send behind an open query
-	behindShare = 16      // and all clients together, beyond their rings, this part of the memory
+	maxPipelinedBytes      = 1 << 20 // bytes that a client may send behind an open query
+	pipelinedMemoryDivisor = 16      // and all clients together, beyond their rings, this part of the memory
 )
 
-// query serves a client's query, whose last byte came at a time, and gives the trip of the RPC that it stood for, nil where none
+// serveQuery serves a client's query, whose last byte came at a time, and gives the trip of the RPC that it stood for, nil where none
 // was taken.
-func (p *Program) query(c protocol.Client, h *held, from protocol.Identity, text string,
-	came time.Time) (trip *routing.Trip, end transport.CloseReason) {
+func (p *Program) serveQuery(c protocol.Client, entry *cancelEntry, identity protocol.Identity, text string,
+	receivedAt time.Time) (trip *routing.Trip, reason transport.CloseReason) {
 	if strings.Trim(text, " \t\r\n;") == "" {
-		return nil, p.emptyQuery(c)
+		return nil, p.answerEmptyQuery(c)
 	}
-	s, err := protocol.ParseStatement(text)
+	statement, err := protocol.ParseStatement(text)
 	if err == nil {
-		asked := call(&s, from, came)
-		trip, err = p.router.Admit(&asked)
+		rpcCall := newCall(&statement, identity, receivedAt)
+		trip, err = p.router.Admit(&rpcCall)
 	}
 	if err != nil {
 		return nil, c.SendFailure(protocol.Failure{SQLState: protocol.StateSyntaxError, Message: err.Error()})
 	}
-	return trip, p.rpc(c, h, &s, trip)
+	return trip, p.serveRPC(c, entry, &statement, trip)
 }
 
-// call is the RPC that a statement stands for which came at a time.
-func call(s *protocol.Statement, from protocol.Identity, came time.Time) routing.Call {
+// newCall is the RPC that a statement stands for which came at a time.
+func newCall(statement *protocol.Statement, identity protocol.Identity, receivedAt time.Time) routing.Call {
 	const milli = int64(time.Millisecond)
-	return routing.Call{ID: s.ID, Method: s.Method, Key: s.Key, Write: s.Write, Repeat: s.IsRetry, Group: rules.GroupID(s.Group),
-		Left: s.TimeoutMillis * milli, Came: came, Token: s.MinPositionMillis * milli, User: from.User, Base: from.Database}
+	return routing.Call{ID: statement.ID, Method: statement.Method, Key: statement.Key, Write: statement.Write, Repeat: statement.IsRetry, Group: rules.GroupID(statement.Group),
+		Left: statement.TimeoutMillis * milli, Came: receivedAt, Token: statement.MinPositionMillis * milli, User: identity.User, Base: identity.Database}
 }
 
-// emptyQuery is answered once this driver is ready.
-func (p *Program) emptyQuery(c protocol.Client) transport.CloseReason {
-	for _, reached := range append(p.leased(), p.ready.reached) {
+// answerEmptyQuery is answered once this driver is ready.
+func (p *Program) answerEmptyQuery(c protocol.Client) transport.CloseReason {
+	for _, ready := range append(p.readySignals(), p.readiness.ready) {
 		select {
-		case <-reached:
+		case <-ready:
 		case <-c.Context().Done():
 			return c.CloseReason()
 		}
@@ -109,48 +109,48 @@
 	return c.SendEmpty()
 }
 
-// leased are closed once this driver knows where its tenants are, and what it acts on; none where its file says so.
-func (p *Program) leased() []<-chan struct{} {
-	if p.confined == nil {
+// readySignals are closed once this driver knows where its tenants are, and what it acts on; none where its file says so.
+func (p *Program) readySignals() []<-chan struct{} {
+	if p.operatorServices == nil {
 		return nil
 	}
-	return []<-chan struct{}{p.confined.leased, p.confined.heeds}
+	return []<-chan struct{}{p.operatorServices.leaseReady, p.operatorServices.versionsReady}
 }
 
-// rpc does what the router picks for an RPC until that has its answer, and passes it on. Meanwhile the client is attended
+// serveRPC does what the router picks for an RPC until that has its answer, and passes it on. Meanwhile the client is attended
 // to: once it has gone, or cancels, the RPC is left.
-func (p *Program) rpc(c protocol.Client, h *held, s *protocol.Statement, trip *routing.Trip) transport.CloseReason {
-	final := p.steps(c, h, s, trip)
+func (p *Program) serveRPC(c protocol.Client, entry *cancelEntry, statement *protocol.Statement, trip *routing.Trip) transport.CloseReason {
+	final := p.runAttempts(c, entry, statement, trip)
 	if final.Act == routing.Serve {
 		defer trip.Passed()
 	}
-	last := p.lobby.last(c)
-	end := p.answer(c, final)
-	if last && end == transport.Open {
+	isLast := p.idleClients.stopBeforeLastAnswer(c)
+	reason := p.sendAnswer(c, final)
+	if isLast && reason == transport.Open {
 		return transport.ShutDown
 	}
-	return end
+	return reason
 }
 
-// steps makes the attempts of an RPC, and gives its last step.
-func (p *Program) steps(c protocol.Client, h *held, s *protocol.Statement, trip *routing.Trip) routing.Step {
+// runAttempts makes the attempts of an RPC, and gives its last step.
+func (p *Program) runAttempts(c protocol.Client, entry *cancelEntry, statement *protocol.Statement, trip *routing.Trip) routing.Step {
 	defer context.AfterFunc(c.Context(), trip.Leave)()
-	defer p.cancels.open(h, trip.Leave)()
-	defer c.WatchForClose(p.spare)()
+	defer p.cancels.setCancel(entry, trip.Leave)()
+	defer c.WatchForClose(p.overflow)()
 	for {
 		step := trip.Pick()
 		if step.Act != routing.Attempt {
 			return step
 		}
 		p.tasks.Go(func() error {
-			trip.Report(step.Number, p.attempt(step, s, trip))
+			trip.Report(step.Number, p.runAttempt(step, statement, trip))
 			return nil
 		})
 	}
 }
 
-// answer gives a client its final answer.
-func (p *Program) answer(c protocol.Client, final routing.Step) transport.CloseReason {
+// sendAnswer gives a client its final answer.
+func (p *Program) sendAnswer(c protocol.Client, final routing.Step) transport.CloseReason {
 	switch final.Act {
 	case routing.Serve:
 		return c.Forward(final.Answer)
@@ -159,16 +159,16 @@
 	case routing.Abort:
 		return c.SendFailure(protocol.Aborted())
 	}
-	if end := c.CloseReason(); end != transport.Open {
-		return end
+	if reason := c.CloseReason(); reason != transport.Open {
+		return reason
 	}
 	return c.SendFailure(protocol.Canceled())
 }
 
-// attempt makes an attempt. The member is told how long this driver waits.
-func (p *Program) attempt(step routing.Step, s *protocol.Statement, trip *routing.Trip) routing.Outcome {
-	may := func() bool { return trip.May(step.Number) }
-	return p.pools.ask(step.By, step.Member, step.Address, may, func(within time.Duration) []string {
-		return s.WithTimeout(max(1, within.Milliseconds()), step.Fence)
+// runAttempt makes an attempt. The member is told how long this driver waits.
+func (p *Program) runAttempt(step routing.Step, statement *protocol.Statement, trip *routing.Trip) routing.Outcome {
+	mayStart := func() bool { return trip.May(step.Number) }
+	return p.pools.query(step.By, step.Member, step.Address, mayStart, func(timeout time.Duration) []string {
+		return statement.WithTimeout(max(1, timeout.Milliseconds()), step.Fence)
 	})
 }
--- a/internal/program/sizes_test.go
+++ b/internal/program/sizes_test.go
@@ -42,9 +42,9 @@
 	return generation, time.Duration(milliseconds) * time.Millisecond
 }
 
-// held is how much memory a process holds of its own, in MB, and how many descriptors. Pages of the program's file count for
+// cancelEntry is how much memory a process holds of its own, in MB, and how many descriptors. Pages of the program's file count for
 // nobody, since the system may drop them.
-func held(t *testing.T, pid int) (megabytes, descriptors int) {
+func cancelEntry(t *testing.T, pid int) (megabytes, descriptors int) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
 	_, rest, _ := strings.Cut(string(status), "RssAnon:")
@@ -130,7 +130,7 @@
 							return strings.HasPrefix(client.ask(t, fmt.Sprintf(form, ids.Add(1), group)), "from ")
 						})
 					}
-					m, d := held(t, cmd.Process.Pid)
+					m, d := cancelEntry(t, cmd.Process.Pid)
 					mostMemory, mostDescriptors = max(mostMemory, m), max(mostDescriptors, d)
 				}
 			}
