--- a/internal/program/cancels.go
+++ b/internal/program/cancels.go
@@ -8,26 +8,26 @@
 	"sedgespread/internal/protocol"
 )
 
-// cancelRegistry knows the clients' connections by the keys that they were told, so that what one cancels is its own. It guards
-// against work that goes on for a client that has said, on another connection as the protocol has it, that it does not want it.
+// cancelRegistry maps cancel keys to client connections, so that a cancel request, which arrives on
+// another connection, reaches only the query it belongs to.
 type cancelRegistry struct {
 	mu          sync.Mutex
 	lastProcess uint32
 	entries     map[uint32]*cancelEntry // by process number
 }
 
-// cancelEntry is a connection with what is open on it.
+// cancelEntry is a client connection that can receive cancel requests.
 type cancelEntry struct {
 	key    protocol.CancelKey
-	cancel func() // nil while nothing is
+	cancel func() // nil while no query runs
 }
 
 func newCancelRegistry() *cancelRegistry { return &cancelRegistry{entries: map[uint32]*cancelEntry{}} }
 
-// register gives a connection its key, until the function it gives is called.
+// register assigns a connection its cancel key, which is valid until unregister is called.
 func (c *cancelRegistry) register() (entry *cancelEntry, unregister func()) {
 	var secret [4]byte
-	rand.Read(secret[:]) // which never fails; a key that could be foreseen would let clients cancel for others
+	rand.Read(secret[:]) // never fails; a predictable key would let a client cancel the queries of others
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.lastProcess++; c.entries[c.lastProcess] != nil || c.lastProcess == 0; {
@@ -42,7 +42,7 @@
 	}
 }
 
-// setCancel says what a cancel of this connection is to call off, until the function it gives is called.
+// setCancel sets what a cancel request for this connection calls, until clear is called.
 func (c *cancelRegistry) setCancel(entry *cancelEntry, cancel func()) (clear func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,8 @@
 	}
 }
 
-// cancel calls off what is open on the connection of a key. Any other key, and one with nothing open, does nothing.
+// cancel cancels the query that runs on the connection with the given key. It ignores unknown keys
+// and connections without a running query.
 func (c *cancelRegistry) cancel(key protocol.CancelKey) {
 	c.mu.Lock()
 	entry := c.entries[key.Process]
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -26,396 +26,405 @@
 	"sedgespread/internal/store"
 )
 
-// operatorServices is what the operator's file adds to a driver: cells, the coordinator where it is here, and the operator's
-// commands. Where there is no file there is none of it.
+// operatorServices is what the operator file adds to a driver: cells, the coordinator if this
+// instance runs it, and the admin commands.
 type operatorServices struct {
 	p             *Program
 	coordinator   *membership.Chair
 	journal       *store.Journal
-	councilNode   *chamber.Chamber         // nil where this is no voter of a council
-	fleetRegistry *membership.Registration // the fleet's machine there, nil for none
-	agent         *membership.Agent        // nil where nothing has versions
-	gossipRing    *gossip.Ring             // nil where drivers do not gossip
+	councilNode   *chamber.Chamber         // nil unless this instance is a council voter
+	fleetRegistry *membership.Registration // the fleet's replicated state machine; nil if there is none
+	agent         *membership.Agent        // nil without a fleet
+	gossipRing    *gossip.Ring             // nil without gossip
 	versionsOnce  sync.Once
-	startConfig   *operator.Orders                // as this driver started
-	startNumber   chan uint64                     // takes that of this start once it has one
-	versionsReady chan struct{}                   // closed once it acts on versions, if it needs to
-	adminListener net.Listener                    // for commands, nil for none
-	peerListener  net.Listener                    // for drivers and voters, nil for none
-	current       atomic.Pointer[operator.Orders] // what is acted on now
-	leaseReady    chan struct{}                   // closed once it has had a lease, if it needs one
+	startConfig   *operator.Orders                // at start-up
+	startNumber   chan uint64                     // receives the start number once the fleet assigns it
+	versionsReady chan struct{}                   // closed once a version lease is granted, or if none is needed
+	adminListener net.Listener                    // for admin commands; may be nil
+	peerListener  net.Listener                    // for drivers and voters; may be nil
+	current       atomic.Pointer[operator.Orders] // in effect now
+	leaseReady    chan struct{}                   // closed once a cell lease is granted, or if none is needed
 	leaseOnce     sync.Once
 }
 
-// openOperatorServices opens what the operator's file asks for. Nothing serves yet.
-func (p *Program) openOperatorServices() (c *operatorServices, err error) {
-	o := p.config.OperatorConfig
-	if o == nil {
+// openOperatorServices opens what the operator file configures. run starts serving.
+func (p *Program) openOperatorServices() (services *operatorServices, err error) {
+	config := p.config.OperatorConfig
+	if config == nil {
 		return nil, nil
 	}
-	c = &operatorServices{p: p, startConfig: o, leaseReady: make(chan struct{}), versionsReady: make(chan struct{}),
+	services = &operatorServices{p: p, startConfig: config,
+		leaseReady: make(chan struct{}), versionsReady: make(chan struct{}),
 		startNumber: make(chan uint64, 1)}
-	c.current.Store(o)
-	if o.Cells.GetCoordination() == nil {
-		close(c.leaseReady)
+	services.current.Store(config)
+	if config.Cells.GetCoordination() == nil {
+		close(services.leaseReady)
 	}
-	if o.Fleet == nil {
-		close(c.versionsReady)
+	if config.Fleet == nil {
+		close(services.versionsReady)
 	}
 	defer func() {
 		if err != nil {
-			c.close()
+			services.close()
 		}
 	}()
-	if o.Admin != nil {
-		if c.adminListener, err = c.listen("admin.listen", o.Admin.Listen); err != nil {
+	if config.Admin != nil {
+		if services.adminListener, err = services.listen("admin.listen", config.Admin.Listen); err != nil {
 			return nil, err
 		}
 	}
-	if o.Cells != nil {
-		p.router.Confine(o.Gate(p.descriptors.Limit() / idleClientsDivisor))
+	if config.Cells != nil {
+		p.router.Confine(config.Gate(p.descriptors.Limit() / idleClientsDivisor))
 		p.idleClients.overusedCell = p.router.Crowded
 	}
-	if o.Fleet != nil {
-		if err = c.joinFleet(); err != nil {
+	if config.Fleet != nil {
+		if err = services.joinFleet(); err != nil {
 			return nil, err
 		}
 	}
-	if o.Council.GetId() != 0 {
-		return c, c.openCouncil()
+	if config.Council.GetId() != 0 {
+		return services, services.openCouncil()
 	}
-	if o.Cells.GetCoordination().GetHere() {
-		return c, c.openCoordinator()
+	if config.Cells.GetCoordination().GetHere() {
+		return services, services.openCoordinator()
 	}
-	return c, nil
+	return services, nil
 }
 
-// config is the file that is acted on now.
-func (c *operatorServices) config() *operator.Orders { return c.current.Load() }
+// config returns the operator file that is in effect.
+func (s *operatorServices) config() *operator.Orders { return s.current.Load() }
 
-// cellFill is how the store is asked to fill cells.
-func (c *operatorServices) cellFill() membership.Fill {
-	if hook := c.config().Cells.GetCoordination().GetFillHook(); hook != "" {
+// cellFill returns the hook that asks the store to fill cells, or nil.
+func (s *operatorServices) cellFill() membership.Fill {
+	if hook := s.config().Cells.GetCoordination().GetFillHook(); hook != "" {
 		return membership.HTTPFill(hook)
 	}
 	return nil
 }
 
-// openCoordinator opens the coordinator that has no fellows.
-func (c *operatorServices) openCoordinator() (err error) {
-	o := c.config()
-	k := o.Cells.Coordination
-	if c.journal, err = store.Open(k.Journal); err != nil {
-		return o.Reject("cells.coordination.journal", err)
-	}
-	c.coordinator, err = membership.NewChair(o.Book(), c.journal, milliseconds(k.LeaseMs), milliseconds(k.HoldMs), c.cellFill(), c.p.log)
+// openCoordinator opens a coordinator that runs on this instance alone.
+func (s *operatorServices) openCoordinator() (err error) {
+	config := s.config()
+	coordination := config.Cells.Coordination
+	if s.journal, err = store.Open(coordination.Journal); err != nil {
+		return config.Reject("cells.coordination.journal", err)
+	}
+	s.coordinator, err = membership.NewChair(config.Book(), s.journal, milliseconds(coordination.LeaseMs),
+		milliseconds(coordination.HoldMs), s.cellFill(), s.p.log)
 	if err != nil {
-		return o.Reject("cells.coordination.journal", err)
+		return config.Reject("cells.coordination.journal", err)
 	}
-	c.peerListener, err = c.listen("cells.coordination.at", k.At)
+	s.peerListener, err = s.listen("cells.coordination.at", coordination.At)
 	return err
 }
 
-// Of a council's clocks: a voter that found no leader in so many ticks looks for one, and clocks run at the same rate but
-// for that part.
 const (
-	electionTicks = 10
-	clockDrift    = 0.01
+	electionTicks = 10   // without a leader, before a voter starts an election
+	clockDrift    = 0.01 // maximum relative difference between clock rates
 )
 
-// openCouncil opens this instance's seat in the council.
-func (c *operatorServices) openCouncil() (err error) {
-	o := c.config()
-	k := o.Council
+// openCouncil opens this instance's council node and its replicated state machines.
+func (s *operatorServices) openCouncil() (err error) {
+	config := s.config()
+	councilConfig := config.Council
 	machines := map[string]chamber.Machine{}
-	if l := o.Cells.GetCoordination(); l != nil {
-		c.coordinator, err = membership.NewFellow(o.Book(), milliseconds(l.LeaseMs), milliseconds(l.HoldMs), milliseconds(k.ClockErrorMs), c.cellFill(), c.p.log)
+	if coordination := config.Cells.GetCoordination(); coordination != nil {
+		s.coordinator, err = membership.NewFellow(config.Book(), milliseconds(coordination.LeaseMs),
+			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.p.log)
 		if err != nil {
-			return o.Reject("cells", err)
+			return config.Reject("cells", err)
 		}
-		machines[membership.MachineName] = c.coordinator.Place()
-	}
-	if o.Fleet != nil {
-		c.fleetRegistry = membership.NewRegistration(membership.Terms{Lease: milliseconds(o.Fleet.LeaseMs), Forget: time.Duration(o.ForgetS()) * time.Second,
-			Most: o.Fleet.MostShutOut}, c.p.log)
-		machines[membership.RegistrationName] = c.fleetRegistry
-		if err := c.fleetRegistry.Keep(k.Disk + ".trails"); err != nil {
-			return o.Reject("council.disk", err)
+		machines[membership.MachineName] = s.coordinator.Place()
+	}
+	if config.Fleet != nil {
+		s.fleetRegistry = membership.NewRegistration(membership.Terms{Lease: milliseconds(config.Fleet.LeaseMs),
+			Forget: time.Duration(config.ForgetS()) * time.Second,
+			Most:   config.Fleet.MostShutOut}, s.p.log)
+		machines[membership.RegistrationName] = s.fleetRegistry
+		if err := s.fleetRegistry.Keep(councilConfig.Disk + ".trails"); err != nil {
+			return config.Reject("council.disk", err)
 		}
 	}
 	peers := chamber.Peers{}
-	for _, v := range k.Voter {
-		peers[council.VoterID(v.Id)] = v.At
+	for _, voter := range councilConfig.Voter {
+		peers[council.VoterID(voter.Id)] = voter.At
 	}
-	pace := council.Pace{Tick: int64(milliseconds(o.TickMs())), Election: electionTicks, Drift: clockDrift}
-	if c.councilNode, err = chamber.Open(council.VoterID(k.Id), peers, k.Join, k.Disk, pace, machines, c.p.log); err != nil {
-		return o.Reject("council.disk", err)
+	pace := council.Pace{Tick: int64(milliseconds(config.TickMs())), Election: electionTicks, Drift: clockDrift}
+	if s.councilNode, err = chamber.Open(council.VoterID(councilConfig.Id), peers, councilConfig.Join,
+		councilConfig.Disk, pace, machines, s.p.log); err != nil {
+		return config.Reject("council.disk", err)
 	}
-	if c.coordinator != nil {
-		c.coordinator.Join(c.councilNode)
+	if s.coordinator != nil {
+		s.coordinator.Join(s.councilNode)
 	}
-	if c.fleetRegistry != nil {
-		c.fleetRegistry.Join(c.councilNode)
+	if s.fleetRegistry != nil {
+		s.fleetRegistry.Join(s.councilNode)
 	}
-	c.peerListener, err = c.listen("council.listen", o.SeatAt())
+	s.peerListener, err = s.listen("council.listen", config.SeatAt())
 	return err
 }
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func (c *operatorServices) listen(field, address string) (net.Listener, error) {
+func (s *operatorServices) listen(field, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, c.config().Reject(field, err)
+		return nil, s.config().Reject(field, err)
 	}
 	return l, nil
 }
 
-func (c *operatorServices) close() {
-	for _, l := range []net.Listener{c.adminListener, c.peerListener} {
+func (s *operatorServices) close() {
+	for _, l := range []net.Listener{s.adminListener, s.peerListener} {
 		if l != nil {
 			l.Close()
 		}
 	}
-	if c.journal != nil {
-		c.journal.Close()
+	if s.journal != nil {
+		s.journal.Close()
 	}
 }
 
 // run serves until the context ends.
-func (c *operatorServices) run(ctx context.Context) error {
-	defer c.close()
+func (s *operatorServices) run(ctx context.Context) error {
+	defer s.close()
 	var tasks errgroup.Group
-	if c.adminListener != nil {
-		tasks.Go(func() error { return admin.Serve(ctx, c.adminListener, c) })
+	if s.adminListener != nil {
+		tasks.Go(func() error { return admin.Serve(ctx, s.adminListener, s) })
 	}
-	if c.peerListener != nil {
-		tasks.Go(func() error { return jsonhttp.Serve(ctx, c.peerListener, c.peerHandler()) })
+	if s.peerListener != nil {
+		tasks.Go(func() error { return jsonhttp.Serve(ctx, s.peerListener, s.peerHandler()) })
 	}
-	if c.councilNode != nil {
-		tasks.Go(func() error { c.councilNode.Run(ctx); return nil })
+	if s.councilNode != nil {
+		tasks.Go(func() error { s.councilNode.Run(ctx); return nil })
 	}
-	if c.coordinator != nil {
-		tasks.Go(func() error { c.coordinator.Run(ctx); return nil })
+	if s.coordinator != nil {
+		tasks.Go(func() error { s.coordinator.Run(ctx); return nil })
 	}
-	if k := c.config().Cells.GetCoordination(); k != nil {
-		tasks.Go(func() error { c.followLeases(ctx, milliseconds(k.LeaseMs)); return nil })
+	if coordination := s.config().Cells.GetCoordination(); coordination != nil {
+		tasks.Go(func() error { s.followLeases(ctx, milliseconds(coordination.LeaseMs)); return nil })
 	}
-	if c.fleetRegistry != nil {
-		tasks.Go(func() error { c.fleetRegistry.Run(ctx); return nil })
+	if s.fleetRegistry != nil {
+		tasks.Go(func() error { s.fleetRegistry.Run(ctx); return nil })
 	}
-	if c.agent != nil {
-		tasks.Go(func() error { c.agent.Run(ctx); return nil })
+	if s.agent != nil {
+		tasks.Go(func() error { s.agent.Run(ctx); return nil })
 	}
-	if c.gossipRing != nil {
-		tasks.Go(func() error { c.gossipRing.Run(ctx); return nil })
+	if s.gossipRing != nil {
+		tasks.Go(func() error { s.gossipRing.Run(ctx); return nil })
 	}
 	return tasks.Wait()
 }
 
-// followLeases asks for leases on cells until the context ends. Where there is a fleet this start is known by its number there, and
-// else by its clock.
-func (c *operatorServices) followLeases(ctx context.Context, lease time.Duration) {
+// followLeases renews cell leases until the context ends. The incarnation is the start number where
+// there is a fleet, and the current time otherwise.
+func (s *operatorServices) followLeases(ctx context.Context, lease time.Duration) {
 	incarnation := uint64(clock.New().Now())
-	if c.agent != nil {
+	if s.agent != nil {
 		select {
-		case incarnation = <-c.startNumber:
+		case incarnation = <-s.startNumber:
 		case <-ctx.Done():
 			return
 		}
 	}
-	membership.NewFollower(c.config().CoordinatorsAt(), c.p.config.Name, incarnation, lease, c, c.p.log).Run(ctx)
+	membership.NewFollower(s.config().CoordinatorsAt(), s.p.config.Name, incarnation, lease, s, s.p.log).Run(ctx)
 }
 
-// peerHandler is what drivers and voters may ask here.
-func (c *operatorServices) peerHandler() http.Handler {
+// peerHandler returns the handler of requests from drivers and voters.
+func (s *operatorServices) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	if c.coordinator != nil {
-		c.coordinator.Handle(mux)
+	if s.coordinator != nil {
+		s.coordinator.Handle(mux)
 	}
-	if c.fleetRegistry != nil {
-		c.fleetRegistry.Handle(mux)
+	if s.fleetRegistry != nil {
+		s.fleetRegistry.Handle(mux)
 	}
-	if c.councilNode != nil {
-		c.councilNode.Handle(mux)
+	if s.councilNode != nil {
+		s.councilNode.Handle(mux)
 	}
 	return mux
 }
 
-// Report is what the coordinator is told.
-func (c *operatorServices) Report(name string, incarnation uint64) (cells.Report, int64) {
-	return c.p.router.Report(name, incarnation)
+// Report returns this driver's report to the coordinator.
+func (s *operatorServices) Report(name string, incarnation uint64) (cells.Report, int64) {
+	return s.p.router.Report(name, incarnation)
 }
 
-// ReportGrant takes what the coordinator granted. With the first lease this driver is ready to take clients.
-func (c *operatorServices) ReportGrant(asked int64, g cells.Grant) error {
-	err := c.p.router.ReportGrant(asked, g)
+// ReportGrant applies a grant from the coordinator. The first one makes this driver ready for
+// clients.
+func (s *operatorServices) ReportGrant(requestedAt int64, grant cells.Grant) error {
+	err := s.p.router.ReportGrant(requestedAt, grant)
 	if err == nil {
-		c.leaseOnce.Do(func() { close(c.leaseReady) })
+		s.leaseOnce.Do(func() { close(s.leaseReady) })
 	}
 	return err
 }
 
-// reload takes over the operator's file as it is now: all of it, or an error and nothing.
-func (c *operatorServices) reload(path string) error {
+// reload applies the operator file as it is now, or returns an error and changes nothing.
+func (s *operatorServices) reload(path string) error {
 	next, err := operator.Read(path)
 	if err != nil {
 		return err
 	}
-	if next.Fixed() != c.config().Fixed() {
+	if next.Fixed() != s.config().Fixed() {
 		return next.Reject("", errors.New("admin, council, fleet, groups_a_tenant, budget and coordination need a restart"))
 	}
 	if next.Fleet != nil {
-		return next.Reject("fleet", errors.New("all drivers act on one rulebook: `sedgespread fleet propose` brings another"))
+		return next.Reject("fleet", errors.New("the rulebook is managed by the fleet: use `sedgespread fleet propose` to change it"))
 	}
-	return c.apply(next)
+	return s.apply(next)
 }
 
-// apply acts on another file from now on: all of it, or an error and nothing.
-func (c *operatorServices) apply(next *operator.Orders) (err error) {
+// apply puts another operator file into effect, or returns an error and changes nothing.
+func (s *operatorServices) apply(next *operator.Orders) (err error) {
 	if next.Cells == nil {
 		return nil
 	}
-	if c.coordinator != nil { // which knows all that this driver's gate does
-		err = c.coordinator.Become(next.Layout(), next.Pins())
+	if s.coordinator != nil { // if it accepts the file, so does the admission controller
+		err = s.coordinator.Become(next.Layout(), next.Pins())
 	}
 	if err == nil {
-		err = routing.Cells(c.p.router, func(_ int64, g *cells.AdmissionController) error {
+		err = routing.Cells(s.p.router, func(_ int64, g *cells.AdmissionController) error {
 			return g.Update(next.Layout(), next.Tenancy(), next.Pins(), next.Weights())
 		})
 	}
 	if err != nil {
 		return next.Reject("cells", err)
 	}
-	c.current.Store(next)
+	s.current.Store(next)
 	return nil
 }
 
 var (
-	errNoCells       = errors.New("this instance has no cells: its operator's file says nothing of them")
-	errNoFleet       = errors.New("this instance stands in no roster: its operator's file says nothing of a fleet")
-	errNoCouncil     = errors.New("this instance knows of no council: its operator's file says nothing of one")
-	errNoCoordinator = errors.New("this instance has no coordinator: its operator's file says nothing of coordination")
+	errNoCells       = errors.New("cells are not configured in this instance's operator file")
+	errNoFleet       = errors.New("fleet is not configured in this instance's operator file")
+	errNoCouncil     = errors.New("council is not configured in this instance's operator file")
+	errNoCoordinator = errors.New("coordination is not configured in this instance's operator file")
 )
 
 const maxTenantsShown = 20
 
-// Cells tells what the gate has counted and holds.
-func (c *operatorServices) Cells() cells.Stats {
-	if c.config().Cells == nil {
+// Cells returns the statistics of the admission controller.
+func (s *operatorServices) Cells() cells.Stats {
+	if s.config().Cells == nil {
 		return cells.Stats{}
 	}
-	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, maxTenantsShown) })
+	return routing.Cells(s.p.router, func(now int64, g *cells.AdmissionController) cells.Stats {
+		return g.Stats(now, maxTenantsShown)
+	})
 }
 
-// Where tells where a tenant is.
-func (c *operatorServices) Where(t cells.Tenant, key string) admin.Place {
-	if c.config().Cells == nil {
-		return admin.Place{Tenant: t, Why: errNoCells.Error()}
-	}
-	return routing.Cells(c.p.router, func(now int64, g *cells.AdmissionController) admin.Place {
-		l, b := g.Layout(), g.Directory()
-		seat, place := b.Placement(t), admin.Place{Tenant: t, Why: "hashed"}
-		if e, moved := b.Entry(t); moved {
-			place.Why, place.To, place.Epoch, place.Floor = "moved", e.To, e.Epoch, e.MinPosition
-		} else if b.Pinned(t) {
+// Where returns the placement of a tenant, and the group of a key.
+func (s *operatorServices) Where(tenant cells.Tenant, key string) admin.Place {
+	if s.config().Cells == nil {
+		return admin.Place{Tenant: tenant, Why: errNoCells.Error()}
+	}
+	return routing.Cells(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Place {
+		layout, directory := controller.Layout(), controller.Directory()
+		seat, place := directory.Placement(tenant), admin.Place{Tenant: tenant, Why: "hashed"}
+		if entry, moved := directory.Entry(tenant); moved {
+			place.Why, place.To, place.Epoch, place.Floor = "moved", entry.To, entry.Epoch, entry.MinPosition
+		} else if directory.Pinned(tenant) {
 			place.Why = "pinned"
 		}
-		place.Cell, place.Stage = l.Name(seat.Cell), seat.Stage.String()
+		place.Cell, place.Stage = layout.Name(seat.Cell), seat.Stage.String()
 		if seat.Cell != cells.NoCell {
-			place.Groups, place.Group = l.TenantGroups(t, seat.Cell), int64(l.Group(t, key, seat.Cell))
+			place.Groups, place.Group = layout.TenantGroups(tenant, seat.Cell), int64(layout.Group(tenant, key, seat.Cell))
 		}
-		place.Load = g.Load(t, now)
+		place.Load = controller.Load(tenant, now)
 		return place
 	})
 }
 
-// dialCoordinator is the way to the coordinator.
-func (c *operatorServices) dialCoordinator() (membership.Coordinator, error) {
-	if c.config().Cells.GetCoordination() == nil {
+// dialCoordinator returns a client of the coordinator.
+func (s *operatorServices) dialCoordinator() (membership.Coordinator, error) {
+	if s.config().Cells.GetCoordination() == nil {
 		return membership.Coordinator{}, errNoCoordinator
 	}
-	return membership.Dial(c.config().CoordinatorsAt()...), nil
+	return membership.Dial(s.config().CoordinatorsAt()...), nil
 }
 
-// Council tells how the council stands, as this instance's own seat knows, or else as the first voter does that answers.
-func (c *operatorServices) Council(ctx context.Context) (chamber.State, error) {
+// Council returns the state of the council, from this instance's own node or else from the first
+// voter that answers.
+func (s *operatorServices) Council(ctx context.Context) (chamber.State, error) {
 	switch {
-	case c.councilNode != nil:
-		return c.councilNode.State(), nil
-	case c.config().Council == nil:
+	case s.councilNode != nil:
+		return s.councilNode.State(), nil
+	case s.config().Council == nil:
 		return chamber.State{}, errNoCouncil
 	}
-	return membership.Dial(c.config().VotersAt()...).Council(ctx)
+	return membership.Dial(s.config().VotersAt()...).Council(ctx)
 }
 
-// ChangeCouncil asks the council's leader for other voters.
-func (c *operatorServices) ChangeCouncil(ctx context.Context, change chamber.Change) error {
-	if c.config().Council == nil {
+// ChangeCouncil asks the council's leader to change the set of voters.
+func (s *operatorServices) ChangeCouncil(ctx context.Context, change chamber.Change) error {
+	if s.config().Council == nil {
 		return errNoCouncil
 	}
-	return membership.Dial(c.config().VotersAt()...).ChangeCouncil(ctx, change)
+	return membership.Dial(s.config().VotersAt()...).ChangeCouncil(ctx, change)
 }
 
-// State tells where moves stand.
-func (c *operatorServices) State(ctx context.Context) (membership.State, error) {
-	at, err := c.dialCoordinator()
+// State returns the state of tenant moves.
+func (s *operatorServices) State(ctx context.Context) (membership.State, error) {
+	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return membership.State{}, err
 	}
-	return at.State(ctx)
+	return coordinator.State(ctx)
 }
 
-// Move asks the coordinator for moves.
-func (c *operatorServices) Move(ctx context.Context, moves []membership.Move) error {
-	at, err := c.dialCoordinator()
+// Move asks the coordinator to move tenants.
+func (s *operatorServices) Move(ctx context.Context, moves []membership.Move) error {
+	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return err
 	}
-	return at.Move(ctx, moves)
+	return coordinator.Move(ctx, moves)
 }
 
-// Abort asks the coordinator to call a move off.
-func (c *operatorServices) Abort(ctx context.Context, m membership.Move) error {
-	at, err := c.dialCoordinator()
+// Abort asks the coordinator to abort a move.
+func (s *operatorServices) Abort(ctx context.Context, m membership.Move) error {
+	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return err
 	}
-	return at.Abort(ctx, m)
+	return coordinator.Abort(ctx, m)
 }
 
-// Plan plans for the loads that the drivers tell of, or for those of this instance where there is no coordinator.
-func (c *operatorServices) Plan(ctx context.Context, most int) (admin.Plan, error) {
-	if c.config().Cells == nil {
+// Plan plans moves for the loads that all drivers report, or for this instance's loads without a
+// coordinator.
+func (s *operatorServices) Plan(ctx context.Context, maxMoves int) (admin.Plan, error) {
+	if s.config().Cells == nil {
 		return admin.Plan{}, errNoCells
 	}
-	loads := c.Cells().HeaviestTenants
-	if c.config().Cells.Coordination != nil {
-		state, err := c.State(ctx)
+	loads := s.Cells().HeaviestTenants
+	if s.config().Cells.Coordination != nil {
+		state, err := s.State(ctx)
 		if err != nil {
 			return admin.Plan{}, err
 		}
 		loads = state.Loads
 	}
-	rooms, halls := c.config().Rooms(), c.config().Halls()
-	for _, r := range rooms {
-		if r.Capacity <= 0 {
-			return admin.Plan{}, fmt.Errorf("cell %q: the file does not say its capacity, which a plan needs", r.Name)
+	planCells, halls := s.config().Rooms(), s.config().Halls()
+	for _, planCell := range planCells {
+		if planCell.Capacity <= 0 {
+			return admin.Plan{}, fmt.Errorf("cell %q: capacity is not configured, but is needed for planning", planCell.Name)
 		}
 	}
 	index := map[string]int{}
-	for i, r := range rooms {
-		index[r.Name] = i
+	for i, planCell := range planCells {
+		index[planCell.Name] = i
 	}
 	tenants := make([]planner.Tenant, 0, len(loads))
-	for _, w := range loads {
-		place := c.Where(w.Tenant, "")
-		at, known := index[place.Cell]
-		if !known {
-			at = planner.NoCell
+	for _, load := range loads {
+		place := s.Where(load.Tenant, "")
+		cellIndex, isKnown := index[place.Cell]
+		if !isKnown {
+			cellIndex = planner.NoCell
 		}
-		tenants = append(tenants, planner.Tenant{Name: string(w.Tenant), Load: w.Load, CurrentCell: at, Hall: halls[w.Tenant],
+		tenants = append(tenants, planner.Tenant{Name: string(load.Tenant), Load: load.Load, CurrentCell: cellIndex,
+			Hall:   halls[load.Tenant],
 			Pinned: place.Why == "pinned" || place.Stage != cells.StageIdle.String()})
 	}
-	return admin.Explained(tenants, rooms, most), nil
+	return admin.Explained(tenants, planCells, maxMoves), nil
 }
--- a/internal/program/duties.go
+++ b/internal/program/duties.go
@@ -7,7 +7,8 @@
 	"sedgespread/internal/transport"
 )
 
-// runScheduledWork does what falls due without an RPC, until the context ends.
+// runScheduledWork executes the work that the router schedules outside of RPCs, until the context
+// ends.
 func (p *Program) runScheduledWork(ctx context.Context) error {
 	for {
 		duty, err := p.router.Tick(ctx)
@@ -29,10 +30,11 @@
 	}
 }
 
-// probe probes a member.
+// probe probes a member and reports the outcome to the router.
 func (p *Program) probe(look routing.Look) {
 	ctx, stop := context.WithTimeoutCause(p.lifetime, p.config.ConnectTimeout, transport.TimedOut)
 	defer stop()
-	p.router.ReportLook(look.Member, p.prober.probe(ctx, look.Member, look.Address, func() bool { return p.router.MayLook(look.Member) }))
+	p.router.ReportLook(look.Member, p.prober.probe(ctx, look.Member, look.Address,
+		func() bool { return p.router.MayLook(look.Member) }))
 	p.readiness.recordProbe(look.Member)
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -15,120 +15,125 @@
 	"sedgespread/internal/versions"
 )
 
-// FeatureLevel is the highest feature level that this build knows. It grows with whatever older builds can't take part in.
+// FeatureLevel is the highest feature level that this build supports. It is raised by each feature
+// that older builds cannot take part in.
 const FeatureLevel = 1
 
-// buildRevision is what this program says of itself in the roster.
+// buildRevision returns the abbreviated VCS revision of this build.
 func buildRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				return s.Value[:min(12, len(s.Value))]
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				return setting.Value[:min(12, len(setting.Value))]
 			}
 		}
 	}
 	return "unreleased"
 }
 
-// digestPrefixLength is how much of a digest is told of things that the fleet does not decide.
+// digestPrefixLength is how much of a digest is reported as the version of the operator file.
 const digestPrefixLength = 16
 
-// joinFleet lets this driver act on the versions that the fleet agrees on.
-func (c *operatorServices) joinFleet() (err error) {
-	c.p.router.Heed(versions.NewHolder())
-	c.p.router.Observe(versions.Program, FeatureLevel, buildRevision())
-	c.p.router.Observe(versions.File, 1, membership.Digest(c.config().Common())[:digestPrefixLength])
-	claim := roster.Claim{Name: c.p.config.Name, At: c.p.config.Listen, Build: buildRevision(), Level: FeatureLevel, Votes: c.config().Council.GetId() != 0}
-	c.agent = membership.NewAgent(c.config().VotersAt(), claim, milliseconds(c.config().Fleet.LeaseMs), c, c.p.log)
-	g := c.config().Fleet.Gossip
-	if g == nil {
+// joinFleet registers this driver with the fleet, whose granted versions it then acts on.
+func (s *operatorServices) joinFleet() (err error) {
+	s.p.router.Heed(versions.NewHolder())
+	s.p.router.Observe(versions.Program, FeatureLevel, buildRevision())
+	s.p.router.Observe(versions.File, 1, membership.Digest(s.config().Common())[:digestPrefixLength])
+	claim := roster.Claim{Name: s.p.config.Name, At: s.p.config.Listen, Build: buildRevision(),
+		Level: FeatureLevel, Votes: s.config().Council.GetId() != 0}
+	s.agent = membership.NewAgent(s.config().VotersAt(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
+	gossipConfig := s.config().Fleet.Gossip
+	if gossipConfig == nil {
 		return nil
 	}
-	if c.gossipRing, err = gossip.Listen(c.p.config.Name, g.Listen, g.Fellow, milliseconds(c.config().ProbeMs()), c.p.log); err != nil {
-		return c.config().Reject("fleet.gossip.listen", err)
+	if s.gossipRing, err = gossip.Listen(s.p.config.Name, gossipConfig.Listen, gossipConfig.Fellow,
+		milliseconds(s.config().ProbeMs()), s.p.log); err != nil {
+		return s.config().Reject("fleet.gossip.listen", err)
 	}
-	c.agent.Listens(c.gossipRing)
+	s.agent.Listens(s.gossipRing)
 	return nil
 }
 
-// Sightings is what the fleet is told.
-func (c *operatorServices) Sightings() ([]versions.Sighting, int64) { return c.p.router.Sightings() }
+// Sightings returns the version observations to report to the fleet.
+func (s *operatorServices) Sightings() ([]versions.Sighting, int64) { return s.p.router.Sightings() }
 
-// Joined takes in the number of this driver's start.
-func (c *operatorServices) Joined(who versions.Sign, token string) {
-	c.p.router.ReportStart(who, token)
+// Joined records the start number that the fleet assigned to this driver.
+func (s *operatorServices) Joined(sign versions.Sign, token string) {
+	s.p.router.ReportStart(sign, token)
 	select {
-	case c.startNumber <- who.Start:
-	default: // it has joined before
+	case s.startNumber <- sign.Start:
+	default: // already joined
 	}
 }
 
-// Trail gives the entries of this driver's trail after one.
-func (c *operatorServices) Trail(seq uint64, most int) audit.Part { return c.p.router.Trail(seq, most) }
+// Trail returns up to limit entries of this driver's audit trail after a sequence number.
+func (s *operatorServices) Trail(after uint64, limit int) audit.Part {
+	return s.p.router.Trail(after, limit)
+}
 
-// LastTrail gives all that is left of it.
-func (c *operatorServices) LastTrail(seq uint64) audit.Part { return c.p.router.LastTrail(seq) }
+// LastTrail returns all remaining entries of the audit trail after a sequence number.
+func (s *operatorServices) LastTrail(after uint64) audit.Part { return s.p.router.LastTrail(after) }
 
-// Audit answers a question from what all voters hold of drivers' trails.
-func (c *operatorServices) Audit(ctx context.Context, q membership.Question) (membership.Finding, error) {
-	if c.config().Fleet == nil {
+// Audit answers a question from the audit trails that all voters hold.
+func (s *operatorServices) Audit(ctx context.Context, question membership.Question) (membership.Finding, error) {
+	if s.config().Fleet == nil {
 		return membership.Finding{}, errNoFleet
 	}
-	return membership.Audit(ctx, c.config().VotersAt(), q)
+	return membership.Audit(ctx, s.config().VotersAt(), question)
 }
 
-// Granted takes in what the fleet granted, and adopts what it says.
-func (c *operatorServices) Granted(asked int64, g versions.Grant) {
-	for _, a := range c.p.router.ReportOrders(asked, g) {
-		err := c.adopt(a)
-		c.p.router.ReportAdopted(a, err)
-		log := c.p.log.WithField("thing", a.Thing).WithField("version", a.Number)
+// Granted processes a grant from the fleet and adopts the versions in it.
+func (s *operatorServices) Granted(requestedAt int64, grant versions.Grant) {
+	for _, adoption := range s.p.router.ReportOrders(requestedAt, grant) {
+		err := s.adopt(adoption)
+		s.p.router.ReportAdopted(adoption, err)
+		log := s.p.log.WithField("thing", adoption.Thing).WithField("version", adoption.Number)
 		if err != nil {
-			log.WithError(err).Error("a version can't be acted on")
+			log.WithError(err).Error("failed to adopt version")
 		} else {
-			log.Info("acts on a version")
+			log.Info("adopted version")
 		}
 	}
-	if g.Lease > 0 {
-		c.versionsOnce.Do(func() { close(c.versionsReady) })
+	if grant.Lease > 0 {
+		s.versionsOnce.Do(func() { close(s.versionsReady) })
 	}
 }
 
-// adopt does what it takes to act on a version.
-func (c *operatorServices) adopt(a versions.Adoption) error {
-	if a.Thing != routing.Rulebook {
-		return fmt.Errorf("this build does not know what %q is", a.Thing)
+// adopt applies a granted version.
+func (s *operatorServices) adopt(adoption versions.Adoption) error {
+	if adoption.Thing != routing.Rulebook {
+		return fmt.Errorf("this build does not know what %q is", adoption.Thing)
 	}
 	if planted.Is(planted.Crash) {
 		os.Exit(3)
 	}
-	next, err := c.startConfig.With(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
+	next, err := s.startConfig.With(fmt.Sprintf("version %d of the rulebook", adoption.Number), adoption.Text)
 	if err != nil {
 		return err
 	}
-	return c.apply(next)
+	return s.apply(next)
 }
 
-// Fleet tells how the fleet stands.
-func (c *operatorServices) Fleet(ctx context.Context) (membership.Fleet, error) {
-	if c.config().Fleet == nil {
+// Fleet returns the state of the fleet.
+func (s *operatorServices) Fleet(ctx context.Context) (membership.Fleet, error) {
+	if s.config().Fleet == nil {
 		return membership.Fleet{}, errNoFleet
 	}
-	return membership.Dial(c.config().VotersAt()...).Fleet(ctx)
+	return membership.Dial(s.config().VotersAt()...).Fleet(ctx)
 }
 
-// Wish asks something of the fleet. A rulebook is checked here before it is proposed.
-func (c *operatorServices) Wish(ctx context.Context, w membership.Wish) error {
-	if c.config().Fleet == nil {
+// Wish sends an operator's request to the fleet. A proposed rulebook is validated locally first.
+func (s *operatorServices) Wish(ctx context.Context, wish membership.Wish) error {
+	if s.config().Fleet == nil {
 		return errNoFleet
 	}
-	if p := w.Propose; p != nil {
-		if p.Thing != routing.Rulebook {
-			return fmt.Errorf("there is no thing %q that has versions", p.Thing)
+	if proposal := wish.Propose; proposal != nil {
+		if proposal.Thing != routing.Rulebook {
+			return fmt.Errorf("%q is not a versioned thing", proposal.Thing)
 		}
-		if _, err := c.startConfig.With("the rulebook", p.Text); err != nil {
+		if _, err := s.startConfig.With("the rulebook", proposal.Text); err != nil {
 			return err
 		}
 	}
-	return membership.Dial(c.config().VotersAt()...).Wish(ctx, w)
+	return membership.Dial(s.config().VotersAt()...).Wish(ctx, wish)
 }
--- a/internal/program/follow.go
+++ b/internal/program/follow.go
@@ -11,52 +11,48 @@
 	"sedgespread/internal/transport"
 )
 
-// Of what discovery may take. A change is known here in time if the watch that would have told of it falls silent with no
-// reset as soon as it is open, and the change comes right then: the wait, what the answer to it may be late, and a call for
-// the whole list after that, on a new connection, are watchWait + lateBy + answerWithin = 5 s of the toldWithin that a change
-// may take, with a second to spare. A call that fails is followed by another after a pause of the module's, 2 s at the most: once
-// discovery can be reached again that takes answerWithin, for a call that began too early and hangs, the pause, and lateBy for
-// one that is answered, 5 s again, and half of that or less where failures show at once, as they do where it is down.
-//
-// Where lists are pushed an agent is asked, and what it has when it comes back from an outage counts at once: then a call that
-// hangs and the pause after it take a quarter each of the grace in which a drain has to be kept.
+// Time limits of calls to discovery. A change has to be known within changeDeadline. In the worst
+// case the watch falls silent just before the change: maxWatchWait, watchAnswerGrace and one more
+// call then add up to 5/6 of the deadline. After an outage the worst case is a call that hangs, the
+// router's retry delay, and one more call.
 const (
-	changeDeadline       = 6 * time.Second    // a change counts as told so long after discovery had it and could be reached
-	discoveryCallTimeout = changeDeadline / 3 // for a call that does not wait: it is one of many, which are handled in turn
-	maxWatchWait         = changeDeadline / 3 // a watch waits so long at the most, though it may wait longer
-	watchAnswerGrace     = changeDeadline / 6 // and its answer may come so much later
+	changeDeadline       = 6 * time.Second    // from a change at a reachable discovery until it is known here
+	discoveryCallTimeout = changeDeadline / 3 // for a call that does not wait for changes
+	maxWatchWait         = changeDeadline / 3 // wait time of a watch, whatever the settings allow
+	watchAnswerGrace     = changeDeadline / 6 // added to the wait time
 	minDiscoveryTimeout  = 100 * time.Millisecond
-	waitJitter           = 0.25 // waits are shorter by up to this share, by lot, so that drivers do not ask all at once
+	waitJitter           = 0.25 // random fraction subtracted from waits, to spread the calls of drivers
 )
 
-// discoverySource is where the list comes from: an address, which changes with the file, and whoever follows it there, one at a time.
+// discoverySource is the address that the target list comes from, and the state of the one task
+// that follows it.
 //
-//	state     what happens                            and then
-//	resting   nobody asks                             the module wants the list, or the address changes: asking
-//	asking    a call is out for the whole list, or    answered: watching; failed: resting, and the module hears of it;
-//	          for what is newer than the one held     answerWithin is over: overdue
-//	overdue   the same, and the module has heard      answered: watching; failed: resting; the module wants the list: asking
-//	          that it failed                          again, and the call is given up only then: its answer may come
-//	watching  a call waits for what is newer than     answered: watching; late: asking, at once and on a new connection;
-//	          the list that is held                   broken, or nonsense: resting; older than the list: asking for all of it
-//	moved     the address has changed meanwhile       asking at the new one; what still comes from the old changes nothing
+//	state     meaning                               transitions
+//	idle      no call is out                        the router wants the list, or the address changes: calling
+//	calling   a call is out for the full list, or   answered: watching; failed: idle, reported to the router;
+//	          for changes since the held list       DiscoveryTimeout expires: overdue
+//	overdue   the same, and the router has been     answered: watching; failed: idle; the router wants the list:
+//	          told of the failure                   calling again, and only then is the old call cancelled
+//	watching  a call waits for changes to the       answered: watching; timed out: calling, on a new connection;
+//	          held list                             failed or malformed: idle; older than the list: calling for all of it
+//	moved     the address has changed               calling at the new address; answers from the old one are ignored
 type discoverySource struct {
 	mu           sync.Mutex
 	address      string
-	cancelFollow context.CancelCauseFunc // of the one that asks, nil for none
+	cancelFollow context.CancelCauseFunc // cancels the following task; nil if there is none
 	overdue      bool
-	hasList      bool       // a list is held that what is newer may be asked for
-	generation   int64      // and its generation
-	rng          *rand.Rand // of whoever asks
+	hasList      bool       // whether changes since generation may be requested
+	generation   int64      // of the held list
+	rng          *rand.Rand // used by the following task
 }
 
-// nextWait is how long the next call of a watch waits.
+// nextWait returns the wait time of the next watch call.
 func (s *discoverySource) nextWait(maxWait time.Duration) time.Duration {
 	maxWait = min(maxWait, maxWatchWait)
 	return maxWait - time.Duration(s.rng.Float64()*waitJitter*float64(maxWait))
 }
 
-// accept takes in an answer, unless the address has changed since it was asked for: the list is another's by then.
+// accept applies an answer, unless the address has changed since the call started.
 func (s *discoverySource) accept(ctx context.Context, targets protocol.Targets, apply func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,22 +62,23 @@
 	}
 }
 
-// heldGeneration is the generation of the list that is held, and whether what is newer may be asked for.
+// heldGeneration returns the generation of the held list, and whether changes since it may be
+// requested.
 func (s *discoverySource) heldGeneration() (generation int64, hasList bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.generation, s.hasList
 }
 
-// dropGeneration makes the whole list be asked for next.
+// dropGeneration makes the next call request the full list.
 func (s *discoverySource) dropGeneration() {
 	s.mu.Lock()
 	s.hasList = false
 	s.mu.Unlock()
 }
 
-// markOverdue notes that a call has taken too long, and tells whether it is still out. The next asks for the same: where many drivers ask at once that is
-// less for discovery to tell than whole lists, of which it may not bear one for each in the time in which a change has to be known.
+// markOverdue marks a call as overdue and reports whether it is still out. The next call still
+// requests only changes: full lists for all drivers at once could overload discovery.
 func (s *discoverySource) markOverdue(call context.Context) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +89,8 @@
 	return true
 }
 
-// begin gives whoever will ask the address and a context that ends once that has changed; ok is false while
-// somebody else asks. A call that is overdue is given up: whoever made it asks again.
+// begin returns the address to call and a context that ends when the address changes; ok is false
+// while another task is following. An overdue call is cancelled, and its task calls again.
 func (s *discoverySource) begin(ctx context.Context) (followCtx context.Context, address string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +104,8 @@
 	return followCtx, s.address, true
 }
 
-// finish ends the asking, and tells whether that was because it is to be begun anew, since the address has changed or an overdue
-// call was given up, and else whether the module has heard that it failed.
+// finish ends a task's following. It reports whether to restart, since the address changed or an
+// overdue call was cancelled, and whether the failure has been reported to the router already.
 func (s *discoverySource) finish(followCtx context.Context) (restart, reported bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +115,8 @@
 	return restart, reported
 }
 
-// setAddress changes the address. What is asked at the old one is left at once; moved and idle tells that nobody asks now.
+// setAddress changes the address and cancels calls to the old one. It reports whether the address
+// changed while no task was following.
 func (s *discoverySource) setAddress(address string) (idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,8 +130,8 @@
 	return s.cancelFollow == nil
 }
 
-// followDiscovery asks for the list and then watches it until that breaks off; where the list comes from elsewhere by then
-// it is asked for there at once.
+// followDiscovery fetches the list and watches it until a call fails. If the address has changed by
+// then, it starts over at the new one.
 func (p *Program) followDiscovery(ctx context.Context) {
 	for {
 		followCtx, address, ok := p.discovery.begin(ctx)
@@ -151,15 +149,15 @@
 	}
 }
 
-// reportDiscoveryFailure reports that discovery did not answer.
+// reportDiscoveryFailure reports to the router that a call to discovery failed.
 func (p *Program) reportDiscoveryFailure(err error) {
 	p.readiness.recordList(p.router, protocol.Targets{})
-	p.log.WithError(err).Warn("discovery broke off")
+	p.log.WithError(err).Warn("discovery call failed")
 	p.router.ReportNoList()
 }
 
-// watchDiscovery reports the list and its changes until a call fails or the context ends. A watch that has fallen silent, or tells
-// what is older than the list, is given up for the whole list.
+// watchDiscovery reports the list and its changes until a call fails or the context ends. After a
+// timeout, or an answer older than the held list, it requests the full list.
 func (p *Program) watchDiscovery(ctx context.Context, address string) error {
 	client := protocol.NewDiscovery(p.descriptors, address)
 	defer client.Close(transport.ShutDown)
@@ -172,7 +170,7 @@
 		timedOut := errors.Is(err, transport.TimedOut)
 		switch {
 		case timedOut || err == nil && !isFullFetch && !targets.IsFull && targets.Generation < generation:
-			p.log.WithField("silent", timedOut).Info("the whole list is asked for")
+			p.log.WithField("silent", timedOut).Info("requesting the full target list from discovery")
 			p.discovery.dropGeneration()
 			fetch = p.fetchNow
 		case err != nil:
@@ -187,11 +185,12 @@
 	}
 }
 
-// fetchNow asks for what is newer than the list that is held, which is less for discovery to tell when many drivers come back to
-// it at once, or for all of it where there is none, and tells which. That takes no longer than the context lasts: after
-// AnswerWithin the module hears that it failed, and the call is given up once it wants another. It guards against answers that are
-// written as they are given up, time after time, where discovery has many to answer in turn.
-func (p *Program) fetchNow(ctx context.Context, client *protocol.Discovery) (targets protocol.Targets, isFullFetch bool, err error) {
+// fetchNow requests changes since the held list, or the full list if there is none, and reports
+// which. After DiscoveryTimeout it reports a failure to the router but keeps waiting until the
+// router asks again, so that a slow discovery does not write answers to calls that were just
+// cancelled.
+func (p *Program) fetchNow(ctx context.Context, client *protocol.Discovery) (
+	targets protocol.Targets, isFullFetch bool, err error) {
 	call, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(p.config.DiscoveryTimeout, func() {
 		if p.discovery.markOverdue(call) {
@@ -208,8 +207,9 @@
 	return targets, true, err
 }
 
-// fetchChanges waits for what is newer than the list that is held.
-func (p *Program) fetchChanges(ctx context.Context, client *protocol.Discovery) (targets protocol.Targets, isFullFetch bool, err error) {
+// fetchChanges waits for changes since the held list.
+func (p *Program) fetchChanges(ctx context.Context, client *protocol.Discovery) (
+	targets protocol.Targets, isFullFetch bool, err error) {
 	wait := p.discovery.nextWait(p.config.WatchTimeout)
 	callCtx, cancel := context.WithTimeoutCause(ctx, wait+watchAnswerGrace, transport.TimedOut)
 	defer cancel()
--- a/internal/program/limits.go
+++ b/internal/program/limits.go
@@ -6,9 +6,9 @@
 	"runtime/debug"
 )
 
-const heapLimitFraction = 0.7 // of the memory allowed
+const heapLimitFraction = 0.7 // fraction of the memory limit that the Go heap may use
 
-// ApplyLimits tells the runtime what this process may use.
+// ApplyLimits sets GOMAXPROCS and the runtime's memory limit from the configured limits.
 func (p *Config) ApplyLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	debug.SetMemoryLimit(int64(float64(p.MemoryMB<<20) * heapLimitFraction))
--- a/internal/program/lobby.go
+++ b/internal/program/lobby.go
@@ -12,38 +12,37 @@
 )
 
 const (
-	newClientIdleTimeout    = 2 * time.Second        // a client may wait that has asked for no RPC yet
-	servedClientIdleTimeout = 3 * time.Second        // a client may wait that has
-	servedClientMinIdle     = 2 * time.Second        // and is not let go sooner while there is any other way
-	partialMessageTimeout   = time.Second            // and then for the rest of one that it has begun
-	newClientMinIdle        = 100 * time.Millisecond // a stranger that has waited for so long makes room first
+	newClientIdleTimeout    = 2 * time.Second        // until a client without an RPC is closed
+	servedClientIdleTimeout = 3 * time.Second        // until a client that has made an RPC is closed
+	servedClientMinIdle     = 2 * time.Second        // before it may be evicted without force
+	partialMessageTimeout   = time.Second            // to complete a partly received message
+	newClientMinIdle        = 100 * time.Millisecond // before a client without an RPC may be evicted
 	sweepInterval           = 100 * time.Millisecond
-	idleClientsDivisor      = 6 // strangers, and guests, hold this part of the descriptors at the most
+	idleClientsDivisor      = 6 // each list holds at most 1/6 of the descriptors
 )
 
-// idleClients knows the clients that nothing is done for just now: strangers, who have asked for no RPC yet, and guests,
-// who have. Of both the one longest there comes first. It lets go of those that stay too long, so that no client
-// holds a connection for nothing, of those that waited longest where too many wait, since clients that may have no
-// more connections open no other, and of strangers first when room is short: crowds of them keep no guest out.
+// idleClients tracks the clients without a running query, in the order in which they became idle:
+// new clients, which have made no RPC yet, and served clients, which have. It closes clients that
+// are idle for too long or too many, and evicts new clients first when descriptors run short.
 type idleClients struct {
 	descriptors   *transport.Descriptors
 	mu            sync.Mutex
 	newClients    list.List
 	servedClients list.List
 	draining      bool
-	overusedCell  func() cells.Cell // whose clients go first where room is short; nil where there are no cells
+	overusedCell  func() cells.Cell // cell whose clients are evicted first; nil without cells
 }
 
-// idleClient is a client's place in the lobby.
+// idleClient is an entry of idleClients.
 type idleClient struct {
-	client       protocol.Client
-	cell         cells.Cell // of its last RPC
+	conn         protocol.Client
+	cell         cells.Cell // cell of the last RPC
 	idleSince    time.Time
-	partialSince time.Time // when it was found to have begun a message, zero for never
+	partialSince time.Time // when a partial message was first seen; zero for never
 }
 
-// add gives a client a place while it waits, as a guest or a stranger. Once clients are to go it is let go, unless
-// its query has come.
+// add tracks a client until remove is called. While draining it closes the client, unless a query
+// has arrived.
 func (l *idleClients) add(c protocol.Client, isServed bool, cell cells.Cell) (remove func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +53,7 @@
 	if l.draining {
 		c.StopIfIdle(transport.ShutDown)
 	}
-	element := clients.PushBack(&idleClient{client: c, cell: cell, idleSince: time.Now()})
+	element := clients.PushBack(&idleClient{conn: c, cell: cell, idleSince: time.Now()})
 	if clients.Len() > l.descriptors.Limit()/idleClientsDivisor {
 		l.evictOne(clients, newClientMinIdle, isServed)
 	}
@@ -65,16 +64,17 @@
 	}
 }
 
-// evict lets a client go, and tells whether there is one to go: the stranger that has waited longest, or else the guest that
-// has. Unless it must be, none that has just come.
+// evict closes an idle client and reports whether there was one: the longest idle new client, or
+// else the longest idle served client. Without force it spares clients that became idle only
+// recently.
 func (l *idleClients) evict(force bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.evictOne(&l.newClients, newClientMinIdle, force) || l.evictOne(&l.servedClients, servedClientMinIdle, force)
 }
 
-// evictOne lets the first client of a room go that has begun no message, if it has waited for a while; where one cell's
-// clients hold more than its share, one of those. The lock is held.
+// evictOne closes the longest idle client of a list that has sent no partial message, with
+// preference for the overused cell. The lock is held.
 func (l *idleClients) evictOne(clients *list.List, minIdle time.Duration, force bool) bool {
 	if l.overusedCell != nil {
 		if cell := l.overusedCell(); cell != cells.NoCell && l.evictFromCell(clients, minIdle, force, cell) {
@@ -84,14 +84,15 @@
 	return l.evictFromCell(clients, minIdle, force, cells.NoCell)
 }
 
-// evictFromCell is part for the clients of one cell, or with NoCell of any. The lock is held.
+// evictFromCell is evictOne for the clients of one cell, or of any cell for NoCell. The lock is
+// held.
 func (l *idleClients) evictFromCell(clients *list.List, minIdle time.Duration, force bool, cell cells.Cell) bool {
 	for element := clients.Front(); element != nil; element = element.Next() {
 		client := element.Value.(*idleClient)
 		if !force && time.Since(client.idleSince) < minIdle {
 			return false
 		}
-		if (cell == cells.NoCell || cell == client.cell) && client.client.StopIfIdle(transport.Evicted) {
+		if (cell == cells.NoCell || cell == client.cell) && client.conn.StopIfIdle(transport.Evicted) {
 			clients.Remove(element)
 			return true
 		}
@@ -99,7 +100,7 @@
 	return false
 }
 
-// runSweeper lets go of those that stay too long, until the context ends.
+// runSweeper closes clients that have been idle for too long, until the context ends.
 func (l *idleClients) runSweeper(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -114,8 +115,8 @@
 	}
 }
 
-// stopBeforeLastAnswer tells, before a client gets the answer to all that was read from it, whether that is its last: once clients are to
-// go, nothing more is read, so that what it sends behind the answer is never taken.
+// stopBeforeLastAnswer stops reading from a client while draining, and reports whether the answer
+// about to be sent is its last. Nothing that the client sends after that answer is processed.
 func (l *idleClients) stopBeforeLastAnswer(c protocol.Client) bool {
 	l.mu.Lock()
 	draining := l.draining
@@ -123,8 +124,8 @@
 	return draining && c.ForceStopIfIdle(transport.ShutDown) && c.Await(1) == transport.ShutDown
 }
 
-// sweep lets go of those in a room longer than stay; one that has begun a message then has a rest to finish it. Once clients
-// are to go, all have stayed long enough.
+// sweep closes the clients of a list that have been idle for maxIdle, or at once while draining. A
+// client with a partial message has messageTimeout to complete it.
 func (l *idleClients) sweep(clients *list.List, now time.Time, maxIdle, messageTimeout time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,23 +143,23 @@
 			client.partialSince = now
 		}
 		switch {
-		case client.client.StopIfIdle(reason):
+		case client.conn.StopIfIdle(reason):
 			clients.Remove(current)
 		case now.Sub(client.partialSince) >= messageTimeout:
-			client.client.Interrupt(transport.Stalled)
+			client.conn.Interrupt(transport.Stalled)
 			clients.Remove(current)
 		}
 	}
 }
 
-// drain lets all clients go, each between two queries.
+// drain closes all clients, each between two queries.
 func (l *idleClients) drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
 	for _, clients := range []*list.List{&l.newClients, &l.servedClients} {
 		for element := clients.Front(); element != nil; element = element.Next() {
-			element.Value.(*idleClient).client.StopIfIdle(transport.ShutDown)
+			element.Value.(*idleClient).conn.StopIfIdle(transport.ShutDown)
 		}
 	}
 }
--- a/internal/program/peers.go
+++ b/internal/program/peers.go
@@ -12,7 +12,7 @@
 	"sedgespread/internal/routing"
 )
 
-// peers are the fellow drivers, reached by datagrams.
+// peers exchanges datagrams with the other drivers.
 type peers struct {
 	socket      *net.UDPConn
 	destination netip.AddrPort
@@ -20,7 +20,7 @@
 	dropped     atomic.Int64
 }
 
-// newPeers opens the datagram socket, where drivers may send one another something.
+// newPeers opens the datagram socket, unless peer messages are disabled.
 func newPeers(listen, peersAddress string, log logrus.FieldLogger) (*peers, error) {
 	if listen == "" || peersAddress == "" {
 		return &peers{}, nil
@@ -40,14 +40,15 @@
 	return &peers{socket: socket, destination: destination, log: log}, nil
 }
 
-// send sends a message to all fellow drivers. One that can't be sent is lost, as it might be on its way.
+// send sends a message to all peers. Errors are ignored, since datagrams may be lost anyway.
 func (p *peers) send(message []byte) {
 	if p.socket != nil {
 		p.socket.WriteToUDPAddrPort(message, p.destination)
 	}
 }
 
-// receive reports what fellow drivers send, and tells so, until the socket is closed.
+// receive reports messages from peers to the router and calls onMessage for each valid one, until
+// the socket is closed.
 func (p *peers) receive(r *routing.Router, onMessage func()) {
 	if p.socket == nil {
 		return
@@ -59,7 +60,8 @@
 			return
 		}
 		if !r.ReportNews(buffer[:n]) {
-			p.log.WithField("from", from).WithField("dropped", p.dropped.Add(1)).Warn("datagram is not a driver's")
+			p.log.WithField("from", from).WithField("dropped", p.dropped.Add(1)).
+				Warn("dropped a datagram that is not a valid peer message")
 			continue
 		}
 		onMessage()
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -12,24 +12,24 @@
 	"sedgespread/rules"
 )
 
-// memberPools are the connections to members. Each carries one statement at a time.
+// memberPools holds the connections to members. A connection carries one statement at a time.
 type memberPools struct {
 	lifetime       context.Context
 	descriptors    *transport.Descriptors
 	connectTimeout time.Duration
 	idleTimeout    time.Duration
-	maxAnswerBytes int                  // bytes
-	onNotPrimary   func(rules.MemberID) // hears at once of a member's word that it is no primary
+	maxAnswerBytes int
+	onNotPrimary   func(rules.MemberID) // called as soon as a member reports that it is not the primary
 
 	mu         sync.Mutex
 	idle       map[rules.MemberID][]memberConn
-	unanswered map[rules.MemberID]bool         // what was sent to it last was not answered in time
-	returns    map[rules.MemberID]*returnTimes // when connections to it were given back
+	unanswered map[rules.MemberID]bool         // the last statement timed out
+	returns    map[rules.MemberID]*returnTimes // when connections were returned to the pool
 }
 
-const maxAnswerDivisor = 16 // an answer may take this part of the memory allowed
+const maxAnswerDivisor = 16 // an answer may use at most 1/16 of the memory limit
 
-// memberConn is a connection that carries nothing.
+// memberConn is a connection to a member that carries no statement.
 type memberConn struct {
 	protocol.Member
 	address   string
@@ -37,13 +37,14 @@
 	idleSince time.Time
 }
 
-// isUsable tells whether an idle connection leads to an address, and will not just be closed there for being idle.
+// isUsable reports whether an idle connection leads to the address and is not about to be closed by
+// the member's idle timeout.
 func (l memberConn) isUsable(address string, idleTimeout time.Duration) bool {
 	return l.Idle() && l.address == address && time.Since(l.idleSince) < idleTimeout*9/10
 }
 
-// closeUnlessQuiet tells whether nothing came while it was idle. One on which something did is closed: that would be taken for
-// the next answer.
+// closeUnlessQuiet reports whether no input arrived while the connection was idle. Otherwise it
+// closes the connection, since that input would be taken for the next answer.
 func (l memberConn) closeUnlessQuiet() bool {
 	if l.HasNoPendingInput() {
 		return true
@@ -52,14 +53,16 @@
 	return false
 }
 
-func newMemberPools(lifetime context.Context, descriptors *transport.Descriptors, config *Config, onNotPrimary func(rules.MemberID)) *memberPools {
-	return &memberPools{lifetime: lifetime, descriptors: descriptors, connectTimeout: config.ConnectTimeout, idleTimeout: config.IdleTimeout,
-		maxAnswerBytes: int(config.MemoryMB << 20 / maxAnswerDivisor), onNotPrimary: onNotPrimary, idle: map[rules.MemberID][]memberConn{},
+func newMemberPools(lifetime context.Context, descriptors *transport.Descriptors, config *Config,
+	onNotPrimary func(rules.MemberID)) *memberPools {
+	return &memberPools{lifetime: lifetime, descriptors: descriptors, connectTimeout: config.ConnectTimeout,
+		idleTimeout: config.IdleTimeout, maxAnswerBytes: int(config.MemoryMB << 20 / maxAnswerDivisor),
+		onNotPrimary: onNotPrimary, idle: map[rules.MemberID][]memberConn{},
 		unanswered: map[rules.MemberID]bool{}, returns: map[rules.MemberID]*returnTimes{}}
 }
 
-// query sends a statement to a member and waits for what comes of it. The statement is told how long that may take. Whether
-// it may begin is asked once it has its connection, just before the first byte is written.
+// query sends a statement to a member and waits for its outcome. It calls mayStart once it has a
+// connection, just before the first byte is written; statement receives the time that is left.
 func (p *memberPools) query(ctx context.Context, member rules.MemberID, address string, mayStart func() bool,
 	statement func(within time.Duration) []string) routing.Outcome {
 	conn, ok := p.takeIdle(member, address)
@@ -81,7 +84,8 @@
 	return routing.Outcome{Answer: answer, Sent: sent, End: reason, Opened: conn.openedAt}
 }
 
-// checkStart tells that what waited for a connection may begin, or the End for which it may not.
+// checkStart returns Open if an operation that waited for a connection may start, or else the
+// reason why not.
 func checkStart(ctx context.Context, mayStart func() bool) transport.CloseReason {
 	if reason := transport.CloseReasonOf(ctx); reason != transport.Open {
 		return reason
@@ -92,17 +96,15 @@
 	return transport.Open
 }
 
-// descriptorRetryInterval is how long to wait before it is looked again for a descriptor: what holds one is an attempt, a probe or a
-// client, which take some milliseconds.
+// descriptorRetryInterval is the interval between attempts to obtain a descriptor.
 const descriptorRetryInterval = 5 * time.Millisecond
 
-// dial opens a connection, if need be in place of one that is idle, or once there is one or a descriptor to spare. It guards
-// against members that are taken for silent where there are more of them than descriptors, and against clients kept out since
-// connections to members that carry nothing hold all.
+// dial opens a connection. If no descriptor is free, it evicts an idle connection or waits for a
+// descriptor. It keeps some descriptors free for clients by evicting idle connections early.
 func (p *memberPools) dial(ctx context.Context, member rules.MemberID, address string) (memberConn, transport.CloseReason) {
 	dialCtx, stop := context.WithTimeoutCause(ctx, p.connectTimeout, transport.DialTimedOut)
 	defer stop()
-	if p.descriptors.Free() <= p.descriptors.Limit()/idleClientsDivisor { // as much as waiting clients may hold is left to clients
+	if p.descriptors.Free() <= p.descriptors.Limit()/idleClientsDivisor {
 		p.evict()
 	}
 	onNotPrimary := func() { p.onNotPrimary(member) }
@@ -114,7 +116,7 @@
 	return memberConn{Member: conn, address: address, openedAt: now, idleSince: now}, reason
 }
 
-// sleep waits for a while, and tells whether the context lasts longer.
+// sleep waits for the duration and reports whether the context is still live.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -126,7 +128,7 @@
 	}
 }
 
-// recordResult notes whether a member answered in time.
+// recordResult records whether a member answered in time.
 func (p *memberPools) recordResult(member rules.MemberID, answered bool, reason transport.CloseReason) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,14 +139,15 @@
 	}
 }
 
-// returnTimes are the last times when a connection was given back, oldest at next.
+// returnTimes is a ring of the most recent times when a connection was returned; next is the
+// oldest.
 type returnTimes struct {
 	at   [steadyReturns]time.Time
 	next int
 }
 
-// A member's connections are in steady use where so many were given back within that time: more often than it is probed.
-// Where use is thinner, one left alone is a connection more for an attempt now and then.
+// A member's connections are in steady use if steadyReturns of them were returned within
+// steadyWindow.
 const (
 	steadyReturns = 4
 	steadyWindow  = time.Second
@@ -157,9 +160,9 @@
 
 func (u *returnTimes) isSteady() bool { return u != nil && time.Since(u.at[u.next]) < steadyWindow }
 
-// reserved is how many idle connections to a member are to be left alone: the last one, where they are in steady use, so that
-// it costs little, or where what was sent last was not answered. If the member falls silent and answers later, and on that
-// one too, it ran all along. The lock is held.
+// reserved returns how many idle connections to a member to keep unused: one if its connections are
+// in steady use or its last statement timed out. If the member answers on that connection after a
+// period of silence, it was unreachable but did not restart. The lock is held.
 func (p *memberPools) reserved(member rules.MemberID) int {
 	if p.unanswered[member] || p.returns[member].isSteady() {
 		return 1
@@ -167,14 +170,15 @@
 	return 0
 }
 
-// takeIdle takes the idle connection to a member that was used last, if it is not to be left alone.
+// takeIdle takes the most recently used idle connection to a member, except the reserved one.
 func (p *memberPools) takeIdle(member rules.MemberID, address string) (memberConn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.takeNewest(member, address, p.reserved(member))
 }
 
-// takeOldest takes the idle connection to a member that was left alone longest, if the one given back last is another.
+// takeOldest takes the connection to a member that has been idle longest, if there are at least
+// two.
 func (p *memberPools) takeOldest(member rules.MemberID, address string) (memberConn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +191,8 @@
 	return conn, conn.closeUnlessQuiet()
 }
 
-// takeNewest takes the idle connection to a member that was used last, if more than so many are there. The lock is held.
+// takeNewest takes the most recently used idle connection to a member, if more than reserved
+// remain. The lock is held.
 func (p *memberPools) takeNewest(member rules.MemberID, address string, reserved int) (memberConn, bool) {
 	p.prune(member, func(conn memberConn) bool { return !conn.isUsable(address, p.idleTimeout) })
 	for last := len(p.idle[member]) - 1; last >= reserved; last-- {
@@ -200,7 +205,7 @@
 	return memberConn{}, false
 }
 
-// prune lets go of idle connections that have ended or are unwanted. The lock is held.
+// prune closes the idle connections to a member that have ended or are unwanted. The lock is held.
 func (p *memberPools) prune(member rules.MemberID, unwanted func(memberConn) bool) {
 	p.idle[member] = closeUnless(p.idle[member], func(l memberConn) bool { return l.Idle() && !unwanted(l) })
 	if len(p.idle[member]) == 0 {
@@ -208,7 +213,7 @@
 	}
 }
 
-// closeUnless lets go of the links that are not good.
+// closeUnless closes the connections that are not wanted and returns the others.
 func closeUnless(conns []memberConn, isWanted func(memberConn) bool) []memberConn {
 	return slices.DeleteFunc(conns, func(l memberConn) bool {
 		if isWanted(l) {
@@ -219,7 +224,7 @@
 	})
 }
 
-// put gives a connection back that carries nothing since a time.
+// put returns a connection to the pool, idle since the given time.
 func (p *memberPools) put(member rules.MemberID, conn memberConn, idleSince time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -239,7 +244,7 @@
 	p.prune(member, func(memberConn) bool { return true })
 }
 
-// forget lets go of all that is known of a member.
+// forget closes the idle connections to a member and deletes its state.
 func (p *memberPools) forget(member rules.MemberID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,7 +253,7 @@
 	delete(p.returns, member)
 }
 
-// evict closes the connection that has been idle longest, and tells whether there was one.
+// evict closes the connection that has been idle longest and reports whether there was one.
 func (p *memberPools) evict() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -17,20 +17,20 @@
 	"sedgespread/internal/protocol"
 )
 
-// Config is where a driver is to work, and what it is told before it starts.
+// Config is the configuration of a driver, read from the environment and the configuration file.
 type Config struct {
 	Name, Listen, Discovery  string
-	PeerListen, PeersAddress string // empty where drivers send one another nothing
+	PeerListen, PeersAddress string // empty if peer messages are disabled
 	Seed                     int64
 	Cores                    float64
 	MemoryMB, Sockets        int64
 	KnownTargets             protocol.Targets
 	Settings                 *briefing.Parts
 	ConnectTimeout           time.Duration
-	IdleTimeout              time.Duration    // a connection to a member may be idle so long
-	WatchTimeout             time.Duration    // a watch waits for news so long
-	DiscoveryTimeout         time.Duration    // discovery may take so long for an answer
-	OperatorConfig           *operator.Orders // nil without an operator's file
+	IdleTimeout              time.Duration    // of connections to members
+	WatchTimeout             time.Duration    // wait time of a discovery watch
+	DiscoveryTimeout         time.Duration    // of discovery calls that do not wait for changes
+	OperatorConfig           *operator.Orders // nil without an operator file
 	path, operatorPath       string
 }
 
@@ -42,7 +42,7 @@
 	maxConfigBytes        = 4 << 20
 )
 
-// ReadConfig reads the environment and the file that it names.
+// ReadConfig reads the environment and the files that it names.
 func ReadConfig(env func(string) string) (*Config, error) {
 	for _, name := range []string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"} {
 		if env(name) == "" {
@@ -63,7 +63,8 @@
 	return p, err
 }
 
-// Reload reads the file once more. What it does not say stays; the environment counts at the start alone.
+// Reload reads the configuration file again. Fields that it omits keep their values; the
+// environment is not consulted again.
 func (p *Config) Reload() (*Config, error) {
 	next, err := readConfigFile(p.path)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return p, nil
 }
 
-// readBounded reads a file that is not too long, and of one that is no more than that.
+// readBounded reads a file of at most maxConfigBytes.
 func readBounded(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -97,7 +98,7 @@
 	defer file.Close()
 	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
 	if err == nil && len(text) > maxConfigBytes {
-		err = errors.New("the file is too long")
+		err = errors.New("file is too long")
 	}
 	return text, err
 }
@@ -119,18 +120,19 @@
 	}
 	delete(file.Rest, "known")
 	delete(file.Rest, "settings")
-	rest := briefing.Flatten("file", file.Rest)
-	p := &Config{Name: rest.At("name"), Listen: rest.At("listen"), Discovery: rest.At("discovery"),
-		PeerListen: rest.At("peer_listen"), PeersAddress: rest.At("peers_all"), Cores: rest.NumberOr("limits.cores", 1), MemoryMB: rest.Integer("limits.memory_mb"),
-		Sockets: rest.Integer("limits.sockets"), Settings: briefing.Flatten("settings", file.Settings)}
-	seed, err := strconv.ParseUint(rest.Text("seed"), 16, 64)
+	fields := briefing.Flatten("file", file.Rest)
+	p := &Config{Name: fields.At("name"), Listen: fields.At("listen"), Discovery: fields.At("discovery"),
+		PeerListen: fields.At("peer_listen"), PeersAddress: fields.At("peers_all"),
+		Cores: fields.NumberOr("limits.cores", 1), MemoryMB: fields.Integer("limits.memory_mb"),
+		Sockets: fields.Integer("limits.sockets"), Settings: briefing.Flatten("settings", file.Settings)}
+	seed, err := strconv.ParseUint(fields.Text("seed"), 16, 64)
 	switch {
-	case rest.Err != nil:
-		return nil, rest.Err
+	case fields.Err != nil:
+		return nil, fields.Err
 	case err != nil:
-		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", rest.At("seed"))
+		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", fields.At("seed"))
 	case p.Cores <= 0 || p.MemoryMB < 16 || p.Sockets < 64:
-		return nil, fmt.Errorf("limits: cores, memory_mb or sockets is too small to work with")
+		return nil, fmt.Errorf("limits: cores, memory_mb or sockets is too small")
 	}
 	p.Seed = int64(seed)
 	if _, _, err := net.SplitHostPort(p.Discovery); p.Discovery != "" && err != nil {
@@ -145,11 +147,11 @@
 	return p, p.readTimeouts()
 }
 
-// readTimeouts reads how long the network may take.
+// readTimeouts derives the network timeouts from the settings.
 func (p *Config) readTimeouts() error {
 	duration := func(name string, fallback time.Duration) time.Duration {
-		if t := p.Settings.Time(name); t > 0 {
-			return time.Duration(t)
+		if value := p.Settings.Time(name); value > 0 {
+			return time.Duration(value)
 		}
 		return fallback
 	}
@@ -157,8 +159,8 @@
 	p.IdleTimeout = duration("limits.keepaliveUs", defaultIdleTimeout)
 	p.WatchTimeout = min(maxWatchTimeout, duration("safety.askEveryUs", defaultWatchTimeout))
 	p.DiscoveryTimeout = discoveryCallTimeout
-	if notice := p.Settings.Notice(); !notice.Asked {
-		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(notice.Grace/4)))
+	if drainNotice := p.Settings.Notice(); !drainNotice.Asked {
+		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(drainNotice.Grace/4)))
 	}
 	if !p.Settings.BoolOr("limits.peerMessages", false) {
 		p.PeersAddress = ""
@@ -167,13 +169,13 @@
 }
 
 func decodeJSON(text []byte, into any) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
-	if err := d.Decode(into); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(into); err != nil {
 		return err
 	}
-	if d.More() {
-		return errors.New("something follows the object")
+	if decoder.More() {
+		return errors.New("unexpected data after the JSON object")
 	}
 	return nil
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program joins the layers into the driver that runs: sessions of clients, pools of connections to members,
-// discovery, fellow drivers, readiness, and how it leaves.
+// Package program assembles the driver process: client sessions, member connection pools,
+// discovery, peers, readiness and graceful shutdown.
 package program
 
 import (
@@ -17,35 +17,37 @@
 	"sedgespread/internal/transport"
 )
 
-// Program is one driver at work.
+// Program is a running driver.
 type Program struct {
 	config           *Config
 	log              logrus.FieldLogger
-	lifetime         context.Context // of connections
+	lifetime         context.Context // of connections; ends after shutdown
 	descriptors      *transport.Descriptors
 	router           *routing.Router
 	pools            *memberPools
 	prober           *prober
 	idleClients      *idleClients
 	cancels          *cancelRegistry
-	overflow         *transport.OverflowBudget // for what clients send behind open queries
+	overflow         *transport.OverflowBudget // for input that clients pipeline behind a running query
 	peers            *peers
 	discovery        *discoverySource
 	readiness        *readiness
-	operatorServices *operatorServices // nil without an operator's file
-	tasks            errgroup.Group    // attempts, probes and the watch
+	operatorServices *operatorServices // nil without an operator file
+	tasks            errgroup.Group    // attempts, probes and the discovery watch
 }
 
-// drainDelay is how long after a notice to leave clients may still be sent here.
+// drainDelay is how long this driver keeps accepting clients after a shutdown request, so that
+// clients learn of it first.
 const drainDelay = 600 * time.Millisecond
 
-// Run serves until the context ends, and then leaves in good order. Each time reload tells something the posting's
-// file is read again.
+// Run serves until the context ends and then shuts down gracefully. It reloads the configuration
+// file on each signal from reload.
 func Run(ctx context.Context, config *Config, reload <-chan os.Signal, log logrus.FieldLogger) error {
 	lifetime, endLifetime := context.WithCancelCause(context.Background())
 	defer endLifetime(transport.ShutDown)
 	descriptors := transport.NewDescriptors(int(config.Sockets))
-	p := &Program{config: config, log: log, lifetime: lifetime, idleClients: &idleClients{descriptors: descriptors}, cancels: newCancelRegistry(), descriptors: descriptors,
+	p := &Program{config: config, log: log, lifetime: lifetime,
+		idleClients: &idleClients{descriptors: descriptors}, cancels: newCancelRegistry(), descriptors: descriptors,
 		overflow:  transport.NewOverflowBudget(int(config.MemoryMB<<20)/pipelinedMemoryDivisor, maxPipelinedBytes),
 		discovery: &discoverySource{address: config.Discovery, rng: rand.New(rand.NewSource(config.Seed))}}
 	var err error
@@ -73,7 +75,7 @@
 	return p.serve(ctx, endLifetime, listener, reload)
 }
 
-// serve works until the context ends, leaves, and then lets everything end.
+// serve runs all tasks until the context ends, shuts down, and waits for the tasks to end.
 func (p *Program) serve(ctx context.Context, endLifetime context.CancelCauseFunc, listener *transport.Listener,
 	reload <-chan os.Signal) error {
 	var sessions errgroup.Group
@@ -97,7 +99,7 @@
 	return p.tasks.Wait()
 }
 
-// acceptClients accepts clients until the door closes.
+// acceptClients accepts clients until the listener closes.
 func (p *Program) acceptClients(listener *transport.Listener, sessions *errgroup.Group) error {
 	reserved := p.descriptors.Limit() / 3 // for attempts and probes
 	for {
@@ -109,26 +111,26 @@
 	}
 }
 
-// freeDescriptor lets go of what holds a descriptor that a new client needs: a client that waits, or where none does and it must be a
-// connection to a member that carries nothing.
+// freeDescriptor frees a descriptor for a new client by evicting an idle client or, if forced and
+// there is none, an idle connection to a member.
 func (p *Program) freeDescriptor(force bool) {
 	if !p.idleClients.evict(force) && force {
 		p.pools.evict()
 	}
 }
 
-// shutDown serves on while clients may still be sent here, then lets them go, each as soon as what was read from it is answered.
+// shutDown keeps serving for drainDelay and then closes each client connection once its queries are
+// answered.
 //
-//	phase    what                                                                    for at most
-//	staying  all is as ever: clients may still be sent here                          stayFor
-//	parting  the door is closed; who rests is let go, who has begun a message has    restFor, then what
-//	         a rest to finish it; what was read is answered, and nothing more is     an RPC may take
-//	         read before its connection's last answer
-//	closing  each connection: this side ends its sending, reads on for nothing,      longestWrite and
-//	         and closes once the client has ended too                                lingerFor
+//	phase     behavior                                                     limit
+//	draining  everything is served; clients may still connect              drainDelay
+//	closing   the listener is closed; idle clients are closed; a partial   partialMessageTimeout, then
+//	          message may be completed; received queries are answered,     the longest RPC timeout
+//	          and nothing is read before a connection's last answer
+//	linger    each connection: the driver closes its side, discards        clientWriteTimeout and
+//	          input, and closes once the client has closed its side        lingerTime
 //
-// An RPC takes no longer than its client waits, so the whole ends by itself. The bound is for clients that send so many
-// queries behind one another that they would not all be answered.
+// The overall limit is for clients that pipeline more queries than can be answered in that time.
 func (p *Program) shutDown(listener *transport.Listener, sessions *errgroup.Group) {
 	p.log.Info("leaving")
 	time.Sleep(drainDelay)
@@ -139,6 +141,6 @@
 	select {
 	case <-ended:
 	case <-time.After(partialMessageTimeout + p.router.LongestLeft() + clientWriteTimeout + lingerTime):
-		p.log.Warn("clients are still here")
+		p.log.Warn("shutdown timed out with clients still connected")
 	}
 }
--- a/internal/program/readiness.go
+++ b/internal/program/readiness.go
@@ -9,15 +9,15 @@
 	"sedgespread/rules"
 )
 
-// readiness is reached once discovery has been asked and each member it serves has been probed, or told
-// of by a fellow driver, if probes are made.
+// readiness tracks whether this driver is ready: discovery has been asked, and each serving member
+// has been probed or reported by a peer, if probes are enabled.
 type readiness struct {
 	ready chan struct{}
 
 	mu             sync.Mutex
 	discoveryAsked bool
 	isReady        bool
-	probed         map[rules.MemberID]bool // probed, of no more use once ready
+	probed         map[rules.MemberID]bool // members whose probe has ended; nil once ready
 	awaited        map[rules.MemberID]bool
 }
 
@@ -25,7 +25,7 @@
 	return &readiness{ready: make(chan struct{}), probed: map[rules.MemberID]bool{}, awaited: map[rules.MemberID]bool{}}
 }
 
-// recordProbe notes that a probe of a member has ended.
+// recordProbe records that a probe of a member has ended.
 func (r *readiness) recordProbe(member rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// recordPeerMessage looks whether fellow drivers told of members that are waited for.
+// recordPeerMessage stops waiting for members that peers have reported.
 func (r *readiness) recordPeerMessage(router *routing.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,14 +46,15 @@
 	r.dropKnown(router)
 }
 
-// dropKnown waits no longer for members that are known of by now, or are to get nothing new: those are not probed any more. The
-// lock is held.
+// dropKnown stops waiting for members that are known by now, or that may not be probed any more.
+// The lock is held.
 func (r *readiness) dropKnown(router *routing.Router) {
 	maps.DeleteFunc(r.awaited, func(m rules.MemberID, _ bool) bool { return router.Met(m) || !router.MayLook(m) })
 	r.check()
 }
 
-// recordList notes what discovery told; nothing where it could not be asked: what was known before must do.
+// recordList records an answer from discovery. The list is empty if discovery could not be reached;
+// the previously known targets are used then.
 func (r *readiness) recordList(router *routing.Router, targets protocol.Targets) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +71,7 @@
 	r.dropKnown(router)
 }
 
-// check tells once that readiness is reached. The lock is held.
+// check closes the ready channel once the driver is ready. The lock is held.
 func (r *readiness) check() {
 	if r.discoveryAsked && len(r.awaited) == 0 {
 		r.isReady, r.probed, r.awaited = true, nil, nil
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -8,7 +8,7 @@
 	"sedgespread/internal/briefing"
 )
 
-// reloadOnSignal reads the posting's file again each time it is told to, until this driver's life ends.
+// reloadOnSignal reloads the configuration on each signal, until the driver's lifetime ends.
 func (p *Program) reloadOnSignal(signals <-chan os.Signal) {
 	for config := p.config; ; {
 		select {
@@ -20,15 +20,15 @@
 	}
 }
 
-// reload puts to work what the file says now, as far as that can change while running, and gives what is held from
-// here on. A file that can't be read changes nothing.
+// reload reads the configuration file again, applies the fields that can change at run time, and
+// returns the configuration that is now in effect. An invalid file changes nothing.
 func (p *Program) reload(config *Config) *Config {
 	next, err := config.Reload()
 	if err == nil && p.operatorServices != nil {
 		err = p.operatorServices.reload(p.config.operatorPath)
 	}
 	if err != nil {
-		p.log.WithError(err).Warn("reload refused")
+		p.log.WithError(err).Warn("reload failed; the old configuration stays in effect")
 		return config
 	}
 	next.ApplyLimits()
@@ -41,16 +41,16 @@
 	return next
 }
 
-// changedFixedFields names what a posting says otherwise than another and what only a start can change.
+// changedFixedFields returns the names of the fields that differ and need a restart to take effect.
 func (p *Config) changedFixedFields(other *Config) (names []string) {
-	for name, same := range map[string]bool{
+	for name, isSame := range map[string]bool{
 		"name":        other.Name == p.Name,
 		"listen":      other.Listen == p.Listen,
 		"peer_listen": other.PeerListen == p.PeerListen,
 		"peers_all":   other.PeersAddress == p.PeersAddress,
 		"settings":    briefing.Equal(p.Settings, other.Settings),
 	} {
-		if !same {
+		if !isSame {
 			names = append(names, name)
 		}
 	}
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(env["GW_CONFIG"], whole[:len(whole)/2], 0o600))
 	hup()
-	says("reload refused", 1)
+	says("reload failed; the old configuration stays in effect", 1)
 	require.NoError(t, os.WriteFile(env["GW_CONFIG"], whole, 0o600))
 	rewrite(t, env, func(file map[string]any) { file["limits"].(map[string]any)["sockets"] = "many" })
 	hup()
@@ -66,10 +66,10 @@
 		require.Equal(t, "from p", c.ask(t, statement("read", 1000)), "r drains")
 	}
 	require.Len(t, other.statements(), before)
-	require.NotContains(t, stderr.String(), "broke off")
+	require.NotContains(t, stderr.String(), "discovery call failed")
 
 	next.set(nil, "", true)
-	says("broke off", 1)
+	says("discovery call failed", 1)
 	rewrite(t, env, func(file map[string]any) { file["discovery"] = strings.TrimPrefix(old.URL, "http://") })
 	asked := old.calls()
 	hup()
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -12,9 +12,9 @@
 	"sedgespread/rules"
 )
 
-// serveClient serves one client for as long as its connection lasts.
+// serveClient serves a client connection until it closes.
 func (p *Program) serveClient(c protocol.Client) {
-	cell := cells.NoCell // of its last RPC, for which its connection counts
+	cell := cells.NoCell // cell of the last RPC, to which the connection is charged
 	removeIdle := p.idleClients.add(c, false, cell)
 	c.SetWriteTimeout(clientWriteTimeout)
 	entry, unregister := p.cancels.register()
@@ -26,7 +26,7 @@
 		if text, receivedAt, reason = c.ReadQuery(); reason != transport.Open {
 			break
 		}
-		if reason = c.CloseReason(); reason != transport.Open { // it asked and went: nothing is begun for it
+		if reason = c.CloseReason(); reason != transport.Open { // the client left after sending the query
 			break
 		}
 		removeIdle()
@@ -52,28 +52,27 @@
 	c.Close(reason)
 }
 
-// lingerTimes is how long, where this side ends a client's connection, the client may take to read what it was sent and to end
-// its own side. What it still sends meanwhile is read and thrown away: unread it would make the close a reset, which takes
-// an answer with it that is on its way. A request among it was never taken: its client, told of the end, asks elsewhere.
+// lingerTimes is how long the driver drains input after closing its side of a client connection.
+// Closing with unread input would reset the connection and discard the answer in flight.
 var lingerTimes = map[transport.CloseReason]time.Duration{
 	transport.Malformed: lingerTime,
 	transport.TooLong:   lingerTime,
 	transport.Stalled:   lingerTime,
 	transport.ShutDown:  lingerTime,
-	transport.Evicted:   lingerTime / 10, // its descriptor is wanted
+	transport.Evicted:   lingerTime / 10, // the descriptor is needed
 }
 
 const (
-	lingerTime         = 200 * time.Millisecond // a client may take to read what it was sent before its connection closes
-	maxLingerBytes     = 1 << 20                // bytes that it may still send meanwhile
-	clientWriteTimeout = 2 * time.Second        // a client may take to take its answer
+	lingerTime         = 200 * time.Millisecond // until a client has read its last answer and closed its side
+	maxLingerBytes     = 1 << 20                // input discarded while lingering
+	clientWriteTimeout = 2 * time.Second        // for a client to accept an answer
 
-	maxPipelinedBytes      = 1 << 20 // bytes that a client may send behind an open query
-	pipelinedMemoryDivisor = 16      // and all clients together, beyond their rings, this part of the memory
+	maxPipelinedBytes      = 1 << 20 // of one client, while its query runs
+	pipelinedMemoryDivisor = 16      // all clients together may buffer 1/16 of the memory limit
 )
 
-// serveQuery serves a client's query, whose last byte came at a time, and gives the trip of the RPC that it stood for, nil where none
-// was taken.
+// serveQuery serves a query whose last byte arrived at receivedAt. It returns the trip of the RPC,
+// or nil if the query was not admitted as one.
 func (p *Program) serveQuery(c protocol.Client, entry *cancelEntry, identity protocol.Identity, text string,
 	receivedAt time.Time) (trip *routing.Trip, reason transport.CloseReason) {
 	if strings.Trim(text, " \t\r\n;") == "" {
@@ -90,14 +89,17 @@
 	return trip, p.serveRPC(c, entry, &statement, trip)
 }
 
-// newCall is the RPC that a statement stands for which came at a time.
+// newCall converts a statement that arrived at receivedAt to an RPC.
 func newCall(statement *protocol.Statement, identity protocol.Identity, receivedAt time.Time) routing.Call {
 	const milli = int64(time.Millisecond)
-	return routing.Call{ID: statement.ID, Method: statement.Method, Key: statement.Key, Write: statement.Write, Repeat: statement.IsRetry, Group: rules.GroupID(statement.Group),
-		Left: statement.TimeoutMillis * milli, Came: receivedAt, Token: statement.MinPositionMillis * milli, User: identity.User, Base: identity.Database}
+	return routing.Call{ID: statement.ID, Method: statement.Method, Key: statement.Key, Write: statement.Write,
+		Repeat: statement.IsRetry, Group: rules.GroupID(statement.Group),
+		Left: statement.TimeoutMillis * milli, Came: receivedAt,
+		Token: statement.MinPositionMillis * milli, User: identity.User, Base: identity.Database}
 }
 
-// answerEmptyQuery is answered once this driver is ready.
+// answerEmptyQuery answers once this driver is ready; clients use an empty query as a readiness
+// check.
 func (p *Program) answerEmptyQuery(c protocol.Client) transport.CloseReason {
 	for _, ready := range append(p.readySignals(), p.readiness.ready) {
 		select {
@@ -109,7 +111,8 @@
 	return c.SendEmpty()
 }
 
-// readySignals are closed once this driver knows where its tenants are, and what it acts on; none where its file says so.
+// readySignals returns the channels that are closed once this driver has its cell lease and its
+// versions.
 func (p *Program) readySignals() []<-chan struct{} {
 	if p.operatorServices == nil {
 		return nil
@@ -117,9 +120,10 @@
 	return []<-chan struct{}{p.operatorServices.leaseReady, p.operatorServices.versionsReady}
 }
 
-// serveRPC does what the router picks for an RPC until that has its answer, and passes it on. Meanwhile the client is attended
-// to: once it has gone, or cancels, the RPC is left.
-func (p *Program) serveRPC(c protocol.Client, entry *cancelEntry, statement *protocol.Statement, trip *routing.Trip) transport.CloseReason {
+// serveRPC runs an RPC and sends its answer. The RPC is abandoned if the client leaves or cancels
+// it.
+func (p *Program) serveRPC(c protocol.Client, entry *cancelEntry, statement *protocol.Statement,
+	trip *routing.Trip) transport.CloseReason {
 	final := p.runAttempts(c, entry, statement, trip)
 	if final.Act == routing.Serve {
 		defer trip.Passed()
@@ -132,8 +136,9 @@
 	return reason
 }
 
-// runAttempts makes the attempts of an RPC, and gives its last step.
-func (p *Program) runAttempts(c protocol.Client, entry *cancelEntry, statement *protocol.Statement, trip *routing.Trip) routing.Step {
+// runAttempts runs the attempts of an RPC and returns the router's final step.
+func (p *Program) runAttempts(c protocol.Client, entry *cancelEntry, statement *protocol.Statement,
+	trip *routing.Trip) routing.Step {
 	defer context.AfterFunc(c.Context(), trip.Leave)()
 	defer p.cancels.setCancel(entry, trip.Leave)()
 	defer c.WatchForClose(p.overflow)()
@@ -149,7 +154,7 @@
 	}
 }
 
-// sendAnswer gives a client its final answer.
+// sendAnswer sends a client the final answer to its RPC.
 func (p *Program) sendAnswer(c protocol.Client, final routing.Step) transport.CloseReason {
 	switch final.Act {
 	case routing.Serve:
@@ -165,7 +170,7 @@
 	return c.SendFailure(protocol.Canceled())
 }
 
-// runAttempt makes an attempt. The member is told how long this driver waits.
+// runAttempt sends the statement to the selected member, with the time that is left as its timeout.
 func (p *Program) runAttempt(step routing.Step, statement *protocol.Statement, trip *routing.Trip) routing.Outcome {
 	mayStart := func() bool { return trip.May(step.Number) }
 	return p.pools.query(step.By, step.Member, step.Address, mayStart, func(timeout time.Duration) []string {
--- a/internal/program/shutdown_test.go
+++ b/internal/program/shutdown_test.go
@@ -74,7 +74,7 @@
 	require.Greater(t, time.Since(begun), 4500*time.Millisecond)
 	require.Equal(t, "end", c.reply(t))
 	p.ends(t, time.Second)
-	require.NotContains(t, p.text(), "still here")
+	require.NotContains(t, p.text(), "shutdown timed out")
 }
 
 // Guards against what was read before the shutdown and is not answered, and what comes after it and is sent on: queries behind
--- a/internal/program/standins_test.go
+++ b/internal/program/standins_test.go
@@ -190,6 +190,7 @@
 	m.opened++
 	m.mu.Unlock()
 	m.link.RLock()
+	//lint:ignore SA2001 waits while hold blocks the link
 	m.link.RUnlock()
 	io.WriteString(s, said("R", "\x00\x00\x00\x00")+said("Z", "I"))
 	for {
@@ -199,6 +200,7 @@
 		}
 		came := time.Now()
 		m.link.RLock()
+		//lint:ignore SA2001 waits while hold blocks the link
 		m.link.RUnlock()
 		io.WriteString(s, m.answer(s, strings.TrimSuffix(body, "\x00"), came))
 	}
