--- a/internal/program/alone_test.go
+++ b/internal/program/alone_test.go
@@ -13,14 +13,14 @@
 // Guards against parts for other installations that start on a platform which refuses them: told nothing but where to
 // work, a driver opens no Unix socket, starts no program and keeps no file open or behind.
 func TestNothingElseIsOpened(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	env := posting(t, newDiscovery(t, primary), nil)
+	primary := newFakeMember(t, "p", "leader")
+	env := writeConfig(t, newFakeDiscovery(t, primary), nil)
 	folder := t.TempDir()
 	env["TMPDIR"], env["HOME"] = folder, folder
-	cmd, _ := command(t, env)
+	cmd, _ := driverCommand(t, env)
 	cmd.Dir = folder
 	require.NoError(t, cmd.Start())
-	require.Equal(t, "from p", (&driver{address: env["GW_LISTEN"]}).client(t).ask(t, statement("write", 1000)))
+	require.Equal(t, "from p", (&testDriver{address: env["GW_LISTEN"]}).connect(t).ask(t, statement("write", 1000)))
 	process := fmt.Sprintf("/proc/%d/", cmd.Process.Pid)
 	unix, err := os.ReadFile(process + "net/unix")
 	require.NoError(t, err)
--- a/internal/program/fellows_test.go
+++ b/internal/program/fellows_test.go
@@ -15,8 +15,8 @@
 
 // Guards against connections that a fleet of drivers holds for probes alone: each costs its member work and room.
 func TestProbesShareConnections(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	c := start(t, newDiscovery(t, primary), nil).client(t)
+	primary := newFakeMember(t, "p", "leader")
+	c := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
 	for begun := time.Now(); time.Since(begun) < 1500*time.Millisecond; time.Sleep(20 * time.Millisecond) {
 		require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 	}
@@ -25,8 +25,8 @@
 	require.LessOrEqual(t, len(primary.conns), 2)
 }
 
-// peered makes a posting one of so many drivers that may tell one another something, and gives where this one hears it.
-func peered(t *testing.T, drivers int) (change func(file map[string]any), address string) {
+// withPeers makes a posting one of so many drivers that may tell one another something, and gives where this one hears it.
+func withPeers(t *testing.T, drivers int) (change func(file map[string]any), address string) {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address = socket.LocalAddr().String()
@@ -41,15 +41,15 @@
 
 // Guards against a driver of a large fleet that is not ready before it has probed each member, though its fellows tell
 // of them all, and against one that probes them all the same.
-func TestReadyByFellowsNews(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	change, address := peered(t, 2000)
-	env := posting(t, newDiscovery(t, primary), change)
-	cmd, _ := command(t, env)
+func TestReadyByPeerMessages(t *testing.T) {
+	primary := newFakeMember(t, "p", "leader")
+	change, address := withPeers(t, 2000)
+	env := writeConfig(t, newFakeDiscovery(t, primary), change)
+	cmd, _ := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
-	fellow, err := net.Dial("udp", address)
+	peer, err := net.Dial("udp", address)
 	require.NoError(t, err)
-	defer fellow.Close()
+	defer peer.Close()
 	key := fnv.New32a()
 	key.Write([]byte(primary.name))
 	ctx, stop := context.WithCancel(context.Background())
@@ -57,10 +57,10 @@
 	go func() {
 		for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 			now := time.Now().UnixMilli()
-			fellow.Write(protocol.AppendObservation(nil, protocol.Observation{Member: key.Sum32(), Role: 1, PositionMillis: now}, now))
+			peer.Write(protocol.AppendObservation(nil, protocol.Observation{Member: key.Sum32(), Role: 1, PositionMillis: now}, now))
 		}
 	}()
-	c := (&driver{address: env["GW_LISTEN"]}).client(t)
+	c := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
 	begun := time.Now()
 	require.Equal(t, "empty", c.ask(t, ""))
 	require.Less(t, time.Since(begun), 2*time.Second, "the first look at it is up to 16 s away")
@@ -72,20 +72,20 @@
 
 // Guards against a start that waits for members which drained before they were looked at, as they never will be.
 func TestReadyThoughAMemberDrains(t *testing.T) {
-	primary, replica := newMember(t, "p", "leader"), newMember(t, "r", "follower")
-	s := newScripted(t, newDiscovery(t, primary, replica), func(call int, path string, _ net.Conn) string {
+	primary, replica := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
+	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary, replica), func(call int, path string, _ net.Conn) string {
 		switch {
 		case call == 2:
-			return whole(entry(2, false, replica, "DRAINING"))
+			return httpOK(singleEntryList(2, false, replica, "DRAINING"))
 		case strings.Contains(path, "index"):
 			time.Sleep(time.Second)
-			return whole(listing(2, false))
+			return httpOK(targetList(2, false))
 		}
-		return whole(listing(1, true, line(primary, "SERVING"), line(replica, "SERVING")))
+		return httpOK(targetList(1, true, targetEntry(primary, "SERVING"), targetEntry(replica, "SERVING")))
 	})
 	begun := time.Now()
-	change, _ := peered(t, 300) // whose first looks are spread over 2.4 s
-	s.told(t, change)
+	change, _ := withPeers(t, 300) // whose first looks are spread over 2.4 s
+	s.startDriver(t, change)
 	require.Less(t, time.Since(begun), 5*time.Second)
 	_, looks := replica.counts()
 	require.Zero(t, looks, "it drained before it was looked at")
--- a/internal/program/follow_test.go
+++ b/internal/program/follow_test.go
@@ -40,7 +40,7 @@
 }
 
 // Guards against waits that would let a change be known too late, and against all drivers asking at once.
-func TestWaitsOfWatches(t *testing.T) {
+func TestWatchWaitTimes(t *testing.T) {
 	s := &discoverySource{rng: rand.New(rand.NewSource(1))}
 	shortest, longest := time.Hour, time.Duration(0)
 	for range 1000 {
@@ -56,7 +56,7 @@
 // Guards against a discovery that many drivers ask at once and that never gets to tell them all: it takes calls in turn, and one that was given up was
 // followed by one for the whole list. Days with 40 drivers on which discovery bears those of a few (herd+brink and herd+crowd+brink, seeds 14 and 15) broke
 // the rule on drains, 1 to 22 times, each by a driver that had not heard of a drain 6 s after it could be told.
-func TestACallThatIsOverdueIsMadeAgain(t *testing.T) {
+func TestOverdueCallIsRepeated(t *testing.T) {
 	s := &discoverySource{address: "at"}
 	stay, _, ok := s.begin(context.Background())
 	require.True(t, ok)
--- a/internal/program/idle_test.go
+++ b/internal/program/idle_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// says sends something on all connections that a member holds.
-func (m *member) says(text string) {
+// writeAll sends something on all connections that a member holds.
+func (m *fakeMember) writeAll(text string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c := range m.conns {
@@ -19,20 +19,20 @@
 
 // Guards against connections used again on which something came at rest, be it their end: it would be taken for the next
 // answer, or the statement be lost with the connection, and may have run.
-func TestConnectionsThatChangedAtRest(t *testing.T) {
-	for name, happens := range map[string]func(m *member){
-		"half a line":      func(m *member) { m.says("D\x00\x00") },
-		"an answer too":    func(m *member) { m.says(row("old") + said("Z", "I")) },
-		"a notice":         func(m *member) { m.says(said("N", "SNOTICE\x00\x00")) },
-		"a reset":          func(m *member) { m.dropAll() },
-		"an end":           func(m *member) { m.closeAll((*net.TCPConn).Close) },
-		"a half-close":     func(m *member) { m.closeAll((*net.TCPConn).CloseWrite) },
-		"half and its end": func(m *member) { m.says("D\x00\x00"); m.closeAll((*net.TCPConn).CloseWrite) },
+func TestIdleConnectionsWithInput(t *testing.T) {
+	for name, happens := range map[string]func(m *fakeMember){
+		"half a line":      func(m *fakeMember) { m.writeAll("D\x00\x00") },
+		"an answer too":    func(m *fakeMember) { m.writeAll(rowMessages("old") + message("Z", "I")) },
+		"a notice":         func(m *fakeMember) { m.writeAll(message("N", "SNOTICE\x00\x00")) },
+		"a reset":          func(m *fakeMember) { m.resetConns() },
+		"an end":           func(m *fakeMember) { m.closeConns((*net.TCPConn).Close) },
+		"a half-close":     func(m *fakeMember) { m.closeConns((*net.TCPConn).CloseWrite) },
+		"half and its end": func(m *fakeMember) { m.writeAll("D\x00\x00"); m.closeConns((*net.TCPConn).CloseWrite) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			primary := newMember(t, "p", "leader")
-			c := start(t, newDiscovery(t, primary), nil).client(t)
+			primary := newFakeMember(t, "p", "leader")
+			c := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
 			for n := range 5 {
 				require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 				happens(primary)
@@ -43,7 +43,7 @@
 	}
 }
 
-func (m *member) closeAll(how func(*net.TCPConn) error) {
+func (m *fakeMember) closeConns(how func(*net.TCPConn) error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c := range m.conns {
@@ -54,16 +54,16 @@
 // Guards against a member taken for the one that it has replaced under the same address: what was kept for that one is not
 // used for this, and nothing is sent to the one that is gone.
 func TestReplacedUnderTheSameAddress(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	d := newDiscovery(t, primary)
-	c := start(t, d, nil).client(t)
+	primary := newFakeMember(t, "p", "leader")
+	d := newFakeDiscovery(t, primary)
+	c := startDriver(t, d, nil).connect(t)
 	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 	eventually(t, "it is watched", func() bool { return d.calls() == 2 })
 	opened, _ := primary.counts()
 	primary.mu.Lock()
 	primary.name = "q"
 	primary.mu.Unlock()
-	d.set(primary, "SERVING", false)
+	d.setLifecycle(primary, "SERVING", false)
 	eventually(t, "the list is told", func() bool { return d.calls() == 3 })
 	require.Equal(t, "from q", c.ask(t, statement("write", 1000)))
 	now, _ := primary.counts()
--- a/internal/program/lobby_test.go
+++ b/internal/program/lobby_test.go
@@ -15,7 +15,7 @@
 
 // Guards against a query that is taken, and would have to be answered, behind the last answer on a connection that is shut:
 // its client sends it as soon as it has that answer, before this side has got as far as its end.
-func TestNothingIsTakenBehindTheLastAnswer(t *testing.T) {
+func TestNoQueryAfterLastAnswer(t *testing.T) {
 	d := transport.NewDescriptors(64)
 	door, err := transport.Listen("127.0.0.1:0", d, protocol.RingBytes)
 	require.NoError(t, err)
--- a/internal/program/pools_test.go
+++ b/internal/program/pools_test.go
@@ -13,7 +13,7 @@
 
 // Guards against the one connection that could outlive a cut link being spent: by members in steady use, and once
 // something was not answered.
-func TestLastConnectionIsLeftAlone(t *testing.T) {
+func TestReservedConnection(t *testing.T) {
 	const member = rules.MemberID(1)
 	p := &memberPools{unanswered: map[rules.MemberID]bool{}, returns: map[rules.MemberID]*returnTimes{}}
 	require.Equal(t, 0, p.reserved(member), "thin use")
@@ -37,7 +37,7 @@
 }
 
 // Guards against members that are taken for mute since this driver had no descriptor for a look at them.
-func TestNoDescriptorTellsNothing(t *testing.T) {
+func TestProbeWithoutDescriptor(t *testing.T) {
 	const member = rules.MemberID(1)
 	d := transport.NewDescriptors(0) // one, which is discovery's
 	l := newProber(newMemberPools(context.Background(), d, &Config{ConnectTimeout: 20 * time.Millisecond, MemoryMB: 32}, nil))
--- a/internal/program/posting_test.go
+++ b/internal/program/posting_test.go
@@ -13,16 +13,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-const goodPosting = `{"name":"n","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":256},"discovery":"h:1",
+const validConfig = `{"name":"n","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":256},"discovery":"h:1",
 "known":{"generation":3,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:2","lifecycle":"SERVING","startedAtMs":5}]},
 "settings":{"classes":[{"name":"r","effect":"repeatable","aimUs":5000,"giveUpUs":90000}],"extra":{"readLevel":["loose"]}}}`
 
-// FuzzPosting guards against a file that is read into what can't be worked with, or that ends the program in a trace.
-func FuzzPosting(f *testing.F) {
-	f.Add(goodPosting)
+// FuzzConfig guards against a file that is read into what can't be worked with, or that ends the program in a trace.
+func FuzzConfig(f *testing.F) {
+	f.Add(validConfig)
 	for _, change := range [][2]string{{`"8c1f"`, `-1`}, {`64`, `1e99`}, {`[{"name"`, `[[{"name"`}, {`90000`, `99999999999999999999`},
 		{`"SERVING"`, `null`}, {`5}`, `-5}`}, {`["loose"]`, `[["loose"]]`}, {`"effect"`, `"Effect"`}, {`5000`, `0`}} {
-		f.Add(strings.Replace(goodPosting, change[0], change[1], 1))
+		f.Add(strings.Replace(validConfig, change[0], change[1], 1))
 	}
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -17,8 +17,8 @@
 
 // Guards against the ordinary path: statements reach a member as they came, but for d, and answers come back.
 func TestServes(t *testing.T) {
-	primary, replica := newMember(t, "p", "leader"), newMember(t, "r", "follower")
-	c := start(t, newDiscovery(t, primary, replica), nil).client(t)
+	primary, replica := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
+	c := startDriver(t, newFakeDiscovery(t, primary, replica), nil).connect(t)
 	require.Equal(t, "empty", c.ask(t, " ;"))
 	read := statement("read", 1000)
 	require.Equal(t, "from r", c.ask(t, read))
@@ -30,22 +30,22 @@
 }
 
 // Guards against answers that come in another order than their queries.
-func TestQueriesBehindOneAnother(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	c := start(t, newDiscovery(t, primary), nil).client(t)
+func TestPipelinedQueries(t *testing.T) {
+	primary := newFakeMember(t, "p", "leader")
+	c := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
 	for _, q := range []string{statement("write", 1000), "", "nonsense", statement("write", 1000)} {
 		c.send(q)
 	}
 	for _, want := range []string{"from p", "empty", "42601", "from p"} {
-		require.Equal(t, want, c.reply(t))
+		require.Equal(t, want, c.readReply(t))
 	}
 }
 
 // Guards against one bad client that costs others their connections, and against its statements reaching a member.
 // Each gets an error or its connection's end.
 func TestBadClients(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), nil)
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), nil)
 	for query, want := range map[string]string{
 		"SELECT 1": "42601",
 		strings.Replace(statement("read", 100), "c=read", "c=neither", 1):                 "42601",
@@ -53,25 +53,25 @@
 		strings.Replace(statement("read", 100), "SELECT content", "SELECT content, 1", 1): "42601",
 		statement("read", 99_999): "42601",
 	} {
-		require.Equal(t, want, v.client(t).ask(t, query), query)
+		require.Equal(t, want, v.connect(t).ask(t, query), query)
 	}
 	for text, want := range map[string]string{
-		said("y", "what"):           "fatal 08P01 end",
-		"Q\x00\x00\x00\x01":         "fatal 08P01 end",
-		"Q\x7f\xff\xff\xff":         "fatal 08P01 end",
-		said("X", ""):               "end",
-		"Q\x00\x00\x00\x20cut":      "end",
-		"Q\x00\x00\x00\x20half":     "fatal 08P01 end",
-		"Q\x00\x00":                 "fatal 08P01 end",
-		"":                          "end",
-		"Q\x03\x93\x87\x00" + big(): "fatal 08P01 end",
+		message("y", "what"):             "fatal 08P01 end",
+		"Q\x00\x00\x00\x01":              "fatal 08P01 end",
+		"Q\x7f\xff\xff\xff":              "fatal 08P01 end",
+		message("X", ""):                 "end",
+		"Q\x00\x00\x00\x20cut":           "end",
+		"Q\x00\x00\x00\x20half":          "fatal 08P01 end",
+		"Q\x00\x00":                      "fatal 08P01 end",
+		"":                               "end",
+		"Q\x03\x93\x87\x00" + megabyte(): "fatal 08P01 end",
 	} {
-		bad, begun := v.client(t), time.Now()
+		bad, begun := v.connect(t), time.Now()
 		go io.WriteString(bad, text)
 		if strings.HasSuffix(text, "cut") {
 			bad.Conn.(*net.TCPConn).CloseWrite()
 		}
-		require.Equal(t, want, bad.reply(t), "%.80q", text)
+		require.Equal(t, want, bad.readReply(t), "%.80q", text)
 		require.Less(t, time.Since(begun), 3*time.Second)
 	}
 	silent, err := net.Dial("tcp", v.address)
@@ -80,21 +80,21 @@
 	silent.SetDeadline(time.Now().Add(3 * time.Second))
 	_, err = io.ReadAll(silent)
 	require.NoError(t, err, "one that says nothing at all is let go")
-	good := v.client(t)
+	good := v.connect(t)
 	require.Equal(t, "53300", good.ask(t, strings.Replace(statement("read", 100), "cluster=1", "cluster=9", 1)))
 	require.Equal(t, "from p", good.ask(t, statement("write", 1000)))
 	require.Len(t, primary.statements(), 1)
 }
 
-func big() string { return strings.Repeat("x", 1<<20) }
+func megabyte() string { return strings.Repeat("x", 1<<20) }
 
 // Guards against a client that asks and does not take its answers: what it holds up must be let go in the end.
 func TestClientThatDoesNotRead(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), nil)
-	tail := said("S", "node_role\x00leader\x00") + said("Z", "I")
-	primary.does("raw " + row(strings.Repeat(big(), 8)) + tail)
-	c := v.client(t)
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	tail := message("S", "node_role\x00leader\x00") + message("Z", "I")
+	primary.setBehavior("raw " + rowMessages(strings.Repeat(megabyte(), 8)) + tail)
+	c := v.connect(t)
 	for range 4 {
 		c.send(statement("write", 2000))
 	}
@@ -102,29 +102,29 @@
 		_, err := io.WriteString(c, "Q")
 		return err != nil
 	})
-	primary.does("")
-	require.Equal(t, "from p", v.client(t).ask(t, statement("write", 1000)))
+	primary.setBehavior("")
+	require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
 }
 
 // Guards against a client that uses the id of another's RPC: the member would see it twice, and answer one of both.
-func TestSameID(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), nil)
-	one, other := v.client(t), v.client(t)
-	primary.does("silent")
+func TestDuplicateRPCID(t *testing.T) {
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	one, other := v.connect(t), v.connect(t)
+	primary.setBehavior("silent")
 	query := statement("write", 300)
 	one.send(query)
 	eventually(t, "the attempt is out", func() bool { return len(primary.statements()) == 1 })
 	require.Equal(t, "42601", other.ask(t, query))
-	require.Equal(t, "08007", one.reply(t))
+	require.Equal(t, "08007", one.readReply(t))
 	require.Equal(t, "42601", other.ask(t, query), "nor is it taken when the other has just ended")
 	require.Len(t, primary.statements(), 1)
 }
 
 // Guards against clients that say nothing, or ask once and stay, and so keep all others out or hold memory for good.
-func TestClientsThatStay(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), func(file map[string]any) {
+func TestIdleClients(t *testing.T) {
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
 		file["limits"].(map[string]any)["sockets"] = 84
 	})
 	for range 100 {
@@ -133,53 +133,53 @@
 		defer c.Close()
 	}
 	begun := time.Now()
-	guest := v.client(t)
+	guest := v.connect(t)
 	require.Equal(t, "from p", guest.ask(t, statement("write", 1000)))
 	for range 60 { // ask nothing real, and stay
-		require.Equal(t, "empty", v.client(t).ask(t, ""))
+		require.Equal(t, "empty", v.connect(t).ask(t, ""))
 	}
 	require.Equal(t, "from p", guest.ask(t, statement("write", 1000)), "a crowd does not keep it out")
 	for range 20 { // ask once, and stay
-		require.Equal(t, "from p", v.client(t).ask(t, statement("write", 1000)))
+		require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
 	}
-	require.Equal(t, "end", guest.reply(t), "too many guests wait: the one that has longest goes, though room is not short")
+	require.Equal(t, "end", guest.readReply(t), "too many guests wait: the one that has longest goes, though room is not short")
 	require.Less(t, time.Since(begun), time.Second)
-	stays := v.client(t)
+	stays := v.connect(t)
 	require.Equal(t, "from p", stays.ask(t, statement("write", 1000)))
 	require.Less(t, time.Since(begun), 1500*time.Millisecond)
-	require.Equal(t, "end", stays.reply(t))
+	require.Equal(t, "end", stays.readReply(t))
 	require.Greater(t, time.Since(begun), 2*time.Second, "not while others are closed for less")
 }
 
 // Guards against spoilt answers passed on, taken for a proof, or waited for when they will not end; against a
 // statement that no member can use being blamed on them; and against what comes behind an answer being the next one's.
-func TestSpoiltAnswers(t *testing.T) {
-	one, other := newMember(t, "a", "follower"), newMember(t, "b", "leader")
-	v := start(t, newDiscovery(t, one, other), nil)
-	c := v.client(t)
-	whole := row("spoilt")
+func TestMalformedAnswers(t *testing.T) {
+	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "leader")
+	v := startDriver(t, newFakeDiscovery(t, one, other), nil)
+	c := v.connect(t)
+	whole := rowMessages("spoilt")
 	for _, text := range []string{
-		"noise\r\n\r\n", whole[:len(whole)/2], "D\xb2\xd0\x5e\x0a" + big(),
-		strings.Replace(whole, "\x00\x06spoilt", "\x00\x05spoilt", 1), whole + "x" + said("Z", "I"),
+		"noise\r\n\r\n", whole[:len(whole)/2], "D\xb2\xd0\x5e\x0a" + megabyte(),
+		strings.Replace(whole, "\x00\x06spoilt", "\x00\x05spoilt", 1), whole + "x" + message("Z", "I"),
 	} {
-		one.does("raw " + text)
+		one.setBehavior("raw " + text)
 		for range 4 {
 			require.Equal(t, "from b", c.ask(t, statement("read", 2000)), "%.80q", text)
 		}
-		one.does("")
-		other.does("raw " + text)
+		one.setBehavior("")
+		other.setBehavior("raw " + text)
 		before, begun := len(other.statements()), time.Now()
 		require.Equal(t, "08007", c.ask(t, statement("write", 1000)), "%.80q", text)
 		require.Less(t, time.Since(begun), 500*time.Millisecond)
 		require.Len(t, other.statements(), before+1, "not sent again")
-		other.does("")
+		other.setBehavior("")
 	}
-	other.does("twice")
+	other.setBehavior("twice")
 	for range 5 {
 		require.Equal(t, "from b", c.ask(t, statement("write", 1000)))
 		time.Sleep(7 * time.Millisecond)
 	}
-	other.does("42601")
+	other.setBehavior("42601")
 	before := len(other.statements())
 	for range 5 {
 		require.Equal(t, "08007", c.ask(t, statement("write", 1000)))
@@ -188,9 +188,9 @@
 }
 
 // Guards against attempts whose proof is taken wrongly: a write goes on only where it provably never ran.
-func TestMembersThatFail(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	c := start(t, newDiscovery(t, primary), nil).client(t)
+func TestFailingMembers(t *testing.T) {
+	primary := newFakeMember(t, "p", "leader")
+	c := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
 	for _, step := range []struct{ act, answer string }{
 		{"reset", "08007"},  // after its last byte: it may have run
 		{"XX000", "08007"},  // it may have run
@@ -198,7 +198,7 @@
 		{"53300", "53300"},  // it never ran: repeated, then pushed back
 		{"", "from p"},
 	} {
-		primary.does(step.act)
+		primary.setBehavior(step.act)
 		before := len(primary.statements())
 		begun := time.Now()
 		require.Equal(t, step.answer, c.ask(t, statement("write", 300)), step.act)
@@ -211,17 +211,17 @@
 
 // Guards against reads lost with a member that others could have answered, and against silent members that hold
 // up RPCs on others.
-func TestReadsMoveOn(t *testing.T) {
-	one, other := newMember(t, "a", "follower"), newMember(t, "b", "follower")
-	v := start(t, newDiscovery(t, one, other), nil)
-	c := v.client(t)
+func TestReadsRetryOtherMembers(t *testing.T) {
+	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "follower")
+	v := startDriver(t, newFakeDiscovery(t, one, other), nil)
+	c := v.connect(t)
 	for _, act := range []string{"silent", "reset", "72000"} {
-		one.does(act)
+		one.setBehavior(act)
 		for range 6 {
 			require.Equal(t, "from b", c.ask(t, statement("read", 2000)), act)
 		}
 	}
-	one.die()
+	one.shutDown()
 	for range 6 { // its idle connections end before they are used, new ones are refused
 		require.Equal(t, "from b", c.ask(t, statement("read", 2000)))
 	}
@@ -229,37 +229,37 @@
 
 // Guards against a member held back as if it had restarted, when only the link to it was cut for a while.
 func TestCutLink(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), nil)
-	four := func() []*stream { return []*stream{v.client(t), v.client(t), v.client(t), v.client(t)} }
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	four := func() []*pgConn { return []*pgConn{v.connect(t), v.connect(t), v.connect(t), v.connect(t)} }
 	clients := four()
 	together := func(left int) {
 		for _, c := range clients {
 			c.send(statement("write", left))
 		}
 	}
-	primary.does("silent")
+	primary.setBehavior("silent")
 	together(300) // so that there are several connections
 	eventually(t, "all are out", func() bool { return len(primary.statements()) == 4 })
-	primary.does("")
-	primary.link.Lock()
+	primary.setBehavior("")
+	primary.linkLock.Lock()
 	for _, c := range clients {
-		c.reply(t)
+		c.readReply(t)
 	}
-	primary.link.Unlock()
+	primary.linkLock.Unlock()
 	together(300)
 	for _, c := range clients {
-		require.Equal(t, "from p", c.reply(t))
+		require.Equal(t, "from p", c.readReply(t))
 	}
-	primary.link.Lock()
-	asks := v.client(t)
+	primary.linkLock.Lock()
+	asks := v.connect(t)
 	for begun := time.Now(); time.Since(begun) < 2500*time.Millisecond; {
 		asks.ask(t, statement("write", 100))
 	}
-	primary.link.Unlock()
+	primary.linkLock.Unlock()
 	clients = four() // those from before were let go meanwhile
 	eventually(t, "it is used again", func() bool { return clients[0].ask(t, statement("write", 100)) == "from p" })
-	primary.does("silent")
+	primary.setBehavior("silent")
 	before := len(primary.statements())
 	together(100)
 	eventually(t, "all are out at once", func() bool { return len(primary.statements()) == before+4 })
@@ -267,20 +267,20 @@
 
 // Guards against the same where one client at a time keeps a single connection busy, which dies with the link.
 func TestCutLinkInSteadyUse(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), nil)
-	c := v.client(t)
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	c := v.connect(t)
 	for begun := time.Now(); time.Since(begun) < 300*time.Millisecond; {
 		require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 	}
-	primary.link.Lock()
+	primary.linkLock.Lock()
 	for begun := time.Now(); time.Since(begun) < 2500*time.Millisecond; {
 		c.ask(t, statement("write", 400))
 	}
-	primary.link.Unlock()
-	clients := []*stream{v.client(t), v.client(t), v.client(t), v.client(t)}
+	primary.linkLock.Unlock()
+	clients := []*pgConn{v.connect(t), v.connect(t), v.connect(t), v.connect(t)}
 	eventually(t, "it is used again", func() bool { return clients[0].ask(t, statement("write", 100)) == "from p" })
-	primary.does("silent")
+	primary.setBehavior("silent")
 	before := len(primary.statements())
 	for _, c := range clients {
 		c.send(statement("write", 100))
@@ -289,15 +289,15 @@
 }
 
 // Guards against work sent to a member after the watch told that it drains.
-func TestDrains(t *testing.T) {
-	one, other := newMember(t, "a", "follower"), newMember(t, "b", "follower")
-	d := newDiscovery(t, one, other)
-	c := start(t, d, nil).client(t)
+func TestDrainingMember(t *testing.T) {
+	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "follower")
+	d := newFakeDiscovery(t, one, other)
+	c := startDriver(t, d, nil).connect(t)
 	if c.ask(t, statement("read", 1000)) == "from b" {
 		one, other = other, one
 	}
 	eventually(t, "the list is watched", func() bool { return d.calls() == 2 })
-	d.set(one, "DRAINING", false)
+	d.setLifecycle(one, "DRAINING", false)
 	eventually(t, "the watch goes on", func() bool { return d.calls() == 3 })
 	before := len(one.statements())
 	for range 30 {
@@ -308,27 +308,27 @@
 
 // Guards against a driver that is of no use, or asks without a pause, while discovery is down.
 func TestDiscoveryDown(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	d := newDiscovery(t, primary)
-	d.set(nil, "", true)
-	c := start(t, d, nil).client(t)
+	primary := newFakeMember(t, "p", "leader")
+	d := newFakeDiscovery(t, primary)
+	d.setLifecycle(nil, "", true)
+	c := startDriver(t, d, nil).connect(t)
 	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 	require.Equal(t, 1, d.calls())
 	eventually(t, "it is asked again", func() bool { return d.calls() >= 2 })
-	d.set(primary, "DRAINING", false)
+	d.setLifecycle(primary, "DRAINING", false)
 	eventually(t, "the list is told", func() bool { return c.ask(t, statement("write", 300)) == "53300" })
 }
 
 // Guards against a member that is sought for ever where it was before.
-func TestMemberMoves(t *testing.T) {
-	here, there := newMember(t, "p", "leader"), newMember(t, "p", "leader")
-	d := newDiscovery(t, here)
-	c := start(t, d, nil).client(t)
+func TestMemberChangesAddress(t *testing.T) {
+	here, there := newFakeMember(t, "p", "leader"), newFakeMember(t, "p", "leader")
+	d := newFakeDiscovery(t, here)
+	c := startDriver(t, d, nil).connect(t)
 	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 	d.mu.Lock()
-	delete(d.states, here)
+	delete(d.lifecycles, here)
 	d.mu.Unlock()
-	d.set(there, "SERVING", false)
+	d.setLifecycle(there, "SERVING", false)
 	eventually(t, "it is found where it is now", func() bool {
 		require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 		return len(there.statements()) > 0
@@ -337,12 +337,12 @@
 
 // Guards against datagrams that are no driver's, overlong ones among them, doing more than being counted.
 func TestStrayDatagrams(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	change, address := peered(t, 1)
-	env := posting(t, newDiscovery(t, primary), change)
-	cmd, stderr := command(t, env)
+	primary := newFakeMember(t, "p", "leader")
+	change, address := withPeers(t, 1)
+	env := writeConfig(t, newFakeDiscovery(t, primary), change)
+	cmd, stderr := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
-	c := (&driver{address: env["GW_LISTEN"]}).client(t)
+	c := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
 	require.Equal(t, "empty", c.ask(t, ""))
 	sender, err := net.Dial("udp", address)
 	require.NoError(t, err)
@@ -357,57 +357,57 @@
 }
 
 // Guards against work that goes on for a client that has gone, on connections that others could use.
-func TestClientLeaves(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), nil)
-	primary.does("silent")
-	c := v.client(t)
+func TestClientDisconnects(t *testing.T) {
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	primary.setBehavior("silent")
+	c := v.connect(t)
 	c.send(statement("write", 2000))
 	eventually(t, "the attempt is out", func() bool { return len(primary.statements()) == 1 })
 	c.Close()
-	primary.does("")
-	require.Equal(t, "from p", v.client(t).ask(t, statement("write", 1000)))
+	primary.setBehavior("")
+	require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
 }
 
 // Guards against descriptors that run out: clients that ask nothing make room, and those that come are served.
 func TestFewDescriptors(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	v := start(t, newDiscovery(t, primary), func(file map[string]any) {
+	primary := newFakeMember(t, "p", "leader")
+	v := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
 		file["limits"].(map[string]any)["sockets"] = 84
 	})
 	for range 100 {
-		require.Equal(t, "from p", v.client(t).ask(t, statement("write", 1000)))
+		require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
 	}
 }
 
 // Guards against RPCs lost at a planned restart: what was taken is answered, and idle clients are let go.
 func TestTermination(t *testing.T) {
-	primary := newMember(t, "p", "leader")
-	d := newDiscovery(t, primary)
-	env := posting(t, d, nil)
-	cmd, stderr := command(t, env)
+	primary := newFakeMember(t, "p", "leader")
+	d := newFakeDiscovery(t, primary)
+	env := writeConfig(t, d, nil)
+	cmd, stderr := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
 	exited := make(chan error, 1)
 	go func() { exited <- cmd.Wait() }()
-	v := &driver{address: env["GW_LISTEN"]}
-	idle, busy := v.client(t), v.client(t)
+	v := &testDriver{address: env["GW_LISTEN"]}
+	idle, busy := v.connect(t), v.connect(t)
 	require.Equal(t, "empty", idle.ask(t, ""))
-	primary.does("silent")
+	primary.setBehavior("silent")
 	busy.send(statement("write", 1200))
 	eventually(t, "the attempt is out", func() bool { return len(primary.statements()) == 1 })
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	eventually(t, "it says so", func() bool { return strings.Contains(stderr.String(), "leaving") })
-	primary.does("")
-	require.Equal(t, "from p", v.client(t).ask(t, statement("write", 1000)), "clients that still come are served")
-	require.Equal(t, "end", idle.reply(t))
-	require.Equal(t, "08007", busy.reply(t))
-	require.Equal(t, "end", busy.reply(t))
+	primary.setBehavior("")
+	require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)), "clients that still come are served")
+	require.Equal(t, "end", idle.readReply(t))
+	require.Equal(t, "08007", busy.readReply(t))
+	require.Equal(t, "end", busy.readReply(t))
 	require.NoError(t, <-exited, stderr.String())
 }
 
 // Guards against start-up input that ends in a trace or in silence in place of one plain line.
-func TestBadStart(t *testing.T) {
-	d := newDiscovery(t)
+func TestInvalidConfig(t *testing.T) {
+	d := newFakeDiscovery(t)
 	set := func(path ...any) func(map[string]any) {
 		return func(file map[string]any) {
 			for _, name := range path[:len(path)-2] {
@@ -426,35 +426,35 @@
 		"settings: discovery=\"sometimes\"": set("settings", "discovery", "sometimes"),
 		"known: instances.0.lifecycle":      set("known", "instances", []any{map[string]any{"instanceId": "a", "hostPort": "h:1"}}),
 	} {
-		refused(t, posting(t, d, change), want)
+		requireStartFails(t, writeConfig(t, d, change), want)
 	}
 	for _, name := range []string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"} {
-		env := posting(t, d, nil)
+		env := writeConfig(t, d, nil)
 		delete(env, name)
-		refused(t, env, name+" is missing")
+		requireStartFails(t, env, name+" is missing")
 		if name != "GW_NAME" {
 			env[name] = "nowhere"
-			refused(t, env, name)
+			requireStartFails(t, env, name)
 		}
 	}
 }
 
-func refused(t *testing.T, env map[string]string, want string) {
-	cmd, stderr := command(t, env)
+func requireStartFails(t *testing.T, env map[string]string, want string) {
+	cmd, stderr := driverCommand(t, env)
 	require.Error(t, cmd.Run())
 	require.Contains(t, stderr.String(), want)
 	require.Equal(t, 1, strings.Count(stderr.String(), "\n"), stderr.String())
 }
 
-var built string
+var binaryPath string
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "sedgespread")
 	if err != nil {
 		panic(err)
 	}
-	built = filepath.Join(folder, "sedgespread")
-	if out, err := exec.Command("go", "build", "-o", built, "sedgespread/cmd/sedgespread").CombinedOutput(); err != nil {
+	binaryPath = filepath.Join(folder, "sedgespread")
+	if out, err := exec.Command("go", "build", "-o", binaryPath, "sedgespread/cmd/sedgespread").CombinedOutput(); err != nil {
 		fmt.Fprintln(os.Stderr, string(out))
 		os.Exit(1)
 	}
@@ -463,9 +463,9 @@
 	os.Exit(code)
 }
 
-// command is the program as it is built, with an environment of its own.
-func command(t *testing.T, env map[string]string) (*exec.Cmd, *output) {
-	cmd, stderr := exec.Command(built), &output{}
+// driverCommand is the program as it is built, with an environment of its own.
+func driverCommand(t *testing.T, env map[string]string) (*exec.Cmd, *lockedBuffer) {
+	cmd, stderr := exec.Command(binaryPath), &lockedBuffer{}
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH")}
 	for name, value := range env {
 		cmd.Env = append(cmd.Env, name+"="+value)
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rewrite changes the file that a driver was told of.
-func rewrite(t *testing.T, env map[string]string, change func(file map[string]any)) {
+// rewriteConfig changes the file that a driver was told of.
+func rewriteConfig(t *testing.T, env map[string]string, change func(file map[string]any)) {
 	text, err := os.ReadFile(env["GW_CONFIG"])
 	require.NoError(t, err)
 	file := map[string]any{}
@@ -25,42 +25,42 @@
 // Guards against a driver that ends, loses what it had taken or goes on by an old list when it is told to read its
 // file again, also when that is in pieces, and against several such notices, one of them while it leaves.
 func TestReload(t *testing.T) {
-	primary, other := newMember(t, "p", "leader"), newMember(t, "r", "follower")
-	old, next := newDiscovery(t, primary, other), newDiscovery(t, primary, other)
-	env := posting(t, old, nil)
-	cmd, stderr := command(t, env)
+	primary, other := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
+	old, next := newFakeDiscovery(t, primary, other), newFakeDiscovery(t, primary, other)
+	env := writeConfig(t, old, nil)
+	cmd, stderr := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
-	c := (&driver{address: env["GW_LISTEN"]}).client(t)
+	c := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
 	require.Equal(t, "empty", c.ask(t, ""))
-	says := func(text string, count int) {
+	waitForLog := func(text string, count int) {
 		eventually(t, text, func() bool { return strings.Count(stderr.String(), text) == count })
 	}
 	hup := func() { require.NoError(t, cmd.Process.Signal(syscall.SIGHUP)) }
 
-	whole, err := os.ReadFile(env["GW_CONFIG"])
+	original, err := os.ReadFile(env["GW_CONFIG"])
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(env["GW_CONFIG"], whole[:len(whole)/2], 0o600))
+	require.NoError(t, os.WriteFile(env["GW_CONFIG"], original[:len(original)/2], 0o600))
 	hup()
-	says("reload failed; the old configuration stays in effect", 1)
-	require.NoError(t, os.WriteFile(env["GW_CONFIG"], whole, 0o600))
-	rewrite(t, env, func(file map[string]any) { file["limits"].(map[string]any)["sockets"] = "many" })
+	waitForLog("reload failed; the old configuration stays in effect", 1)
+	require.NoError(t, os.WriteFile(env["GW_CONFIG"], original, 0o600))
+	rewriteConfig(t, env, func(file map[string]any) { file["limits"].(map[string]any)["sockets"] = "many" })
 	hup()
-	says(`limits.sockets=\"many\"`, 1)
+	waitForLog(`limits.sockets=\"many\"`, 1)
 	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
 
-	require.NoError(t, os.WriteFile(env["GW_CONFIG"], whole, 0o600))
-	next.set(other, "DRAINING", false)
-	primary.does("silent")
+	require.NoError(t, os.WriteFile(env["GW_CONFIG"], original, 0o600))
+	next.setLifecycle(other, "DRAINING", false)
+	primary.setBehavior("silent")
 	c.send(statement("write", 600))
-	rewrite(t, env, func(file map[string]any) {
+	rewriteConfig(t, env, func(file map[string]any) {
 		file["discovery"] = strings.TrimPrefix(next.URL, "http://")
 		file["settings"].(map[string]any)["fleetSize"] = 2
 	})
 	hup()
-	says("needs_restart=settings", 1)
+	waitForLog("needs_restart=settings", 1)
 	eventually(t, "the next one is watched", func() bool { return next.calls() == 2 })
-	require.Equal(t, "08007", c.reply(t), "what was out stays out")
-	primary.does("")
+	require.Equal(t, "08007", c.readReply(t), "what was out stays out")
+	primary.setBehavior("")
 	before := len(other.statements())
 	for range 20 {
 		require.Equal(t, "from p", c.ask(t, statement("read", 1000)), "r drains")
@@ -68,9 +68,9 @@
 	require.Len(t, other.statements(), before)
 	require.NotContains(t, stderr.String(), "discovery call failed")
 
-	next.set(nil, "", true)
-	says("discovery call failed", 1)
-	rewrite(t, env, func(file map[string]any) { file["discovery"] = strings.TrimPrefix(old.URL, "http://") })
+	next.setLifecycle(nil, "", true)
+	waitForLog("discovery call failed", 1)
+	rewriteConfig(t, env, func(file map[string]any) { file["discovery"] = strings.TrimPrefix(old.URL, "http://") })
 	asked := old.calls()
 	hup()
 	eventually(t, "it is asked though nobody was followed", func() bool { return old.calls() > asked })
@@ -78,6 +78,6 @@
 	for range 5 {
 		hup()
 	}
-	require.Equal(t, "end", c.reply(t))
+	require.Equal(t, "end", c.readReply(t))
 	require.NoError(t, cmd.Wait(), stderr.String())
 }
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// word is a name that no deployment has.
-func word(rng *rand.Rand) string {
+// randomName is a name that no deployment has.
+func randomName(rng *rand.Rand) string {
 	text := make([]byte, 3+rng.Intn(12))
 	for i := range text {
 		text[i] = "abcdefghijklmnopqrstuvwxyz0123456789_-."[rng.Intn(39)]
@@ -18,19 +18,19 @@
 	return "x" + string(text)
 }
 
-// class is one of a deployment that is drawn.
-type class struct {
+// settingsClass is one of a deployment that is drawn.
+type settingsClass struct {
 	name, effect, level string
 	scope               string
 	giveUp              time.Duration
 }
 
-// draw makes settings whose every class, tenant, limit and cost is its own, and tells the classes.
-func draw(rng *rand.Rand) (classes []class, change func(file map[string]any)) {
+// randomSettings makes settings whose every class, tenant, limit and cost is its own, and tells the classes.
+func randomSettings(rng *rand.Rand) (classes []settingsClass, change func(file map[string]any)) {
 	effects, levels := []string{"repeatable", "by_key", "once"}, []string{"loose", "recent", "own_writes", "update"}
 	var list, read, bounds []any
 	for i := range 5 + rng.Intn(4) {
-		c := class{name: word(rng), level: levels[i%4], effect: "repeatable", scope: []string{"cell", "all"}[rng.Intn(2)], giveUp: time.Duration(600+rng.Intn(900)) * time.Millisecond}
+		c := settingsClass{name: randomName(rng), level: levels[i%4], effect: "repeatable", scope: []string{"cell", "all"}[rng.Intn(2)], giveUp: time.Duration(600+rng.Intn(900)) * time.Millisecond}
 		if c.level == "update" {
 			c.effect = effects[(i/4+1)%3]
 		}
@@ -40,27 +40,27 @@
 			"worth": rng.Float64() * 50, "lateWorth": 0.1 + rng.Float64()*0.8, "stream": false})
 		read, bounds = append(read, c.level), append(bounds, 2_000_000+rng.Intn(1_000_000))
 	}
-	settings := map[string]any{"classes": list, "fleetSize": 1 + rng.Intn(40), "discovery": []string{"subscribe", "automatic"}[rng.Intn(2)], "workload": word(rng),
-		"az": word(rng), "azs": []any{word(rng), word(rng)}, "layers": []any{word(rng)}, "flavors": []any{word(rng)},
+	settings := map[string]any{"classes": list, "fleetSize": 1 + rng.Intn(40), "discovery": []string{"subscribe", "automatic"}[rng.Intn(2)], "workload": randomName(rng),
+		"az": randomName(rng), "azs": []any{randomName(rng), randomName(rng)}, "layers": []any{randomName(rng)}, "flavors": []any{randomName(rng)},
 		"extra": map[string]any{"readLevel": read, "maxAgeUs": bounds, "guards": []string{"none", "reject", "hold"}[rng.Intn(3)],
-			"holdsForUs": rng.Intn(300_000), "tokens": "client", word(rng): word(rng)},
+			"holdsForUs": rng.Intn(300_000), "tokens": "client", randomName(rng): randomName(rng)},
 		"limits": map[string]any{"probing": true, "cancelling": rng.Intn(2) == 0, "mostTries": 3 + rng.Intn(9), "openCap": rng.Intn(9999),
 			"connectTimeoutUs": 150_000 + rng.Intn(400_000), "keepaliveUs": 8_000_000 + rng.Intn(60_000_000), "multiplex": 1 + rng.Intn(20),
 			"retryAfter": rng.Intn(2) == 0, "maxRetryAfterUs": 100_000 + rng.Intn(900_000)},
 		"safety": map[string]any{"askEveryUs": 1_000_000 + rng.Intn(30_000_000), "drainGraceUs": 250_000 + rng.Intn(3_000_000),
 			"startCapacity": 0.05 + rng.Float64()*0.8, "warmAfterUs": 2_000_000 + rng.Intn(30_000_000), "fallMultiple": 1.2 + rng.Float64()*3,
 			"tipAfterUs": 500_000 + rng.Intn(4_000_000), "answerSlackUs": rng.Intn(50_000)},
-		"prices":  map[string]any{"probe": rng.Float64(), "waste": rng.Float64(), "discovery": rng.Float64(), "connection": rng.Float64(), word(rng): rng.Float64()},
-		"tenants": []any{map[string]any{"name": word(rng), "share": rng.Float64(), "quotaRps": rng.Intn(500)}}}
+		"prices":  map[string]any{"probe": rng.Float64(), "waste": rng.Float64(), "discovery": rng.Float64(), "connection": rng.Float64(), randomName(rng): rng.Float64()},
+		"tenants": []any{map[string]any{"name": randomName(rng), "share": rng.Float64(), "quotaRps": rng.Intn(500)}}}
 	return classes, func(file map[string]any) {
 		file["settings"] = settings
 		file["limits"] = map[string]any{"cores": 0.1 + rng.Float64(), "memory_mb": 32 + rng.Intn(200), "sockets": 200 + rng.Intn(800)}
 	}
 }
 
-// asks is a statement of a class, of an own key, that waits for so long.
-func (c *class) asks(key string, left time.Duration) string {
-	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */", ids.Add(1), c.name, left.Milliseconds())
+// statement is a statement of a class, of an own key, that waits for so long.
+func (c *settingsClass) statement(key string, left time.Duration) string {
+	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */", nextID.Add(1), c.name, left.Milliseconds())
 	if c.level == "update" {
 		return fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x9f03') RETURNING content %s`, key, comment)
 	}
@@ -69,43 +69,43 @@
 
 // Guards against anything that is fitted to one deployment: names, classes, shares, limits and costs are drawn, and all that is
 // done follows from them.
-func TestAnyDeployment(t *testing.T) {
+func TestRandomSettings(t *testing.T) {
 	for seed := range int64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewSource(seed))
-			classes, change := draw(rng)
-			primary, replica := newMember(t, word(rng), "leader"), newMember(t, word(rng), "follower")
-			v := start(t, newDiscovery(t, primary, replica), change)
-			c := v.client(t)
+			classes, change := randomSettings(rng)
+			primary, replica := newFakeMember(t, randomName(rng), "leader"), newFakeMember(t, randomName(rng), "follower")
+			v := startDriver(t, newFakeDiscovery(t, primary, replica), change)
+			c := v.connect(t)
 			for i := range classes {
 				k := &classes[i]
-				got := c.ask(t, k.asks(word(rng), k.giveUp))
+				got := c.ask(t, k.statement(randomName(rng), k.giveUp))
 				require.Contains(t, []string{"from " + primary.name, "from " + replica.name}, got, "%+v", k)
 				if k.level == "update" {
 					require.Equal(t, "from "+primary.name, got, "%+v", k)
 				}
-				require.Equal(t, "42601", c.ask(t, k.asks("k", 2*k.giveUp+time.Millisecond)), "no client of it waits that long")
+				require.Equal(t, "42601", c.ask(t, k.statement("k", 2*k.giveUp+time.Millisecond)), "no client of it waits that long")
 				wrong := *k
 				wrong.level = map[bool]string{true: "loose", false: "update"}[k.level == "update"]
-				require.Equal(t, "42601", c.ask(t, wrong.asks("k", k.giveUp)), "not of its kind")
+				require.Equal(t, "42601", c.ask(t, wrong.statement("k", k.giveUp)), "not of its kind")
 				if k.level != "update" {
 					continue
 				}
-				primary.does("reset")
+				primary.setBehavior("reset")
 				before := len(primary.statements())
 				harmless := k.effect == "repeatable" || k.effect == "by_key" && k.scope == "all" // to ask again anywhere
-				answer := c.ask(t, k.asks(word(rng), 400*time.Millisecond))
+				answer := c.ask(t, k.statement(randomName(rng), 400*time.Millisecond))
 				require.True(t, answer == "08007" || harmless && answer == "53300", "%s: %+v", answer, k)
 				sent := len(primary.statements()) - before
-				primary.does("")
+				primary.setBehavior("")
 				if k.effect == "once" {
 					require.Equal(t, 1, sent, "never twice")
 				} else {
 					require.Greater(t, sent, 1, "it may run again")
 				}
 				eventually(t, "the member is used again", func() bool {
-					return c.ask(t, k.asks(word(rng), k.giveUp)) == "from "+primary.name
+					return c.ask(t, k.statement(randomName(rng), k.giveUp)) == "from "+primary.name
 				})
 			}
 			require.Equal(t, "42601", c.ask(t, statement("read", 100)), "a class of another deployment")
--- a/internal/program/signals_soak_test.go
+++ b/internal/program/signals_soak_test.go
@@ -18,19 +18,19 @@
 
 // Terms of the rules that signals test.
 const (
-	longestDeadline = 2 * time.Second        // of the settings' classes
-	killedAfter     = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline from SIGTERM on, at the earliest
-	stillTaken      = 700 * time.Millisecond // what comes later after SIGTERM must have its answer before SIGKILL
-	answerSlack     = 500 * time.Millisecond // an answer after its time only earns nothing; later it is lost
-	leftSlack       = 150 * time.Millisecond // an attempt may begin so long after its client closed: 0.1 s, and 50 ms of every limit
-	crossing        = 100 * time.Millisecond // a request that crosses the end of its connection is told so within this
+	maxDeadline       = 2 * time.Second        // of the settings' classes
+	killDelay         = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline from SIGTERM on, at the earliest
+	acceptedAfterTerm = 700 * time.Millisecond // what comes later after SIGTERM must have its answer before SIGKILL
+	answerSlack       = 500 * time.Millisecond // an answer after its time only earns nothing; later it is lost
+	disconnectSlack   = 150 * time.Millisecond // an attempt may begin so long after its client closed: 0.1 s, and 50 ms of every limit
+	closeRaceSlack    = 100 * time.Millisecond // a request that crosses the end of its connection is told so within this
 )
 
 // TestSignalsSoak guards against requests that are lost while a driver is told to read its settings again, is held up, leaves, and is killed at
 // the earliest moment that the page allows: clients send on open connections until then, some leave in the middle, some runs have a crowd that
 // holds most descriptors, and members hang, lag and hand over meanwhile. The members' and the clients' own records are the judge.
 func TestSignalsSoak(t *testing.T) {
-	playSeeds(t, 1, 6, func(t *testing.T, seed int64) { newSignalsSoak(t, seed).play() })
+	runSeeds(t, 1, 6, func(t *testing.T, seed int64) { newSignalsSoak(t, seed).run() })
 }
 
 // signalsSoak is one run.
@@ -38,73 +38,73 @@
 	t     *testing.T
 	seed  int64
 	rng   *rand.Rand
-	store *store
-	*process
+	group *fakeGroup
+	*driverProcess
 
-	mu       sync.Mutex
-	left     map[string]time.Time // when the client of a request closed its connection
-	broken   []string
-	answered int
-	told     atomic.Int64 // when SIGTERM was sent, Unix time in nanoseconds
-	killed   atomic.Int64 // and SIGKILL
+	mu          sync.Mutex
+	disconnects map[string]time.Time // when the client of a request closed its connection
+	violations  []string
+	answered    int
+	termSentAt  atomic.Int64 // when SIGTERM was sent, Unix time in nanoseconds
+	killedAt    atomic.Int64 // and SIGKILL
 }
 
 func newSignalsSoak(t *testing.T, seed int64) *signalsSoak {
-	s := &signalsSoak{t: t, seed: seed, rng: rand.New(rand.NewSource(seed)), store: newStore(t, seed, 3), left: map[string]time.Time{}}
-	s.store.came = map[string][]time.Time{}
-	var stands []*member
-	for _, r := range s.store.members {
-		stands = append(stands, r.member)
+	s := &signalsSoak{t: t, seed: seed, rng: rand.New(rand.NewSource(seed)), group: newFakeGroup(t, seed, 3), disconnects: map[string]time.Time{}}
+	s.group.arrivals = map[string][]time.Time{}
+	var members []*fakeMember
+	for _, r := range s.group.members {
+		members = append(members, r.fakeMember)
 	}
-	s.process = launch(t, newDiscovery(t, stands...), func(file map[string]any) {
-		bounded(file)
-		if s.crowded() {
+	s.driverProcess = startProcess(t, newFakeDiscovery(t, members...), func(file map[string]any) {
+		withBoundedReads(file)
+		if s.hasIdleCrowd() {
 			file["limits"].(map[string]any)["sockets"] = 256
 		}
 	})
 	return s
 }
 
-func (s *signalsSoak) crowded() bool { return s.seed%3 == 0 }
+func (s *signalsSoak) hasIdleCrowd() bool { return s.seed%3 == 0 }
 
-func (s *signalsSoak) play() {
+func (s *signalsSoak) run() {
 	var clients sync.WaitGroup
 	for n := range 10 {
 		rng := rand.New(rand.NewSource(s.seed*100 + int64(n)))
 		clients.Go(func() { s.client(rng) })
 	}
-	if s.crowded() {
+	if s.hasIdleCrowd() {
 		for range 150 {
 			clients.Go(s.idle)
 		}
 	}
 	var ended atomic.Bool
-	var troubles sync.WaitGroup
-	troubles.Go(func() {
+	var faults sync.WaitGroup
+	faults.Go(func() {
 		for !ended.Load() {
-			s.store.trouble(nil)
+			s.group.injectFault(nil)
 		}
 	})
-	s.series(3 * time.Second)
-	s.told.Store(time.Now().UnixNano())
+	s.sendSignals(3 * time.Second)
+	s.termSentAt.Store(time.Now().UnixNano())
 	s.signal(syscall.SIGTERM)
-	told := time.Now()
-	s.series(time.Second)
+	termSentAt := time.Now()
+	s.sendSignals(time.Second)
 	select {
 	case <-s.exited:
-	case <-time.After(time.Until(told.Add(longestDeadline + killedAfter))):
-		s.killed.Store(time.Now().UnixNano())
+	case <-time.After(time.Until(termSentAt.Add(maxDeadline + killDelay))):
+		s.killedAt.Store(time.Now().UnixNano())
 		s.signal(syscall.SIGKILL)
 		<-s.exited
 	}
 	clients.Wait()
 	ended.Store(true)
-	troubles.Wait()
-	s.judge()
+	faults.Wait()
+	s.checkResults()
 }
 
-// series sends signals one after another for so long.
-func (s *signalsSoak) series(span time.Duration) {
+// sendSignals sends signals one after another for so long.
+func (s *signalsSoak) sendSignals(span time.Duration) {
 	for begun := time.Now(); time.Since(begun) < span; {
 		time.Sleep(time.Duration(s.rng.Intn(250)) * time.Millisecond)
 		select {
@@ -118,10 +118,10 @@
 			s.send(syscall.SIGHUP)
 		case 1:
 			s.send(syscall.SIGSTOP)
-			time.Sleep(heldUp)
+			time.Sleep(stopDuration)
 			s.send(syscall.SIGCONT)
 		case 2:
-			if s.told.Load() != 0 {
+			if s.termSentAt.Load() != 0 {
 				s.send(syscall.SIGTERM)
 			}
 		}
@@ -133,10 +133,10 @@
 
 // client keeps connections open and sends on them, for as long as the driver accepts any.
 func (s *signalsSoak) client(rng *rand.Rand) {
-	for s.killed.Load() == 0 {
+	for s.killedAt.Load() == 0 {
 		c, err := s.connect()
 		if err != nil {
-			if s.told.Load() != 0 {
+			if s.termSentAt.Load() != 0 {
 				return
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -150,13 +150,13 @@
 }
 
 // connect opens a connection and gets through its start.
-func (s *signalsSoak) connect() (*stream, error) {
+func (s *signalsSoak) connect() (*pgConn, error) {
 	nc, err := net.DialTimeout("tcp", s.address, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	c := newStream(nc)
-	c.SetDeadline(time.Now().Add(4 * soon))
+	c := newPGConn(nc)
+	c.SetDeadline(time.Now().Add(4 * waitTimeout))
 	io.WriteString(c, "\x00\x00\x00\x08\x00\x03\x00\x00")
 	for {
 		kind, _, err := c.read()
@@ -173,76 +173,76 @@
 // idle holds a connection on which it sends nothing.
 func (s *signalsSoak) idle() {
 	if c, err := s.connect(); err == nil {
-		c.reply(s.t)
+		c.readReply(s.t)
 		c.Close()
 	}
 }
 
 // request sends one request, and tells whether its connection goes on.
-func (s *signalsSoak) request(c *stream, rng *rand.Rand) (goesOn bool) {
-	left := 50 + rng.Intn(1850)
-	text := statement([]string{"read", "read", "write"}[rng.Intn(3)], left)
+func (s *signalsSoak) request(c *pgConn, rng *rand.Rand) (isOpen bool) {
+	timeoutMillis := 50 + rng.Intn(1850)
+	text := statement([]string{"read", "read", "write"}[rng.Intn(3)], timeoutMillis)
 	sent := time.Now()
 	c.send(text)
 	if rng.Intn(12) == 0 { // it leaves in the middle
 		time.Sleep(time.Duration(rng.Intn(80)) * time.Millisecond)
 		s.mu.Lock()
-		s.left[idOf(text)] = time.Now()
+		s.disconnects[rpcID(text)] = time.Now()
 		s.mu.Unlock()
 		c.Close()
 		return false
 	}
-	got := c.reply(s.t)
+	got := c.readReply(s.t)
 	took := time.Since(sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if strings.HasSuffix(got, "end") && !strings.HasPrefix(got, "from") && !strings.HasPrefix(got, "fatal") {
-		s.unanswered(idOf(text), sent, took)
+		s.checkUnanswered(rpcID(text), sent, took)
 		return false
 	}
 	s.answered++
-	if took > time.Duration(left)*time.Millisecond+answerSlack {
-		s.breaks("request %s, which would wait %d ms, got %q after %v", idOf(text), left, got, took)
+	if took > time.Duration(timeoutMillis)*time.Millisecond+answerSlack {
+		s.addViolation("request %s, which would wait %d ms, got %q after %v", rpcID(text), timeoutMillis, got, took)
 	}
 	return !strings.HasSuffix(got, "end")
 }
 
-// unanswered judges a request whose connection ended without an answer. The lock is held.
-func (s *signalsSoak) unanswered(id string, sent time.Time, took time.Duration) {
-	came := s.store.arrivals(id)
-	killed, told := s.killed.Load(), time.Unix(0, s.told.Load())
+// checkUnanswered judges a request whose connection ended without an answer. The lock is held.
+func (s *signalsSoak) checkUnanswered(id string, sent time.Time, took time.Duration) {
+	came := s.group.arrivalsOf(id)
+	killed, told := s.killedAt.Load(), time.Unix(0, s.termSentAt.Load())
 	byKill := killed != 0 && sent.Add(took).UnixNano() >= killed
 	switch {
-	case byKill && s.told.Load() != 0 && sent.Sub(told) <= stillTaken && len(came) == 0:
+	case byKill && s.termSentAt.Load() != 0 && sent.Sub(told) <= acceptedAfterTerm && len(came) == 0:
 	case len(came) > 0:
-		s.breaks("request %s reached a member and its connection ended after %v without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
-	case took > crossing:
-		s.breaks("request %s was in its connection for %v, which ended without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
+		s.addViolation("request %s reached a member and its connection ended after %v without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
+	case took > closeRaceSlack:
+		s.addViolation("request %s was in its connection for %v, which ended without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
 	}
 }
 
-func (s *signalsSoak) breaks(format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+func (s *signalsSoak) addViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// judge looks for attempts after their clients left, and sums up.
-func (s *signalsSoak) judge() {
+// checkResults looks for attempts after their clients left, and sums up.
+func (s *signalsSoak) checkResults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, left := range s.left {
-		for _, came := range s.store.arrivals(id) {
-			if came.Sub(left) > leftSlack {
-				s.breaks("request %s reached a member %v after its client had closed", id, came.Sub(left))
+	for id, left := range s.disconnects {
+		for _, came := range s.group.arrivalsOf(id) {
+			if came.Sub(left) > disconnectSlack {
+				s.addViolation("request %s reached a member %v after its client had closed", id, came.Sub(left))
 			}
 		}
 	}
-	s.t.Logf("seed %d: %d requests answered, %d clients left, crowd %t, killed %t, broken %d", s.seed, s.answered, len(s.left), s.crowded(), s.killed.Load() != 0, len(s.broken))
-	require.Empty(s.t, s.broken, "%s", s.text())
+	s.t.Logf("seed %d: %d requests answered, %d clients left, crowd %t, killed %t, broken %d", s.seed, s.answered, len(s.disconnects), s.hasIdleCrowd(), s.killedAt.Load() != 0, len(s.violations))
+	require.Empty(s.t, s.violations, "%s", s.stderr())
 	require.Greater(s.t, s.answered, 100)
 }
 
-// idOf is the id in a statement.
-func idOf(statement string) string {
+// rpcID is the id in a statement.
+func rpcID(statement string) string {
 	_, rest, _ := strings.Cut(statement, "id=")
 	id, _, _ := strings.Cut(rest, ",")
 	if _, err := strconv.Atoi(id); err != nil {
@@ -251,9 +251,9 @@
 	return id
 }
 
-// arrivals are when the members got a request.
-func (s *store) arrivals(id string) []time.Time {
+// arrivalsOf are when the members got a request.
+func (s *fakeGroup) arrivalsOf(id string) []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.came[id]
+	return s.arrivals[id]
 }
--- a/internal/program/sizes_test.go
+++ b/internal/program/sizes_test.go
@@ -17,22 +17,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crowd is a list of many members: groups of one primary and three replicas, at two stand-ins' addresses.
-func crowd(generation, first, count int, all bool, state string, primary, replica *member) map[string]any {
+// memberList is a list of many members: groups of one primary and three replicas, at two stand-ins' addresses.
+func memberList(generation, first, count int, all bool, state string, primary, replica *fakeMember) map[string]any {
 	entries := []any{}
 	for i := first; i < first+count; i++ {
 		at := replica
 		if i%4 == 0 {
 			at = primary
 		}
-		entries = append(entries, map[string]any{"instanceId": fmt.Sprintf("s-%08x", 1+i*2654435761%(1<<32)), "hostPort": at.listen.Addr().String(),
+		entries = append(entries, map[string]any{"instanceId": fmt.Sprintf("s-%08x", 1+i*2654435761%(1<<32)), "hostPort": at.listener.Addr().String(),
 			"zone": "zone-" + strconv.Itoa(i%5), "machineType": "m2", "cell": i / 4, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
 	}
 	return map[string]any{"generation": generation, "reset": all, "instances": entries}
 }
 
-// watched is what a call waits for: what is newer than a generation, and how long; 0 where it does not.
-func watched(path string) (generation int, wait time.Duration) {
+// watchParams is what a call waits for: what is newer than a generation, and how long; 0 where it does not.
+func watchParams(path string) (generation int, wait time.Duration) {
 	at, err := url.Parse(path)
 	if err != nil {
 		return 0, 0
@@ -42,9 +42,9 @@
 	return generation, time.Duration(milliseconds) * time.Millisecond
 }
 
-// cancelEntry is how much memory a process holds of its own, in MB, and how many descriptors. Pages of the program's file count for
+// resourceUse is how much memory a process holds of its own, in MB, and how many descriptors. Pages of the program's file count for
 // nobody, since the system may drop them.
-func cancelEntry(t *testing.T, pid int) (megabytes, descriptors int) {
+func resourceUse(t *testing.T, pid int) (megabytes, descriptors int) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
 	_, rest, _ := strings.Cut(string(status), "RssAnon:")
@@ -75,21 +75,21 @@
 		members := c.members
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			primary, replica := newMember(t, "p", "leader"), newMember(t, "r", "follower")
+			primary, replica := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
 			var changed atomic.Bool
-			s := newScripted(t, newDiscovery(t, primary), func(call int, path string, to net.Conn) string {
-				list := crowd(1, 0, members, true, "SERVING", primary, replica)
-				if generation, wait := watched(path); generation > 0 {
+			s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, to net.Conn) string {
+				list := memberList(1, 0, members, true, "SERVING", primary, replica)
+				if generation, wait := watchParams(path); generation > 0 {
 					for until := time.Now().Add(wait); time.Now().Before(until) && (generation == 2 || !changed.Load()); {
 						time.Sleep(10 * time.Millisecond)
 					}
 					list = map[string]any{"generation": generation, "reset": false, "instances": []any{}}
 					if generation == 1 && changed.Load() {
-						list = crowd(2, members, members, false, "SERVING", primary, replica)
-						list["instances"] = append(list["instances"].([]any), crowd(2, 0, members, false, "DELETED", primary, replica)["instances"].([]any)...)
+						list = memberList(2, members, members, false, "SERVING", primary, replica)
+						list["instances"] = append(list["instances"].([]any), memberList(2, 0, members, false, "DELETED", primary, replica)["instances"].([]any)...)
 					}
 				}
-				answer := whole(c.text(list))
+				answer := httpOK(c.text(list))
 				for c.pieces && len(answer) > 20_000 {
 					io.WriteString(to, answer[:20_000])
 					answer = answer[20_000:]
@@ -97,8 +97,8 @@
 				}
 				return answer
 			})
-			env := posting(t, s.discovery, func(file map[string]any) {
-				file["known"] = crowd(0, 0, members/2, true, "SERVING", primary, replica)
+			env := writeConfig(t, s.fakeDiscovery, func(file map[string]any) {
+				file["known"] = memberList(0, 0, members/2, true, "SERVING", primary, replica)
 				file["limits"] = map[string]any{"cores": 1.0, "memory_mb": memory, "sockets": sockets}
 				settings := file["settings"].(map[string]any)
 				settings["fleetSize"] = c.drivers
@@ -112,39 +112,39 @@
 				}
 			})
 			env["GW_DISCOVERY"] = s.listen.Addr().String()
-			cmd, stderr := command(t, env)
+			cmd, stderr := driverCommand(t, env)
 			require.NoError(t, cmd.Start())
-			v := &driver{address: env["GW_LISTEN"]}
-			client := v.client(t)
+			v := &testDriver{address: env["GW_LISTEN"]}
+			client := v.connect(t)
 			client.SetDeadline(time.Now().Add(30 * time.Second)) // to be ready, as the platform has it
 			require.Equal(t, "empty", client.ask(t, ""))
-			mostMemory, mostDescriptors := 0, 0
-			asks := func(from int) {
-				client := v.client(t)
+			maxMemory, maxDescriptors := 0, 0
+			queryGroups := func(from int) {
+				client := v.connect(t)
 				for group := from; group < from+members/4; group++ {
 					for _, form := range []string{
 						"SELECT content FROM kv WHERE name = 'k' /* id=%d,c=read,d=1900,cluster=%d */",
 						`INSERT INTO kv (name, content) VALUES ('k', '\x9f03') RETURNING content /* id=%d,c=write,d=1900,cluster=%d */`,
 					} {
 						eventually(t, fmt.Sprintf("group %d is served", group), func() bool {
-							return strings.HasPrefix(client.ask(t, fmt.Sprintf(form, ids.Add(1), group)), "from ")
+							return strings.HasPrefix(client.ask(t, fmt.Sprintf(form, nextID.Add(1), group)), "from ")
 						})
 					}
-					m, d := cancelEntry(t, cmd.Process.Pid)
-					mostMemory, mostDescriptors = max(mostMemory, m), max(mostDescriptors, d)
+					m, d := resourceUse(t, cmd.Process.Pid)
+					maxMemory, maxDescriptors = max(maxMemory, m), max(maxDescriptors, d)
 				}
 			}
-			asks(0)
+			queryGroups(0)
 			changed.Store(true)
-			client = v.client(t)
+			client = v.connect(t)
 			eventually(t, "the change is known", func() bool {
-				q := fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%d,c=read,d=500,cluster=%d */", ids.Add(1), 2*members/4-1)
+				q := fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%d,c=read,d=500,cluster=%d */", nextID.Add(1), 2*members/4-1)
 				return strings.HasPrefix(client.ask(t, q), "from ")
 			})
-			asks(members / 4)
-			require.LessOrEqual(t, mostMemory, memory)
-			require.LessOrEqual(t, mostDescriptors, sockets)
-			t.Logf("%d MB, %d descriptors", mostMemory, mostDescriptors)
+			queryGroups(members / 4)
+			require.LessOrEqual(t, maxMemory, memory)
+			require.LessOrEqual(t, maxDescriptors, sockets)
+			t.Logf("%d MB, %d descriptors", maxMemory, maxDescriptors)
 			require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, cmd.Wait(), stderr.String())
 		})
--- a/internal/program/standins_test.go
+++ b/internal/program/standins_test.go
@@ -26,67 +26,67 @@
 	"sedgespread/internal/program"
 )
 
-const soon = 5 * time.Second // within which what is waited for must come
+const waitTimeout = 5 * time.Second // within which what is waited for must come
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	for begun := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		require.Less(t, time.Since(begun), soon, what)
+		require.Less(t, time.Since(begun), waitTimeout, what)
 	}
 }
 
-// stream speaks PostgreSQL's messages.
-type stream struct {
+// pgConn speaks PostgreSQL's messages.
+type pgConn struct {
 	net.Conn
-	in  *bufio.Reader
-	key string // that a driver told it at its start
+	reader    *bufio.Reader
+	cancelKey string // that a driver told it at its start
 }
 
-func newStream(c net.Conn) *stream { return &stream{Conn: c, in: bufio.NewReader(c)} }
+func newPGConn(c net.Conn) *pgConn { return &pgConn{Conn: c, reader: bufio.NewReader(c)} }
 
-func (s *stream) read() (kind byte, body string, err error) {
-	if kind, err = s.in.ReadByte(); err != nil {
+func (s *pgConn) read() (kind byte, body string, err error) {
+	if kind, err = s.reader.ReadByte(); err != nil {
 		return 0, "", err
 	}
 	body, err = s.readBody()
 	return kind, body, err
 }
 
-func (s *stream) readBody() (string, error) {
+func (s *pgConn) readBody() (string, error) {
 	var head [4]byte
-	if _, err := io.ReadFull(s.in, head[:]); err != nil {
+	if _, err := io.ReadFull(s.reader, head[:]); err != nil {
 		return "", err
 	}
 	body := make([]byte, binary.BigEndian.Uint32(head[:])-4)
-	_, err := io.ReadFull(s.in, body)
+	_, err := io.ReadFull(s.reader, body)
 	return string(body), err
 }
 
-func said(kind string, body string) string {
+func message(kind string, body string) string {
 	return kind + string(binary.BigEndian.AppendUint32(nil, uint32(len(body)+4))) + body
 }
 
-func row(value string) string {
+func rowMessages(value string) string {
 	size := string(binary.BigEndian.AppendUint32(nil, uint32(len(value))))
-	return said("T", "\x00\x01v\x00"+strings.Repeat("\x00", 18)) + said("D", "\x00\x01"+size+value) + said("C", "SELECT 1\x00")
+	return message("T", "\x00\x01v\x00"+strings.Repeat("\x00", 18)) + message("D", "\x00\x01"+size+value) + message("C", "SELECT 1\x00")
 }
 
-func failure(state string) string { return said("E", "SERROR\x00C"+state+"\x00Mno\x00\x00") }
+func errorMessage(state string) string { return message("E", "SERROR\x00C"+state+"\x00Mno\x00\x00") }
 
-// member is a stand-in for a member.
-type member struct {
-	name   string
-	listen net.Listener
-	mu     sync.Mutex
-	role   string
-	act    string // what it does with statements: a state, "reset" or "silent"; empty for serving them
-	got    []string
-	states func() status // what its answers state of itself; nil for its role, and a position that is now
-	report func() string // its load report; nil for one that says the same
-	sent   []exchange    // what it answered clients' statements, in the order of its answers
-	looks  int           // probes that it got
-	opened int           // connections, past their startup messages
-	conns  map[net.Conn]bool
-	link   sync.RWMutex // held for writing while nothing gets through
+// fakeMember is a stand-in for a member.
+type fakeMember struct {
+	name       string
+	listener   net.Listener
+	mu         sync.Mutex
+	role       string
+	behavior   string // what it does with statements: a state, "reset" or "silent"; empty for serving them
+	received   []string
+	statusFunc func() status // what its answers state of itself; nil for its role, and a position that is now
+	reportFunc func() string // its load report; nil for one that says the same
+	exchanges  []exchange    // what it answered clients' statements, in the order of its answers
+	probes     int           // probes that it got
+	opened     int           // connections, past their startup messages
+	conns      map[net.Conn]bool
+	linkLock   sync.RWMutex // held for writing while nothing gets through
 }
 
 // status is what a member states of itself: "leader" or "follower", and its log position in Unix milliseconds.
@@ -97,31 +97,31 @@
 
 // exchange is one statement of a client as a member saw it.
 type exchange struct {
-	came, answered time.Time // its last byte; just before its answer was written
-	status                   // what the answer stated
+	receivedAt, answeredAt time.Time // its last byte; just before its answer was written
+	status                           // what the answer stated
 }
 
-func (m *member) status() status {
-	if m.states != nil {
-		return m.states()
+func (m *fakeMember) status() status {
+	if m.statusFunc != nil {
+		return m.statusFunc()
 	}
 	return status{m.role, time.Now().UnixMilli()}
 }
 
-// text is the status as the messages of an answer.
-func (s status) text() string {
-	return said("S", "node_role\x00"+s.role+"\x00") + said("S", fmt.Sprintf("replay_position\x00%d\x00", s.position))
+// messages is the status as the messages of an answer.
+func (s status) messages() string {
+	return message("S", "node_role\x00"+s.role+"\x00") + message("S", fmt.Sprintf("replay_position\x00%d\x00", s.position))
 }
 
-// reported is the load report that states it.
-func (s status) reported() string {
+// loadReport is the load report that states it.
+func (s status) loadReport() string {
 	return fmt.Sprintf("x0=%d.%03d,x1=%d", s.position/1000, s.position%1000, map[string]int{"leader": 1}[s.role])
 }
 
-func newMember(t *testing.T, name, role string) *member {
+func newFakeMember(t *testing.T, name, role string) *fakeMember {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &member{name: name, listen: l, role: role, conns: map[net.Conn]bool{}}
+	m := &fakeMember{name: name, listener: l, role: role, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -131,20 +131,20 @@
 			m.mu.Lock()
 			m.conns[c] = true
 			m.mu.Unlock()
-			go m.serve(newStream(c))
+			go m.serve(newPGConn(c))
 		}
 	}()
-	t.Cleanup(m.die)
+	t.Cleanup(m.shutDown)
 	return m
 }
 
-// die resets all connections and refuses new ones.
-func (m *member) die() {
-	m.listen.Close()
-	m.dropAll()
+// shutDown resets all connections and refuses new ones.
+func (m *fakeMember) shutDown() {
+	m.listener.Close()
+	m.resetConns()
 }
 
-func (m *member) dropAll() {
+func (m *fakeMember) resetConns() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c := range m.conns {
@@ -153,35 +153,35 @@
 	}
 }
 
-func (m *member) does(act string) {
+func (m *fakeMember) setBehavior(behavior string) {
 	m.mu.Lock()
-	m.act = act
+	m.behavior = behavior
 	m.mu.Unlock()
 }
 
 // statements are those that it got from clients.
-func (m *member) statements() []string {
+func (m *fakeMember) statements() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]string(nil), m.got...)
+	return append([]string(nil), m.received...)
 }
 
 // counts are the connections that were opened to it, and the probes that it got.
-func (m *member) counts() (opened, looks int) {
+func (m *fakeMember) counts() (opened, probes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.opened, m.looks
+	return m.opened, m.probes
 }
 
-// hold lets nothing through any more, so that new connections are long in coming up, and drops the old ones; the function
+// holdLink lets nothing through any more, so that new connections are long in coming up, and drops the old ones; the function
 // that it gives ends that.
-func (m *member) hold() (release func()) {
-	m.link.Lock()
-	m.dropAll()
-	return m.link.Unlock
+func (m *fakeMember) holdLink() (release func()) {
+	m.linkLock.Lock()
+	m.resetConns()
+	return m.linkLock.Unlock
 }
 
-func (m *member) serve(s *stream) {
+func (m *fakeMember) serve(s *pgConn) {
 	defer s.Close()
 	if _, err := s.readBody(); err != nil {
 		return
@@ -189,40 +189,40 @@
 	m.mu.Lock()
 	m.opened++
 	m.mu.Unlock()
-	m.link.RLock()
+	m.linkLock.RLock()
 	//lint:ignore SA2001 waits while hold blocks the link
-	m.link.RUnlock()
-	io.WriteString(s, said("R", "\x00\x00\x00\x00")+said("Z", "I"))
+	m.linkLock.RUnlock()
+	io.WriteString(s, message("R", "\x00\x00\x00\x00")+message("Z", "I"))
 	for {
 		kind, body, err := s.read()
 		if err != nil || kind != 'Q' {
 			return
 		}
-		came := time.Now()
-		m.link.RLock()
+		receivedAt := time.Now()
+		m.linkLock.RLock()
 		//lint:ignore SA2001 waits while hold blocks the link
-		m.link.RUnlock()
-		io.WriteString(s, m.answer(s, strings.TrimSuffix(body, "\x00"), came))
+		m.linkLock.RUnlock()
+		io.WriteString(s, m.answer(s, strings.TrimSuffix(body, "\x00"), receivedAt))
 	}
 }
 
-func (m *member) answer(s *stream, statement string, came time.Time) string {
+func (m *fakeMember) answer(s *pgConn, statement string, receivedAt time.Time) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	is := m.status()
-	tail := is.text() + said("Z", "I")
+	status := m.status()
+	tail := status.messages() + message("Z", "I")
 	if statement == "SHOW server_load" {
-		m.looks++
-		if m.report != nil {
-			return row(m.report()) + said("Z", "I")
+		m.probes++
+		if m.reportFunc != nil {
+			return rowMessages(m.reportFunc()) + message("Z", "I")
 		}
-		return row(is.reported()) + tail
+		return rowMessages(status.loadReport()) + tail
 	}
-	m.sent = append(m.sent, exchange{came, time.Now(), is})
-	m.got = append(m.got, statement)
-	switch m.act {
+	m.exchanges = append(m.exchanges, exchange{receivedAt, time.Now(), status})
+	m.received = append(m.received, statement)
+	switch m.behavior {
 	case "":
-		return row("from "+m.name) + tail
+		return rowMessages("from "+m.name) + tail
 	case "reset":
 		s.Conn.(*net.TCPConn).SetLinger(0)
 		s.Close()
@@ -230,30 +230,30 @@
 	case "silent":
 		return ""
 	case "twice": // more than is its own, the rest a moment later
-		time.AfterFunc(5*time.Millisecond, func() { io.WriteString(s, row("late")+tail) })
-		return row("from "+m.name) + tail + row("more") + tail
+		time.AfterFunc(5*time.Millisecond, func() { io.WriteString(s, rowMessages("late")+tail) })
+		return rowMessages("from "+m.name) + tail + rowMessages("more") + tail
 	}
-	if text, ok := strings.CutPrefix(m.act, "raw "); ok {
+	if text, ok := strings.CutPrefix(m.behavior, "raw "); ok {
 		return text
 	}
-	return failure(m.act) + tail
+	return errorMessage(m.behavior) + tail
 }
 
-// discovery is a stand-in for discovery.
-type discovery struct {
+// fakeDiscovery is a stand-in for discovery.
+type fakeDiscovery struct {
 	*httptest.Server
 	mu         sync.Mutex
 	generation int
-	states     map[*member]string
+	lifecycles map[*fakeMember]string
 	down       bool
-	asked      int
+	callCount  int
 	changed    chan struct{}
 }
 
-func newDiscovery(t *testing.T, members ...*member) *discovery {
-	d := &discovery{generation: 1, states: map[*member]string{}, changed: make(chan struct{})}
+func newFakeDiscovery(t *testing.T, members ...*fakeMember) *fakeDiscovery {
+	d := &fakeDiscovery{generation: 1, lifecycles: map[*fakeMember]string{}, changed: make(chan struct{})}
 	for _, m := range members {
-		d.states[m] = "SERVING"
+		d.lifecycles[m] = "SERVING"
 	}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(d.Close)
@@ -261,18 +261,18 @@
 }
 
 // list is discovery's list as JSON.
-func (d *discovery) list() map[string]any {
+func (d *fakeDiscovery) list() map[string]any {
 	entries := []any{}
-	for m, state := range d.states {
-		entries = append(entries, map[string]any{"instanceId": m.name, "hostPort": m.listen.Addr().String(), "zone": "z",
+	for m, state := range d.lifecycles {
+		entries = append(entries, map[string]any{"instanceId": m.name, "hostPort": m.listener.Addr().String(), "zone": "z",
 			"cell": 1, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
 	}
 	return map[string]any{"generation": d.generation, "reset": true, "instances": entries}
 }
 
-func (d *discovery) serve(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	d.asked++
+	d.callCount++
 	index, _ := strconv.Atoi(r.URL.Query().Get("index"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	changed, due := d.changed, !d.down && d.generation <= index
@@ -294,12 +294,12 @@
 	json.NewEncoder(w).Encode(d.list())
 }
 
-// set changes a member's state, or with no member whether discovery is down.
-func (d *discovery) set(m *member, state string, down bool) {
+// setLifecycle changes a member's state, or with no member whether discovery is down.
+func (d *fakeDiscovery) setLifecycle(m *fakeMember, lifecycle string, down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m != nil {
-		d.states[m] = state
+		d.lifecycles[m] = lifecycle
 	}
 	d.generation++
 	d.down = down
@@ -307,14 +307,14 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *discovery) calls() int {
+func (d *fakeDiscovery) calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asked
+	return d.callCount
 }
 
-// posting writes what a driver is told into a file, and gives its environment.
-func posting(t *testing.T, d *discovery, change func(file map[string]any)) map[string]string {
+// writeConfig writes what a driver is told into a file, and gives its environment.
+func writeConfig(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) map[string]string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l.Close()
@@ -341,45 +341,45 @@
 		"GW_DISCOVERY": strings.TrimPrefix(d.URL, "http://")}
 }
 
-// driver is a program at work inside the test.
-type driver struct {
+// testDriver is a program at work inside the test.
+type testDriver struct {
 	address string
 	stop    func()
 	done    chan error
 }
 
-// start runs a driver until the test ends, which must leave no goroutine behind.
-func start(t *testing.T, d *discovery, change func(file map[string]any)) *driver {
-	return startAt(t, d, strings.TrimPrefix(d.URL, "http://"), change)
+// startDriver runs a driver until the test ends, which must leave no goroutine behind.
+func startDriver(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) *testDriver {
+	return startDriverAt(t, d, strings.TrimPrefix(d.URL, "http://"), change)
 }
 
-// startAt runs a driver that asks for the list at an address.
-func startAt(t *testing.T, d *discovery, address string, change func(file map[string]any)) *driver {
-	env := posting(t, d, change)
+// startDriverAt runs a driver that asks for the list at an address.
+func startDriverAt(t *testing.T, d *fakeDiscovery, address string, change func(file map[string]any)) *testDriver {
+	env := writeConfig(t, d, change)
 	env["GW_DISCOVERY"] = address
 	p, err := program.ReadConfig(func(name string) string { return env[name] })
 	require.NoError(t, err)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, stop := context.WithCancel(context.Background())
-	v := &driver{address: env["GW_LISTEN"], stop: stop, done: make(chan error, 1)}
+	v := &testDriver{address: env["GW_LISTEN"], stop: stop, done: make(chan error, 1)}
 	before := runtime.NumGoroutine()
 	go func() { v.done <- program.Run(ctx, p, nil, log) }()
 	t.Cleanup(func() {
 		stop()
 		require.NoError(t, <-v.done)
 		d.CloseClientConnections()
-		for m := range d.states {
-			m.dropAll()
+		for m := range d.lifecycles {
+			m.resetConns()
 		}
 		eventually(t, "goroutines are left behind", func() bool { return runtime.NumGoroutine() <= before })
 	})
-	v.client(t).ask(t, "")
+	v.connect(t).ask(t, "")
 	return v
 }
 
-// client is a client's connection, past the startup message.
-func (v *driver) client(t *testing.T) *stream {
+// connect is a client's connection, past the startup message.
+func (v *testDriver) connect(t *testing.T) *pgConn {
 	var c net.Conn
 	eventually(t, "the driver listens", func() (ok bool) {
 		var err error
@@ -387,26 +387,26 @@
 		return err == nil
 	})
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(2 * soon))
-	s := newStream(c)
+	c.SetDeadline(time.Now().Add(2 * waitTimeout))
+	s := newPGConn(c)
 	io.WriteString(s, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // asks for TLS
-	declined, err := s.in.ReadByte()
+	declined, err := s.reader.ReadByte()
 	require.NoError(t, err)
 	require.Equal(t, byte('N'), declined)
 	io.WriteString(s, "\x00\x00\x00\x08\x00\x03\x00\x00")
-	s.reply(t)
+	s.readReply(t)
 	return s
 }
 
 // ask sends a query and gives what came back: the value, "empty" or the state of an error.
-func (s *stream) ask(t *testing.T, query string) string {
+func (s *pgConn) ask(t *testing.T, query string) string {
 	s.send(query)
-	return s.reply(t)
+	return s.readReply(t)
 }
 
-func (s *stream) send(query string) { io.WriteString(s, said("Q", query+"\x00")) }
+func (s *pgConn) send(query string) { io.WriteString(s, message("Q", query+"\x00")) }
 
-func (s *stream) reply(t *testing.T) (got string) {
+func (s *pgConn) readReply(t *testing.T) (got string) {
 	for {
 		kind, body, err := s.read()
 		if err != nil {
@@ -416,7 +416,7 @@
 		case 'Z':
 			return got
 		case 'K':
-			s.key = body
+			s.cancelKey = body
 		case 'D':
 			got = body[6:]
 		case 'I':
@@ -431,31 +431,31 @@
 	}
 }
 
-var ids atomic.Int64
+var nextID atomic.Int64
 
 // statement is a client's statement, which waits for so many milliseconds.
-func statement(method string, left int) string {
-	id := ids.Add(1)
+func statement(method string, timeoutMillis int) string {
+	id := nextID.Add(1)
 	if method == "write" {
 		return fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('k', '\x9f03') RETURNING content /* id=%d,c=write,d=%d,cluster=1 */`,
-			id, left)
+			id, timeoutMillis)
 	}
-	return fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%d,c=%s,d=%d,cluster=1 */", id, method, left)
+	return fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%d,c=%s,d=%d,cluster=1 */", id, method, timeoutMillis)
 }
 
-// output collects what a process writes while it is read.
-type output struct {
+// lockedBuffer collects what a process writes while it is read.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *lockedBuffer) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(p)
 }
 
-func (o *output) String() string {
+func (o *lockedBuffer) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.String()
