--- a/internal/program/alone_test.go
+++ b/internal/program/alone_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against parts for other installations that start on a platform which refuses them: told nothing but where to
-// work, a driver opens no Unix socket, starts no program and keeps no file open or behind.
+// Guards against a driver that opens Unix sockets, starts child processes or leaves files open or
+// behind, which some platforms forbid.
 func TestNothingElseIsOpened(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	env := writeConfig(t, newFakeDiscovery(t, primary), nil)
@@ -30,7 +30,7 @@
 	for _, path := range open {
 		target, err := os.Readlink(path)
 		if err != nil {
-			continue // closed meanwhile
+			continue // already closed
 		}
 		inode, socket := strings.CutPrefix(target, "socket:[")
 		if socket {
@@ -42,7 +42,7 @@
 		special := strings.HasPrefix(target, "/dev/") || strings.HasPrefix(target, "pipe:") || strings.HasPrefix(target, "anon_inode:")
 		require.True(t, special || strings.HasPrefix(target, "/sys/fs/cgroup/"), target)
 	}
-	require.GreaterOrEqual(t, sockets, 3, "its door, discovery, a member")
+	require.GreaterOrEqual(t, sockets, 3, "listener, discovery and a member")
 	children, err := filepath.Glob(process + "task/*/children")
 	require.NoError(t, err)
 	for _, path := range children {
--- a/internal/program/fellows_test.go
+++ b/internal/program/fellows_test.go
@@ -13,19 +13,20 @@
 	"sedgespread/internal/protocol"
 )
 
-// Guards against connections that a fleet of drivers holds for probes alone: each costs its member work and room.
+// Guards against drivers that hold connections for probes alone.
 func TestProbesShareConnections(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	c := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
+	client := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
 	for begun := time.Now(); time.Since(begun) < 1500*time.Millisecond; time.Sleep(20 * time.Millisecond) {
-		require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+		require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	}
 	primary.mu.Lock()
 	defer primary.mu.Unlock()
 	require.LessOrEqual(t, len(primary.conns), 2)
 }
 
-// withPeers makes a posting one of so many drivers that may tell one another something, and gives where this one hears it.
+// withPeers configures one of several drivers that exchange peer messages, and returns the address
+// at which it receives them.
 func withPeers(t *testing.T, drivers int) (change func(file map[string]any), address string) {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,8 +40,8 @@
 	}, address
 }
 
-// Guards against a driver of a large fleet that is not ready before it has probed each member, though its fellows tell
-// of them all, and against one that probes them all the same.
+// Guards against a driver of a large fleet that probes every member before it is ready, although
+// its peers report them all.
 func TestReadyByPeerMessages(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	change, address := withPeers(t, 2000)
@@ -60,20 +61,20 @@
 			peer.Write(protocol.AppendObservation(nil, protocol.Observation{Member: key.Sum32(), Role: 1, PositionMillis: now}, now))
 		}
 	}()
-	c := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
+	client := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
 	begun := time.Now()
-	require.Equal(t, "empty", c.ask(t, ""))
-	require.Less(t, time.Since(begun), 2*time.Second, "the first look at it is up to 16 s away")
+	require.Equal(t, "empty", client.ask(t, ""))
+	require.Less(t, time.Since(begun), 2*time.Second, "the first probe of it may be 16 s away")
 	primary.mu.Lock()
 	require.Empty(t, primary.conns)
 	primary.mu.Unlock()
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 }
 
-// Guards against a start that waits for members which drained before they were looked at, as they never will be.
+// Guards against a start that waits for probes of members that drained before they were probed.
 func TestReadyThoughAMemberDrains(t *testing.T) {
 	primary, replica := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary, replica), func(call int, path string, _ net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary, replica), func(call int, path string, _ net.Conn) string {
 		switch {
 		case call == 2:
 			return httpOK(singleEntryList(2, false, replica, "DRAINING"))
@@ -84,9 +85,9 @@
 		return httpOK(targetList(1, true, targetEntry(primary, "SERVING"), targetEntry(replica, "SERVING")))
 	})
 	begun := time.Now()
-	change, _ := withPeers(t, 300) // whose first looks are spread over 2.4 s
-	s.startDriver(t, change)
+	change, _ := withPeers(t, 300) // first probes are spread over 2.4 s
+	discovery.startDriver(t, change)
 	require.Less(t, time.Since(begun), 5*time.Second)
 	_, looks := replica.counts()
-	require.Zero(t, looks, "it drained before it was looked at")
+	require.Zero(t, looks, "it drained before it was probed")
 }
--- a/internal/program/freshness_soak_test.go
+++ b/internal/program/freshness_soak_test.go
@@ -17,22 +17,21 @@
 	"sedgespread/internal/clock"
 )
 
-// soakSeedsEnv names the variable by which more seeds are played by hand, as "1-50".
+// soakSeedsEnv is the environment variable with a range of seeds to run instead, such as "1-50".
 const soakSeedsEnv = "SEDGESPREAD_SOAK_SEEDS"
 
-// TestFreshnessSoak guards against reads answered from data older than their bound while roles change hands, members hang, lag and break off
-// their answers, links between drivers lose gossip and clocks are off. Two drivers at work on real connections, seeded; the store's own
-// record is the judge.
+// TestFreshnessSoak guards against reads of data older than their bound while roles change, members
+// hang, lag and break off answers, peer messages are lost and clocks are off. The group's own
+// record is checked.
 func TestFreshnessSoak(t *testing.T) {
 	runSeeds(t, 2, 6, func(t *testing.T, seed int64) {
 		runSoak(t, soakPlan{seed: seed, drivers: 2, peerMessages: seed%2 == 0, clockOffset: seed%3 == 0, clients: 4, pause: 2 * time.Millisecond, minReads: 400})
 	})
 }
 
-// TestCutOffPrimarySoak guards against reads that rest on the word of a primary which is none any more and does not know: it was cut off from its
-// group, believes in itself until its lease ends, and answers from a log that stands still, while a successor acts. One of ten drivers and more
-// trusted such a word for 2 s, four times the bound, and took each answer of the cut-off one for a new word. Here nothing is excused until it was
-// told: the bound alone counts. Ten drivers with few reads each, bounds of 200 to 500 ms.
+// TestCutOffPrimarySoak guards against reads at a primary that is cut off from its group and keeps
+// its role until its lease ends, while a successor is active. Violations count from the start,
+// whatever the former primary reports.
 func TestCutOffPrimarySoak(t *testing.T) {
 	runSeeds(t, 2, 3, func(t *testing.T, seed int64) {
 		runSoak(t, soakPlan{seed: seed, drivers: 10, peerMessages: seed%2 == 0, clients: 2, pause: 40 * time.Millisecond, minReads: 200, strict: true,
@@ -40,16 +39,16 @@
 	})
 }
 
-// TestMutePrimarySoak guards against answers of a former primary that are passed on though they say themselves that they are too old, where nothing
-// but answers tells of roles: probes are answered with how busy a member is. A read sent there is the only question then, and its answer is the one
-// to be thrown away. What clients got is the judge.
+// TestMutePrimarySoak guards against forwarding answers of a former primary that state themselves
+// that they are too old, where load reports omit role and position. The answers that clients got
+// are checked.
 func TestMutePrimarySoak(t *testing.T) {
 	runSeeds(t, 8, 9, func(t *testing.T, seed int64) {
 		runSoak(t, soakPlan{seed: seed, drivers: 3, clients: 3, pause: 20 * time.Millisecond, minReads: 100, strict: true, omitStatus: true})
 	})
 }
 
-// runSeeds plays some seeds side by side, or those that are asked for by hand.
+// runSeeds runs a range of seeds in parallel, which soakSeedsEnv can override.
 func runSeeds(t *testing.T, first, last int, run func(t *testing.T, seed int64)) {
 	if text := os.Getenv(soakSeedsEnv); text != "" {
 		_, err := fmt.Sscanf(text, "%d-%d", &first, &last)
@@ -63,58 +62,58 @@
 	}
 }
 
-// soakPlan is what a soak plays.
+// soakPlan configures a soak run.
 type soakPlan struct {
 	seed         int64
 	drivers      int
-	peerMessages bool          // drivers tell one another
-	clockOffset  bool          // the second driver's machine had a wrong clock when it started
+	peerMessages bool          // drivers exchange peer messages
+	clockOffset  bool          // the second driver starts with a wrong clock
 	clients      int           // of each driver
-	pause        time.Duration // between a client's requests, at the least
-	minReads     int           // that have to be served at the least
-	maxReadAge   time.Duration // of the data of reads, 0 for the usual one
-	omitStatus   bool          // probes tell nothing of roles and positions
-	strict       bool          // a former primary is not excused until it has told that it is none, and may be cut off from its group
+	pause        time.Duration // minimum between a client's requests
+	minReads     int           // that must be served
+	maxReadAge   time.Duration // of reads; 0 for the default
+	omitStatus   bool          // load reports have no role and position
+	strict       bool          // checks a former primary before it denies the role, and injects cut-off primaries
 }
 
 const (
 	soakDuration = 9 * time.Second
-	stopDuration = 130 * time.Millisecond // a driver, by its machine; the rule grants 150
+	stopDuration = 130 * time.Millisecond // of a stopped driver; below the 150 ms that are tolerated
 
 	basicFaultKinds = 5
-	allFaultKinds   = 6 // with primaries that are cut off
+	allFaultKinds   = 6 // including cut-off primaries
 )
 
 func runSoak(t *testing.T, plan soakPlan) {
-	s := newFakeGroup(t, plan.seed, 3)
+	group := newFakeGroup(t, plan.seed, 3)
 	if plan.strict {
-		s.strict, s.faultKinds = true, allFaultKinds
+		group.strict, group.faultKinds = true, allFaultKinds
 	}
-	s.omitStatus = plan.omitStatus
+	group.omitStatus = plan.omitStatus
 	if plan.maxReadAge != 0 {
-		s.maxReadAge = plan.maxReadAge
+		group.maxReadAge = plan.maxReadAge
 	}
-	members := make([]*fakeMember, len(s.members))
-	for i, r := range s.members {
+	members := make([]*fakeMember, len(group.members))
+	for i, r := range group.members {
 		members[i] = r.fakeMember
 	}
-	d := newFakeDiscovery(t, members...)
+	discovery := newFakeDiscovery(t, members...)
 	broadcast := newLossyBroadcast(t, plan.drivers)
 	var logs []*lockedBuffer
 	var processes []*os.Process
 	var clients sync.WaitGroup
 	var done atomic.Bool
 	for i := range plan.drivers {
-		env := writeConfig(t, d, func(file map[string]any) {
-			withMaxReadAge(file, s.maxReadAge)
+		env := writeConfig(t, discovery, func(file map[string]any) {
+			withMaxReadAge(file, group.maxReadAge)
 			if plan.strict {
 				file["settings"].(map[string]any)["fleetSize"] = plan.drivers
 			}
-			if plan.omitStatus { // whoever answers a read of any age tells what it is
+			if plan.omitStatus { // reads without a bound reveal roles
 				settings := file["settings"].(map[string]any)
 				settings["classes"] = append(settings["classes"].([]any), map[string]any{"name": "any", "effect": "repeatable", "aimUs": 60_000, "giveUpUs": 2_000_000, "lateWorth": 0.5})
 				extra := settings["extra"].(map[string]any)
-				extra["readLevel"], extra["maxAgeUs"] = []any{"recent", "update", "loose"}, []any{s.maxReadAge.Microseconds(), 0, 0}
+				extra["readLevel"], extra["maxAgeUs"] = []any{"recent", "update", "loose"}, []any{group.maxReadAge.Microseconds(), 0, 0}
 			}
 			if plan.peerMessages {
 				broadcast.join(file, i)
@@ -126,11 +125,11 @@
 		cmd, stderr := driverCommand(t, env)
 		require.NoError(t, cmd.Start())
 		logs, processes = append(logs, stderr), append(processes, cmd.Process)
-		v := &testDriver{address: env["GW_LISTEN"]}
-		require.Equal(t, "empty", v.connect(t).ask(t, ""))
+		driver := &testDriver{address: env["GW_LISTEN"]}
+		require.Equal(t, "empty", driver.connect(t).ask(t, ""))
 		for n := range plan.clients {
-			c := v.connect(t)
-			c.SetDeadline(time.Now().Add(soakDuration + waitTimeout))
+			client := driver.connect(t)
+			client.SetDeadline(time.Now().Add(soakDuration + waitTimeout))
 			clients.Go(func() {
 				for turn := n; !done.Load(); turn++ {
 					method := []string{"write", "read", "read", "read"}[turn%4]
@@ -138,27 +137,27 @@
 						method = "any"
 					}
 					sent := time.Now()
-					s.checkAnswer(c.ask(t, statement(method, 350)), method == "read", sent)
+					group.checkAnswer(client.ask(t, statement(method, 350)), method == "read", sent)
 					time.Sleep(plan.pause + time.Duration(turn%9)*time.Millisecond)
 				}
 			})
 		}
 	}
 	for begun := time.Now(); time.Since(begun) < soakDuration; {
-		s.injectFault(processes)
+		group.injectFault(processes)
 	}
 	done.Store(true)
 	clients.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.violations) > 0 {
-		t.Errorf("seed %d: %d reads, the first: %s\n%s\n%s", plan.seed, len(s.violations), strings.Join(s.violations[:min(5, len(s.violations))], "\n"), logs[0], logs[1])
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if len(group.violations) > 0 {
+		t.Errorf("seed %d: %d violations, the first: %s\n%s\n%s", plan.seed, len(group.violations), strings.Join(group.violations[:min(5, len(group.violations))], "\n"), logs[0], logs[1])
 	}
-	t.Logf("seed %d: %d reads served", plan.seed, s.served)
-	require.Greater(t, s.served, plan.minReads, "reads served in all")
+	t.Logf("seed %d: %d reads served", plan.seed, group.served)
+	require.Greater(t, group.served, plan.minReads, "reads served in all")
 }
 
-// checkAnswer takes in what a client got, and judges it by the data's age where an answer tells that.
+// checkAnswer counts an answer and checks the age of its data, if the answer states it.
 func (s *fakeGroup) checkAnswer(answer string, bounded bool, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,12 +168,12 @@
 	if _, at, tells := strings.Cut(answer, " at "); tells && bounded {
 		position, _ := strconv.ParseInt(at, 10, 64)
 		if age := sent.Sub(time.UnixMilli(position)); age > s.maxReadAge+2*readAgeSlack {
-			s.violations = append(s.violations, fmt.Sprintf("%s: %v too old already as it was asked for", answer, age-s.maxReadAge))
+			s.violations = append(s.violations, fmt.Sprintf("%s: data was %v too old when the read was sent", answer, age-s.maxReadAge))
 		}
 	}
 }
 
-// injectFault plays one of the troubles that a group may have, and gives it some quiet time.
+// injectFault injects a random fault into the group, followed by some quiet time.
 func (s *fakeGroup) injectFault(drivers []*os.Process) {
 	s.mu.Lock()
 	kind, breaks := s.rng.Intn(s.faultKinds), s.rng.Intn(6)
@@ -183,7 +182,7 @@
 	successor, lagging := s.members[s.rng.Intn(len(s.members))], s.members[s.rng.Intn(len(s.members))]
 	s.mu.Unlock()
 	switch kind {
-	case 0, 1: // the primary hands over, or hangs and is deposed, and says so when it has
+	case 0, 1: // the primary hands over, or hangs and is deposed
 		former, tell := s.depose()
 		s.mu.Lock()
 		former.failuresLeft = breaks
@@ -204,17 +203,17 @@
 		s.mu.Lock()
 		lagging.lag = 5 * time.Millisecond
 		s.mu.Unlock()
-	case 3: // answers break off
+	case 3: // answers fail
 		s.mu.Lock()
 		lagging.failuresLeft = 3 * breaks
 		s.mu.Unlock()
-	case 5: // the primary is cut off from its group, and believes in itself until its lease ends, after a successor has acted
+	case 5: // the primary is cut off and keeps its role until its lease ends, after a successor was elected
 		_, tell := s.depose()
 		time.Sleep(election)
 		s.elect(successor)
 		time.Sleep(lag)
 		tell()
-	case 4: // drivers are held up
+	case 4: // drivers are stopped for a while
 		for range 3 * breaks {
 			for _, driver := range drivers {
 				driver.Signal(syscall.SIGSTOP)
@@ -229,7 +228,7 @@
 	time.Sleep(quiet)
 }
 
-// lossyBroadcast passes on what one driver tells all, and loses some of it.
+// lossyBroadcast forwards each peer message to all drivers, except for some that it drops.
 type lossyBroadcast struct {
 	conn    net.PacketConn
 	drivers []string
@@ -250,7 +249,7 @@
 	return g
 }
 
-// join makes a posting that of one of its drivers.
+// join configures a driver to use the broadcast.
 func (g *lossyBroadcast) join(file map[string]any, driver int) {
 	file["peer_listen"], file["peers_all"] = g.drivers[driver], g.conn.LocalAddr().String()
 	settings := file["settings"].(map[string]any)
--- a/internal/program/leaving_clients_test.go
+++ b/internal/program/leaving_clients_test.go
@@ -11,125 +11,126 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against work that begins for clients that have gone while their query waited: they closed, broke off, said so, or
-// closed behind more queries than may be held. None has begun 0.1 s later.
+// Guards against attempts for clients that disconnected, in one way or another, while their query
+// waited.
 func TestClientsThatDisconnectWhileWaiting(t *testing.T) {
 	queries := strings.Repeat(message("Q", statement("write", 1900)+"\x00"), 3000) // some 400 KB
-	for name, goes := range map[string]func(c *pgConn){
-		"closes":                     func(c *pgConn) { c.Close() },
-		"breaks off":                 func(c *pgConn) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
-		"ends its sending":           func(c *pgConn) { c.Conn.(*net.TCPConn).CloseWrite() },
-		"says so":                    func(c *pgConn) { io.WriteString(c, message("X", "")) },
-		"says so behind a query":     func(c *pgConn) { c.send(statement("write", 1900)); io.WriteString(c, message("X", "")) },
-		"closes behind many queries": func(c *pgConn) { io.WriteString(c, queries); c.Conn.(*net.TCPConn).CloseWrite() },
-		"closes behind a huge value": func(c *pgConn) {
-			io.WriteString(c, "Q\x03\x93\x87\x00"+strings.Repeat(megabyte(), 3))
-			c.Conn.(*net.TCPConn).CloseWrite()
+	for name, disconnect := range map[string]func(client *pgConn){
+		"closes":                      func(client *pgConn) { client.Close() },
+		"resets":                      func(client *pgConn) { client.Conn.(*net.TCPConn).SetLinger(0); client.Close() },
+		"closes for writing":          func(client *pgConn) { client.Conn.(*net.TCPConn).CloseWrite() },
+		"sends a termination message": func(client *pgConn) { io.WriteString(client, message("X", "")) },
+		"sends a termination message after a query": func(client *pgConn) { client.send(statement("write", 1900)); io.WriteString(client, message("X", "")) },
+		"closes after many queries":                 func(client *pgConn) { io.WriteString(client, queries); client.Conn.(*net.TCPConn).CloseWrite() },
+		"closes after a huge message": func(client *pgConn) {
+			io.WriteString(client, "Q\x03\x93\x87\x00"+strings.Repeat(megabyte(), 3))
+			client.Conn.(*net.TCPConn).CloseWrite()
 		},
-		"closes inside another query": func(c *pgConn) { io.WriteString(c, "Q\x00\x00\x01\x00half"); c.Close() },
+		"closes within another query": func(client *pgConn) { io.WriteString(client, "Q\x00\x00\x01\x00half"); client.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			primary := newFakeMember(t, "p", "leader")
-			v := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
-			c, stays := v.connect(t), v.connect(t)
-			release := sendDuringConnect(t, primary, c, statement("write", 1900))
+			driver := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
+			client, other := driver.connect(t), driver.connect(t)
+			release := sendDuringConnect(t, primary, client, statement("write", 1900))
 			gone := make(chan struct{})
-			go func() { goes(c); close(gone) }()
+			go func() { disconnect(client); close(gone) }()
 			select {
 			case <-gone:
 			case <-time.After(waitTimeout):
-				require.Fail(t, "what it sends is not taken")
+				require.Fail(t, "the driver does not read the input")
 			}
 			time.Sleep(100 * time.Millisecond)
 			release()
-			require.Equal(t, "from p", stays.ask(t, statement("write", 1900)))
-			require.Len(t, primary.statements(), 1, "of the one that stays")
+			require.Equal(t, "from p", other.ask(t, statement("write", 1900)))
+			require.Len(t, primary.statements(), 1, "only the statement of the connected client")
 		})
 	}
 }
 
-// Guards against queries lost that stand behind one that waits, and against clients that send without end behind one.
+// Guards against losing queries that are pipelined behind a waiting one, and against clients that
+// pipeline without limit.
 func TestPipelinedQueriesWhileConnecting(t *testing.T) {
 	const count = 3000 // some 400 KB
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
-	c, floods := v.connect(t), v.connect(t)
-	release := sendDuringConnect(t, primary, c, statement("write", 1900))
+	driver := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
+	client, flooding := driver.connect(t), driver.connect(t)
+	release := sendDuringConnect(t, primary, client, statement("write", 1900))
 	queries := strings.Builder{}
 	for range count {
 		queries.WriteString(message("Q", statement("write", 1900)+"\x00"))
 	}
 	sent := make(chan struct{})
-	go func() { io.WriteString(c, queries.String()); close(sent) }()
-	floods.send(statement("write", 1900))
+	go func() { io.WriteString(client, queries.String()); close(sent) }()
+	flooding.send(statement("write", 1900))
 	go func() {
 		for more := true; more; {
-			_, err := io.WriteString(floods, queries.String())
+			_, err := io.WriteString(flooding, queries.String())
 			more = err == nil
 		}
 	}()
-	require.Equal(t, "end", floods.readReply(t), "it is let go")
+	require.Equal(t, "end", flooding.readReply(t), "the connection is closed")
 	<-sent
 	release()
 	for i := range count + 1 {
-		require.Equal(t, "from p", c.readReply(t), i)
+		require.Equal(t, "from p", client.readReply(t), i)
 	}
 }
 
-// Guards against a query that is begun though its client closed right behind it, before it was read.
+// Guards against running a query whose client closed right after sending it.
 func TestClientDisconnectsAfterQuery(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), nil)
-	stays := v.connect(t)
+	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
+	other := driver.connect(t)
 	for range 20 {
-		c := v.connect(t)
+		client := driver.connect(t)
 		begun := time.Now()
-		c.send(statement("write", 1900))
-		c.Close()
-		require.Equal(t, "from p", stays.ask(t, statement("write", 1900)))
+		client.send(statement("write", 1900))
+		client.Close()
+		require.Equal(t, "from p", other.ask(t, statement("write", 1900)))
 		require.Less(t, time.Since(begun), time.Second)
 	}
 	mine := 0
-	for _, s := range primary.statements() {
-		if strings.HasPrefix(s, "INSERT") {
+	for _, received := range primary.statements() {
+		if strings.HasPrefix(received, "INSERT") {
 			mine++
 		}
 	}
 	require.LessOrEqual(t, mine, 40)
 }
 
-// sendCancel asks on a connection of its own that what is open under a key be cancelled.
-func sendCancel(t *testing.T, v *testDriver, key string) {
-	c, err := net.Dial("tcp", v.address)
+// sendCancel sends a cancel request for a key on a separate connection.
+func sendCancel(t *testing.T, driver *testDriver, key string) {
+	conn, err := net.Dial("tcp", driver.address)
 	require.NoError(t, err)
-	defer c.Close()
-	io.WriteString(c, "\x00\x00\x00\x10\x04\xd2\x16\x2e"+key)
-	c.SetDeadline(time.Now().Add(waitTimeout))
-	rest, err := io.ReadAll(c)
+	defer conn.Close()
+	io.WriteString(conn, "\x00\x00\x00\x10\x04\xd2\x16\x2e"+key)
+	conn.SetDeadline(time.Now().Add(waitTimeout))
+	rest, err := io.ReadAll(conn)
 	require.NoError(t, err)
-	require.Empty(t, rest, "a cancel has no answer")
+	require.Empty(t, rest, "a cancel request has no answer")
 }
 
-// Guards against a cancel that does nothing, that hits another's RPC, or an RPC after the one it was for.
+// Guards against cancel requests that do nothing, or cancel another RPC than the intended one.
 func TestCancelRequest(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
-	c, other := v.connect(t), v.connect(t)
-	require.Len(t, c.cancelKey, 8)
-	require.NotEqual(t, c.cancelKey, other.cancelKey)
-	release := sendDuringConnect(t, primary, c, statement("write", 1900))
+	driver := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
+	client, other := driver.connect(t), driver.connect(t)
+	require.Len(t, client.cancelKey, 8)
+	require.NotEqual(t, client.cancelKey, other.cancelKey)
+	release := sendDuringConnect(t, primary, client, statement("write", 1900))
 	other.send(statement("write", 1900))
-	wrong := []byte(c.cancelKey)
+	wrong := []byte(client.cancelKey)
 	binary.BigEndian.PutUint32(wrong[4:], binary.BigEndian.Uint32(wrong[4:])+1)
-	sendCancel(t, v, string(wrong))
-	sendCancel(t, v, "\xff\xff\xff\xff\x00\x00\x00\x00")
-	sendCancel(t, v, c.cancelKey)
-	require.Equal(t, "57014", c.readReply(t))
-	sendCancel(t, v, c.cancelKey) // nothing is open
+	sendCancel(t, driver, string(wrong))
+	sendCancel(t, driver, "\xff\xff\xff\xff\x00\x00\x00\x00")
+	sendCancel(t, driver, client.cancelKey)
+	require.Equal(t, "57014", client.readReply(t))
+	sendCancel(t, driver, client.cancelKey) // no query runs
 	time.Sleep(100 * time.Millisecond)
 	release()
 	require.Equal(t, "from p", other.readReply(t))
 	require.Len(t, primary.statements(), 1)
-	require.Equal(t, "from p", c.ask(t, statement("write", 1900)), "the next query is not cancelled")
+	require.Equal(t, "from p", client.ask(t, statement("write", 1900)), "the next query is not cancelled")
 }
--- a/internal/program/lobby_test.go
+++ b/internal/program/lobby_test.go
@@ -13,45 +13,45 @@
 	"sedgespread/internal/transport"
 )
 
-// Guards against a query that is taken, and would have to be answered, behind the last answer on a connection that is shut:
-// its client sends it as soon as it has that answer, before this side has got as far as its end.
+// Guards against accepting a query that arrives after the last answer on a connection that is being
+// shut down.
 func TestNoQueryAfterLastAnswer(t *testing.T) {
-	d := transport.NewDescriptors(64)
-	door, err := transport.Listen("127.0.0.1:0", d, protocol.RingBytes)
+	descriptors := transport.NewDescriptors(64)
+	listener, err := transport.Listen("127.0.0.1:0", descriptors, protocol.RingBytes)
 	require.NoError(t, err)
-	defer door.Close()
+	defer listener.Close()
 	connect := func() (protocol.Client, *net.TCPConn) {
-		far, err := net.Dial("tcp", door.Addr())
+		remote, err := net.Dial("tcp", listener.Addr())
 		require.NoError(t, err)
-		t.Cleanup(func() { far.Close() })
-		c, err := door.Accept(context.Background(), 1, func(bool) {})
+		t.Cleanup(func() { remote.Close() })
+		c, err := listener.Accept(context.Background(), 1, func(bool) {})
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close(transport.ShutDown) })
-		return protocol.Client{Conn: c}, far.(*net.TCPConn)
+		return protocol.Client{Conn: c}, remote.(*net.TCPConn)
 	}
 	const query = "Q\x00\x00\x00\x06x\x00"
-	l := &idleClients{descriptors: d}
-	c, far := connect()
-	require.False(t, l.stopBeforeLastAnswer(c), "clients are not to go yet")
-	io.WriteString(far, query)
-	_, _, end := c.ReadQuery()
-	require.Equal(t, transport.Open, end)
-	l.drain()
-	require.True(t, l.stopBeforeLastAnswer(c))
+	idle := &idleClients{descriptors: descriptors}
+	c, remote := connect()
+	require.False(t, idle.stopBeforeLastAnswer(c), "not draining yet")
+	io.WriteString(remote, query)
+	_, _, reason := c.ReadQuery()
+	require.Equal(t, transport.Open, reason)
+	idle.drain()
+	require.True(t, idle.stopBeforeLastAnswer(c))
 	require.Equal(t, transport.Open, c.SendEmpty())
 	answer := make([]byte, 11)
-	_, err = io.ReadFull(far, answer)
+	_, err = io.ReadFull(remote, answer)
 	require.NoError(t, err)
-	io.WriteString(far, query)
+	io.WriteString(remote, query)
 	time.Sleep(20 * time.Millisecond)
-	_, _, end = c.ReadQuery()
-	require.Equal(t, transport.ShutDown, end)
+	_, _, reason = c.ReadQuery()
+	require.Equal(t, transport.ShutDown, reason)
 
-	c, far = connect()
-	io.WriteString(far, query)
+	c, remote = connect()
+	io.WriteString(remote, query)
 	require.Equal(t, transport.Open, c.Await(7))
-	require.False(t, l.stopBeforeLastAnswer(c), "what was read before is to be answered first")
-	_, _, end = c.ReadQuery()
-	require.Equal(t, transport.Open, end)
-	require.True(t, l.stopBeforeLastAnswer(c))
+	require.False(t, idle.stopBeforeLastAnswer(c), "received queries are answered first")
+	_, _, reason = c.ReadQuery()
+	require.Equal(t, transport.Open, reason)
+	require.True(t, idle.stopBeforeLastAnswer(c))
 }
--- a/internal/program/pools_test.go
+++ b/internal/program/pools_test.go
@@ -11,40 +11,40 @@
 	"sedgespread/rules"
 )
 
-// Guards against the one connection that could outlive a cut link being spent: by members in steady use, and once
-// something was not answered.
+// Guards against using up the one connection that could survive a cut link, for members in steady
+// use and after timeouts.
 func TestReservedConnection(t *testing.T) {
 	const member = rules.MemberID(1)
-	p := &memberPools{unanswered: map[rules.MemberID]bool{}, returns: map[rules.MemberID]*returnTimes{}}
-	require.Equal(t, 0, p.reserved(member), "thin use")
-	p.recordResult(member, false, transport.TimedOut)
-	require.Equal(t, 1, p.reserved(member), "not answered")
-	p.recordResult(member, false, transport.Cancelled)
-	require.Equal(t, 1, p.reserved(member), "nor by what was only called off")
-	p.recordResult(member, true, transport.Open)
-	require.Equal(t, 0, p.reserved(member), "answered")
-	p.returns[member] = &returnTimes{}
+	pools := &memberPools{unanswered: map[rules.MemberID]bool{}, returns: map[rules.MemberID]*returnTimes{}}
+	require.Equal(t, 0, pools.reserved(member), "light use")
+	pools.recordResult(member, false, transport.TimedOut)
+	require.Equal(t, 1, pools.reserved(member), "the statement timed out")
+	pools.recordResult(member, false, transport.Cancelled)
+	require.Equal(t, 1, pools.reserved(member), "a cancelled statement changes nothing")
+	pools.recordResult(member, true, transport.Open)
+	require.Equal(t, 0, pools.reserved(member), "the statement was answered")
+	pools.returns[member] = &returnTimes{}
 	for range steadyReturns - 1 {
-		p.returns[member].record(time.Now())
-		require.Equal(t, 0, p.reserved(member), "thin use: with many drivers one left alone at each crowds members")
+		pools.returns[member].record(time.Now())
+		require.Equal(t, 0, pools.reserved(member), "light use: reserved connections of many drivers would exhaust members")
 	}
-	p.returns[member].record(time.Now())
-	require.Equal(t, 1, p.reserved(member), "steady use")
+	pools.returns[member].record(time.Now())
+	require.Equal(t, 1, pools.reserved(member), "steady use")
 	for range steadyReturns {
-		p.returns[member].record(time.Now().Add(-2 * steadyWindow))
+		pools.returns[member].record(time.Now().Add(-2 * steadyWindow))
 	}
-	require.Equal(t, 0, p.reserved(member), "no more")
+	require.Equal(t, 0, pools.reserved(member), "no longer in steady use")
 }
 
-// Guards against members that are taken for mute since this driver had no descriptor for a look at them.
+// Guards against marking a member unresponsive because no descriptor was free for its probe.
 func TestProbeWithoutDescriptor(t *testing.T) {
 	const member = rules.MemberID(1)
-	d := transport.NewDescriptors(0) // one, which is discovery's
-	l := newProber(newMemberPools(context.Background(), d, &Config{ConnectTimeout: 20 * time.Millisecond, MemoryMB: 32}, nil))
-	may := func() bool { return true }
-	require.Equal(t, transport.NoDescriptor, l.probe(context.Background(), member, "127.0.0.1:9", may).End)
-	require.False(t, l.isUnresponsive(member))
-	d.Resize(1000)
-	require.Equal(t, transport.DialRefused, l.probe(context.Background(), member, "127.0.0.1:9", may).End)
-	require.True(t, l.isUnresponsive(member), "one that refuses is")
+	descriptors := transport.NewDescriptors(0) // the only descriptor is reserved for discovery
+	prober := newProber(newMemberPools(context.Background(), descriptors, &Config{ConnectTimeout: 20 * time.Millisecond, MemoryMB: 32}, nil))
+	mayStart := func() bool { return true }
+	require.Equal(t, transport.NoDescriptor, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).End)
+	require.False(t, prober.isUnresponsive(member))
+	descriptors.Resize(1000)
+	require.Equal(t, transport.DialRefused, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).End)
+	require.True(t, prober.isUnresponsive(member), "the member refused the connection")
 }
--- a/internal/program/posting_test.go
+++ b/internal/program/posting_test.go
@@ -17,7 +17,8 @@
 "known":{"generation":3,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:2","lifecycle":"SERVING","startedAtMs":5}]},
 "settings":{"classes":[{"name":"r","effect":"repeatable","aimUs":5000,"giveUpUs":90000}],"extra":{"readLevel":["loose"]}}}`
 
-// FuzzConfig guards against a file that is read into what can't be worked with, or that ends the program in a trace.
+// FuzzConfig guards against accepting unusable configuration files, and against panics on malformed
+// ones.
 func FuzzConfig(f *testing.F) {
 	f.Add(validConfig)
 	for _, change := range [][2]string{{`"8c1f"`, `-1`}, {`64`, `1e99`}, {`[{"name"`, `[[{"name"`}, {`90000`, `99999999999999999999`},
@@ -27,19 +28,19 @@
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
 	f.Fuzz(func(t *testing.T, text string) {
-		p, err := parseConfig([]byte(text))
+		config, err := parseConfig([]byte(text))
 		if err != nil {
-			require.NotContains(t, err.Error(), "\n", "one line")
+			require.NotContains(t, err.Error(), "\n", "errors are one line")
 			return
 		}
-		require.Positive(t, p.MemoryMB)
-		require.Positive(t, p.ConnectTimeout)
-		require.Positive(t, p.WatchTimeout)
+		require.Positive(t, config.MemoryMB)
+		require.Positive(t, config.ConnectTimeout)
+		require.Positive(t, config.WatchTimeout)
 		require.True(t, json.Valid([]byte(text)))
-		r, err := routing.New(p.Settings, p.Seed, p.KnownTargets, log)
+		router, err := routing.New(config.Settings, config.Seed, config.KnownTargets, log)
 		if err == nil {
-			r.ReportList(protocol.Targets{IsFull: true})
-			require.Positive(t, r.LongestLeft())
+			router.ReportList(protocol.Targets{IsFull: true})
+			require.Positive(t, router.LongestLeft())
 		}
 	})
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -15,37 +15,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against the ordinary path: statements reach a member as they came, but for d, and answers come back.
+// Guards against changed statements or lost answers in the ordinary case: only the timeout d of a
+// statement changes.
 func TestServes(t *testing.T) {
 	primary, replica := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
-	c := startDriver(t, newFakeDiscovery(t, primary, replica), nil).connect(t)
-	require.Equal(t, "empty", c.ask(t, " ;"))
+	client := startDriver(t, newFakeDiscovery(t, primary, replica), nil).connect(t)
+	require.Equal(t, "empty", client.ask(t, " ;"))
 	read := statement("read", 1000)
-	require.Equal(t, "from r", c.ask(t, read))
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+	require.Equal(t, "from r", client.ask(t, read))
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	got := replica.statements()[0]
 	before, after, _ := strings.Cut(read, "d=1000")
 	require.True(t, strings.HasPrefix(got, before) && strings.HasSuffix(got, after), got)
-	require.NotEqual(t, read, got, "d is what is left")
+	require.NotEqual(t, read, got, "d is the remaining time")
 }
 
 // Guards against answers that come in another order than their queries.
 func TestPipelinedQueries(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	c := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
+	client := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
 	for _, q := range []string{statement("write", 1000), "", "nonsense", statement("write", 1000)} {
-		c.send(q)
+		client.send(q)
 	}
 	for _, want := range []string{"from p", "empty", "42601", "from p"} {
-		require.Equal(t, want, c.readReply(t))
+		require.Equal(t, want, client.readReply(t))
 	}
 }
 
-// Guards against one bad client that costs others their connections, and against its statements reaching a member.
-// Each gets an error or its connection's end.
+// Guards against malformed clients that affect other connections or whose statements reach a
+// member. Each gets an error or the end of its connection.
 func TestBadClients(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
 	for query, want := range map[string]string{
 		"SELECT 1": "42601",
 		strings.Replace(statement("read", 100), "c=read", "c=neither", 1):                 "42601",
@@ -53,7 +54,7 @@
 		strings.Replace(statement("read", 100), "SELECT content", "SELECT content, 1", 1): "42601",
 		statement("read", 99_999): "42601",
 	} {
-		require.Equal(t, want, v.connect(t).ask(t, query), query)
+		require.Equal(t, want, driver.connect(t).ask(t, query), query)
 	}
 	for text, want := range map[string]string{
 		message("y", "what"):             "fatal 08P01 end",
@@ -66,7 +67,7 @@
 		"":                               "end",
 		"Q\x03\x93\x87\x00" + megabyte(): "fatal 08P01 end",
 	} {
-		bad, begun := v.connect(t), time.Now()
+		bad, begun := driver.connect(t), time.Now()
 		go io.WriteString(bad, text)
 		if strings.HasSuffix(text, "cut") {
 			bad.Conn.(*net.TCPConn).CloseWrite()
@@ -74,13 +75,13 @@
 		require.Equal(t, want, bad.readReply(t), "%.80q", text)
 		require.Less(t, time.Since(begun), 3*time.Second)
 	}
-	silent, err := net.Dial("tcp", v.address)
+	silent, err := net.Dial("tcp", driver.address)
 	require.NoError(t, err)
 	defer silent.Close()
 	silent.SetDeadline(time.Now().Add(3 * time.Second))
 	_, err = io.ReadAll(silent)
-	require.NoError(t, err, "one that says nothing at all is let go")
-	good := v.connect(t)
+	require.NoError(t, err, "a silent client is closed")
+	good := driver.connect(t)
 	require.Equal(t, "53300", good.ask(t, strings.Replace(statement("read", 100), "cluster=1", "cluster=9", 1)))
 	require.Equal(t, "from p", good.ask(t, statement("write", 1000)))
 	require.Len(t, primary.statements(), 1)
@@ -88,75 +89,77 @@
 
 func megabyte() string { return strings.Repeat("x", 1<<20) }
 
-// Guards against a client that asks and does not take its answers: what it holds up must be let go in the end.
+// Guards against a client that sends queries and never reads the answers, holding resources for
+// ever.
 func TestClientThatDoesNotRead(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
 	tail := message("S", "node_role\x00leader\x00") + message("Z", "I")
 	primary.setBehavior("raw " + rowMessages(strings.Repeat(megabyte(), 8)) + tail)
-	c := v.connect(t)
+	client := driver.connect(t)
 	for range 4 {
-		c.send(statement("write", 2000))
+		client.send(statement("write", 2000))
 	}
-	eventually(t, "its connection ends", func() bool {
-		_, err := io.WriteString(c, "Q")
+	eventually(t, "the connection ends", func() bool {
+		_, err := io.WriteString(client, "Q")
 		return err != nil
 	})
 	primary.setBehavior("")
-	require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
+	require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)))
 }
 
-// Guards against a client that uses the id of another's RPC: the member would see it twice, and answer one of both.
+// Guards against a client that uses the ID of another RPC: the member would get it twice and answer
+// only one.
 func TestDuplicateRPCID(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), nil)
-	one, other := v.connect(t), v.connect(t)
+	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
+	one, other := driver.connect(t), driver.connect(t)
 	primary.setBehavior("silent")
 	query := statement("write", 300)
 	one.send(query)
-	eventually(t, "the attempt is out", func() bool { return len(primary.statements()) == 1 })
+	eventually(t, "the attempt is sent", func() bool { return len(primary.statements()) == 1 })
 	require.Equal(t, "42601", other.ask(t, query))
 	require.Equal(t, "08007", one.readReply(t))
-	require.Equal(t, "42601", other.ask(t, query), "nor is it taken when the other has just ended")
+	require.Equal(t, "42601", other.ask(t, query), "the ID is rejected just after the other RPC ended, too")
 	require.Len(t, primary.statements(), 1)
 }
 
-// Guards against clients that say nothing, or ask once and stay, and so keep all others out or hold memory for good.
+// Guards against idle clients that exclude others or hold memory for ever.
 func TestIdleClients(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
+	driver := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
 		file["limits"].(map[string]any)["sockets"] = 84
 	})
 	for range 100 {
-		c, err := net.Dial("tcp", v.address)
+		conn, err := net.Dial("tcp", driver.address)
 		require.NoError(t, err)
-		defer c.Close()
+		defer conn.Close()
 	}
 	begun := time.Now()
-	guest := v.connect(t)
-	require.Equal(t, "from p", guest.ask(t, statement("write", 1000)))
-	for range 60 { // ask nothing real, and stay
-		require.Equal(t, "empty", v.connect(t).ask(t, ""))
+	served := driver.connect(t)
+	require.Equal(t, "from p", served.ask(t, statement("write", 1000)))
+	for range 60 { // clients that send an empty query and stay
+		require.Equal(t, "empty", driver.connect(t).ask(t, ""))
 	}
-	require.Equal(t, "from p", guest.ask(t, statement("write", 1000)), "a crowd does not keep it out")
-	for range 20 { // ask once, and stay
-		require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
+	require.Equal(t, "from p", served.ask(t, statement("write", 1000)), "idle clients do not exclude it")
+	for range 20 { // clients that send one query and stay
+		require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)))
 	}
-	require.Equal(t, "end", guest.readReply(t), "too many guests wait: the one that has longest goes, though room is not short")
+	require.Equal(t, "end", served.readReply(t), "too many served clients are idle: the longest idle one is closed, even with free descriptors")
 	require.Less(t, time.Since(begun), time.Second)
-	stays := v.connect(t)
+	stays := driver.connect(t)
 	require.Equal(t, "from p", stays.ask(t, statement("write", 1000)))
 	require.Less(t, time.Since(begun), 1500*time.Millisecond)
 	require.Equal(t, "end", stays.readReply(t))
-	require.Greater(t, time.Since(begun), 2*time.Second, "not while others are closed for less")
+	require.Greater(t, time.Since(begun), 2*time.Second, "not before new clients are evicted")
 }
 
-// Guards against spoilt answers passed on, taken for a proof, or waited for when they will not end; against a
-// statement that no member can use being blamed on them; and against what comes behind an answer being the next one's.
+// Guards against malformed answers that are forwarded, taken as proof, waited for without end, or
+// taken for the next answer, and against blaming members for statements that none can execute.
 func TestMalformedAnswers(t *testing.T) {
 	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "leader")
-	v := startDriver(t, newFakeDiscovery(t, one, other), nil)
-	c := v.connect(t)
+	driver := startDriver(t, newFakeDiscovery(t, one, other), nil)
+	client := driver.connect(t)
 	whole := rowMessages("spoilt")
 	for _, text := range []string{
 		"noise\r\n\r\n", whole[:len(whole)/2], "D\xb2\xd0\x5e\x0a" + megabyte(),
@@ -164,250 +167,255 @@
 	} {
 		one.setBehavior("raw " + text)
 		for range 4 {
-			require.Equal(t, "from b", c.ask(t, statement("read", 2000)), "%.80q", text)
+			require.Equal(t, "from b", client.ask(t, statement("read", 2000)), "%.80q", text)
 		}
 		one.setBehavior("")
 		other.setBehavior("raw " + text)
 		before, begun := len(other.statements()), time.Now()
-		require.Equal(t, "08007", c.ask(t, statement("write", 1000)), "%.80q", text)
+		require.Equal(t, "08007", client.ask(t, statement("write", 1000)), "%.80q", text)
 		require.Less(t, time.Since(begun), 500*time.Millisecond)
-		require.Len(t, other.statements(), before+1, "not sent again")
+		require.Len(t, other.statements(), before+1, "the write is not retried")
 		other.setBehavior("")
 	}
 	other.setBehavior("twice")
 	for range 5 {
-		require.Equal(t, "from b", c.ask(t, statement("write", 1000)))
+		require.Equal(t, "from b", client.ask(t, statement("write", 1000)))
 		time.Sleep(7 * time.Millisecond)
 	}
 	other.setBehavior("42601")
 	before := len(other.statements())
 	for range 5 {
-		require.Equal(t, "08007", c.ask(t, statement("write", 1000)))
+		require.Equal(t, "08007", client.ask(t, statement("write", 1000)))
 	}
-	require.Len(t, other.statements(), before+5, "each once, and the member is not set aside")
+	require.Len(t, other.statements(), before+5, "each is sent once, and the member stays in use")
 }
 
-// Guards against attempts whose proof is taken wrongly: a write goes on only where it provably never ran.
+// Guards against retrying a write that may have run.
 func TestFailingMembers(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	c := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
+	client := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
 	for _, step := range []struct{ act, answer string }{
-		{"reset", "08007"},  // after its last byte: it may have run
-		{"XX000", "08007"},  // it may have run
-		{"silent", "08007"}, // it may have run, or may yet
-		{"53300", "53300"},  // it never ran: repeated, then pushed back
+		{"reset", "08007"},  // after the last byte of the statement: it may have run
+		{"XX000", "08007"},  // the write may have run
+		{"silent", "08007"}, // it may have run, or run later
+		{"53300", "53300"},  // it did not run: retried, then rejected with a retry delay
 		{"", "from p"},
 	} {
 		primary.setBehavior(step.act)
 		before := len(primary.statements())
 		begun := time.Now()
-		require.Equal(t, step.answer, c.ask(t, statement("write", 300)), step.act)
-		require.Less(t, time.Since(begun), 400*time.Millisecond, "an answer within the client's time")
+		require.Equal(t, step.answer, client.ask(t, statement("write", 300)), step.act)
+		require.Less(t, time.Since(begun), 400*time.Millisecond, "an answer before the client's deadline")
 		if step.answer == "08007" {
-			require.Len(t, primary.statements(), before+1, "%s: not sent again", step.act)
+			require.Len(t, primary.statements(), before+1, "%s: the write is not retried", step.act)
 		}
 	}
 }
 
-// Guards against reads lost with a member that others could have answered, and against silent members that hold
-// up RPCs on others.
+// Guards against losing reads that another member could answer, and against silent members that
+// delay RPCs on others.
 func TestReadsRetryOtherMembers(t *testing.T) {
 	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "follower")
-	v := startDriver(t, newFakeDiscovery(t, one, other), nil)
-	c := v.connect(t)
+	driver := startDriver(t, newFakeDiscovery(t, one, other), nil)
+	client := driver.connect(t)
 	for _, act := range []string{"silent", "reset", "72000"} {
 		one.setBehavior(act)
 		for range 6 {
-			require.Equal(t, "from b", c.ask(t, statement("read", 2000)), act)
+			require.Equal(t, "from b", client.ask(t, statement("read", 2000)), act)
 		}
 	}
 	one.shutDown()
-	for range 6 { // its idle connections end before they are used, new ones are refused
-		require.Equal(t, "from b", c.ask(t, statement("read", 2000)))
+	for range 6 { // idle connections are reset, new ones are refused
+		require.Equal(t, "from b", client.ask(t, statement("read", 2000)))
 	}
 }
 
-// Guards against a member held back as if it had restarted, when only the link to it was cut for a while.
+// Guards against treating a member as restarted when only the link to it was cut for a while.
 func TestCutLink(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), nil)
-	four := func() []*pgConn { return []*pgConn{v.connect(t), v.connect(t), v.connect(t), v.connect(t)} }
+	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
+	four := func() []*pgConn {
+		return []*pgConn{driver.connect(t), driver.connect(t), driver.connect(t), driver.connect(t)}
+	}
 	clients := four()
 	together := func(left int) {
-		for _, c := range clients {
-			c.send(statement("write", left))
+		for _, client := range clients {
+			client.send(statement("write", left))
 		}
 	}
 	primary.setBehavior("silent")
-	together(300) // so that there are several connections
-	eventually(t, "all are out", func() bool { return len(primary.statements()) == 4 })
+	together(300) // opens several connections
+	eventually(t, "all attempts are sent", func() bool { return len(primary.statements()) == 4 })
 	primary.setBehavior("")
 	primary.linkLock.Lock()
-	for _, c := range clients {
-		c.readReply(t)
+	for _, client := range clients {
+		client.readReply(t)
 	}
 	primary.linkLock.Unlock()
 	together(300)
-	for _, c := range clients {
-		require.Equal(t, "from p", c.readReply(t))
+	for _, client := range clients {
+		require.Equal(t, "from p", client.readReply(t))
 	}
 	primary.linkLock.Lock()
-	asks := v.connect(t)
+	asks := driver.connect(t)
 	for begun := time.Now(); time.Since(begun) < 2500*time.Millisecond; {
 		asks.ask(t, statement("write", 100))
 	}
 	primary.linkLock.Unlock()
-	clients = four() // those from before were let go meanwhile
-	eventually(t, "it is used again", func() bool { return clients[0].ask(t, statement("write", 100)) == "from p" })
+	clients = four() // the earlier connections have been closed
+	eventually(t, "the member is used again", func() bool { return clients[0].ask(t, statement("write", 100)) == "from p" })
 	primary.setBehavior("silent")
 	before := len(primary.statements())
 	together(100)
-	eventually(t, "all are out at once", func() bool { return len(primary.statements()) == before+4 })
+	eventually(t, "all attempts are sent at once", func() bool { return len(primary.statements()) == before+4 })
 }
 
-// Guards against the same where one client at a time keeps a single connection busy, which dies with the link.
+// Guards against the same if one client keeps a single connection busy, which dies with the link.
 func TestCutLinkInSteadyUse(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), nil)
-	c := v.connect(t)
+	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
+	client := driver.connect(t)
 	for begun := time.Now(); time.Since(begun) < 300*time.Millisecond; {
-		require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+		require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	}
 	primary.linkLock.Lock()
 	for begun := time.Now(); time.Since(begun) < 2500*time.Millisecond; {
-		c.ask(t, statement("write", 400))
+		client.ask(t, statement("write", 400))
 	}
 	primary.linkLock.Unlock()
-	clients := []*pgConn{v.connect(t), v.connect(t), v.connect(t), v.connect(t)}
-	eventually(t, "it is used again", func() bool { return clients[0].ask(t, statement("write", 100)) == "from p" })
+	clients := []*pgConn{driver.connect(t), driver.connect(t), driver.connect(t), driver.connect(t)}
+	eventually(t, "the member is used again", func() bool { return clients[0].ask(t, statement("write", 100)) == "from p" })
 	primary.setBehavior("silent")
 	before := len(primary.statements())
-	for _, c := range clients {
-		c.send(statement("write", 100))
+	for _, client := range clients {
+		client.send(statement("write", 100))
 	}
-	eventually(t, "all are out at once", func() bool { return len(primary.statements()) == before+4 })
+	eventually(t, "all attempts are sent at once", func() bool { return len(primary.statements()) == before+4 })
 }
 
-// Guards against work sent to a member after the watch told that it drains.
+// Guards against sending work to a member after the watch reported that it drains.
 func TestDrainingMember(t *testing.T) {
 	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "follower")
-	d := newFakeDiscovery(t, one, other)
-	c := startDriver(t, d, nil).connect(t)
-	if c.ask(t, statement("read", 1000)) == "from b" {
+	discovery := newFakeDiscovery(t, one, other)
+	client := startDriver(t, discovery, nil).connect(t)
+	if client.ask(t, statement("read", 1000)) == "from b" {
 		one, other = other, one
 	}
-	eventually(t, "the list is watched", func() bool { return d.calls() == 2 })
-	d.setLifecycle(one, "DRAINING", false)
-	eventually(t, "the watch goes on", func() bool { return d.calls() == 3 })
+	eventually(t, "the list is watched", func() bool { return discovery.calls() == 2 })
+	discovery.setLifecycle(one, "DRAINING", false)
+	eventually(t, "the watch continues", func() bool { return discovery.calls() == 3 })
 	before := len(one.statements())
 	for range 30 {
-		require.Equal(t, "from "+other.name, c.ask(t, statement("read", 1000)))
+		require.Equal(t, "from "+other.name, client.ask(t, statement("read", 1000)))
 	}
 	require.Len(t, one.statements(), before)
 }
 
-// Guards against a driver that is of no use, or asks without a pause, while discovery is down.
+// Guards against a driver that serves nothing, or calls without delay, while discovery is down.
 func TestDiscoveryDown(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	d := newFakeDiscovery(t, primary)
-	d.setLifecycle(nil, "", true)
-	c := startDriver(t, d, nil).connect(t)
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
-	require.Equal(t, 1, d.calls())
-	eventually(t, "it is asked again", func() bool { return d.calls() >= 2 })
-	d.setLifecycle(primary, "DRAINING", false)
-	eventually(t, "the list is told", func() bool { return c.ask(t, statement("write", 300)) == "53300" })
+	discovery := newFakeDiscovery(t, primary)
+	discovery.setLifecycle(nil, "", true)
+	client := startDriver(t, discovery, nil).connect(t)
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
+	require.Equal(t, 1, discovery.calls())
+	eventually(t, "discovery is called again", func() bool { return discovery.calls() >= 2 })
+	discovery.setLifecycle(primary, "DRAINING", false)
+	eventually(t, "the list is received", func() bool { return client.ask(t, statement("write", 300)) == "53300" })
 }
 
-// Guards against a member that is sought for ever where it was before.
+// Guards against connecting to the old address of a member for ever.
 func TestMemberChangesAddress(t *testing.T) {
 	here, there := newFakeMember(t, "p", "leader"), newFakeMember(t, "p", "leader")
-	d := newFakeDiscovery(t, here)
-	c := startDriver(t, d, nil).connect(t)
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
-	d.mu.Lock()
-	delete(d.lifecycles, here)
-	d.mu.Unlock()
-	d.setLifecycle(there, "SERVING", false)
-	eventually(t, "it is found where it is now", func() bool {
-		require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+	discovery := newFakeDiscovery(t, here)
+	client := startDriver(t, discovery, nil).connect(t)
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
+	discovery.mu.Lock()
+	delete(discovery.lifecycles, here)
+	discovery.mu.Unlock()
+	discovery.setLifecycle(there, "SERVING", false)
+	eventually(t, "the new address is used", func() bool {
+		require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 		return len(there.statements()) > 0
 	})
 }
 
-// Guards against datagrams that are no driver's, overlong ones among them, doing more than being counted.
+// Guards against effects of invalid or oversized datagrams other than being counted.
 func TestStrayDatagrams(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	change, address := withPeers(t, 1)
 	env := writeConfig(t, newFakeDiscovery(t, primary), change)
 	cmd, stderr := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
-	c := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
-	require.Equal(t, "empty", c.ask(t, ""))
+	client := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
+	require.Equal(t, "empty", client.ask(t, ""))
 	sender, err := net.Dial("udp", address)
 	require.NoError(t, err)
 	defer sender.Close()
 	for _, text := range []string{"\xff", strings.Repeat("\x01", 1000)} {
 		io.WriteString(sender, text)
 	}
-	eventually(t, "both are counted", func() bool { return strings.Contains(stderr.String(), "dropped=2") })
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+	eventually(t, "both datagrams are counted", func() bool { return strings.Contains(stderr.String(), "dropped=2") })
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, cmd.Wait())
 }
 
-// Guards against work that goes on for a client that has gone, on connections that others could use.
+// Guards against work that continues for a client that disconnected, on connections that others
+// could use.
 func TestClientDisconnects(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), nil)
+	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
 	primary.setBehavior("silent")
-	c := v.connect(t)
-	c.send(statement("write", 2000))
-	eventually(t, "the attempt is out", func() bool { return len(primary.statements()) == 1 })
-	c.Close()
+	client := driver.connect(t)
+	client.send(statement("write", 2000))
+	eventually(t, "the attempt is sent", func() bool { return len(primary.statements()) == 1 })
+	client.Close()
 	primary.setBehavior("")
-	require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
+	require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)))
 }
 
-// Guards against descriptors that run out: clients that ask nothing make room, and those that come are served.
+// Guards against running out of descriptors: idle clients are evicted, and new ones are served.
 func TestFewDescriptors(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	v := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
+	driver := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
 		file["limits"].(map[string]any)["sockets"] = 84
 	})
 	for range 100 {
-		require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)))
+		require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)))
 	}
 }
 
-// Guards against RPCs lost at a planned restart: what was taken is answered, and idle clients are let go.
+// Guards against losing RPCs at a planned restart: received queries are answered, and idle clients
+// are closed.
 func TestTermination(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	d := newFakeDiscovery(t, primary)
-	env := writeConfig(t, d, nil)
+	discovery := newFakeDiscovery(t, primary)
+	env := writeConfig(t, discovery, nil)
 	cmd, stderr := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
 	exited := make(chan error, 1)
 	go func() { exited <- cmd.Wait() }()
-	v := &testDriver{address: env["GW_LISTEN"]}
-	idle, busy := v.connect(t), v.connect(t)
+	driver := &testDriver{address: env["GW_LISTEN"]}
+	idle, busy := driver.connect(t), driver.connect(t)
 	require.Equal(t, "empty", idle.ask(t, ""))
 	primary.setBehavior("silent")
 	busy.send(statement("write", 1200))
-	eventually(t, "the attempt is out", func() bool { return len(primary.statements()) == 1 })
+	eventually(t, "the attempt is sent", func() bool { return len(primary.statements()) == 1 })
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-	eventually(t, "it says so", func() bool { return strings.Contains(stderr.String(), "leaving") })
+	eventually(t, "the driver logs the shutdown", func() bool { return strings.Contains(stderr.String(), "leaving") })
 	primary.setBehavior("")
-	require.Equal(t, "from p", v.connect(t).ask(t, statement("write", 1000)), "clients that still come are served")
+	require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)), "new clients are still served")
 	require.Equal(t, "end", idle.readReply(t))
 	require.Equal(t, "08007", busy.readReply(t))
 	require.Equal(t, "end", busy.readReply(t))
 	require.NoError(t, <-exited, stderr.String())
 }
 
-// Guards against start-up input that ends in a trace or in silence in place of one plain line.
+// Guards against invalid configuration that ends in a stack trace or silence instead of a one-line
+// error.
 func TestInvalidConfig(t *testing.T) {
-	d := newFakeDiscovery(t)
+	discovery := newFakeDiscovery(t)
 	set := func(path ...any) func(map[string]any) {
 		return func(file map[string]any) {
 			for _, name := range path[:len(path)-2] {
@@ -426,10 +434,10 @@
 		"settings: discovery=\"sometimes\"": set("settings", "discovery", "sometimes"),
 		"known: instances.0.lifecycle":      set("known", "instances", []any{map[string]any{"instanceId": "a", "hostPort": "h:1"}}),
 	} {
-		requireStartFails(t, writeConfig(t, d, change), want)
+		requireStartFails(t, writeConfig(t, discovery, change), want)
 	}
 	for _, name := range []string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"} {
-		env := writeConfig(t, d, nil)
+		env := writeConfig(t, discovery, nil)
 		delete(env, name)
 		requireStartFails(t, env, name+" is missing")
 		if name != "GW_NAME" {
@@ -463,7 +471,7 @@
 	os.Exit(code)
 }
 
-// driverCommand is the program as it is built, with an environment of its own.
+// driverCommand returns a command that runs the built binary with the given environment only.
 func driverCommand(t *testing.T, env map[string]string) (*exec.Cmd, *lockedBuffer) {
 	cmd, stderr := exec.Command(binaryPath), &lockedBuffer{}
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH")}
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rewriteConfig changes the file that a driver was told of.
+// rewriteConfig changes a driver's configuration file.
 func rewriteConfig(t *testing.T, env map[string]string, change func(file map[string]any)) {
 	text, err := os.ReadFile(env["GW_CONFIG"])
 	require.NoError(t, err)
@@ -22,16 +22,16 @@
 	require.NoError(t, os.WriteFile(env["GW_CONFIG"], text, 0o600))
 }
 
-// Guards against a driver that ends, loses what it had taken or goes on by an old list when it is told to read its
-// file again, also when that is in pieces, and against several such notices, one of them while it leaves.
+// Guards against a driver that exits, loses RPCs or keeps an old list on a reload, also with a
+// truncated file, several signals, and signals during shutdown.
 func TestReload(t *testing.T) {
 	primary, other := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
 	old, next := newFakeDiscovery(t, primary, other), newFakeDiscovery(t, primary, other)
 	env := writeConfig(t, old, nil)
 	cmd, stderr := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
-	c := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
-	require.Equal(t, "empty", c.ask(t, ""))
+	client := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
+	require.Equal(t, "empty", client.ask(t, ""))
 	waitForLog := func(text string, count int) {
 		eventually(t, text, func() bool { return strings.Count(stderr.String(), text) == count })
 	}
@@ -46,24 +46,24 @@
 	rewriteConfig(t, env, func(file map[string]any) { file["limits"].(map[string]any)["sockets"] = "many" })
 	hup()
 	waitForLog(`limits.sockets=\"many\"`, 1)
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 
 	require.NoError(t, os.WriteFile(env["GW_CONFIG"], original, 0o600))
 	next.setLifecycle(other, "DRAINING", false)
 	primary.setBehavior("silent")
-	c.send(statement("write", 600))
+	client.send(statement("write", 600))
 	rewriteConfig(t, env, func(file map[string]any) {
 		file["discovery"] = strings.TrimPrefix(next.URL, "http://")
 		file["settings"].(map[string]any)["fleetSize"] = 2
 	})
 	hup()
 	waitForLog("needs_restart=settings", 1)
-	eventually(t, "the next one is watched", func() bool { return next.calls() == 2 })
-	require.Equal(t, "08007", c.readReply(t), "what was out stays out")
+	eventually(t, "the new discovery address is watched", func() bool { return next.calls() == 2 })
+	require.Equal(t, "08007", client.readReply(t), "the pending attempt is not retried")
 	primary.setBehavior("")
 	before := len(other.statements())
 	for range 20 {
-		require.Equal(t, "from p", c.ask(t, statement("read", 1000)), "r drains")
+		require.Equal(t, "from p", client.ask(t, statement("read", 1000)), "member r drains")
 	}
 	require.Len(t, other.statements(), before)
 	require.NotContains(t, stderr.String(), "discovery call failed")
@@ -73,11 +73,11 @@
 	rewriteConfig(t, env, func(file map[string]any) { file["discovery"] = strings.TrimPrefix(old.URL, "http://") })
 	asked := old.calls()
 	hup()
-	eventually(t, "it is asked though nobody was followed", func() bool { return old.calls() > asked })
+	eventually(t, "discovery is called although no task was following", func() bool { return old.calls() > asked })
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	for range 5 {
 		hup()
 	}
-	require.Equal(t, "end", c.readReply(t))
+	require.Equal(t, "end", client.readReply(t))
 	require.NoError(t, cmd.Wait(), stderr.String())
 }
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// randomName is a name that no deployment has.
+// randomName returns a name that no real deployment has.
 func randomName(rng *rand.Rand) string {
 	text := make([]byte, 3+rng.Intn(12))
 	for i := range text {
@@ -18,14 +18,14 @@
 	return "x" + string(text)
 }
 
-// settingsClass is one of a deployment that is drawn.
+// settingsClass is a class of random settings.
 type settingsClass struct {
 	name, effect, level string
 	scope               string
 	giveUp              time.Duration
 }
 
-// randomSettings makes settings whose every class, tenant, limit and cost is its own, and tells the classes.
+// randomSettings returns settings with random classes, tenants, limits and costs, and the classes.
 func randomSettings(rng *rand.Rand) (classes []settingsClass, change func(file map[string]any)) {
 	effects, levels := []string{"repeatable", "by_key", "once"}, []string{"loose", "recent", "own_writes", "update"}
 	var list, read, bounds []any
@@ -58,7 +58,7 @@
 	}
 }
 
-// statement is a statement of a class, of an own key, that waits for so long.
+// statement returns a statement of the class.
 func (c *settingsClass) statement(key string, left time.Duration) string {
 	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */", nextID.Add(1), c.name, left.Milliseconds())
 	if c.level == "update" {
@@ -67,8 +67,7 @@
 	return fmt.Sprintf("SELECT content FROM kv WHERE name = '%s' %s", key, comment)
 }
 
-// Guards against anything that is fitted to one deployment: names, classes, shares, limits and costs are drawn, and all that is
-// done follows from them.
+// Guards against behavior that depends on the names, classes, limits or costs of one deployment.
 func TestRandomSettings(t *testing.T) {
 	for seed := range int64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -76,39 +75,39 @@
 			rng := rand.New(rand.NewSource(seed))
 			classes, change := randomSettings(rng)
 			primary, replica := newFakeMember(t, randomName(rng), "leader"), newFakeMember(t, randomName(rng), "follower")
-			v := startDriver(t, newFakeDiscovery(t, primary, replica), change)
-			c := v.connect(t)
+			driver := startDriver(t, newFakeDiscovery(t, primary, replica), change)
+			client := driver.connect(t)
 			for i := range classes {
-				k := &classes[i]
-				got := c.ask(t, k.statement(randomName(rng), k.giveUp))
-				require.Contains(t, []string{"from " + primary.name, "from " + replica.name}, got, "%+v", k)
-				if k.level == "update" {
-					require.Equal(t, "from "+primary.name, got, "%+v", k)
+				class := &classes[i]
+				got := client.ask(t, class.statement(randomName(rng), class.giveUp))
+				require.Contains(t, []string{"from " + primary.name, "from " + replica.name}, got, "%+v", class)
+				if class.level == "update" {
+					require.Equal(t, "from "+primary.name, got, "%+v", class)
 				}
-				require.Equal(t, "42601", c.ask(t, k.statement("k", 2*k.giveUp+time.Millisecond)), "no client of it waits that long")
-				wrong := *k
-				wrong.level = map[bool]string{true: "loose", false: "update"}[k.level == "update"]
-				require.Equal(t, "42601", c.ask(t, wrong.statement("k", k.giveUp)), "not of its kind")
-				if k.level != "update" {
+				require.Equal(t, "42601", client.ask(t, class.statement("k", 2*class.giveUp+time.Millisecond)), "timeout longer than the class allows")
+				wrong := *class
+				wrong.level = map[bool]string{true: "loose", false: "update"}[class.level == "update"]
+				require.Equal(t, "42601", client.ask(t, wrong.statement("k", class.giveUp)), "statement of another kind than the class")
+				if class.level != "update" {
 					continue
 				}
 				primary.setBehavior("reset")
 				before := len(primary.statements())
-				harmless := k.effect == "repeatable" || k.effect == "by_key" && k.scope == "all" // to ask again anywhere
-				answer := c.ask(t, k.statement(randomName(rng), 400*time.Millisecond))
-				require.True(t, answer == "08007" || harmless && answer == "53300", "%s: %+v", answer, k)
+				isRetryable := class.effect == "repeatable" || class.effect == "by_key" && class.scope == "all" // at any member
+				answer := client.ask(t, class.statement(randomName(rng), 400*time.Millisecond))
+				require.True(t, answer == "08007" || isRetryable && answer == "53300", "%s: %+v", answer, class)
 				sent := len(primary.statements()) - before
 				primary.setBehavior("")
-				if k.effect == "once" {
-					require.Equal(t, 1, sent, "never twice")
+				if class.effect == "once" {
+					require.Equal(t, 1, sent, "a non-idempotent write is sent once")
 				} else {
-					require.Greater(t, sent, 1, "it may run again")
+					require.Greater(t, sent, 1, "an idempotent write is retried")
 				}
 				eventually(t, "the member is used again", func() bool {
-					return c.ask(t, k.statement(randomName(rng), k.giveUp)) == "from "+primary.name
+					return client.ask(t, class.statement(randomName(rng), class.giveUp)) == "from "+primary.name
 				})
 			}
-			require.Equal(t, "42601", c.ask(t, statement("read", 100)), "a class of another deployment")
+			require.Equal(t, "42601", client.ask(t, statement("read", 100)), "unknown class")
 		})
 	}
 }
--- a/internal/program/shutdown_test.go
+++ b/internal/program/shutdown_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// driverProcess is a driver in a process of its own.
+// driverProcess is a driver that runs in a separate process.
 type driverProcess struct {
 	*testDriver
 	pid        int
@@ -21,8 +21,8 @@
 	stderr     func() string
 }
 
-func startProcess(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) *driverProcess {
-	env := writeConfig(t, d, change)
+func startProcess(t *testing.T, discovery *fakeDiscovery, change func(file map[string]any)) *driverProcess {
+	env := writeConfig(t, discovery, change)
 	cmd, stderr := driverCommand(t, env)
 	require.NoError(t, cmd.Start())
 	p := &driverProcess{testDriver: &testDriver{address: env["GW_LISTEN"]}, pid: cmd.Process.Pid, exited: make(chan error, 1), stderr: stderr.String,
@@ -35,58 +35,58 @@
 	return p
 }
 
-// waitForExit waits for the process to exit in good order.
+// waitForExit waits for the process to exit without an error.
 func (p *driverProcess) waitForExit(t *testing.T, within time.Duration) {
 	select {
 	case err := <-p.exited:
 		require.NoError(t, err, p.stderr())
 	case <-time.After(within):
-		require.Fail(t, "it does not exit", p.stderr())
+		require.Fail(t, "the process does not exit", p.stderr())
 	}
 }
 
-// withLongDeadlines lets clients wait for 5 s.
+// withLongDeadlines lets RPCs take up to 5 s.
 func withLongDeadlines(file map[string]any) {
 	for _, class := range file["settings"].(map[string]any)["classes"].([]any) {
 		class.(map[string]any)["giveUpUs"] = 5_000_000
 	}
 }
 
-// Guards against an RPC that is lost since its client waits longer than the driver takes to leave, and against a second notice
-// to leave, or one to read the file again, that ends the driver before its time.
+// Guards against losing an RPC that outlasts the usual shutdown, and against repeated signals that
+// end the driver early.
 func TestShutdownWaitsForRPCs(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	p := startProcess(t, newFakeDiscovery(t, primary), withLongDeadlines)
-	c, rests := p.connect(t), p.connect(t)
-	require.Equal(t, "from p", rests.ask(t, statement("write", 1000)))
+	driver := startProcess(t, newFakeDiscovery(t, primary), withLongDeadlines)
+	client, idle := driver.connect(t), driver.connect(t)
+	require.Equal(t, "from p", idle.ask(t, statement("write", 1000)))
 	primary.setBehavior("silent")
-	c.send(statement("write", 4700))
-	eventually(t, "the attempt is out", func() bool { return len(primary.statements()) == 2 })
+	client.send(statement("write", 4700))
+	eventually(t, "the attempt is sent", func() bool { return len(primary.statements()) == 2 })
 	begun := time.Now()
-	p.signal(syscall.SIGTERM)
-	p.waitForLog("leaving")
-	p.signal(syscall.SIGTERM)
-	p.signal(syscall.SIGHUP)
-	require.Equal(t, "end", rests.readReply(t), "it is let go")
+	driver.signal(syscall.SIGTERM)
+	driver.waitForLog("leaving")
+	driver.signal(syscall.SIGTERM)
+	driver.signal(syscall.SIGHUP)
+	require.Equal(t, "end", idle.readReply(t), "the connection is closed")
 	require.Less(t, time.Since(begun), 1500*time.Millisecond)
-	require.Equal(t, "08007", c.readReply(t), "an answer, whole and in time")
+	require.Equal(t, "08007", client.readReply(t), "a complete answer before the deadline")
 	require.Less(t, time.Since(begun), 4800*time.Millisecond)
 	require.Greater(t, time.Since(begun), 4500*time.Millisecond)
-	require.Equal(t, "end", c.readReply(t))
-	p.waitForExit(t, time.Second)
-	require.NotContains(t, p.stderr(), "shutdown timed out")
+	require.Equal(t, "end", client.readReply(t))
+	driver.waitForExit(t, time.Second)
+	require.NotContains(t, driver.stderr(), "shutdown timed out")
 }
 
-// Guards against what was read before the shutdown and is not answered, and what comes after it and is sent on: queries behind
-// one another, one that comes again at once, half a query, one on a connection that rests.
+// Guards against queries that are received before shutdown and not answered, or arrive after it and
+// are executed.
 func TestQueriesAtShutdown(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	p := startProcess(t, newFakeDiscovery(t, primary), nil)
-	queue, again, half, rests := p.connect(t), p.connect(t), p.connect(t), p.connect(t)
-	p.signal(syscall.SIGTERM)
-	p.waitForLog("leaving")
-	time.Sleep(300 * time.Millisecond) // clients are still sent here
-	require.Equal(t, "from p", p.connect(t).ask(t, statement("write", 1000)))
+	driver := startProcess(t, newFakeDiscovery(t, primary), nil)
+	queue, again, half, idle := driver.connect(t), driver.connect(t), driver.connect(t), driver.connect(t)
+	driver.signal(syscall.SIGTERM)
+	driver.waitForLog("leaving")
+	time.Sleep(300 * time.Millisecond) // still within the drain delay
+	require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)))
 	release := primary.holdLink()
 	for range 5 {
 		queue.send(statement("write", 1900))
@@ -94,9 +94,9 @@
 	again.send(statement("write", 1900))
 	query := message("Q", statement("write", 1900)+"\x00")
 	io.WriteString(half, query[:20])
-	require.Equal(t, "end", rests.readReply(t), "it is let go: no client is sent here any more")
+	require.Equal(t, "end", idle.readReply(t), "idle connections are closed after the drain delay")
 	io.WriteString(half, query[20:])
-	io.WriteString(rests, query)
+	io.WriteString(idle, query)
 	release()
 	for range 5 {
 		require.Equal(t, "from p", queue.readReply(t))
@@ -108,24 +108,24 @@
 	for again.ask(t, statement("write", 1900)) == "from p" {
 		answers++
 	}
-	require.Equal(t, 1, answers, "what comes behind the last answer is not taken")
-	p.waitForExit(t, 2*time.Second)
+	require.Equal(t, 1, answers, "queries after the last answer are not executed")
+	driver.waitForExit(t, 2*time.Second)
 	require.Len(t, primary.statements(), 1+5+1+1)
 }
 
-// Guards against a driver that waits without end for the rest of a query, and against a reset in place of an end where a
-// client sends much as it is let go.
+// Guards against waiting without end for the rest of a query at shutdown, and against resetting the
+// connection of a client that still sends.
 func TestPartialQueryAtShutdown(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	p := startProcess(t, newFakeDiscovery(t, primary), nil)
-	half, floods := p.connect(t), p.connect(t)
+	driver := startProcess(t, newFakeDiscovery(t, primary), nil)
+	half, flooding := driver.connect(t), driver.connect(t)
 	io.WriteString(half, "Q\x00\x00\x01\x00half")
-	p.signal(syscall.SIGTERM)
-	require.Equal(t, "end", floods.readReply(t))
-	_, err := io.WriteString(floods, strings.Repeat(message("Q", statement("write", 1000)+"\x00"), 1000))
+	driver.signal(syscall.SIGTERM)
+	require.Equal(t, "end", flooding.readReply(t))
+	_, err := io.WriteString(flooding, strings.Repeat(message("Q", statement("write", 1000)+"\x00"), 1000))
 	require.NoError(t, err)
 	require.Equal(t, "fatal 08P01 end", half.readReply(t))
 	half.Conn.(*net.TCPConn).CloseWrite()
-	p.waitForExit(t, 3*time.Second)
+	driver.waitForExit(t, 3*time.Second)
 	require.Empty(t, primary.statements())
 }
--- a/internal/program/signals_soak_test.go
+++ b/internal/program/signals_soak_test.go
@@ -16,19 +16,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Terms of the rules that signals test.
+// Limits that the checks of TestSignalsSoak apply.
 const (
-	maxDeadline       = 2 * time.Second        // of the settings' classes
-	killDelay         = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline from SIGTERM on, at the earliest
-	acceptedAfterTerm = 700 * time.Millisecond // what comes later after SIGTERM must have its answer before SIGKILL
-	answerSlack       = 500 * time.Millisecond // an answer after its time only earns nothing; later it is lost
-	disconnectSlack   = 150 * time.Millisecond // an attempt may begin so long after its client closed: 0.1 s, and 50 ms of every limit
-	closeRaceSlack    = 100 * time.Millisecond // a request that crosses the end of its connection is told so within this
+	maxDeadline       = 2 * time.Second        // of the configured classes
+	killDelay         = 700 * time.Millisecond // from the longest deadline after SIGTERM until SIGKILL
+	acceptedAfterTerm = 700 * time.Millisecond // requests sent later than this after SIGTERM must be answered
+	answerSlack       = 500 * time.Millisecond // tolerated delay of an answer past its deadline
+	disconnectSlack   = 150 * time.Millisecond // tolerated delay of an attempt after its client closed
+	closeRaceSlack    = 100 * time.Millisecond // until a request sent as its connection closes must fail
 )
 
-// TestSignalsSoak guards against requests that are lost while a driver is told to read its settings again, is held up, leaves, and is killed at
-// the earliest moment that the page allows: clients send on open connections until then, some leave in the middle, some runs have a crowd that
-// holds most descriptors, and members hang, lag and hand over meanwhile. The members' and the clients' own records are the judge.
+// TestSignalsSoak guards against losing requests while a driver gets signals, is stopped, shuts
+// down and is killed at the earliest permitted moment. Members fail meanwhile, and some clients
+// disconnect or idle. The records of members and clients are checked.
 func TestSignalsSoak(t *testing.T) {
 	runSeeds(t, 1, 6, func(t *testing.T, seed int64) { newSignalsSoak(t, seed).run() })
 }
@@ -42,11 +42,11 @@
 	*driverProcess
 
 	mu          sync.Mutex
-	disconnects map[string]time.Time // when the client of a request closed its connection
+	disconnects map[string]time.Time // time when the client closed, by request ID
 	violations  []string
 	answered    int
-	termSentAt  atomic.Int64 // when SIGTERM was sent, Unix time in nanoseconds
-	killedAt    atomic.Int64 // and SIGKILL
+	termSentAt  atomic.Int64 // Unix time in nanoseconds
+	killedAt    atomic.Int64 // Unix time in nanoseconds of SIGKILL; 0 for never
 }
 
 func newSignalsSoak(t *testing.T, seed int64) *signalsSoak {
@@ -103,12 +103,12 @@
 	s.checkResults()
 }
 
-// sendSignals sends signals one after another for so long.
+// sendSignals sends random signals for the given time.
 func (s *signalsSoak) sendSignals(span time.Duration) {
 	for begun := time.Now(); time.Since(begun) < span; {
 		time.Sleep(time.Duration(s.rng.Intn(250)) * time.Millisecond)
 		select {
-		case err := <-s.exited: // it has left already
+		case err := <-s.exited: // the process has exited
 			s.exited <- err
 			return
 		default:
@@ -128,10 +128,10 @@
 	}
 }
 
-// send sends a signal to a process that may have ended just now.
+// send sends a signal to the process, which may have exited already.
 func (s *signalsSoak) send(signal syscall.Signal) { syscall.Kill(s.pid, signal) }
 
-// client keeps connections open and sends on them, for as long as the driver accepts any.
+// client sends requests on one connection after another for as long as the driver accepts any.
 func (s *signalsSoak) client(rng *rand.Rand) {
 	for s.killedAt.Load() == 0 {
 		c, err := s.connect()
@@ -149,7 +149,7 @@
 	}
 }
 
-// connect opens a connection and gets through its start.
+// connect opens a connection and completes the start-up.
 func (s *signalsSoak) connect() (*pgConn, error) {
 	nc, err := net.DialTimeout("tcp", s.address, time.Second)
 	if err != nil {
@@ -170,7 +170,7 @@
 	}
 }
 
-// idle holds a connection on which it sends nothing.
+// idle holds a connection and sends nothing.
 func (s *signalsSoak) idle() {
 	if c, err := s.connect(); err == nil {
 		c.readReply(s.t)
@@ -178,13 +178,13 @@
 	}
 }
 
-// request sends one request, and tells whether its connection goes on.
+// request sends one request and reports whether the connection is still open.
 func (s *signalsSoak) request(c *pgConn, rng *rand.Rand) (isOpen bool) {
 	timeoutMillis := 50 + rng.Intn(1850)
 	text := statement([]string{"read", "read", "write"}[rng.Intn(3)], timeoutMillis)
 	sent := time.Now()
 	c.send(text)
-	if rng.Intn(12) == 0 { // it leaves in the middle
+	if rng.Intn(12) == 0 { // disconnects before the answer
 		time.Sleep(time.Duration(rng.Intn(80)) * time.Millisecond)
 		s.mu.Lock()
 		s.disconnects[rpcID(text)] = time.Now()
@@ -202,12 +202,12 @@
 	}
 	s.answered++
 	if took > time.Duration(timeoutMillis)*time.Millisecond+answerSlack {
-		s.addViolation("request %s, which would wait %d ms, got %q after %v", rpcID(text), timeoutMillis, got, took)
+		s.addViolation("request %s with a timeout of %d ms got %q after %v", rpcID(text), timeoutMillis, got, took)
 	}
 	return !strings.HasSuffix(got, "end")
 }
 
-// checkUnanswered judges a request whose connection ended without an answer. The lock is held.
+// checkUnanswered checks a request whose connection ended without an answer. The lock is held.
 func (s *signalsSoak) checkUnanswered(id string, sent time.Time, took time.Duration) {
 	came := s.group.arrivalsOf(id)
 	killed, told := s.killedAt.Load(), time.Unix(0, s.termSentAt.Load())
@@ -217,7 +217,7 @@
 	case len(came) > 0:
 		s.addViolation("request %s reached a member and its connection ended after %v without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
 	case took > closeRaceSlack:
-		s.addViolation("request %s was in its connection for %v, which ended without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
+		s.addViolation("request %s was pending for %v when its connection ended without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
 	}
 }
 
@@ -225,7 +225,7 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// checkResults looks for attempts after their clients left, and sums up.
+// checkResults checks for attempts after their clients disconnected, and reports all violations.
 func (s *signalsSoak) checkResults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,12 +236,12 @@
 			}
 		}
 	}
-	s.t.Logf("seed %d: %d requests answered, %d clients left, crowd %t, killed %t, broken %d", s.seed, s.answered, len(s.disconnects), s.hasIdleCrowd(), s.killedAt.Load() != 0, len(s.violations))
+	s.t.Logf("seed %d: %d requests answered, %d clients disconnected, crowd %t, killed %t, violations %d", s.seed, s.answered, len(s.disconnects), s.hasIdleCrowd(), s.killedAt.Load() != 0, len(s.violations))
 	require.Empty(s.t, s.violations, "%s", s.stderr())
 	require.Greater(s.t, s.answered, 100)
 }
 
-// rpcID is the id in a statement.
+// rpcID returns the RPC ID in a statement.
 func rpcID(statement string) string {
 	_, rest, _ := strings.Cut(statement, "id=")
 	id, _, _ := strings.Cut(rest, ",")
@@ -251,7 +251,7 @@
 	return id
 }
 
-// arrivalsOf are when the members got a request.
+// arrivalsOf returns the times when members got a request.
 func (s *fakeGroup) arrivalsOf(id string) []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/program/sizes_test.go
+++ b/internal/program/sizes_test.go
@@ -17,7 +17,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memberList is a list of many members: groups of one primary and three replicas, at two stand-ins' addresses.
+// memberList returns a list of groups with one primary and three replicas each, at the addresses of
+// two fake members.
 func memberList(generation, first, count int, all bool, state string, primary, replica *fakeMember) map[string]any {
 	entries := []any{}
 	for i := first; i < first+count; i++ {
@@ -31,7 +32,7 @@
 	return map[string]any{"generation": generation, "reset": all, "instances": entries}
 }
 
-// watchParams is what a call waits for: what is newer than a generation, and how long; 0 where it does not.
+// watchParams returns the generation and wait time of a watch call; 0 for other calls.
 func watchParams(path string) (generation int, wait time.Duration) {
 	at, err := url.Parse(path)
 	if err != nil {
@@ -42,8 +43,7 @@
 	return generation, time.Duration(milliseconds) * time.Millisecond
 }
 
-// resourceUse is how much memory a process holds of its own, in MB, and how many descriptors. Pages of the program's file count for
-// nobody, since the system may drop them.
+// resourceUse returns the anonymous memory of a process in MB, and its number of open descriptors.
 func resourceUse(t *testing.T, pid int) (megabytes, descriptors int) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	require.NoError(t, err)
@@ -55,15 +55,15 @@
 	return kilobytes >> 10, len(open)
 }
 
-// Guards against bounds on members or drivers below what deployments have: 1,024 of each, told in one list, indented or not,
-// whole or in pieces, or through changes, with fewer descriptors than members and 32 MB.
+// Guards against limits below 1,024 members and drivers, listed at once, in pieces or through
+// changes, with fewer descriptors than members and 32 MB of memory.
 func TestManyMembersAndDrivers(t *testing.T) {
 	const sockets, memory = 256, 32
 	plain := func(list any) string { text, _ := json.Marshal(list); return string(text) }
 	indented := func(list any) string { text, _ := json.MarshalIndent(list, "", "    "); return string(text) }
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		members, drivers int
-		messages         bool // between drivers
+		messages         bool // peer messages are enabled
 		text             func(list any) string
 		pieces           bool
 	}{
@@ -72,12 +72,12 @@
 		"many drivers with messages":       {1024, 1024, true, indented, false},
 		"many drivers, indented in pieces": {1024, 1024, true, indented, true},
 	} {
-		members := c.members
+		members := testCase.members
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			primary, replica := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
 			var changed atomic.Bool
-			s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, to net.Conn) string {
+			discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, to net.Conn) string {
 				list := memberList(1, 0, members, true, "SERVING", primary, replica)
 				if generation, wait := watchParams(path); generation > 0 {
 					for until := time.Now().Add(wait); time.Now().Before(until) && (generation == 2 || !changed.Load()); {
@@ -89,38 +89,38 @@
 						list["instances"] = append(list["instances"].([]any), memberList(2, 0, members, false, "DELETED", primary, replica)["instances"].([]any)...)
 					}
 				}
-				answer := httpOK(c.text(list))
-				for c.pieces && len(answer) > 20_000 {
+				answer := httpOK(testCase.text(list))
+				for testCase.pieces && len(answer) > 20_000 {
 					io.WriteString(to, answer[:20_000])
 					answer = answer[20_000:]
 					time.Sleep(time.Millisecond)
 				}
 				return answer
 			})
-			env := writeConfig(t, s.fakeDiscovery, func(file map[string]any) {
+			env := writeConfig(t, discovery.fakeDiscovery, func(file map[string]any) {
 				file["known"] = memberList(0, 0, members/2, true, "SERVING", primary, replica)
 				file["limits"] = map[string]any{"cores": 1.0, "memory_mb": memory, "sockets": sockets}
 				settings := file["settings"].(map[string]any)
-				settings["fleetSize"] = c.drivers
-				if c.messages {
+				settings["fleetSize"] = testCase.drivers
+				if testCase.messages {
 					settings["limits"].(map[string]any)["peerMessages"] = true
 					peers := []any{}
-					for i := range c.drivers {
+					for i := range testCase.drivers {
 						peers = append(peers, fmt.Sprintf("127.0.%d.%d:7946", 1+i/250, 1+i%250))
 					}
 					file["peers"], file["peers_all"], file["peer_listen"] = peers, "127.0.0.1:9", "127.0.0.1:0"
 				}
 			})
-			env["GW_DISCOVERY"] = s.listen.Addr().String()
+			env["GW_DISCOVERY"] = discovery.listen.Addr().String()
 			cmd, stderr := driverCommand(t, env)
 			require.NoError(t, cmd.Start())
-			v := &testDriver{address: env["GW_LISTEN"]}
-			client := v.connect(t)
-			client.SetDeadline(time.Now().Add(30 * time.Second)) // to be ready, as the platform has it
+			driver := &testDriver{address: env["GW_LISTEN"]}
+			client := driver.connect(t)
+			client.SetDeadline(time.Now().Add(30 * time.Second)) // start-up time limit
 			require.Equal(t, "empty", client.ask(t, ""))
 			maxMemory, maxDescriptors := 0, 0
 			queryGroups := func(from int) {
-				client := v.connect(t)
+				client := driver.connect(t)
 				for group := from; group < from+members/4; group++ {
 					for _, form := range []string{
 						"SELECT content FROM kv WHERE name = 'k' /* id=%d,c=read,d=1900,cluster=%d */",
@@ -130,16 +130,16 @@
 							return strings.HasPrefix(client.ask(t, fmt.Sprintf(form, nextID.Add(1), group)), "from ")
 						})
 					}
-					m, d := resourceUse(t, cmd.Process.Pid)
-					maxMemory, maxDescriptors = max(maxMemory, m), max(maxDescriptors, d)
+					megabytes, d := resourceUse(t, cmd.Process.Pid)
+					maxMemory, maxDescriptors = max(maxMemory, megabytes), max(maxDescriptors, d)
 				}
 			}
 			queryGroups(0)
 			changed.Store(true)
-			client = v.connect(t)
+			client = driver.connect(t)
 			eventually(t, "the change is known", func() bool {
-				q := fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%d,c=read,d=500,cluster=%d */", nextID.Add(1), 2*members/4-1)
-				return strings.HasPrefix(client.ask(t, q), "from ")
+				query := fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%d,c=read,d=500,cluster=%d */", nextID.Add(1), 2*members/4-1)
+				return strings.HasPrefix(client.ask(t, query), "from ")
 			})
 			queryGroups(members / 4)
 			require.LessOrEqual(t, maxMemory, memory)
--- a/internal/program/standins_test.go
+++ b/internal/program/standins_test.go
@@ -26,7 +26,7 @@
 	"sedgespread/internal/program"
 )
 
-const waitTimeout = 5 * time.Second // within which what is waited for must come
+const waitTimeout = 5 * time.Second // of eventually
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	for begun := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
@@ -34,11 +34,11 @@
 	}
 }
 
-// pgConn speaks PostgreSQL's messages.
+// pgConn is a connection that speaks the PostgreSQL protocol.
 type pgConn struct {
 	net.Conn
 	reader    *bufio.Reader
-	cancelKey string // that a driver told it at its start
+	cancelKey string // from the driver
 }
 
 func newPGConn(c net.Conn) *pgConn { return &pgConn{Conn: c, reader: bufio.NewReader(c)} }
@@ -72,33 +72,34 @@
 
 func errorMessage(state string) string { return message("E", "SERROR\x00C"+state+"\x00Mno\x00\x00") }
 
-// fakeMember is a stand-in for a member.
+// fakeMember is a fake of a member.
 type fakeMember struct {
 	name       string
 	listener   net.Listener
 	mu         sync.Mutex
 	role       string
-	behavior   string // what it does with statements: a state, "reset" or "silent"; empty for serving them
+	behavior   string // "reset", "silent", "twice", "raw ..." or an SQLSTATE; empty to serve statements
 	received   []string
-	statusFunc func() status // what its answers state of itself; nil for its role, and a position that is now
-	reportFunc func() string // its load report; nil for one that says the same
-	exchanges  []exchange    // what it answered clients' statements, in the order of its answers
-	probes     int           // probes that it got
-	opened     int           // connections, past their startup messages
+	statusFunc func() status // status in answers; nil for role and the current time
+	reportFunc func() string // load report; nil for one with the status
+	exchanges  []exchange    // clients' statements in the order of their answers
+	probes     int           // received
+	opened     int           // connections that sent a startup message
 	conns      map[net.Conn]bool
-	linkLock   sync.RWMutex // held for writing while nothing gets through
+	linkLock   sync.RWMutex // locked for writing while the link is blocked
 }
 
-// status is what a member states of itself: "leader" or "follower", and its log position in Unix milliseconds.
+// status is the role ("leader" or "follower") and log position, in Unix milliseconds, that a member
+// reports.
 type status struct {
 	role     string
 	position int64
 }
 
-// exchange is one statement of a client as a member saw it.
+// exchange is a client's statement as a member saw it.
 type exchange struct {
-	receivedAt, answeredAt time.Time // its last byte; just before its answer was written
-	status                           // what the answer stated
+	receivedAt, answeredAt time.Time // of the last byte; before writing the answer
+	status                           // in the answer
 }
 
 func (m *fakeMember) status() status {
@@ -108,23 +109,23 @@
 	return status{m.role, time.Now().UnixMilli()}
 }
 
-// messages is the status as the messages of an answer.
+// messages returns the protocol messages that carry the status.
 func (s status) messages() string {
 	return message("S", "node_role\x00"+s.role+"\x00") + message("S", fmt.Sprintf("replay_position\x00%d\x00", s.position))
 }
 
-// loadReport is the load report that states it.
+// loadReport returns the load report that carries the status.
 func (s status) loadReport() string {
 	return fmt.Sprintf("x0=%d.%03d,x1=%d", s.position/1000, s.position%1000, map[string]int{"leader": 1}[s.role])
 }
 
 func newFakeMember(t *testing.T, name, role string) *fakeMember {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &fakeMember{name: name, listener: l, role: role, conns: map[net.Conn]bool{}}
+	m := &fakeMember{name: name, listener: listener, role: role, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -159,54 +160,53 @@
 	m.mu.Unlock()
 }
 
-// statements are those that it got from clients.
+// statements returns the statements received from clients.
 func (m *fakeMember) statements() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]string(nil), m.received...)
 }
 
-// counts are the connections that were opened to it, and the probes that it got.
+// counts returns the number of connections opened and of probes received.
 func (m *fakeMember) counts() (opened, probes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.opened, m.probes
 }
 
-// holdLink lets nothing through any more, so that new connections are long in coming up, and drops the old ones; the function
-// that it gives ends that.
+// holdLink resets all connections and blocks new ones until release is called.
 func (m *fakeMember) holdLink() (release func()) {
 	m.linkLock.Lock()
 	m.resetConns()
 	return m.linkLock.Unlock
 }
 
-func (m *fakeMember) serve(s *pgConn) {
-	defer s.Close()
-	if _, err := s.readBody(); err != nil {
+func (m *fakeMember) serve(conn *pgConn) {
+	defer conn.Close()
+	if _, err := conn.readBody(); err != nil {
 		return
 	}
 	m.mu.Lock()
 	m.opened++
 	m.mu.Unlock()
 	m.linkLock.RLock()
-	//lint:ignore SA2001 waits while hold blocks the link
+	//lint:ignore SA2001 waits while holdLink blocks the link
 	m.linkLock.RUnlock()
-	io.WriteString(s, message("R", "\x00\x00\x00\x00")+message("Z", "I"))
+	io.WriteString(conn, message("R", "\x00\x00\x00\x00")+message("Z", "I"))
 	for {
-		kind, body, err := s.read()
+		kind, body, err := conn.read()
 		if err != nil || kind != 'Q' {
 			return
 		}
 		receivedAt := time.Now()
 		m.linkLock.RLock()
-		//lint:ignore SA2001 waits while hold blocks the link
+		//lint:ignore SA2001 waits while holdLink blocks the link
 		m.linkLock.RUnlock()
-		io.WriteString(s, m.answer(s, strings.TrimSuffix(body, "\x00"), receivedAt))
+		io.WriteString(conn, m.answer(conn, strings.TrimSuffix(body, "\x00"), receivedAt))
 	}
 }
 
-func (m *fakeMember) answer(s *pgConn, statement string, receivedAt time.Time) string {
+func (m *fakeMember) answer(conn *pgConn, statement string, receivedAt time.Time) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	status := m.status()
@@ -224,13 +224,13 @@
 	case "":
 		return rowMessages("from "+m.name) + tail
 	case "reset":
-		s.Conn.(*net.TCPConn).SetLinger(0)
-		s.Close()
+		conn.Conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 		return ""
 	case "silent":
 		return ""
-	case "twice": // more than is its own, the rest a moment later
-		time.AfterFunc(5*time.Millisecond, func() { io.WriteString(s, rowMessages("late")+tail) })
+	case "twice": // a second answer, and a third a moment later
+		time.AfterFunc(5*time.Millisecond, func() { io.WriteString(conn, rowMessages("late")+tail) })
 		return rowMessages("from "+m.name) + tail + rowMessages("more") + tail
 	}
 	if text, ok := strings.CutPrefix(m.behavior, "raw "); ok {
@@ -239,7 +239,7 @@
 	return errorMessage(m.behavior) + tail
 }
 
-// fakeDiscovery is a stand-in for discovery.
+// fakeDiscovery is a fake discovery service.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu         sync.Mutex
@@ -260,7 +260,7 @@
 	return d
 }
 
-// list is discovery's list as JSON.
+// list returns the target list as JSON values.
 func (d *fakeDiscovery) list() map[string]any {
 	entries := []any{}
 	for m, state := range d.lifecycles {
@@ -294,7 +294,7 @@
 	json.NewEncoder(w).Encode(d.list())
 }
 
-// setLifecycle changes a member's state, or with no member whether discovery is down.
+// setLifecycle changes a member's lifecycle, or with a nil member whether discovery is down.
 func (d *fakeDiscovery) setLifecycle(m *fakeMember, lifecycle string, down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -313,12 +313,12 @@
 	return d.callCount
 }
 
-// writeConfig writes what a driver is told into a file, and gives its environment.
-func writeConfig(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) map[string]string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// writeConfig writes a driver's configuration file and returns its environment.
+func writeConfig(t *testing.T, discovery *fakeDiscovery, change func(file map[string]any)) map[string]string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l.Close()
-	file := map[string]any{"seed": "8c1f30d27a5be964", "known": d.list(),
+	listener.Close()
+	file := map[string]any{"seed": "8c1f30d27a5be964", "known": discovery.list(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"settings": map[string]any{
 			"classes": []any{
@@ -337,59 +337,59 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	return map[string]string{"GW_NAME": "n0", "GW_LISTEN": l.Addr().String(), "GW_CONFIG": path,
-		"GW_DISCOVERY": strings.TrimPrefix(d.URL, "http://")}
+	return map[string]string{"GW_NAME": "n0", "GW_LISTEN": listener.Addr().String(), "GW_CONFIG": path,
+		"GW_DISCOVERY": strings.TrimPrefix(discovery.URL, "http://")}
 }
 
-// testDriver is a program at work inside the test.
+// testDriver is a driver that runs inside the test process.
 type testDriver struct {
 	address string
 	stop    func()
 	done    chan error
 }
 
-// startDriver runs a driver until the test ends, which must leave no goroutine behind.
-func startDriver(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) *testDriver {
-	return startDriverAt(t, d, strings.TrimPrefix(d.URL, "http://"), change)
+// startDriver runs a driver until the test ends, and checks that it leaves no goroutine behind.
+func startDriver(t *testing.T, discovery *fakeDiscovery, change func(file map[string]any)) *testDriver {
+	return startDriverAt(t, discovery, strings.TrimPrefix(discovery.URL, "http://"), change)
 }
 
-// startDriverAt runs a driver that asks for the list at an address.
-func startDriverAt(t *testing.T, d *fakeDiscovery, address string, change func(file map[string]any)) *testDriver {
-	env := writeConfig(t, d, change)
+// startDriverAt runs a driver that uses the given discovery address.
+func startDriverAt(t *testing.T, discovery *fakeDiscovery, address string, change func(file map[string]any)) *testDriver {
+	env := writeConfig(t, discovery, change)
 	env["GW_DISCOVERY"] = address
-	p, err := program.ReadConfig(func(name string) string { return env[name] })
+	config, err := program.ReadConfig(func(name string) string { return env[name] })
 	require.NoError(t, err)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, stop := context.WithCancel(context.Background())
-	v := &testDriver{address: env["GW_LISTEN"], stop: stop, done: make(chan error, 1)}
+	driver := &testDriver{address: env["GW_LISTEN"], stop: stop, done: make(chan error, 1)}
 	before := runtime.NumGoroutine()
-	go func() { v.done <- program.Run(ctx, p, nil, log) }()
+	go func() { driver.done <- program.Run(ctx, config, nil, log) }()
 	t.Cleanup(func() {
 		stop()
-		require.NoError(t, <-v.done)
-		d.CloseClientConnections()
-		for m := range d.lifecycles {
+		require.NoError(t, <-driver.done)
+		discovery.CloseClientConnections()
+		for m := range discovery.lifecycles {
 			m.resetConns()
 		}
-		eventually(t, "goroutines are left behind", func() bool { return runtime.NumGoroutine() <= before })
+		eventually(t, "all goroutines end", func() bool { return runtime.NumGoroutine() <= before })
 	})
-	v.connect(t).ask(t, "")
-	return v
+	driver.connect(t).ask(t, "")
+	return driver
 }
 
-// connect is a client's connection, past the startup message.
-func (v *testDriver) connect(t *testing.T) *pgConn {
+// connect returns a client connection on which the start-up is complete.
+func (d *testDriver) connect(t *testing.T) *pgConn {
 	var c net.Conn
 	eventually(t, "the driver listens", func() (ok bool) {
 		var err error
-		c, err = net.Dial("tcp", v.address)
+		c, err = net.Dial("tcp", d.address)
 		return err == nil
 	})
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(2 * waitTimeout))
 	s := newPGConn(c)
-	io.WriteString(s, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // asks for TLS
+	io.WriteString(s, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // SSLRequest
 	declined, err := s.reader.ReadByte()
 	require.NoError(t, err)
 	require.Equal(t, byte('N'), declined)
@@ -398,7 +398,7 @@
 	return s
 }
 
-// ask sends a query and gives what came back: the value, "empty" or the state of an error.
+// ask sends a query and returns the value in its answer, "empty", or the SQLSTATE of an error.
 func (s *pgConn) ask(t *testing.T, query string) string {
 	s.send(query)
 	return s.readReply(t)
@@ -433,7 +433,7 @@
 
 var nextID atomic.Int64
 
-// statement is a client's statement, which waits for so many milliseconds.
+// statement returns a client's statement with a timeout.
 func statement(method string, timeoutMillis int) string {
 	id := nextID.Add(1)
 	if method == "write" {
@@ -443,7 +443,7 @@
 	return fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%d,c=%s,d=%d,cluster=1 */", id, method, timeoutMillis)
 }
 
-// lockedBuffer collects what a process writes while it is read.
+// lockedBuffer collects the output of a running process.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/internal/program/store_test.go
+++ b/internal/program/store_test.go
@@ -13,60 +13,60 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeGroup is a stand-in for one replicated group: a log that its primary moves, members that apply it, and roles that change hands. It keeps
-// its own record of every statement of a client that reached a member, and judges by it alone how old the data was.
+// fakeGroup is a fake replicated group: members apply a log, and the role of primary changes hands.
+// It records every statement that reached a member and checks the age of the data by this record.
 type fakeGroup struct {
 	mu           sync.Mutex
 	rng          *rand.Rand
 	members      []*groupMember
-	primary      *groupMember           // nil while the group has none
-	logStoppedAt time.Time              // the end of its log then
-	violations   []string               // what broke the rule on the age of data
+	primary      *groupMember           // nil if there is none
+	logStoppedAt time.Time              // end of the log while there is no primary
+	violations   []string               // reads with data that was too old
 	served       int                    // reads
-	arrivals     map[string][]time.Time // when requests came, by id; nil where nobody asks
+	arrivals     map[string][]time.Time // of requests, by ID; nil if not recorded
 	maxReadAge   time.Duration
-	latestReads  bool // reads have to see all writes: no member may get one once it has told that it is not the primary
-	omitStatus   bool // load reports say nothing of roles and positions: nobody is judged by what reached a member, but by what clients got
-	strict       bool // a former primary is not excused until it has told that it is none
-	faultKinds   int  // of trouble
+	latestReads  bool // a member may get no read after it denied the role of primary
+	omitStatus   bool // load reports have no status; only answers to clients are checked
+	strict       bool // a former primary is checked before it denies the role, too
+	faultKinds   int  // number of fault kinds to inject
 }
 
-// groupMember is one member of a store.
+// groupMember is one member of a fakeGroup.
 type groupMember struct {
-	*fakeMember    // its listener, its connections and its name
+	*fakeMember    // listener, connections and name
 	group          *fakeGroup
-	applied        time.Time     // up to which it has applied the log
-	lag            time.Duration // behind the log, as a replica
-	claimsPrimary  bool          // it says that it is primary; one that hands over, or hangs, may say so for a while
-	reportsPrimary bool          // and so does its load report, which is made anew now and then
-	reportPosition time.Time     // the position in it
+	applied        time.Time     // position up to which the log is applied
+	lag            time.Duration // replication lag
+	claimsPrimary  bool          // in answers; may outlast the role
+	reportsPrimary bool          // in load reports, which are cached
+	reportPosition time.Time     // in load reports
 
 	reportedAt        time.Time
-	reportPausedUntil time.Time                                  // none is made anew before
-	respond           func(s *pgConn, says string) (goesOn bool) // how it answers the next statement; nil for as usual
-	hangsUntil        time.Time                                  // it takes statements and answers them later; it answers probes all the same
-	failuresLeft      int                                        // what it does with the next answers: 0 for whole ones
-	wasPrimary        bool                                       // it has been primary
-	deniedAt          time.Time                                  // when it first wrote since that it is none; the zero time where it did not
+	reportPausedUntil time.Time                                  // the cached load report is kept until then
+	respond           func(s *pgConn, says string) (goesOn bool) // answers the next statement, if not nil
+	hangsUntil        time.Time                                  // delays answers to statements, but not to probes
+	failuresLeft      int                                        // number of next answers that fail
+	wasPrimary        bool                                       // has ever been primary
+	deniedAt          time.Time                                  // first report of not being primary after having been; may be zero
 }
 
-// Ways in which an answer, or the start of a connection, goes wrong.
+// The kinds of answers that a member gives.
 const (
 	completeAnswer   = iota
-	resetAfterStatus // what it tells of itself comes first, then the connection is reset
-	closeAfterStatus // it closes its connection after what it tells of itself
-	pauseAfterStatus // it pauses between what it tells of itself and the rest
+	resetAfterStatus // sends the status, then resets the connection
+	closeAfterStatus // sends the status, then closes the connection
+	pauseAfterStatus // sends the status, then the rest after a pause
 	answerKinds
 )
 
-const reportInterval = 250 * time.Millisecond // a load report is made anew, but not while its member hangs
+const reportInterval = 250 * time.Millisecond // of refreshing load reports, except while the member hangs
 
 func newFakeGroup(t *testing.T, seed int64, members int) *fakeGroup {
 	s := &fakeGroup{rng: rand.New(rand.NewSource(seed)), logStoppedAt: time.Now(), maxReadAge: maxReadAge, faultKinds: basicFaultKinds}
 	for i := range members {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		r := &groupMember{fakeMember: &fakeMember{name: fmt.Sprintf("s%d", i), listener: l, conns: map[net.Conn]bool{}}, group: s, applied: time.Now(),
+		r := &groupMember{fakeMember: &fakeMember{name: fmt.Sprintf("s%d", i), listener: listener, conns: map[net.Conn]bool{}}, group: s, applied: time.Now(),
 			lag: 5 * time.Millisecond, reportPosition: time.Now()}
 		s.members = append(s.members, r)
 		go r.accept()
@@ -83,7 +83,8 @@
 	s.primary, r.claimsPrimary, r.wasPrimary, r.deniedAt = r, true, true, time.Time{}
 }
 
-// depose takes the primary its office. It goes on to claim it until it is told by calling the function given.
+// depose removes the primary from its role. The former primary still claims the role until tell is
+// called.
 func (s *fakeGroup) depose() (former *groupMember, tell func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// catchUp lets all members apply what they have got by now. The lock is held.
+// catchUp lets all members apply the log up to now. The lock is held.
 func (s *fakeGroup) catchUp() {
 	now := time.Now()
 	end := s.logStoppedAt
@@ -131,7 +132,7 @@
 	}
 }
 
-// statusMessages is what it tells of itself just now, which is on record from here on.
+// statusMessages returns the messages with the member's current status and records the report.
 func (r *groupMember) statusMessages() string {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
@@ -142,7 +143,7 @@
 	return status{map[bool]string{true: "leader", false: "follower"}[r.claimsPrimary], r.applied.UnixMilli()}.messages()
 }
 
-// nextAnswerKind is how its next answer goes.
+// nextAnswerKind returns the kind of the next answer.
 func (r *groupMember) nextAnswerKind() int {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
@@ -153,29 +154,29 @@
 	return 1 + r.group.rng.Intn(answerKinds-1)
 }
 
-func (r *groupMember) serve(s *pgConn) {
-	defer s.Close()
-	if _, err := s.readBody(); err != nil {
+func (r *groupMember) serve(conn *pgConn) {
+	defer conn.Close()
+	if _, err := conn.readBody(); err != nil {
 		return
 	}
-	io.WriteString(s, message("R", "\x00\x00\x00\x00")+r.statusMessages()+message("Z", "I"))
+	io.WriteString(conn, message("R", "\x00\x00\x00\x00")+r.statusMessages()+message("Z", "I"))
 	for {
-		kind, body, err := s.read()
+		kind, body, err := conn.read()
 		if err != nil || kind != 'Q' {
 			return
 		}
 		if strings.HasPrefix(body, "SHOW server_load") {
-			io.WriteString(s, rowMessages(r.loadReport())+message("Z", "I"))
+			io.WriteString(conn, rowMessages(r.loadReport())+message("Z", "I"))
 			continue
 		}
 		r.checkStatement(time.Now(), body)
-		if !r.answer(s, strings.HasPrefix(body, "INSERT")) {
+		if !r.answer(conn, strings.HasPrefix(body, "INSERT")) {
 			return
 		}
 	}
 }
 
-// loadReport is its load report. One that hangs gives out the last that it made.
+// loadReport returns the load report. A member that hangs repeats its last one.
 func (r *groupMember) loadReport() string {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
@@ -186,7 +187,7 @@
 	return status{map[bool]string{true: "leader", false: "follower"}[r.reportsPrimary], r.reportPosition.UnixMilli()}.loadReport()
 }
 
-// checkStatement judges a statement that came just now.
+// checkStatement records a statement that was just received and checks the age of the data for it.
 func (r *groupMember) checkStatement(receivedAt time.Time, statement string) {
 	read := strings.HasPrefix(statement, "SELECT")
 	r.group.mu.Lock()
@@ -200,12 +201,12 @@
 	hasDenied := !r.deniedAt.IsZero() && receivedAt.Sub(r.deniedAt) > statusGrace
 	isTooOld := age > r.group.maxReadAge+2*readAgeSlack || r.group.latestReads && hasDenied
 	if read && isTooOld && !r.group.omitStatus && (!r.wasPrimary || hasDenied || r.group.strict) {
-		r.group.violations = append(r.group.violations, fmt.Sprintf("%s got a read for which its data was %v too old; it has been primary: %t, told so before: %v",
+		r.group.violations = append(r.group.violations, fmt.Sprintf("%s got a read with data that was %v too old; was primary: %t, time since it denied that: %v",
 			r.name, age-r.group.maxReadAge, r.wasPrimary, receivedAt.Sub(r.deniedAt)))
 	}
 }
 
-// takeRespond is how it answers the next statement, once.
+// takeRespond returns the function for the next answer, if any, and clears it.
 func (r *groupMember) takeRespond() (respond func(s *pgConn, says string) bool) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
@@ -213,8 +214,8 @@
 	return respond
 }
 
-// answer answers a client's statement, and tells whether its connection goes on.
-func (r *groupMember) answer(s *pgConn, write bool) bool {
+// answer answers a client's statement and reports whether the connection is still open.
+func (r *groupMember) answer(conn *pgConn, write bool) bool {
 	r.group.mu.Lock()
 	hangTime := time.Until(r.hangsUntil)
 	workTime := time.Duration(1+r.group.rng.Intn(8)) * time.Millisecond
@@ -226,7 +227,7 @@
 	r.group.mu.Unlock()
 	kind, status := r.nextAnswerKind(), r.statusMessages()
 	if respond := r.takeRespond(); respond != nil {
-		return respond(s, status)
+		return respond(conn, status)
 	}
 	r.group.mu.Lock()
 	isPrimary := r.claimsPrimary && r.group.primary == r
@@ -241,19 +242,19 @@
 	}
 	switch kind {
 	case resetAfterStatus:
-		io.WriteString(s, status)
-		time.Sleep(5 * time.Millisecond) // so that the reset does not overtake it
-		s.Conn.(*net.TCPConn).SetLinger(0)
+		io.WriteString(conn, status)
+		time.Sleep(5 * time.Millisecond) // lets the status arrive before the reset
+		conn.Conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case closeAfterStatus:
-		io.WriteString(s, status)
+		io.WriteString(conn, status)
 		return false
 	case pauseAfterStatus:
-		io.WriteString(s, status)
+		io.WriteString(conn, status)
 		time.Sleep(200 * time.Millisecond)
-		_, err := io.WriteString(s, result+message("Z", "I"))
+		_, err := io.WriteString(conn, result+message("Z", "I"))
 		return err == nil
 	}
-	_, err := io.WriteString(s, result+status+message("Z", "I"))
+	_, err := io.WriteString(conn, result+status+message("Z", "I"))
 	return err == nil
 }
--- a/internal/program/watch_test.go
+++ b/internal/program/watch_test.go
@@ -15,24 +15,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scriptedDiscovery is a stand-in for discovery that does with each call what a script says.
+// scriptedDiscovery is a fake discovery service that answers each call by a script.
 type scriptedDiscovery struct {
-	*fakeDiscovery // whose list it gives
+	*fakeDiscovery // source of the list
 	listen         net.Listener
 	mu             sync.Mutex
-	calls          []string // their paths
+	calls          []string // request paths
 	answer         func(call int, path string, c net.Conn) (answer string)
 }
 
-// newScriptedDiscovery answers calls with what act gives, and not at all where that is nothing.
+// newScriptedDiscovery answers calls with the result of answer, or not at all if that is empty.
 func newScriptedDiscovery(t *testing.T, d *fakeDiscovery, answer func(call int, path string, c net.Conn) string) *scriptedDiscovery {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &scriptedDiscovery{fakeDiscovery: d, listen: l, answer: answer}
-	t.Cleanup(func() { l.Close() })
+	s := &scriptedDiscovery{fakeDiscovery: d, listen: listener, answer: answer}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -64,7 +64,7 @@
 	return append([]string(nil), s.calls...)
 }
 
-// startDriver starts a driver that asks this discovery.
+// startDriver starts a driver that uses this discovery service.
 func (s *scriptedDiscovery) startDriver(t *testing.T, change func(file map[string]any)) *testDriver {
 	return startDriverAt(t, s.fakeDiscovery, s.listen.Addr().String(), change)
 }
@@ -73,41 +73,41 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// singleEntryList is a list, or a change of it, with one member.
+// singleEntryList returns a list, or a change to one, with one member.
 func singleEntryList(generation int, all bool, m *fakeMember, state string) string {
 	return targetList(generation, all, targetEntry(m, state))
 }
 
-// targetList is a list, or a change of it, with some lines.
+// targetList returns a list, or a change to one, with the given entries.
 func targetList(generation int, all bool, lines ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, all, strings.Join(lines, ","))
 }
 
-// targetEntry is a member's line in a list.
+// targetEntry returns a member's entry in a list.
 func targetEntry(m *fakeMember, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"z","cell":1,"lifecycle":%q,"weight":1,"startedAtMs":0}`, m.name, m.listener.Addr(), state)
 }
 
-// timeToDrain tells how long it takes until a member that drains gets no writes any more.
-func timeToDrain(t *testing.T, c *pgConn, since time.Time) time.Duration {
+// timeToDrain returns how long it takes until a draining member gets no writes any more.
+func timeToDrain(t *testing.T, client *pgConn, since time.Time) time.Duration {
 	for {
-		if c.ask(t, statement("write", 300)) == "53300" {
+		if client.ask(t, statement("write", 300)) == "53300" {
 			return time.Since(since)
 		}
-		require.Less(t, time.Since(since), 6*time.Second, "a change counts as told 6 s after discovery had it")
+		require.Less(t, time.Since(since), 6*time.Second, "changes must be known within 6 s")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Guards against a change that is learned too late, since the watch that would have told of it has fallen silent with no
-// reset, at its start, inside its answer, or before the first answer, and against calls without a pause meanwhile. In the
-// worst case the change comes as the watch falls silent.
+// Guards against learning a change too late because a watch falls silent without a reset, and
+// against calls without delay meanwhile. In the worst case the change comes as the watch falls
+// silent.
 func TestSilentWatch(t *testing.T) {
-	for name, silent := range map[string]string{"at once": "", "half a body": httpOK(strings.Repeat(" ", 500))[:100], "half a head": "HTTP/1.1 200 OK\r\nContent-"} {
+	for name, silent := range map[string]string{"at once": "", "partial body": httpOK(strings.Repeat(" ", 500))[:100], "partial header": "HTTP/1.1 200 OK\r\nContent-"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			primary := newFakeMember(t, "p", "leader")
-			s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
+			discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
 				switch {
 				case call == 1:
 					return httpOK(singleEntryList(1, true, primary, "SERVING"))
@@ -118,34 +118,35 @@
 				}
 				return httpOK(singleEntryList(2, true, primary, "DRAINING"))
 			})
-			v := s.startDriver(t, func(file map[string]any) {
+			driver := discovery.startDriver(t, func(file map[string]any) {
 				file["settings"].(map[string]any)["safety"] = map[string]any{"askEveryUs": 20_000_000}
 			})
-			eventually(t, "it is watched", func() bool { return len(s.requestPaths()) == 2 })
-			timeToDrain(t, v.connect(t), time.Now())
-			require.LessOrEqual(t, len(s.requestPaths()), 4, "%v", s.requestPaths())
+			eventually(t, "the list is watched", func() bool { return len(discovery.requestPaths()) == 2 })
+			timeToDrain(t, driver.connect(t), time.Now())
+			require.LessOrEqual(t, len(discovery.requestPaths()), 4, "%v", discovery.requestPaths())
 		})
 	}
 	t.Run("before the first answer", func(t *testing.T) {
 		t.Parallel()
 		primary := newFakeMember(t, "p", "leader")
-		s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
+		discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
 			if call == 1 || strings.Contains(path, "index") {
 				return ""
 			}
 			return httpOK(singleEntryList(2, true, primary, "DRAINING"))
 		})
 		begun := time.Now()
-		v := s.startDriver(t, nil)
-		require.Less(t, time.Since(begun), 4*time.Second, "ready by what is known")
-		timeToDrain(t, v.connect(t), begun)
+		driver := discovery.startDriver(t, nil)
+		require.Less(t, time.Since(begun), 4*time.Second, "ready with the previously known targets")
+		timeToDrain(t, driver.connect(t), begun)
 	})
 }
 
-// Guards against what is older than the list being taken for news, and against staying without the list then.
+// Guards against applying changes older than the held list, and against staying without a list
+// after that.
 func TestGenerationGoesBack(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
 		switch {
 		case call == 1:
 			return httpOK(singleEntryList(5, true, primary, "SERVING"))
@@ -156,20 +157,20 @@
 		}
 		return httpOK(singleEntryList(6, true, primary, "SERVING"))
 	})
-	c := s.startDriver(t, nil).connect(t)
-	eventually(t, "the whole list is asked for, and watched", func() bool { return len(s.requestPaths()) >= 4 })
-	asked := s.requestPaths()
+	client := discovery.startDriver(t, nil).connect(t)
+	eventually(t, "the full list is requested and watched", func() bool { return len(discovery.requestPaths()) >= 4 })
+	asked := discovery.requestPaths()
 	require.Equal(t, "/api/targets", asked[2])
 	require.Contains(t, asked[3], "index=6")
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 }
 
-// Guards against an answer taken from what came unasked on the connection to discovery.
+// Guards against taking unsolicited input from discovery for an answer.
 func TestUnsolicitedDiscoveryAnswer(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	stray := httpOK(singleEntryList(9, true, primary, "DRAINING"))
 	sent := make(chan struct{})
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
 		switch {
 		case call == 1:
 			defer close(sent)
@@ -179,108 +180,108 @@
 		}
 		return httpOK(singleEntryList(2, true, primary, "SERVING"))
 	})
-	c := s.startDriver(t, nil).connect(t)
+	client := discovery.startDriver(t, nil).connect(t)
 	<-sent
-	eventually(t, "it is watched", func() bool { return len(s.requestPaths()) >= 2 })
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
-	require.NotContains(t, s.requestPaths()[1], "index=9")
+	eventually(t, "the list is watched", func() bool { return len(discovery.requestPaths()) >= 2 })
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
+	require.NotContains(t, discovery.requestPaths()[1], "index=9")
 }
 
-// Guards against an answer taken for whole that has no length and whose connection is reset: a reset is no end.
+// Guards against taking an answer without a length as complete when its connection is reset.
 func TestResetDuringDiscoveryAnswer(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, c net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, conn net.Conn) string {
 		switch {
 		case call == 2:
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+singleEntryList(2, false, primary, "DRAINING"))
-			time.Sleep(50 * time.Millisecond) // so that it has been read
-			c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+singleEntryList(2, false, primary, "DRAINING"))
+			time.Sleep(50 * time.Millisecond) // lets the driver read the answer before the reset
+			conn.(*net.TCPConn).SetLinger(0)
+			conn.Close()
 			return ""
 		case strings.Contains(path, "index"):
 			return ""
 		}
 		return httpOK(singleEntryList(1, true, primary, "SERVING"))
 	})
-	c := s.startDriver(t, nil).connect(t)
-	eventually(t, "it is asked again after the reset", func() bool {
-		require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
-		return len(s.requestPaths()) >= 3
+	client := discovery.startDriver(t, nil).connect(t)
+	eventually(t, "discovery is called again after the reset", func() bool {
+		require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
+		return len(discovery.requestPaths()) >= 3
 	})
-	require.Equal(t, "/api/targets?index=1&wait=0", s.requestPaths()[2], "nothing of what was reset is held")
+	require.Equal(t, "/api/targets?index=1&wait=0", discovery.requestPaths()[2], "the reset answer is not applied")
 }
 
-// Guards against drains learned too late that begin as discovery comes back: it was down, with watches reset, and then turned
-// the first calls away.
+// Guards against learning too late of a drain that starts as discovery recovers, after reset
+// watches and rejected calls.
 func TestDrainAsDiscoveryReturns(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	d := newFakeDiscovery(t, primary)
-	v := startDriver(t, d, nil)
-	eventually(t, "it is watched", func() bool { return d.calls() == 2 })
-	d.setLifecycle(nil, "", true)
-	d.CloseClientConnections()
-	eventually(t, "it is asked and turned away", func() bool { return d.calls() >= 4 })
+	discovery := newFakeDiscovery(t, primary)
+	driver := startDriver(t, discovery, nil)
+	eventually(t, "the list is watched", func() bool { return discovery.calls() == 2 })
+	discovery.setLifecycle(nil, "", true)
+	discovery.CloseClientConnections()
+	eventually(t, "discovery is called and rejects the call", func() bool { return discovery.calls() >= 4 })
 	back := time.Now()
-	d.setLifecycle(primary, "DRAINING", false)
-	require.Less(t, timeToDrain(t, v.connect(t), back), 4*time.Second)
+	discovery.setLifecycle(primary, "DRAINING", false)
+	require.Less(t, timeToDrain(t, driver.connect(t), back), 4*time.Second)
 }
 
-// Guards against a driver that learns nothing since its clients, or its members' connections, hold all descriptors while discovery
-// is down: it is heard as soon as it is back, and clients are served.
+// Guards against a driver that cannot reach discovery after an outage because connections of
+// clients or members hold all descriptors.
 func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	d := newFakeDiscovery(t, primary)
-	v := startDriver(t, d, func(file map[string]any) { file["limits"].(map[string]any)["sockets"] = 84 })
-	eventually(t, "it is watched", func() bool { return d.calls() == 2 })
-	d.setLifecycle(nil, "", true)
-	d.CloseClientConnections()
+	discovery := newFakeDiscovery(t, primary)
+	driver := startDriver(t, discovery, func(file map[string]any) { file["limits"].(map[string]any)["sockets"] = 84 })
+	eventually(t, "the list is watched", func() bool { return discovery.calls() == 2 })
+	discovery.setLifecycle(nil, "", true)
+	discovery.CloseClientConnections()
 	stop := make(chan struct{})
 	done := make(chan struct{})
-	go func() { // always as many as there is room for
+	go func() { // opens as many connections as possible
 		defer close(done)
 		var idle []net.Conn
 		for {
 			select {
 			case <-stop:
-				for _, c := range idle {
-					c.Close()
+				for _, conn := range idle {
+					conn.Close()
 				}
 				return
 			case <-time.After(5 * time.Millisecond):
-				if c, err := net.Dial("tcp", v.address); err == nil {
-					idle = append(idle, c)
+				if conn, err := net.Dial("tcp", driver.address); err == nil {
+					idle = append(idle, conn)
 				}
 			}
 		}
 	}()
-	eventually(t, "it is asked and turned away", func() bool { return d.calls() >= 4 })
+	eventually(t, "discovery is called and rejects the call", func() bool { return discovery.calls() >= 4 })
 	back := time.Now()
-	d.setLifecycle(primary, "DRAINING", false)
-	require.Less(t, timeToDrain(t, v.connect(t), back), 4*time.Second)
-	d.setLifecycle(primary, "SERVING", false)
-	eventually(t, "it is served again", func() bool { return v.connect(t).ask(t, statement("write", 1000)) == "from p" })
+	discovery.setLifecycle(primary, "DRAINING", false)
+	require.Less(t, timeToDrain(t, driver.connect(t), back), 4*time.Second)
+	discovery.setLifecycle(primary, "SERVING", false)
+	eventually(t, "writes are served again", func() bool { return driver.connect(t).ask(t, statement("write", 1000)) == "from p" })
 	close(stop)
 	<-done
 }
 
-// Guards against a driver that never asks for a list since its settings say that lists are pushed: they are, to an agent at
-// discovery's address.
+// Guards against never requesting a list if the settings say that lists are pushed: an agent at the
+// discovery address has them.
 func TestPushedLists(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	d := newFakeDiscovery(t, primary)
-	c := startDriver(t, d, func(file map[string]any) { file["settings"].(map[string]any)["discovery"] = "automatic" }).connect(t)
-	require.Equal(t, "from p", c.ask(t, statement("write", 1000)))
-	eventually(t, "it is watched", func() bool { return d.calls() == 2 })
-	d.setLifecycle(primary, "DRAINING", false)
-	require.Less(t, timeToDrain(t, c, time.Now()), 2*time.Second)
+	discovery := newFakeDiscovery(t, primary)
+	client := startDriver(t, discovery, func(file map[string]any) { file["settings"].(map[string]any)["discovery"] = "automatic" }).connect(t)
+	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
+	eventually(t, "the list is watched", func() bool { return discovery.calls() == 2 })
+	discovery.setLifecycle(primary, "DRAINING", false)
+	require.Less(t, timeToDrain(t, client, time.Now()), 2*time.Second)
 }
 
-// Guards against a drain learned too late of an agent that was silent for a while, and whose list counts as told as it is back.
+// Guards against learning of a drain too late from an agent that recovers from an outage.
 func TestDrainAfterAgentOutage(t *testing.T) {
 	const grace = time.Second
 	primary := newFakeMember(t, "p", "leader")
 	var back atomic.Bool
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
 		switch {
 		case call == 1:
 			return httpOK(singleEntryList(1, true, primary, "SERVING"))
@@ -289,32 +290,31 @@
 		}
 		return httpOK(singleEntryList(2, true, primary, "DRAINING"))
 	})
-	v := s.startDriver(t, func(file map[string]any) {
+	driver := discovery.startDriver(t, func(file map[string]any) {
 		settings := file["settings"].(map[string]any)
 		settings["discovery"] = "automatic"
 		settings["safety"] = map[string]any{"askEveryUs": 20_000_000, "drainGraceUs": grace.Microseconds()}
 	})
-	eventually(t, "the silence is noticed", func() bool { return len(s.requestPaths()) >= 3 })
+	eventually(t, "the silent call is detected", func() bool { return len(discovery.requestPaths()) >= 3 })
 	time.Sleep(time.Second)
 	back.Store(true)
 	returned := time.Now()
-	c := v.connect(t)
-	for c.ask(t, statement("write", 300)) == "from p" {
+	client := driver.connect(t)
+	for client.ask(t, statement("write", 300)) == "from p" {
 		require.Less(t, time.Since(returned), grace)
 	}
 }
 
-// Guards against answers that come as they are given up, time after time, where discovery has many to answer in turn: each
-// takes a little longer than a call may before another is made.
+// Guards against cancelling calls again and again just before a slow discovery answers them.
 func TestSlowDiscoveryAnswers(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	var asked atomic.Int64
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, c net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, conn net.Conn) string {
 		switch {
 		case call == 1:
 			return httpOK(singleEntryList(1, true, primary, "SERVING"))
 		case call == 2:
-			c.Close()
+			conn.Close()
 			return ""
 		case strings.HasSuffix(path, "wait=0") || !strings.Contains(path, "index"):
 			asked.Add(1)
@@ -322,19 +322,18 @@
 		}
 		return httpOK(singleEntryList(2, true, primary, "DRAINING"))
 	})
-	v := s.startDriver(t, nil)
-	c := v.connect(t)
-	eventually(t, "the watch breaks off", func() bool { return len(s.requestPaths()) >= 2 })
-	timeToDrain(t, c, time.Now())
-	require.EqualValues(t, 1, asked.Load(), "it is asked once, and heard")
+	driver := discovery.startDriver(t, nil)
+	client := driver.connect(t)
+	eventually(t, "the watch fails", func() bool { return len(discovery.requestPaths()) >= 2 })
+	timeToDrain(t, client, time.Now())
+	require.EqualValues(t, 1, asked.Load(), "one call is made, and its answer is applied")
 }
 
-// Guards against whole lists asked for by all drivers at once as discovery comes back: whoever holds a list asks for what is
-// new, and asks for the same again if it gets no answer to that: with whole lists a discovery that is behind would fall further behind, and some
-// of many drivers would hear of a drain too late.
+// Guards against requesting full lists after failures: a driver that holds a list requests changes,
+// so that a recovering discovery is not overloaded.
 func TestChangesAreRequested(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, c net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, conn net.Conn) string {
 		switch call {
 		case 1:
 			return httpOK(singleEntryList(7, true, primary, "SERVING"))
@@ -343,35 +342,35 @@
 		case 3:
 			return httpOK(targetList(7, false))
 		case 4:
-			c.Close()
+			conn.Close()
 			return ""
 		case 5:
 			return ""
 		}
 		return httpOK(singleEntryList(8, true, primary, "DRAINING"))
 	})
-	v := s.startDriver(t, nil)
-	eventually(t, "it is turned away", func() bool { return len(s.requestPaths()) >= 5 })
-	timeToDrain(t, v.connect(t), time.Now())
-	paths := s.requestPaths()
+	driver := discovery.startDriver(t, nil)
+	eventually(t, "the call is rejected", func() bool { return len(discovery.requestPaths()) >= 5 })
+	timeToDrain(t, driver.connect(t), time.Now())
+	paths := discovery.requestPaths()
 	require.Equal(t, "/api/targets", paths[0])
 	require.Contains(t, paths[1], "index=7&wait=")
 	require.Equal(t, "/api/targets?index=7&wait=0", paths[2])
 	require.Contains(t, paths[3], "index=7&wait=")
 	require.Equal(t, "/api/targets?index=7&wait=0", paths[4])
-	require.Equal(t, "/api/targets?index=7&wait=0", paths[5], "after silence")
+	require.Equal(t, "/api/targets?index=7&wait=0", paths[5], "after a timeout")
 }
 
-// Guards against what is older than the list and comes so late that the call was overdue: it is no news either.
+// Guards against applying an answer that is both overdue and older than the held list.
 func TestOverdueAnswerIsOlder(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	answered := make(chan struct{})
-	s := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, c net.Conn) string {
+	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, conn net.Conn) string {
 		switch call {
 		case 1:
 			return httpOK(singleEntryList(7, true, primary, "SERVING"))
 		case 2:
-			c.Close()
+			conn.Close()
 			return ""
 		case 3:
 			defer close(answered)
@@ -380,14 +379,14 @@
 		}
 		return httpOK(singleEntryList(8, true, primary, "SERVING"))
 	})
-	v := s.startDriver(t, nil)
+	driver := discovery.startDriver(t, nil)
 	<-answered
-	c := v.connect(t)
-	eventually(t, "the whole list is asked for", func() bool {
-		require.Equal(t, "from p", c.ask(t, statement("write", 300)))
-		return len(s.requestPaths()) >= 4
+	client := driver.connect(t)
+	eventually(t, "the full list is requested", func() bool {
+		require.Equal(t, "from p", client.ask(t, statement("write", 300)))
+		return len(discovery.requestPaths()) >= 4
 	})
-	require.Equal(t, "/api/targets?index=7&wait=0", s.requestPaths()[2])
-	require.Equal(t, "/api/targets", s.requestPaths()[3])
-	require.Equal(t, "from p", c.ask(t, statement("write", 300)))
+	require.Equal(t, "/api/targets?index=7&wait=0", discovery.requestPaths()[2])
+	require.Equal(t, "/api/targets", discovery.requestPaths()[3])
+	require.Equal(t, "from p", client.ask(t, statement("write", 300)))
 }
