--- a/internal/program/behind_test.go
+++ b/internal/program/behind_test.go
@@ -21,14 +21,14 @@
 	require.Equal(t, "from p", client.ask(t, statement("write", 1900)))
 	primary.setBehavior("silent")
 	expired, head, short, after := statement("write", 300), statement("write", 500), statement("write", 700), statement("write", 1900)
-	begun := time.Now()
+	startTime := time.Now()
 	io.WriteString(client, message("Q", head+"\x00")+message("Q", expired+"\x00")+message("Q", short+"\x00")[:25])
 	time.Sleep(100 * time.Millisecond) // the rest of the third query arrives later
 	io.WriteString(client, (message("Q", short+"\x00") + message("Q", after+"\x00"))[25:])
-	at := func() time.Duration { return time.Since(begun).Round(time.Millisecond) }
-	between := func(least, most time.Duration, what string) {
-		require.GreaterOrEqual(t, at(), least, what)
-		require.Less(t, at(), most, what)
+	elapsed := func() time.Duration { return time.Since(startTime).Round(time.Millisecond) }
+	between := func(minimum, maximum time.Duration, what string) {
+		require.GreaterOrEqual(t, elapsed(), minimum, what)
+		require.Less(t, elapsed(), maximum, what)
 	}
 	client.readReply(t)
 	between(480*time.Millisecond, 600*time.Millisecond, "the first query")
@@ -40,15 +40,15 @@
 	between(780*time.Millisecond, 950*time.Millisecond, "the query sent in two pieces")
 	require.Equal(t, "from p", client.readReply(t))
 	between(780*time.Millisecond, 1500*time.Millisecond, "the last query")
-	tells := map[string]int{}
+	timeouts := map[string]int{}
 	for _, received := range primary.statements()[1:] {
 		for name, sent := range map[string]string{"head": head, "over": expired, "short": short, "after": after} {
 			if id := regexp.MustCompile(`id=\d+,`).FindString(sent); strings.Contains(received, id) {
-				tells[name], _ = strconv.Atoi(regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(received)[1])
+				timeouts[name], _ = strconv.Atoi(regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(received)[1])
 			}
 		}
 	}
-	require.Len(t, tells, 3, "the expired query is not sent")
-	require.LessOrEqual(t, tells["short"], 310, "the member gets the remaining time")
-	require.LessOrEqual(t, tells["after"], 1230)
+	require.Len(t, timeouts, 3, "the expired query is not sent")
+	require.LessOrEqual(t, timeouts["short"], 310, "the member gets the remaining time")
+	require.LessOrEqual(t, timeouts["after"], 1230)
 }
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -321,15 +321,15 @@
 	}
 	return routing.Cells(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Place {
 		layout, directory := controller.Layout(), controller.Directory()
-		seat, place := directory.Placement(tenant), admin.Place{Tenant: tenant, Why: "hashed"}
+		placement, place := directory.Placement(tenant), admin.Place{Tenant: tenant, Why: "hashed"}
 		if entry, moved := directory.Entry(tenant); moved {
 			place.Why, place.To, place.Epoch, place.Floor = "moved", entry.To, entry.Epoch, entry.MinPosition
 		} else if directory.Pinned(tenant) {
 			place.Why = "pinned"
 		}
-		place.Cell, place.Stage = layout.Name(seat.Cell), seat.Stage.String()
-		if seat.Cell != cells.NoCell {
-			place.Groups, place.Group = layout.TenantGroups(tenant, seat.Cell), int64(layout.Group(tenant, key, seat.Cell))
+		place.Cell, place.Stage = layout.Name(placement.Cell), placement.Stage.String()
+		if placement.Cell != cells.NoCell {
+			place.Groups, place.Group = layout.TenantGroups(tenant, placement.Cell), int64(layout.Group(tenant, key, placement.Cell))
 		}
 		place.Load = controller.Load(tenant, now)
 		return place
--- a/internal/program/fellows_test.go
+++ b/internal/program/fellows_test.go
@@ -17,7 +17,7 @@
 func TestProbesShareConnections(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	client := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
-	for begun := time.Now(); time.Since(begun) < 1500*time.Millisecond; time.Sleep(20 * time.Millisecond) {
+	for startTime := time.Now(); time.Since(startTime) < 1500*time.Millisecond; time.Sleep(20 * time.Millisecond) {
 		require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	}
 	primary.mu.Lock()
@@ -62,9 +62,9 @@
 		}
 	}()
 	client := (&testDriver{address: env["GW_LISTEN"]}).connect(t)
-	begun := time.Now()
+	startTime := time.Now()
 	require.Equal(t, "empty", client.ask(t, ""))
-	require.Less(t, time.Since(begun), 2*time.Second, "the first probe of it may be 16 s away")
+	require.Less(t, time.Since(startTime), 2*time.Second, "the first probe of it may be 16 s away")
 	primary.mu.Lock()
 	require.Empty(t, primary.conns)
 	primary.mu.Unlock()
@@ -84,10 +84,10 @@
 		}
 		return httpOK(targetList(1, true, targetEntry(primary, "SERVING"), targetEntry(replica, "SERVING")))
 	})
-	begun := time.Now()
+	startTime := time.Now()
 	change, _ := withPeers(t, 300) // first probes are spread over 2.4 s
 	discovery.startDriver(t, change)
-	require.Less(t, time.Since(begun), 5*time.Second)
-	_, looks := replica.counts()
-	require.Zero(t, looks, "it drained before it was probed")
+	require.Less(t, time.Since(startTime), 5*time.Second)
+	_, probes := replica.counts()
+	require.Zero(t, probes, "it drained before it was probed")
 }
--- a/internal/program/former_primary_test.go
+++ b/internal/program/former_primary_test.go
@@ -26,20 +26,20 @@
 
 // staleReads returns the statements that a former primary got with data that was too old, after an
 // answer had told the driver that it is no longer primary.
-func (m *fakeMember) staleReads() (found []exchange) {
+func (m *fakeMember) staleReads() (stale []exchange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var told time.Time
+	var deniedAt time.Time
 	for _, e := range m.exchanges {
 		age := e.receivedAt.Sub(time.UnixMilli(e.position))
-		if !told.IsZero() && e.receivedAt.Sub(told) > statusGrace && age > maxReadAge+readAgeSlack {
-			found = append(found, e)
+		if !deniedAt.IsZero() && e.receivedAt.Sub(deniedAt) > statusGrace && age > maxReadAge+readAgeSlack {
+			stale = append(stale, e)
 		}
-		if told.IsZero() && e.role == "follower" {
-			told = e.answeredAt
+		if deniedAt.IsZero() && e.role == "follower" {
+			deniedAt = e.answeredAt
 		}
 	}
-	return found
+	return stale
 }
 
 // nextRoundedUpMillis returns the next millisecond whose decimal seconds, parsed as a
@@ -56,7 +56,7 @@
 // keepReading sends one read after another until stop is called.
 func keepReading(t *testing.T, client *pgConn, timeoutMillis int) (stop func() (answers map[string]int)) {
 	var done atomic.Bool
-	ended := make(chan map[string]int)
+	result := make(chan map[string]int)
 	go func() {
 		answers := map[string]int{}
 		for !done.Load() {
@@ -64,11 +64,11 @@
 			answers[answer]++
 			time.Sleep(5 * time.Millisecond)
 		}
-		ended <- answers
+		result <- answers
 	}()
 	return func() map[string]int {
 		done.Store(true)
-		return <-ended
+		return <-result
 	}
 }
 
@@ -88,21 +88,21 @@
 
 	position := nextRoundedUpMillis(time.Now().Add(20 * time.Millisecond).UnixMilli())
 	time.Sleep(time.Until(time.UnixMilli(position)))
-	state := func(role, report string) {
+	setState := func(role, reportedRole string) {
 		former.mu.Lock()
 		defer former.mu.Unlock()
 		former.statusFunc = func() status { return status{role, position} }
-		former.reportFunc = func() string { return status{report, position}.loadReport() }
+		former.reportFunc = func() string { return status{reportedRole, position}.loadReport() }
 	}
-	state("leader", "leader")
+	setState("leader", "leader")
 	former.setBehavior("silent")
 	_, before := former.counts()
-	eventually(t, "the member is probed", func() bool { _, looks := former.counts(); return looks >= before+2 })
+	eventually(t, "the member is probed", func() bool { _, probes := former.counts(); return probes >= before+2 })
 	time.Sleep(maxReadAge)
-	state("follower", "leader")
+	setState("follower", "leader")
 	former.setBehavior("")
 	time.Sleep(1500 * time.Millisecond)
-	state("follower", "follower")
+	setState("follower", "follower")
 	time.Sleep(500 * time.Millisecond)
 	answers := stop()
 	require.Empty(t, former.staleReads(), "stale reads at a former primary; driver log: %s", stderr)
--- a/internal/program/freshness_soak_test.go
+++ b/internal/program/freshness_soak_test.go
@@ -143,7 +143,7 @@
 			})
 		}
 	}
-	for begun := time.Now(); time.Since(begun) < soakDuration; {
+	for startTime := time.Now(); time.Since(startTime) < soakDuration; {
 		group.injectFault(processes)
 	}
 	done.Store(true)
@@ -165,8 +165,8 @@
 		return
 	}
 	s.served++
-	if _, at, tells := strings.Cut(answer, " at "); tells && bounded {
-		position, _ := strconv.ParseInt(at, 10, 64)
+	if _, positionText, hasPosition := strings.Cut(answer, " at "); hasPosition && bounded {
+		position, _ := strconv.ParseInt(positionText, 10, 64)
 		if age := sent.Sub(time.UnixMilli(position)); age > s.maxReadAge+2*readAgeSlack {
 			s.violations = append(s.violations, fmt.Sprintf("%s: data was %v too old when the read was sent", answer, age-s.maxReadAge))
 		}
@@ -176,23 +176,23 @@
 // injectFault injects a random fault into the group, followed by some quiet time.
 func (s *fakeGroup) injectFault(drivers []*os.Process) {
 	s.mu.Lock()
-	kind, breaks := s.rng.Intn(s.faultKinds), s.rng.Intn(6)
-	span := func(low, high int) time.Duration { return time.Duration(low+s.rng.Intn(high-low)) * time.Millisecond }
-	hang, handover, election, lag, quiet := span(300, 1200), span(0, 300), span(200, 1200), span(600, 2500), span(200, 700)
+	kind, failures := s.rng.Intn(s.faultKinds), s.rng.Intn(6)
+	randomTime := func(low, high int) time.Duration { return time.Duration(low+s.rng.Intn(high-low)) * time.Millisecond }
+	hangTime, handover, election, lag, quiet := randomTime(300, 1200), randomTime(0, 300), randomTime(200, 1200), randomTime(600, 2500), randomTime(200, 700)
 	successor, lagging := s.members[s.rng.Intn(len(s.members))], s.members[s.rng.Intn(len(s.members))]
 	s.mu.Unlock()
 	switch kind {
 	case 0, 1: // the primary hands over, or hangs and is deposed
-		former, tell := s.depose()
+		former, announce := s.depose()
 		s.mu.Lock()
-		former.failuresLeft = breaks
+		former.failuresLeft = failures
 		if kind == 1 {
-			former.hangsUntil = time.Now().Add(hang)
-			handover = hang * time.Duration(s.rng.Intn(3)) / 2
+			former.hangsUntil = time.Now().Add(hangTime)
+			handover = hangTime * time.Duration(s.rng.Intn(3)) / 2
 		}
 		s.mu.Unlock()
 		time.Sleep(handover)
-		tell()
+		announce()
 		time.Sleep(election)
 		s.elect(successor)
 	case 2: // a replica lags
@@ -205,16 +205,16 @@
 		s.mu.Unlock()
 	case 3: // answers fail
 		s.mu.Lock()
-		lagging.failuresLeft = 3 * breaks
+		lagging.failuresLeft = 3 * failures
 		s.mu.Unlock()
 	case 5: // the primary is cut off and keeps its role until its lease ends, after a successor was elected
-		_, tell := s.depose()
+		_, announce := s.depose()
 		time.Sleep(election)
 		s.elect(successor)
 		time.Sleep(lag)
-		tell()
+		announce()
 	case 4: // drivers are stopped for a while
-		for range 3 * breaks {
+		for range 3 * failures {
 			for _, driver := range drivers {
 				driver.Signal(syscall.SIGSTOP)
 			}
--- a/internal/program/gate_test.go
+++ b/internal/program/gate_test.go
@@ -33,7 +33,7 @@
 	client := driver.connect(t)
 	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	release := sendDuringConnect(t, primary, client, statement("write", 1500))
-	_, looks := primary.counts()
+	_, probes := primary.counts()
 	calls := discovery.calls()
 	discovery.setLifecycle(primary, "DRAINING", false)
 	eventually(t, "the drain is reported", func() bool { return discovery.calls() > calls })
@@ -41,7 +41,7 @@
 	require.Equal(t, "53300", client.readReply(t), "the write was not executed")
 	require.Len(t, primary.statements(), 1, "only the earlier statement")
 	_, after := primary.counts()
-	require.Equal(t, looks, after, "no probe is sent either")
+	require.Equal(t, probes, after, "no probe is sent either")
 	require.Equal(t, "from r", client.ask(t, statement("read", 1000)))
 }
 
--- a/internal/program/last_words_test.go
+++ b/internal/program/last_words_test.go
@@ -14,36 +14,36 @@
 // the report it must get no read that has to see all writes.
 func TestRoleInPartialAnswers(t *testing.T) {
 	none := message("Z", "I")
-	for name, respond := range map[string]func(s *pgConn, says string) (goesOn bool){
-		"before a reset": func(s *pgConn, says string) bool {
-			io.WriteString(s, says)
+	for name, respond := range map[string]func(conn *pgConn, status string) (isOpen bool){
+		"before a reset": func(conn *pgConn, status string) bool {
+			io.WriteString(conn, status)
 			time.Sleep(20 * time.Millisecond) // lets the status arrive before the reset
-			s.Conn.(*net.TCPConn).SetLinger(0)
+			conn.Conn.(*net.TCPConn).SetLinger(0)
 			return false
 		},
-		"before a close": func(s *pgConn, says string) bool {
-			io.WriteString(s, says)
+		"before a close": func(conn *pgConn, status string) bool {
+			io.WriteString(conn, status)
 			return false
 		},
-		"before a timeout": func(s *pgConn, says string) bool {
-			io.WriteString(s, says)
+		"before a timeout": func(conn *pgConn, status string) bool {
+			io.WriteString(conn, status)
 			time.Sleep(400 * time.Millisecond)
 			return false
 		},
-		"before a truncated row": func(s *pgConn, says string) bool {
-			io.WriteString(s, says+rowMessages("half")[:20])
+		"before a truncated row": func(conn *pgConn, status string) bool {
+			io.WriteString(conn, status+rowMessages("half")[:20])
 			return false
 		},
-		"beside an error": func(s *pgConn, says string) bool {
-			io.WriteString(s, errorMessage("XX000")+says+none)
+		"beside an error": func(conn *pgConn, status string) bool {
+			io.WriteString(conn, errorMessage("XX000")+status+none)
 			return true
 		},
-		"beside a rejection": func(s *pgConn, says string) bool {
-			io.WriteString(s, errorMessage("53300")+says+none)
+		"beside a rejection": func(conn *pgConn, status string) bool {
+			io.WriteString(conn, errorMessage("53300")+status+none)
 			return true
 		},
-		"rejected write without a status": func(s *pgConn, _ string) bool {
-			io.WriteString(s, errorMessage("25006")+none)
+		"rejected write without a status": func(conn *pgConn, _ string) bool {
+			io.WriteString(conn, errorMessage("25006")+none)
 			return true
 		},
 	} {
@@ -60,7 +60,7 @@
 
 // testRoleReport lets a former primary report its new role in one answer, or at the start of a
 // connection, and sends reads after that.
-func testRoleReport(t *testing.T, write bool, respond func(group *pgConn, says string) bool, atStart bool) {
+func testRoleReport(t *testing.T, write bool, respond func(conn *pgConn, status string) bool, atStart bool) {
 	group := newFakeGroup(t, 1, 2)
 	group.latestReads = true
 	primary, other := group.members[0], group.members[1]
@@ -79,7 +79,7 @@
 	require.Equal(t, "empty", client.ask(t, ""))
 	require.Equal(t, "from s0", client.ask(t, statement("read", 400)))
 
-	former, tell := group.depose()
+	former, announce := group.depose()
 	require.Same(t, primary, former)
 	group.mu.Lock()
 	former.reportPausedUntil = time.Now().Add(1200 * time.Millisecond)
@@ -87,7 +87,7 @@
 	if atStart {
 		time.Sleep(maxReadAge + 2*readAgeSlack)
 	}
-	tell()
+	announce()
 	group.mu.Lock()
 	former.respond = respond
 	group.mu.Unlock()
--- a/internal/program/leaving_clients_test.go
+++ b/internal/program/leaving_clients_test.go
@@ -85,19 +85,19 @@
 	other := driver.connect(t)
 	for range 20 {
 		client := driver.connect(t)
-		begun := time.Now()
+		startTime := time.Now()
 		client.send(statement("write", 1900))
 		client.Close()
 		require.Equal(t, "from p", other.ask(t, statement("write", 1900)))
-		require.Less(t, time.Since(begun), time.Second)
+		require.Less(t, time.Since(startTime), time.Second)
 	}
-	mine := 0
+	writes := 0
 	for _, received := range primary.statements() {
 		if strings.HasPrefix(received, "INSERT") {
-			mine++
+			writes++
 		}
 	}
-	require.LessOrEqual(t, mine, 40)
+	require.LessOrEqual(t, writes, 40)
 }
 
 // sendCancel sends a cancel request for a key on a separate connection.
--- a/internal/program/lobby.go
+++ b/internal/program/lobby.go
@@ -43,23 +43,23 @@
 
 // add tracks a client until remove is called. While draining it closes the client, unless a query
 // has arrived.
-func (l *idleClients) add(c protocol.Client, isServed bool, cell cells.Cell) (remove func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	clients := &l.newClients
+func (i *idleClients) add(c protocol.Client, isServed bool, cell cells.Cell) (remove func()) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	clients := &i.newClients
 	if isServed {
-		clients = &l.servedClients
+		clients = &i.servedClients
 	}
-	if l.draining {
+	if i.draining {
 		c.StopIfIdle(transport.ShutDown)
 	}
 	element := clients.PushBack(&idleClient{conn: c, cell: cell, idleSince: time.Now()})
-	if clients.Len() > l.descriptors.Limit()/idleClientsDivisor {
-		l.evictOne(clients, newClientMinIdle, isServed)
+	if clients.Len() > i.descriptors.Limit()/idleClientsDivisor {
+		i.evictOne(clients, newClientMinIdle, isServed)
 	}
 	return func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+		i.mu.Lock()
+		defer i.mu.Unlock()
 		clients.Remove(element)
 	}
 }
@@ -67,26 +67,26 @@
 // evict closes an idle client and reports whether there was one: the longest idle new client, or
 // else the longest idle served client. Without force it spares clients that became idle only
 // recently.
-func (l *idleClients) evict(force bool) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.evictOne(&l.newClients, newClientMinIdle, force) || l.evictOne(&l.servedClients, servedClientMinIdle, force)
+func (i *idleClients) evict(force bool) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.evictOne(&i.newClients, newClientMinIdle, force) || i.evictOne(&i.servedClients, servedClientMinIdle, force)
 }
 
 // evictOne closes the longest idle client of a list that has sent no partial message, with
 // preference for the overused cell. The lock is held.
-func (l *idleClients) evictOne(clients *list.List, minIdle time.Duration, force bool) bool {
-	if l.overusedCell != nil {
-		if cell := l.overusedCell(); cell != cells.NoCell && l.evictFromCell(clients, minIdle, force, cell) {
+func (i *idleClients) evictOne(clients *list.List, minIdle time.Duration, force bool) bool {
+	if i.overusedCell != nil {
+		if cell := i.overusedCell(); cell != cells.NoCell && i.evictFromCell(clients, minIdle, force, cell) {
 			return true
 		}
 	}
-	return l.evictFromCell(clients, minIdle, force, cells.NoCell)
+	return i.evictFromCell(clients, minIdle, force, cells.NoCell)
 }
 
 // evictFromCell is evictOne for the clients of one cell, or of any cell for NoCell. The lock is
 // held.
-func (l *idleClients) evictFromCell(clients *list.List, minIdle time.Duration, force bool, cell cells.Cell) bool {
+func (i *idleClients) evictFromCell(clients *list.List, minIdle time.Duration, force bool, cell cells.Cell) bool {
 	for element := clients.Front(); element != nil; element = element.Next() {
 		client := element.Value.(*idleClient)
 		if !force && time.Since(client.idleSince) < minIdle {
@@ -101,7 +101,7 @@
 }
 
 // runSweeper closes clients that have been idle for too long, until the context ends.
-func (l *idleClients) runSweeper(ctx context.Context) {
+func (i *idleClients) runSweeper(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
@@ -109,28 +109,28 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			l.sweep(&l.newClients, now, newClientIdleTimeout, 0)
-			l.sweep(&l.servedClients, now, servedClientIdleTimeout, partialMessageTimeout)
+			i.sweep(&i.newClients, now, newClientIdleTimeout, 0)
+			i.sweep(&i.servedClients, now, servedClientIdleTimeout, partialMessageTimeout)
 		}
 	}
 }
 
 // stopBeforeLastAnswer stops reading from a client while draining, and reports whether the answer
 // about to be sent is its last. Nothing that the client sends after that answer is processed.
-func (l *idleClients) stopBeforeLastAnswer(c protocol.Client) bool {
-	l.mu.Lock()
-	draining := l.draining
-	l.mu.Unlock()
+func (i *idleClients) stopBeforeLastAnswer(c protocol.Client) bool {
+	i.mu.Lock()
+	draining := i.draining
+	i.mu.Unlock()
 	return draining && c.ForceStopIfIdle(transport.ShutDown) && c.Await(1) == transport.ShutDown
 }
 
 // sweep closes the clients of a list that have been idle for maxIdle, or at once while draining. A
 // client with a partial message has messageTimeout to complete it.
-func (l *idleClients) sweep(clients *list.List, now time.Time, maxIdle, messageTimeout time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (i *idleClients) sweep(clients *list.List, now time.Time, maxIdle, messageTimeout time.Duration) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	reason := transport.Evicted
-	if l.draining {
+	if i.draining {
 		maxIdle, messageTimeout, reason = 0, partialMessageTimeout, transport.ShutDown
 	}
 	for element := clients.Front(); element != nil; {
@@ -153,11 +153,11 @@
 }
 
 // drain closes all clients, each between two queries.
-func (l *idleClients) drain() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.draining = true
-	for _, clients := range []*list.List{&l.newClients, &l.servedClients} {
+func (i *idleClients) drain() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.draining = true
+	for _, clients := range []*list.List{&i.newClients, &i.servedClients} {
 		for element := clients.Front(); element != nil; element = element.Next() {
 			element.Value.(*idleClient).conn.StopIfIdle(transport.ShutDown)
 		}
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -39,17 +39,17 @@
 
 // isUsable reports whether an idle connection leads to the address and is not about to be closed by
 // the member's idle timeout.
-func (l memberConn) isUsable(address string, idleTimeout time.Duration) bool {
-	return l.Idle() && l.address == address && time.Since(l.idleSince) < idleTimeout*9/10
+func (c memberConn) isUsable(address string, idleTimeout time.Duration) bool {
+	return c.Idle() && c.address == address && time.Since(c.idleSince) < idleTimeout*9/10
 }
 
 // closeUnlessQuiet reports whether no input arrived while the connection was idle. Otherwise it
 // closes the connection, since that input would be taken for the next answer.
-func (l memberConn) closeUnlessQuiet() bool {
-	if l.HasNoPendingInput() {
+func (c memberConn) closeUnlessQuiet() bool {
+	if c.HasNoPendingInput() {
 		return true
 	}
-	l.Close(transport.Evicted)
+	c.Close(transport.Evicted)
 	return false
 }
 
@@ -64,7 +64,7 @@
 // query sends a statement to a member and waits for its outcome. It calls mayStart once it has a
 // connection, just before the first byte is written; statement receives the time that is left.
 func (p *memberPools) query(ctx context.Context, member rules.MemberID, address string, mayStart func() bool,
-	statement func(within time.Duration) []string) routing.Outcome {
+	statement func(remaining time.Duration) []string) routing.Outcome {
 	conn, ok := p.takeIdle(member, address)
 	if reason := transport.Open; !ok {
 		if conn, reason = p.dial(ctx, member, address); reason != transport.Open {
@@ -153,12 +153,12 @@
 	steadyWindow  = time.Second
 )
 
-func (u *returnTimes) record(now time.Time) {
-	u.at[u.next] = now
-	u.next = (u.next + 1) % steadyReturns
+func (t *returnTimes) record(now time.Time) {
+	t.at[t.next] = now
+	t.next = (t.next + 1) % steadyReturns
 }
 
-func (u *returnTimes) isSteady() bool { return u != nil && time.Since(u.at[u.next]) < steadyWindow }
+func (t *returnTimes) isSteady() bool { return t != nil && time.Since(t.at[t.next]) < steadyWindow }
 
 // reserved returns how many idle connections to a member to keep unused: one if its connections are
 // in steady use or its last statement timed out. If the member answers on that connection after a
@@ -207,7 +207,7 @@
 
 // prune closes the idle connections to a member that have ended or are unwanted. The lock is held.
 func (p *memberPools) prune(member rules.MemberID, unwanted func(memberConn) bool) {
-	p.idle[member] = closeUnless(p.idle[member], func(l memberConn) bool { return l.Idle() && !unwanted(l) })
+	p.idle[member] = closeUnless(p.idle[member], func(conn memberConn) bool { return conn.Idle() && !unwanted(conn) })
 	if len(p.idle[member]) == 0 {
 		delete(p.idle, member)
 	}
@@ -215,11 +215,11 @@
 
 // closeUnless closes the connections that are not wanted and returns the others.
 func closeUnless(conns []memberConn, isWanted func(memberConn) bool) []memberConn {
-	return slices.DeleteFunc(conns, func(l memberConn) bool {
-		if isWanted(l) {
+	return slices.DeleteFunc(conns, func(conn memberConn) bool {
+		if isWanted(conn) {
 			return false
 		}
-		l.Close(transport.Evicted)
+		conn.Close(transport.Evicted)
 		return true
 	})
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -67,13 +67,13 @@
 		"":                               "end",
 		"Q\x03\x93\x87\x00" + megabyte(): "fatal 08P01 end",
 	} {
-		bad, begun := driver.connect(t), time.Now()
+		bad, startTime := driver.connect(t), time.Now()
 		go io.WriteString(bad, text)
 		if strings.HasSuffix(text, "cut") {
 			bad.Conn.(*net.TCPConn).CloseWrite()
 		}
 		require.Equal(t, want, bad.readReply(t), "%.80q", text)
-		require.Less(t, time.Since(begun), 3*time.Second)
+		require.Less(t, time.Since(startTime), 3*time.Second)
 	}
 	silent, err := net.Dial("tcp", driver.address)
 	require.NoError(t, err)
@@ -135,7 +135,7 @@
 		require.NoError(t, err)
 		defer conn.Close()
 	}
-	begun := time.Now()
+	startTime := time.Now()
 	served := driver.connect(t)
 	require.Equal(t, "from p", served.ask(t, statement("write", 1000)))
 	for range 60 { // clients that send an empty query and stay
@@ -146,12 +146,12 @@
 		require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)))
 	}
 	require.Equal(t, "end", served.readReply(t), "too many served clients are idle: the longest idle one is closed, even with free descriptors")
-	require.Less(t, time.Since(begun), time.Second)
-	stays := driver.connect(t)
-	require.Equal(t, "from p", stays.ask(t, statement("write", 1000)))
-	require.Less(t, time.Since(begun), 1500*time.Millisecond)
-	require.Equal(t, "end", stays.readReply(t))
-	require.Greater(t, time.Since(begun), 2*time.Second, "not before new clients are evicted")
+	require.Less(t, time.Since(startTime), time.Second)
+	idle := driver.connect(t)
+	require.Equal(t, "from p", idle.ask(t, statement("write", 1000)))
+	require.Less(t, time.Since(startTime), 1500*time.Millisecond)
+	require.Equal(t, "end", idle.readReply(t))
+	require.Greater(t, time.Since(startTime), 2*time.Second, "not before new clients are evicted")
 }
 
 // Guards against malformed answers that are forwarded, taken as proof, waited for without end, or
@@ -171,9 +171,9 @@
 		}
 		one.setBehavior("")
 		other.setBehavior("raw " + text)
-		before, begun := len(other.statements()), time.Now()
+		before, startTime := len(other.statements()), time.Now()
 		require.Equal(t, "08007", client.ask(t, statement("write", 1000)), "%.80q", text)
-		require.Less(t, time.Since(begun), 500*time.Millisecond)
+		require.Less(t, time.Since(startTime), 500*time.Millisecond)
 		require.Len(t, other.statements(), before+1, "the write is not retried")
 		other.setBehavior("")
 	}
@@ -203,9 +203,9 @@
 	} {
 		primary.setBehavior(step.act)
 		before := len(primary.statements())
-		begun := time.Now()
+		startTime := time.Now()
 		require.Equal(t, step.answer, client.ask(t, statement("write", 300)), step.act)
-		require.Less(t, time.Since(begun), 400*time.Millisecond, "an answer before the client's deadline")
+		require.Less(t, time.Since(startTime), 400*time.Millisecond, "an answer before the client's deadline")
 		if step.answer == "08007" {
 			require.Len(t, primary.statements(), before+1, "%s: the write is not retried", step.act)
 		}
@@ -234,17 +234,17 @@
 func TestCutLink(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
-	four := func() []*pgConn {
+	connectFour := func() []*pgConn {
 		return []*pgConn{driver.connect(t), driver.connect(t), driver.connect(t), driver.connect(t)}
 	}
-	clients := four()
-	together := func(left int) {
+	clients := connectFour()
+	sendAll := func(left int) {
 		for _, client := range clients {
 			client.send(statement("write", left))
 		}
 	}
 	primary.setBehavior("silent")
-	together(300) // opens several connections
+	sendAll(300) // opens several connections
 	eventually(t, "all attempts are sent", func() bool { return len(primary.statements()) == 4 })
 	primary.setBehavior("")
 	primary.linkLock.Lock()
@@ -252,21 +252,21 @@
 		client.readReply(t)
 	}
 	primary.linkLock.Unlock()
-	together(300)
+	sendAll(300)
 	for _, client := range clients {
 		require.Equal(t, "from p", client.readReply(t))
 	}
 	primary.linkLock.Lock()
-	asks := driver.connect(t)
-	for begun := time.Now(); time.Since(begun) < 2500*time.Millisecond; {
-		asks.ask(t, statement("write", 100))
+	single := driver.connect(t)
+	for startTime := time.Now(); time.Since(startTime) < 2500*time.Millisecond; {
+		single.ask(t, statement("write", 100))
 	}
 	primary.linkLock.Unlock()
-	clients = four() // the earlier connections have been closed
+	clients = connectFour() // the earlier connections have been closed
 	eventually(t, "the member is used again", func() bool { return clients[0].ask(t, statement("write", 100)) == "from p" })
 	primary.setBehavior("silent")
 	before := len(primary.statements())
-	together(100)
+	sendAll(100)
 	eventually(t, "all attempts are sent at once", func() bool { return len(primary.statements()) == before+4 })
 }
 
@@ -275,11 +275,11 @@
 	primary := newFakeMember(t, "p", "leader")
 	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
 	client := driver.connect(t)
-	for begun := time.Now(); time.Since(begun) < 300*time.Millisecond; {
+	for startTime := time.Now(); time.Since(startTime) < 300*time.Millisecond; {
 		require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	}
 	primary.linkLock.Lock()
-	for begun := time.Now(); time.Since(begun) < 2500*time.Millisecond; {
+	for startTime := time.Now(); time.Since(startTime) < 2500*time.Millisecond; {
 		client.ask(t, statement("write", 400))
 	}
 	primary.linkLock.Unlock()
@@ -326,17 +326,17 @@
 
 // Guards against connecting to the old address of a member for ever.
 func TestMemberChangesAddress(t *testing.T) {
-	here, there := newFakeMember(t, "p", "leader"), newFakeMember(t, "p", "leader")
-	discovery := newFakeDiscovery(t, here)
+	before, after := newFakeMember(t, "p", "leader"), newFakeMember(t, "p", "leader")
+	discovery := newFakeDiscovery(t, before)
 	client := startDriver(t, discovery, nil).connect(t)
 	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	discovery.mu.Lock()
-	delete(discovery.lifecycles, here)
+	delete(discovery.lifecycles, before)
 	discovery.mu.Unlock()
-	discovery.setLifecycle(there, "SERVING", false)
+	discovery.setLifecycle(after, "SERVING", false)
 	eventually(t, "the new address is used", func() bool {
 		require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
-		return len(there.statements()) > 0
+		return len(after.statements()) > 0
 	})
 }
 
--- a/internal/program/shutdown_test.go
+++ b/internal/program/shutdown_test.go
@@ -62,16 +62,16 @@
 	primary.setBehavior("silent")
 	client.send(statement("write", 4700))
 	eventually(t, "the attempt is sent", func() bool { return len(primary.statements()) == 2 })
-	begun := time.Now()
+	startTime := time.Now()
 	driver.signal(syscall.SIGTERM)
 	driver.waitForLog("leaving")
 	driver.signal(syscall.SIGTERM)
 	driver.signal(syscall.SIGHUP)
 	require.Equal(t, "end", idle.readReply(t), "the connection is closed")
-	require.Less(t, time.Since(begun), 1500*time.Millisecond)
+	require.Less(t, time.Since(startTime), 1500*time.Millisecond)
 	require.Equal(t, "08007", client.readReply(t), "a complete answer before the deadline")
-	require.Less(t, time.Since(begun), 4800*time.Millisecond)
-	require.Greater(t, time.Since(begun), 4500*time.Millisecond)
+	require.Less(t, time.Since(startTime), 4800*time.Millisecond)
+	require.Greater(t, time.Since(startTime), 4500*time.Millisecond)
 	require.Equal(t, "end", client.readReply(t))
 	driver.waitForExit(t, time.Second)
 	require.NotContains(t, driver.stderr(), "shutdown timed out")
@@ -82,30 +82,30 @@
 func TestQueriesAtShutdown(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	driver := startProcess(t, newFakeDiscovery(t, primary), nil)
-	queue, again, half, idle := driver.connect(t), driver.connect(t), driver.connect(t), driver.connect(t)
+	pipelining, repeating, partial, idle := driver.connect(t), driver.connect(t), driver.connect(t), driver.connect(t)
 	driver.signal(syscall.SIGTERM)
 	driver.waitForLog("leaving")
 	time.Sleep(300 * time.Millisecond) // still within the drain delay
 	require.Equal(t, "from p", driver.connect(t).ask(t, statement("write", 1000)))
 	release := primary.holdLink()
 	for range 5 {
-		queue.send(statement("write", 1900))
+		pipelining.send(statement("write", 1900))
 	}
-	again.send(statement("write", 1900))
+	repeating.send(statement("write", 1900))
 	query := message("Q", statement("write", 1900)+"\x00")
-	io.WriteString(half, query[:20])
+	io.WriteString(partial, query[:20])
 	require.Equal(t, "end", idle.readReply(t), "idle connections are closed after the drain delay")
-	io.WriteString(half, query[20:])
+	io.WriteString(partial, query[20:])
 	io.WriteString(idle, query)
 	release()
 	for range 5 {
-		require.Equal(t, "from p", queue.readReply(t))
+		require.Equal(t, "from p", pipelining.readReply(t))
 	}
-	require.Equal(t, "end", queue.readReply(t))
-	require.Equal(t, "from p", half.readReply(t))
+	require.Equal(t, "end", pipelining.readReply(t))
+	require.Equal(t, "from p", partial.readReply(t))
 	answers := 1
-	require.Equal(t, "from p", again.readReply(t))
-	for again.ask(t, statement("write", 1900)) == "from p" {
+	require.Equal(t, "from p", repeating.readReply(t))
+	for repeating.ask(t, statement("write", 1900)) == "from p" {
 		answers++
 	}
 	require.Equal(t, 1, answers, "queries after the last answer are not executed")
@@ -118,14 +118,14 @@
 func TestPartialQueryAtShutdown(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	driver := startProcess(t, newFakeDiscovery(t, primary), nil)
-	half, flooding := driver.connect(t), driver.connect(t)
-	io.WriteString(half, "Q\x00\x00\x01\x00half")
+	partial, flooding := driver.connect(t), driver.connect(t)
+	io.WriteString(partial, "Q\x00\x00\x01\x00half")
 	driver.signal(syscall.SIGTERM)
 	require.Equal(t, "end", flooding.readReply(t))
 	_, err := io.WriteString(flooding, strings.Repeat(message("Q", statement("write", 1000)+"\x00"), 1000))
 	require.NoError(t, err)
-	require.Equal(t, "fatal 08P01 end", half.readReply(t))
-	half.Conn.(*net.TCPConn).CloseWrite()
+	require.Equal(t, "fatal 08P01 end", partial.readReply(t))
+	partial.Conn.(*net.TCPConn).CloseWrite()
 	driver.waitForExit(t, 3*time.Second)
 	require.Empty(t, primary.statements())
 }
--- a/internal/program/signals_soak_test.go
+++ b/internal/program/signals_soak_test.go
@@ -105,7 +105,7 @@
 
 // sendSignals sends random signals for the given time.
 func (s *signalsSoak) sendSignals(span time.Duration) {
-	for begun := time.Now(); time.Since(begun) < span; {
+	for startTime := time.Now(); time.Since(startTime) < span; {
 		time.Sleep(time.Duration(s.rng.Intn(250)) * time.Millisecond)
 		select {
 		case err := <-s.exited: // the process has exited
@@ -192,32 +192,32 @@
 		c.Close()
 		return false
 	}
-	got := c.readReply(s.t)
-	took := time.Since(sent)
+	reply := c.readReply(s.t)
+	elapsed := time.Since(sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if strings.HasSuffix(got, "end") && !strings.HasPrefix(got, "from") && !strings.HasPrefix(got, "fatal") {
-		s.checkUnanswered(rpcID(text), sent, took)
+	if strings.HasSuffix(reply, "end") && !strings.HasPrefix(reply, "from") && !strings.HasPrefix(reply, "fatal") {
+		s.checkUnanswered(rpcID(text), sent, elapsed)
 		return false
 	}
 	s.answered++
-	if took > time.Duration(timeoutMillis)*time.Millisecond+answerSlack {
-		s.addViolation("request %s with a timeout of %d ms got %q after %v", rpcID(text), timeoutMillis, got, took)
+	if elapsed > time.Duration(timeoutMillis)*time.Millisecond+answerSlack {
+		s.addViolation("request %s with a timeout of %d ms got %q after %v", rpcID(text), timeoutMillis, reply, elapsed)
 	}
-	return !strings.HasSuffix(got, "end")
+	return !strings.HasSuffix(reply, "end")
 }
 
 // checkUnanswered checks a request whose connection ended without an answer. The lock is held.
-func (s *signalsSoak) checkUnanswered(id string, sent time.Time, took time.Duration) {
-	came := s.group.arrivalsOf(id)
-	killed, told := s.killedAt.Load(), time.Unix(0, s.termSentAt.Load())
-	byKill := killed != 0 && sent.Add(took).UnixNano() >= killed
+func (s *signalsSoak) checkUnanswered(id string, sent time.Time, elapsed time.Duration) {
+	arrivals := s.group.arrivalsOf(id)
+	killedAt, termSentAt := s.killedAt.Load(), time.Unix(0, s.termSentAt.Load())
+	byKill := killedAt != 0 && sent.Add(elapsed).UnixNano() >= killedAt
 	switch {
-	case byKill && s.termSentAt.Load() != 0 && sent.Sub(told) <= acceptedAfterTerm && len(came) == 0:
-	case len(came) > 0:
-		s.addViolation("request %s reached a member and its connection ended after %v without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
-	case took > closeRaceSlack:
-		s.addViolation("request %s was pending for %v when its connection ended without an answer, sent %v after SIGTERM, by the kill: %t", id, took, sent.Sub(told), byKill)
+	case byKill && s.termSentAt.Load() != 0 && sent.Sub(termSentAt) <= acceptedAfterTerm && len(arrivals) == 0:
+	case len(arrivals) > 0:
+		s.addViolation("request %s reached a member and its connection ended after %v without an answer, sent %v after SIGTERM, by the kill: %t", id, elapsed, sent.Sub(termSentAt), byKill)
+	case elapsed > closeRaceSlack:
+		s.addViolation("request %s was pending for %v when its connection ended without an answer, sent %v after SIGTERM, by the kill: %t", id, elapsed, sent.Sub(termSentAt), byKill)
 	}
 }
 
@@ -229,10 +229,10 @@
 func (s *signalsSoak) checkResults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, left := range s.disconnects {
-		for _, came := range s.group.arrivalsOf(id) {
-			if came.Sub(left) > disconnectSlack {
-				s.addViolation("request %s reached a member %v after its client had closed", id, came.Sub(left))
+	for id, disconnectedAt := range s.disconnects {
+		for _, arrival := range s.group.arrivalsOf(id) {
+			if arrival.Sub(disconnectedAt) > disconnectSlack {
+				s.addViolation("request %s reached a member %v after its client had closed", id, arrival.Sub(disconnectedAt))
 			}
 		}
 	}
--- a/internal/program/standins_test.go
+++ b/internal/program/standins_test.go
@@ -29,8 +29,8 @@
 const waitTimeout = 5 * time.Second // of eventually
 
 func eventually(t *testing.T, what string, ok func() bool) {
-	for begun := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		require.Less(t, time.Since(begun), waitTimeout, what)
+	for startTime := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
+		require.Less(t, time.Since(startTime), waitTimeout, what)
 	}
 }
 
--- a/internal/program/store_test.go
+++ b/internal/program/store_test.go
@@ -42,12 +42,12 @@
 	reportPosition time.Time     // in load reports
 
 	reportedAt        time.Time
-	reportPausedUntil time.Time                                  // the cached load report is kept until then
-	respond           func(s *pgConn, says string) (goesOn bool) // answers the next statement, if not nil
-	hangsUntil        time.Time                                  // delays answers to statements, but not to probes
-	failuresLeft      int                                        // number of next answers that fail
-	wasPrimary        bool                                       // has ever been primary
-	deniedAt          time.Time                                  // first report of not being primary after having been; may be zero
+	reportPausedUntil time.Time                                       // the cached load report is kept until then
+	respond           func(conn *pgConn, status string) (isOpen bool) // answers the next statement, if not nil
+	hangsUntil        time.Time                                       // delays answers to statements, but not to probes
+	failuresLeft      int                                             // number of next answers that fail
+	wasPrimary        bool                                            // has ever been primary
+	deniedAt          time.Time                                       // first report of not being primary after having been; may be zero
 }
 
 // The kinds of answers that a member gives.
@@ -83,9 +83,9 @@
 	s.primary, r.claimsPrimary, r.wasPrimary, r.deniedAt = r, true, true, time.Time{}
 }
 
-// depose removes the primary from its role. The former primary still claims the role until tell is
-// called.
-func (s *fakeGroup) depose() (former *groupMember, tell func()) {
+// depose removes the primary from its role. The former primary still claims the role until announce
+// is called.
+func (s *fakeGroup) depose() (former *groupMember, announce func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	former = s.primary
@@ -207,7 +207,7 @@
 }
 
 // takeRespond returns the function for the next answer, if any, and clears it.
-func (r *groupMember) takeRespond() (respond func(s *pgConn, says string) bool) {
+func (r *groupMember) takeRespond() (respond func(s *pgConn, status string) bool) {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
 	respond, r.respond = r.respond, nil
--- a/internal/program/watch_test.go
+++ b/internal/program/watch_test.go
@@ -135,10 +135,10 @@
 			}
 			return httpOK(singleEntryList(2, true, primary, "DRAINING"))
 		})
-		begun := time.Now()
+		startTime := time.Now()
 		driver := discovery.startDriver(t, nil)
-		require.Less(t, time.Since(begun), 4*time.Second, "ready with the previously known targets")
-		timeToDrain(t, driver.connect(t), begun)
+		require.Less(t, time.Since(startTime), 4*time.Second, "ready with the previously known targets")
+		timeToDrain(t, driver.connect(t), startTime)
 	})
 }
 
