--- a/internal/program/freshness_soak_test.go
+++ b/internal/program/freshness_soak_test.go
@@ -151,7 +151,8 @@
 	group.mu.Lock()
 	defer group.mu.Unlock()
 	if len(group.violations) > 0 {
-		t.Errorf("seed %d: %d violations, the first: %s\n%s\n%s", plan.seed, len(group.violations), strings.Join(group.violations[:min(5, len(group.violations))], "\n"), logs[0], logs[1])
+		t.Errorf("seed %d: %d violations, the first: %s\n%s\n%s", plan.seed, len(group.violations),
+			strings.Join(group.violations[:min(5, len(group.violations))], "\n"), logs[0], logs[1])
 	}
 	t.Logf("seed %d: %d reads served", plan.seed, group.served)
 	require.Greater(t, group.served, plan.minReads, "reads served in all")
@@ -207,7 +208,7 @@
 		s.mu.Lock()
 		lagging.failuresLeft = 3 * failures
 		s.mu.Unlock()
-	case 5: // the primary is cut off and keeps its role until its lease ends, after a successor was elected
+	case 5: // the primary is cut off and keeps its role after a successor was elected
 		_, announce := s.depose()
 		time.Sleep(election)
 		s.elect(successor)
--- a/internal/program/signals_soak_test.go
+++ b/internal/program/signals_soak_test.go
@@ -215,9 +215,11 @@
 	switch {
 	case byKill && s.termSentAt.Load() != 0 && sent.Sub(termSentAt) <= acceptedAfterTerm && len(arrivals) == 0:
 	case len(arrivals) > 0:
-		s.addViolation("request %s reached a member and its connection ended after %v without an answer, sent %v after SIGTERM, by the kill: %t", id, elapsed, sent.Sub(termSentAt), byKill)
+		s.addViolation("request %s reached a member and its connection ended after %v without an answer, sent %v after SIGTERM, by the kill: %t",
+			id, elapsed, sent.Sub(termSentAt), byKill)
 	case elapsed > closeRaceSlack:
-		s.addViolation("request %s was pending for %v when its connection ended without an answer, sent %v after SIGTERM, by the kill: %t", id, elapsed, sent.Sub(termSentAt), byKill)
+		s.addViolation("request %s was pending for %v when its connection ended without an answer, sent %v after SIGTERM, by the kill: %t",
+			id, elapsed, sent.Sub(termSentAt), byKill)
 	}
 }
 
@@ -236,7 +238,8 @@
 			}
 		}
 	}
-	s.t.Logf("seed %d: %d requests answered, %d clients disconnected, crowd %t, killed %t, violations %d", s.seed, s.answered, len(s.disconnects), s.hasIdleCrowd(), s.killedAt.Load() != 0, len(s.violations))
+	s.t.Logf("seed %d: %d requests answered, %d clients disconnected, crowd %t, killed %t, violations %d",
+		s.seed, s.answered, len(s.disconnects), s.hasIdleCrowd(), s.killedAt.Load() != 0, len(s.violations))
 	require.Empty(s.t, s.violations, "%s", s.stderr())
 	require.Greater(s.t, s.answered, 100)
 }
--- a/internal/program/standins_test.go
+++ b/internal/program/standins_test.go
@@ -72,7 +72,7 @@
 
 func errorMessage(state string) string { return message("E", "SERROR\x00C"+state+"\x00Mno\x00\x00") }
 
-// fakeMember is a fake of a member.
+// fakeMember is a fake member of a group.
 type fakeMember struct {
 	name       string
 	listener   net.Listener
--- a/internal/program/store_test.go
+++ b/internal/program/store_test.go
@@ -66,8 +66,8 @@
 	for i := range members {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		r := &groupMember{fakeMember: &fakeMember{name: fmt.Sprintf("s%d", i), listener: listener, conns: map[net.Conn]bool{}}, group: s, applied: time.Now(),
-			lag: 5 * time.Millisecond, reportPosition: time.Now()}
+		r := &groupMember{fakeMember: &fakeMember{name: fmt.Sprintf("s%d", i), listener: listener,
+			conns: map[net.Conn]bool{}}, group: s, applied: time.Now(), lag: 5 * time.Millisecond, reportPosition: time.Now()}
 		s.members = append(s.members, r)
 		go r.accept()
 		t.Cleanup(r.shutDown)
@@ -201,7 +201,8 @@
 	hasDenied := !r.deniedAt.IsZero() && receivedAt.Sub(r.deniedAt) > statusGrace
 	isTooOld := age > r.group.maxReadAge+2*readAgeSlack || r.group.latestReads && hasDenied
 	if read && isTooOld && !r.group.omitStatus && (!r.wasPrimary || hasDenied || r.group.strict) {
-		r.group.violations = append(r.group.violations, fmt.Sprintf("%s got a read with data that was %v too old; was primary: %t, time since it denied that: %v",
+		r.group.violations = append(r.group.violations, fmt.Sprintf(
+			"%s got a read with data that was %v too old; was primary: %t, time since it denied that: %v",
 			r.name, age-r.group.maxReadAge, r.wasPrimary, receivedAt.Sub(r.deniedAt)))
 	}
 }
