--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -280,8 +280,8 @@
 func (councilShow) Run(c *commands) error {
 	return asked(admin.Fleet(c.Fleet.Admin), c.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, s *chamber.State) {
 		fmt.Fprintf(out, "as voter %d knows: term %d, %d entries applied, %.1f ms a write of its disk\n", s.Voter, s.Term, s.Applied, s.WriteMs)
-		if s.Refused != "" {
-			fmt.Fprintf(out, "this voter is refused: %s\n", s.Refused)
+		if s.RefusalReason != "" {
+			fmt.Fprintf(out, "this voter is refused: %s\n", s.RefusalReason)
 		}
 		fmt.Fprintln(out, "\nVOTER\tADDRESS\tLEADS")
 		for _, v := range s.Voters {
@@ -289,13 +289,13 @@
 			if v == s.Leader {
 				leads = "yes"
 			}
-			fmt.Fprintf(out, "%d\t%s\t%s\n", v, s.At[strconv.FormatUint(uint64(v), 10)], leads)
+			fmt.Fprintf(out, "%d\t%s\t%s\n", v, s.Addresses[strconv.FormatUint(uint64(v), 10)], leads)
 		}
 	})
 }
 
 // change asks for other voters.
-func (c *commands) change(change chamber.Change) error {
+func (c *commands) change(change chamber.VoterChange) error {
 	err := admin.Fleet(c.Fleet.Admin).Ask(context.Background(), "council/change", change, nil)
 	if err == nil {
 		fmt.Println("proposed; `fleet council show` tells once it is so")
@@ -311,7 +311,7 @@
 
 // Run lets a voter join.
 func (a councilAdd) Run(c *commands) error {
-	return c.change(chamber.Change{Add: chamber.Peers{council.VoterID(a.ID): a.At}, Remove: voters(a.Replace)})
+	return c.change(chamber.VoterChange{Add: chamber.VoterAddresses{council.VoterID(a.ID): a.At}, Remove: voters(a.Replace)})
 }
 
 type councilRemove struct {
@@ -319,7 +319,9 @@
 }
 
 // Run lets voters go.
-func (r councilRemove) Run(c *commands) error { return c.change(chamber.Change{Remove: voters(r.IDs)}) }
+func (r councilRemove) Run(c *commands) error {
+	return c.change(chamber.VoterChange{Remove: voters(r.IDs)})
+}
 
 func voters(ids []uint64) (voters []council.VoterID) {
 	for _, id := range ids {
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -15,7 +15,7 @@
 // Account is a ledger at work. It may be used by many at once.
 type Account struct {
 	journal *store.Journal
-	commit  *store.Committer
+	commit  *store.BatchWriter
 	begun   time.Time
 
 	mu sync.Mutex
@@ -27,8 +27,8 @@
 // Open takes up what a journal holds, for so many RPCs of which one caller may have so many. A journal that holds nothing
 // may be one that was lost: until the longest deadline from now has passed repeats can't be told from first tries.
 func Open(j *store.Journal, most, quota int, longest time.Duration) (*Account, error) {
-	a := &Account{journal: j, commit: store.NewCommitter(j, together), begun: time.Now()}
-	records, err := store.All[ledger.Record](j)
+	a := &Account{journal: j, commit: store.NewBatchWriter(j, together), begun: time.Now()}
+	records, err := store.ReadAll[ledger.Record](j)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,7 +23,7 @@
 	Abort(ctx context.Context, m membership.Move) error
 	Plan(ctx context.Context, most int) (Plan, error)
 	Council(ctx context.Context) (chamber.State, error)
-	ChangeCouncil(ctx context.Context, change chamber.Change) error
+	ChangeCouncil(ctx context.Context, change chamber.VoterChange) error
 	Fleet(ctx context.Context) (membership.Fleet, error)
 	Wish(ctx context.Context, w membership.Wish) error
 	Audit(ctx context.Context, q membership.Question) (membership.Finding, error)
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -56,8 +56,8 @@
 	if s, err := f.desk.Council(ctx); err == nil {
 		gauge(councilTerm, float64(s.Term))
 		gauge(councilApplied, float64(s.Applied))
-		gauge(councilActs, truth(s.Acts))
-		gauge(councilRefused, truth(s.Refused != ""))
+		gauge(councilActs, truth(s.IsActing))
+		gauge(councilRefused, truth(s.RefusalReason != ""))
 		gauge(writeSeconds, s.WriteMs/1000)
 	}
 	fleet, err := f.desk.Fleet(ctx)
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -25,7 +25,7 @@
 func (s still) Cells() cells.Stats { return cells.Stats{Rejected: map[string]int64{"lease": 3}} }
 
 func (s still) Council(context.Context) (chamber.State, error) {
-	return chamber.State{Term: 7, Acts: true}, s.err
+	return chamber.State{Term: 7, IsActing: true}, s.err
 }
 
 func (s still) Fleet(context.Context) (membership.Fleet, error) { return s.fleet, s.err }
--- a/internal/council/chamber/chamber.go
+++ b/internal/council/chamber/chamber.go
@@ -20,12 +20,12 @@
 	"sedgespread/internal/council"
 )
 
-// Chamber is one voter at work.
-type Chamber struct {
+// Server is one voter at work.
+type Server struct {
 	id       council.VoterID
-	pace     council.Pace
+	pace     council.Timing
 	disk     *disk
-	machines map[string]Machine
+	machines map[string]StateMachine
 	strange  map[string][]json.RawMessage // records for machines that this build does not know, kept for snapshots
 	log      logrus.FieldLogger
 	begun    time.Time
@@ -41,7 +41,7 @@
 
 	mu      sync.Mutex // of what others may look at
 	state   State
-	seat    *council.Seat
+	seat    *council.Node
 	waiting map[string]chan error
 	voters  map[string]string
 	leading uint64 // the term in which the machines were told to lead
@@ -51,31 +51,31 @@
 
 // State is what a voter tells of the council.
 type State struct {
-	Voter   council.VoterID   `json:"voter"`
-	Voters  []council.VoterID `json:"voters"`
-	At      map[string]string `json:"at"` // addresses of the voters, by number
-	Leader  council.VoterID   `json:"leader"`
-	Term    uint64            `json:"term"`
-	Applied uint64            `json:"applied"`
-	Acts    bool              `json:"acts"`     // this voter acts for the council
-	WriteMs float64           `json:"write_ms"` // that a write of its disk takes, in the mean
-	Refused string            `json:"refused,omitempty"`
+	Voter         council.VoterID   `json:"voter"`
+	Voters        []council.VoterID `json:"voters"`
+	Addresses     map[string]string `json:"at"` // addresses of the voters, by number
+	Leader        council.VoterID   `json:"leader"`
+	Term          uint64            `json:"term"`
+	Applied       uint64            `json:"applied"`
+	IsActing      bool              `json:"acts"`     // this voter acts for the council
+	WriteMs       float64           `json:"write_ms"` // that a write of its disk takes, in the mean
+	RefusalReason string            `json:"refused,omitempty"`
 }
 
-// Peers are the addresses of the voters that a council begins with, as this voter reaches them.
-type Peers map[council.VoterID]string
+// VoterAddresses are the addresses of the voters that a council begins with, as this voter reaches them.
+type VoterAddresses map[council.VoterID]string
 
 // Open opens a voter's disk and seats it; nothing is sent yet. One that joins a council that is at work already begins
 // with an empty disk.
-func Open(id council.VoterID, peers Peers, joins bool, path string, pace council.Pace, machines map[string]Machine,
-	log logrus.FieldLogger) (c *Chamber, err error) {
+func Open(id council.VoterID, peers VoterAddresses, joins bool, path string, pace council.Timing, machines map[string]StateMachine,
+	log logrus.FieldLogger) (c *Server, err error) {
 	var founders []council.VoterID
 	for v := range peers {
 		if !joins {
 			founders = append(founders, v)
 		}
 	}
-	c = &Chamber{id: id, pace: pace, machines: machines, strange: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
+	c = &Server{id: id, pace: pace, machines: machines, strange: map[string][]json.RawMessage{}, log: log.WithField("voter", id),
 		begun: time.Now(), events: make(chan func(), mostEvents), over: make(chan struct{}), waiting: map[string]chan error{},
 		voters: map[string]string{}}
 	for v, at := range peers {
@@ -86,14 +86,14 @@
 	}
 	seed := time.Now().UnixNano() ^ int64(id)<<48
 	c.name = fmt.Sprintf("%d-%x", id, uint64(rand.New(rand.NewSource(seed)).Int63()))
-	if c.seat, err = council.NewSeat(id, pace, c.disk.kept, seed); err == nil {
+	if c.seat, err = council.NewNode(id, pace, c.disk.kept, seed); err == nil {
 		err = c.restore(c.disk.kept.Snapshot)
 	}
 	if err != nil {
 		c.disk.close()
 		return nil, err
 	}
-	c.disk.kept = council.Kept{} // the seat has it now
+	c.disk.kept = council.DiskState{} // the seat has it now
 	c.post, c.scribe = newPost(c), newScribe(c)
 	c.publish()
 	return c, nil
@@ -104,10 +104,10 @@
 	mostBatch  = 256 // events between two writes to the disk
 )
 
-func (c *Chamber) now() int64 { return int64(time.Since(c.begun)) }
+func (c *Server) now() int64 { return int64(time.Since(c.begun)) }
 
 // Run works until the context ends. All that touches the seat happens here.
-func (c *Chamber) Run(ctx context.Context) {
+func (c *Server) Run(ctx context.Context) {
 	defer c.disk.close()
 	defer func() { <-c.scribe.over }()
 	defer close(c.over)
@@ -147,14 +147,14 @@
 )
 
 var (
-	// ErrUnknown says that a record was proposed and it is not known whether it will stand.
-	ErrUnknown = errors.New("whether it was recorded is not known: the council has changed its leader meanwhile")
+	// ErrOutcomeUnknown says that a record was proposed and it is not known whether it will stand.
+	ErrOutcomeUnknown = errors.New("whether it was recorded is not known: the council has changed its leader meanwhile")
 )
 
 // work does what the seat asks for until there is nothing more.
-func (c *Chamber) work() {
+func (c *Server) work() {
 	for c.broken == nil {
-		w, any := c.seat.Work()
+		w, any := c.seat.Ready()
 		if !any {
 			break
 		}
@@ -164,14 +164,14 @@
 		}
 	}
 	c.lead()
-	if c.broken == nil && c.seat.Long() {
+	if c.broken == nil && c.seat.NeedsCompaction() {
 		c.compact()
 	}
 	c.publish()
 }
 
 // written takes in that writes are on the disk, and hands out what waited for them.
-func (c *Chamber) written(writes []*council.Write, took time.Duration, err error) {
+func (c *Server) written(writes []*council.Write, took time.Duration, err error) {
 	if c.broken != nil {
 		return
 	}
@@ -183,7 +183,7 @@
 		c.pen.noted(took, c.pace, c.log)
 	}
 	for _, w := range writes {
-		snapshot, commits, err := c.seat.Written(w)
+		snapshot, commits, err := c.seat.CompleteWrite(w)
 		if err == nil {
 			err = c.restore(snapshot)
 		}
@@ -198,7 +198,7 @@
 }
 
 // breakDown ends this voter's part for good: it can't write down what it would have to answer for.
-func (c *Chamber) breakDown(err error) {
+func (c *Server) breakDown(err error) {
 	c.broken = err
 	c.tenure.Store(0)
 	c.log.WithError(err).Error("this voter can't go on")
@@ -207,26 +207,26 @@
 }
 
 // lead tells the machines when this voter begins to act for the council, and everybody until when.
-func (c *Chamber) lead() {
-	until := c.seat.Tenure()
+func (c *Server) lead() {
+	until := c.seat.LeaseEnd()
 	if c.broken != nil {
 		until = 0
 	}
 	if until > c.now() && c.leading != c.seat.Term() {
 		c.leading = c.seat.Term()
-		c.log.WithFields(logrus.Fields{"term": c.leading, "applied": c.seat.Applied()}).Info("acts for the council")
+		c.log.WithFields(logrus.Fields{"term": c.leading, "applied": c.seat.AppliedIndex()}).Info("acts for the council")
 		for _, m := range c.machines {
 			m.Lead()
 		}
 	}
 	if until == 0 && c.tenure.Load() != 0 {
-		c.fail(ErrUnknown)
+		c.fail(ErrOutcomeUnknown)
 	}
 	c.tenure.Store(until)
 }
 
 // apply hands a record to its machine, and tells whoever waits for it.
-func (c *Chamber) apply(k council.Commit) {
+func (c *Server) apply(k council.CommittedEntry) {
 	if k.Change != nil {
 		c.joins(k.Change)
 		return
@@ -240,14 +240,14 @@
 	} else {
 		c.strange[r.Machine] = append(c.strange[r.Machine], r.Data)
 	}
-	if told := c.waiting[r.By]; told != nil {
-		delete(c.waiting, r.By)
+	if told := c.waiting[r.ProposalID]; told != nil {
+		delete(c.waiting, r.ProposalID)
 		told <- nil
 	}
 }
 
 // joins takes the addresses of new voters in.
-func (c *Chamber) joins(change *raftpb.ConfChangeV2) {
+func (c *Server) joins(change *raftpb.ConfChangeV2) {
 	var said map[string]string
 	if json.Unmarshal(change.GetContext(), &said) != nil {
 		return
@@ -260,7 +260,7 @@
 }
 
 // fail tells all that wait that it is not known what became of their records.
-func (c *Chamber) fail(err error) {
+func (c *Server) fail(err error) {
 	for by, told := range c.waiting {
 		delete(c.waiting, by)
 		told <- err
@@ -268,7 +268,7 @@
 }
 
 // compact writes a snapshot in place of the oldest entries.
-func (c *Chamber) compact() {
+func (c *Server) compact() {
 	s := snapshot{Machines: map[string]json.RawMessage{}, Voters: c.voters}
 	for name, m := range c.machines {
 		text, err := m.Snapshot()
@@ -298,7 +298,7 @@
 }
 
 // restore lets the machines take a snapshot, if it holds something.
-func (c *Chamber) restore(taken *raftpb.Snapshot) error {
+func (c *Server) restore(taken *raftpb.Snapshot) error {
 	if len(taken.GetData()) == 0 {
 		return nil
 	}
@@ -331,50 +331,50 @@
 }
 
 // publish lets others see how things stand, and logs when a leader is lost or found.
-func (c *Chamber) publish() {
+func (c *Server) publish() {
 	lost := c.seat.Leader() == 0 && c.tenure.Load() == 0
-	refused := c.seat.Refused()
+	refused := c.seat.RefusalReason()
 	if c.broken != nil {
 		refused = c.broken.Error()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if refused != "" && c.state.Refused == "" {
+	if refused != "" && c.state.RefusalReason == "" {
 		c.log.WithField("why", refused).Error("this voter is refused")
 	} else if lost != c.lost {
-		c.log.WithFields(logrus.Fields{"leader": c.seat.Leader(), "term": c.seat.Term(), "applied": c.seat.Applied()}).
+		c.log.WithFields(logrus.Fields{"leader": c.seat.Leader(), "term": c.seat.Term(), "applied": c.seat.AppliedIndex()}).
 			Info(map[bool]string{true: "the council has no leader", false: "the council has a leader"}[lost])
 	}
 	c.lost = lost
-	c.state = State{Voter: c.id, Voters: c.seat.Voters(), Leader: c.seat.Leader(), Term: c.seat.Term(), Applied: c.seat.Applied(),
-		Refused: refused, WriteMs: float64(c.pen.usual) / float64(time.Millisecond)}
+	c.state = State{Voter: c.id, Voters: c.seat.Voters(), Leader: c.seat.Leader(), Term: c.seat.Term(), Applied: c.seat.AppliedIndex(),
+		RefusalReason: refused, WriteMs: float64(c.pen.usual) / float64(time.Millisecond)}
 }
 
 // State tells how the council stands, as far as this voter knows.
-func (c *Chamber) State() State {
+func (c *Server) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state
-	s.Acts = c.Acts()
-	s.At = make(map[string]string, len(c.voters))
+	s.IsActing = c.IsActing()
+	s.Addresses = make(map[string]string, len(c.voters))
 	for v, at := range c.voters {
-		s.At[v] = at
+		s.Addresses[v] = at
 	}
 	return s
 }
 
-// Acts tells whether this voter acts for the council just now: nobody else does, and all that was recorded is applied.
-func (c *Chamber) Acts() bool { return c.now() < c.tenure.Load() }
+// IsActing tells whether this voter acts for the council just now: nobody else does, and all that was recorded is applied.
+func (c *Server) IsActing() bool { return c.now() < c.tenure.Load() }
 
 // address is where a voter is, empty for not known.
-func (c *Chamber) address(v council.VoterID) string {
+func (c *Server) address(v council.VoterID) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.voters[strconv.FormatUint(uint64(v), 10)]
 }
 
 // do lets something happen between two steps of Run, and tells whether it will.
-func (c *Chamber) do(ctx context.Context, what func()) error {
+func (c *Server) do(ctx context.Context, what func()) error {
 	select {
 	case c.events <- what:
 		return nil
@@ -387,18 +387,18 @@
 
 // Record asks the council to agree on a record for a machine, and returns once that has it. After ErrNotLeading it was not
 // recorded and never will be; after another error it may be.
-func (c *Chamber) Record(ctx context.Context, machine string, data any) error {
+func (c *Server) Record(ctx context.Context, machine string, data any) error {
 	text, err := json.Marshal(data)
 	if err != nil {
 		return err
 	}
 	by := c.name + "-" + strconv.FormatUint(c.asked.Add(1), 36)
-	text, err = json.Marshal(record{Machine: machine, By: by, Data: text})
+	text, err = json.Marshal(record{Machine: machine, ProposalID: by, Data: text})
 	if err != nil {
 		return err
 	}
 	err = c.ask(ctx, func(told chan error) {
-		if !c.Acts() || c.seat.Propose(text) != nil {
+		if !c.IsActing() || c.seat.Propose(text) != nil {
 			told <- ErrNotLeading
 			return
 		}
@@ -406,13 +406,13 @@
 	})
 	if err != nil && err == ctx.Err() {
 		c.do(context.Background(), func() { delete(c.waiting, by) })
-		return fmt.Errorf("%w (%w)", ErrUnknown, err)
+		return fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
 	}
 	return err
 }
 
 // ask lets something happen between two steps of Run that answers once, and waits for the answer.
-func (c *Chamber) ask(ctx context.Context, what func(told chan error)) error {
+func (c *Server) ask(ctx context.Context, what func(told chan error)) error {
 	told := make(chan error, 1)
 	if err := c.do(ctx, func() { what(told) }); err != nil {
 		return err
@@ -427,14 +427,14 @@
 	}
 }
 
-// Change is a change of who votes.
-type Change struct {
-	Add    Peers             `json:"add,omitempty"`
+// VoterChange is a change of who votes.
+type VoterChange struct {
+	Add    VoterAddresses    `json:"add,omitempty"`
 	Remove []council.VoterID `json:"remove,omitempty"`
 }
 
-// Change asks the council to let voters in and others go, and returns once it was proposed.
-func (c *Chamber) Change(ctx context.Context, change Change) error {
+// ChangeVoters asks the council to let voters in and others go, and returns once it was proposed.
+func (c *Server) ChangeVoters(ctx context.Context, change VoterChange) error {
 	said := map[string]string{}
 	var add []council.VoterID
 	for v, at := range change.Add {
@@ -444,11 +444,11 @@
 	if err != nil {
 		return err
 	}
-	return c.ask(ctx, func(told chan error) { told <- c.seat.Change(add, change.Remove, text) })
+	return c.ask(ctx, func(told chan error) { told <- c.seat.ChangeVoters(add, change.Remove, text) })
 }
 
-// Take takes a packet of another voter in.
-func (c *Chamber) Take(ctx context.Context, p council.Packet) error {
+// Receive takes a packet of another voter in.
+func (c *Server) Receive(ctx context.Context, p council.Packet) error {
 	return c.do(ctx, func() {
 		if err := c.seat.Receive(p); err != nil {
 			c.log.WithError(err).Warn("a packet was not taken")
--- a/internal/council/chamber/chamber_test.go
+++ b/internal/council/chamber/chamber_test.go
@@ -65,7 +65,7 @@
 	net   *relays.Net
 	dir   string
 	at    []string
-	peers []Peers
+	peers []VoterAddresses
 	seats []*seated
 	pens  []*slowPen
 }
@@ -78,7 +78,7 @@
 	writes atomic.Int64
 }
 
-func (p *slowPen) Save(parts ...store.Part) error {
+func (p *slowPen) Save(parts ...store.Update) error {
 	time.Sleep(time.Duration(p.takes.Load()))
 	for p.hangs.Load() {
 		time.Sleep(time.Millisecond)
@@ -89,12 +89,12 @@
 
 type seated struct {
 	mu   sync.Mutex
-	c    *Chamber
+	c    *Server
 	r    *register
 	stop func()
 }
 
-var pace = council.Pace{Tick: int64(10 * time.Millisecond), Election: 10, Drift: 0.01}
+var pace = council.Timing{Tick: int64(10 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
 
 func quiet() logrus.FieldLogger {
 	log := logrus.New()
@@ -115,7 +115,7 @@
 		l.Close()
 	}
 	for i := range voters {
-		peers := Peers{}
+		peers := VoterAddresses{}
 		for j := range voters {
 			at, err := b.net.Relay(links.Way{From: name(i), To: name(j)}, b.at[j])
 			require.NoError(t, err)
@@ -142,14 +142,14 @@
 func (b *table) start(i int) {
 	s := b.seats[i]
 	r := &register{}
-	c, err := Open(council.VoterID(i+1), b.peers[i], false, b.disk(i), pace, map[string]Machine{"register": r}, quiet())
+	c, err := Open(council.VoterID(i+1), b.peers[i], false, b.disk(i), pace, map[string]StateMachine{"register": r}, quiet())
 	require.NoError(b.t, err)
 	b.pens[i].keeper = c.disk.log
 	c.disk.log = b.pens[i]
 	l, err := net.Listen("tcp", b.at[i])
 	require.NoError(b.t, err)
 	mux := http.NewServeMux()
-	c.Handle(mux)
+	c.RegisterHandlers(mux)
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(2)
@@ -172,7 +172,7 @@
 	}
 }
 
-func (s *seated) now() (*Chamber, *register) {
+func (s *seated) now() (*Server, *register) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.c, s.r
@@ -188,7 +188,7 @@
 // leader is the voter that acts, -1 for none.
 func (b *table) leader() int {
 	for i, s := range b.seats {
-		if c, _ := s.now(); c != nil && c.Acts() {
+		if c, _ := s.now(); c != nil && c.IsActing() {
 			return i
 		}
 	}
@@ -215,7 +215,7 @@
 
 // Guards against a council that does not survive the loss of any one voter, or of all at once, and against one that goes
 // on alone.
-func TestACouncilSurvivesLosses(t *testing.T) {
+func TestVoterLosses(t *testing.T) {
 	b := newTable(t, 3)
 	b.record("one")
 	for i := range 3 {
@@ -245,15 +245,15 @@
 
 // Guards against disks on which each write takes longer than a leader's tenure: the council still elects, the leader goes on
 // acting without a gap, and what many record at once shares writes.
-func TestACouncilOnSlowDisks(t *testing.T) {
+func TestSlowDisks(t *testing.T) {
 	b := newTable(t, 3)
 	for _, p := range b.pens {
-		p.takes.Store(2 * pace.Tenure())
+		p.takes.Store(2 * pace.LeaderLease())
 	}
 	b.record("first")
 	lead := b.leads()
 	c, r := b.seats[lead].now()
-	require.Greater(t, c.State().WriteMs, float64(pace.Tenure())/1e6, "its disk is known to be slow")
+	require.Greater(t, c.State().WriteMs, float64(pace.LeaderLease())/1e6, "its disk is known to be slow")
 	before, gaps, over := b.pens[lead].writes.Load(), 0, make(chan struct{})
 	var watch, clients sync.WaitGroup
 	watch.Add(1)
@@ -265,7 +265,7 @@
 				return
 			default:
 			}
-			if !c.Acts() {
+			if !c.IsActing() {
 				gaps++
 			}
 		}
@@ -287,7 +287,7 @@
 }
 
 // Guards against a leader whose disk hangs and whose heartbeats keep the others from going on without it.
-func TestALeaderWhoseDiskHangs(t *testing.T) {
+func TestLeaderWithHungDiskIsReplaced(t *testing.T) {
 	b := newTable(t, 3)
 	b.record("one")
 	lead := b.leads()
@@ -296,7 +296,7 @@
 	c, _ := b.seats[lead].now()
 	by, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer stop()
-	require.ErrorIs(t, c.Record(by, "register", "hung"), ErrUnknown)
+	require.ErrorIs(t, c.Record(by, "register", "hung"), ErrOutcomeUnknown)
 	eventually(t, "nobody follows it", func() bool { i := b.leader(); return i >= 0 && i != lead })
 	b.record("without it")
 	b.pens[lead].hangs.Store(false)
@@ -304,7 +304,7 @@
 }
 
 // Guards against a disk that came back old, or is another voter's, or was cut.
-func TestDisksThatCantBeUsed(t *testing.T) {
+func TestUnusableDisks(t *testing.T) {
 	b := newTable(t, 3)
 	b.record("one")
 	i := b.leads()
@@ -320,9 +320,9 @@
 	b.end(i)
 	require.NoError(t, os.WriteFile(b.disk(i), old, 0o600))
 	b.start(i)
-	eventually(t, "not refused", func() bool { c, _ := b.seats[i].now(); return c.State().Refused != "" })
+	eventually(t, "not refused", func() bool { c, _ := b.seats[i].now(); return c.State().RefusalReason != "" })
 	c, _ := b.seats[i].now()
-	require.Contains(t, c.State().Refused, "is older than what it had told")
+	require.Contains(t, c.State().RefusalReason, "is older than what it had told")
 	b.record("the others go on")
 	b.end(i)
 	require.NoError(t, os.WriteFile(b.disk(i), old[:len(old)/2], 0o600))
@@ -336,7 +336,7 @@
 }
 
 // Guards against a voter lost for good: another takes its place while the council works, and learns what was recorded.
-func TestAnotherTakesAPlace(t *testing.T) {
+func TestVoterReplacement(t *testing.T) {
 	b := newTable(t, 3)
 	b.record("before")
 	lost := (b.leads() + 1) % 3
@@ -347,20 +347,20 @@
 	l.Close()
 	b.at, b.peers, b.seats = append(b.at, at), append(b.peers, b.peers[lost]), append(b.seats, &seated{})
 	r := &register{}
-	c, err := Open(4, b.peers[lost], true, b.disk(3), pace, map[string]Machine{"register": r}, quiet())
+	c, err := Open(4, b.peers[lost], true, b.disk(3), pace, map[string]StateMachine{"register": r}, quiet())
 	require.NoError(t, err)
 	l, err = net.Listen("tcp", at)
 	require.NoError(t, err)
 	mux := http.NewServeMux()
-	c.Handle(mux)
+	c.RegisterHandlers(mux)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
 	go jsonhttp.Serve(ctx, l, mux)
-	change := Change{Add: Peers{4: at}, Remove: []council.VoterID{council.VoterID(lost + 1)}}
+	change := VoterChange{Add: VoterAddresses{4: at}, Remove: []council.VoterID{council.VoterID(lost + 1)}}
 	eventually(t, "not proposed", func() bool {
 		for _, s := range b.seats[:3] {
-			if k, _ := s.now(); k != nil && k.Change(context.Background(), change) == nil {
+			if k, _ := s.now(); k != nil && k.ChangeVoters(context.Background(), change) == nil {
 				return true
 			}
 		}
@@ -373,7 +373,7 @@
 }
 
 // Guards against requests that reach a voter that does not lead, and against ones that go round in a ring.
-func TestAnyVoterPassesOn(t *testing.T) {
+func TestForwardToLeader(t *testing.T) {
 	b := newTable(t, 3)
 	b.record("x")
 	hits := 0
@@ -383,7 +383,7 @@
 		r, _ := http.NewRequest(http.MethodPost, "http://x/v1/council/state", http.NoBody)
 		r.Header.Set(hopHeader, hop)
 		w := &recorder{head: http.Header{}}
-		c.Leader(served).ServeHTTP(w, r)
+		c.ForwardToLeader(served).ServeHTTP(w, r)
 		return w.status
 	}
 	lead := b.leads()
@@ -436,12 +436,12 @@
 				}
 				if id%2 == 0 {
 					op.Input = ""
-					if !c.Acts() {
+					if !c.IsActing() {
 						time.Sleep(time.Millisecond)
 						continue
 					}
 					op.Output = r.read()
-					if !c.Acts() {
+					if !c.IsActing() {
 						continue
 					}
 				} else {
--- a/internal/council/chamber/disk.go
+++ b/internal/council/chamber/disk.go
@@ -14,12 +14,12 @@
 // disk is a voter's part of the council's log, on a file.
 type disk struct {
 	log  keeper
-	kept council.Kept
+	kept council.DiskState
 }
 
 // keeper is the file; that of package store, but in tests of slow ones.
 type keeper interface {
-	Save(parts ...store.Part) error
+	Save(parts ...store.Update) error
 	Value(name string) ([]byte, error)
 	Each(do func(n uint64, record []byte) error) error
 	Close() error
@@ -60,13 +60,13 @@
 		return d.read()
 	}
 	if len(founders) > 0 {
-		d.kept = council.Founded(founders)
+		d.kept = council.NewDiskState(founders)
 	}
 	text, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
-	p, err := part(&council.Write{Hard: d.kept.Hard, Snapshot: d.kept.Snapshot})
+	p, err := part(&council.Write{HardState: d.kept.HardState, Snapshot: d.kept.Snapshot})
 	if err != nil {
 		return err
 	}
@@ -93,17 +93,17 @@
 }
 
 func (d *disk) read() error {
-	if _, err := d.value(valueSeen, &d.kept.Seen); err != nil {
+	if _, err := d.value(valueSeen, &d.kept.KnownPositions); err != nil {
 		return err
 	}
-	if _, err := d.value(valueReached, &d.kept.Reached); err != nil {
+	if _, err := d.value(valueReached, &d.kept.Position); err != nil {
 		return err
 	}
 	hard, snapshot := &raftpb.HardState{}, &raftpb.Snapshot{}
 	if known, err := d.message(valueHard, hard); err != nil {
 		return err
 	} else if known {
-		d.kept.Hard = hard
+		d.kept.HardState = hard
 	}
 	if known, err := d.message(valueSnapshot, snapshot); err != nil {
 		return err
@@ -127,9 +127,9 @@
 
 // write writes down what a seat asks for, all of it at once, and tells whether there was anything to write.
 func (d *disk) write(writes []*council.Write) (any bool, err error) {
-	var parts []store.Part
+	var parts []store.Update
 	for _, w := range writes {
-		if w.Empty() {
+		if w.IsEmpty() {
 			continue
 		}
 		p, err := part(w)
@@ -145,17 +145,17 @@
 }
 
 // part is a write in the form of the file.
-func part(w *council.Write) (p store.Part, err error) {
-	p = store.Part{Before: w.Before, Values: map[string][]byte{}}
+func part(w *council.Write) (p store.Update, err error) {
+	p = store.Update{DropBefore: w.DropBefore, Values: map[string][]byte{}}
 	values := []struct {
 		name  string
 		given bool
 		text  func() ([]byte, error)
 	}{
-		{valueHard, w.Hard != nil, func() ([]byte, error) { return proto.Marshal(w.Hard) }},
+		{valueHard, w.HardState != nil, func() ([]byte, error) { return proto.Marshal(w.HardState) }},
 		{valueSnapshot, w.Snapshot != nil, func() ([]byte, error) { return proto.Marshal(w.Snapshot) }},
-		{valueSeen, w.Seen != nil, func() ([]byte, error) { return json.Marshal(w.Seen) }},
-		{valueReached, true, func() ([]byte, error) { return json.Marshal(w.Reached) }},
+		{valueSeen, w.KnownPositions != nil, func() ([]byte, error) { return json.Marshal(w.KnownPositions) }},
+		{valueReached, true, func() ([]byte, error) { return json.Marshal(w.Position) }},
 	}
 	for _, v := range values {
 		if !v.given {
@@ -165,12 +165,12 @@
 			return p, err
 		}
 	}
-	if w.Anew {
-		p.First = w.Before
+	if w.ReplacesLog {
+		p.ReplaceFrom = w.DropBefore
 	}
 	for i, e := range w.Entries {
 		if i == 0 {
-			p.First = e.GetIndex()
+			p.ReplaceFrom = e.GetIndex()
 		}
 		text, err := proto.Marshal(e)
 		if err != nil {
--- a/internal/council/chamber/post.go
+++ b/internal/council/chamber/post.go
@@ -16,7 +16,7 @@
 // post sends packets to other voters. Each has a queue of its own, so that one that does not answer holds up no other;
 // what finds it full is lost, as it might be on its way.
 type post struct {
-	c      *Chamber
+	c      *Server
 	ctx    context.Context
 	stop   context.CancelFunc
 	client *http.Client
@@ -33,7 +33,7 @@
 	idleSockets = 2
 )
 
-func newPost(c *Chamber) *post {
+func newPost(c *Server) *post {
 	ctx, stop := context.WithCancel(context.Background())
 	transport := &http.Transport{MaxIdleConnsPerHost: idleSockets, DialContext: (&net.Dialer{Timeout: connectsIn}).DialContext}
 	return &post{c: c, ctx: ctx, stop: stop, client: &http.Client{Transport: transport}, queues: map[council.VoterID]chan council.Packet{}}
@@ -69,38 +69,38 @@
 		case k := <-queue:
 			for n := 1; n < mostJoined && len(queue) > 0; n++ {
 				next := <-queue
-				k.Messages, k.Seen = append(k.Messages, next.Messages...), next.Seen
-				k.Hello, k.Reply = k.Hello || next.Hello, k.Reply || next.Reply
+				k.Messages, k.Positions = append(k.Messages, next.Messages...), next.Positions
+				k.IsQuery, k.IsReply = k.IsQuery || next.IsQuery, k.IsReply || next.IsReply
 			}
 			by, stop := context.WithTimeout(p.ctx, sendWithin)
 			err := jsonhttp.Post(by, p.client, "http://"+p.c.address(to)+packetPath, k, nil)
 			stop()
 			if err != nil && p.ctx.Err() == nil {
-				p.c.do(p.ctx, func() { p.c.seat.Unreachable(to) })
+				p.c.do(p.ctx, func() { p.c.seat.ReportUnreachable(to) })
 			}
 		}
 	}
 }
 
-// Handle lets a voter answer the others, and whoever asks how the council stands.
-func (c *Chamber) Handle(mux *http.ServeMux) {
-	mux.Handle("POST "+packetPath, jsonhttp.ActionHandler(c.Take))
+// RegisterHandlers lets a voter answer the others, and whoever asks how the council stands.
+func (c *Server) RegisterHandlers(mux *http.ServeMux) {
+	mux.Handle("POST "+packetPath, jsonhttp.ActionHandler(c.Receive))
 	mux.Handle("POST /v1/council/state", jsonhttp.QueryHandler(func(context.Context) (State, error) { return c.State(), nil }))
-	mux.Handle("POST /v1/council/change", c.Leader(jsonhttp.ActionHandler(c.Change)))
+	mux.Handle("POST /v1/council/change", c.ForwardToLeader(jsonhttp.ActionHandler(c.ChangeVoters)))
 }
 
-// Leader lets a handler answer where this voter acts for the council, and passes on to the one that does what is asked
+// ForwardToLeader lets a handler answer where this voter acts for the council, and passes on to the one that does what is asked
 // elsewhere, once: so a driver that reaches any voter reaches the leader. Where nobody is known to act the answer is 503.
-func (c *Chamber) Leader(here http.Handler) http.Handler {
+func (c *Server) ForwardToLeader(here http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.Acts() {
+		if c.IsActing() {
 			here.ServeHTTP(w, r)
 			return
 		}
 		s := c.State()
 		at := c.address(s.Leader)
 		if s.Leader == 0 || s.Leader == c.id || at == "" || r.Header.Get(hopHeader) != "" {
-			http.Error(w, strings.TrimSpace("nobody is known to act for the council "+s.Refused), http.StatusServiceUnavailable)
+			http.Error(w, strings.TrimSpace("nobody is known to act for the council "+s.RefusalReason), http.StatusServiceUnavailable)
 			return
 		}
 		proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: at})
--- a/internal/council/chamber/record.go
+++ b/internal/council/chamber/record.go
@@ -4,14 +4,14 @@
 
 // record is what stands in the council's log: which machine it is for, and who waits for it.
 type record struct {
-	Machine string          `json:"machine"`
-	By      string          `json:"by,omitempty"` // the proposal, new for each
-	Data    json.RawMessage `json:"data"`
+	Machine    string          `json:"machine"`
+	ProposalID string          `json:"by,omitempty"` // the proposal, new for each
+	Data       json.RawMessage `json:"data"`
 }
 
-// Machine is one of the state machines on the council's log. Its methods are called one after another, at every voter in
+// StateMachine is one of the state machines on the council's log. Its methods are called one after another, at every voter in
 // the same order. They must not call the chamber.
-type Machine interface {
+type StateMachine interface {
 	// Apply takes a record in that the council has agreed on. What it makes of it must be the same at every voter.
 	Apply(data []byte)
 	// Snapshot is all that was applied, for Restore at a voter that is far behind.
--- a/internal/council/chamber/scribe.go
+++ b/internal/council/chamber/scribe.go
@@ -13,7 +13,7 @@
 // scribe writes down what a seat asks for, in order and away from Run, so that a disk that takes long holds up no heartbeat
 // and no tick. What has gathered during one write goes into the next as one.
 type scribe struct {
-	c *Chamber
+	c *Server
 
 	mu    sync.Mutex
 	queue []*council.Write
@@ -21,7 +21,7 @@
 	over  chan struct{}
 }
 
-func newScribe(c *Chamber) *scribe {
+func newScribe(c *Server) *scribe {
 	return &scribe{c: c, wake: make(chan struct{}, 1), over: make(chan struct{})}
 }
 
@@ -75,12 +75,12 @@
 
 // noted takes in how long a write took. A disk is slow once writes take as long as a tenure in the mean, and no longer once
 // they take half of it: then each record takes longer than a leader could act without others' word.
-func (p *pen) noted(took time.Duration, pace council.Pace, log logrus.FieldLogger) {
+func (p *pen) noted(took time.Duration, pace council.Timing, log logrus.FieldLogger) {
 	if p.usual == 0 {
 		p.usual = took
 	}
 	p.usual += (took - p.usual) / 8
-	tenure := time.Duration(pace.Tenure())
+	tenure := time.Duration(pace.LeaderLease())
 	if slow := p.usual > tenure || p.slow && p.usual > tenure/2; slow != p.slow {
 		p.slow = slow
 		log.WithFields(logrus.Fields{"write_ms": p.usual.Milliseconds(), "tenure_ms": tenure.Milliseconds()}).
--- a/internal/council/seat.go
+++ b/internal/council/seat.go
@@ -15,7 +15,7 @@
 	"sedgespread/internal/planted"
 )
 
-// Seat is one voter. Its methods are to be called one after another; after each, Work until there is none.
+// Node is one voter. Its methods are to be called one after another; after each, Work until there is none.
 //
 //	state     it becomes this when                               what it does
 //	asking    it has started                                     asks the others how far it was; nothing else
@@ -24,15 +24,15 @@
 //	          disk lacks nothing that it had shown               part in a tenure
 //	refused   somebody knows that its disk lacks what it had     nothing, for good: its number may not vote any more
 //	          shown
-type Seat struct {
+type Node struct {
 	id    VoterID
-	pace  Pace
+	pace  Timing
 	rng   *rand.Rand
 	node  *raft.RawNode
 	store *raft.MemoryStorage
 	conf  *raftpb.ConfState
 
-	seen     map[VoterID]Seen
+	seen     map[VoterID]LogPosition
 	answered map[VoterID]bool
 	sworn    bool
 	refused  string
@@ -41,10 +41,10 @@
 	patience int // so many of which are borne before a leader is looked for
 	vain     int // times that a leader was looked for since one was heard
 
-	reached  Seen // how far the disk ever was
-	promised Seen // how far it will have been once all writes given out are on it
-	writes   int  // given out and not yet written
-	stalled  int  // ticks for which the disk has written none of them
+	reached  LogPosition // how far the disk ever was
+	promised LogPosition // how far it will have been once all writes given out are on it
+	writes   int         // given out and not yet written
+	stalled  int         // ticks for which the disk has written none of them
 
 	term    uint64
 	lead    VoterID
@@ -68,28 +68,28 @@
 	mostVain       = 3    // doublings of the time in which a leader is looked for: a disk slower than that may not lead
 )
 
-// NewSeat seats a voter over what its disk holds.
-func NewSeat(id VoterID, pace Pace, kept Kept, seed int64) (*Seat, error) {
-	s := &Seat{id: id, pace: pace, rng: rand.New(rand.NewSource(seed)), store: raft.NewMemoryStorage(), hard: kept.Hard,
-		seen: map[VoterID]Seen{}, answered: map[VoterID]bool{}, conf: &raftpb.ConfState{}, reached: kept.Reached}
-	maps.Copy(s.seen, kept.Seen)
+// NewNode seats a voter over what its disk holds.
+func NewNode(id VoterID, pace Timing, kept DiskState, seed int64) (*Node, error) {
+	s := &Node{id: id, pace: pace, rng: rand.New(rand.NewSource(seed)), store: raft.NewMemoryStorage(), hard: kept.HardState,
+		seen: map[VoterID]LogPosition{}, answered: map[VoterID]bool{}, conf: &raftpb.ConfState{}, reached: kept.Position}
+	maps.Copy(s.seen, kept.KnownPositions)
 	if kept.Snapshot != nil {
 		if err := s.restore(kept.Snapshot); err != nil {
 			return nil, err
 		}
 	}
-	if kept.Hard != nil {
-		s.store.SetHardState(kept.Hard)
+	if kept.HardState != nil {
+		s.store.SetHardState(kept.HardState)
 	}
 	if err := s.store.Append(kept.Entries); err != nil {
 		return nil, err
 	}
 	last, _ := s.store.LastIndex()
 	term, _ := s.store.Term(last)
-	s.reached = s.reached.joined(Seen{Term: s.hard.GetTerm(), LastTerm: term, Last: last})
+	s.reached = s.reached.joined(LogPosition{Term: s.hard.GetTerm(), LastTerm: term, LastIndex: last})
 	s.promised = s.reached
 	var err error
-	s.node, err = raft.NewRawNode(&raft.Config{ID: uint64(id), ElectionTick: pace.Election, HeartbeatTick: 1, Storage: s.store,
+	s.node, err = raft.NewRawNode(&raft.Config{ID: uint64(id), ElectionTick: pace.ElectionTicks, HeartbeatTick: 1, Storage: s.store,
 		Applied: s.applied, MaxSizePerMsg: maxMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted,
 		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, AsyncStorageWrites: true,
 		Logger: quietLogger{}})
@@ -102,7 +102,7 @@
 }
 
 // restore begins from a snapshot.
-func (s *Seat) restore(snapshot *raftpb.Snapshot) error {
+func (s *Node) restore(snapshot *raftpb.Snapshot) error {
 	meta := snapshot.GetMetadata()
 	s.conf, s.applied, s.ownTerm = meta.GetConfState(), meta.GetIndex(), meta.GetTerm()
 	return s.store.ApplySnapshot(snapshot)
@@ -110,19 +110,19 @@
 
 // drawPatience draws from a time that doubles with each vain look: one election takes two writes of the disks, of which
 // this voter does not know how long they are.
-func (s *Seat) drawPatience() int {
-	return s.pace.Election + s.rng.Intn(s.pace.Election<<min(s.vain, mostVain))
+func (s *Node) drawPatience() int {
+	return s.pace.ElectionTicks + s.rng.Intn(s.pace.ElectionTicks<<min(s.vain, mostVain))
 }
 
 // known is what this voter has to show others.
-func (s *Seat) known() map[VoterID]Seen {
+func (s *Node) known() map[VoterID]LogPosition {
 	seen := maps.Clone(s.seen)
 	seen[s.id] = seen[s.id].joined(s.reached)
 	return seen
 }
 
 // Voters are those of the newest configuration that was applied, with those that are on their way out.
-func (s *Seat) Voters() (voters []VoterID) {
+func (s *Node) Voters() (voters []VoterID) {
 	for _, v := range slices.Concat(s.conf.GetVoters(), s.conf.GetVotersOutgoing()) {
 		voters = append(voters, VoterID(v))
 	}
@@ -130,7 +130,7 @@
 	return slices.Compact(voters)
 }
 
-func (s *Seat) others() (others []VoterID) {
+func (s *Node) others() (others []VoterID) {
 	for _, v := range s.Voters() {
 		if v != s.id {
 			others = append(others, v)
@@ -140,7 +140,7 @@
 }
 
 // Tick says that a tick has passed, and what time it is by this voter's clock, which must not go back.
-func (s *Seat) Tick(now int64) {
+func (s *Node) Tick(now int64) {
 	if s.refused != "" {
 		return
 	}
@@ -152,11 +152,11 @@
 	case !s.sworn:
 		for _, v := range s.others() {
 			if !s.answered[v] {
-				s.packets = append(s.packets, Packet{From: s.id, To: v, Hello: true, Seen: s.known()})
+				s.packets = append(s.packets, Packet{From: s.id, To: v, IsQuery: true, Positions: s.known()})
 			}
 		}
 		s.swear()
-	case s.leads && s.Stalled():
+	case s.leads && s.IsDiskStalled():
 		// nothing that it leads would ever be recorded: what it does not say any more lets others look for another
 	case s.leads:
 		s.node.Tick()
@@ -169,8 +169,8 @@
 
 // look looks for a leader when none was heard for long. A voter whose disk is at work can't win: its own vote is not
 // written down.
-func (s *Seat) look() {
-	if s.quiet++; s.quiet < s.patience || s.ticks < s.pace.Election || s.writes > 0 {
+func (s *Node) look() {
+	if s.quiet++; s.quiet < s.patience || s.ticks < s.pace.ElectionTicks || s.writes > 0 {
 		return
 	}
 	s.vain++
@@ -178,12 +178,12 @@
 	s.node.Campaign()
 }
 
-// Stalled tells whether the disk has been asked to write and has written nothing for so long that this voter may not lead:
+// IsDiskStalled tells whether the disk has been asked to write and has written nothing for so long that this voter may not lead:
 // bearsStalled * Election ticks. Guards against a disk that hangs under a leader whose links are sound.
-func (s *Seat) Stalled() bool { return s.stalled > bearsStalled*s.pace.Election }
+func (s *Node) IsDiskStalled() bool { return s.stalled > bearsStalled*s.pace.ElectionTicks }
 
 // swear lets the voter begin once enough is known of what it had shown.
-func (s *Seat) swear() {
+func (s *Node) swear() {
 	others, answered := s.others(), 0
 	for _, v := range others {
 		if s.answered[v] {
@@ -191,7 +191,7 @@
 		}
 	}
 	majority := 2*(answered+1) > len(others)+1
-	if s.sworn || answered < len(others) && !(majority && s.ticks >= 2*s.pace.Election) {
+	if s.sworn || answered < len(others) && !(majority && s.ticks >= 2*s.pace.ElectionTicks) {
 		return
 	}
 	s.sworn = true
@@ -200,25 +200,25 @@
 
 // examine refuses the voter whose disk lacks something that it had shown. Guards against a disk that was put back from an
 // old copy: its voter would vote twice in a term, or forget what was recorded with its voice.
-func (s *Seat) examine() {
+func (s *Node) examine() {
 	if shown := s.seen[s.id]; s.refused == "" && shown.ahead(s.reached) && !planted.Is(planted.OldDisk) {
 		s.refuse(fmt.Sprintf("the disk of voter %d is older than what it had told others: at term %d, entry %d of term %d; it had shown "+
-			"term %d, entry %d of term %d", s.id, s.reached.Term, s.reached.Last, s.reached.LastTerm, shown.Term, shown.Last, shown.LastTerm))
+			"term %d, entry %d of term %d", s.id, s.reached.Term, s.reached.LastIndex, s.reached.LastTerm, shown.Term, shown.LastIndex, shown.LastTerm))
 	}
 }
 
-func (s *Seat) refuse(why string) {
+func (s *Node) refuse(why string) {
 	s.refused, s.leads, s.lead, s.packets = why, false, 0, nil
 }
 
-// Refused is why this voter may not vote any more, empty for not.
-func (s *Seat) Refused() string { return s.refused }
+// RefusalReason is why this voter may not vote any more, empty for not.
+func (s *Node) RefusalReason() string { return s.refused }
 
-// Sworn tells whether it has begun.
-func (s *Seat) Sworn() bool { return s.sworn && s.refused == "" }
+// IsActive tells whether it has begun.
+func (s *Node) IsActive() bool { return s.sworn && s.refused == "" }
 
 // Receive takes a packet in. What can't be read, or is not for this voter, is an error and changes nothing.
-func (s *Seat) Receive(p Packet) error {
+func (s *Node) Receive(p Packet) error {
 	if p.To != s.id || p.From == s.id {
 		return fmt.Errorf("a packet from voter %d to %d came to %d", p.From, p.To, s.id)
 	}
@@ -232,16 +232,16 @@
 			return fmt.Errorf("a message from voter %d to %d in a packet from %d", messages[i].GetFrom(), messages[i].GetTo(), p.From)
 		}
 	}
-	for v, shown := range p.Seen {
+	for v, shown := range p.Positions {
 		s.seen[v] = s.seen[v].joined(shown)
 	}
 	if s.refused != "" {
 		return nil
 	}
-	if p.Hello {
-		s.packets = append(s.packets, Packet{From: s.id, To: p.From, Reply: true, Seen: s.known()})
+	if p.IsQuery {
+		s.packets = append(s.packets, Packet{From: s.id, To: p.From, IsReply: true, Positions: s.known()})
 	}
-	if p.Reply && !s.sworn {
+	if p.IsReply && !s.sworn {
 		s.answered[p.From] = true
 		s.swear()
 	}
@@ -255,7 +255,7 @@
 }
 
 // step takes a message of raft in.
-func (s *Seat) step(m *raftpb.Message) {
+func (s *Node) step(m *raftpb.Message) {
 	if !s.sworn || s.refused != "" {
 		return
 	}
@@ -265,7 +265,7 @@
 	case raftpb.MsgTimeoutNow:
 		return // whoever gave a tenure its acknowledgement must not vote before it is over
 	case raftpb.MsgVote, raftpb.MsgPreVote:
-		if s.ticks < s.pace.Election {
+		if s.ticks < s.pace.ElectionTicks {
 			return
 		}
 	case raftpb.MsgHeartbeat:
@@ -284,8 +284,8 @@
 	}
 }
 
-// Commit is a record that the council has agreed on, or nothing but a change of who votes.
-type Commit struct {
+// CommittedEntry is a record that the council has agreed on, or nothing but a change of who votes.
+type CommittedEntry struct {
 	Index  uint64
 	Record []byte // empty for none
 	Change *raftpb.ConfChangeV2
@@ -294,32 +294,32 @@
 // Write is what a voter's disk has to hold from then on, all of it or nothing. Writes are given out and to be written in
 // order; several may be written as one.
 type Write struct {
-	Hard     *raftpb.HardState // nil if unchanged
-	Snapshot *raftpb.Snapshot  // nil if unchanged
-	Anew     bool              // the snapshot is the leader's: all entries go
-	Entries  []*raftpb.Entry   // in place of all from the first of them on
-	Before   uint64            // entries before it go
-	Reached  Seen
-	Seen     map[VoterID]Seen
+	HardState      *raftpb.HardState // nil if unchanged
+	Snapshot       *raftpb.Snapshot  // nil if unchanged
+	ReplacesLog    bool              // the snapshot is the leader's: all entries go
+	Entries        []*raftpb.Entry   // in place of all from the first of them on
+	DropBefore     uint64            // entries before it go
+	Position       LogPosition
+	KnownPositions map[VoterID]LogPosition
 
 	then    []*raftpb.Message // of raft, that rest on it
 	commits []*raftpb.Entry   // given out after it
 	applied []*raftpb.Message // of raft, once these are
 }
 
-// Empty tells whether there is nothing to write; what comes after it still keeps its turn.
-func (w *Write) Empty() bool { return w.Hard == nil && w.Snapshot == nil && len(w.Entries) == 0 }
+// IsEmpty tells whether there is nothing to write; what comes after it still keeps its turn.
+func (w *Write) IsEmpty() bool { return w.HardState == nil && w.Snapshot == nil && len(w.Entries) == 0 }
 
-// Work is what there is to do: packets to be sent at once, and a write, of which Written is to be said.
-type Work struct {
+// Ready is what there is to do: packets to be sent at once, and a write, of which Written is to be said.
+type Ready struct {
 	Write   *Write // nil for none
 	Packets []Packet
 }
 
-// Work gives what there is to do, and whether there is something.
-func (s *Seat) Work() (w Work, any bool) {
+// Ready gives what there is to do, and whether there is something.
+func (s *Node) Ready() (w Ready, any bool) {
 	w.Packets, s.packets = s.packets, nil
-	if s.Sworn() && s.node.HasReady() {
+	if s.IsActive() && s.node.HasReady() {
 		ready := s.node.Ready()
 		s.settle(ready)
 		var messages []*raftpb.Message
@@ -335,7 +335,7 @@
 // sorted parts what raft has ready into what goes to the disk first and what can be sent. Records are given out behind a
 // write of what this voter knows that others have shown of them: else an old disk among those that a record rests on could
 // come back with nobody left who knows.
-func (s *Seat) sorted(ready raft.Ready) (write *Write, messages []*raftpb.Message) {
+func (s *Node) sorted(ready raft.Ready) (write *Write, messages []*raftpb.Message) {
 	w := &Write{}
 	for _, m := range ready.Messages {
 		switch m.GetTo() {
@@ -351,27 +351,27 @@
 		return nil, messages
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
-		w.Hard = ready.HardState
-		s.promised = s.promised.joined(Seen{Term: w.Hard.GetTerm()})
-		if w.Hard.GetVote() != s.hard.GetVote() || w.Hard.GetTerm() != s.hard.GetTerm() {
+		w.HardState = ready.HardState
+		s.promised = s.promised.joined(LogPosition{Term: w.HardState.GetTerm()})
+		if w.HardState.GetVote() != s.hard.GetVote() || w.HardState.GetTerm() != s.hard.GetTerm() {
 			s.quiet = 0
 		}
 	}
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		meta := ready.Snapshot.GetMetadata()
-		w.Snapshot, w.Anew, w.Before = ready.Snapshot, true, meta.GetIndex()+1
-		s.promised = s.promised.joined(Seen{LastTerm: meta.GetTerm(), Last: meta.GetIndex()})
+		w.Snapshot, w.ReplacesLog, w.DropBefore = ready.Snapshot, true, meta.GetIndex()+1
+		s.promised = s.promised.joined(LogPosition{LastTerm: meta.GetTerm(), LastIndex: meta.GetIndex()})
 	}
 	if w.Entries = ready.Entries; len(w.Entries) > 0 {
 		last := w.Entries[len(w.Entries)-1]
-		s.promised = s.promised.joined(Seen{LastTerm: last.GetTerm(), Last: last.GetIndex()})
+		s.promised = s.promised.joined(LogPosition{LastTerm: last.GetTerm(), LastIndex: last.GetIndex()})
 	}
-	w.Reached, w.Seen = s.promised, maps.Clone(s.seen)
+	w.Position, w.KnownPositions = s.promised, maps.Clone(s.seen)
 	return w, messages
 }
 
-func commitOf(e *raftpb.Entry) Commit {
-	c := Commit{Index: e.GetIndex()}
+func commitOf(e *raftpb.Entry) CommittedEntry {
+	c := CommittedEntry{Index: e.GetIndex()}
 	if e.GetType() == raftpb.EntryConfChangeV2 {
 		c.Change = &raftpb.ConfChangeV2{}
 		if proto.Unmarshal(e.GetData(), c.Change) != nil {
@@ -384,7 +384,7 @@
 }
 
 // pack puts messages into one packet a voter, in the voters' order.
-func (s *Seat) pack(messages []*raftpb.Message) (packets []Packet) {
+func (s *Node) pack(messages []*raftpb.Message) (packets []Packet) {
 	for _, m := range messages {
 		text, err := proto.Marshal(m)
 		if err != nil {
@@ -393,20 +393,20 @@
 		to := VoterID(m.GetTo())
 		at := slices.IndexFunc(packets, func(p Packet) bool { return p.To == to })
 		if at < 0 {
-			at, packets = len(packets), append(packets, Packet{From: s.id, To: to, Seen: s.known()})
+			at, packets = len(packets), append(packets, Packet{From: s.id, To: to, Positions: s.known()})
 		}
 		packets[at].Messages = append(packets[at].Messages, text)
 	}
 	return packets
 }
 
-// Written says that a write is on the disk. It gives what the machines have to take then, a snapshot before the records, and
+// CompleteWrite says that a write is on the disk. It gives what the machines have to take then, a snapshot before the records, and
 // counts it as taken.
-func (s *Seat) Written(w *Write) (snapshot *raftpb.Snapshot, commits []Commit, err error) {
+func (s *Node) CompleteWrite(w *Write) (snapshot *raftpb.Snapshot, commits []CommittedEntry, err error) {
 	if s.stalled, s.writes = 0, s.writes-1; s.refused != "" {
 		return nil, nil, nil
 	}
-	if w.Anew {
+	if w.ReplacesLog {
 		if err := s.restore(w.Snapshot); err != nil {
 			return nil, nil, err
 		}
@@ -415,11 +415,11 @@
 	if err := s.store.Append(w.Entries); err != nil {
 		return nil, nil, err
 	}
-	if w.Hard != nil {
-		s.hard = w.Hard
-		s.store.SetHardState(w.Hard)
+	if w.HardState != nil {
+		s.hard = w.HardState
+		s.store.SetHardState(w.HardState)
 	}
-	s.reached = s.reached.joined(w.Reached)
+	s.reached = s.reached.joined(w.Position)
 	s.follow(w.then)
 	for _, e := range w.commits {
 		c := commitOf(e)
@@ -434,7 +434,7 @@
 }
 
 // follow lets messages go that waited for a write.
-func (s *Seat) follow(messages []*raftpb.Message) {
+func (s *Node) follow(messages []*raftpb.Message) {
 	var out []*raftpb.Message
 	for _, m := range messages {
 		if VoterID(m.GetTo()) == s.id {
@@ -447,7 +447,7 @@
 }
 
 // settle takes note of who leads, and of a tenure that was confirmed.
-func (s *Seat) settle(r raft.Ready) {
+func (s *Node) settle(r raft.Ready) {
 	now := s.node.BasicStatus()
 	if now.GetTerm() != s.term {
 		s.term, s.tenure = now.GetTerm(), 0
@@ -455,24 +455,24 @@
 	s.leads, s.lead = now.RaftState == raft.StateLeader, VoterID(now.Lead)
 	for _, read := range r.ReadStates {
 		if s.leads && len(read.RequestCtx) == 8 {
-			s.tenure = max(s.tenure, int64(binary.BigEndian.Uint64(read.RequestCtx))+s.pace.Tenure())
+			s.tenure = max(s.tenure, int64(binary.BigEndian.Uint64(read.RequestCtx))+s.pace.LeaderLease())
 		}
 	}
 }
 
 // Leader is who leads as far as this voter knows, 0 for nobody.
-func (s *Seat) Leader() VoterID { return s.lead }
+func (s *Node) Leader() VoterID { return s.lead }
 
 // Term is the newest that it knows.
-func (s *Seat) Term() uint64 { return s.term }
+func (s *Node) Term() uint64 { return s.term }
 
-// Applied is the number of the newest record that it has given out.
-func (s *Seat) Applied() uint64 { return s.applied }
+// AppliedIndex is the number of the newest record that it has given out.
+func (s *Node) AppliedIndex() uint64 { return s.applied }
 
-// Tenure is until when this voter alone acts for the council, by its own clock; 0 where it does not. It has then given
+// LeaseEnd is until when this voter alone acts for the council, by its own clock; 0 where it does not. It has then given
 // out every record that the council ever agreed on before its term.
-func (s *Seat) Tenure() int64 {
-	if !s.Sworn() || !s.leads || s.ownTerm != s.term {
+func (s *Node) LeaseEnd() int64 {
+	if !s.IsActive() || !s.leads || s.ownTerm != s.term {
 		return 0
 	}
 	return s.tenure
@@ -481,17 +481,17 @@
 var errNotLeading = errors.New("this voter does not lead the council")
 
 // Propose asks the council to agree on a record. That it was taken does not say that it will be.
-func (s *Seat) Propose(record []byte) error {
-	if !s.Sworn() || !s.leads || s.Stalled() {
+func (s *Node) Propose(record []byte) error {
+	if !s.IsActive() || !s.leads || s.IsDiskStalled() {
 		return errNotLeading
 	}
 	return s.node.Propose(record)
 }
 
-// Change asks the council to let some voters in and others go, at once: majorities of both councils agree meanwhile. What
+// ChangeVoters asks the council to let some voters in and others go, at once: majorities of both councils agree meanwhile. What
 // is said of the new ones is handed to everybody with the change.
-func (s *Seat) Change(add, remove []VoterID, said []byte) error {
-	if !s.Sworn() || !s.leads {
+func (s *Node) ChangeVoters(add, remove []VoterID, said []byte) error {
+	if !s.IsActive() || !s.leads {
 		return errNotLeading
 	}
 	if len(s.conf.GetVotersOutgoing()) > 0 {
@@ -522,33 +522,33 @@
 	return s.node.ProposeConfChange(change)
 }
 
-// Unreachable says that a packet to a voter could not be sent; a snapshot may have been in it.
-func (s *Seat) Unreachable(v VoterID) {
-	if s.Sworn() && s.leads {
+// ReportUnreachable says that a packet to a voter could not be sent; a snapshot may have been in it.
+func (s *Node) ReportUnreachable(v VoterID) {
+	if s.IsActive() && s.leads {
 		s.node.ReportUnreachable(uint64(v))
 		s.node.ReportSnapshot(uint64(v), raft.SnapshotFailure)
 	}
 }
 
-// Long tells whether the log has grown long enough to be cut, or the last snapshot does not know of a voter, who could not
+// NeedsCompaction tells whether the log has grown long enough to be cut, or the last snapshot does not know of a voter, who could not
 // take it: Compact is to be called with what the machines are.
-func (s *Seat) Long() bool {
+func (s *Node) NeedsCompaction() bool {
 	first, err := s.store.FirstIndex()
 	return err == nil && (s.applied >= first+compactAfter || s.strange)
 }
 
 // Compact cuts the log off before what is applied, all but the last of it, and gives what is to be written down for that: a
 // snapshot that stands for what was cut.
-func (s *Seat) Compact(machines []byte) (*Write, error) {
+func (s *Node) Compact(machines []byte) (*Write, error) {
 	snapshot, err := s.store.CreateSnapshot(s.applied, s.conf, machines)
 	if err != nil {
 		return nil, err
 	}
 	s.strange = false
 	s.writes++
-	w := &Write{Snapshot: snapshot, Before: s.applied - min(compactLeaves, s.applied-1), Reached: s.promised, Seen: maps.Clone(s.seen)}
-	if have, _ := s.store.FirstIndex(); w.Before > have {
-		err = s.store.Compact(w.Before - 1)
+	w := &Write{Snapshot: snapshot, DropBefore: s.applied - min(compactLeaves, s.applied-1), Position: s.promised, KnownPositions: maps.Clone(s.seen)}
+	if have, _ := s.store.FirstIndex(); w.DropBefore > have {
+		err = s.store.Compact(w.DropBefore - 1)
 	}
 	return w, err
 }
--- a/internal/council/seat_test.go
+++ b/internal/council/seat_test.go
@@ -58,14 +58,14 @@
 }
 
 // The bound on a tenure, as its formula says.
-func TestTenure(t *testing.T) {
-	p := Pace{Tick: 1000, Election: 10, Drift: 0.01}
-	require.EqualValues(t, 7841, p.Tenure())
-	require.Less(t, float64(p.Tenure())/(1-p.Drift), float64(p.Election-2)*float64(p.Tick)/(1+p.Drift), "by any two clocks")
+func TestLeaderLease(t *testing.T) {
+	p := Timing{Tick: 1000, ElectionTicks: 10, MaxDrift: 0.01}
+	require.EqualValues(t, 7841, p.LeaderLease())
+	require.Less(t, float64(p.LeaderLease())/(1-p.MaxDrift), float64(p.ElectionTicks-2)*float64(p.Tick)/(1+p.MaxDrift), "by any two clocks")
 }
 
 // Guards against a voter that lost its disk and votes as if it had not.
-func TestAnOldOrEmptyDiskIsRefused(t *testing.T) {
+func TestOldOrEmptyDiskIsRefused(t *testing.T) {
 	for lag := range VoterID(2) { // the leader itself, and one that follows it
 		loses(t, lag)
 	}
@@ -81,35 +81,35 @@
 		w.work(lead)
 	}
 	w.calm(t, "not recorded", func() bool { return lost.last >= lead.last && lead.last > 5 })
-	for _, disk := range []Kept{old, Founded([]VoterID{1, 2, 3})} {
+	for _, disk := range []DiskState{old, NewDiskState([]VoterID{1, 2, 3})} {
 		whole := lost.disk
 		lost.disk = disk
 		w.start(lost)
-		w.calm(t, "not refused", func() bool { return lost.seat.Refused() != "" })
-		require.Contains(t, lost.seat.Refused(), "is older than what it had told")
-		require.False(t, lost.seat.Sworn())
+		w.calm(t, "not refused", func() bool { return lost.seat.RefusalReason() != "" })
+		require.Contains(t, lost.seat.RefusalReason(), "is older than what it had told")
+		require.False(t, lost.seat.IsActive())
 		lost.disk = whole
 		w.start(lost)
-		w.calm(t, "not sworn again", func() bool { return lost.seat.Sworn() })
+		w.calm(t, "not sworn again", func() bool { return lost.seat.IsActive() })
 	}
 	w.calm(t, "the others do not go on", func() bool { return w.acting() != nil })
 }
 
 // Guards against evidence that comes only when a voter has begun already.
-func TestAnOldDiskIsRefusedLate(t *testing.T) {
+func TestOldDiskIsRefusedAfterActivation(t *testing.T) {
 	w := calmWorld(t, 3)
 	v := w.voters[0]
-	require.True(t, v.seat.Sworn())
-	require.NoError(t, v.seat.Receive(Packet{From: 2, To: 1, Seen: map[VoterID]Seen{1: {Term: 1, LastTerm: 1, Last: 1}}}))
-	require.True(t, v.seat.Sworn(), "no more than it has")
-	require.NoError(t, v.seat.Receive(Packet{From: 2, To: 1, Seen: map[VoterID]Seen{1: {Term: 900}}}))
-	require.False(t, v.seat.Sworn())
+	require.True(t, v.seat.IsActive())
+	require.NoError(t, v.seat.Receive(Packet{From: 2, To: 1, Positions: map[VoterID]LogPosition{1: {Term: 1, LastTerm: 1, LastIndex: 1}}}))
+	require.True(t, v.seat.IsActive(), "no more than it has")
+	require.NoError(t, v.seat.Receive(Packet{From: 2, To: 1, Positions: map[VoterID]LogPosition{1: {Term: 900}}}))
+	require.False(t, v.seat.IsActive())
 	require.Error(t, v.seat.Propose([]byte("x")))
-	require.Zero(t, v.seat.Tenure())
+	require.Zero(t, v.seat.LeaseEnd())
 }
 
 // Guards against packets that went astray, or can't be read.
-func TestStrangePackets(t *testing.T) {
+func TestInvalidPacketsAreRejected(t *testing.T) {
 	w := calmWorld(t, 3)
 	v := w.voters[0]
 	require.ErrorContains(t, v.seat.Receive(Packet{From: 2, To: 3}), "came to 1")
@@ -121,20 +121,20 @@
 }
 
 // Guards against a council that can't be mended: a voter lost for good is replaced, all at once, and the new one learns all.
-func TestAVoterIsReplaced(t *testing.T) {
+func TestVoterReplacement(t *testing.T) {
 	w := calmWorld(t, 3)
 	lead := w.acting()
 	gone := w.voters[lead.id%3]
 	gone.up = false
 	require.NoError(t, lead.seat.Propose([]byte("before")))
 	w.work(lead)
-	require.ErrorContains(t, lead.seat.Change([]VoterID{4}, nil, nil), "a council has 1, 3, 5 or 7")
-	require.ErrorContains(t, lead.seat.Change([]VoterID{lead.id}, nil, nil), "is one already")
-	require.ErrorContains(t, lead.seat.Change(nil, []VoterID{9}, nil), "is none")
+	require.ErrorContains(t, lead.seat.ChangeVoters([]VoterID{4}, nil, nil), "a council has 1, 3, 5 or 7")
+	require.ErrorContains(t, lead.seat.ChangeVoters([]VoterID{lead.id}, nil, nil), "is one already")
+	require.ErrorContains(t, lead.seat.ChangeVoters(nil, []VoterID{9}, nil), "is none")
 	fresh := &voter{id: 4, rate: 1}
 	w.voters = append(w.voters, fresh)
 	w.start(fresh)
-	require.NoError(t, lead.seat.Change([]VoterID{4}, []VoterID{gone.id}, []byte("said")))
+	require.NoError(t, lead.seat.ChangeVoters([]VoterID{4}, []VoterID{gone.id}, []byte("said")))
 	w.work(lead)
 	want := []VoterID{1, 2, 3, 4}
 	want = append(want[:gone.id-1], want[gone.id:]...)
@@ -158,7 +158,7 @@
 }
 
 // Guards against a log that grows for ever, and a voter that comes back to a log that was cut.
-func TestALongLogIsCut(t *testing.T) {
+func TestLogCompaction(t *testing.T) {
 	w := calmWorld(t, 3)
 	lead := w.acting()
 	away := w.voters[lead.id%3]
@@ -168,25 +168,25 @@
 		w.work(lead)
 		w.calm(t, "not recorded", func() bool { return len(w.air) == 0 })
 	}
-	require.True(t, lead.seat.Long())
+	require.True(t, lead.seat.NeedsCompaction())
 	w.compact(lead)
-	require.False(t, lead.seat.Long())
+	require.False(t, lead.seat.NeedsCompaction())
 	require.LessOrEqual(t, len(lead.disk.Entries), compactLeaves+1)
 	w.start(away)
-	w.calm(t, "it does not come back", func() bool { return away.seat.Applied() == lead.seat.Applied() })
+	w.calm(t, "it does not come back", func() bool { return away.seat.AppliedIndex() == lead.seat.AppliedIndex() })
 	w.start(lead)
 	w.calm(t, "nobody acts", func() bool { return w.acting() != nil })
 }
 
 // Guards against disks so slow that a write takes longer than a voter waits for a leader: heartbeats don't wait for them, and
 // whoever looks for a leader in vain looks more seldom.
-func TestACouncilOnSlowDisks(t *testing.T) {
+func TestSlowDisks(t *testing.T) {
 	w := newWorld(12, 3, sound)
 	w.calmly = true
 	for _, v := range w.voters {
 		v.slow = true
 	}
-	late := w.slowly(3 * w.pace.Tenure())
+	late := w.slowly(3 * w.pace.LeaderLease())
 	late(t, "nobody acts", 200, func() bool { return w.acting() != nil })
 	lead := w.acting()
 	for n := range 5 {
@@ -233,8 +233,8 @@
 //	another acts within (bearsStalled + 4) * Election ticks after its disk was asked first
 //
 // And against a record that is given out before the leader's disk has what it knows of those that it rests on.
-func TestALeaderWhoseDiskHangsIsFollowed(t *testing.T) {
-	worst, bound := int64(0), int64(bearsStalled+4)*int64(walkPace.Election)*walkPace.Tick
+func TestLeaderWithHungDiskIsReplaced(t *testing.T) {
+	worst, bound := int64(0), int64(bearsStalled+4)*int64(walkPace.ElectionTicks)*walkPace.Tick
 	for seed := range int64(40) {
 		worst = max(worst, followed(t, calmWorldOf(t, 2*seed, 3)))
 	}
@@ -271,19 +271,19 @@
 
 // Guards against a sound disk that is refused: entries that a voter had acknowledged were replaced by a newer leader's, and it
 // crashed half-way.
-func TestADiskWhoseEndWasReplaced(t *testing.T) {
+func TestDiskWithOverwrittenTailIsAccepted(t *testing.T) {
 	one, three := uint64(1), uint64(3)
-	kept := Founded([]VoterID{1, 2, 3})
-	kept.Hard = &raftpb.HardState{Term: &three, Commit: &one}
-	shown := Packet{From: 2, To: 1, Reply: true, Seen: map[VoterID]Seen{1: {Term: 3, LastTerm: 2, Last: 9}}}
-	for _, reached := range []Seen{{Term: 3, LastTerm: 2, Last: 9}, {}} {
-		kept.Reached = reached
-		s, err := NewSeat(1, walkPace, kept, 1)
+	kept := NewDiskState([]VoterID{1, 2, 3})
+	kept.HardState = &raftpb.HardState{Term: &three, Commit: &one}
+	shown := Packet{From: 2, To: 1, IsReply: true, Positions: map[VoterID]LogPosition{1: {Term: 3, LastTerm: 2, LastIndex: 9}}}
+	for _, reached := range []LogPosition{{Term: 3, LastTerm: 2, LastIndex: 9}, {}} {
+		kept.Position = reached
+		s, err := NewNode(1, walkPace, kept, 1)
 		require.NoError(t, err)
 		require.NoError(t, s.Receive(shown))
 		shown.From = 3
 		require.NoError(t, s.Receive(shown))
 		shown.From = 2
-		require.Equal(t, reached.Term == 0, s.Refused() != "", s.Refused())
+		require.Equal(t, reached.Term == 0, s.RefusalReason() != "", s.RefusalReason())
 	}
 }
--- a/internal/council/walk_test.go
+++ b/internal/council/walk_test.go
@@ -16,7 +16,7 @@
 	rng     *rand.Rand
 	planted fault
 	now     int64
-	pace    Pace
+	pace    Timing
 	voters  []*voter
 	air     []Packet
 	cutOff  map[[2]VoterID]bool
@@ -45,12 +45,12 @@
 type voter struct {
 	id      VoterID
 	rate    float64
-	seat    *Seat
-	disk    Kept
-	old     *Kept    // an older copy
-	writes  []*Write // given out, not on the disk yet
-	slow    bool     // its disk writes now and then
-	hung    bool     // its disk writes nothing
+	seat    *Node
+	disk    DiskState
+	old     *DiskState // an older copy
+	writes  []*Write   // given out, not on the disk yet
+	slow    bool       // its disk writes now and then
+	hung    bool       // its disk writes nothing
 	up      bool
 	still   bool
 	started int64 // its clock is 0 then
@@ -60,7 +60,7 @@
 	starts  int64
 }
 
-var walkPace = Pace{Tick: 10, Election: 8, Drift: 0.02}
+var walkPace = Timing{Tick: 10, ElectionTicks: 8, MaxDrift: 0.02}
 
 func newWorld(seed int64, voters int, p fault) *world {
 	w := &world{rng: rand.New(rand.NewSource(seed)), planted: p, pace: walkPace, cutOff: map[[2]VoterID]bool{},
@@ -70,7 +70,7 @@
 		ids = append(ids, VoterID(i+1))
 	}
 	for _, id := range ids {
-		v := &voter{id: id, rate: 1 + w.pace.Drift*(2*w.rng.Float64()-1), disk: Founded(ids), slow: w.slow && w.rng.Intn(3) == 0}
+		v := &voter{id: id, rate: 1 + w.pace.MaxDrift*(2*w.rng.Float64()-1), disk: NewDiskState(ids), slow: w.slow && w.rng.Intn(3) == 0}
 		w.voters = append(w.voters, v)
 		w.start(v)
 	}
@@ -84,7 +84,7 @@
 	v.starts++
 	kept := v.disk
 	kept.Entries = slices.Clone(v.disk.Entries)
-	seat, err := NewSeat(v.id, w.pace, kept, w.rng.Int63())
+	seat, err := NewNode(v.id, w.pace, kept, w.rng.Int63())
 	if err != nil {
 		w.broken = err.Error()
 		return
@@ -93,22 +93,22 @@
 	v.seat, v.up, v.still, v.started, v.due, v.applied = seat, true, false, w.now, w.pace.Tick, map[uint64]bool{}
 	v.last = v.disk.Snapshot.GetMetadata().GetIndex()
 	if w.planted == youngVoters {
-		for range w.pace.Election {
+		for range w.pace.ElectionTicks {
 			v.seat.ticks++
 		}
 	}
 }
 
 // save puts a write on a disk: all of it or nothing.
-func (d *Kept) save(k *Write) {
-	if k.Empty() {
+func (d *DiskState) save(k *Write) {
+	if k.IsEmpty() {
 		return
 	}
-	d.Seen, d.Reached = k.Seen, k.Reached
-	if k.Hard != nil {
-		d.Hard = k.Hard
+	d.KnownPositions, d.Position = k.KnownPositions, k.Position
+	if k.HardState != nil {
+		d.HardState = k.HardState
 	}
-	if k.Anew {
+	if k.ReplacesLog {
 		d.Entries = nil
 	}
 	if len(k.Entries) > 0 {
@@ -122,7 +122,7 @@
 	if k.Snapshot != nil {
 		d.Snapshot = k.Snapshot
 		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e *raftpb.Entry) bool {
-			return e.GetIndex() < k.Before || e.GetIndex() <= k.Snapshot.GetMetadata().GetIndex()
+			return e.GetIndex() < k.DropBefore || e.GetIndex() <= k.Snapshot.GetMetadata().GetIndex()
 		})
 	}
 }
@@ -130,7 +130,7 @@
 // work lets a voter do what there is to do; it may crash between any two steps of it.
 func (w *world) work(v *voter) {
 	for v.up {
-		k, any := v.seat.Work()
+		k, any := v.seat.Ready()
 		if !any {
 			break
 		}
@@ -149,7 +149,7 @@
 		}
 	}
 	taken, _ := v.seat.store.Snapshot()
-	beyond := v.up && v.seat.Sworn() && v.seat.Applied() > taken.GetMetadata().GetIndex()
+	beyond := v.up && v.seat.IsActive() && v.seat.AppliedIndex() > taken.GetMetadata().GetIndex()
 	if beyond && (v.seat.strange || !w.calmly && w.rng.Intn(400) == 0) {
 		w.compact(v)
 	}
@@ -168,7 +168,7 @@
 }
 
 func (w *world) written(v *voter, k *Write) {
-	snapshot, commits, err := v.seat.Written(k)
+	snapshot, commits, err := v.seat.CompleteWrite(k)
 	if err != nil {
 		w.broken = err.Error()
 	}
@@ -200,7 +200,7 @@
 }
 
 // apply checks that all agree on what a record is.
-func (w *world) apply(v *voter, c Commit) {
+func (w *world) apply(v *voter, c CommittedEntry) {
 	what := string(c.Record)
 	if c.Change != nil {
 		what = "a change"
@@ -220,7 +220,7 @@
 func (w *world) send(packets []Packet) {
 	for _, p := range packets {
 		if w.planted == oldDisks {
-			p.Seen = nil
+			p.Positions = nil
 		}
 		if !w.cutOff[[2]VoterID{p.From, p.To}] && len(w.air) < mostAir {
 			w.air = append(w.air, p)
@@ -233,8 +233,8 @@
 	if !v.up || v.still {
 		return false
 	}
-	until := v.seat.Tenure()
-	if w.planted == staleReaders && v.seat.Sworn() && v.seat.leads {
+	until := v.seat.LeaseEnd()
+	if w.planted == staleReaders && v.seat.IsActive() && v.seat.leads {
 		until = w.clock(v) + 1
 	}
 	if w.planted == longTenure && until > 0 {
@@ -302,7 +302,7 @@
 // a council bears the loss of few, and one of one voter can't know.
 func (w *world) putBack(v *voter) {
 	for _, other := range w.voters {
-		if !other.up || other != v && other.seat.Refused() != "" {
+		if !other.up || other != v && other.seat.RefusalReason() != "" {
 			return
 		}
 	}
@@ -433,7 +433,7 @@
 		require.True(t, w.settle(), "seed %d: the council did not come back: %s", seed, w.broken)
 		acted, told = acted+w.acted, told+len(w.told)
 		for _, v := range w.voters {
-			if v.seat.Refused() != "" {
+			if v.seat.RefusalReason() != "" {
 				refused++
 			}
 		}
--- a/internal/membership/chair.go
+++ b/internal/membership/chair.go
@@ -57,7 +57,7 @@
 // NewChair takes up what a journal holds. Leases that were given before are waited for.
 func NewChair(book *cells.Directory, j *store.Journal, lease, hold time.Duration, fill Fill, log logrus.FieldLogger) (*Chair, error) {
 	h := newChair(fill, log)
-	records, err := store.All[cells.Record](j)
+	records, err := store.ReadAll[cells.Record](j)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 func (h *Chair) Place() Place { return Place{h} }
 
 // Join says where the council is, before anything is asked of the chair.
-func (h *Chair) Join(c *chamber.Chamber) { h.ledger = together[cells.Record]{c, MachineName} }
+func (h *Chair) Join(c *chamber.Server) { h.ledger = together[cells.Record]{c, MachineName} }
 
 func newChair(fill Fill, log logrus.FieldLogger) *Chair {
 	return &Chair{fill: fill, log: log, clock: clock.New(), changed: newBell(), asked: map[cells.Tenant]cells.Epoch{}}
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -169,7 +169,7 @@
 }
 
 // ChangeCouncil asks for other voters.
-func (c Coordinator) ChangeCouncil(ctx context.Context, change chamber.Change) error {
+func (c Coordinator) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
 	return c.ask(ctx, "council/change", change, nil)
 }
 
--- a/internal/membership/ledger.go
+++ b/internal/membership/ledger.go
@@ -106,15 +106,15 @@
 
 // together is a ledger that is a council's log, for one of its machines.
 type together[R any] struct {
-	chamber *chamber.Chamber
+	chamber *chamber.Server
 	machine string
 }
 
-func (t together[R]) acts() bool { return t.chamber.Acts() }
+func (t together[R]) acts() bool { return t.chamber.IsActing() }
 
 func (t together[R]) voter() council.VoterID { return t.chamber.State().Voter }
 
-func (t together[R]) leader(h http.Handler) http.Handler { return t.chamber.Leader(h) }
+func (t together[R]) leader(h http.Handler) http.Handler { return t.chamber.ForwardToLeader(h) }
 
 func (t together[R]) record(ctx context.Context, records []R) error {
 	return t.chamber.Record(ctx, t.machine, records)
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -77,7 +77,7 @@
 }
 
 // Join says where the council is, before anything is asked of the registration.
-func (m *Registration) Join(c *chamber.Chamber) {
+func (m *Registration) Join(c *chamber.Server) {
 	m.decisions.ledger = together[registrationRecord]{c, RegistrationName}
 }
 
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -44,8 +44,8 @@
 func (c *testCouncil) start() {
 	c.registration = NewRegistration(c.terms, quiet())
 	require.NoError(c.t, c.registration.Keep(c.disk+".trails"))
-	pace := council.Pace{Tick: int64(5 * time.Millisecond), Election: 10, Drift: 0.01}
-	k, err := chamber.Open(1, chamber.Peers{1: c.at}, false, c.disk, pace, map[string]chamber.Machine{RegistrationName: c.registration}, quiet())
+	pace := council.Timing{Tick: int64(5 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
+	k, err := chamber.Open(1, chamber.VoterAddresses{1: c.at}, false, c.disk, pace, map[string]chamber.StateMachine{RegistrationName: c.registration}, quiet())
 	require.NoError(c.t, err)
 	c.registration.Join(k)
 	l, err := net.Listen("tcp", c.at)
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -32,7 +32,7 @@
 	p             *Program
 	coordinator   *membership.Chair
 	journal       *store.Journal
-	councilNode   *chamber.Chamber         // nil unless this instance is a council voter
+	councilNode   *chamber.Server          // nil unless this instance is a council voter
 	fleetRegistry *membership.Registration // the fleet's replicated state machine; nil if there is none
 	agent         *membership.Agent        // nil without a fleet
 	gossipRing    *gossip.Ring             // nil without gossip
@@ -127,7 +127,7 @@
 func (s *operatorServices) openCouncil() (err error) {
 	config := s.config()
 	councilConfig := config.Council
-	machines := map[string]chamber.Machine{}
+	machines := map[string]chamber.StateMachine{}
 	if coordination := config.Cells.GetCoordination(); coordination != nil {
 		s.coordinator, err = membership.NewFellow(config.Book(), milliseconds(coordination.LeaseMs),
 			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.p.log)
@@ -145,11 +145,11 @@
 			return config.Reject("council.disk", err)
 		}
 	}
-	peers := chamber.Peers{}
+	peers := chamber.VoterAddresses{}
 	for _, voter := range councilConfig.Voter {
 		peers[council.VoterID(voter.Id)] = voter.At
 	}
-	pace := council.Pace{Tick: int64(milliseconds(config.TickMs())), Election: electionTicks, Drift: clockDrift}
+	pace := council.Timing{Tick: int64(milliseconds(config.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
 	if s.councilNode, err = chamber.Open(council.VoterID(councilConfig.Id), peers, councilConfig.Join,
 		councilConfig.Disk, pace, machines, s.p.log); err != nil {
 		return config.Reject("council.disk", err)
@@ -240,7 +240,7 @@
 		s.fleetRegistry.Handle(mux)
 	}
 	if s.councilNode != nil {
-		s.councilNode.Handle(mux)
+		s.councilNode.RegisterHandlers(mux)
 	}
 	return mux
 }
@@ -357,7 +357,7 @@
 }
 
 // ChangeCouncil asks the council's leader to change the set of voters.
-func (s *operatorServices) ChangeCouncil(ctx context.Context, change chamber.Change) error {
+func (s *operatorServices) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
 	if s.config().Council == nil {
 		return errNoCouncil
 	}
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Committer appends records for many at once: those that come while a write is under way go to the disk together with the
+// BatchWriter appends records for many at once: those that come while a write is under way go to the disk together with the
 // next. Each is told once its own is there.
-type Committer struct {
+type BatchWriter struct {
 	journal *Journal
 	most    int // records in one write
 
@@ -22,11 +22,13 @@
 
 var errClosed = errors.New("the journal is closed")
 
-// NewCommitter commits to a journal, at most so many records in one write.
-func NewCommitter(j *Journal, most int) *Committer { return &Committer{journal: j, most: max(1, most)} }
+// NewBatchWriter commits to a journal, at most so many records in one write.
+func NewBatchWriter(j *Journal, most int) *BatchWriter {
+	return &BatchWriter{journal: j, most: max(1, most)}
+}
 
 // Append writes a record and waits until it is on the disk. After an error none of the records of its write are.
-func (c *Committer) Append(record []byte) error {
+func (c *BatchWriter) Append(record []byte) error {
 	told := make(chan error, 1)
 	c.mu.Lock()
 	if c.closed {
@@ -43,7 +45,7 @@
 }
 
 // write writes what waits until nothing does.
-func (c *Committer) write() {
+func (c *BatchWriter) write() {
 	for {
 		c.mu.Lock()
 		n := min(len(c.waiting), c.most)
@@ -65,14 +67,14 @@
 }
 
 // Close lets nothing more be written; what waits is still told.
-func (c *Committer) Close() {
+func (c *BatchWriter) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 }
 
-// Counts are how many writes there were, and how many records in them.
-func (c *Committer) Counts() (writes, records int64) {
+// Stats are how many writes there were, and how many records in them.
+func (c *BatchWriter) Stats() (writes, records int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes, c.records
--- a/internal/store/journal.go
+++ b/internal/store/journal.go
@@ -157,8 +157,8 @@
 	})
 }
 
-// All reads all records of a journal that were written as JSON, in their order.
-func All[T any](j *Journal) (all []T, err error) {
+// ReadAll reads all records of a journal that were written as JSON, in their order.
+func ReadAll[T any](j *Journal) (all []T, err error) {
 	err = j.Replay(func(text []byte) error {
 		var r T
 		if err := json.Unmarshal(text, &r); err != nil {
@@ -170,8 +170,8 @@
 	return all, err
 }
 
-// Drop forgets the oldest records, all but so many. What they said must not be needed any more.
-func (j *Journal) Drop(keep int) (err error) {
+// TrimOldest forgets the oldest records, all but so many. What they said must not be needed any more.
+func (j *Journal) TrimOldest(keep int) (err error) {
 	defer rescue(j.path, &err, debug.SetPanicOnFault(true))
 	return j.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketRecords)
--- a/internal/store/journal_test.go
+++ b/internal/store/journal_test.go
@@ -17,7 +17,7 @@
 }
 
 // Guards against records that are lost, doubled or out of order over a restart.
-func TestRecordsOutlastARestart(t *testing.T) {
+func TestRecordsSurviveRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	var want []string
 	for round := range 3 {
@@ -39,7 +39,7 @@
 
 // Guards against a coordinator that goes on from less than it has told: a journal cut off at any byte is whole or refused,
 // with an error and without a crash.
-func TestAJournalCutAtAnyByte(t *testing.T) {
+func TestTruncatedJournal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "j")
 	j, err := Open(path)
@@ -73,11 +73,11 @@
 }
 
 // Guards against a grant that is given though its record is not there: each Append is told of its own write.
-func TestRecordsOfManyGoTogether(t *testing.T) {
+func TestConcurrentAppendsAreBatched(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path)
 	require.NoError(t, err)
-	c := NewCommitter(j, 16)
+	c := NewBatchWriter(j, 16)
 	var all sync.WaitGroup
 	for i := range 200 {
 		all.Add(1)
@@ -87,7 +87,7 @@
 		}()
 	}
 	all.Wait()
-	writes, records := c.Counts()
+	writes, records := c.Stats()
 	require.EqualValues(t, 200, records)
 	require.Less(t, writes, int64(100))
 	got, err := read(j)
@@ -99,15 +99,15 @@
 	require.ErrorIs(t, c.Append([]byte("later")), errClosed)
 }
 
-func TestOldRecordsAreDropped(t *testing.T) {
+func TestTrimOldest(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path)
 	require.NoError(t, err)
 	for i := range 10 {
 		require.NoError(t, j.Append([]byte(fmt.Sprint(i))))
 	}
-	require.NoError(t, j.Drop(20))
-	require.NoError(t, j.Drop(3))
+	require.NoError(t, j.TrimOldest(20))
+	require.NoError(t, j.TrimOldest(3))
 	require.NoError(t, j.Append([]byte("10")))
 	require.NoError(t, j.Close())
 	j, err = Open(path)
@@ -115,7 +115,7 @@
 	got, err := read(j)
 	require.NoError(t, err)
 	require.Equal(t, []string{"7", "8", "9", "10"}, got)
-	require.NoError(t, j.Drop(0))
+	require.NoError(t, j.TrimOldest(0))
 	got, err = read(j)
 	require.NoError(t, err)
 	require.Empty(t, got)
@@ -128,7 +128,7 @@
 		b.Run(fmt.Sprint(many, " at once"), func(b *testing.B) {
 			j, err := Open(filepath.Join(b.TempDir(), "j"))
 			require.NoError(b, err)
-			c := NewCommitter(j, many)
+			c := NewBatchWriter(j, many)
 			record := make([]byte, 120)
 			var all sync.WaitGroup
 			b.ResetTimer()
@@ -142,7 +142,7 @@
 				}()
 			}
 			all.Wait()
-			writes, records := c.Counts()
+			writes, records := c.Stats()
 			b.ReportMetric(float64(records)/float64(writes), "records/write")
 			j.Close()
 		})
@@ -150,7 +150,7 @@
 }
 
 // Guards against what a disk changes.
-func TestAJournalThatWasChanged(t *testing.T) {
+func TestCorruptedJournal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "j")
 	j, err := Open(path)
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -62,16 +62,16 @@
 	})
 }
 
-// Part is a part of what is saved at once.
-type Part struct {
-	First   uint64   // records stand in place of all that were there from it on; 0 leaves them alone
-	Records [][]byte // from First on
-	Before  uint64   // records before it are forgotten
-	Values  map[string][]byte
+// Update is a part of what is saved at once.
+type Update struct {
+	ReplaceFrom uint64   // records stand in place of all that were there from it on; 0 leaves them alone
+	Records     [][]byte // from First on
+	DropBefore  uint64   // records before it are forgotten
+	Values      map[string][]byte
 }
 
 // Save writes parts one after another, and waits until all of them are on the disk.
-func (l *Log) Save(parts ...Part) (err error) {
+func (l *Log) Save(parts ...Update) (err error) {
 	defer rescue(l.path, &err, debug.SetPanicOnFault(true))
 	if err := l.save(parts); err != nil {
 		return fmt.Errorf("%s: %w", l.path, err)
@@ -80,7 +80,7 @@
 	return l.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketLogForm).Put(keyForm, []byte{logForm}) })
 }
 
-func (l *Log) save(parts []Part) error {
+func (l *Log) save(parts []Update) error {
 	return l.db.Update(func(tx *bbolt.Tx) error {
 		for _, p := range parts {
 			if err := p.put(tx.Bucket(bucketLog), tx.Bucket(bucketValues)); err != nil {
@@ -91,19 +91,19 @@
 	})
 }
 
-func (p *Part) put(records, values *bbolt.Bucket) error {
+func (p *Update) put(records, values *bbolt.Bucket) error {
 	records.FillPercent = 1 // they come in order
-	if p.First > 0 {
-		if err := cut(records, p.First); err != nil {
+	if p.ReplaceFrom > 0 {
+		if err := cut(records, p.ReplaceFrom); err != nil {
 			return err
 		}
 	}
 	for i, r := range p.Records {
-		if err := records.Put(number(p.First+uint64(i)), summed(r)); err != nil {
+		if err := records.Put(number(p.ReplaceFrom+uint64(i)), summed(r)); err != nil {
 			return err
 		}
 	}
-	if err := forget(records, p.Before); err != nil {
+	if err := forget(records, p.DropBefore); err != nil {
 		return err
 	}
 	for name, v := range p.Values {
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -32,13 +32,13 @@
 }
 
 // Guards against records that outlive those written in their place, and against gaps.
-func TestALogIsWrittenAnew(t *testing.T) {
+func TestLogOverwritesRecords(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "l")
 	l, err := OpenLog(path)
 	require.NoError(t, err)
-	require.NoError(t, l.Save(Part{Values: values("one"), First: 2, Records: texts("a", "b", "c", "d")}))
-	require.NoError(t, l.Save(Part{First: 4, Records: texts("w", "w")}, Part{First: 4, Records: texts("x")}))
-	require.NoError(t, l.Save(Part{Values: values("two"), Before: 3}))
+	require.NoError(t, l.Save(Update{Values: values("one"), ReplaceFrom: 2, Records: texts("a", "b", "c", "d")}))
+	require.NoError(t, l.Save(Update{ReplaceFrom: 4, Records: texts("w", "w")}, Update{ReplaceFrom: 4, Records: texts("x")}))
+	require.NoError(t, l.Save(Update{Values: values("two"), DropBefore: 3}))
 	require.NoError(t, l.Close())
 	l, err = OpenLog(path)
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"3:b", "4:x"}, records)
 	require.Equal(t, "two", value)
-	require.NoError(t, l.Save(Part{First: 6, Records: texts("y")}))
+	require.NoError(t, l.Save(Update{ReplaceFrom: 6, Records: texts("y")}))
 	_, _, err = content(l)
 	require.ErrorContains(t, err, "record 5 is missing")
 	_, err = OpenLog(path)
@@ -62,13 +62,13 @@
 
 // Guards against a voter that goes on from less than it has shown: a log cut off at any byte is whole or refused, with an
 // error and without a crash.
-func TestALogCutAtAnyByte(t *testing.T) {
+func TestTruncatedLog(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "l")
 	l, err := OpenLog(path)
 	require.NoError(t, err)
 	for i := range 12 {
-		require.NoError(t, l.Save(Part{Values: values(fmt.Sprint("value ", i)), First: uint64(i + 1), Records: texts(fmt.Sprintf("record %d %0900d", i, i))}))
+		require.NoError(t, l.Save(Update{Values: values(fmt.Sprint("value ", i)), ReplaceFrom: uint64(i + 1), Records: texts(fmt.Sprintf("record %d %0900d", i, i))}))
 	}
 	want, value, err := content(l)
 	require.NoError(t, err)
