--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -65,20 +65,20 @@
 }
 
 // actsOn says on which versions a driver acts, and what it has in flight under others.
-func actsOn(seen []versions.Sighting) string {
+func actsOn(seen []versions.Report) string {
 	var parts []string
 	for _, s := range seen {
 		if s.Digest != "" { // what the council does not decide
 			continue
 		}
-		part := fmt.Sprintf("%s %d", s.Thing, s.Acts)
-		for _, n := range s.Flight {
-			if n != s.Acts {
+		part := fmt.Sprintf("%s %d", s.Resource, s.Active)
+		for _, n := range s.InFlight {
+			if n != s.Active {
 				part += fmt.Sprintf(" (in flight: %d)", n)
 			}
 		}
-		if s.Ill != "" {
-			part += " (" + s.Ill + ")"
+		if s.Failure != "" {
+			part += " (" + s.Failure + ")"
 		}
 		parts = append(parts, part)
 	}
@@ -120,37 +120,37 @@
 func (v fleetVersions) Run(c *commands) error {
 	return c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
 		for _, s := range f.Observed {
-			if string(s.Thing) == v.Thing {
+			if string(s.Resource) == v.Thing {
 				observed(out, s)
 				return
 			}
 		}
 		fmt.Fprintln(out, "VERSION\tSTAGE\tSINCE\tNOBODY ACTS ON OLDER FROM\tDIGEST\tWHY")
-		for _, k := range f.Versions[versions.Thing(v.Thing)] {
+		for _, k := range f.Versions[versions.Resource(v.Thing)] {
 			closed := "-"
-			if k.Closes != 0 {
-				closed = moment(k.Closes)
+			if k.CompletedAt != 0 {
+				closed = moment(k.CompletedAt)
 			}
-			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", k.Number, k.Stage, moment(k.When), closed, k.Digest, k.Why)
+			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", k.Number, k.Stage, moment(k.UpdatedAt), closed, k.Digest, k.Reason)
 		}
 		for _, b := range f.Behind {
-			if string(b.Thing) == v.Thing {
-				fmt.Fprintf(out, "\nversion %d has been %s for %s, held back by %v\n", b.Number, b.Stage, time.Duration(b.For).Round(time.Millisecond), b.Who)
+			if string(b.Resource) == v.Thing {
+				fmt.Fprintf(out, "\nversion %d has been %s for %s, held back by %v\n", b.Number, b.Stage, time.Duration(b.Duration).Round(time.Millisecond), b.Instances)
 			}
 		}
 	})
 }
 
 // observed shows what drivers act on of a thing that the council does not decide.
-func observed(out *tabwriter.Writer, s versions.Spread) {
+func observed(out *tabwriter.Writer, s versions.Distribution) {
 	fmt.Fprintln(out, "VERSION\tDIGEST\tDRIVERS\tSUCH AS")
-	for _, g := range s.Groups {
-		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", g.Number, g.Digest, len(g.Who), g.Who[0].Name)
+	for _, g := range s.Holders {
+		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", g.Number, g.Digest, len(g.Instances), g.Instances[0].Name)
 	}
-	for _, d := range s.Behind {
-		fmt.Fprintf(out, "\n%s acts on %d and has not come nearer for %s", d.Name, d.Number, time.Duration(d.For).Round(time.Millisecond))
+	for _, d := range s.Lagging {
+		fmt.Fprintf(out, "\n%s acts on %d and has not come nearer for %s", d.Name, d.Number, time.Duration(d.Duration).Round(time.Millisecond))
 	}
-	if s.Forked {
+	if s.HasConflict {
 		fmt.Fprint(out, "\nFORKED: two drivers act on different things of one version")
 	}
 	fmt.Fprintln(out)
@@ -168,7 +168,7 @@
 
 // Run asks the audit. With --verify what is wrong is an error.
 func (a fleetAudit) Run(c *commands) error {
-	q := membership.Question{Thing: versions.Thing(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
+	q := membership.Question{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
 	if !a.From.IsZero() {
 		q.From = a.From.UnixNano()
 	}
@@ -181,20 +181,20 @@
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tNOT KEPT")
 			for _, k := range f.Acted {
-				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", k.Thing, k.Version, k.Who.Name, k.Who.Start, moment(k.From), moment(k.To),
-					k.Tally.Total(), k.Tally.Of(audit.Served), k.Singles, k.Dropped)
+				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", k.Resource, k.Version, k.Instance.Name, k.Instance.Start, moment(k.From), moment(k.To),
+					k.Counts.Total(), k.Counts.ByOutcome(audit.Served), k.RPCEntries, k.Dropped)
 			}
 		}
 		fmt.Fprintf(out, "\n%d entries of all trails were looked at\n", f.Entries)
 		for _, l := range f.Late {
-			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", l.Who.Name, l.Who.Start, l.Version, moment(l.At), l.Why, l.RPC)
+			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", l.Instance.Name, l.Instance.Start, l.Version, moment(l.At), l.Reason, l.RPC)
 		}
 		for _, u := range f.Unknown {
 			from := "its start"
 			if u.From != 0 {
 				from = moment(u.From)
 			}
-			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", u.Who.Name, u.Who.Start, from, moment(u.To), u.Why)
+			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", u.Instance.Name, u.Instance.Start, from, moment(u.To), u.Reason)
 		}
 		for _, fault := range f.Faults {
 			fmt.Fprintln(out, "FAULT:", fault)
@@ -228,8 +228,8 @@
 	if err != nil {
 		return err
 	}
-	plan := versions.Plan{Exclusive: p.Exclusive, Canaries: p.Canaries, Trial: int64(p.Trial), Alarm: p.Alarm, Bears: p.Bears, Tell: int64(p.Tell), Adopt: int64(p.Adopt),
-		Close: int64(p.Close)}
+	plan := versions.Plan{Exclusive: p.Exclusive, CanaryFraction: p.Canaries, TrialTime: int64(p.Trial), FalseAlarmRate: p.Alarm, ToleratedRatio: p.Bears, AnnounceTimeout: int64(p.Tell), AdoptTimeout: int64(p.Adopt),
+		DrainTimeout: int64(p.Close)}
 	return c.wish(membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Why: p.Why, Plan: plan}},
 		"proposed; `fleet versions` shows how it goes")
 }
@@ -241,7 +241,7 @@
 
 // Run calls a version off.
 func (f fleetCallOff) Run(c *commands) error {
-	return c.wish(membership.Wish{CallOff: versions.Thing(f.Thing), Why: f.Why}, "called off; `fleet versions` shows how it goes")
+	return c.wish(membership.Wish{CallOff: versions.Resource(f.Thing), Why: f.Why}, "called off; `fleet versions` shows how it goes")
 }
 
 type fleetReadmit struct {
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -89,17 +89,17 @@
 		}
 	}
 	for _, s := range fleet.Observed {
-		for _, g := range s.Groups {
-			gauge(observedAt, float64(len(g.Who)), string(s.Thing), strconv.FormatUint(uint64(g.Number), 10), g.Digest)
+		for _, g := range s.Holders {
+			gauge(observedAt, float64(len(g.Instances)), string(s.Resource), strconv.FormatUint(uint64(g.Number), 10), g.Digest)
 		}
-		for _, late := range s.Behind {
-			gauge(observedLate, time.Duration(late.For).Seconds(), string(s.Thing), late.Name)
+		for _, late := range s.Lagging {
+			gauge(observedLate, time.Duration(late.Duration).Seconds(), string(s.Resource), late.Name)
 		}
-		gauge(observedForked, truth(s.Forked), string(s.Thing))
+		gauge(observedForked, truth(s.HasConflict), string(s.Resource))
 	}
 	for _, b := range fleet.Behind {
-		for _, who := range b.Who {
-			gauge(versionHeld, time.Duration(b.For).Seconds(), string(b.Thing), strconv.FormatUint(uint64(b.Number), 10), b.Stage.String(), who.Name)
+		for _, who := range b.Instances {
+			gauge(versionHeld, time.Duration(b.Duration).Seconds(), string(b.Resource), strconv.FormatUint(uint64(b.Number), 10), b.Stage.String(), who.Name)
 		}
 	}
 }
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -39,8 +39,8 @@
 // Guards against a version that is held back and nobody can see by whom, and against a page that fails with the council.
 func TestMetrics(t *testing.T) {
 	f := membership.Fleet{Level: 2, Drivers: []membership.Seen{{Driver: roster.Driver{State: roster.Present}, May: true}, {Driver: roster.Driver{State: roster.ShutOut}}},
-		Versions: map[versions.Thing][]versions.Version{"rulebook": {{Number: 2, Stage: versions.Closed}, {Number: 3, Stage: versions.Opening}}},
-		Behind:   []versions.Behind{{Thing: "rulebook", Number: 3, Stage: versions.Opening, For: 1_500_000_000, Who: []versions.Sign{{Name: "n7"}}}}}
+		Versions: map[versions.Resource][]versions.Version{"rulebook": {{Number: 2, Stage: versions.StageCompleted}, {Number: 3, Stage: versions.StageActivating}}},
+		Behind:   []versions.StalledVersion{{Resource: "rulebook", Number: 3, Stage: versions.StageActivating, Duration: 1_500_000_000, Instances: []versions.Instance{{Name: "n7"}}}}}
 	page := scraped(still{fleet: f})
 	for _, line := range []string{`sedgespread_version_held_back_seconds{driver="n7",stage="opening",thing="rulebook",version="3"} 1.5`,
 		`sedgespread_version_closed{thing="rulebook"} 2`, `sedgespread_fleet_drivers{state="shut out"} 1`, "sedgespread_council_term 7",
--- a/internal/audit/shelf/shelf.go
+++ b/internal/audit/shelf/shelf.go
@@ -14,9 +14,9 @@
 	"sedgespread/internal/audit"
 )
 
-// Shelf is a file of parts. What a process has written outlasts it; what the machine lost with its power is missed by the
+// Store is a file of parts. What a process has written outlasts it; what the machine lost with its power is missed by the
 // chain.
-type Shelf struct {
+type Store struct {
 	path  string
 	file  *os.File
 	bytes int64
@@ -25,12 +25,12 @@
 
 const (
 	mostLine = 32 << 20
-	// Most is how long a file grows before it is written anew with what is still held.
-	Most = 64 << 20
+	// MaxBytes is how long a file grows before it is written anew with what is still held.
+	MaxBytes = 64 << 20
 )
 
 // Open opens a shelf that grows to so many bytes, and gives what stands on it and how many lines can't be read.
-func Open(path string, most int64) (s *Shelf, parts []audit.Part, spoilt int, err error) {
+func Open(path string, most int64) (s *Store, parts []audit.Segment, spoilt int, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, 0, err
@@ -38,14 +38,14 @@
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, mostLine)
 	for lines.Scan() {
-		var p audit.Part
+		var p audit.Segment
 		if json.Unmarshal(lines.Bytes(), &p) != nil {
 			spoilt++
 			continue
 		}
 		parts = append(parts, p)
 	}
-	s = &Shelf{path: path, most: most, bytes: int64(len(text))}
+	s = &Store{path: path, most: most, bytes: int64(len(text))}
 	if s.file, err = os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 		return nil, nil, 0, err
 	}
@@ -55,14 +55,14 @@
 	return s, parts, spoilt, err
 }
 
-func (s *Shelf) write(text []byte) error {
+func (s *Store) write(text []byte) error {
 	n, err := s.file.Write(text)
 	s.bytes += int64(n)
 	return err
 }
 
-// Put writes a part down.
-func (s *Shelf) Put(p audit.Part) error {
+// Append writes a part down.
+func (s *Store) Append(p audit.Segment) error {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -70,11 +70,11 @@
 	return s.write(append(text, '\n'))
 }
 
-// Full tells whether the file has grown so long that it is to be written anew.
-func (s *Shelf) Full() bool { return s.bytes > s.most }
+// IsFull tells whether the file has grown so long that it is to be written anew.
+func (s *Store) IsFull() bool { return s.bytes > s.most }
 
-// Renew writes the file anew with what is still held, all of it or nothing.
-func (s *Shelf) Renew(parts []audit.Part) error {
+// Rewrite writes the file anew with what is still held, all of it or nothing.
+func (s *Store) Rewrite(parts []audit.Segment) error {
 	next, err := os.CreateTemp(filepath.Dir(s.path), "trails")
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 	old := *s
 	s.file, s.bytes = next, 0
 	for _, p := range parts {
-		if err = s.Put(p); err != nil {
+		if err = s.Append(p); err != nil {
 			break
 		}
 	}
@@ -100,4 +100,4 @@
 }
 
 // Close closes the file.
-func (s *Shelf) Close() error { return s.file.Close() }
+func (s *Store) Close() error { return s.file.Close() }
--- a/internal/audit/shelf/shelf_test.go
+++ b/internal/audit/shelf/shelf_test.go
@@ -12,19 +12,19 @@
 )
 
 // Guards against a file cut at any byte that loses more than its last line, and one that grows for ever.
-func TestTrailsOutlastARestart(t *testing.T) {
+func TestStoreSurvivesTruncation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
 	s, parts, spoilt, err := Open(path, 500)
 	require.NoError(t, err)
 	require.Empty(t, parts)
 	require.Zero(t, spoilt)
-	r := audit.NewTrail(0, versions.Sign{Name: "a", Start: 1}, "x", 1000, 1)
-	r.Learns(0, "book", 1, 1)
+	r := audit.NewTrail(0, versions.Instance{Name: "a", Start: 1}, "x", 1000, 1)
+	r.RecordEpoch(0, "book", 1, 1)
 	lines := 0
 	for at := uint64(0); ; lines++ {
 		r.Flush(int64(at))
 		p := r.Since(at, 1)
-		require.NoError(t, s.Put(p))
+		require.NoError(t, s.Append(p))
 		if at = p.Entries[0].Seq; at == 10 {
 			break
 		}
@@ -45,7 +45,7 @@
 		require.Empty(t, c.Faults(), "cut at %d", cut)
 		whole, cutOff = max(whole, len(parts)), cutOff+spoilt
 		if cut%97 == 0 { // what is written behind is read again
-			require.NoError(t, s.Put(r.Since(10, 1)))
+			require.NoError(t, s.Append(r.Since(10, 1)))
 			s.Close()
 			_, again, _, err := Open(part, 3000)
 			require.NoError(t, err)
@@ -58,10 +58,10 @@
 	require.Greater(t, cutOff, 100)
 	s, parts, _, err = Open(path, 1000)
 	require.NoError(t, err)
-	require.True(t, s.Full())
-	require.NoError(t, s.Renew(parts[:2]))
-	require.False(t, s.Full())
-	require.NoError(t, s.Put(parts[2]))
+	require.True(t, s.IsFull())
+	require.NoError(t, s.Rewrite(parts[:2]))
+	require.False(t, s.IsFull())
+	require.NoError(t, s.Append(parts[2]))
 	require.NoError(t, s.Close())
 	_, parts, _, err = Open(path, 3000)
 	require.NoError(t, err)
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -15,7 +15,7 @@
 // how many, and from when to when; they stay in the counts of spans. If more than the whole count is not told, the oldest entries go,
 // which shows as a hole. Spans are entered by the trail's own clock, and only as they are told while half of the count waits for that.
 type Trail struct {
-	who     versions.Sign
+	who     versions.Instance
 	token   string
 	most    int
 	near    int64 // after a change of version, what is attempted in this time has a single entry
@@ -25,13 +25,13 @@
 	kept    []Entry
 	chained int // of those kept
 	open    map[spanKey]*span
-	acts    map[versions.Thing]versions.Number
-	turned  map[versions.Thing]int64 // when the version acted on changed last
-	flushed int64                    // when spans were entered last
-	marked  int64                    // and when for somebody who was about to tell the trail
-	held    uint64                   // entry up to which the voters hold the trail, as they said last
-	singles int                      // single entries after that one
-	dropped map[spanKey]*drops       // what there was no room for, and is not entered yet
+	acts    map[versions.Resource]versions.Number
+	turned  map[versions.Resource]int64 // when the version acted on changed last
+	flushed int64                       // when spans were entered last
+	marked  int64                       // and when for somebody who was about to tell the trail
+	held    uint64                      // entry up to which the voters hold the trail, as they said last
+	singles int                         // single entries after that one
+	dropped map[spanKey]*drops          // what there was no room for, and is not entered yet
 }
 
 // drops are single entries of a version that were not kept.
@@ -41,20 +41,20 @@
 }
 
 type spanKey struct {
-	thing   versions.Thing
+	thing   versions.Resource
 	version versions.Number
 }
 
 // span is a version that is acted on, or under which something is in flight.
 type span struct {
 	from    int64 // of what has not been entered yet
-	tally   Tally
+	tally   Counts
 	flight  int
 	carried int // of those in flight at from
 }
 
-// FlushEvery is how often spans are entered, in nanoseconds.
-const FlushEvery = int64(250_000_000)
+// FlushInterval is how often spans are entered, in nanoseconds.
+const FlushInterval = int64(250_000_000)
 
 const (
 	singlesShare = 0.75 // of the entries kept are for single ones that the voters do not hold
@@ -62,12 +62,12 @@
 )
 
 // NewTrail begins the trail of a start, which keeps so many entries.
-func NewTrail(now int64, who versions.Sign, token string, most int, near int64) *Trail {
-	t := &Trail{who: who, token: token, most: max(most, 16), near: near, open: map[spanKey]*span{}, acts: map[versions.Thing]versions.Number{},
-		turned: map[versions.Thing]int64{}, dropped: map[spanKey]*drops{}, flushed: now}
+func NewTrail(now int64, who versions.Instance, token string, most int, near int64) *Trail {
+	t := &Trail{who: who, token: token, most: max(most, 16), near: near, open: map[spanKey]*span{}, acts: map[versions.Resource]versions.Number{},
+		turned: map[versions.Resource]int64{}, dropped: map[spanKey]*drops{}, flushed: now}
 	t.before = root(who, token)
 	t.last = t.before
-	t.enter(Entry{Kind: Begins, At: now})
+	t.enter(Entry{Kind: KindStart, At: now})
 	return t
 }
 
@@ -98,14 +98,14 @@
 	}
 }
 
-// Learns notes an order, and on which version of its thing the driver acts from now on.
-func (t *Trail) Learns(now int64, thing versions.Thing, epoch versions.Epoch, acts versions.Number) {
-	t.enter(Entry{Kind: Learns, At: now, Thing: thing, Epoch: epoch, Version: acts})
-	t.Acts(now, thing, acts)
+// RecordEpoch notes an order, and on which version of its thing the driver acts from now on.
+func (t *Trail) RecordEpoch(now int64, thing versions.Resource, epoch versions.Epoch, acts versions.Number) {
+	t.enter(Entry{Kind: KindEpoch, At: now, Resource: thing, Epoch: epoch, Version: acts})
+	t.RecordActive(now, thing, acts)
 }
 
-// Acts notes on which version the driver acts from now on, 0 for none.
-func (t *Trail) Acts(now int64, thing versions.Thing, acts versions.Number) {
+// RecordActive notes on which version the driver acts from now on, 0 for none.
+func (t *Trail) RecordActive(now int64, thing versions.Resource, acts versions.Number) {
 	if t.acts[thing] == acts {
 		return
 	}
@@ -115,15 +115,15 @@
 	}
 }
 
-// Has notes on which version of a thing that the council does not decide the driver acts from now on.
-func (t *Trail) Has(now int64, thing versions.Thing, n versions.Number) {
+// RecordObserved notes on which version of a thing that the council does not decide the driver acts from now on.
+func (t *Trail) RecordObserved(now int64, thing versions.Resource, n versions.Number) {
 	if t.acts[thing] != n {
 		t.acts[thing] = n
-		t.enter(Entry{Kind: Has, At: now, Thing: thing, Version: n})
+		t.enter(Entry{Kind: KindObserved, At: now, Resource: thing, Version: n})
 	}
 }
 
-func (t *Trail) span(now int64, thing versions.Thing, n versions.Number) *span {
+func (t *Trail) span(now int64, thing versions.Resource, n versions.Number) *span {
 	key := spanKey{thing, n}
 	if t.open[key] == nil {
 		t.open[key] = &span{from: now}
@@ -131,19 +131,19 @@
 	return t.open[key]
 }
 
-// Began notes that an RPC begins under a version.
-func (t *Trail) Began(now int64, thing versions.Thing, n versions.Number) {
+// BeginRPC notes that an RPC begins under a version.
+func (t *Trail) BeginRPC(now int64, thing versions.Resource, n versions.Number) {
 	t.flushDue(now)
 	t.span(now, thing, n).flight++
 }
 
-// Ended notes how an RPC that began has ended, and when its last attempt began, 0 for none: what had none has no entry of its own.
-func (t *Trail) Ended(now int64, thing versions.Thing, n versions.Number, rpc string, e Effect, o Outcome, acted int64) {
+// EndRPC notes how an RPC that began has ended, and when its last attempt began, 0 for none: what had none has no entry of its own.
+func (t *Trail) EndRPC(now int64, thing versions.Resource, n versions.Number, rpc string, e Effect, o Outcome, acted int64) {
 	t.flushDue(now)
 	s := t.span(now, thing, n)
 	s.flight = max(0, s.flight-1)
 	s.tally[e][o]++
-	if acted == 0 || e < Tokened || n == t.acts[thing] && acted-t.turned[thing] > t.near {
+	if acted == 0 || e < Deduplicated || n == t.acts[thing] && acted-t.turned[thing] > t.near {
 		return
 	}
 	if t.singles >= int(float64(t.most)*singlesShare) {
@@ -151,7 +151,7 @@
 		return
 	}
 	t.singles++
-	t.enter(Entry{Kind: Single, At: now, Thing: thing, Version: n, RPC: rpc, Effect: e, Outcome: o, From: acted})
+	t.enter(Entry{Kind: KindRPC, At: now, Resource: thing, Version: n, RPC: rpc, Effect: e, Outcome: o, From: acted})
 }
 
 // drop counts a single entry that there is no room for.
@@ -168,7 +168,7 @@
 // flushDue flushes if it is time and there is room.
 func (t *Trail) flushDue(now int64) {
 	waiting := float64(t.seq - t.held)
-	if now-t.flushed >= FlushEvery && waiting < float64(t.most)*spansShare {
+	if now-t.flushed >= FlushInterval && waiting < float64(t.most)*spansShare {
 		t.Flush(now)
 	}
 }
@@ -186,18 +186,18 @@
 	for _, key := range sorted(t.open) {
 		s := t.open[key]
 		tally := s.tally
-		t.enter(Entry{Kind: Spans, At: now, Thing: key.thing, Version: key.version, From: s.from, To: now, Tally: &tally, Count: uint64(s.carried)})
-		s.from, s.tally, s.carried = now, Tally{}, s.flight
+		t.enter(Entry{Kind: KindSpan, At: now, Resource: key.thing, Version: key.version, From: s.from, To: now, Counts: &tally, Count: uint64(s.carried)})
+		s.from, s.tally, s.carried = now, Counts{}, s.flight
 		if s.flight == 0 && t.acts[key.thing] != key.version {
 			delete(t.open, key)
 		}
 	}
 }
 
-// Mark flushes for somebody who is about to tell the trail, but not more often than spans are entered: the last entry of what is told then says what
+// FlushBeforeSend flushes for somebody who is about to tell the trail, but not more often than spans are entered: the last entry of what is told then says what
 // this driver's clock showed at that time, whatever was flushed in between.
-func (t *Trail) Mark(now int64) {
-	if now-t.marked >= FlushEvery {
+func (t *Trail) FlushBeforeSend(now int64) {
+	if now-t.marked >= FlushInterval {
 		t.marked = now
 		t.Flush(now)
 	}
@@ -207,26 +207,26 @@
 func (t *Trail) enterDrops() {
 	for _, key := range sorted(t.dropped) {
 		d := t.dropped[key]
-		t.enter(Entry{Kind: Drops, At: d.to, Thing: key.thing, Version: key.version, From: d.from, To: d.to, Count: d.count})
+		t.enter(Entry{Kind: KindDropped, At: d.to, Resource: key.thing, Version: key.version, From: d.from, To: d.to, Count: d.count})
 	}
 	clear(t.dropped)
 }
 
 // Since gives the entries after one, which is the last that the voters hold, at most so many, the oldest first.
-func (t *Trail) Since(seq uint64, most int) Part {
+func (t *Trail) Since(seq uint64, most int) Segment {
 	t.enterDrops()
 	t.chain()
 	t.holds(seq)
-	p := Part{Who: t.who, Token: t.token, Before: t.before}
+	p := Segment{Instance: t.who, Token: t.token, PreviousHash: t.before}
 	if len(t.kept) > 0 {
-		p.Oldest = t.kept[0].Seq
+		p.OldestSeq = t.kept[0].Seq
 	}
 	for i, e := range t.kept {
 		if e.Seq > seq {
 			p.Entries = slices.Clone(t.kept[i:min(len(t.kept), i+most)])
 			break
 		}
-		p.Before = e.Hash
+		p.PreviousHash = e.Hash
 	}
 	return p
 }
@@ -235,7 +235,7 @@
 func (t *Trail) holds(seq uint64) {
 	t.held, t.singles = seq, 0
 	for _, e := range t.kept {
-		if e.Kind == Single && e.Seq > seq {
+		if e.Kind == KindRPC && e.Seq > seq {
 			t.singles++
 		}
 	}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -94,7 +94,7 @@
 	started int64 // its last start, 0 for long ago
 	lives   int   // its starts, counted, so that what was taken before is not done after
 	drained int64 // it drains since, 0 for not
-	warden  versions.Warden
+	warden  versions.FenceChecker
 	fed     []int64 // while it is cold, when statements came, the first first
 }
 
@@ -150,7 +150,7 @@
 	at := f.members[m]
 	f.seen.arrive(s, m, now)
 	f.judge(now, m, s)
-	turned := !at.warden.Takes(s.Fence) && f.Fences
+	turned := !at.warden.Accept(s.Fence) && f.Fences
 	f.seen.fence(s, now, turned)
 	if turned {
 		f.seen.refuse(s)
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -45,8 +45,8 @@
 	r := &c.result.Audit
 	r.Entries, r.Late, r.Faults, r.Spans = f.Entries, len(f.Late), f.Faults, len(f.Unknown)
 	for _, late := range f.Late[:min(mostShown, len(f.Late))] {
-		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Who.Name, late.Who.Start, late.RPC,
-			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.Sure, late.Why))
+		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
+			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
 	}
 	trails := readTrails(membership.Parts(ctx, c.at))
 	got := map[string]emulator.UnderFence{}
@@ -65,7 +65,7 @@
 			r.Wrong++
 		case trails.counts(fenced):
 			r.Counted++
-		case slices.ContainsFunc(f.Unknown, func(u audit.Unknown) bool {
+		case slices.ContainsFunc(f.Unknown, func(u audit.Gap) bool {
 			return u.From-int64(unknownBefore) <= fenced.At && fenced.At <= u.To
 		}):
 			r.Unknown++
@@ -93,8 +93,8 @@
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
 		heard := map[string]bool{}
 		for _, p := range membership.Parts(ctx, c.at) {
-			if n := len(p.Entries); n > 0 && p.Placed && p.Entries[n-1].At+p.Offset > ended.UnixNano() {
-				heard[p.Who.Name] = true
+			if n := len(p.Entries); n > 0 && p.IsClockOffsetKnown && p.Entries[n-1].At+p.ClockOffset > ended.UnixNano() {
+				heard[p.Instance.Name] = true
 			}
 		}
 		if len(heard) == c.Drivers {
@@ -118,11 +118,11 @@
 	last    int64             // entry of all
 }
 
-func readTrails(parts []audit.Part) *trails {
+func readTrails(parts []audit.Segment) *trails {
 	t := &trails{singles: map[string]uint64{}, counted: map[uint64]uint64{}, begun: map[uint64]int64{}}
 	for _, p := range parts {
 		for i := range p.Entries {
-			t.take(&p.Entries[i], p.Offset)
+			t.take(&p.Entries[i], p.ClockOffset)
 		}
 	}
 	for _, version := range t.singles {
@@ -135,14 +135,14 @@
 	t.last = max(t.last, e.At+offset)
 	version := uint64(e.Version)
 	switch e.Kind {
-	case audit.Single:
+	case audit.KindRPC:
 		t.singles[e.RPC] = version
-	case audit.Spans:
+	case audit.KindSpan:
 		if from, known := t.begun[version]; !known || e.From+offset < from {
 			t.begun[version] = e.From + offset
 		}
-		for effect := audit.Tokened; effect <= audit.NonIdempotent; effect++ {
-			for _, n := range e.Tally[effect] {
+		for effect := audit.Deduplicated; effect <= audit.NonIdempotent; effect++ {
+			for _, n := range e.Counts[effect] {
 				t.counted[version] += n
 			}
 		}
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -269,16 +269,16 @@
 
 // plan draws how a version is to come.
 func (c *changing) plan() versions.Plan {
-	p := versions.Plan{Tell: int64(4 * c.Lease), Adopt: int64(4 * c.Lease), Close: int64(6 * c.Lease), Trial: int64(100 * time.Millisecond)}
+	p := versions.Plan{AnnounceTimeout: int64(4 * c.Lease), AdoptTimeout: int64(4 * c.Lease), DrainTimeout: int64(6 * c.Lease), TrialTime: int64(100 * time.Millisecond)}
 	if c.Trial > 0 {
-		p.Canaries, p.Trial = 0.2, int64(c.Trial)
+		p.CanaryFraction, p.TrialTime = 0.2, int64(c.Trial)
 		return p
 	}
 	switch c.chance.intN(3) {
 	case 0:
 		p.Exclusive = true
 	case 1:
-		p.Canaries = 0.2
+		p.CanaryFraction = 0.2
 	}
 	return p
 }
@@ -305,7 +305,7 @@
 			stop()
 			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.Count, c.Span, c.stands(&f))
 		case err == nil && !c.under(&f):
-			wrong := c.Trial == 0 && p.Canaries > 0 && c.chance.intN(4) == 0
+			wrong := c.Trial == 0 && p.CanaryFraction > 0 && c.chance.intN(4) == 0
 			err := council.Wish(by, membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, wrong), Why: "trial", Plan: p}})
 			n++
 			c.result.Proposed++
@@ -358,7 +358,7 @@
 // closes proposes the n-th version and waits until it is closed.
 func (c *changing) closes(ctx context.Context, n int) (err error) {
 	council, deadline := membership.Dial(c.at...), time.Now().Add(c.Span)
-	p := versions.Plan{Tell: int64(20 * c.Lease), Adopt: int64(20 * c.Lease), Close: int64(20 * c.Lease)}
+	p := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
 	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, false), Why: "trial", Plan: p}}
 	for err = council.Wish(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.Wish(ctx, wish) {
 		time.Sleep(20 * time.Millisecond) // nobody leads just now
@@ -382,7 +382,7 @@
 // crash proposes a version that ends its canaries, and waits until it is withdrawn.
 func (c *changing) crash(ctx context.Context) error {
 	council := membership.Dial(c.at...)
-	p := versions.Plan{Canaries: 0.2, Trial: int64(time.Minute), Tell: int64(time.Minute), Adopt: int64(time.Minute), Close: int64(time.Minute)}
+	p := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
 	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(1, false), Why: "trial", Plan: p}}
 	if err := council.Wish(ctx, wish); err != nil {
 		return err
@@ -395,10 +395,10 @@
 			continue
 		}
 		switch last := all[len(all)-1]; {
-		case last.Stage == versions.Trying && tried.IsZero():
+		case last.Stage == versions.StageCanary && tried.IsZero():
 			tried = time.Now()
-		case last.Stage >= versions.Withdrawing:
-			c.result.Reasons = append(c.result.Reasons, last.Why)
+		case last.Stage >= versions.StageRollingBack:
+			c.result.Reasons = append(c.result.Reasons, last.Reason)
 			c.result.Noticed = time.Since(tried)
 			return nil
 		}
@@ -423,7 +423,7 @@
 		return false
 	}
 	s := all[len(all)-1].Stage
-	return s != versions.Closed && s != versions.Withdrawn
+	return s != versions.StageCompleted && s != versions.StageRolledBack
 }
 
 // watch counts what has happened since it looked last.
@@ -433,20 +433,20 @@
 		if c.begun[v.Number].IsZero() {
 			c.begun[v.Number] = time.Now()
 		}
-		if v.Stage == versions.Closed && had.Stage != versions.Closed {
+		if v.Stage == versions.StageCompleted && had.Stage != versions.StageCompleted {
 			c.result.Closed++
-			c.took = append(c.took, float64(v.Closes-c.begun[v.Number].UnixNano())/1e9)
+			c.took = append(c.took, float64(v.CompletedAt-c.begun[v.Number].UnixNano())/1e9)
 			if v.Plan.Exclusive {
 				c.result.Exclusive++
 			}
-			if len(v.Tried) > 0 {
+			if len(v.Canaries) > 0 {
 				c.result.Tried++
-				c.result.Reasons = append(c.result.Reasons, v.Judged)
+				c.result.Reasons = append(c.result.Reasons, v.TrialResult)
 			}
 		}
-		if v.Stage == versions.Withdrawn && had.Stage != versions.Withdrawn {
+		if v.Stage == versions.StageRolledBack && had.Stage != versions.StageRolledBack {
 			c.result.Withdrawn++
-			c.result.Reasons = append(c.result.Reasons, v.Why)
+			c.result.Reasons = append(c.result.Reasons, v.Reason)
 		}
 		c.seen[v.Number] = v
 	}
@@ -476,10 +476,10 @@
 			}
 		}
 		closed, _ := f.Closed(routing.Rulebook)
-		closed = max(closed, versions.Origin)
+		closed = max(closed, versions.InitialVersion)
 		acting := 0
 		for _, d := range f.Drivers {
-			if d.May && slices.ContainsFunc(d.Seen, func(s versions.Sighting) bool { return s.Thing == routing.Rulebook && s.Acts == closed }) {
+			if d.May && slices.ContainsFunc(d.Seen, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
 				acting++
 			}
 		}
@@ -528,8 +528,8 @@
 	newest := uint64(0)
 	for _, f := range fenced {
 		for _, v := range c.seen {
-			if v.Stage == versions.Closed && uint64(v.Number) > f.Fence {
-				if gap := time.Duration(v.Closes - f.At); gap < 0 {
+			if v.Stage == versions.StageCompleted && uint64(v.Number) > f.Fence {
+				if gap := time.Duration(v.CompletedAt - f.At); gap < 0 {
 					r.Old++
 					r.Latest = max(r.Latest, -gap)
 					r.Breaches = append(r.Breaches, emulator.Breach{Rule: emulator.RuleVersion, RPC: f.RPC,
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -40,15 +40,15 @@
 // Actor is what an agent asks of the driver that it stands for.
 type Actor interface {
 	// Sightings is what the fleet is told, and when that was, on the driver's clock.
-	Sightings() (seen []versions.Sighting, at int64)
+	Sightings() (seen []versions.Report, at int64)
 	// Granted takes in what was granted to what was asked at a time, and does what that takes.
 	Granted(asked int64, g versions.Grant)
 	// Joined says which number the driver's start has.
-	Joined(who versions.Sign, token string)
+	Joined(who versions.Instance, token string)
 	// Trail gives the entries of the driver's trail after one, at most so many.
-	Trail(seq uint64, most int) audit.Part
+	Trail(seq uint64, most int) audit.Segment
 	// LastTrail gives all that is left of it, when the driver acts no more.
-	LastTrail(seq uint64) audit.Part
+	LastTrail(seq uint64) audit.Segment
 }
 
 // NewAgent makes a driver's agent, which asks any of the voters at some addresses.
@@ -139,7 +139,7 @@
 		return err
 	}
 	r.start = taken
-	r.actor.Joined(versions.Sign{Name: r.claim.Name, Start: uint64(taken)}, r.claim.Token)
+	r.actor.Joined(versions.Instance{Name: r.claim.Name, Start: uint64(taken)}, r.claim.Token)
 	return nil
 }
 
@@ -152,7 +152,7 @@
 	}
 	part := r.actor.Trail(r.held, mostTold)
 	if len(part.Entries) > 0 {
-		asked.Trails = []audit.Part{part}
+		asked.Trails = []audit.Segment{part}
 	}
 	if len(part.Entries) == mostTold {
 		asked.WaitMs = 0 // there may be more
@@ -162,16 +162,16 @@
 		return false, err
 	}
 	r.held = g.Held // a successor may hold less, and is told again
-	r.again = time.Duration(g.Again)
+	r.again = time.Duration(g.RetryAfter)
 	r.actor.Granted(at, g.Grant)
-	return len(g.Orders) > 0 || under(seen), nil
+	return len(g.Assignments) > 0 || under(seen), nil
 }
 
 // under tells whether something is in flight under another version than what is acted on, whose end is waited for.
-func under(seen []versions.Sighting) bool {
+func under(seen []versions.Report) bool {
 	for _, s := range seen {
-		for _, n := range s.Flight {
-			if n != s.Acts {
+		for _, n := range s.InFlight {
+			if n != s.Active {
 				return true
 			}
 		}
@@ -190,7 +190,7 @@
 	}
 	by, stop := context.WithTimeout(context.Background(), leaveWithin)
 	defer stop()
-	asked := asking{Name: r.claim.Name, Token: r.claim.Token, Trails: []audit.Part{r.actor.LastTrail(r.held)}}
+	asked := asking{Name: r.claim.Name, Token: r.claim.Token, Trails: []audit.Segment{r.actor.LastTrail(r.held)}}
 	if err := r.fleet.ask(by, "fleet/leave", asked, nil); err != nil {
 		r.log.WithError(err).Warn("the fleet could not be told that this driver leaves")
 	}
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -29,17 +29,17 @@
 
 	mu       sync.Mutex
 	roster   *roster.Roster
-	versions *versions.Ledger
-	changed  bell              // rings at the next step of a version
-	trails   *audit.Collection // that drivers told while this voter decided
-	strange  []json.RawMessage // records of a newer build
-	pacer    *versions.Pacer   // of texts
-	shelf    *shelf.Shelf      // where trails are kept, nil for nowhere
-	unkept   int64             // when they could not be written last, 0 where all are
-	stopped  string            // why stragglers are not shut out, as told last
-	looked   int64             // when what drivers act on by themselves was looked at last
-	observed []versions.Spread // as it was then
-	apart    map[versions.Thing]bool
+	versions *versions.Controller
+	changed  bell                    // rings at the next step of a version
+	trails   *audit.Collection       // that drivers told while this voter decided
+	strange  []json.RawMessage       // records of a newer build
+	pacer    *versions.Pacer         // of texts
+	shelf    *shelf.Store            // where trails are kept, nil for nowhere
+	unkept   int64                   // when they could not be written last, 0 where all are
+	stopped  string                  // why stragglers are not shut out, as told last
+	looked   int64                   // when what drivers act on by themselves was looked at last
+	observed []versions.Distribution // as it was then
+	apart    map[versions.Resource]bool
 	doubts   []roster.Doubt // as they were then
 	silent   map[string]bool
 }
@@ -71,8 +71,8 @@
 
 // NewRegistration makes the fleet's machine; Join is its place in the council.
 func NewRegistration(terms Terms, log logrus.FieldLogger) *Registration {
-	return &Registration{log: log, clock: clock.New(), terms: terms, changed: newBell(), versions: versions.NewLedger(),
-		apart: map[versions.Thing]bool{}, trails: audit.NewCollection(mostEntries), pacer: versions.NewPacer(textRate, textBurst),
+	return &Registration{log: log, clock: clock.New(), terms: terms, changed: newBell(), versions: versions.NewController(),
+		apart: map[versions.Resource]bool{}, trails: audit.NewCollection(mostEntries), pacer: versions.NewPacer(textRate, textBurst),
 		roster: roster.New(int64(terms.Lease), int64(terms.Lease)/leaseMargin, int64(terms.Forget))}
 }
 
@@ -122,7 +122,7 @@
 		return err
 	}
 	v := &r.Version.Version
-	m.log.WithFields(logrus.Fields{"thing": v.Thing, "version": v.Number, "stage": v.Stage, "epoch": v.Epoch, "why": v.Why}).Info("version")
+	m.log.WithFields(logrus.Fields{"thing": v.Resource, "version": v.Number, "stage": v.Stage, "epoch": v.Epoch, "why": v.Reason}).Info("version")
 	m.changed.ring()
 	return nil
 }
@@ -130,7 +130,7 @@
 // past is all that was recorded.
 type past struct {
 	Roster   roster.Past       `json:"roster"`
-	Versions versions.Past     `json:"versions"`
+	Versions versions.Snapshot `json:"versions"`
 	Strange  []json.RawMessage `json:"strange,omitempty"` // records of which the build that wrote this did not know all
 }
 
@@ -138,7 +138,7 @@
 func (m *Registration) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return json.Marshal(past{m.roster.Past(), m.versions.Past(), m.strange})
+	return json.Marshal(past{m.roster.Past(), m.versions.Snapshot(), m.strange})
 }
 
 // Restore takes over a snapshot.
@@ -161,7 +161,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.roster.TakeOver(m.now())
-	m.versions.TakeOver()
+	m.versions.StartLeading()
 }
 
 // Run takes versions on until the context ends.
@@ -180,7 +180,7 @@
 			if records := m.versions.Step(m.now(), present); len(records) > 0 {
 				return ofVersions(records), nil
 			}
-			m.pacer.Sweep(m.now())
+			m.pacer.RemoveExpired(m.now())
 			return ofRoster(append(m.roster.Step(m.now()), m.stragglers(present)...)), nil
 		})
 		if err != nil || !recorded {
@@ -204,41 +204,43 @@
 }
 
 // present is all drivers as versions see them. The lock is held.
-func (m *Registration) present() (all []versions.Present) {
+func (m *Registration) present() (all []versions.DriverStatus) {
 	now := m.now()
 	for _, d := range m.roster.Drivers() {
 		may := m.roster.May(now, d.Name) && !planted.Is(planted.Straggler)
-		all = append(all, versions.Present{Sign: sign(d), May: may, Votes: d.Votes, Silent: m.silent[d.Name]})
+		all = append(all, versions.DriverStatus{Instance: sign(d), MayAct: may, IsVoter: d.Votes, IsUnreachable: m.silent[d.Name]})
 	}
 	for _, s := range m.roster.Shades(now) {
-		all = append(all, versions.Present{Sign: versions.Sign{Name: s.Name, Start: uint64(s.Start)}, May: !planted.Is(planted.Straggler)})
+		all = append(all, versions.DriverStatus{Instance: versions.Instance{Name: s.Name, Start: uint64(s.Start)}, MayAct: !planted.Is(planted.Straggler)})
 	}
 	return all
 }
 
-func sign(d roster.Driver) versions.Sign { return versions.Sign{Name: d.Name, Start: uint64(d.Start)} }
+func sign(d roster.Driver) versions.Instance {
+	return versions.Instance{Name: d.Name, Start: uint64(d.Start)}
+}
 
 // stragglers proposes to shut out who has held a version back for too long, unless that were too many: then the version is
 // to blame, and nothing happens until a person sees to it. The lock is held.
-func (m *Registration) stragglers(present []versions.Present) []roster.Record {
-	for _, b := range m.versions.Behind(m.now(), present) {
-		if !b.Over {
+func (m *Registration) stragglers(present []versions.DriverStatus) []roster.Record {
+	for _, b := range m.versions.StalledVersions(m.now(), present) {
+		if !b.IsOverdue {
 			continue
 		}
 		var names []string
-		for _, s := range b.Who {
+		for _, s := range b.Instances {
 			if d, _ := m.roster.Find(s.Name); d.State == roster.Present {
 				names = append(names, s.Name)
 			}
 		}
-		why := "it kept version " + string(b.Thing) + " back, at " + b.Stage.String()
+		why := "it kept version " + string(b.Resource) + " back, at " + b.Stage.String()
 		records, err := m.roster.Shut(m.now(), names, why, m.terms.Most)
 		if err == nil && len(records) > 0 {
 			return records
 		}
 		if err != nil && m.stopped != err.Error() {
 			m.stopped = err.Error()
-			m.log.WithError(err).WithFields(logrus.Fields{"thing": b.Thing, "version": b.Number, "stage": b.Stage, "by": names}).
+			m.log.WithError(err).WithFields(logrus.Fields{"thing": b.Resource, "version": b.Number, "stage": b.Stage, "by": names}).
 				Error("a version is held back by too many to shut them out: call it off, or see to them")
 		}
 	}
--- a/internal/membership/registration_observe.go
+++ b/internal/membership/registration_observe.go
@@ -20,17 +20,17 @@
 	}
 	m.looked = now
 	m.listen(now)
-	m.observed = m.versions.Observed(now, m.present())
+	m.observed = m.versions.Distributions(now, m.present())
 	for _, s := range m.observed {
 		late := 0
-		for _, d := range s.Behind {
-			if d.For > int64(m.terms.Lease) {
+		for _, d := range s.Lagging {
+			if d.Duration > int64(m.terms.Lease) {
 				late++
 			}
 		}
-		if apart := late > 0 || s.Forked; apart != m.apart[s.Thing] {
-			m.apart[s.Thing] = apart
-			m.log.WithFields(logrus.Fields{"thing": s.Thing, "newest": s.Groups[0].Number, "kinds": len(s.Groups), "late": late, "forked": s.Forked}).
+		if apart := late > 0 || s.HasConflict; apart != m.apart[s.Resource] {
+			m.apart[s.Resource] = apart
+			m.log.WithFields(logrus.Fields{"thing": s.Resource, "newest": s.Holders[0].Number, "kinds": len(s.Holders), "late": late, "forked": s.HasConflict}).
 				Warn(map[bool]string{true: "drivers act on different versions", false: "drivers act on one version again"}[apart])
 		}
 	}
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -55,12 +55,12 @@
 
 // asking is what a driver asks a lease with.
 type asking struct {
-	Name   string              `json:"name"`
-	Token  string              `json:"token"`
-	Seen   []versions.Sighting `json:"seen"`
-	WaitMs int64               `json:"wait_ms"`
-	Hears  *hears              `json:"hears,omitempty"` // nil where drivers do not gossip
-	Trails []audit.Part        `json:"trails,omitempty"`
+	Name   string            `json:"name"`
+	Token  string            `json:"token"`
+	Seen   []versions.Report `json:"seen"`
+	WaitMs int64             `json:"wait_ms"`
+	Hears  *hears            `json:"hears,omitempty"` // nil where drivers do not gossip
+	Trails []audit.Segment   `json:"trails,omitempty"`
 }
 
 // hears is whom a driver does not hear of those that it did.
@@ -90,14 +90,14 @@
 	if a.Hears != nil {
 		m.roster.Hears(a.Name, a.Hears.Unheard)
 	}
-	m.versions.Say(sign(d), a.Seen)
-	orders, changed := m.versions.Orders(sign(d)), m.changed.rings
-	g := granted{versions.Grant{Lease: int64(m.terms.Lease), Orders: orders}, m.trails.Held(sign(d))}
+	m.versions.RecordReports(sign(d), a.Seen)
+	orders, changed := m.versions.Assignments(sign(d)), m.changed.rings
+	g := granted{versions.Grant{Lease: int64(m.terms.Lease), Assignments: orders}, m.trails.LastSeq(sign(d))}
 	if wait := m.paced(sign(d), orders); wait > 0 {
-		g.Grant = versions.Grant{Again: wait}
+		g.Grant = versions.Grant{RetryAfter: wait}
 	}
 	m.mu.Unlock()
-	if len(orders) > 0 || a.WaitMs <= 0 || g.Again > 0 {
+	if len(orders) > 0 || a.WaitMs <= 0 || g.RetryAfter > 0 {
 		return g, nil
 	}
 	if err := await(ctx, changed, time.Duration(a.WaitMs)*time.Millisecond); err != nil {
@@ -105,24 +105,24 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	g.Orders = m.versions.Orders(sign(d))
-	if m.paced(sign(d), g.Orders) > 0 { // it asks again at once, and is told when
-		g.Orders = nil
+	g.Assignments = m.versions.Assignments(sign(d))
+	if m.paced(sign(d), g.Assignments) > 0 { // it asks again at once, and is told when
+		g.Assignments = nil
 	}
 	return g, nil
 }
 
 // paced is after how long a driver should ask again for texts that it needs, 0 where it may have them now. A driver that
 // has a lease keeps it meanwhile. The lock is held.
-func (m *Registration) paced(who versions.Sign, orders []versions.Order) (wait int64) {
+func (m *Registration) paced(who versions.Instance, orders []versions.Assignment) (wait int64) {
 	bytes := 0
 	for _, o := range orders {
-		bytes += len(o.Text) + len(o.Before)
+		bytes += len(o.Text) + len(o.ActiveText)
 	}
 	if bytes == 0 {
 		return 0
 	}
-	return m.pacer.Turn(m.now(), who, bytes)
+	return m.pacer.Reserve(m.now(), who, bytes)
 }
 
 // leave takes in that a driver leaves, with what is left to tell of its trail.
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -64,7 +64,7 @@
 // fakeDriver is a driver without RPCs but those that a test begins.
 type fakeDriver struct {
 	mu     sync.Mutex
-	holder *versions.Holder
+	holder *versions.DriverState
 	trail  *audit.Trail
 	stuck  bool // it adopts nothing
 	texts  []string
@@ -72,24 +72,24 @@
 
 func (s *fakeDriver) now() int64 { return time.Now().UnixNano() }
 
-func (s *fakeDriver) Sightings() ([]versions.Sighting, int64) {
+func (s *fakeDriver) Sightings() ([]versions.Report, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holder.Sightings(), s.now()
+	return s.holder.Reports(), s.now()
 }
 
 func (s *fakeDriver) Granted(asked int64, g versions.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, a := range s.holder.Granted(asked, g) {
+	for _, a := range s.holder.ApplyGrant(asked, g) {
 		if !s.stuck {
-			s.holder.Adopted(a)
+			s.holder.MarkAdopted(a)
 			s.texts = append(s.texts, a.Text)
 		}
 	}
 }
 
-func (s *fakeDriver) Joined(who versions.Sign, token string) {
+func (s *fakeDriver) Joined(who versions.Instance, token string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.trail == nil {
@@ -97,17 +97,17 @@
 	}
 }
 
-func (s *fakeDriver) Trail(seq uint64, most int) audit.Part {
+func (s *fakeDriver) Trail(seq uint64, most int) audit.Segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.trail == nil {
-		return audit.Part{}
+		return audit.Segment{}
 	}
-	s.trail.Mark(s.now())
+	s.trail.FlushBeforeSend(s.now())
 	return s.trail.Since(seq, most)
 }
 
-func (s *fakeDriver) LastTrail(seq uint64) audit.Part {
+func (s *fakeDriver) LastTrail(seq uint64) audit.Segment {
 	s.mu.Lock()
 	s.trail.Flush(s.now())
 	s.mu.Unlock()
@@ -122,15 +122,15 @@
 	if !may {
 		return 0
 	}
-	s.trail.Began(s.now(), "x", n)
-	s.trail.Ended(s.now(), "x", n, rpc, audit.NonIdempotent, audit.Served, s.now())
+	s.trail.BeginRPC(s.now(), "x", n)
+	s.trail.EndRPC(s.now(), "x", n, rpc, audit.NonIdempotent, audit.Served, s.now())
 	s.holder.End("x", n)
 	return n
 }
 
 // joins starts a driver; what it gives ends it in good order.
 func (c *testCouncil) joins(name string, level int) (s *fakeDriver, leave func()) {
-	s = &fakeDriver{holder: versions.NewHolder()}
+	s = &fakeDriver{holder: versions.NewDriverState()}
 	r := NewAgent([]string{c.at}, roster.Claim{Name: name, At: "at", Build: "b", Level: level}, c.terms.Lease, s, quiet())
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -180,7 +180,7 @@
 }
 
 func (c *testCouncil) propose(text string) error {
-	p := versions.Plan{Tell: int64(300 * time.Millisecond), Adopt: int64(300 * time.Millisecond), Close: int64(time.Second)}
+	p := versions.Plan{AnnounceTimeout: int64(300 * time.Millisecond), AdoptTimeout: int64(300 * time.Millisecond), DrainTimeout: int64(time.Second)}
 	return c.wish(Wish{Propose: &Proposal{Thing: "x", Text: text, Plan: p}})
 }
 
@@ -258,7 +258,7 @@
 	time.Sleep(2 * c.terms.Lease)
 	require.EqualValues(t, 2, c.registration.Fleet().Drivers[0].Start)
 	require.Zero(t, earlier.acts("r"))
-	require.EqualValues(t, versions.Origin, c.acts(later, "r"))
+	require.EqualValues(t, versions.InitialVersion, c.acts(later, "r"))
 	err := Dial(c.at).ask(context.Background(), "fleet/renew", asking{Name: "a", Token: "x"}, nil)
 	require.ErrorContains(t, err, "a later start of \"a\", number 2 at at, has taken its name over; end one of the two")
 	require.Equal(t, http.StatusForbidden, err.(*jsonhttp.StatusError).Status)
@@ -283,7 +283,7 @@
 	all[1].mu.Unlock()
 	require.NoError(t, c.wish(Wish{Readmit: "b", Why: "mended"}))
 	c.eventually("it is back", func(f *Fleet) bool {
-		return f.state("b") == roster.Present && f.Drivers[1].May && f.Drivers[1].Seen != nil && f.Drivers[1].Seen[0].Acts == 2
+		return f.state("b") == roster.Present && f.Drivers[1].May && f.Drivers[1].Seen != nil && f.Drivers[1].Seen[0].Active == 2
 	})
 	for _, s := range all {
 		s.mu.Lock()
@@ -291,13 +291,13 @@
 		s.mu.Unlock()
 	}
 	require.NoError(t, c.propose("two"))
-	c.eventually("it waits", func(f *Fleet) bool { return len(f.Behind) == 1 && f.Behind[0].Over })
+	c.eventually("it waits", func(f *Fleet) bool { return len(f.Behind) == 1 && f.Behind[0].IsOverdue })
 	time.Sleep(100 * time.Millisecond)
 	f := c.registration.Fleet()
 	require.Equal(t, roster.Present, f.state("a"), "too many: nobody is shut out")
 	require.EqualValues(t, 2, c.acts(all[0], "r"), "all act on the older")
 	require.NoError(t, c.wish(Wish{CallOff: "x", Why: "wrong"}))
-	c.eventually("withdrawn", func(f *Fleet) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.Withdrawn })
+	c.eventually("withdrawn", func(f *Fleet) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
 }
 
 // Guards against a build that is too old and acts, and an error that does not say what helps.
@@ -326,9 +326,9 @@
 	f := Fleet{Lease: 7, Drivers: []Seen{d("a", 1), d("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
 	all := f.forgotten("", audit.NewCollection(100))
 	require.Len(t, all, 1)
-	require.Equal(t, versions.Sign{Name: "b", Start: 2}, all[0].Who)
+	require.Equal(t, versions.Instance{Name: "b", Start: 2}, all[0].Instance)
 	require.EqualValues(t, []int64{0, 57}, []int64{all[0].From, all[0].To})
-	require.Contains(t, all[0].Why, "a roster remembers 1")
+	require.Contains(t, all[0].Reason, "a roster remembers 1")
 	require.Empty(t, f.forgotten("a", audit.NewCollection(100)))
 }
 
@@ -337,15 +337,15 @@
 func TestTrailsOfForgottenStartsCount(t *testing.T) {
 	held := audit.NewCollection(100)
 	for _, start := range []uint64{1, 2, 4} {
-		trail := audit.NewTrail(int64(10*start), versions.Sign{Name: "b", Start: start}, "x", 100, 1)
+		trail := audit.NewTrail(int64(10*start), versions.Instance{Name: "b", Start: start}, "x", 100, 1)
 		trail.Flush(int64(10*start) + 3)
-		trail.Has(int64(10*start)+3, versions.List, 1)
-		held.Take(trail.Since(0, 100))
+		trail.RecordObserved(int64(10*start)+3, versions.DiscoveryList, 1)
+		held.Add(trail.Since(0, 100))
 	}
 	f := Fleet{Lease: 7, Drivers: []Seen{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, Earlier: []roster.Ended{{Start: 6, Joined: 60}}}}}}
 	var unknown [][]int64
 	for _, u := range f.forgotten("b", held) {
-		unknown = append(unknown, []int64{int64(u.Who.Start), u.From, u.To})
+		unknown = append(unknown, []int64{int64(u.Instance.Start), u.From, u.To})
 	}
 	require.Equal(t, [][]int64{{1, 13, 27}, {3, 23, 47}, {5, 43, 67}}, unknown)
 }
@@ -354,19 +354,19 @@
 // what is left comes behind a hole. The audit said nothing of that time, since who leaves has told all.
 func TestALeavingDriverIsHeardBehindAHole(t *testing.T) {
 	m := NewRegistration(Terms{Lease: time.Second}, quiet())
-	who := versions.Sign{Name: "a", Start: 1}
+	who := versions.Instance{Name: "a", Start: 1}
 	trail := audit.NewTrail(m.now(), who, "x", 100, int64(time.Hour))
 	for range 5 {
-		trail.Began(m.now(), "x", 1)
-		trail.Ended(m.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, m.now())
+		trail.BeginRPC(m.now(), "x", 1)
+		trail.EndRPC(m.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, m.now())
 	}
 	trail.Flush(m.now())
-	m.hear([]audit.Part{trail.Since(0, 1)}, false)
-	m.hear([]audit.Part{trail.Since(4, 100)}, false)
-	require.EqualValues(t, 1, m.trails.Held(who), "what lies before is to be told first")
-	m.hear([]audit.Part{trail.Since(4, 100)}, true)
-	require.Len(t, m.trails.Parts(), 2)
-	require.Contains(t, m.trails.Unknown([]audit.Start{{Who: who}})[0].Why, "entries 2 to 4 are not held")
+	m.hear([]audit.Segment{trail.Since(0, 1)}, false)
+	m.hear([]audit.Segment{trail.Since(4, 100)}, false)
+	require.EqualValues(t, 1, m.trails.LastSeq(who), "what lies before is to be told first")
+	m.hear([]audit.Segment{trail.Since(4, 100)}, true)
+	require.Len(t, m.trails.Segments(), 2)
+	require.Contains(t, m.trails.Gaps([]audit.Lifetime{{Instance: who}})[0].Reason, "entries 2 to 4 are not held")
 }
 
 // Guards against trails that are kept in memory alone for good, since the disk refused them for a moment.
@@ -374,12 +374,12 @@
 	path := filepath.Join(t.TempDir(), "trails")
 	m := NewRegistration(Terms{Lease: time.Second}, quiet())
 	require.NoError(t, m.Keep(path))
-	trail := audit.NewTrail(m.now(), versions.Sign{Name: "a", Start: 1}, "x", 100, 1)
+	trail := audit.NewTrail(m.now(), versions.Instance{Name: "a", Start: 1}, "x", 100, 1)
 	tells := func(count int) {
 		for range count {
 			trail.Flush(m.now())
-			trail.Learns(m.now(), "x", 1, 1)
-			m.hear([]audit.Part{trail.Since(m.trails.Held(versions.Sign{Name: "a", Start: 1}), 100)}, false)
+			trail.RecordEpoch(m.now(), "x", 1, 1)
+			m.hear([]audit.Segment{trail.Since(m.trails.LastSeq(versions.Instance{Name: "a", Start: 1}), 100)}, false)
 		}
 	}
 	tells(1)
@@ -391,5 +391,5 @@
 	require.Zero(t, m.unkept)
 	next := NewRegistration(Terms{Lease: time.Second}, quiet())
 	require.NoError(t, next.Keep(path))
-	require.Equal(t, m.trails.Parts(), next.trails.Parts())
+	require.Equal(t, m.trails.Segments(), next.trails.Segments())
 }
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -21,13 +21,13 @@
 
 // Trails is what one voter holds of drivers' trails.
 type Trails struct {
-	Parts  []audit.Part `json:"parts"`
-	Faults []string     `json:"faults"`
+	Parts  []audit.Segment `json:"parts"`
+	Faults []string        `json:"faults"`
 }
 
 // Keep lets trails be kept in a file, and takes in those that stand there.
 func (m *Registration) Keep(path string) error {
-	s, parts, spoilt, err := shelf.Open(path, shelf.Most)
+	s, parts, spoilt, err := shelf.Open(path, shelf.MaxBytes)
 	if err != nil {
 		return err
 	}
@@ -42,13 +42,13 @@
 }
 
 // hear takes in what a driver tells of its trail, the last of it where it leaves: that is taken also behind a hole. The lock is held.
-func (m *Registration) hear(parts []audit.Part, last bool) {
-	take := m.trails.Take
+func (m *Registration) hear(parts []audit.Segment, last bool) {
+	take := m.trails.Add
 	if last {
-		take = m.trails.TakeLast
+		take = m.trails.AddFinal
 	}
 	for _, p := range parts {
-		p, held := p.Heard(m.now()), m.trails.Held(p.Who)
+		p, held := p.WithClockOffset(m.now()), m.trails.LastSeq(p.Instance)
 		if take(p) != held && m.shelf != nil {
 			m.keep(p)
 		}
@@ -59,16 +59,16 @@
 const renewShelfEvery = int64(time.Second)
 
 // keep writes a part down. Where that fails, all that is held is written anew as soon as the disk allows. The lock is held.
-func (m *Registration) keep(p audit.Part) {
+func (m *Registration) keep(p audit.Segment) {
 	if m.unkept != 0 && m.now()-m.unkept < renewShelfEvery {
 		return
 	}
 	var err error
 	if m.unkept == 0 {
-		err = m.shelf.Put(p)
+		err = m.shelf.Append(p)
 	}
-	if m.unkept != 0 || err == nil && m.shelf.Full() {
-		err = m.shelf.Renew(m.trails.Parts())
+	if m.unkept != 0 || err == nil && m.shelf.IsFull() {
+		err = m.shelf.Rewrite(m.trails.Segments())
 	}
 	switch {
 	case err != nil && m.unkept == 0:
@@ -85,7 +85,7 @@
 func (m *Registration) trailsHeld() Trails {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Trails{Parts: m.trails.Parts(), Faults: m.trails.Faults()}
+	return Trails{Parts: m.trails.Segments(), Faults: m.trails.Faults()}
 }
 
 // handleTrails lets this voter tell what it holds, whoever decides.
@@ -95,22 +95,22 @@
 
 // Question is what is asked of the audit. Times are Unix time in nanoseconds, 0 for no end.
 type Question struct {
-	Thing   versions.Thing  `json:"thing"`
-	Version versions.Number `json:"version"`
-	Driver  string          `json:"driver"`
-	From    int64           `json:"from"`
-	To      int64           `json:"to"`
-	Clocks  int64           `json:"clocks"` // the most by which drivers' clocks differ
+	Thing   versions.Resource `json:"thing"`
+	Version versions.Number   `json:"version"`
+	Driver  string            `json:"driver"`
+	From    int64             `json:"from"`
+	To      int64             `json:"to"`
+	Clocks  int64             `json:"clocks"` // the most by which drivers' clocks differ
 }
 
 // Finding is what the audit answers.
 type Finding struct {
-	Acted   []audit.Acted   `json:"acted"`
-	Late    []audit.Late    `json:"late"`    // after a newer version was closed
-	Unknown []audit.Unknown `json:"unknown"` // never filled by a guess
-	Faults  []string        `json:"faults"`  // trails that do not hold together
-	Missing []string        `json:"missing"` // voters that could not be asked
-	Entries int             `json:"entries"`
+	Acted   []audit.Activity     `json:"acted"`
+	Late    []audit.LateActivity `json:"late"`    // after a newer version was closed
+	Unknown []audit.Gap          `json:"unknown"` // never filled by a guess
+	Faults  []string             `json:"faults"`  // trails that do not hold together
+	Missing []string             `json:"missing"` // voters that could not be asked
+	Entries int                  `json:"entries"`
 }
 
 // askVoter is how long one voter may take to tell all that it holds.
@@ -119,7 +119,7 @@
 // collect asks every voter for what it holds.
 func collect(ctx context.Context, voters []string) (all *audit.Collection, faults, missing []string) {
 	all = audit.NewCollection(2 * mostEntries)
-	var parts []audit.Part
+	var parts []audit.Segment
 	for _, at := range voters {
 		var held Trails
 		by, stop := context.WithTimeout(ctx, askVoter)
@@ -137,9 +137,9 @@
 }
 
 // Parts are all trails that the voters hold between them.
-func Parts(ctx context.Context, voters []string) []audit.Part {
+func Parts(ctx context.Context, voters []string) []audit.Segment {
 	all, _, _ := collect(ctx, voters)
-	return all.Parts()
+	return all.Segments()
 }
 
 // Audit answers a question from all that the voters hold.
@@ -150,16 +150,16 @@
 	}
 	var all *audit.Collection
 	all, f.Faults, f.Missing = collect(ctx, voters)
-	for _, p := range all.Parts() {
+	for _, p := range all.Segments() {
 		f.Entries += len(p.Entries)
 	}
-	f.Acted = all.Acted(audit.Asked{Thing: q.Thing, Version: q.Version, Driver: q.Driver, From: q.From, To: q.To})
+	f.Acted = all.Activities(audit.Query{Resource: q.Thing, Version: q.Version, Driver: q.Driver, From: q.From, To: q.To})
 	starts := fleet.starts(q.Driver)
-	f.Unknown = append(all.Unknown(starts), fleet.forgotten(q.Driver, all)...)
+	f.Unknown = append(all.Gaps(starts), fleet.forgotten(q.Driver, all)...)
 	for _, v := range fleet.Versions[q.Thing] {
-		if v.Stage == versions.Closed {
-			f.Late = append(f.Late, all.Late(q.Thing, v.Number, v.Epoch, v.Closes, q.Clocks)...)
-			f.Unknown = append(f.Unknown, all.Unordered(q.Thing, v.Number, starts)...)
+		if v.Stage == versions.StageCompleted {
+			f.Late = append(f.Late, all.LateActivities(q.Thing, v.Number, v.Epoch, v.CompletedAt, q.Clocks)...)
+			f.Unknown = append(f.Unknown, all.UnorderedActivities(q.Thing, v.Number, starts)...)
 		}
 	}
 	return f, nil
@@ -167,42 +167,42 @@
 
 // forgotten are the times in which starts that the roster does not remember any more may have done what nobody was told: before, between and
 // after the trails that are held of them. Each may have acted until a lease after the next one joined.
-func (f *Fleet) forgotten(driver string, held *audit.Collection) (all []audit.Unknown) {
+func (f *Fleet) forgotten(driver string, held *audit.Collection) (all []audit.Gap) {
 	for _, d := range f.Drivers {
 		if driver != "" && d.Name != driver || len(d.Earlier) == 0 || d.Earlier[0].Start == 1 {
 			continue
 		}
 		oldest := d.Earlier[0]
 		why := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.Earlier))
-		last := audit.Extent{Who: versions.Sign{Name: d.Name}}
+		last := audit.Extent{Instance: versions.Instance{Name: d.Name}}
 		for _, e := range held.Extents(d.Name) {
-			if e.Who.Start >= uint64(oldest.Start) {
+			if e.Instance.Start >= uint64(oldest.Start) {
 				break
 			}
-			if e.Who.Start > 1 {
-				all = append(all, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: e.Who.Start - 1}, From: last.To, To: e.From + f.Lease, Why: why})
+			if e.Instance.Start > 1 {
+				all = append(all, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: e.Instance.Start - 1}, From: last.To, To: e.From + f.Lease, Reason: why})
 			}
 			last = e
 		}
-		all = append(all, audit.Unknown{Who: versions.Sign{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.Joined + f.Lease, Why: why})
+		all = append(all, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.Joined + f.Lease, Reason: why})
 	}
 	return all
 }
 
 // starts are all starts that the roster remembers, and until when each may have acted.
-func (f *Fleet) starts(driver string) (all []audit.Start) {
+func (f *Fleet) starts(driver string) (all []audit.Lifetime) {
 	for _, d := range f.Drivers {
 		if driver != "" && d.Name != driver {
 			continue
 		}
 		for _, e := range d.Earlier {
-			all = append(all, audit.Start{Who: versions.Sign{Name: d.Name, Start: uint64(e.Start)}, From: e.Joined, Until: e.When + f.Lease})
+			all = append(all, audit.Lifetime{Instance: versions.Instance{Name: d.Name, Start: uint64(e.Start)}, From: e.Joined, Until: e.When + f.Lease})
 		}
 		until := d.Until
 		if d.State == roster.Left { // it told all, and then gave its lease up
 			until = 0
 		}
-		all = append(all, audit.Start{Who: sign(d.Driver), From: d.Joined, Until: until, Live: d.May && d.State == roster.Present})
+		all = append(all, audit.Lifetime{Instance: sign(d.Driver), From: d.Joined, Until: until, IsLive: d.May && d.State == roster.Present})
 	}
 	return all
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -36,9 +36,9 @@
 
 // joinFleet registers this driver with the fleet, whose granted versions it then acts on.
 func (s *operatorServices) joinFleet() (err error) {
-	s.p.router.Heed(versions.NewHolder())
-	s.p.router.Observe(versions.Program, FeatureLevel, buildRevision())
-	s.p.router.Observe(versions.File, 1, membership.Digest(s.config().Common())[:digestPrefixLength])
+	s.p.router.Heed(versions.NewDriverState())
+	s.p.router.Observe(versions.Build, FeatureLevel, buildRevision())
+	s.p.router.Observe(versions.OperatorFile, 1, membership.Digest(s.config().Common())[:digestPrefixLength])
 	claim := roster.Claim{Name: s.p.config.Name, At: s.p.config.Listen, Build: buildRevision(),
 		Level: FeatureLevel, Votes: s.config().Council.GetId() != 0}
 	s.agent = membership.NewAgent(s.config().VotersAt(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
@@ -55,10 +55,10 @@
 }
 
 // Sightings returns the version observations to report to the fleet.
-func (s *operatorServices) Sightings() ([]versions.Sighting, int64) { return s.p.router.Sightings() }
+func (s *operatorServices) Sightings() ([]versions.Report, int64) { return s.p.router.Sightings() }
 
 // Joined records the start number that the fleet assigned to this driver.
-func (s *operatorServices) Joined(sign versions.Sign, token string) {
+func (s *operatorServices) Joined(sign versions.Instance, token string) {
 	s.p.router.ReportStart(sign, token)
 	select {
 	case s.startNumber <- sign.Start:
@@ -67,12 +67,12 @@
 }
 
 // Trail returns up to limit entries of this driver's audit trail after a sequence number.
-func (s *operatorServices) Trail(after uint64, limit int) audit.Part {
+func (s *operatorServices) Trail(after uint64, limit int) audit.Segment {
 	return s.p.router.Trail(after, limit)
 }
 
 // LastTrail returns all remaining entries of the audit trail after a sequence number.
-func (s *operatorServices) LastTrail(after uint64) audit.Part { return s.p.router.LastTrail(after) }
+func (s *operatorServices) LastTrail(after uint64) audit.Segment { return s.p.router.LastTrail(after) }
 
 // Audit answers a question from the audit trails that all voters hold.
 func (s *operatorServices) Audit(ctx context.Context, question membership.Question) (membership.Finding, error) {
@@ -87,7 +87,7 @@
 	for _, adoption := range s.p.router.ReportOrders(requestedAt, grant) {
 		err := s.adopt(adoption)
 		s.p.router.ReportAdopted(adoption, err)
-		log := s.p.log.WithField("thing", adoption.Thing).WithField("version", adoption.Number)
+		log := s.p.log.WithField("thing", adoption.Resource).WithField("version", adoption.Number)
 		if err != nil {
 			log.WithError(err).Error("failed to adopt version")
 		} else {
@@ -101,8 +101,8 @@
 
 // adopt applies a granted version.
 func (s *operatorServices) adopt(adoption versions.Adoption) error {
-	if adoption.Thing != routing.Rulebook {
-		return fmt.Errorf("this build does not know what %q is", adoption.Thing)
+	if adoption.Resource != routing.Rulebook {
+		return fmt.Errorf("this build does not know what %q is", adoption.Resource)
 	}
 	if planted.Is(planted.Crash) {
 		os.Exit(3)
--- a/internal/routing/confine_test.go
+++ b/internal/routing/confine_test.go
@@ -161,8 +161,8 @@
 				heeds(b, r, false)
 			}
 			if near, audited := map[string]int64{"audit on": 0, "audit near a change": math.MaxInt64}[on]; audited {
-				r.trail = audit.NewTrail(r.now(), versions.Sign{Name: "n", Start: 1}, "token", mostEntries, near)
-				r.trail.Acts(r.now(), Rulebook, 2)
+				r.trail = audit.NewTrail(r.now(), versions.Instance{Name: "n", Start: 1}, "token", mostEntries, near)
+				r.trail.RecordActive(r.now(), Rulebook, 2)
 			}
 			names := make([]string, b.N)
 			for i := range names {
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -10,20 +10,20 @@
 )
 
 // Observe notes what this driver acts on of a thing that the fleet does not decide. It does nothing where nothing has versions.
-func (r *Router) Observe(of versions.Thing, n versions.Number, digest string) {
+func (r *Router) Observe(of versions.Resource, n versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observe(of, n, digest)
 }
 
 // observe notes it for the fleet and in the trail. The lock is held.
-func (r *Router) observe(of versions.Thing, n versions.Number, digest string) {
+func (r *Router) observe(of versions.Resource, n versions.Number, digest string) {
 	if r.holder == nil {
 		return
 	}
-	r.holder.Observes(of, n, digest)
+	r.holder.Observe(of, n, digest)
 	if r.trail != nil {
-		r.trail.Has(r.now(), of, n)
+		r.trail.RecordObserved(r.now(), of, n)
 	}
 }
 
@@ -49,5 +49,5 @@
 		l.entries[e.ID] = sum
 		l.sum ^= sum
 	}
-	r.observe(versions.List, versions.Number(t.Generation), fmt.Sprintf("%016x", l.sum))
+	r.observe(versions.DiscoveryList, versions.Number(t.Generation), fmt.Sprintf("%016x", l.sum))
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -46,7 +46,7 @@
 	gate     *cells.AdmissionController // nil where tenants have no cells
 	drained  int64                      // until when peers' messages are those that waited while this process stood still
 	looked   int64                      // when members were last probed for a move
-	holder   *versions.Holder           // nil where nothing has versions
+	holder   *versions.DriverState      // nil where nothing has versions
 	trail    *audit.Trail               // nil until this start has its number
 
 	whole      wholeList
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -13,10 +13,10 @@
 )
 
 // Rulebook is what decides on an RPC's way and has versions: the part of the operator's file that all drivers share.
-const Rulebook versions.Thing = "rulebook"
+const Rulebook versions.Resource = "rulebook"
 
 // Heed lets every RPC from here on act on a version of the rulebook. It is called before the first.
-func (r *Router) Heed(h *versions.Holder) {
+func (r *Router) Heed(h *versions.DriverState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.holder = h
@@ -32,36 +32,36 @@
 const mostEntries = 8192
 
 // ReportStart reports the number of this driver's start. From here on what it does is entered in its trail.
-func (r *Router) ReportStart(who versions.Sign, token string) {
+func (r *Router) ReportStart(who versions.Instance, token string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
 		r.trail = audit.NewTrail(r.now(), who, token, mostEntries, int64(NearChange+nearSlack))
-		for _, s := range r.holder.Sightings() {
+		for _, s := range r.holder.Reports() {
 			if s.Digest != "" {
-				r.trail.Has(r.now(), s.Thing, s.Acts)
+				r.trail.RecordObserved(r.now(), s.Resource, s.Active)
 			}
 		}
 	}
 }
 
 // Trail gives the entries of this driver's trail after one, at most so many.
-func (r *Router) Trail(seq uint64, most int) audit.Part {
+func (r *Router) Trail(seq uint64, most int) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		return audit.Part{}
+		return audit.Segment{}
 	}
-	r.trail.Mark(r.now())
+	r.trail.FlushBeforeSend(r.now())
 	return r.trail.Since(seq, most)
 }
 
 // LastTrail enters all that is left to enter, and gives the entries after one.
-func (r *Router) LastTrail(seq uint64) audit.Part {
+func (r *Router) LastTrail(seq uint64) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		return audit.Part{}
+		return audit.Segment{}
 	}
 	r.trail.Flush(r.now())
 	return r.trail.Since(seq, mostEntries)
@@ -75,7 +75,7 @@
 	t.pass.begun = t.r.now()
 	t.pass.version, may = t.r.holder.Begin(t.pass.begun, Rulebook)
 	if may && t.r.trail != nil {
-		t.r.trail.Began(t.r.now(), Rulebook, t.pass.version)
+		t.r.trail.BeginRPC(t.r.now(), Rulebook, t.pass.version)
 	}
 	return may
 }
@@ -83,20 +83,20 @@
 // fared tells how an RPC has ended under its version. The lock is held.
 func (t *Trip) fared(act Act) {
 	if t.r.holder != nil {
-		t.r.holder.Fared(Rulebook, t.pass.version, act == Serve, act == PushBack || act == Abort, t.r.now()-t.pass.begun)
+		t.r.holder.RecordOutcome(Rulebook, t.pass.version, act == Serve, act == PushBack || act == Abort, t.r.now()-t.pass.begun)
 	}
 }
 
 // harmed tells whether a planted fault ends the RPC.
 func (t *Trip) harmed() bool {
-	return planted.Is(planted.Harm) && t.pass.version > versions.Origin && t.id%4 == 0
+	return planted.Is(planted.Harm) && t.pass.version > versions.InitialVersion && t.id%4 == 0
 }
 
 // may tells whether something more may be done for an RPC: its tenant is where it was, and its version is acted on. The
 // lock is held.
 func (t *Trip) may() bool {
 	now := t.r.now()
-	return t.r.gate.MayProceed(t.pass.ticket, now) && (t.r.holder == nil || t.r.holder.May(now, Rulebook, t.pass.version))
+	return t.r.gate.MayProceed(t.pass.ticket, now) && (t.r.holder == nil || t.r.holder.MayContinue(now, Rulebook, t.pass.version))
 }
 
 // ends says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
@@ -108,7 +108,7 @@
 	}
 	t.pass.version = 0
 	if t.r.trail != nil && !(planted.Is(planted.Audit) && t.id%10 == 0) {
-		t.r.trail.Ended(t.r.now(), Rulebook, n, t.name, t.pass.effect, t.pass.outcome, t.pass.acted)
+		t.r.trail.EndRPC(t.r.now(), Rulebook, n, t.name, t.pass.effect, t.pass.outcome, t.pass.acted)
 	}
 	if t.pass.until <= t.r.now() {
 		t.r.holder.End(Rulebook, n)
@@ -118,7 +118,7 @@
 	t.r.stir()
 }
 
-var effects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Tokened,
+var effects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Deduplicated,
 	rules.NonIdempotent: audit.NonIdempotent}
 
 // effectOf is what an RPC of a method does to data.
@@ -130,7 +130,7 @@
 }
 
 // outcomeOf is how an RPC ended.
-var outcomeOf = map[Act]audit.Outcome{Serve: audit.Served, PushBack: audit.PushedBack, Abort: audit.Aborted, Drop: audit.Left}
+var outcomeOf = map[Act]audit.Outcome{Serve: audit.Served, PushBack: audit.PushedBack, Abort: audit.Aborted, Drop: audit.ClientLeft}
 
 // fence is what a store is told, so that it can turn away what comes too late: none where there are no versions.
 func (t *Trip) fence() (f protocol.Fence) {
@@ -150,7 +150,7 @@
 func (t *Trip) fenced() {
 	r := t.r
 	r.turnedAway++
-	if r.holder != nil && r.holder.Fenced(r.now(), Rulebook, t.pass.version) {
+	if r.holder != nil && r.holder.MarkFenced(r.now(), Rulebook, t.pass.version) {
 		r.log.WithFields(logrus.Fields{"thing": Rulebook, "version": t.pass.version, "turned_away": r.turnedAway}).
 			Warn("a store has turned the version away that this driver acts on")
 	}
@@ -160,10 +160,10 @@
 }
 
 // Sightings is what the fleet is told of this driver's versions, and when that was.
-func (r *Router) Sightings() ([]versions.Sighting, int64) {
+func (r *Router) Sightings() ([]versions.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.holder.Sightings(), r.now()
+	return r.holder.Reports(), r.now()
 }
 
 // ReportOrders reports what the fleet granted to what was asked at a time, and gives what is to be adopted.
@@ -173,14 +173,14 @@
 	if planted.Is(planted.Lease) {
 		g.Lease += g.Lease / 2
 	}
-	due := r.holder.Granted(asked, g)
+	due := r.holder.ApplyGrant(asked, g)
 	if r.trail != nil {
-		acts := map[versions.Thing]versions.Number{}
-		for _, s := range r.holder.Sightings() {
-			acts[s.Thing] = s.Acts
+		acts := map[versions.Resource]versions.Number{}
+		for _, s := range r.holder.Reports() {
+			acts[s.Resource] = s.Active
 		}
-		for _, o := range g.Orders {
-			r.trail.Learns(r.now(), o.Thing, o.Epoch, acts[o.Thing])
+		for _, o := range g.Assignments {
+			r.trail.RecordEpoch(r.now(), o.Resource, o.Epoch, acts[o.Resource])
 		}
 	}
 	return due
@@ -191,12 +191,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.holder.Fails(a, err.Error())
+		r.holder.MarkFailed(a, err.Error())
 		return
 	}
-	r.holder.Adopted(a)
+	r.holder.MarkAdopted(a)
 	if r.trail != nil {
-		r.trail.Acts(r.now(), a.Thing, a.Number)
+		r.trail.RecordActive(r.now(), a.Resource, a.Number)
 	}
 }
 
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -14,41 +14,41 @@
 
 // heeds lets a router act on version 2 of the rulebook, with a trail if asked.
 func heeds(t testing.TB, r *Router, trail bool) {
-	r.Heed(versions.NewHolder())
+	r.Heed(versions.NewDriverState())
 	if trail {
-		r.ReportStart(versions.Sign{Name: "n", Start: 1}, "token")
+		r.ReportStart(versions.Instance{Name: "n", Start: 1}, "token")
 	}
-	orders(t, r, time.Hour, versions.Order{Epoch: 1, Act: 2, Valid: []versions.Number{2}, Hold: 2, Text: "text"})
+	orders(t, r, time.Hour, versions.Assignment{Epoch: 1, Active: 2, Valid: []versions.Number{2}, Stored: 2, Text: "text"})
 }
 
-func orders(t testing.TB, r *Router, lease time.Duration, o versions.Order) {
-	o.Thing = Rulebook
-	for _, a := range r.ReportOrders(r.now(), versions.Grant{Lease: int64(lease), Orders: []versions.Order{o}}) {
+func orders(t testing.TB, r *Router, lease time.Duration, o versions.Assignment) {
+	o.Resource = Rulebook
+	for _, a := range r.ReportOrders(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{o}}) {
 		r.ReportAdopted(a, nil)
 	}
-	require.Equal(t, o.Act, r.holder.Sightings()[0].Acts)
+	require.Equal(t, o.Active, r.holder.Reports()[0].Active)
 }
 
 // Guards against RPCs that begin without a version to act on, and attempts that do not say under which they are made.
 func TestRPCsActOnAVersion(t *testing.T) {
 	r := confined(t, false)
-	r.Heed(versions.NewHolder())
+	r.Heed(versions.NewDriverState())
 	require.Equal(t, PushBack, pick(t, admit(t, r, "write")).Act, "no lease")
 	heeds(t, r, true)
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
 	require.Equal(t, Attempt, step.Act)
 	require.Equal(t, protocol.Fence{Version: 2, Epoch: 1, Valid: []uint64{2}}, step.Fence)
-	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
+	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
 	require.True(t, trip.May(step.Number))
 	trip.Report(step.Number, ok(r.now()/milli, true))
 	require.Equal(t, Serve, pick(t, trip).Act)
-	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight, "its answer is not passed on yet")
+	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight, "its answer is not passed on yet")
 	trip.Passed()
-	require.Empty(t, r.holder.Sightings()[0].Flight)
+	require.Empty(t, r.holder.Reports()[0].InFlight)
 	var single *audit.Entry
 	for _, e := range r.LastTrail(0).Entries {
-		if e.Kind == audit.Single {
+		if e.Kind == audit.KindRPC {
 			single = &e
 		}
 	}
@@ -64,17 +64,17 @@
 	heeds(t, r, false)
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
-	orders(t, r, time.Hour, versions.Order{Epoch: 2, Act: 3, Hold: 3, Text: "next"})
+	orders(t, r, time.Hour, versions.Assignment{Epoch: 2, Active: 3, Stored: 3, Text: "next"})
 	trip.Report(step.Number, ok(r.now()/milli, true))
 	require.Equal(t, Abort, pick(t, trip).Act)
 	held := admit(t, r, "write")
 	step = pick(t, held)
-	orders(t, r, time.Hour, versions.Order{Epoch: 3, Act: 4, Hold: 4, Text: "after", Keep: 3})
+	orders(t, r, time.Hour, versions.Assignment{Epoch: 3, Active: 4, Stored: 4, Text: "after", Allowed: 3})
 	held.Report(step.Number, Outcome{Answer: nil, End: 0, Sent: false})
 	next := pick(t, held)
 	require.Equal(t, Attempt, next.Act, "one that may be acted on until then is")
 	require.EqualValues(t, 3, next.Fence.Version)
-	orders(t, r, time.Hour, versions.Order{Epoch: 4, Act: 4, Hold: 4, Text: "after"})
+	orders(t, r, time.Hour, versions.Assignment{Epoch: 4, Active: 4, Stored: 4, Text: "after"})
 	held.Report(next.Number, ok(r.now()/milli, true))
 	require.Equal(t, Abort, pick(t, held).Act)
 }
@@ -111,8 +111,8 @@
 	trip.Leave()
 	trip.Report(step.Number, Outcome{Sent: true, End: 1})
 	require.Equal(t, Drop, pick(t, trip).Act)
-	require.Equal(t, []versions.Number{2}, r.holder.Sightings()[0].Flight)
-	for begun := time.Now(); len(r.holder.Sightings()[0].Flight) > 0; time.Sleep(10 * time.Millisecond) {
+	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
+	for begun := time.Now(); len(r.holder.Reports()[0].InFlight) > 0; time.Sleep(10 * time.Millisecond) {
 		require.Less(t, time.Since(begun), 5*time.Second)
 		r.turn()
 	}
@@ -121,6 +121,6 @@
 // Each kind of method has its effect.
 func TestEffects(t *testing.T) {
 	require.Equal(t, audit.Read, effectOf(&rules.Method{Consistency: rules.ConsistencySession, Effect: rules.NonIdempotent}))
-	require.Equal(t, audit.Tokened, effectOf(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.IdempotentByToken}))
+	require.Equal(t, audit.Deduplicated, effectOf(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.IdempotentByToken}))
 	require.Equal(t, audit.NonIdempotent, effectOf(&rules.Method{Consistency: rules.ConsistencyWrite, Effect: rules.NonIdempotent}))
 }
--- a/internal/versions/fence.go
+++ b/internal/versions/fence.go
@@ -13,9 +13,9 @@
 // valid are the versions that some driver may act on at a version's stage.
 func (v *Version) valid() []Number {
 	switch v.Stage {
-	case Told, Stopping, Withdrawn:
+	case StageAnnounced, StageStopping, StageRolledBack:
 		return []Number{v.Base}
-	case Closed:
+	case StageCompleted:
 		return []Number{v.Number}
 	}
 	if v.Plan.Exclusive {
@@ -25,7 +25,7 @@
 }
 
 // Fence is what a call-out under a version of a thing tells a store.
-func (h *Holder) Fence(of Thing, n Number) Fence {
+func (h *DriverState) Fence(of Resource, n Number) Fence {
 	t := h.things[of]
 	if t == nil {
 		return Fence{}
@@ -33,9 +33,9 @@
 	return Fence{Version: n, Epoch: t.epoch, Valid: t.valid}
 }
 
-// Fenced takes in that a store has turned a version of a thing away at a time: the driver acts on nothing until it has asked
+// MarkFenced takes in that a store has turned a version of a thing away at a time: the driver acts on nothing until it has asked
 // the council again. It tells whether it did act on it.
-func (h *Holder) Fenced(now int64, of Thing, n Number) bool {
+func (h *DriverState) MarkFenced(now int64, of Resource, n Number) bool {
 	t := h.things[of]
 	if t == nil || t.acts != n || n == 0 {
 		return false
@@ -44,7 +44,7 @@
 	return true
 }
 
-// Warden is a store's side of one thing: the newest epoch that any driver's call-out told, and what is valid there.
+// FenceChecker is a store's side of one thing: the newest epoch that any driver's call-out told, and what is valid there.
 //
 //	what is told                                       what it does
 //	no version                                         takes it: its driver stands in no fleet
@@ -54,13 +54,13 @@
 //
 // A store learns of a version's end with the first call-out of any driver that was told: until then it takes older ones. So it
 // never turns away what its fleet holds valid, and is a second lock beside leases, not one in place of them.
-type Warden struct {
+type FenceChecker struct {
 	Epoch Epoch
 	Valid []Number
 }
 
-// Takes takes in what a call-out tells, and tells whether it may run.
-func (w *Warden) Takes(f Fence) bool {
+// Accept takes in what a call-out tells, and tells whether it may run.
+func (w *FenceChecker) Accept(f Fence) bool {
 	if f.Version == 0 {
 		return true
 	}
--- a/internal/versions/observed.go
+++ b/internal/versions/observed.go
@@ -8,36 +8,36 @@
 
 // Things that drivers act on by themselves: the council decides nothing of them, and is told what each driver has.
 const (
-	List    Thing = "list"    // discovery's, by its generation
-	Program Thing = "program" // the feature level, with the build
-	File    Thing = "file"    // what all should have alike in their operator's files and has no versions
+	DiscoveryList Resource = "list"    // discovery's, by its generation
+	Build         Resource = "program" // the feature level, with the build
+	OperatorFile  Resource = "file"    // what all should have alike in their operator's files and has no versions
 )
 
-// Observes takes in what the driver acts on of a thing that the council does not decide.
-func (h *Holder) Observes(of Thing, n Number, digest string) {
-	h.observed[of] = Sighting{Thing: of, Holds: n, Acts: n, Digest: digest}
+// Observe takes in what the driver acts on of a thing that the council does not decide.
+func (h *DriverState) Observe(of Resource, n Number, digest string) {
+	h.observed[of] = Report{Resource: of, Stored: n, Active: n, Digest: digest}
 }
 
-// Group is the drivers that act on one and the same of a thing.
-type Group struct {
-	Number Number `json:"number"`
-	Digest string `json:"digest"`
-	Who    []Sign `json:"who"`
+// VersionHolders is the drivers that act on one and the same of a thing.
+type VersionHolders struct {
+	Number    Number     `json:"number"`
+	Digest    string     `json:"digest"`
+	Instances []Instance `json:"who"`
 }
 
-// Spread is what drivers act on of a thing that the council does not decide.
-type Spread struct {
-	Thing  Thing   `json:"thing"`
-	Groups []Group `json:"groups"` // the newest first
-	Forked bool    `json:"forked"` // two that call themselves the same differ
-	Behind []Late  `json:"behind"` // those that do not act on the newest, the latest first
+// Distribution is what drivers act on of a thing that the council does not decide.
+type Distribution struct {
+	Resource    Resource         `json:"thing"`
+	Holders     []VersionHolders `json:"groups"` // the newest first
+	HasConflict bool             `json:"forked"` // two that call themselves the same differ
+	Lagging     []LaggingDriver  `json:"behind"` // those that do not act on the newest, the latest first
 }
 
-// Late is a driver that is behind.
-type Late struct {
-	Sign
-	Number Number `json:"number"`
-	For    int64  `json:"for_ns"` // since it came nearer last, or something newer was there first
+// LaggingDriver is a driver that is behind.
+type LaggingDriver struct {
+	Instance
+	Number   Number `json:"number"`
+	Duration int64  `json:"for_ns"` // since it came nearer last, or something newer was there first
 }
 
 // kind is what sets one group apart from another.
@@ -48,8 +48,8 @@
 
 // lagKey is a driver's part of a thing.
 type lagKey struct {
-	thing Thing
-	who   Sign
+	thing Resource
+	who   Instance
 }
 
 // lag is since when a driver has been behind at a number.
@@ -58,13 +58,13 @@
 	since int64
 }
 
-// Observed tells what drivers that may act act on of each thing that the council does not decide. It is to be called now and
+// Distributions tells what drivers that may act act on of each thing that the council does not decide. It is to be called now and
 // then by whoever acts for the council, who finds out anew since when what is so.
-func (l *Ledger) Observed(now int64, drivers []Present) (all []Spread) {
-	groups := map[Thing]map[kind][]Sign{}
+func (l *Controller) Distributions(now int64, drivers []DriverStatus) (all []Distribution) {
+	groups := map[Resource]map[kind][]Instance{}
 	for _, d := range drivers {
-		s := l.heard(d.Sign)
-		if !d.May || s == nil {
+		s := l.heard(d.Instance)
+		if !d.MayAct || s == nil {
 			continue
 		}
 		for _, t := range slices.Sorted(maps.Keys(s.sightings)) {
@@ -73,10 +73,10 @@
 				continue
 			}
 			if groups[t] == nil {
-				groups[t] = map[kind][]Sign{}
+				groups[t] = map[kind][]Instance{}
 			}
-			key := kind{seen.Acts, seen.Digest}
-			groups[t][key] = append(groups[t][key], d.Sign)
+			key := kind{seen.Active, seen.Digest}
+			groups[t][key] = append(groups[t][key], d.Instance)
 		}
 	}
 	lags := map[lagKey]lag{}
@@ -88,28 +88,30 @@
 }
 
 // spread sums one thing up, and keeps since when who is behind.
-func (l *Ledger) spread(now int64, t Thing, groups map[kind][]Sign, lags map[lagKey]lag) Spread {
-	s := Spread{Thing: t}
+func (l *Controller) spread(now int64, t Resource, groups map[kind][]Instance, lags map[lagKey]lag) Distribution {
+	s := Distribution{Resource: t}
 	for key, who := range groups {
-		s.Groups = append(s.Groups, Group{key.number, key.digest, who})
+		s.Holders = append(s.Holders, VersionHolders{key.number, key.digest, who})
 	}
-	slices.SortFunc(s.Groups, func(a, b Group) int { return cmp.Or(cmp.Compare(b.Number, a.Number), cmp.Compare(a.Digest, b.Digest)) })
-	newest := s.Groups[0].Number
-	for i, g := range s.Groups {
-		s.Forked = s.Forked || i > 0 && s.Groups[i-1].Number == g.Number
+	slices.SortFunc(s.Holders, func(a, b VersionHolders) int {
+		return cmp.Or(cmp.Compare(b.Number, a.Number), cmp.Compare(a.Digest, b.Digest))
+	})
+	newest := s.Holders[0].Number
+	for i, g := range s.Holders {
+		s.HasConflict = s.HasConflict || i > 0 && s.Holders[i-1].Number == g.Number
 		if g.Number == newest {
 			continue
 		}
-		for _, who := range g.Who {
+		for _, who := range g.Instances {
 			key := lagKey{t, who}
 			was, had := l.lags[key]
 			if !had || was.at != g.Number {
 				was = lag{g.Number, now}
 			}
 			lags[key] = was
-			s.Behind = append(s.Behind, Late{who, g.Number, now - was.since})
+			s.Lagging = append(s.Lagging, LaggingDriver{who, g.Number, now - was.since})
 		}
 	}
-	slices.SortStableFunc(s.Behind, func(a, b Late) int { return cmp.Compare(b.For, a.For) })
+	slices.SortStableFunc(s.Lagging, func(a, b LaggingDriver) int { return cmp.Compare(b.Duration, a.Duration) })
 	return s
 }
--- a/internal/versions/observed_test.go
+++ b/internal/versions/observed_test.go
@@ -8,26 +8,26 @@
 
 // Guards against a fleet whose drivers act on different lists for long without anybody knowing, against a driver that is
 // called late though it keeps up with a list that changes all the time, and against two lists of one number.
-func TestWhatDriversActOnByThemselves(t *testing.T) {
+func TestDistributionsOfObservedResources(t *testing.T) {
 	f := newFleet(t, 4)
 	say := func(i int, n Number, digest string) {
 		h := f.holders[f.signs[i].Name]
-		h.Observes(List, n, digest)
-		f.l.Say(f.signs[i], h.Sightings())
+		h.Observe(DiscoveryList, n, digest)
+		f.l.RecordReports(f.signs[i], h.Reports())
 	}
-	observed := func() Spread {
-		all := f.l.Observed(f.now, f.present())
+	observed := func() Distribution {
+		all := f.l.Distributions(f.now, f.present())
 		require.Len(t, all, 1)
 		return all[0]
 	}
 	for i := range f.signs {
 		say(i, 7, "seven")
 	}
-	require.Empty(t, f.l.Orders(f.signs[0]), "there is nothing to be told of it")
-	require.Empty(t, f.l.Behind(0, f.present()))
+	require.Empty(t, f.l.Assignments(f.signs[0]), "there is nothing to be told of it")
+	require.Empty(t, f.l.StalledVersions(0, f.present()))
 	s := observed()
-	require.Equal(t, []Group{{7, "seven", f.signs}}, s.Groups)
-	require.Empty(t, s.Behind)
+	require.Equal(t, []VersionHolders{{7, "seven", f.signs}}, s.Holders)
+	require.Empty(t, s.Lagging)
 	say(0, 9, "nine")
 	say(1, 8, "eight")
 	f.now = 100
@@ -36,18 +36,18 @@
 	say(0, 10, "ten")
 	say(1, 9, "nine")
 	s = observed()
-	require.Equal(t, []Late{{f.signs[2], 7, 50}, {f.signs[3], 7, 50}, {f.signs[1], 9, 0}}, s.Behind, "the second comes nearer")
-	require.False(t, s.Forked)
+	require.Equal(t, []LaggingDriver{{f.signs[2], 7, 50}, {f.signs[3], 7, 50}, {f.signs[1], 9, 0}}, s.Lagging, "the second comes nearer")
+	require.False(t, s.HasConflict)
 	f.may["d3"] = false
 	say(1, 10, "another ten")
 	s = observed()
-	require.True(t, s.Forked)
-	require.Len(t, s.Behind, 1, "one that may not act is not late")
+	require.True(t, s.HasConflict)
+	require.Len(t, s.Lagging, 1, "one that may not act is not late")
 	say(2, 10, "ten")
 	say(1, 10, "ten")
 	s = observed()
-	require.False(t, s.Forked)
-	require.Empty(t, s.Behind)
-	f.l.TakeOver()
-	require.Empty(t, f.l.Observed(f.now, f.present()), "what was told to another")
+	require.False(t, s.HasConflict)
+	require.Empty(t, s.Lagging)
+	f.l.StartLeading()
+	require.Empty(t, f.l.Distributions(f.now, f.present()), "what was told to another")
 }
--- a/internal/versions/pacer_test.go
+++ b/internal/versions/pacer_test.go
@@ -11,16 +11,16 @@
 func TestPacer(t *testing.T) {
 	p := NewPacer(1000, 100_000_000) // 1000 bytes a second
 	now, told := int64(0), []int64{}
-	next := map[Sign]int64{}
+	next := map[Instance]int64{}
 	for i := range 20 {
-		next[Sign{fmt.Sprint(i), 1}] = 0
+		next[Instance{fmt.Sprint(i), 1}] = 0
 	}
 	for ; len(next) > 0 && now < 60_000_000_000; now += 10_000_000 {
 		for who, at := range next {
 			if at > now {
 				continue
 			}
-			wait := p.Turn(now, who, 500)
+			wait := p.Reserve(now, who, 500)
 			if wait == 0 {
 				told = append(told, now)
 				delete(next, who)
@@ -35,9 +35,9 @@
 		require.GreaterOrEqual(t, told[i]-told[i-4], int64(1_500_000_000), "never many at once")
 	}
 	now += 60_000_000_000
-	p.Turn(now, Sign{"x", 1}, 5000)
-	p.Turn(now, Sign{"gone", 1}, 500)
+	p.Reserve(now, Instance{"x", 1}, 5000)
+	p.Reserve(now, Instance{"gone", 1}, 500)
 	require.Len(t, p.turns, 1)
-	p.Sweep(now + 10_000_000_000)
+	p.RemoveExpired(now + 10_000_000_000)
 	require.Empty(t, p.turns)
 }
--- a/internal/versions/size_test.go
+++ b/internal/versions/size_test.go
@@ -18,7 +18,7 @@
 // and take time by their bytes.
 type sized struct {
 	rng      *rand.Rand
-	ledger   *Ledger
+	ledger   *Controller
 	pacer    *Pacer // nil for none
 	poll     int64  // drivers ask so often; 0 for at once after an answer, which may wait
 	now      int64
@@ -36,8 +36,8 @@
 }
 
 type askers struct {
-	Sign
-	h      *Holder
+	Instance
+	h      *DriverState
 	asked  int64
 	began  int64
 	acting bool
@@ -104,14 +104,14 @@
 // ask lets a driver ask.
 func (s *sized) ask(d *askers) {
 	d.asked = s.now
-	if d.h.Lease() != 0 && d.h.Lease() < s.now && !d.lapsed {
+	if d.h.LeaseExpiry() != 0 && d.h.LeaseExpiry() < s.now && !d.lapsed {
 		d.lapsed = true
 		s.lapsed++
 	}
-	seen := d.h.Sightings()
+	seen := d.h.Reports()
 	s.after(sizedHop, func() {
 		s.serve(length(seen)+200, func() {
-			s.ledger.Say(d.Sign, seen)
+			s.ledger.RecordReports(d.Instance, seen)
 			s.step()
 			s.answer(d, true)
 		})
@@ -120,7 +120,7 @@
 
 // answer answers a driver, at once or once there is something new.
 func (s *sized) answer(d *askers, may bool) {
-	orders := s.ledger.Orders(d.Sign)
+	orders := s.ledger.Assignments(d.Instance)
 	if len(orders) == 0 && may && s.poll == 0 {
 		s.waiting = append(s.waiting, d)
 		d.turn++
@@ -137,13 +137,13 @@
 	again := int64(0)
 	for i := range orders {
 		if n := len(orders[i].Text); n > 0 && s.pacer != nil {
-			if again = s.pacer.Turn(s.now, d.Sign, n); again > 0 {
+			if again = s.pacer.Reserve(s.now, d.Instance, n); again > 0 {
 				orders = nil
 				break
 			}
 		}
 	}
-	g := Grant{Lease: sizedLease, Orders: orders}
+	g := Grant{Lease: sizedLease, Assignments: orders}
 	if again > 0 {
 		g.Lease = 0
 	}
@@ -156,8 +156,8 @@
 		s.after(again, func() { s.ask(d) })
 		return
 	}
-	for _, a := range d.h.Granted(d.asked, g) {
-		d.h.Adopted(a)
+	for _, a := range d.h.ApplyGrant(d.asked, g) {
+		d.h.MarkAdopted(a)
 	}
 	d.lapsed = false
 	if n, may := d.h.Begin(s.now, thing); may {
@@ -168,16 +168,16 @@
 		}
 	}
 	wait := s.poll
-	if len(g.Orders) > 0 {
+	if len(g.Assignments) > 0 {
 		wait = 0
 	}
 	s.after(wait, func() { s.ask(d) })
 }
 
 func (s *sized) step() {
-	var all []Present
+	var all []DriverStatus
 	for _, d := range s.drivers {
-		all = append(all, Present{Sign: d.Sign, May: true})
+		all = append(all, DriverStatus{Instance: d.Instance, MayAct: true})
 	}
 	for _, k := range s.ledger.Step(s.now, all) {
 		s.ledger.Apply(k)
@@ -190,12 +190,12 @@
 }
 
 func newSized(drivers int, poll int64, paced bool) *sized {
-	s := &sized{rng: rand.New(rand.NewSource(1)), ledger: NewLedger(), poll: poll}
+	s := &sized{rng: rand.New(rand.NewSource(1)), ledger: NewController(), poll: poll}
 	if paced {
 		s.pacer = NewPacer(sizedRate, 20*ms)
 	}
 	for i := range drivers {
-		d := &askers{Sign: Sign{fmt.Sprint("driver-", i), 1}, h: NewHolder()}
+		d := &askers{Instance: Instance{fmt.Sprint("driver-", i), 1}, h: NewDriverState()}
 		s.drivers = append(s.drivers, d)
 		s.after(s.rng.Int63n(1000*ms), func() { s.ask(d) })
 	}
@@ -204,7 +204,7 @@
 
 // change brings a version in, and lets the fleet run.
 func (s *sized) change(span int64) {
-	records, err := s.ledger.Propose(s.now, thing, "d", strings.Repeat("x", sizedText), "", Plan{Tell: 1, Adopt: 1, Close: 1})
+	records, err := s.ledger.Propose(s.now, thing, "d", strings.Repeat("x", sizedText), "", Plan{AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1})
 	if err != nil {
 		panic(err)
 	}
@@ -257,14 +257,14 @@
 			s.change(120_000 * ms)
 			change := s.at(0.5, begun) + ", " + s.at(0.99, begun) + ", " + s.at(1, begun)
 			closed := "not yet"
-			if v := s.ledger.lines[thing].last(); v.Stage == Closed {
-				closed = fmt.Sprintf("%.2f s", float64(v.Closes-begun)/1e9)
+			if v := s.ledger.lines[thing].last(); v.Stage == StageCompleted {
+				closed = fmt.Sprintf("%.2f s", float64(v.CompletedAt-begun)/1e9)
 			}
 			changeWorst := s.worst
 			s.events, s.waiting, s.acts, s.worst, s.lapsed = nil, nil, nil, 0, 0
 			s.free, begun = s.now, s.now
 			for _, d := range s.drivers {
-				d.h, d.acting, d.turn = NewHolder(), false, d.turn+1
+				d.h, d.acting, d.turn = NewDriverState(), false, d.turn+1
 				d.Start++
 				s.ask(d)
 			}
--- a/internal/versions/trial.go
+++ b/internal/versions/trial.go
@@ -10,34 +10,34 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Fare is how RPCs under a version have fared at a driver since its start.
-type Fare struct {
-	Number  Number  `json:"number"`
-	RPCs    uint64  `json:"rpcs"`
-	Bad     uint64  `json:"bad"`    // of those, pushed back or aborted
-	Served  uint64  `json:"served"` // of those
-	Log     float64 `json:"log"`    // sum of the logarithms of the times of those served, nanoseconds
-	Squares float64 `json:"squares"`
+// RPCStats is how RPCs under a version have fared at a driver since its start.
+type RPCStats struct {
+	Number       Number  `json:"number"`
+	RPCs         uint64  `json:"rpcs"`
+	Failed       uint64  `json:"bad"`    // of those, pushed back or aborted
+	Served       uint64  `json:"served"` // of those
+	LogSum       float64 `json:"log"`    // sum of the logarithms of the times of those served, nanoseconds
+	LogSquareSum float64 `json:"squares"`
 }
 
-// Fared notes how an RPC under a version of a thing has ended for its client.
-func (h *Holder) Fared(of Thing, n Number, served, bad bool, took int64) {
+// RecordOutcome notes how an RPC under a version of a thing has ended for its client.
+func (h *DriverState) RecordOutcome(of Resource, n Number, served, bad bool, took int64) {
 	t := h.things[of]
 	if t == nil || n == 0 {
 		return
 	}
-	at := slices.IndexFunc(t.fares, func(f Fare) bool { return f.Number == n })
+	at := slices.IndexFunc(t.fares, func(f RPCStats) bool { return f.Number == n })
 	if at < 0 {
-		at, t.fares = len(t.fares), append(t.fares, Fare{Number: n})
+		at, t.fares = len(t.fares), append(t.fares, RPCStats{Number: n})
 	}
 	f := &t.fares[at]
 	f.RPCs++
 	switch {
 	case served:
 		log := math.Log(float64(max(took, 1)))
-		f.Served, f.Log, f.Squares = f.Served+1, f.Log+log, f.Squares+log*log
+		f.Served, f.LogSum, f.LogSquareSum = f.Served+1, f.LogSum+log, f.LogSquareSum+log*log
 	case bad:
-		f.Bad++
+		f.Failed++
 	}
 }
 
@@ -45,21 +45,21 @@
 const mostFares = 3
 
 func (t *held) forgetFares() {
-	slices.SortFunc(t.fares, func(a, b Fare) int { return cmp.Compare(b.Number, a.Number) })
+	slices.SortFunc(t.fares, func(a, b RPCStats) int { return cmp.Compare(b.Number, a.Number) })
 	t.fares = t.fares[:min(len(t.fares), mostFares)]
 }
 
 // since is what came after an earlier look at the same version.
-func (f Fare) since(before Fare) Fare {
-	return Fare{f.Number, f.RPCs - before.RPCs, f.Bad - before.Bad, f.Served - before.Served, f.Log - before.Log, f.Squares - before.Squares}
+func (f RPCStats) since(before RPCStats) RPCStats {
+	return RPCStats{f.Number, f.RPCs - before.RPCs, f.Failed - before.Failed, f.Served - before.Served, f.LogSum - before.LogSum, f.LogSquareSum - before.LogSquareSum}
 }
 
 // of is a version's fare among those of a driver.
-func of(fares []Fare, n Number) Fare {
-	if at := slices.IndexFunc(fares, func(f Fare) bool { return f.Number == n }); at >= 0 {
+func of(fares []RPCStats, n Number) RPCStats {
+	if at := slices.IndexFunc(fares, func(f RPCStats) bool { return f.Number == n }); at >= 0 {
 		return fares[at]
 	}
-	return Fare{Number: n}
+	return RPCStats{Number: n}
 }
 
 // Trials are looked at so many times; the chance of a false alarm is divided among the looks and the two measures.
@@ -75,26 +75,26 @@
 )
 
 // pair is one driver's fares before a trial and in it.
-type pair struct{ before, during Fare }
+type pair struct{ before, during RPCStats }
 
 // measure is one way to say how RPCs fare: a value, and its variance by chance. Both are logarithms, of odds and of times: what
 // drivers differ in is a factor, and a few that have many bad ends do not hide what is usual.
 type measure struct {
-	of   func(f Fare) (value, variance float64, known bool)
+	of   func(f RPCStats) (value, variance float64, known bool)
 	tell func(by float64) string
 }
 
 var judged = [measures]measure{
-	{func(f Fare) (float64, float64, bool) {
-		bad, other := float64(f.Bad)+0.5, float64(f.RPCs-f.Bad)+0.5 // who has seen none knows little, not that there are none
+	{func(f RPCStats) (float64, float64, bool) {
+		bad, other := float64(f.Failed)+0.5, float64(f.RPCs-f.Failed)+0.5 // who has seen none knows little, not that there are none
 		return math.Log(bad / other), 1/bad + 1/other, f.RPCs >= fewestRPCs
 	}, func(by float64) string {
 		return fmt.Sprintf("%.3g times as many RPCs end badly for each that does not", math.Exp(by))
 	}},
-	{func(f Fare) (float64, float64, bool) {
+	{func(f RPCStats) (float64, float64, bool) {
 		n := float64(f.Served)
-		mean := f.Log / max(n, 1)
-		return mean, max(f.Squares/max(n, 1)-mean*mean, 1e-9) / max(n, 1), f.Served >= fewestRPCs
+		mean := f.LogSum / max(n, 1)
+		return mean, max(f.LogSquareSum/max(n, 1)-mean*mean, 1e-9) / max(n, 1), f.Served >= fewestRPCs
 	}, func(by float64) string { return fmt.Sprintf("RPCs take %.2f times as long", math.Exp(by)) }},
 }
 
@@ -108,12 +108,12 @@
 	return by - was, variance + more, known
 }
 
-// Worse is the test: whether the RPCs of those that try something fare worse than those of the others, each driver compared with
+// CompareCanaries is the test: whether the RPCs of those that try something fare worse than those of the others, each driver compared with
 // itself before the trial where all were there long enough. What drivers differ in anyhow is learned from the others, so that
 // a canary that happens to be at a busy place is not taken for a bad version; and what is worse by less than is borne passes, for
 // RPCs of one driver that come one after another tell less than as many that are independent. It gives what is worse at the
 // chance of a false alarm, empty for nothing, and whether there was enough to judge by.
-func Worse(canaries, others []pair, bears, alarm float64) (what string, judgedBy bool) {
+func CompareCanaries(canaries, others []pair, bears, alarm float64) (what string, judgedBy bool) {
 	for i := range judged {
 		m := &judged[i]
 		withBefore := all(m, canaries) && all(m, others)
@@ -171,37 +171,37 @@
 type trial struct {
 	began int64 // all canaries act since
 	look  int   // that is next, from 1
-	first map[Sign]Fare
+	first map[Instance]RPCStats
 }
 
 // fares pairs what drivers said when the trial began with what they say now.
-func (l *Ledger) fares(v *Version, tr *trial, drivers []Present) (canaries, others []pair) {
+func (l *Controller) fares(v *Version, tr *trial, drivers []DriverStatus) (canaries, others []pair) {
 	for _, d := range drivers {
-		seen, told := l.sighting(v, d.Sign)
-		first, there := tr.first[d.Sign]
-		if !told || !d.May {
+		seen, told := l.sighting(v, d.Instance)
+		first, there := tr.first[d.Instance]
+		if !told || !d.MayAct {
 			continue
 		}
 		if !there { // it is compared from here on
-			tr.first[d.Sign] = of(seen.Fares, v.Base)
+			tr.first[d.Instance] = of(seen.Stats, v.Base)
 			continue
 		}
-		if slices.Contains(v.Tried, d.Sign) {
-			canaries = append(canaries, pair{first, of(seen.Fares, v.Number)})
+		if slices.Contains(v.Canaries, d.Instance) {
+			canaries = append(canaries, pair{first, of(seen.Stats, v.Number)})
 		} else {
-			others = append(others, pair{first, of(seen.Fares, v.Base).since(first)})
+			others = append(others, pair{first, of(seen.Stats, v.Base).since(first)})
 		}
 	}
 	return canaries, others
 }
 
 // watch looks at a trial whose canaries all act, and tells whether it is over and what speaks against the version.
-func (l *Ledger) watch(now int64, v *Version, tr *trial, drivers []Present) (over bool, against, judgement string) {
-	if now-tr.began < v.Plan.Trial*int64(tr.look)/looks {
+func (l *Controller) watch(now int64, v *Version, tr *trial, drivers []DriverStatus) (over bool, against, judgement string) {
+	if now-tr.began < v.Plan.TrialTime*int64(tr.look)/looks {
 		return false, "", ""
 	}
 	canaries, others := l.fares(v, tr, drivers)
-	worse, enough := Worse(canaries, others, cmp.Or(v.Plan.Bears, usualBears), cmp.Or(v.Plan.Alarm, usualAlarm))
+	worse, enough := CompareCanaries(canaries, others, cmp.Or(v.Plan.ToleratedRatio, usualBears), cmp.Or(v.Plan.FalseAlarmRate, usualAlarm))
 	if worse != "" {
 		return true, "at its canaries " + worse, ""
 	}
--- a/internal/versions/trial_test.go
+++ b/internal/versions/trial_test.go
@@ -24,15 +24,15 @@
 	history bool
 }
 
-func (c *crowd) fare(usual, slow float64) (f Fare) {
+func (c *crowd) fare(usual, slow float64) (f RPCStats) {
 	for range c.rpcs {
 		f.RPCs++
 		if c.rng.Float64() < usual {
-			f.Bad++
+			f.Failed++
 			continue
 		}
 		log := math.Log(5e6*slow) + c.rng.NormFloat64()
-		f.Served, f.Log, f.Squares = f.Served+1, f.Log+log, f.Squares+log*log
+		f.Served, f.LogSum, f.LogSquareSum = f.Served+1, f.LogSum+log, f.LogSquareSum+log*log
 	}
 	return f
 }
@@ -75,39 +75,39 @@
 }
 
 func byTest(tried, rest []pair) bool {
-	worse, _ := Worse(tried, rest, usualBears, usualAlarm*looks) // one look
+	worse, _ := CompareCanaries(tried, rest, usualBears, usualAlarm*looks) // one look
 	return worse != ""
 }
 
 // byConstant is what a person would set up: twice the others' share of bad ends, or half as long again.
 func byConstant(tried, rest []pair) bool {
-	sum := func(pairs []pair) (f Fare) {
+	sum := func(pairs []pair) (f RPCStats) {
 		for _, p := range pairs {
-			f.RPCs, f.Bad, f.Served, f.Log = f.RPCs+p.during.RPCs, f.Bad+p.during.Bad, f.Served+p.during.Served, f.Log+p.during.Log
+			f.RPCs, f.Failed, f.Served, f.LogSum = f.RPCs+p.during.RPCs, f.Failed+p.during.Failed, f.Served+p.during.Served, f.LogSum+p.during.LogSum
 		}
 		return f
 	}
 	a, b := sum(tried), sum(rest)
-	return float64(a.Bad)/float64(a.RPCs) > 2*float64(b.Bad)/float64(b.RPCs) ||
-		a.Log/float64(a.Served)-b.Log/float64(b.Served) > math.Log(1.5)
+	return float64(a.Failed)/float64(a.RPCs) > 2*float64(b.Failed)/float64(b.RPCs) ||
+		a.LogSum/float64(a.Served)-b.LogSum/float64(b.Served) > math.Log(1.5)
 }
 
 // byCounts takes all RPCs for independent: a test of two shares.
 func byCounts(tried, rest []pair) bool {
-	var a, b Fare
+	var a, b RPCStats
 	for _, p := range tried {
-		a.RPCs, a.Bad = a.RPCs+p.during.RPCs, a.Bad+p.during.Bad
+		a.RPCs, a.Failed = a.RPCs+p.during.RPCs, a.Failed+p.during.Failed
 	}
 	for _, p := range rest {
-		b.RPCs, b.Bad = b.RPCs+p.during.RPCs, b.Bad+p.during.Bad
+		b.RPCs, b.Failed = b.RPCs+p.during.RPCs, b.Failed+p.during.Failed
 	}
 	n, m := float64(a.RPCs), float64(b.RPCs)
-	p := float64(a.Bad+b.Bad) / (n + m)
-	return (float64(a.Bad)/n-float64(b.Bad)/m)/math.Sqrt(p*(1-p)*(1/n+1/m)) > 2.33
+	p := float64(a.Failed+b.Failed) / (n + m)
+	return (float64(a.Failed)/n-float64(b.Failed)/m)/math.Sqrt(p*(1-p)*(1/n+1/m)) > 2.33
 }
 
 // Guards against canaries that are taken for ill since they are at busy places, and ill ones that are taken for well.
-func TestCanariesAreJudgedByWhatDriversDifferIn(t *testing.T) {
+func TestCanaryComparisonAllowsForDriverDifferences(t *testing.T) {
 	c := &crowd{rng: rand.New(rand.NewSource(1)), rpcs: 400, differ: 0.8, moves: 0.3, badly: 0.02, history: true}
 	require.Less(t, c.alarms(1000, 1, 8, byTest), 0.04, "a sound version")
 	require.Greater(t, c.alarms(300, 1, 8, byConstant), 0.1, "a constant knows nothing of what drivers differ in")
@@ -118,16 +118,16 @@
 	require.Greater(t, c.alarms(300, 2, 7, byTest), 0.85, "a fifth more end badly")
 	c.worse, c.slower = 0, 2
 	require.Greater(t, c.alarms(300, 2, 7, byTest), 0.8, "twice as long")
-	_, judged := Worse([]pair{{}}, []pair{{}, {}, {}, {}}, usualBears, 0.01)
+	_, judged := CompareCanaries([]pair{{}}, []pair{{}, {}, {}, {}}, usualBears, 0.01)
 	require.False(t, judged)
 	c.rpcs = 100
 	_, rest := c.trial(1, 2)
-	_, judged = Worse(rest[:1], rest, usualBears, 0.01)
+	_, judged = CompareCanaries(rest[:1], rest, usualBears, 0.01)
 	require.False(t, judged, "two others don't tell what is usual")
 }
 
 // Guards against a trial that is over before it was looked at, one that never is, and one that lets a bad version through.
-func TestATrialIsWatched(t *testing.T) {
+func TestCanaryTrialPassesOrRollsBack(t *testing.T) {
 	for _, bad := range []uint64{1, 60} {
 		f := newFleet(t, 9)
 		f.now = 1
@@ -135,12 +135,12 @@
 		fares := func(more uint64) {
 			for i, s := range f.signs {
 				v := f.l.Versions("x")
-				n, ends := Origin, uint64(1)
-				if len(v) > 0 && v[0].Stage == Trying && v[0].Tried[0] == s {
+				n, ends := InitialVersion, uint64(1)
+				if len(v) > 0 && v[0].Stage == StageCanary && v[0].Canaries[0] == s {
 					n, ends = v[0].Number, bad
 				}
 				for k := range more {
-					f.holders[s.Name].Fared("x", n, k >= ends+uint64(i)%2, k < ends+uint64(i)%2, 1000+int64(k))
+					f.holders[s.Name].RecordOutcome("x", n, k >= ends+uint64(i)%2, k < ends+uint64(i)%2, 1000+int64(k))
 				}
 			}
 		}
@@ -149,23 +149,23 @@
 			f.holders[s.Name].End("x", n)
 		}
 		fares(100)
-		f.must(f.l.Propose(f.now, "x", "d", "text", "", Plan{Canaries: 0.1, Trial: 400, Tell: 100, Adopt: 100, Close: 100}))
+		f.must(f.l.Propose(f.now, "x", "d", "text", "", Plan{CanaryFraction: 0.1, TrialTime: 400, AnnounceTimeout: 100, AdoptTimeout: 100, DrainTimeout: 100}))
 		f.rounds()
-		require.Equal(t, Trying, f.l.Versions("x")[0].Stage)
-		for f.now < 1000 && f.l.Versions("x")[0].Stage == Trying {
+		require.Equal(t, StageCanary, f.l.Versions("x")[0].Stage)
+		for f.now < 1000 && f.l.Versions("x")[0].Stage == StageCanary {
 			f.now += 50
 			fares(100)
 			f.rounds()
 		}
 		v := f.l.Versions("x")[0]
 		if bad > 1 {
-			require.Equal(t, Withdrawn, v.Stage)
-			require.Contains(t, v.Why, "RPCs end badly for each that does not than at the others")
+			require.Equal(t, StageRolledBack, v.Stage)
+			require.Contains(t, v.Reason, "RPCs end badly for each that does not than at the others")
 			require.Less(t, f.now, int64(400), "before the trial is over")
 			continue
 		}
-		require.Equal(t, Closed, v.Stage, v.Why)
-		require.Contains(t, v.Judged, "its canaries fare no worse: 1 canaries, 8 others")
+		require.Equal(t, StageCompleted, v.Stage, v.Reason)
+		require.Contains(t, v.TrialResult, "its canaries fare no worse: 1 canaries, 8 others")
 		require.GreaterOrEqual(t, f.now, int64(400))
 	}
 }
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// Thing is what has versions: a part of the operator's file, a book, limits, a program.
-type Thing string
+// Resource is what has versions: a part of the operator's file, a book, limits, a program.
+type Resource string
 
 // Number is a version's within its thing, by the council's order. 0 is none.
 type Number uint64
 
-// Origin is what each driver acts on that was told of no version: what it started with.
-const Origin Number = 1
+// InitialVersion is what each driver acts on that was told of no version: what it started with.
+const InitialVersion Number = 1
 
 // Epoch numbers the records of all things. A driver never follows an older one than it knows.
 type Epoch uint64
@@ -42,15 +42,15 @@
 type Stage int
 
 const (
-	Unknown Stage = iota
-	Told
-	Trying
-	Stopping
-	Opening
-	Closing
-	Closed
-	Withdrawing
-	Withdrawn
+	StageUnknown Stage = iota
+	StageAnnounced
+	StageCanary
+	StageStopping
+	StageActivating
+	StageDraining
+	StageCompleted
+	StageRollingBack
+	StageRolledBack
 )
 
 var stageNames = [...]string{"unknown", "told", "trying", "stopping", "opening", "closing", "closed", "withdrawing", "withdrawn"}
@@ -64,59 +64,59 @@
 
 // before lists, for each stage, those that it may follow.
 var before = map[Stage][]Stage{
-	Told:        {Unknown},
-	Trying:      {Told},
-	Stopping:    {Told},
-	Opening:     {Told, Trying, Stopping},
-	Closing:     {Opening},
-	Closed:      {Closing},
-	Withdrawing: {Told, Trying, Stopping, Opening},
-	Withdrawn:   {Withdrawing},
+	StageAnnounced:   {StageUnknown},
+	StageCanary:      {StageAnnounced},
+	StageStopping:    {StageAnnounced},
+	StageActivating:  {StageAnnounced, StageCanary, StageStopping},
+	StageDraining:    {StageActivating},
+	StageCompleted:   {StageDraining},
+	StageRollingBack: {StageAnnounced, StageCanary, StageStopping, StageActivating},
+	StageRolledBack:  {StageRollingBack},
 }
 
 // over tells whether nothing more happens to a version.
-func (s Stage) over() bool { return s == Closed || s == Withdrawn }
+func (s Stage) over() bool { return s == StageCompleted || s == StageRolledBack }
 
 // Plan is how a version is to come. Times are nanoseconds.
 type Plan struct {
-	Exclusive bool    `json:"exclusive,omitempty"` // no two drivers may act on different versions at one time
-	Canaries  float64 `json:"canaries,omitempty"`  // the part of the drivers that tries it first, 0 for none
-	Trial     int64   `json:"trial,omitempty"`     // for so long
-	Alarm     float64 `json:"alarm,omitempty"`     // the chance of withdrawing a sound version for how its canaries fare; 0 for 0.01
-	Bears     float64 `json:"bears,omitempty"`     // so many times as bad at its canaries is borne; 0 for 1.25
-	Tell      int64   `json:"tell"`                // in which all must hold it
-	Adopt     int64   `json:"adopt"`               // in which all must act on it, or on nothing, or on the older again
-	Close     int64   `json:"close"`               // in which what is in flight must have ended
+	Exclusive       bool    `json:"exclusive,omitempty"` // no two drivers may act on different versions at one time
+	CanaryFraction  float64 `json:"canaries,omitempty"`  // the part of the drivers that tries it first, 0 for none
+	TrialTime       int64   `json:"trial,omitempty"`     // for so long
+	FalseAlarmRate  float64 `json:"alarm,omitempty"`     // the chance of withdrawing a sound version for how its canaries fare; 0 for 0.01
+	ToleratedRatio  float64 `json:"bears,omitempty"`     // so many times as bad at its canaries is borne; 0 for 1.25
+	AnnounceTimeout int64   `json:"tell"`                // in which all must hold it
+	AdoptTimeout    int64   `json:"adopt"`               // in which all must act on it, or on nothing, or on the older again
+	DrainTimeout    int64   `json:"close"`               // in which what is in flight must have ended
 }
 
 // Version is one version of a thing.
 type Version struct {
-	Thing  Thing  `json:"thing"`
-	Number Number `json:"number"`
-	Base   Number `json:"base"` // the one that is acted on until it opens
-	Digest string `json:"digest"`
-	Text   string `json:"text,omitempty"` // none once it can't be needed any more
-	Plan   Plan   `json:"plan"`
-	Stage  Stage  `json:"stage"`
-	Epoch  Epoch  `json:"epoch"` // of the last record
-	Why    string `json:"why,omitempty"`
-	When   int64  `json:"when"`             // of the last record, by its proposer's clock, for people
-	Basis  *Basis `json:"basis,omitempty"`  // of the last record
-	Closes int64  `json:"closes,omitempty"` // when it was closed, as When
-	Tried  []Sign `json:"tried,omitempty"`  // its canaries with their starts
-	Judged string `json:"judged,omitempty"` // how they fared
+	Resource    Resource   `json:"thing"`
+	Number      Number     `json:"number"`
+	Base        Number     `json:"base"` // the one that is acted on until it opens
+	Digest      string     `json:"digest"`
+	Text        string     `json:"text,omitempty"` // none once it can't be needed any more
+	Plan        Plan       `json:"plan"`
+	Stage       Stage      `json:"stage"`
+	Epoch       Epoch      `json:"epoch"` // of the last record
+	Reason      string     `json:"why,omitempty"`
+	UpdatedAt   int64      `json:"when"`             // of the last record, by its proposer's clock, for people
+	Evidence    *Evidence  `json:"basis,omitempty"`  // of the last record
+	CompletedAt int64      `json:"closes,omitempty"` // when it was closed, as When
+	Canaries    []Instance `json:"tried,omitempty"`  // its canaries with their starts
+	TrialResult string     `json:"judged,omitempty"` // how they fared
 }
 
-// Sign is a driver's start.
-type Sign struct {
+// Instance is a driver's start.
+type Instance struct {
 	Name  string `json:"name"`
 	Start uint64 `json:"start"`
 }
 
-// Basis is what a step rests on.
-type Basis struct {
-	Said   []Sign `json:"said"`   // drivers that said so
-	Waited []Sign `json:"waited"` // those whose leases had run out
+// Evidence is what a step rests on.
+type Evidence struct {
+	Confirmed []Instance `json:"said"`   // drivers that said so
+	Expired   []Instance `json:"waited"` // those whose leases had run out
 }
 
 // Record is what the council agrees on: a version as it is from here on.
@@ -124,47 +124,47 @@
 	Version Version `json:"version"`
 }
 
-// Sighting is what a driver says of one thing.
-type Sighting struct {
-	Thing  Thing    `json:"thing"`
-	Epoch  Epoch    `json:"epoch"` // of the order that it follows
-	Holds  Number   `json:"holds"` // the newest whose text it has
-	Acts   Number   `json:"acts"`  // 0 for nothing
-	Flight []Number `json:"flight,omitempty"`
-	Ill    string   `json:"ill,omitempty"` // why it can't act on what it was told to
-	Fares  []Fare   `json:"fares,omitempty"`
-	Digest string   `json:"digest,omitempty"` // of what it acts on, of things that the council does not decide
+// Report is what a driver says of one thing.
+type Report struct {
+	Resource Resource   `json:"thing"`
+	Epoch    Epoch      `json:"epoch"` // of the order that it follows
+	Stored   Number     `json:"holds"` // the newest whose text it has
+	Active   Number     `json:"acts"`  // 0 for nothing
+	InFlight []Number   `json:"flight,omitempty"`
+	Failure  string     `json:"ill,omitempty"` // why it can't act on what it was told to
+	Stats    []RPCStats `json:"fares,omitempty"`
+	Digest   string     `json:"digest,omitempty"` // of what it acts on, of things that the council does not decide
 }
 
-// Order is what a driver is told of one thing.
-type Order struct {
-	Thing  Thing    `json:"thing"`
-	Epoch  Epoch    `json:"epoch"`
-	Act    Number   `json:"act"`              // on this, 0 for nothing
-	Keep   Number   `json:"keep,omitempty"`   // what acts on this may until it acts on that; 0 for nothing may
-	Valid  []Number `json:"valid,omitempty"`  // that some driver may act on
-	Hold   Number   `json:"hold"`             // have the text of this one ready
-	Text   string   `json:"text,omitempty"`   // of Hold, if the driver does not say that it has it
-	Before string   `json:"before,omitempty"` // text of Act, likewise
-	Digest string   `json:"digest,omitempty"` // of Hold
+// Assignment is what a driver is told of one thing.
+type Assignment struct {
+	Resource   Resource `json:"thing"`
+	Epoch      Epoch    `json:"epoch"`
+	Active     Number   `json:"act"`              // on this, 0 for nothing
+	Allowed    Number   `json:"keep,omitempty"`   // what acts on this may until it acts on that; 0 for nothing may
+	Valid      []Number `json:"valid,omitempty"`  // that some driver may act on
+	Stored     Number   `json:"hold"`             // have the text of this one ready
+	Text       string   `json:"text,omitempty"`   // of Hold, if the driver does not say that it has it
+	ActiveText string   `json:"before,omitempty"` // text of Act, likewise
+	Digest     string   `json:"digest,omitempty"` // of Hold
 }
 
-// Present is a driver as the roster knows it.
-type Present struct {
-	Sign
-	May    bool // it may act, as far as is known
-	Votes  bool // in the council
-	Silent bool // most of its fellows do not hear it
+// DriverStatus is a driver as the roster knows it.
+type DriverStatus struct {
+	Instance
+	MayAct        bool // it may act, as far as is known
+	IsVoter       bool // in the council
+	IsUnreachable bool // most of its fellows do not hear it
 }
 
-// Ledger is all things with their versions.
-type Ledger struct {
-	lines  map[Thing]*line
+// Controller is all things with their versions.
+type Controller struct {
+	lines  map[Resource]*line
 	newest Epoch
 
 	// What only whoever acts for the council knows, and a successor finds out anew.
 	said  map[string]*saying
-	since map[Thing]since
+	since map[Resource]since
 	lags  map[lagKey]lag
 }
 
@@ -176,7 +176,7 @@
 // saying is what a driver said last.
 type saying struct {
 	start     uint64
-	sightings map[Thing]Sighting
+	sightings map[Resource]Report
 }
 
 // since is when something began, by the own clock.
@@ -192,16 +192,18 @@
 	mostText     = 1 << 20
 )
 
-// NewLedger makes an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{lines: map[Thing]*line{}, said: map[string]*saying{}, since: map[Thing]since{}}
+// NewController makes an empty ledger.
+func NewController() *Controller {
+	return &Controller{lines: map[Resource]*line{}, said: map[string]*saying{}, since: map[Resource]since{}}
 }
 
-// TakeOver says that this ledger begins to be acted by: what drivers told another has to be heard again.
-func (l *Ledger) TakeOver() { l.said, l.since, l.lags = map[string]*saying{}, map[Thing]since{}, nil }
+// StartLeading says that this ledger begins to be acted by: what drivers told another has to be heard again.
+func (l *Controller) StartLeading() {
+	l.said, l.since, l.lags = map[string]*saying{}, map[Resource]since{}, nil
+}
 
-// Newest is the epoch of the last record.
-func (l *Ledger) Newest() Epoch { return l.newest }
+// LatestEpoch is the epoch of the last record.
+func (l *Controller) LatestEpoch() Epoch { return l.newest }
 
 // last is a thing's newest version, nil for none.
 func (n *line) last() *Version {
@@ -220,9 +222,9 @@
 	return nil
 }
 
-// Things are those that have versions, in order.
-func (l *Ledger) Things() []Thing {
-	things := make([]Thing, 0, len(l.lines))
+// Resources are those that have versions, in order.
+func (l *Controller) Resources() []Resource {
+	things := make([]Resource, 0, len(l.lines))
 	for t := range l.lines {
 		things = append(things, t)
 	}
@@ -231,7 +233,7 @@
 }
 
 // Versions are those remembered of a thing, the oldest first.
-func (l *Ledger) Versions(t Thing) (all []Version) {
+func (l *Controller) Versions(t Resource) (all []Version) {
 	if n := l.lines[t]; n != nil {
 		for _, v := range n.versions {
 			all = append(all, *v)
@@ -241,91 +243,91 @@
 }
 
 // Propose proposes a new version of a thing.
-func (l *Ledger) Propose(now int64, t Thing, digest, text, why string, p Plan) ([]Record, error) {
-	last, number, base := l.lines[t].last(), Origin+1, Origin
+func (l *Controller) Propose(now int64, t Resource, digest, text, why string, p Plan) ([]Record, error) {
+	last, number, base := l.lines[t].last(), InitialVersion+1, InitialVersion
 	switch {
 	case t == "" || digest == "" || text == "":
 		return nil, fmt.Errorf("a version needs a thing, a digest and a text")
 	case len(text) > mostText:
 		return nil, fmt.Errorf("%d bytes are more than %d", len(text), mostText)
-	case p.Tell <= 0 || p.Adopt <= 0 || p.Close <= 0 || p.Trial < 0:
+	case p.AnnounceTimeout <= 0 || p.AdoptTimeout <= 0 || p.DrainTimeout <= 0 || p.TrialTime < 0:
 		return nil, fmt.Errorf("a plan needs a time for each of its steps")
-	case !(p.Alarm >= 0 && p.Alarm < 1):
-		return nil, fmt.Errorf("%v is no chance of a false alarm", p.Alarm)
-	case p.Bears != 0 && !(p.Bears >= 1):
-		return nil, fmt.Errorf("%v times as bad is no worse", p.Bears)
-	case p.Exclusive && p.Canaries > 0:
+	case !(p.FalseAlarmRate >= 0 && p.FalseAlarmRate < 1):
+		return nil, fmt.Errorf("%v is no chance of a false alarm", p.FalseAlarmRate)
+	case p.ToleratedRatio != 0 && !(p.ToleratedRatio >= 1):
+		return nil, fmt.Errorf("%v times as bad is no worse", p.ToleratedRatio)
+	case p.Exclusive && p.CanaryFraction > 0:
 		return nil, fmt.Errorf("what must not overlap can't be tried by some first")
-	case !(p.Canaries >= 0 && p.Canaries <= 1):
-		return nil, fmt.Errorf("a part of %v can't try it", p.Canaries)
+	case !(p.CanaryFraction >= 0 && p.CanaryFraction <= 1):
+		return nil, fmt.Errorf("a part of %v can't try it", p.CanaryFraction)
 	case last != nil && !last.Stage.over():
 		return nil, fmt.Errorf("version %d of %s is under way: %v since epoch %d", last.Number, t, last.Stage, last.Epoch)
 	}
 	if last != nil {
 		number, base = last.Number+1, l.lines[t].acted
 	}
-	return []Record{{Version{Thing: t, Number: number, Base: base, Digest: digest, Text: text, Plan: p, Stage: Told,
-		Epoch: l.newest + 1, Why: why, When: now}}}, nil
+	return []Record{{Version{Resource: t, Number: number, Base: base, Digest: digest, Text: text, Plan: p, Stage: StageAnnounced,
+		Epoch: l.newest + 1, Reason: why, UpdatedAt: now}}}, nil
 }
 
-// CallOff proposes to go back to the older version.
-func (l *Ledger) CallOff(now int64, t Thing, why string) ([]Record, error) {
+// RollBack proposes to go back to the older version.
+func (l *Controller) RollBack(now int64, t Resource, why string) ([]Record, error) {
 	v := l.lines[t].last()
 	switch {
 	case v == nil || v.Stage.over():
 		return nil, fmt.Errorf("no version of %s is under way", t)
-	case !slices.Contains(before[Withdrawing], v.Stage) || v.Stage == Opening && v.Plan.Exclusive:
+	case !slices.Contains(before[StageRollingBack], v.Stage) || v.Stage == StageActivating && v.Plan.Exclusive:
 		return nil, fmt.Errorf("version %d of %s is %v: only another version undoes it", v.Number, t, v.Stage)
 	}
-	return []Record{l.next(now, v, Withdrawing, why, nil)}, nil
+	return []Record{l.next(now, v, StageRollingBack, why, nil)}, nil
 }
 
 // next is a version's next step.
-func (l *Ledger) next(now int64, v *Version, s Stage, why string, b *Basis) Record {
+func (l *Controller) next(now int64, v *Version, s Stage, why string, b *Evidence) Record {
 	n := *v
-	n.Stage, n.Epoch, n.When, n.Why, n.Basis = s, l.newest+1, now, why, b
-	if s == Closed {
-		n.Closes = now
+	n.Stage, n.Epoch, n.UpdatedAt, n.Reason, n.Evidence = s, l.newest+1, now, why, b
+	if s == StageCompleted {
+		n.CompletedAt = now
 	}
 	return Record{n}
 }
 
 // Apply takes in a record that has been written down. One that does not follow from those before counts for nobody, and is
 // an error.
-func (l *Ledger) Apply(k Record) error {
+func (l *Controller) Apply(k Record) error {
 	v := k.Version
-	n := l.lines[v.Thing]
-	have := Unknown
-	if n == nil && v.Number != Origin+1 {
-		return fmt.Errorf("version %d of %s does not follow %d", v.Number, v.Thing, Origin)
+	n := l.lines[v.Resource]
+	have := StageUnknown
+	if n == nil && v.Number != InitialVersion+1 {
+		return fmt.Errorf("version %d of %s does not follow %d", v.Number, v.Resource, InitialVersion)
 	}
 	if n != nil {
 		if last := n.last(); last != nil && last.Number == v.Number {
 			have = last.Stage
 		} else if last != nil && (last.Number+1 != v.Number || !last.Stage.over()) {
-			return fmt.Errorf("version %d of %s does not follow %d, %v", v.Number, v.Thing, last.Number, last.Stage)
+			return fmt.Errorf("version %d of %s does not follow %d, %v", v.Number, v.Resource, last.Number, last.Stage)
 		}
 	}
 	if !slices.Contains(before[v.Stage], have) || v.Epoch <= l.newest {
-		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Thing, v.Epoch, v.Stage, have,
+		return fmt.Errorf("version %d of %s, epoch %d: %v does not follow %v at epoch %d", v.Number, v.Resource, v.Epoch, v.Stage, have,
 			l.newest)
 	}
 	l.take(v)
 	return nil
 }
 
-func (l *Ledger) take(v Version) {
-	n := l.lines[v.Thing]
+func (l *Controller) take(v Version) {
+	n := l.lines[v.Resource]
 	if n == nil {
-		n = &line{acted: Origin}
-		l.lines[v.Thing] = n
+		n = &line{acted: InitialVersion}
+		l.lines[v.Resource] = n
 	}
 	if at := n.find(v.Number); at != nil {
 		*at = v
 	} else {
 		n.versions = append(n.versions, &v)
 	}
-	if v.Stage == Closed {
+	if v.Stage == StageCompleted {
 		n.acted = v.Number
 	}
 	l.newest = max(l.newest, v.Epoch)
@@ -339,24 +341,24 @@
 	}
 }
 
-// Past is all that records have said, in short.
-type Past struct {
-	Versions []Version `json:"versions"`
-	Newest   Epoch     `json:"newest"`
+// Snapshot is all that records have said, in short.
+type Snapshot struct {
+	Versions    []Version `json:"versions"`
+	LatestEpoch Epoch     `json:"newest"`
 }
 
-// Past gives it for Restore.
-func (l *Ledger) Past() (p Past) {
-	for _, t := range l.Things() {
+// Snapshot gives it for Restore.
+func (l *Controller) Snapshot() (p Snapshot) {
+	for _, t := range l.Resources() {
 		p.Versions = append(p.Versions, l.Versions(t)...)
 	}
-	p.Newest = l.newest
+	p.LatestEpoch = l.newest
 	return p
 }
 
 // Restore takes a past over in place of what is known.
-func (l *Ledger) Restore(p Past) {
-	l.lines, l.newest = map[Thing]*line{}, p.Newest
+func (l *Controller) Restore(p Snapshot) {
+	l.lines, l.newest = map[Resource]*line{}, p.LatestEpoch
 	for _, v := range p.Versions {
 		l.take(v)
 	}
--- a/internal/versions/walk_test.go
+++ b/internal/versions/walk_test.go
@@ -15,7 +15,7 @@
 	rng     *rand.Rand
 	planted planted
 	now     int64
-	ledger  *Ledger
+	ledger  *Controller
 	records []Record
 	until   map[string]int64 // leases as the ledger's holder knows
 	drivers []*driver
@@ -38,8 +38,8 @@
 )
 
 type driver struct {
-	Sign
-	h      *Holder
+	Instance
+	h      *DriverState
 	rate   float64
 	flight []flight
 	mute   int64 // nothing that it says is heard until then
@@ -51,14 +51,14 @@
 }
 
 type ask struct {
-	who   Sign
+	who   Instance
 	at    int64 // own clock
-	seen  []Sighting
+	seen  []Report
 	ready int64
 }
 
 type grant struct {
-	who   Sign
+	who   Instance
 	at    int64
 	g     Grant
 	ready int64
@@ -67,14 +67,14 @@
 const (
 	lease  = 1000
 	margin = 60 // for clocks that differ by 0.02
-	thing  = Thing("x")
+	thing  = Resource("x")
 )
 
 func newWorld(seed int64, p planted) *world {
 	w := &world{rng: rand.New(rand.NewSource(seed)), planted: p, until: map[string]int64{}, dead: map[Number]bool{},
-		visits: map[string]bool{}, ledger: NewLedger()}
+		visits: map[string]bool{}, ledger: NewController()}
 	for i := range 4 {
-		d := &driver{Sign: Sign{fmt.Sprint("d", i), 0}, rate: 1 + 0.02*(2*w.rng.Float64()-1)}
+		d := &driver{Instance: Instance{fmt.Sprint("d", i), 0}, rate: 1 + 0.02*(2*w.rng.Float64()-1)}
 		w.drivers = append(w.drivers, d)
 		w.begin(d)
 	}
@@ -85,12 +85,12 @@
 
 func (w *world) begin(d *driver) {
 	d.Start++
-	d.h, d.flight = NewHolder(), nil
+	d.h, d.flight = NewDriverState(), nil
 }
 
-func (w *world) present() (all []Present) {
+func (w *world) present() (all []DriverStatus) {
 	for _, d := range w.drivers {
-		all = append(all, Present{Sign: d.Sign, May: w.until[d.Name] >= w.now})
+		all = append(all, DriverStatus{Instance: d.Instance, MayAct: w.until[d.Name] >= w.now})
 	}
 	return all
 }
@@ -104,13 +104,13 @@
 		w.records = append(w.records, k)
 		v := k.Version
 		w.visits[v.Stage.String()] = true
-		if v.Stage == Closed {
+		if v.Stage == StageCompleted {
 			w.dead[v.Base] = true
 			for n := range v.Number {
 				w.dead[n] = true
 			}
 		}
-		if v.Stage == Withdrawn {
+		if v.Stage == StageRolledBack {
 			w.dead[v.Number] = true
 		}
 	}
@@ -123,7 +123,7 @@
 	case n < 250:
 		w.now += w.rng.Int63n(60)
 	case n < 400:
-		w.asked = append(w.asked, ask{d.Sign, d.clock(w.now), d.h.Sightings(), w.now + w.rng.Int63n(120)})
+		w.asked = append(w.asked, ask{d.Instance, d.clock(w.now), d.h.Reports(), w.now + w.rng.Int63n(120)})
 	case n < 560:
 		w.hear()
 	case n < 720:
@@ -135,28 +135,28 @@
 	case n < 960:
 		present := w.present()
 		if w.planted == noStraggler && w.rng.Intn(40) == 0 {
-			present[w.rng.Intn(len(present))].May = false
+			present[w.rng.Intn(len(present))].MayAct = false
 		}
 		w.write(w.ledger.Step(w.now, present))
 	case n < 968:
-		p := Plan{Exclusive: w.rng.Intn(2) == 0, Tell: 1, Adopt: 1, Close: 1, Trial: 50}
+		p := Plan{Exclusive: w.rng.Intn(2) == 0, AnnounceTimeout: 1, AdoptTimeout: 1, DrainTimeout: 1, TrialTime: 50}
 		if !p.Exclusive && w.rng.Intn(2) == 0 {
-			p.Canaries = 0.3
+			p.CanaryFraction = 0.3
 		}
 		if records, err := w.ledger.Propose(w.now, thing, "d", "text", "walk", p); err == nil {
 			w.write(records)
 		}
 	case n < 970:
-		if records, err := w.ledger.CallOff(w.now, thing, "walk"); err == nil {
+		if records, err := w.ledger.RollBack(w.now, thing, "walk"); err == nil {
 			w.write(records)
 		}
 	case n < 974:
 		w.begin(d)
 	case n < 978:
-		past := w.ledger.Past()
-		w.ledger = NewLedger()
+		past := w.ledger.Snapshot()
+		w.ledger = NewController()
 		w.ledger.Restore(past)
-		w.ledger.TakeOver()
+		w.ledger.StartLeading()
 		for _, d := range w.drivers {
 			w.until[d.Name] = w.now + lease + margin
 		}
@@ -177,12 +177,12 @@
 		w.asked = slices.Delete(w.asked, at, at+1)
 	}
 	d := w.drivers[slices.IndexFunc(w.drivers, func(d *driver) bool { return d.Name == a.who.Name })]
-	if a.who != d.Sign || w.now < d.mute || w.rng.Intn(12) == 0 {
+	if a.who != d.Instance || w.now < d.mute || w.rng.Intn(12) == 0 {
 		return // the roster lets nobody ask who was followed by a later start
 	}
 	w.until[a.who.Name] = w.now + lease + margin
-	w.ledger.Say(a.who, a.seen)
-	w.grants = append(w.grants, grant{a.who, a.at, Grant{Lease: lease, Orders: w.ledger.Orders(a.who)}, w.now})
+	w.ledger.RecordReports(a.who, a.seen)
+	w.grants = append(w.grants, grant{a.who, a.at, Grant{Lease: lease, Assignments: w.ledger.Assignments(a.who)}, w.now})
 }
 
 // tell lets a grant arrive.
@@ -196,7 +196,7 @@
 		w.grants = slices.Delete(w.grants, at, at+1)
 	}
 	d := w.drivers[slices.IndexFunc(w.drivers, func(d *driver) bool { return d.Name == g.who.Name })]
-	if g.who != d.Sign {
+	if g.who != d.Instance {
 		return
 	}
 	if w.planted == oldOrders {
@@ -207,11 +207,11 @@
 	if w.planted == longLease {
 		g.g.Lease += lease / 10
 	}
-	for _, a := range d.h.Granted(g.at, g.g) {
+	for _, a := range d.h.ApplyGrant(g.at, g.g) {
 		if w.rng.Intn(10) == 0 {
-			d.h.Fails(a, "can't")
+			d.h.MarkFailed(a, "can't")
 		} else {
-			d.h.Adopted(a)
+			d.h.MarkAdopted(a)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 			d.h.End(thing, n)
 		}
 		for _, f := range d.flight {
-			if d.h.May(clock, thing, f.number) || w.planted == actsOn && clock < d.h.Lease() {
+			if d.h.MayContinue(clock, thing, f.number) || w.planted == actsOn && clock < d.h.LeaseExpiry() {
 				acts[f.number] = append(acts[f.number], d.Name)
 			}
 		}
