--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -12,8 +12,8 @@
 	"sedgespread/internal/store"
 )
 
-// Account is a ledger at work. It may be used by many at once.
-type Account struct {
+// JournaledLedger is a ledger at work. It may be used by many at once.
+type JournaledLedger struct {
 	journal *store.Journal
 	commit  *store.BatchWriter
 	begun   time.Time
@@ -26,8 +26,8 @@
 
 // Open takes up what a journal holds, for so many RPCs of which one caller may have so many. A journal that holds nothing
 // may be one that was lost: until the longest deadline from now has passed repeats can't be told from first tries.
-func Open(j *store.Journal, most, quota int, longest time.Duration) (*Account, error) {
-	a := &Account{journal: j, commit: store.NewBatchWriter(j, together), begun: time.Now()}
+func Open(j *store.Journal, most, quota int, longest time.Duration) (*JournaledLedger, error) {
+	a := &JournaledLedger{journal: j, commit: store.NewBatchWriter(j, together), begun: time.Now()}
 	records, err := store.ReadAll[ledger.Record](j)
 	if err != nil {
 		return nil, err
@@ -40,18 +40,18 @@
 	return a, nil
 }
 
-func (a *Account) now() int64 { return a.begun.UnixNano() + int64(time.Since(a.begun)) }
+func (a *JournaledLedger) now() int64 { return a.begun.UnixNano() + int64(time.Since(a.begun)) }
 
 // Join makes a caller known, or tells that it has started anew.
-func (a *Account) Join(name string, epoch uint64) (ledger.Caller, bool) {
+func (a *JournaledLedger) Join(name string, epoch uint64) (ledger.Caller, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.l.Join(name, epoch)
 }
 
-// Ask decides on an RPC. Once it returns a grant the record that the grant needs is on the disk; where that can't be
+// Request decides on an RPC. Once it returns a grant the record that the grant needs is on the disk; where that can't be
 // written the RPC is pushed back, since nobody has the grant, and the error says why.
-func (a *Account) Ask(asked ledger.Request) (ledger.Decision, error) {
+func (a *JournaledLedger) Request(asked ledger.Request) (ledger.Decision, error) {
 	d, record, needed := a.decide(asked)
 	if !needed {
 		return d, nil
@@ -67,7 +67,7 @@
 }
 
 // decide decides, and counts a grant as out from here on: a repeat that comes while its record is written finds it so.
-func (a *Account) decide(asked ledger.Request) (d ledger.Decision, r ledger.Record, needed bool) {
+func (a *JournaledLedger) decide(asked ledger.Request) (d ledger.Decision, r ledger.Record, needed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
@@ -82,7 +82,7 @@
 
 // Report takes what came of a grant, and tells whether it counts. Its record may be lost in a crash: the grant may then
 // have run for all that is known.
-func (a *Account) Report(c ledger.Caller, epoch uint64, g ledger.Grant, f ledger.Outcome) (bool, error) {
+func (a *JournaledLedger) Report(c ledger.Caller, epoch uint64, g ledger.Grant, f ledger.Outcome) (bool, error) {
 	a.mu.Lock()
 	counts := a.l.Report(c, epoch, g, f)
 	now := a.now()
@@ -93,7 +93,7 @@
 	return true, a.write(ledger.Record{Grant: g, Outcome: f, At: now})
 }
 
-func (a *Account) write(r ledger.Record) error {
+func (a *JournaledLedger) write(r ledger.Record) error {
 	text, err := json.Marshal(r)
 	if err == nil {
 		err = a.commit.Append(text)
@@ -105,7 +105,7 @@
 }
 
 // Counts are of what came and what became of it.
-func (a *Account) Counts() ledger.Counts {
+func (a *JournaledLedger) Counts() ledger.Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.l.Counts()
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -14,7 +14,7 @@
 	"sedgespread/rules"
 )
 
-func opened(t *testing.T, path string) (*Account, *store.Journal) {
+func opened(t *testing.T, path string) (*JournaledLedger, *store.Journal) {
 	j, err := store.Open(path)
 	require.NoError(t, err)
 	a, err := Open(j, 1000, 1000, time.Minute)
@@ -27,7 +27,7 @@
 }
 
 // Guards against two grants for one write: to many who ask at once, and over a crash.
-func TestOneGrantForAWrite(t *testing.T) {
+func TestSingleGrantPerWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	a, j := opened(t, path)
 	a.Join("proxy", 1)
@@ -39,7 +39,7 @@
 		go func() {
 			defer all.Done()
 			id := fmt.Sprint(i % 60)
-			d, err := a.Ask(write(id))
+			d, err := a.Request(write(id))
 			if err == nil && d.Action == ledger.ActionGrant {
 				mu.Lock()
 				defer mu.Unlock()
@@ -66,7 +66,7 @@
 	for id := range given {
 		again := write(id)
 		again.Caller, again.IsRetry = c, true
-		d, err := a.Ask(again)
+		d, err := a.Request(again)
 		require.NoError(t, err)
 		want := ledger.ActionAbort
 		if id == "7" {
@@ -77,34 +77,34 @@
 }
 
 // Guards against a grant without its record: where the disk fails the RPC is pushed back, and can be granted later.
-func TestNoGrantWithoutItsRecord(t *testing.T) {
+func TestNoGrantWithoutRecord(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	a, j := opened(t, path)
 	a.Join("proxy", 1)
 	require.NoError(t, j.Close())
 	for range 3 {
-		d, err := a.Ask(write("1"))
+		d, err := a.Request(write("1"))
 		require.ErrorContains(t, err, "the journal")
 		require.Equal(t, ledger.Decision{Action: ledger.ActionReject, Reason: ledger.ReasonJournalFailed}, d)
 	}
 	read := write("2")
 	read.Effect = rules.Idempotent
-	d, err := a.Ask(read)
+	d, err := a.Request(read)
 	require.NoError(t, err)
 	require.Equal(t, ledger.ActionGrant, d.Action, "it needs no record")
 }
 
 // Guards against a journal that was lost: repeats may be of what ran.
-func TestALostJournalIsWaitedOut(t *testing.T) {
+func TestLostJournalBlocksRetries(t *testing.T) {
 	a, j := opened(t, filepath.Join(t.TempDir(), "journal"))
 	defer j.Close()
 	a.Join("proxy", 1)
 	again := write("1")
 	again.IsRetry = true
-	d, err := a.Ask(again)
+	d, err := a.Request(again)
 	require.NoError(t, err)
 	require.Equal(t, ledger.ReasonRecordsLost, d.Reason)
-	d, err = a.Ask(write("2"))
+	d, err = a.Request(write("2"))
 	require.NoError(t, err)
 	require.Equal(t, ledger.ActionGrant, d.Action)
 }
--- a/internal/briefing/news.go
+++ b/internal/briefing/news.go
@@ -7,9 +7,9 @@
 	"sedgespread/rules"
 )
 
-// Message is what the fellow drivers are sent for the module's news, at a time. They know a member by its key, and
+// EncodeObservations is what the fellow drivers are sent for the module's news, at a time. They know a member by its key, and
 // positions count from epoch.
-func Message(news []rules.PeerReport, key func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
+func EncodeObservations(news []rules.PeerReport, key func(rules.MemberID) uint32, epoch, now int64) (message []byte) {
 	for _, n := range news {
 		message = protocol.AppendObservation(message, protocol.Observation{Member: key(n.Member), Role: uint8(n.Role),
 			PositionMillis: millis(n.Position - epoch), LatencyMillis: millis(n.Latency), Failed: n.Failed,
@@ -18,9 +18,9 @@
 	return message
 }
 
-// News reads what a fellow driver sent, heard at a time, and tells whether it is a driver's. What it says of members
+// DecodeObservations reads what a fellow driver sent, heard at a time, and tells whether it is a driver's. What it says of members
 // that are not known here is left out.
-func News(message []byte, member func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (news []rules.PeerReport, ok bool) {
+func DecodeObservations(message []byte, member func(key uint32) (id rules.MemberID, known bool), epoch, now int64) (news []rules.PeerReport, ok bool) {
 	told, ok := protocol.ParseObservations(message, millis(now-epoch))
 	for _, n := range told {
 		if id, known := member(n.Member); known {
--- a/internal/briefing/object.go
+++ b/internal/briefing/object.go
@@ -9,19 +9,19 @@
 
 // Flatten makes parts of a JSON object as the simulator does: nested names are joined by dots, lists of plain
 // values by commas, and a list of objects has its length under .count and its items under .0, .1 and onward.
-func Flatten(name string, object map[string]any) *Parts {
-	p := &Parts{Name: name}
+func Flatten(name string, object map[string]any) *Fields {
+	p := &Fields{Name: name}
 	p.flatten("", object)
 	return p
 }
 
-func (p *Parts) flatten(path string, object map[string]any) {
+func (p *Fields) flatten(path string, object map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(object)) {
 		p.add(path+name, object[name])
 	}
 }
 
-func (p *Parts) add(path string, value any) {
+func (p *Fields) add(path string, value any) {
 	switch v := value.(type) {
 	case nil:
 	case map[string]any:
@@ -33,7 +33,7 @@
 	}
 }
 
-func (p *Parts) addList(path string, list []any) {
+func (p *Fields) addList(path string, list []any) {
 	var plain []string
 	for i, v := range list {
 		if object, ok := v.(map[string]any); ok {
--- a/internal/briefing/parts.go
+++ b/internal/briefing/parts.go
@@ -11,8 +11,8 @@
 
 const micro = int64(1000)
 
-// Parts are the name=value parts of one line. The first thing found wrong with them is kept in Err.
-type Parts struct {
+// Fields are the name=value parts of one line. The first thing found wrong with them is kept in Err.
+type Fields struct {
 	Name  string
 	Err   error
 	parts []part
@@ -21,7 +21,7 @@
 type part struct{ name, value string }
 
 // Parse reads a line, or a report's parts, into p, which is used again for each line.
-func (p *Parts) Parse(line, between, equals string) {
+func (p *Fields) Parse(line, between, equals string) {
 	p.Name, line, _ = strings.Cut(line, between)
 	p.parts, p.Err = p.parts[:0], nil
 	for more := line != ""; more; {
@@ -29,7 +29,7 @@
 		text, line, more = strings.Cut(line, between)
 		name, value, ok := strings.Cut(text, equals)
 		if !ok || name == "" {
-			p.Wrong("part %q is not name%svalue", text, equals)
+			p.Fail("part %q is not name%svalue", text, equals)
 			continue
 		}
 		p.parts = append(p.parts, part{name, value})
@@ -37,10 +37,10 @@
 }
 
 // Equal tells whether two say the same.
-func Equal(a, b *Parts) bool { return slices.Equal(a.parts, b.parts) }
+func Equal(a, b *Fields) bool { return slices.Equal(a.parts, b.parts) }
 
 // Get finds a part; lines are short, so that a look along them beats a map.
-func (p *Parts) Get(name string) (string, bool) {
+func (p *Fields) Get(name string) (string, bool) {
 	for _, part := range p.parts {
 		if part.name == name {
 			return part.value, true
@@ -49,70 +49,70 @@
 	return "", false
 }
 
-// At gives a part, or nothing where it is absent.
-func (p *Parts) At(name string) string {
+// Value gives a part, or nothing where it is absent.
+func (p *Fields) Value(name string) string {
 	value, _ := p.Get(name)
 	return value
 }
 
-// Wrong notes what is wrong, unless something was before.
-func (p *Parts) Wrong(format string, args ...any) {
+// Fail notes what is wrong, unless something was before.
+func (p *Fields) Fail(format string, args ...any) {
 	if p.Err == nil {
 		p.Err = fmt.Errorf("%s: %s", p.Name, fmt.Sprintf(format, args...))
 	}
 }
 
-// Text gives a part that must be there.
-func (p *Parts) Text(name string) string {
+// RequiredString gives a part that must be there.
+func (p *Fields) RequiredString(name string) string {
 	value, ok := p.Get(name)
 	if !ok {
-		p.Wrong("%s is missing", name)
+		p.Fail("%s is missing", name)
 	}
 	return value
 }
 
-// Integer reads a whole number that must be there.
-func (p *Parts) Integer(name string) int64 {
-	return p.AsInteger(name, p.Text(name))
+// RequiredInteger reads a whole number that must be there.
+func (p *Fields) RequiredInteger(name string) int64 {
+	return p.ParseInteger(name, p.RequiredString(name))
 }
 
-func (p *Parts) AsInteger(name, value string) int64 {
+func (p *Fields) ParseInteger(name, value string) int64 {
 	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil && p.Err == nil {
-		p.Wrong("%s=%q is not a whole number", name, value)
+		p.Fail("%s=%q is not a whole number", name, value)
 	}
 	return n
 }
 
-func (p *Parts) ID(name string) uint32 {
-	n := p.Integer(name)
+func (p *Fields) RequiredID(name string) uint32 {
+	n := p.RequiredInteger(name)
 	if n < 0 || n > math.MaxUint32 {
-		p.Wrong("%s=%d is out of range", name, n)
+		p.Fail("%s=%d is out of range", name, n)
 	}
 	return uint32(n)
 }
 
-func (p *Parts) IntegerOr(name string, other int64) int64 {
+func (p *Fields) IntegerOr(name string, other int64) int64 {
 	if value, ok := p.Get(name); ok {
-		return p.AsInteger(name, value)
+		return p.ParseInteger(name, value)
 	}
 	return other
 }
 
-func (p *Parts) NumberOr(name string, other float64) float64 {
+func (p *Fields) NumberOr(name string, other float64) float64 {
 	value, ok := p.Get(name)
 	if !ok {
 		return other
 	}
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		p.Wrong("%s=%q is not a number", name, value)
+		p.Fail("%s=%q is not a number", name, value)
 		return other
 	}
 	return x
 }
 
-func (p *Parts) BoolOr(name string, other bool) bool {
+func (p *Fields) BoolOr(name string, other bool) bool {
 	switch value, ok := p.Get(name); {
 	case !ok:
 		return other
@@ -121,25 +121,25 @@
 	case value == "0" || value == "false":
 		return false
 	default:
-		p.Wrong("%s=%q is neither true nor false", name, value)
+		p.Fail("%s=%q is neither true nor false", name, value)
 		return other
 	}
 }
 
-// Time reads microseconds as nanoseconds, 0 when absent.
-func (p *Parts) Time(name string) int64 {
+// MicrosOrZero reads microseconds as nanoseconds, 0 when absent.
+func (p *Fields) MicrosOrZero(name string) int64 {
 	n := p.IntegerOr(name, 0)
 	if n > math.MaxInt64/micro || n < math.MinInt64/micro {
-		p.Wrong("%s=%d is out of range", name, n)
+		p.Fail("%s=%d is out of range", name, n)
 		return 0
 	}
 	return n * micro
 }
 
-// Seconds reads a decimal number of seconds as nanoseconds, exactly; what is finer is cut off. A float64 has not the digits for a Unix time.
-func (p *Parts) Seconds(name string) int64 {
+// RequiredSeconds reads a decimal number of seconds as nanoseconds, exactly; what is finer is cut off. A float64 has not the digits for a Unix time.
+func (p *Fields) RequiredSeconds(name string) int64 {
 	const digits = 9
-	text := p.Text(name)
+	text := p.RequiredString(name)
 	whole, fraction, _ := strings.Cut(text, ".")
 	fraction = fraction[:min(len(fraction), digits)]
 	n, err := strconv.ParseInt(whole+fraction+strings.Repeat("0", digits-len(fraction)), 10, 64)
@@ -149,18 +149,18 @@
 	return n
 }
 
-func (p *Parts) List(name string) []string {
-	if p.At(name) == "" {
+func (p *Fields) List(name string) []string {
+	if p.Value(name) == "" {
 		return nil
 	}
-	return strings.Split(p.At(name), ",")
+	return strings.Split(p.Value(name), ",")
 }
 
-// Choice reads one of the words of a table.
-func Choice[T any](p *Parts, name, value string, table map[string]T) T {
+// Lookup reads one of the words of a table.
+func Lookup[T any](p *Fields, name, value string, table map[string]T) T {
 	got, ok := table[value]
 	if !ok {
-		p.Wrong("%s=%q is not known", name, value)
+		p.Fail("%s=%q is not known", name, value)
 	}
 	return got
 }
--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -16,40 +16,40 @@
 	asks    = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-func (p *Parts) Methods() []rules.Method {
+func (p *Fields) Methods() []rules.Method {
 	read := p.List("extra.readLevel")
 	bounds := p.List("extra.maxAgeUs")
-	count := p.Integer("classes.count")
+	count := p.RequiredInteger("classes.count")
 	if count < 0 || count > 10_000 {
-		p.Wrong("classes.count=%d is out of range", count)
+		p.Fail("classes.count=%d is out of range", count)
 		return nil
 	}
 	methods := make([]rules.Method, count)
 	for i := range methods {
 		at := fmt.Sprintf("classes.%d.", i)
 		m := &methods[i]
-		m.Name = p.Text(at + "name")
-		m.Effect = Choice(p, at+"effect", p.Text(at+"effect"), effects)
-		m.DedupScope = Choice(p, at+"keyScope", p.At(at+"keyScope"), scopes)
-		m.DedupWindow = p.Time(at + "windowUs")
-		m.SoftDeadline = p.Integer(at+"aimUs") * micro
-		m.Deadline = p.Time(at + "giveUpUs")
+		m.Name = p.RequiredString(at + "name")
+		m.Effect = Lookup(p, at+"effect", p.RequiredString(at+"effect"), effects)
+		m.DedupScope = Lookup(p, at+"keyScope", p.Value(at+"keyScope"), scopes)
+		m.DedupWindow = p.MicrosOrZero(at + "windowUs")
+		m.SoftDeadline = p.RequiredInteger(at+"aimUs") * micro
+		m.Deadline = p.MicrosOrZero(at + "giveUpUs")
 		m.Utility = p.NumberOr(at+"worth", 1)
 		m.LateUtility = p.NumberOr(at+"lateWorth", 0)
 		if i < len(read) {
-			m.Consistency = Choice(p, "extra.readLevel", read[i], needs)
+			m.Consistency = Lookup(p, "extra.readLevel", read[i], needs)
 		}
 		if i < len(bounds) {
-			m.MaxStaleness = p.AsInteger("extra.maxAgeUs", bounds[i]) * micro
+			m.MaxStaleness = p.ParseInteger("extra.maxAgeUs", bounds[i]) * micro
 		}
 	}
 	return methods
 }
 
-func (p *Parts) Fleet() rules.Fleet {
+func (p *Fields) Fleet() rules.Fleet {
 	c := rules.Fleet{Drivers: int(p.IntegerOr("fleetSize", 1))}
 	if c.Drivers < 1 {
-		p.Wrong("fleetSize=%d is out of range", c.Drivers)
+		p.Fail("fleetSize=%d is out of range", c.Drivers)
 	}
 	if p.BoolOr("limits.peerMessages", false) {
 		c.ReportsPerMessage = protocol.ObservationsPerMessage
@@ -57,14 +57,14 @@
 	return c
 }
 
-func (p *Parts) Store() rules.Store {
+func (p *Fields) Store() rules.Store {
 	return rules.Store{
-		RejectsStaleReads:   Choice(p, "extra.guards", p.At("extra.guards"), guards),
-		CarriesSessionToken: p.At("extra.tokens") == "client",
+		RejectsStaleReads:   Lookup(p, "extra.guards", p.Value("extra.guards"), guards),
+		CarriesSessionToken: p.Value("extra.tokens") == "client",
 	}
 }
 
-func (p *Parts) Allowed() rules.Policy {
+func (p *Fields) Limits() rules.Policy {
 	a := rules.Policy{
 		MaxAttempts:  int(p.IntegerOr("limits.mostTries", 1)),
 		Hedging:      p.BoolOr("limits.mayDuplicate", false),
@@ -72,33 +72,33 @@
 		Probing:      p.BoolOr("limits.probing", false),
 	}
 	if p.BoolOr("limits.retryAfter", false) {
-		a.MaxRetryAfter = p.Time("limits.maxRetryAfterUs")
+		a.MaxRetryAfter = p.MicrosOrZero("limits.maxRetryAfterUs")
 	}
 	return a
 }
 
-func (p *Parts) SlowStart() rules.SlowStart {
+func (p *Fields) SlowStart() rules.SlowStart {
 	return rules.SlowStart{
 		InitialShare:   p.NumberOr("safety.startCapacity", 1),
-		WarmUpTime:     p.Time("safety.warmAfterUs"),
+		WarmUpTime:     p.MicrosOrZero("safety.warmAfterUs"),
 		OverloadFactor: p.NumberOr("safety.fallMultiple", 1),
 	}
 }
 
-func (p *Parts) Notice() rules.Discovery {
+func (p *Fields) Discovery() rules.Discovery {
 	return rules.Discovery{
-		OnRequest:      Choice(p, "discovery", p.At("discovery"), asks),
+		OnRequest:      Lookup(p, "discovery", p.Value("discovery"), asks),
 		OnlyDrainBinds: p.BoolOr("safety.softRemoval", false),
-		DrainGrace:     p.Time("safety.drainGraceUs"),
+		DrainGrace:     p.MicrosOrZero("safety.drainGraceUs"),
 	}
 }
 
 // Observation reads what a load report shows of its member. Positions count from epoch.
-func (p *Parts) Observation(epoch int64) (s rules.Observation) {
+func (p *Fields) Observation(epoch int64) (s rules.Observation) {
 	if _, ok := p.Get("x0"); !ok {
 		return s
 	}
-	s.Position = epoch + p.Seconds("x0")
+	s.Position = epoch + p.RequiredSeconds("x0")
 	s.Role = rules.RoleReplica
 	if p.NumberOr("x1", 0) >= 0.5 {
 		s.Role = rules.RolePrimary
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -153,7 +153,7 @@
 // Each such count stands for one write.
 func (t *trails) counts(w emulator.UnderFence) bool {
 	begun, known := t.begun[w.Fence]
-	if !known || t.counted[w.Fence] == 0 || time.Duration(w.At-begun) < routing.NearChange {
+	if !known || t.counted[w.Fence] == 0 || time.Duration(w.At-begun) < routing.AuditWindow {
 		return false
 	}
 	t.counted[w.Fence]--
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -74,8 +74,8 @@
 		}
 	}
 	if config.Cells != nil {
-		p.router.Confine(config.Gate(p.descriptors.Limit() / idleClientsDivisor))
-		p.idleClients.overusedCell = p.router.Crowded
+		p.router.EnableAdmission(config.Gate(p.descriptors.Limit() / idleClientsDivisor))
+		p.idleClients.overusedCell = p.router.MostOverConnectionShare
 	}
 	if config.Fleet != nil {
 		if err = services.joinFleet(); err != nil {
@@ -284,7 +284,7 @@
 		err = s.coordinator.Become(next.Layout(), next.Pins())
 	}
 	if err == nil {
-		err = routing.Cells(s.p.router, func(_ int64, g *cells.AdmissionController) error {
+		err = routing.ReadAdmission(s.p.router, func(_ int64, g *cells.AdmissionController) error {
 			return g.Update(next.Layout(), next.Tenancy(), next.Pins(), next.Weights())
 		})
 	}
@@ -309,7 +309,7 @@
 	if s.config().Cells == nil {
 		return cells.Stats{}
 	}
-	return routing.Cells(s.p.router, func(now int64, g *cells.AdmissionController) cells.Stats {
+	return routing.ReadAdmission(s.p.router, func(now int64, g *cells.AdmissionController) cells.Stats {
 		return g.Stats(now, maxTenantsShown)
 	})
 }
@@ -319,7 +319,7 @@
 	if s.config().Cells == nil {
 		return admin.Place{Tenant: tenant, Why: errNoCells.Error()}
 	}
-	return routing.Cells(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Place {
+	return routing.ReadAdmission(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Place {
 		layout, directory := controller.Layout(), controller.Directory()
 		placement, place := directory.Placement(tenant), admin.Place{Tenant: tenant, Why: "hashed"}
 		if entry, moved := directory.Entry(tenant); moved {
--- a/internal/program/duties.go
+++ b/internal/program/duties.go
@@ -11,30 +11,30 @@
 // ends.
 func (p *Program) runScheduledWork(ctx context.Context) error {
 	for {
-		duty, err := p.router.Tick(ctx)
+		duty, err := p.router.NextTask(ctx)
 		if err != nil {
 			return nil
 		}
 		switch d := duty.(type) {
-		case routing.Look:
+		case routing.ProbeMember:
 			p.tasks.Go(func() error { p.probe(d); return nil })
-		case routing.Shed:
+		case routing.CloseIdleConnections:
 			p.prober.closeIdle(d.Member)
-		case routing.Forget:
+		case routing.ForgetMember:
 			p.prober.forget(d.Member)
-		case routing.Spread:
+		case routing.SendToPeers:
 			p.peers.send(d.Message)
-		case routing.Follow:
+		case routing.WatchDiscovery:
 			p.tasks.Go(func() error { p.followDiscovery(ctx); return nil })
 		}
 	}
 }
 
 // probe probes a member and reports the outcome to the router.
-func (p *Program) probe(look routing.Look) {
+func (p *Program) probe(look routing.ProbeMember) {
 	ctx, stop := context.WithTimeoutCause(p.lifetime, p.config.ConnectTimeout, transport.TimedOut)
 	defer stop()
-	p.router.ReportLook(look.Member, p.prober.probe(ctx, look.Member, look.Address,
-		func() bool { return p.router.MayLook(look.Member) }))
+	p.router.ReportProbe(look.Member, p.prober.probe(ctx, look.Member, look.Address,
+		func() bool { return p.router.MayProbe(look.Member) }))
 	p.readiness.recordProbe(look.Member)
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -36,9 +36,9 @@
 
 // joinFleet registers this driver with the fleet, whose granted versions it then acts on.
 func (s *operatorServices) joinFleet() (err error) {
-	s.p.router.Heed(versions.NewDriverState())
-	s.p.router.Observe(versions.Build, FeatureLevel, buildRevision())
-	s.p.router.Observe(versions.OperatorFile, 1, membership.Digest(s.config().Common())[:digestPrefixLength])
+	s.p.router.EnableVersions(versions.NewDriverState())
+	s.p.router.ObserveVersion(versions.Build, FeatureLevel, buildRevision())
+	s.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(s.config().Common())[:digestPrefixLength])
 	claim := roster.Claim{Name: s.p.config.Name, At: s.p.config.Listen, Build: buildRevision(),
 		Level: FeatureLevel, Votes: s.config().Council.GetId() != 0}
 	s.agent = membership.NewAgent(s.config().VotersAt(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
@@ -55,11 +55,13 @@
 }
 
 // Sightings returns the version observations to report to the fleet.
-func (s *operatorServices) Sightings() ([]versions.Report, int64) { return s.p.router.Sightings() }
+func (s *operatorServices) Sightings() ([]versions.Report, int64) {
+	return s.p.router.VersionSightings()
+}
 
 // Joined records the start number that the fleet assigned to this driver.
 func (s *operatorServices) Joined(sign versions.Instance, token string) {
-	s.p.router.ReportStart(sign, token)
+	s.p.router.StartTrail(sign, token)
 	select {
 	case s.startNumber <- sign.Start:
 	default: // already joined
@@ -68,11 +70,11 @@
 
 // Trail returns up to limit entries of this driver's audit trail after a sequence number.
 func (s *operatorServices) Trail(after uint64, limit int) audit.Segment {
-	return s.p.router.Trail(after, limit)
+	return s.p.router.TrailSince(after, limit)
 }
 
 // LastTrail returns all remaining entries of the audit trail after a sequence number.
-func (s *operatorServices) LastTrail(after uint64) audit.Segment { return s.p.router.LastTrail(after) }
+func (s *operatorServices) LastTrail(after uint64) audit.Segment { return s.p.router.FlushTrail(after) }
 
 // Audit answers a question from the audit trails that all voters hold.
 func (s *operatorServices) Audit(ctx context.Context, question membership.Question) (membership.Finding, error) {
@@ -84,9 +86,9 @@
 
 // Granted processes a grant from the fleet and adopts the versions in it.
 func (s *operatorServices) Granted(requestedAt int64, grant versions.Grant) {
-	for _, adoption := range s.p.router.ReportOrders(requestedAt, grant) {
+	for _, adoption := range s.p.router.ApplyOrders(requestedAt, grant) {
 		err := s.adopt(adoption)
-		s.p.router.ReportAdopted(adoption, err)
+		s.p.router.ReportAdoption(adoption, err)
 		log := s.p.log.WithField("thing", adoption.Resource).WithField("version", adoption.Number)
 		if err != nil {
 			log.WithError(err).Error("failed to adopt version")
--- a/internal/program/follow.go
+++ b/internal/program/follow.go
@@ -153,7 +153,7 @@
 func (p *Program) reportDiscoveryFailure(err error) {
 	p.readiness.recordList(p.router, protocol.Targets{})
 	p.log.WithError(err).Warn("discovery call failed")
-	p.router.ReportNoList()
+	p.router.ReportListFailure()
 }
 
 // watchDiscovery reports the list and its changes until a call fails or the context ends. After a
@@ -177,7 +177,7 @@
 			return err
 		default:
 			p.discovery.accept(ctx, targets, func() {
-				p.router.ReportList(targets)
+				p.router.ApplyList(targets)
 				p.readiness.recordList(p.router, targets)
 			})
 			fetch = p.fetchChanges
--- a/internal/program/looks.go
+++ b/internal/program/looks.go
@@ -35,10 +35,10 @@
 		outcome = p.query(ctx, member, conn, mayStart)
 	}
 	// A broken idle connection says nothing about the member.
-	if !usable || outcome.Answer == nil && outcome.End != transport.TimedOut && outcome.End != transport.Withheld {
+	if !usable || outcome.Answer == nil && outcome.CloseReason != transport.TimedOut && outcome.CloseReason != transport.Withheld {
 		outcome = p.probeNewConn(ctx, member, address, wasUnresponsive, mayStart)
 	}
-	if outcome.End != transport.Withheld && outcome.End != transport.NoDescriptor { // otherwise no probe was sent
+	if outcome.CloseReason != transport.Withheld && outcome.CloseReason != transport.NoDescriptor { // otherwise no probe was sent
 		p.setUnresponsive(member, outcome.Answer == nil)
 	}
 	return outcome
@@ -50,7 +50,7 @@
 	mayStart func() bool) routing.Outcome {
 	conn, reason := p.pools.dial(ctx, member, address)
 	if reason != transport.Open {
-		return routing.Outcome{End: reason}
+		return routing.Outcome{CloseReason: reason}
 	}
 	outcome := p.query(ctx, member, conn, mayStart)
 	if outcome.Answer == nil || !wasUnresponsive {
@@ -70,14 +70,14 @@
 	mayStart func() bool) routing.Outcome {
 	if reason := checkStart(ctx, mayStart); reason != transport.Open {
 		p.pools.put(member, conn, conn.idleSince)
-		return routing.Outcome{End: reason}
+		return routing.Outcome{CloseReason: reason}
 	}
 	answer, sent, reason := conn.Query(ctx, protocol.LoadQuery)
 	p.pools.recordResult(member, answer != nil, reason)
 	if reason == transport.Open {
 		p.pools.put(member, conn, time.Now())
 	}
-	return routing.Outcome{Answer: answer, Sent: sent, End: reason, Opened: conn.openedAt}
+	return routing.Outcome{Answer: answer, WasSent: sent, CloseReason: reason, OpenedAt: conn.openedAt}
 }
 
 func (p *prober) isUnresponsive(member rules.MemberID) bool {
--- a/internal/program/peers.go
+++ b/internal/program/peers.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		if !r.ReportNews(buffer[:n]) {
+		if !r.ReceiveObservations(buffer[:n]) {
 			p.log.WithField("from", from).WithField("dropped", p.dropped.Add(1)).
 				Warn("dropped a datagram that is not a valid peer message")
 			continue
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -68,12 +68,12 @@
 	conn, ok := p.takeIdle(member, address)
 	if reason := transport.Open; !ok {
 		if conn, reason = p.dial(ctx, member, address); reason != transport.Open {
-			return routing.Outcome{End: reason}
+			return routing.Outcome{CloseReason: reason}
 		}
 	}
 	if reason := checkStart(ctx, mayStart); reason != transport.Open {
 		p.put(member, conn, conn.idleSince)
-		return routing.Outcome{End: reason}
+		return routing.Outcome{CloseReason: reason}
 	}
 	deadline, _ := ctx.Deadline()
 	answer, sent, reason := conn.Query(ctx, statement(time.Until(deadline))...)
@@ -81,7 +81,7 @@
 	if reason == transport.Open {
 		p.put(member, conn, time.Now())
 	}
-	return routing.Outcome{Answer: answer, Sent: sent, End: reason, Opened: conn.openedAt}
+	return routing.Outcome{Answer: answer, WasSent: sent, CloseReason: reason, OpenedAt: conn.openedAt}
 }
 
 // checkStart returns Open if an operation that waited for a connection may start, or else the
--- a/internal/program/pools_test.go
+++ b/internal/program/pools_test.go
@@ -42,9 +42,9 @@
 	descriptors := transport.NewDescriptors(0) // the only descriptor is reserved for discovery
 	prober := newProber(newMemberPools(context.Background(), descriptors, &Config{ConnectTimeout: 20 * time.Millisecond, MemoryMB: 32}, nil))
 	mayStart := func() bool { return true }
-	require.Equal(t, transport.NoDescriptor, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).End)
+	require.Equal(t, transport.NoDescriptor, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).CloseReason)
 	require.False(t, prober.isUnresponsive(member))
 	descriptors.Resize(1000)
-	require.Equal(t, transport.DialRefused, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).End)
+	require.Equal(t, transport.DialRefused, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).CloseReason)
 	require.True(t, prober.isUnresponsive(member), "the member refused the connection")
 }
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -25,7 +25,7 @@
 	Cores                    float64
 	MemoryMB, Sockets        int64
 	KnownTargets             protocol.Targets
-	Settings                 *briefing.Parts
+	Settings                 *briefing.Fields
 	ConnectTimeout           time.Duration
 	IdleTimeout              time.Duration    // of connections to members
 	WatchTimeout             time.Duration    // wait time of a discovery watch
@@ -121,16 +121,16 @@
 	delete(file.Rest, "known")
 	delete(file.Rest, "settings")
 	fields := briefing.Flatten("file", file.Rest)
-	p := &Config{Name: fields.At("name"), Listen: fields.At("listen"), Discovery: fields.At("discovery"),
-		PeerListen: fields.At("peer_listen"), PeersAddress: fields.At("peers_all"),
-		Cores: fields.NumberOr("limits.cores", 1), MemoryMB: fields.Integer("limits.memory_mb"),
-		Sockets: fields.Integer("limits.sockets"), Settings: briefing.Flatten("settings", file.Settings)}
-	seed, err := strconv.ParseUint(fields.Text("seed"), 16, 64)
+	p := &Config{Name: fields.Value("name"), Listen: fields.Value("listen"), Discovery: fields.Value("discovery"),
+		PeerListen: fields.Value("peer_listen"), PeersAddress: fields.Value("peers_all"),
+		Cores: fields.NumberOr("limits.cores", 1), MemoryMB: fields.RequiredInteger("limits.memory_mb"),
+		Sockets: fields.RequiredInteger("limits.sockets"), Settings: briefing.Flatten("settings", file.Settings)}
+	seed, err := strconv.ParseUint(fields.RequiredString("seed"), 16, 64)
 	switch {
 	case fields.Err != nil:
 		return nil, fields.Err
 	case err != nil:
-		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", fields.At("seed"))
+		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", fields.Value("seed"))
 	case p.Cores <= 0 || p.MemoryMB < 16 || p.Sockets < 64:
 		return nil, fmt.Errorf("limits: cores, memory_mb or sockets is too small")
 	}
@@ -150,7 +150,7 @@
 // readTimeouts derives the network timeouts from the settings.
 func (p *Config) readTimeouts() error {
 	duration := func(name string, fallback time.Duration) time.Duration {
-		if value := p.Settings.Time(name); value > 0 {
+		if value := p.Settings.MicrosOrZero(name); value > 0 {
 			return time.Duration(value)
 		}
 		return fallback
@@ -159,7 +159,7 @@
 	p.IdleTimeout = duration("limits.keepaliveUs", defaultIdleTimeout)
 	p.WatchTimeout = min(maxWatchTimeout, duration("safety.askEveryUs", defaultWatchTimeout))
 	p.DiscoveryTimeout = discoveryCallTimeout
-	if drainNotice := p.Settings.Notice(); !drainNotice.OnRequest {
+	if drainNotice := p.Settings.Discovery(); !drainNotice.OnRequest {
 		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(drainNotice.DrainGrace/4)))
 	}
 	if !p.Settings.BoolOr("limits.peerMessages", false) {
--- a/internal/program/posting_test.go
+++ b/internal/program/posting_test.go
@@ -39,8 +39,8 @@
 		require.True(t, json.Valid([]byte(text)))
 		router, err := routing.New(config.Settings, config.Seed, config.KnownTargets, log)
 		if err == nil {
-			router.ReportList(protocol.Targets{IsFull: true})
-			require.Positive(t, router.LongestLeft())
+			router.ApplyList(protocol.Targets{IsFull: true})
+			require.Positive(t, router.MaxTimeLeft())
 		}
 	})
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	p.readiness = newReadiness()
-	p.pools = newMemberPools(lifetime, p.descriptors, config, p.router.ReportDenied)
+	p.pools = newMemberPools(lifetime, p.descriptors, config, p.router.ReportNotPrimary)
 	p.prober = newProber(p.pools)
 	if p.peers, err = newPeers(config.PeerListen, config.PeersAddress, log); err != nil {
 		return err
@@ -140,7 +140,7 @@
 	go func() { sessions.Wait(); close(ended) }()
 	select {
 	case <-ended:
-	case <-time.After(partialMessageTimeout + p.router.LongestLeft() + clientWriteTimeout + lingerTime):
+	case <-time.After(partialMessageTimeout + p.router.MaxTimeLeft() + clientWriteTimeout + lingerTime):
 		p.log.Warn("shutdown timed out with clients still connected")
 	}
 }
--- a/internal/program/readiness.go
+++ b/internal/program/readiness.go
@@ -49,7 +49,7 @@
 // dropKnown stops waiting for members that are known by now, or that may not be probed any more.
 // The lock is held.
 func (r *readiness) dropKnown(router *routing.Router) {
-	maps.DeleteFunc(r.awaited, func(m rules.MemberID, _ bool) bool { return router.Met(m) || !router.MayLook(m) })
+	maps.DeleteFunc(r.awaited, func(m rules.MemberID, _ bool) bool { return router.HasObservation(m) || !router.MayProbe(m) })
 	r.check()
 }
 
@@ -62,8 +62,8 @@
 		return
 	}
 	for _, entry := range targets.Entries {
-		member, known := router.Member(entry.ID)
-		if known && router.Probes() && entry.Lifecycle == protocol.Serving && !r.probed[member] && !router.Met(member) {
+		member, known := router.MemberID(entry.ID)
+		if known && router.ProbesMembers() && entry.Lifecycle == protocol.Serving && !r.probed[member] && !router.HasObservation(member) {
 			r.awaited[member] = true
 		}
 	}
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -30,13 +30,13 @@
 			break
 		}
 		removeIdle()
-		var trip *routing.Trip
+		var trip *routing.ActiveRPC
 		trip, reason = p.serveQuery(c, entry, identity, text, receivedAt)
 		if trip != nil {
 			isServed = true
 			previous := cell
 			cell = trip.Cell()
-			p.router.Seat(previous, cell)
+			p.router.MoveConnection(previous, cell)
 		}
 		removeIdle = func() {}
 		if reason == transport.Open {
@@ -44,7 +44,7 @@
 		}
 	}
 	removeIdle()
-	p.router.Seat(cell, cells.NoCell)
+	p.router.MoveConnection(cell, cells.NoCell)
 	if linger := lingerTimes[reason]; linger > 0 {
 		c.Linger(linger, maxLingerBytes)
 	}
@@ -74,7 +74,7 @@
 // serveQuery serves a query whose last byte arrived at receivedAt. It returns the trip of the RPC,
 // or nil if the query was not admitted as one.
 func (p *Program) serveQuery(c protocol.Client, entry *cancelEntry, identity protocol.Identity, text string,
-	receivedAt time.Time) (trip *routing.Trip, reason transport.CloseReason) {
+	receivedAt time.Time) (trip *routing.ActiveRPC, reason transport.CloseReason) {
 	if strings.Trim(text, " \t\r\n;") == "" {
 		return nil, p.answerEmptyQuery(c)
 	}
@@ -90,12 +90,12 @@
 }
 
 // newCall converts a statement that arrived at receivedAt to an RPC.
-func newCall(statement *protocol.Statement, identity protocol.Identity, receivedAt time.Time) routing.Call {
+func newCall(statement *protocol.Statement, identity protocol.Identity, receivedAt time.Time) routing.Request {
 	const milli = int64(time.Millisecond)
-	return routing.Call{ID: statement.ID, Method: statement.Method, Key: statement.Key, Write: statement.Write,
-		Repeat: statement.IsRetry, Group: rules.GroupID(statement.Group),
-		Left: statement.TimeoutMillis * milli, Came: receivedAt,
-		Token: statement.MinPositionMillis * milli, User: identity.User, Base: identity.Database}
+	return routing.Request{ID: statement.ID, Method: statement.Method, Key: statement.Key, IsWrite: statement.Write,
+		IsRetry: statement.IsRetry, Group: rules.GroupID(statement.Group),
+		TimeLeft: statement.TimeoutMillis * milli, ReceivedAt: receivedAt,
+		MinPosition: statement.MinPositionMillis * milli, User: identity.User, Database: identity.Database}
 }
 
 // answerEmptyQuery answers once this driver is ready; clients use an empty query as a readiness
@@ -123,10 +123,10 @@
 // serveRPC runs an RPC and sends its answer. The RPC is abandoned if the client leaves or cancels
 // it.
 func (p *Program) serveRPC(c protocol.Client, entry *cancelEntry, statement *protocol.Statement,
-	trip *routing.Trip) transport.CloseReason {
+	trip *routing.ActiveRPC) transport.CloseReason {
 	final := p.runAttempts(c, entry, statement, trip)
-	if final.Act == routing.Serve {
-		defer trip.Passed()
+	if final.Action == routing.ActionServe {
+		defer trip.AnswerDelivered()
 	}
 	isLast := p.idleClients.stopBeforeLastAnswer(c)
 	reason := p.sendAnswer(c, final)
@@ -138,17 +138,17 @@
 
 // runAttempts runs the attempts of an RPC and returns the router's final step.
 func (p *Program) runAttempts(c protocol.Client, entry *cancelEntry, statement *protocol.Statement,
-	trip *routing.Trip) routing.Step {
-	defer context.AfterFunc(c.Context(), trip.Leave)()
-	defer p.cancels.setCancel(entry, trip.Leave)()
+	trip *routing.ActiveRPC) routing.Step {
+	defer context.AfterFunc(c.Context(), trip.ClientLeft)()
+	defer p.cancels.setCancel(entry, trip.ClientLeft)()
 	defer c.WatchForClose(p.overflow)()
 	for {
-		step := trip.Pick()
-		if step.Act != routing.Attempt {
+		step := trip.NextStep()
+		if step.Action != routing.ActionAttempt {
 			return step
 		}
 		p.tasks.Go(func() error {
-			trip.Report(step.Number, p.runAttempt(step, statement, trip))
+			trip.ReportAttempt(step.AttemptNumber, p.runAttempt(step, statement, trip))
 			return nil
 		})
 	}
@@ -156,12 +156,12 @@
 
 // sendAnswer sends a client the final answer to its RPC.
 func (p *Program) sendAnswer(c protocol.Client, final routing.Step) transport.CloseReason {
-	switch final.Act {
-	case routing.Serve:
+	switch final.Action {
+	case routing.ActionServe:
 		return c.Forward(final.Answer)
-	case routing.PushBack:
-		return c.SendFailure(protocol.Pushback(final.ComeBack / int64(time.Millisecond)))
-	case routing.Abort:
+	case routing.ActionReject:
+		return c.SendFailure(protocol.Pushback(final.RetryAfter / int64(time.Millisecond)))
+	case routing.ActionAbort:
 		return c.SendFailure(protocol.Aborted())
 	}
 	if reason := c.CloseReason(); reason != transport.Open {
@@ -171,9 +171,9 @@
 }
 
 // runAttempt sends the statement to the selected member, with the time that is left as its timeout.
-func (p *Program) runAttempt(step routing.Step, statement *protocol.Statement, trip *routing.Trip) routing.Outcome {
-	mayStart := func() bool { return trip.May(step.Number) }
-	return p.pools.query(step.By, step.Member, step.Address, mayStart, func(timeout time.Duration) []string {
+func (p *Program) runAttempt(step routing.Step, statement *protocol.Statement, trip *routing.ActiveRPC) routing.Outcome {
+	mayStart := func() bool { return trip.MayBegin(step.AttemptNumber) }
+	return p.pools.query(step.Context, step.Member, step.Address, mayStart, func(timeout time.Duration) []string {
 		return statement.WithTimeout(max(1, timeout.Milliseconds()), step.Fence)
 	})
 }
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -21,8 +21,8 @@
 	begun   int64
 }
 
-// Confine lets every RPC from here on pass a gate first. It is called before the first.
-func (r *Router) Confine(g *cells.AdmissionController) {
+// EnableAdmission lets every RPC from here on pass a gate first. It is called before the first.
+func (r *Router) EnableAdmission(g *cells.AdmissionController) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gate = g
@@ -40,10 +40,10 @@
 }
 
 // ask asks the gate about an RPC, and goes on with it as soon as that has decided. The lock is held.
-func (t *Trip) ask(rpc rules.RPC, c *Call) {
+func (t *ActiveRPC) ask(rpc rules.RPC, c *Request) {
 	r, now := t.r, t.r.now()
 	m := &r.methods[rpc.Method]
-	a := cells.Request{Tenant: r.gate.Tenant(c.Key, c.User, c.Base), Key: c.Key, Write: c.Write, SoftDeadline: m.SoftDeadline, TimeLeft: max(0, rpc.TimeLeft),
+	a := cells.Request{Tenant: r.gate.Tenant(c.Key, c.User, c.Database), Key: c.Key, Write: c.IsWrite, SoftDeadline: m.SoftDeadline, TimeLeft: max(0, rpc.TimeLeft),
 		Utility: m.Utility}
 	t.pass = &pass{effect: effectOf(m)}
 	if !t.begins() {
@@ -66,10 +66,10 @@
 }
 
 // decided goes on with an RPC as its gate has decided. The lock is held.
-func (t *Trip) decided(rpc rules.RPC, v cells.Decision) {
+func (t *ActiveRPC) decided(rpc rules.RPC, v cells.Decision) {
 	if v.Reason != cells.ReasonNone {
 		t.r.driver.ClientLeft(t.id)
-		t.finish(Step{Act: PushBack, ComeBack: min(v.RetryAfter, t.r.allowed.MaxRetryAfter)})
+		t.finish(Step{Action: ActionReject, RetryAfter: min(v.RetryAfter, t.r.allowed.MaxRetryAfter)})
 		return
 	}
 	rpc.Group, rpc.MinPosition = v.Group, v.MinPosition
@@ -78,7 +78,7 @@
 
 // attempts tells the gate of an attempt, and whether it may be made. Where it may not, the RPC ends here: the driver
 // does not know where its tenant is now. The lock is held.
-func (t *Trip) attempts(next func(rules.Result)) bool {
+func (t *ActiveRPC) attempts(next func(rules.Result)) bool {
 	r := t.r
 	if t.may() && !t.harmed() {
 		r.gate.AttemptStarted(t.pass.ticket, r.now())
@@ -101,17 +101,17 @@
 
 // forsake ends an RPC that nothing more may be done for: it is pushed back where trying again is harmless, which it is
 // not of a write that may have run, and else aborted. The lock is held.
-func (t *Trip) forsake(risky bool) {
+func (t *ActiveRPC) forsake(risky bool) {
 	if t.pass.ticket.Write && (risky || t.pass.risky) {
-		t.finish(Step{Act: Abort})
+		t.finish(Step{Action: ActionAbort})
 		return
 	}
-	t.finish(Step{Act: PushBack})
+	t.finish(Step{Action: ActionReject})
 }
 
 // returned tells the gate how an attempt ended. An answer that comes when the lease has run out, or its tenant has been
 // moved, is not passed on: others may have gone on without it. The lock is held.
-func (t *Trip) returned(c *call, v verdict, o Outcome) {
+func (t *ActiveRPC) returned(c *call, v verdict, o Outcome) {
 	r, until, bytes := t.r, int64(0), 0
 	if v.proof == rules.MayHaveExecuted {
 		until, t.pass.risky = c.until+graceOver, true
@@ -131,22 +131,22 @@
 const graceOver = 50 * milli
 
 // answered tells the gate that an RPC has its final answer. The lock is held.
-func (t *Trip) answered(act Act) {
-	t.pass.held, t.pass.outcome = act == Serve, outcomeOf[act]
-	t.r.gate.Finished(t.pass.ticket, act == Serve, t.r.now())
+func (t *ActiveRPC) answered(act Action) {
+	t.pass.held, t.pass.outcome = act == ActionServe, outcomeOf[act]
+	t.r.gate.Finished(t.pass.ticket, act == ActionServe, t.r.now())
 	t.fared(act)
 }
 
 // settle tells the gate when nothing is left of an RPC. The lock is held.
-func (t *Trip) settle() {
+func (t *ActiveRPC) settle() {
 	if t.ended && t.out == 0 && !t.pass.held {
 		t.r.gate.Settle(t.pass.ticket, t.r.now())
 		t.ends()
 	}
 }
 
-// Passed says that the answer has been passed on to the client, or can't be.
-func (t *Trip) Passed() {
+// AnswerDelivered says that the answer has been passed on to the client, or can't be.
+func (t *ActiveRPC) AnswerDelivered() {
 	if t.pass == nil {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // Cell is the cell that the RPC was let into, NoCell for none.
-func (t *Trip) Cell() cells.Cell {
+func (t *ActiveRPC) Cell() cells.Cell {
 	if t.pass == nil {
 		return cells.NoCell
 	}
@@ -166,8 +166,8 @@
 	return t.pass.ticket.Cell()
 }
 
-// Seat notes that a client's connection counts for another cell than before.
-func (r *Router) Seat(from, to cells.Cell) {
+// MoveConnection notes that a client's connection counts for another cell than before.
+func (r *Router) MoveConnection(from, to cells.Cell) {
 	if from != to {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -175,8 +175,8 @@
 	}
 }
 
-// Crowded is the cell whose clients have to go first where connections are short.
-func (r *Router) Crowded() cells.Cell {
+// MostOverConnectionShare is the cell whose clients have to go first where connections are short.
+func (r *Router) MostOverConnectionShare() cells.Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.gate.MostOverConnectionShare()
@@ -213,8 +213,8 @@
 // lookEvery is how often the members are probed that a move waits for.
 const lookEvery = 25 * milli
 
-// Cells gives what a function makes of the gate, which must not be kept.
-func Cells[T any](r *Router, of func(now int64, g *cells.AdmissionController) T) T {
+// ReadAdmission gives what a function makes of the gate, which must not be kept.
+func ReadAdmission[T any](r *Router, of func(now int64, g *cells.AdmissionController) T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return of(r.now(), r.gate)
--- a/internal/routing/confine_test.go
+++ b/internal/routing/confine_test.go
@@ -23,9 +23,9 @@
 	l.Add("two", cells.Groups{2}, 0, 0, "")
 	y := cells.NewTenantResolver(nil, nil, nil, cells.DefaultNone, "t")
 	limits := cells.NewLimits(cells.Budget{cells.RPCs: 100, cells.Attempts: 100}, 0.5, l, nil)
-	r.Confine(cells.NewAdmissionController(cells.NewDirectory(l, nil), y, limits, leased, 2))
+	r.EnableAdmission(cells.NewAdmissionController(cells.NewDirectory(l, nil), y, limits, leased, 2))
 	for _, name := range []string{"a", "b"} {
-		id, _ := r.Member(name)
+		id, _ := r.MemberID(name)
 		r.mu.Lock()
 		r.driver.ReceiveReports([]rules.PeerReport{{Member: id, Observation: rules.Observation{Role: map[string]rules.Role{"a": rules.RolePrimary, "b": rules.RoleReplica}[name],
 			Position: r.now()}}})
@@ -36,9 +36,9 @@
 
 var asked int
 
-func admit(t *testing.T, r *Router, method string) *Trip {
+func admit(t *testing.T, r *Router, method string) *ActiveRPC {
 	asked++
-	trip, err := r.Admit(&Call{ID: fmt.Sprint(asked), Method: method, Key: "k", Write: method == "write", Group: 77, Left: 2000 * milli})
+	trip, err := r.Admit(&Request{ID: fmt.Sprint(asked), Method: method, Key: "k", IsWrite: method == "write", Group: 77, TimeLeft: 2000 * milli})
 	require.NoError(t, err)
 	return trip
 }
@@ -52,7 +52,7 @@
 }
 
 // pick waits for a trip's next step while what falls due is done.
-func pick(t *testing.T, trip *Trip) Step {
+func pick(t *testing.T, trip *ActiveRPC) Step {
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(time.Millisecond) {
 		select {
 		case s := <-trip.steps:
@@ -66,86 +66,86 @@
 }
 
 // Guards against RPCs that are lost between the gate and the module.
-func TestAnRPCPassesItsCell(t *testing.T) {
+func TestRPCAdmittedToItsCell(t *testing.T) {
 	r := confined(t, false)
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
-	require.Equal(t, Attempt, step.Act, "the group is the cell's, not the client's")
-	trip.Report(step.Number, ok(r.now()/milli, true))
-	require.Equal(t, Serve, pick(t, trip).Act)
+	require.Equal(t, ActionAttempt, step.Action, "the group is the cell's, not the client's")
+	trip.ReportAttempt(step.AttemptNumber, ok(r.now()/milli, true))
+	require.Equal(t, ActionServe, pick(t, trip).Action)
 	figures := func() cells.Stats {
-		return Cells(r, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, 5) })
+		return ReadAdmission(r, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, 5) })
 	}
 	require.Equal(t, 1, figures().Tenants, "until its answer is passed on")
-	trip.Passed()
+	trip.AnswerDelivered()
 	require.Zero(t, figures().Cells[0].RPCs+figures().Cells[0].Attempts)
 	left := admit(t, r, "write")
 	pick(t, left)
-	left.Leave()
-	require.Equal(t, Drop, pick(t, left).Act)
+	left.ClientLeft()
+	require.Equal(t, ActionDrop, pick(t, left).Action)
 }
 
 // Guards against a driver that does not know where its tenant is: RPCs are pushed back before an attempt; after one, a
 // read is, and a write that may have run is aborted, whatever its answer says.
-func TestARunOutLeaseBinds(t *testing.T) {
+func TestExpiredLeaseEndsRPCs(t *testing.T) {
 	r := confined(t, true)
-	require.Equal(t, PushBack, pick(t, admit(t, r, "write")).Act)
+	require.Equal(t, ActionReject, pick(t, admit(t, r, "write")).Action)
 	grant(t, r, 150*time.Millisecond)
 	write, read, quick := admit(t, r, "write"), admit(t, r, "read"), admit(t, r, "write")
 	w, d, q := pick(t, write), pick(t, read), pick(t, quick)
-	quick.Report(q.Number, ok(r.now()/milli, true))
-	require.Equal(t, Serve, pick(t, quick).Act)
+	quick.ReportAttempt(q.AttemptNumber, ok(r.now()/milli, true))
+	require.Equal(t, ActionServe, pick(t, quick).Action)
 	time.Sleep(200 * time.Millisecond)
-	write.Report(w.Number, ok(r.now()/milli, true))
-	require.Equal(t, Abort, pick(t, write).Act, "it ran, and its tenant may be elsewhere")
-	read.Report(d.Number, ok(r.now()/milli, true))
-	require.Equal(t, PushBack, pick(t, read).Act)
+	write.ReportAttempt(w.AttemptNumber, ok(r.now()/milli, true))
+	require.Equal(t, ActionAbort, pick(t, write).Action, "it ran, and its tenant may be elsewhere")
+	read.ReportAttempt(d.AttemptNumber, ok(r.now()/milli, true))
+	require.Equal(t, ActionReject, pick(t, read).Action)
 }
 
 // Guards against a second attempt in the old cell once its tenant is in the new one.
-func TestNoAttemptAfterTheSwitch(t *testing.T) {
+func TestNoAttemptAfterCellSwitch(t *testing.T) {
 	r := confined(t, true)
 	grant(t, r, time.Minute)
 	trip := admit(t, r, "write")
 	step := pick(t, trip)
 	grant(t, r, time.Minute, cells.Entry{Epoch: 9, Tenant: "t", Cell: "two", Stage: cells.StageIdle, MinPosition: 5})
-	trip.Report(step.Number, Outcome{End: transport.DialRefused}) // it never ran, and would be sent again
-	require.Equal(t, PushBack, pick(t, trip).Act)
+	trip.ReportAttempt(step.AttemptNumber, Outcome{CloseReason: transport.DialRefused}) // it never ran, and would be sent again
+	require.Equal(t, ActionReject, pick(t, trip).Action)
 	r.turn()
 	require.Empty(t, r.trips)
 }
 
 // Held RPCs go on in the new cell, or are pushed back while their clients can ask again.
-func TestHeldForAMove(t *testing.T) {
+func TestRPCsHeldDuringMove(t *testing.T) {
 	r := confined(t, true)
 	grant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.StageHoldingWrites, To: "two"})
 	held, gone, over := admit(t, r, "write"), admit(t, r, "write"), admit(t, r, "write")
-	require.Equal(t, PushBack, pick(t, over).Act, "no more than may be held")
-	require.Equal(t, Attempt, pick(t, admit(t, r, "read")).Act, "reads go on")
-	gone.Leave()
-	require.Equal(t, Drop, pick(t, gone).Act)
+	require.Equal(t, ActionReject, pick(t, over).Action, "no more than may be held")
+	require.Equal(t, ActionAttempt, pick(t, admit(t, r, "read")).Action, "reads go on")
+	gone.ClientLeft()
+	require.Equal(t, ActionDrop, pick(t, gone).Action)
 	report, _ := r.Report("n", 1)
 	require.Zero(t, report.Moves[0].Writes, "those that are held are not in flight")
 	grant(t, r, time.Minute, cells.Entry{Epoch: 2, Tenant: "t", Cell: "one", Stage: cells.StageRollingBack, To: "two"})
-	require.Equal(t, Attempt, pick(t, held).Act, "the move was called off")
+	require.Equal(t, ActionAttempt, pick(t, held).Action, "the move was called off")
 	grant(t, r, time.Minute, cells.Entry{Epoch: 3, Tenant: "t", Cell: "one", Stage: cells.StageHoldingAll, To: "two"})
 	asked++
-	short, err := r.Admit(&Call{ID: fmt.Sprint(asked), Method: "read", Key: "k", Left: 50 * milli})
+	short, err := r.Admit(&Request{ID: fmt.Sprint(asked), Method: "read", Key: "k", TimeLeft: 50 * milli})
 	require.NoError(t, err)
-	require.Equal(t, PushBack, pick(t, short).Act)
+	require.Equal(t, ActionReject, pick(t, short).Action)
 }
 
 // A floor keeps reads from members behind it, the primary included.
-func TestAFloorBinds(t *testing.T) {
+func TestMinPositionRestrictsReads(t *testing.T) {
 	r := confined(t, true)
 	grant(t, r, time.Minute, cells.Entry{Epoch: 1, Tenant: "t", Cell: "one", Stage: cells.StageIdle, MinPosition: math.MaxInt64 / 2})
 	trip := admit(t, r, "read")
 	select {
 	case s := <-trip.steps:
-		require.NotEqual(t, Attempt, s.Act)
+		require.NotEqual(t, ActionAttempt, s.Action)
 	case <-time.After(20 * time.Millisecond):
 	}
-	trip.Leave()
+	trip.ClientLeft()
 }
 
 // Cost of the ordinary path: `make results-cost` keeps the figures.
@@ -171,14 +171,14 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				trip, err := r.Admit(&Call{ID: names[i], Method: "write", Key: "club/7", Write: true, Group: 1, Left: 2000 * milli})
+				trip, err := r.Admit(&Request{ID: names[i], Method: "write", Key: "club/7", IsWrite: true, Group: 1, TimeLeft: 2000 * milli})
 				if err != nil {
 					b.Fatal(err)
 				}
-				step := trip.Pick()
-				trip.Report(step.Number, ok(r.now()/milli, true))
-				trip.Pick()
-				trip.Passed()
+				step := trip.NextStep()
+				trip.ReportAttempt(step.AttemptNumber, ok(r.now()/milli, true))
+				trip.NextStep()
+				trip.AnswerDelivered()
 				for r.timers.Len() > 1000 {
 					r.timers.due(math.MaxInt64)
 				}
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -21,21 +21,21 @@
 }
 
 func (h *host) RejectWithRetryAfter(id rules.RPCID, comeBack int64) {
-	h.trips[id].finish(Step{Act: PushBack, ComeBack: comeBack})
+	h.trips[id].finish(Step{Action: ActionReject, RetryAfter: comeBack})
 }
 
-func (h *host) Abort(id rules.RPCID) { h.trips[id].finish(Step{Act: Abort}) }
+func (h *host) Abort(id rules.RPCID) { h.trips[id].finish(Step{Action: ActionAbort}) }
 
-func (h *host) CloseIdle(to rules.MemberID) { h.add(Shed{Member: to}) }
+func (h *host) CloseIdle(to rules.MemberID) { h.add(CloseIdleConnections{Member: to}) }
 
 func (h *host) Forget(id rules.MemberID) {
 	h.registry.forget(id)
-	h.add(Forget{Member: id})
+	h.add(ForgetMember{Member: id})
 }
 
 func (h *host) Probe(to rules.MemberID, next func(rules.ProbeResult)) {
 	h.looks[to] = append(h.looks[to], next)
-	h.add(Look{Member: to, Address: h.registry.address(to)})
+	h.add(ProbeMember{Member: to, Address: h.registry.address(to)})
 }
 
 func (h *host) After(wait int64, next func()) {
@@ -46,18 +46,18 @@
 	}
 }
 
-func (h *host) Watch() { h.add(Follow{}) }
+func (h *host) Watch() { h.add(WatchDiscovery{}) }
 
 // SendReports passes news on, but for those that can't be told, of positions from long ago. It guards against messages that say nothing.
 func (h *host) SendReports(news []rules.PeerReport) {
-	if message := briefing.Message(news, h.registry.key, 0, h.driver.StoreNow()); len(message) > 0 {
-		h.add(Spread{Message: message})
+	if message := briefing.EncodeObservations(news, h.registry.key, 0, h.driver.StoreNow()); len(message) > 0 {
+		h.add(SendToPeers{Message: message})
 	}
 }
 
 func (h *host) Log(line string) { h.log.Info(line) }
 
-func (h *host) add(d Duty) {
+func (h *host) add(d Task) {
 	h.duties = append(h.duties, d)
 	(*Router)(h).stir()
 }
--- a/internal/routing/observed.go
+++ b/internal/routing/observed.go
@@ -9,8 +9,8 @@
 	"sedgespread/internal/versions"
 )
 
-// Observe notes what this driver acts on of a thing that the fleet does not decide. It does nothing where nothing has versions.
-func (r *Router) Observe(of versions.Resource, n versions.Number, digest string) {
+// ObserveVersion notes what this driver acts on of a thing that the fleet does not decide. It does nothing where nothing has versions.
+func (r *Router) ObserveVersion(of versions.Resource, n versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observe(of, n, digest)
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -11,10 +11,10 @@
 
 // Outcome is how an attempt or a probe ended, as the network saw it.
 type Outcome struct {
-	Answer *protocol.Answer      // nil where no whole one came
-	Sent   bool                  // the last byte of the statement was written
-	End    transport.CloseReason // how the connection ended, or Open
-	Opened time.Time             // when the connection was opened
+	Answer      *protocol.Answer      // nil where no whole one came
+	WasSent     bool                  // the last byte of the statement was written
+	CloseReason transport.CloseReason // how the connection ended, or Open
+	OpenedAt    time.Time             // when the connection was opened
 }
 
 // states maps what a member answers in place of a row.
@@ -63,8 +63,8 @@
 		}
 		return verdict{rules.MayHaveExecuted, rules.ServerError}
 	}
-	cause := causes[o.End]
-	if o.Sent {
+	cause := causes[o.CloseReason]
+	if o.WasSent {
 		return verdict{rules.MayHaveExecuted, cause}
 	}
 	if cause == rules.Reset || cause == rules.ServerError {
@@ -86,7 +86,7 @@
 // found is what a probe found. A member that has no session to spare lives; of one for which this driver has no descriptor
 // to spare nothing is known.
 func (o Outcome) found() rules.ProbeResult {
-	switch o.End {
+	switch o.CloseReason {
 	case transport.Rejected:
 		return rules.ProbeResult{Cause: rules.Overloaded}
 	case transport.NoDescriptor:
@@ -100,7 +100,7 @@
 	if o.Answer == nil || o.Answer.Failure != nil {
 		return s
 	}
-	var load briefing.Parts
+	var load briefing.Fields
 	load.Parse("report,"+o.Answer.Value(), ",", "=")
 	if reported := load.Observation(0); load.Err == nil {
 		s = reported
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -31,9 +31,9 @@
 	driver   *rules.Driver
 	registry registry
 	timers   timers
-	duties   []Duty
+	duties   []Task
 	looks    map[rules.MemberID][]func(rules.ProbeResult)
-	trips    map[rules.RPCID]*Trip
+	trips    map[rules.RPCID]*ActiveRPC
 	last     rules.RPCID
 	ids      ids
 	methods  []rules.Method
@@ -54,15 +54,15 @@
 }
 
 // New reads what the module is told at its start. The list is the one last known.
-func New(told *briefing.Parts, seed int64, known protocol.Targets, log logrus.FieldLogger) (*Router, error) {
+func New(told *briefing.Fields, seed int64, known protocol.Targets, log logrus.FieldLogger) (*Router, error) {
 	r := &Router{registry: newRegistry(), looks: map[rules.MemberID][]func(rules.ProbeResult){},
-		trips: map[rules.RPCID]*Trip{}, ids: ids{held: map[string]bool{}}, numbers: map[string]rules.MethodID{}, clock: clock.New(),
+		trips: map[rules.RPCID]*ActiveRPC{}, ids: ids{held: map[string]bool{}}, numbers: map[string]rules.MethodID{}, clock: clock.New(),
 		stirred: make(chan struct{}, 1), log: log, trace: newTrace(log)}
 	r.methods = told.Methods()
 	for i, m := range r.methods {
 		r.numbers[m.Name] = rules.MethodID(i)
 	}
-	fleet, store, allowed, slowStart, notice := told.Fleet(), told.Store(), told.Allowed(), told.SlowStart(), told.Notice()
+	fleet, store, allowed, slowStart, notice := told.Fleet(), told.Store(), told.Limits(), told.SlowStart(), told.Discovery()
 	if told.Err != nil {
 		return nil, told.Err
 	}
@@ -95,8 +95,8 @@
 	r.driver.UpdateMembers(lines, t.IsFull)
 }
 
-// ReportList reports the list, or what changed in it.
-func (r *Router) ReportList(t protocol.Targets) {
+// ApplyList reports the list, or what changed in it.
+func (r *Router) ApplyList(t protocol.Targets) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list(t)
@@ -105,19 +105,19 @@
 	}
 }
 
-// ReportNoList reports that discovery could not be asked, or that a watch broke off.
-func (r *Router) ReportNoList() {
+// ReportListFailure reports that discovery could not be asked, or that a watch broke off.
+func (r *Router) ReportListFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver.WatchFailed()
 }
 
-// ReportNews reports a peer's message, and tells whether it was one. After this process stood still it may have waited for so long that its positions
+// ReceiveObservations reports a peer's message, and tells whether it was one. After this process stood still it may have waited for so long that its positions
 // mean others: what was waiting then does not count.
-func (r *Router) ReportNews(message []byte) bool {
+func (r *Router) ReceiveObservations(message []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, ok := briefing.News(message, r.registry.member, 0, r.driver.StoreNow())
+	news, ok := briefing.DecodeObservations(message, r.registry.member, 0, r.driver.StoreNow())
 	if ok && !r.stoodStill() {
 		r.driver.ReceiveReports(news)
 	}
@@ -138,8 +138,8 @@
 	return now < r.drained
 }
 
-// ReportLook reports what a probe found.
-func (r *Router) ReportLook(to rules.MemberID, o Outcome) {
+// ReportProbe reports what a probe found.
+func (r *Router) ReportProbe(to rules.MemberID, o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waiting := r.looks[to]
@@ -147,27 +147,27 @@
 		delete(r.looks, to)
 	}
 	found := o.found()
-	found.ConnectedAt = r.at(o.Opened)
-	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", to, o.End, roleNames[max(found.Role, found.Report.Role)], max(found.Position, found.Report.Position)/milli)
+	found.ConnectedAt = r.at(o.OpenedAt)
+	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", to, o.CloseReason, roleNames[max(found.Role, found.Report.Role)], max(found.Position, found.Report.Position)/milli)
 	waiting[0](found)
 }
 
-// ReportDenied reports that a member has said that it is no primary, in what may yet turn out to be no whole answer.
-func (r *Router) ReportDenied(by rules.MemberID) {
+// ReportNotPrimary reports that a member has said that it is no primary, in what may yet turn out to be no whole answer.
+func (r *Router) ReportNotPrimary(by rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver.NotPrimary(by)
 }
 
-// MayLook tells whether a probe may still begin. It is asked just before its first byte is written.
-func (r *Router) MayLook(to rules.MemberID) bool {
+// MayProbe tells whether a probe may still begin. It is asked just before its first byte is written.
+func (r *Router) MayProbe(to rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.driver.ProbeAllowed(to)
 }
 
-// Tick waits until something falls due that no RPC asks for, and gives it. Meanwhile the module's timers run.
-func (r *Router) Tick(ctx context.Context) (Duty, error) {
+// NextTask waits until something falls due that no RPC asks for, and gives it. Meanwhile the module's timers run.
+func (r *Router) NextTask(ctx context.Context) (Task, error) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	for {
@@ -186,7 +186,7 @@
 }
 
 // turn runs the timers that are due, and gives the next duty or how long to wait for one.
-func (r *Router) turn() (Duty, bool, time.Duration) {
+func (r *Router) turn() (Task, bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stoodStill()
@@ -212,20 +212,20 @@
 	}
 }
 
-// Member is the number of a member that discovery knows by a name, if it is known here.
-func (r *Router) Member(name string) (id rules.MemberID, known bool) {
+// MemberID is the number of a member that discovery knows by a name, if it is known here.
+func (r *Router) MemberID(name string) (id rules.MemberID, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id, known = r.registry.numbers[name]
 	return id, known
 }
 
-// Met tells whether anything was heard of a member, from itself or from a fellow driver.
-func (r *Router) Met(id rules.MemberID) bool {
+// HasObservation tells whether anything was heard of a member, from itself or from a fellow driver.
+func (r *Router) HasObservation(id rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.driver.Known(id)
 }
 
-// Probes tells whether members are probed.
-func (r *Router) Probes() bool { return r.allowed.Probing }
+// ProbesMembers tells whether members are probed.
+func (r *Router) ProbesMembers() bool { return r.allowed.Probing }
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -30,7 +30,7 @@
 	}
 }
 
-var actNames = map[Act]string{Attempt: "attempt", Serve: "served", PushBack: "rejected", Abort: "failed", Drop: "client left"}
+var actNames = map[Action]string{ActionAttempt: "attempt", ActionServe: "served", ActionReject: "rejected", ActionAbort: "failed", ActionDrop: "client left"}
 
 var proofNames = map[rules.Outcome]string{rules.OK: "ok", rules.Started: "started", rules.NotExecuted: "never ran", rules.MayHaveExecuted: "may have run"}
 
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -11,47 +11,47 @@
 	"sedgespread/rules"
 )
 
-// Act is what comes next for an RPC.
-type Act int
+// Action is what comes next for an RPC.
+type Action int
 
 const (
-	Attempt  Act = iota // make an attempt, and report how it ended
-	Serve               // pass on the answer
-	PushBack            // answer that trying again is harmless
-	Abort               // answer that it failed
-	Drop                // nothing: its client has gone
+	ActionAttempt Action = iota // make an attempt, and report how it ended
+	ActionServe                 // pass on the answer
+	ActionReject                // answer that trying again is harmless
+	ActionAbort                 // answer that it failed
+	ActionDrop                  // nothing: its client has gone
 )
 
 // Step is what comes next for an RPC.
 type Step struct {
-	Act      Act
-	Number   int // of the attempt
-	Member   rules.MemberID
-	Address  string
-	ComeBack int64
-	By       context.Context // ends when the attempt is no longer waited for
-	Answer   *protocol.Answer
-	Fence    protocol.Fence // that an attempt is made with, for the store
+	Action        Action
+	AttemptNumber int // of the attempt
+	Member        rules.MemberID
+	Address       string
+	RetryAfter    int64
+	Context       context.Context // ends when the attempt is no longer waited for
+	Answer        *protocol.Answer
+	Fence         protocol.Fence // that an attempt is made with, for the store
 }
 
-// Call is an RPC as a front hands it over, whatever its clients speak. Times and positions are nanoseconds.
-type Call struct {
-	ID     string // its client's, different for each try
-	Method string
-	Key    string // names the session where the method has any
-	Write  bool
-	Repeat bool          // the client has tried before
-	Group  rules.GroupID // that its client named; where tenants have cells the cell decides
-	Left   int64         // its client waits so long
-	Came   time.Time     // and counts from then; zero for now
-	Token  int64         // position that the read must see, 0 for none
-	User   string        // as whom its client came, and for which database
-	Base   string
+// Request is an RPC as a front hands it over, whatever its clients speak. Times and positions are nanoseconds.
+type Request struct {
+	ID          string // its client's, different for each try
+	Method      string
+	Key         string // names the session where the method has any
+	IsWrite     bool
+	IsRetry     bool          // the client has tried before
+	Group       rules.GroupID // that its client named; where tenants have cells the cell decides
+	TimeLeft    int64         // its client waits so long
+	ReceivedAt  time.Time     // and counts from then; zero for now
+	MinPosition int64         // position that the read must see, 0 for none
+	User        string        // as whom its client came, and for which database
+	Database    string
 }
 
-// Trip is an RPC on its way. It is over once Pick gave a step other than an attempt; results of attempts that are
+// ActiveRPC is an RPC on its way. It is over once Pick gave a step other than an attempt; results of attempts that are
 // still out then are reported all the same.
-type Trip struct {
+type ActiveRPC struct {
 	r     *Router
 	id    rules.RPCID
 	name  string // its client's id
@@ -79,21 +79,21 @@
 )
 
 // Admit checks an RPC against what is known here, and takes it.
-func (r *Router) Admit(c *Call) (*Trip, error) {
+func (r *Router) Admit(c *Request) (*ActiveRPC, error) {
 	number, known := r.numbers[c.Method]
 	if !known {
 		return nil, errMethod
 	}
 	method := &r.methods[number]
 	switch {
-	case c.Write != (method.Consistency == rules.ConsistencyWrite):
+	case c.IsWrite != (method.Consistency == rules.ConsistencyWrite):
 		return nil, errKind
-	case c.Left > longestLeft(method):
+	case c.TimeLeft > longestLeft(method):
 		return nil, errLeft
 	}
-	rpc := rules.RPC{Method: number, Group: c.Group, Session: c.Key, TimeLeft: c.Left, IsRetry: c.Repeat, SessionToken: c.Token}
-	if !c.Came.IsZero() {
-		rpc.Waited = max(0, r.now()-r.at(c.Came))
+	rpc := rules.RPC{Method: number, Group: c.Group, Session: c.Key, TimeLeft: c.TimeLeft, IsRetry: c.IsRetry, SessionToken: c.MinPosition}
+	if !c.ReceivedAt.IsZero() {
+		rpc.Waited = max(0, r.now()-r.at(c.ReceivedAt))
 		rpc.TimeLeft -= rpc.Waited
 	}
 	r.mu.Lock()
@@ -124,8 +124,8 @@
 // mostLeft bounds it where the method names no deadline.
 const mostLeft = 60_000 * milli
 
-// LongestLeft is how long a client of any method may say that it waits.
-func (r *Router) LongestLeft() (most time.Duration) {
+// MaxTimeLeft is how long a client of any method may say that it waits.
+func (r *Router) MaxTimeLeft() (most time.Duration) {
 	for i := range r.methods {
 		most = max(most, time.Duration(longestLeft(&r.methods[i])))
 	}
@@ -133,25 +133,25 @@
 }
 
 // open makes the trip of an RPC. The lock is held.
-func (r *Router) open(name string) *Trip {
+func (r *Router) open(name string) *ActiveRPC {
 	r.last++
 	for r.trips[r.last] != nil {
 		r.last++
 	}
-	t := &Trip{r: r, id: r.last, name: name, steps: make(chan Step, r.allowed.MaxAttempts+1)}
+	t := &ActiveRPC{r: r, id: r.last, name: name, steps: make(chan Step, r.allowed.MaxAttempts+1)}
 	r.trips[t.id] = t
 	return t
 }
 
 // take hands an RPC to the module. The lock is held.
-func (t *Trip) take(rpc rules.RPC) {
+func (t *ActiveRPC) take(rpc rules.RPC) {
 	rpc.ID = t.id
 	t.r.driver.Submit(rpc)
 }
 
-// May tells whether an attempt may still begin. It is asked just before the first byte is written, on whatever connection
+// MayBegin tells whether an attempt may still begin. It is asked just before the first byte is written, on whatever connection
 // that took whatever time to get.
-func (t *Trip) May(number int) bool {
+func (t *ActiveRPC) MayBegin(number int) bool {
 	t.r.mu.Lock()
 	defer t.r.mu.Unlock()
 	c := &t.calls[number]
@@ -165,11 +165,11 @@
 	return may
 }
 
-// Pick waits for the next step.
-func (t *Trip) Pick() Step { return <-t.steps }
+// NextStep waits for the next step.
+func (t *ActiveRPC) NextStep() Step { return <-t.steps }
 
-// Leave says that the client has gone.
-func (t *Trip) Leave() {
+// ClientLeft says that the client has gone.
+func (t *ActiveRPC) ClientLeft() {
 	t.r.mu.Lock()
 	defer t.r.mu.Unlock()
 	if !t.ended {
@@ -177,12 +177,12 @@
 		if t.pass != nil {
 			t.r.gate.Cancel(t.pass.ticket)
 		}
-		t.finish(Step{Act: Drop})
+		t.finish(Step{Action: ActionDrop})
 	}
 }
 
-// Report says how an attempt ended.
-func (t *Trip) Report(number int, o Outcome) {
+// ReportAttempt says how an attempt ended.
+func (t *ActiveRPC) ReportAttempt(number int, o Outcome) {
 	t.r.mu.Lock()
 	defer t.r.mu.Unlock()
 	c := &t.calls[number]
@@ -201,23 +201,23 @@
 		t.returned(c, v, o)
 	}
 	if v.proof == rules.OK && !t.ended {
-		t.finish(Step{Act: Serve, Answer: o.Answer})
+		t.finish(Step{Action: ActionServe, Answer: o.Answer})
 	} else if o.unusable() && !t.ended {
-		t.finish(Step{Act: Abort})
+		t.finish(Step{Action: ActionAbort})
 	}
 	if t.pass != nil && o.fenced() {
 		t.fenced()
 	}
 	result := rules.Result{Outcome: v.proof, Cause: v.cause, Latency: t.r.now() - c.sent, Final: t.ended, Observation: o.observation()}
-	result.ConnectedAt = t.r.at(o.Opened)
+	result.ConnectedAt = t.r.at(o.OpenedAt)
 	t.r.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
-		t.name, number, c.to, result.Latency/milli, o.End, proofNames[v.proof], roleNames[result.Role], result.Position/milli)
+		t.name, number, c.to, result.Latency/milli, o.CloseReason, proofNames[v.proof], roleNames[result.Role], result.Position/milli)
 	next(result)
 	t.drop()
 }
 
 // attempt hands out an attempt. The lock is held.
-func (t *Trip) attempt(r *Router, to rules.MemberID, within int64, next func(rules.Result)) int {
+func (t *ActiveRPC) attempt(r *Router, to rules.MemberID, within int64, next func(rules.Result)) int {
 	n := len(t.calls)
 	if t.pass != nil && !t.attempts(next) {
 		return n
@@ -228,17 +228,17 @@
 	t.calls = append(t.calls, call{to: to, sent: r.now(), until: r.now() + int64(span), next: next, cancel: func() { cancel(transport.Cancelled); stop() }})
 	t.out++
 	r.trace.printf("attempt id=%s number=%d member=%d within_ms=%d", t.name, n, to, span.Milliseconds())
-	t.steps <- Step{Act: Attempt, Number: n, Member: to, Address: r.registry.address(to), By: by, Fence: t.fence()}
+	t.steps <- Step{Action: ActionAttempt, AttemptNumber: n, Member: to, Address: r.registry.address(to), Context: by, Fence: t.fence()}
 	return n
 }
 
 // finish hands out the last step. The lock is held.
-func (t *Trip) finish(s Step) {
+func (t *ActiveRPC) finish(s Step) {
 	if !t.ended {
 		t.ended = true
-		t.r.trace.printf("answer id=%s act=%q attempts=%d come_back_ms=%d", t.name, actNames[s.Act], len(t.calls), s.ComeBack/milli)
+		t.r.trace.printf("answer id=%s act=%q attempts=%d come_back_ms=%d", t.name, actNames[s.Action], len(t.calls), s.RetryAfter/milli)
 		if t.pass != nil {
-			t.answered(s.Act)
+			t.answered(s.Action)
 		}
 		t.steps <- s
 		t.drop()
@@ -246,7 +246,7 @@
 }
 
 // drop forgets the RPC once it has ended and nothing is out for it.
-func (t *Trip) drop() {
+func (t *ActiveRPC) drop() {
 	if t.ended && t.out == 0 && t.r.trips[t.id] == t {
 		delete(t.r.trips, t.id)
 		t.r.ids.end(t.name, time.Now())
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -15,15 +15,15 @@
 // Rulebook is what decides on an RPC's way and has versions: the part of the operator's file that all drivers share.
 const Rulebook versions.Resource = "rulebook"
 
-// Heed lets every RPC from here on act on a version of the rulebook. It is called before the first.
-func (r *Router) Heed(h *versions.DriverState) {
+// EnableVersions lets every RPC from here on act on a version of the rulebook. It is called before the first.
+func (r *Router) EnableVersions(h *versions.DriverState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.holder = h
 }
 
-// NearChange is for how long after a change of version RPCs with an effect that reach a member are entered one by one; later ones are counted.
-const NearChange = 5 * time.Second
+// AuditWindow is for how long after a change of version RPCs with an effect that reach a member are entered one by one; later ones are counted.
+const AuditWindow = 5 * time.Second
 
 // nearSlack is for how much longer they are, since whoever compares may have the time of the change from clocks that differ by a little.
 const nearSlack = 100 * time.Millisecond
@@ -31,12 +31,12 @@
 // mostEntries is how many entries of its trail a driver keeps.
 const mostEntries = 8192
 
-// ReportStart reports the number of this driver's start. From here on what it does is entered in its trail.
-func (r *Router) ReportStart(who versions.Instance, token string) {
+// StartTrail reports the number of this driver's start. From here on what it does is entered in its trail.
+func (r *Router) StartTrail(who versions.Instance, token string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		r.trail = audit.NewTrail(r.now(), who, token, mostEntries, int64(NearChange+nearSlack))
+		r.trail = audit.NewTrail(r.now(), who, token, mostEntries, int64(AuditWindow+nearSlack))
 		for _, s := range r.holder.Reports() {
 			if s.Digest != "" {
 				r.trail.RecordObserved(r.now(), s.Resource, s.Active)
@@ -45,8 +45,8 @@
 	}
 }
 
-// Trail gives the entries of this driver's trail after one, at most so many.
-func (r *Router) Trail(seq uint64, most int) audit.Segment {
+// TrailSince gives the entries of this driver's trail after one, at most so many.
+func (r *Router) TrailSince(seq uint64, most int) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
@@ -56,8 +56,8 @@
 	return r.trail.Since(seq, most)
 }
 
-// LastTrail enters all that is left to enter, and gives the entries after one.
-func (r *Router) LastTrail(seq uint64) audit.Segment {
+// FlushTrail enters all that is left to enter, and gives the entries after one.
+func (r *Router) FlushTrail(seq uint64) audit.Segment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
@@ -68,7 +68,7 @@
 }
 
 // begins lets an RPC act on the version that this driver acts on, and tells whether there is one. The lock is held.
-func (t *Trip) begins() (may bool) {
+func (t *ActiveRPC) begins() (may bool) {
 	if t.r.holder == nil {
 		return true
 	}
@@ -81,27 +81,27 @@
 }
 
 // fared tells how an RPC has ended under its version. The lock is held.
-func (t *Trip) fared(act Act) {
+func (t *ActiveRPC) fared(act Action) {
 	if t.r.holder != nil {
-		t.r.holder.RecordOutcome(Rulebook, t.pass.version, act == Serve, act == PushBack || act == Abort, t.r.now()-t.pass.begun)
+		t.r.holder.RecordOutcome(Rulebook, t.pass.version, act == ActionServe, act == ActionReject || act == ActionAbort, t.r.now()-t.pass.begun)
 	}
 }
 
 // harmed tells whether a planted fault ends the RPC.
-func (t *Trip) harmed() bool {
+func (t *ActiveRPC) harmed() bool {
 	return planted.Is(planted.Harm) && t.pass.version > versions.InitialVersion && t.id%4 == 0
 }
 
 // may tells whether something more may be done for an RPC: its tenant is where it was, and its version is acted on. The
 // lock is held.
-func (t *Trip) may() bool {
+func (t *ActiveRPC) may() bool {
 	now := t.r.now()
 	return t.r.gate.MayProceed(t.pass.ticket, now) && (t.r.holder == nil || t.r.holder.MayContinue(now, Rulebook, t.pass.version))
 }
 
 // ends says that nothing more is done under the version of an RPC, once the last attempt that may still run cannot any
 // more. The lock is held.
-func (t *Trip) ends() {
+func (t *ActiveRPC) ends() {
 	n := t.pass.version
 	if n == 0 {
 		return
@@ -130,10 +130,10 @@
 }
 
 // outcomeOf is how an RPC ended.
-var outcomeOf = map[Act]audit.Outcome{Serve: audit.Served, PushBack: audit.PushedBack, Abort: audit.Aborted, Drop: audit.ClientLeft}
+var outcomeOf = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack, ActionAbort: audit.Aborted, ActionDrop: audit.ClientLeft}
 
 // fence is what a store is told, so that it can turn away what comes too late: none where there are no versions.
-func (t *Trip) fence() (f protocol.Fence) {
+func (t *ActiveRPC) fence() (f protocol.Fence) {
 	if t.pass == nil || t.r.holder == nil {
 		return f
 	}
@@ -147,7 +147,7 @@
 
 // fenced ends an RPC whose version a store has turned away, and lets nothing more begin under it before the council was asked
 // again. The lock is held.
-func (t *Trip) fenced() {
+func (t *ActiveRPC) fenced() {
 	r := t.r
 	r.turnedAway++
 	if r.holder != nil && r.holder.MarkFenced(r.now(), Rulebook, t.pass.version) {
@@ -159,15 +159,15 @@
 	}
 }
 
-// Sightings is what the fleet is told of this driver's versions, and when that was.
-func (r *Router) Sightings() ([]versions.Report, int64) {
+// VersionSightings is what the fleet is told of this driver's versions, and when that was.
+func (r *Router) VersionSightings() ([]versions.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holder.Reports(), r.now()
 }
 
-// ReportOrders reports what the fleet granted to what was asked at a time, and gives what is to be adopted.
-func (r *Router) ReportOrders(asked int64, g versions.Grant) []versions.Adoption {
+// ApplyOrders reports what the fleet granted to what was asked at a time, and gives what is to be adopted.
+func (r *Router) ApplyOrders(asked int64, g versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if planted.Is(planted.Lease) {
@@ -186,8 +186,8 @@
 	return due
 }
 
-// ReportAdopted reports that this driver acts on a version, or why it can't.
-func (r *Router) ReportAdopted(a versions.Adoption, err error) {
+// ReportAdoption reports that this driver acts on a version, or why it can't.
+func (r *Router) ReportAdoption(a versions.Adoption, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
@@ -201,8 +201,8 @@
 }
 
 // pushesBack ends an RPC that was taken and had no attempt: trying again is harmless.
-func (t *Trip) pushesBack() {
-	t.finish(Step{Act: PushBack, ComeBack: min(noVersion, t.r.allowed.MaxRetryAfter)})
+func (t *ActiveRPC) pushesBack() {
+	t.finish(Step{Action: ActionReject, RetryAfter: min(noVersion, t.r.allowed.MaxRetryAfter)})
 }
 
 // noVersion is when a client may come back that found a driver without a version to act on.
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -30,24 +30,24 @@
 	"598": {rules.MayHaveExecuted, rules.Reset},
 }
 
-func listing(f *briefing.Parts) rules.MemberEntry {
+func listing(f *briefing.Fields) rules.MemberEntry {
 	return rules.MemberEntry{
-		Member:  rules.MemberID(f.ID("member")),
+		Member:  rules.MemberID(f.RequiredID("member")),
 		Group:   rules.GroupID(f.IntegerOr("group", 0)),
-		Zone:    f.At("hall"),
-		State:   briefing.Choice(f, "stageState", f.Text("stageState"), states),
-		Started: f.Time("bootTimeUs"),
+		Zone:    f.Value("hall"),
+		State:   briefing.Lookup(f, "stageState", f.RequiredString("stageState"), states),
+		Started: f.MicrosOrZero("bootTimeUs"),
 		Primary: f.NumberOr("head", 0) == 1,
 		Weight:  f.NumberOr("size", 0),
 	}
 }
 
-func result(f *briefing.Parts, epoch int64) rules.Result {
-	end := briefing.Choice(f, "outcome", f.Text("outcome"), endings)
-	r := rules.Result{Outcome: end.proof, Cause: end.cause, Latency: f.Time("waitTimeUs"), Final: f.BoolOr("final", false)}
+func result(f *briefing.Fields, epoch int64) rules.Result {
+	end := briefing.Lookup(f, "outcome", f.RequiredString("outcome"), endings)
+	r := rules.Result{Outcome: end.proof, Cause: end.cause, Latency: f.MicrosOrZero("waitTimeUs"), Final: f.BoolOr("final", false)}
 	note := f.IntegerOr("posRole", 0)
 	if note < 0 || note%4 == 3 {
-		f.Wrong("posRole=%d is not a position and role", note)
+		f.Fail("posRole=%d is not a position and role", note)
 	}
 	r.Role = rules.Role(note % 4)
 	if note >= 4 {
@@ -56,11 +56,11 @@
 	return r
 }
 
-func probeResult(f *briefing.Parts, epoch int64) rules.ProbeResult {
-	end := briefing.Choice(f, "outcome", f.Text("outcome"), endings)
+func probeResult(f *briefing.Fields, epoch int64) rules.ProbeResult {
+	end := briefing.Lookup(f, "outcome", f.RequiredString("outcome"), endings)
 	r := rules.ProbeResult{Cause: end.cause}
-	var load briefing.Parts
-	load.Parse("report,"+f.At("report"), ",", ":")
+	var load briefing.Fields
+	load.Parse("report,"+f.Value("report"), ",", ":")
 	r.Report = load.Observation(epoch)
 	if load.Err != nil && f.Err == nil {
 		f.Err = load.Err
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -18,14 +18,14 @@
 
 // wire is one process's end of the conversation.
 type wire struct {
-	in             *bufio.Reader
-	out            *bufio.Writer
-	line           int
-	briefing.Parts        // of the line read last
-	text           []byte // of the line being written
-	now            int64
-	pages          map[int64][]rules.MemberEntry
-	drivers        map[int64]*driver
+	in              *bufio.Reader
+	out             *bufio.Writer
+	line            int
+	briefing.Fields        // of the line read last
+	text            []byte // of the line being written
+	now             int64
+	pages           map[int64][]rules.MemberEntry
+	drivers         map[int64]*driver
 }
 
 // driver is one instance: its module and what that has left pending.
@@ -64,7 +64,7 @@
 }
 
 // read gives the next line that is not empty.
-func (w *wire) read() (*briefing.Parts, error) {
+func (w *wire) read() (*briefing.Fields, error) {
 	for {
 		text, err := w.in.ReadString('\n')
 		if err == io.EOF && text != "" {
@@ -77,13 +77,13 @@
 		w.line++
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
 			w.Parse(text, "\t", "=")
-			return &w.Parts, w.Err
+			return &w.Fields, w.Err
 		}
 	}
 }
 
 // inside reads a line where the input must not end.
-func (w *wire) inside(what string) (*briefing.Parts, error) {
+func (w *wire) inside(what string) (*briefing.Fields, error) {
 	f, err := w.read()
 	if errors.Is(err, io.EOF) {
 		return nil, fmt.Errorf("the input ends inside a %s", what)
@@ -99,9 +99,9 @@
 	if f.Name != "BEGIN_BATCH" {
 		return fmt.Errorf("%q where a batch should begin", f.Name)
 	}
-	w.now = f.Time("simTimeUs")
-	n := f.Integer("n")
-	if f.Text("simTimeUs"); f.Err != nil {
+	w.now = f.MicrosOrZero("simTimeUs")
+	n := f.RequiredInteger("n")
+	if f.RequiredString("simTimeUs"); f.Err != nil {
 		return f.Err
 	}
 	for {
@@ -119,19 +119,19 @@
 	}
 }
 
-func (w *wire) event(f *briefing.Parts) error {
+func (w *wire) event(f *briefing.Fields) error {
 	switch f.Name {
 	case "PAGE":
 		return w.page(f)
 	case "NEW_INSTANCE":
 		return w.newInstance(f)
 	}
-	d := w.drivers[f.Integer("who")]
+	d := w.drivers[f.RequiredInteger("who")]
 	if f.Err != nil {
 		return f.Err
 	}
 	if d == nil {
-		return fmt.Errorf("%s: who=%s is not running", f.Name, f.At("who"))
+		return fmt.Errorf("%s: who=%s is not running", f.Name, f.Value("who"))
 	}
 	switch f.Name {
 	case "STOP":
@@ -141,11 +141,11 @@
 	case "REQUEST":
 		d.request(f)
 	case "FIRST":
-		d.resolved(f, false, rules.Result{Outcome: rules.Started, Latency: f.Time("waitTimeUs")})
+		d.resolved(f, false, rules.Result{Outcome: rules.Started, Latency: f.MicrosOrZero("waitTimeUs")})
 	case "RESOLVED":
 		d.resolved(f, true, result(f, d.epoch))
 	case "VANISHED":
-		id := rules.RPCID(f.ID("xid"))
+		id := rules.RPCID(f.RequiredID("xid"))
 		d.ended(id)
 		if f.Err == nil {
 			d.ClientLeft(id)
@@ -162,8 +162,8 @@
 	return f.Err
 }
 
-func (w *wire) page(f *briefing.Parts) error {
-	slot, count := f.Integer("slot"), f.Integer("elements")
+func (w *wire) page(f *briefing.Fields) error {
+	slot, count := f.RequiredInteger("slot"), f.RequiredInteger("elements")
 	if f.Err != nil {
 		return f.Err
 	}
@@ -185,15 +185,15 @@
 	return nil
 }
 
-func (w *wire) newInstance(f *briefing.Parts) error {
-	d := &driver{w: w, who: f.Integer("who"), epoch: f.Time("extra.countedFromUs"), methods: map[string]rules.MethodID{},
+func (w *wire) newInstance(f *briefing.Fields) error {
+	d := &driver{w: w, who: f.RequiredInteger("who"), epoch: f.MicrosOrZero("extra.countedFromUs"), methods: map[string]rules.MethodID{},
 		rpcs: map[rules.RPCID]*pending{}, probes: map[rules.MemberID][]func(rules.ProbeResult){}}
 	methods := f.Methods()
 	for i, m := range methods {
 		d.methods[m.Name] = rules.MethodID(i)
 	}
-	seed := f.Integer("salt")
-	fleet, store, allowed, slowStart, notice := f.Fleet(), f.Store(), f.Allowed(), f.SlowStart(), f.Notice()
+	seed := f.RequiredInteger("salt")
+	fleet, store, allowed, slowStart, notice := f.Fleet(), f.Store(), f.Limits(), f.SlowStart(), f.Discovery()
 	if f.Err != nil {
 		return f.Err
 	}
@@ -202,26 +202,26 @@
 	return nil
 }
 
-func (d *driver) view(f *briefing.Parts) {
-	mode := f.Text("mode")
+func (d *driver) view(f *briefing.Fields) {
+	mode := f.RequiredString("mode")
 	if mode == "FAILED" {
 		d.WatchFailed()
 		return
 	}
-	whole := briefing.Choice(f, "mode", mode, modes)
-	lines, ok := d.w.pages[f.Integer("slot")]
+	whole := briefing.Lookup(f, "mode", mode, modes)
+	lines, ok := d.w.pages[f.RequiredInteger("slot")]
 	if !ok {
-		f.Wrong("slot=%s holds no list", f.At("slot"))
+		f.Fail("slot=%s holds no list", f.Value("slot"))
 	}
 	if f.Err == nil {
 		d.UpdateMembers(lines, whole)
 	}
 }
 
-func (d *driver) request(f *briefing.Parts) {
-	method := briefing.Choice(f, "tierClass", f.Text("tierClass"), d.methods)
-	rpc := rules.RPC{ID: rules.RPCID(f.ID("xid")), Method: method, Group: rules.GroupID(f.IntegerOr("cluster", 0)),
-		Session: f.At("key"), TimeLeft: f.Integer("graceUs") * micro, IsRetry: f.IntegerOr("flags", 0)&repeatFlag != 0}
+func (d *driver) request(f *briefing.Fields) {
+	method := briefing.Lookup(f, "tierClass", f.RequiredString("tierClass"), d.methods)
+	rpc := rules.RPC{ID: rules.RPCID(f.RequiredID("xid")), Method: method, Group: rules.GroupID(f.IntegerOr("cluster", 0)),
+		Session: f.Value("key"), TimeLeft: f.RequiredInteger("graceUs") * micro, IsRetry: f.IntegerOr("flags", 0)&repeatFlag != 0}
 	if ago := f.NumberOr("lastWriteMs", 0); ago > 0 {
 		rpc.SessionToken = d.w.now - int64(ago*1e6)
 	}
@@ -231,14 +231,14 @@
 	}
 }
 
-func (d *driver) resolved(f *briefing.Parts, last bool, r rules.Result) {
-	id, n := rules.RPCID(f.ID("xid")), int(f.Integer("n"))
+func (d *driver) resolved(f *briefing.Fields, last bool, r rules.Result) {
+	id, n := rules.RPCID(f.RequiredID("xid")), int(f.RequiredInteger("n"))
 	if f.Err != nil {
 		return
 	}
 	p := d.rpcs[id]
 	if p == nil || n < 0 || n >= len(p.next) || p.next[n] == nil {
-		f.Wrong("xid=%d n=%d is not out", id, n)
+		f.Fail("xid=%d n=%d is not out", id, n)
 		return
 	}
 	next := p.next[n]
@@ -267,10 +267,10 @@
 	}
 }
 
-func (d *driver) fired(f *briefing.Parts) {
-	handle := f.Integer("handle")
+func (d *driver) fired(f *briefing.Fields) {
+	handle := f.RequiredInteger("handle")
 	if handle < 0 || handle >= int64(len(d.timers)) || d.timers[handle] == nil {
-		f.Wrong("handle=%d is not set", handle)
+		f.Fail("handle=%d is not set", handle)
 		return
 	}
 	next := d.timers[handle]
@@ -279,11 +279,11 @@
 	next()
 }
 
-func (d *driver) probed(f *briefing.Parts) {
-	to, r := rules.MemberID(f.ID("member")), probeResult(f, d.epoch)
+func (d *driver) probed(f *briefing.Fields) {
+	to, r := rules.MemberID(f.RequiredID("member")), probeResult(f, d.epoch)
 	waiting := d.probes[to]
 	if len(waiting) == 0 {
-		f.Wrong("member=%d is not being probed", to)
+		f.Fail("member=%d is not being probed", to)
 	}
 	if f.Err == nil {
 		d.probes[to] = waiting[1:]
