--- a/cmd/sedgespread/cells.go
+++ b/cmd/sedgespread/cells.go
@@ -184,7 +184,7 @@
 
 // Run begins a move.
 func (m cellsMove) Run(c *commands) error {
-	move := []membership.Move{{Tenant: cells.Tenant(m.Tenant), To: m.To, Why: m.Why}}
+	move := []membership.MoveRequest{{Tenant: cells.Tenant(m.Tenant), To: m.To, Reason: m.Why}}
 	return ask(c, "move", move, func(out *tabwriter.Writer, _ *struct{}) {
 		fmt.Fprintf(out, "move of %s to %s begun; `cells moves` shows how it goes\n", m.Tenant, m.To)
 	})
@@ -194,7 +194,7 @@
 
 // Run lists moves.
 func (cellsMoves) Run(c *commands) error {
-	return ask(c, "moves", admin.Wanted{}, func(out *tabwriter.Writer, s *membership.State) {
+	return ask(c, "moves", admin.Wanted{}, func(out *tabwriter.Writer, s *membership.CoordinatorState) {
 		fmt.Fprintln(out, "TENANT\tCELL\tSTAGE\tTO\tEPOCH\tSINCE\tWHY")
 		for i := len(s.Entries) - 1; i >= 0; i-- {
 			e := s.Entries[i]
@@ -215,7 +215,7 @@
 
 // Run calls a move off.
 func (a cellsAbort) Run(c *commands) error {
-	return ask(c, "abort", membership.Move{Tenant: cells.Tenant(a.Tenant), Why: a.Why}, func(out *tabwriter.Writer, _ *struct{}) {
+	return ask(c, "abort", membership.MoveRequest{Tenant: cells.Tenant(a.Tenant), Reason: a.Why}, func(out *tabwriter.Writer, _ *struct{}) {
 		fmt.Fprintf(out, "move of %s is on its way back\n", a.Tenant)
 	})
 }
--- a/cmd/sedgespread/emulate.go
+++ b/cmd/sedgespread/emulate.go
@@ -148,7 +148,7 @@
 		v.Lease, time.Since(begun).Round(time.Second), r.Table())
 	fmt.Println("\nThe drivers in the end, as the council knows them:")
 	for _, d := range r.Drivers {
-		fmt.Printf("- %s, start %d, %s, acts on %s\n", d.Name, d.Start, d.State, actsOn(d.Seen))
+		fmt.Printf("- %s, start %d, %s, acts on %s\n", d.Name, d.Start, d.State, actsOn(d.Sightings))
 	}
 	if len(r.Breaches) > 0 {
 		return fmt.Errorf("%d breaches, the first: %+v", len(r.Breaches), r.Breaches[0])
--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -33,11 +33,11 @@
 }
 
 // fleet asks how the fleet stands.
-func (c *commands) fleet(print func(out *tabwriter.Writer, f *membership.Fleet)) error {
+func (c *commands) fleet(print func(out *tabwriter.Writer, f *membership.FleetState)) error {
 	return asked(admin.Fleet(c.Fleet.Admin), c.Fleet.JSON, "state", struct{}{}, print)
 }
 
-func (c *commands) wish(w membership.Wish, done string) error {
+func (c *commands) wish(w membership.FleetChange, done string) error {
 	err := admin.Fleet(c.Fleet.Admin).Ask(context.Background(), "wish", w, nil)
 	if err == nil {
 		fmt.Println(done)
@@ -49,16 +49,16 @@
 
 // Run lists drivers.
 func (fleetList) Run(c *commands) error {
-	return c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
-		fmt.Fprintf(out, "voter %d, level %d (all know %d)\n\nDRIVER\tSTART\tSTATE\tAT\tBUILD\tLEVEL\tLEASE\tACTS ON\tWHY\n", f.Voter, f.Level, f.Highest)
+	return c.fleet(func(out *tabwriter.Writer, f *membership.FleetState) {
+		fmt.Fprintf(out, "voter %d, level %d (all know %d)\n\nDRIVER\tSTART\tSTATE\tAT\tBUILD\tLEVEL\tLEASE\tACTS ON\tWHY\n", f.Voter, f.Level, f.HighestCommonLevel)
 		for _, d := range f.Drivers {
-			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", d.Name, d.Start, d.State, d.At, d.Build, d.Level,
-				lease(d.Until-f.Now), actsOn(d.Seen), d.Why)
+			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", d.Name, d.Start, d.State, d.Address, d.Build, d.Level,
+				lease(d.LeaseEnd-f.Now), actsOn(d.Sightings), d.Reason)
 		}
-		for _, d := range f.Doubts {
-			fmt.Fprintf(out, "\n%s, start %d, is not heard by %d of %d fellows: %s", d.Name, d.Start, len(d.By), d.Of, strings.Join(d.By, ", "))
+		for _, d := range f.Suspicions {
+			fmt.Fprintf(out, "\n%s, start %d, is not heard by %d of %d fellows: %s", d.Name, d.Start, len(d.Reporters), d.Listeners, strings.Join(d.Reporters, ", "))
 		}
-		if len(f.Doubts) > 0 {
+		if len(f.Suspicions) > 0 {
 			fmt.Fprintln(out)
 		}
 	})
@@ -95,13 +95,13 @@
 // Run shows a driver.
 func (s fleetShow) Run(c *commands) error {
 	found := false
-	err := c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
+	err := c.fleet(func(out *tabwriter.Writer, f *membership.FleetState) {
 		for _, d := range f.Drivers {
 			if found = found || d.Name == s.Driver; d.Name != s.Driver {
 				continue
 			}
 			fmt.Fprintf(out, "driver\t%s\nstart\t%d\nstate\t%s %s\nsince\t%s\nat\t%s\nbuild\t%s\nlevel\t%d\nlease\t%s\nacts on\t%s\n", d.Name, d.Start,
-				d.State, d.Why, moment(d.When), d.At, d.Build, d.Level, lease(d.Until-f.Now), actsOn(d.Seen))
+				d.State, d.Reason, moment(d.ChangedAt), d.Address, d.Build, d.Level, lease(d.LeaseEnd-f.Now), actsOn(d.Sightings))
 		}
 	})
 	if err == nil && !found && !c.Fleet.JSON {
@@ -118,7 +118,7 @@
 
 // Run lists versions.
 func (v fleetVersions) Run(c *commands) error {
-	return c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
+	return c.fleet(func(out *tabwriter.Writer, f *membership.FleetState) {
 		for _, s := range f.Observed {
 			if string(s.Resource) == v.Thing {
 				observed(out, s)
@@ -168,7 +168,7 @@
 
 // Run asks the audit. With --verify what is wrong is an error.
 func (a fleetAudit) Run(c *commands) error {
-	q := membership.Question{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, Clocks: int64(a.Clocks)}
+	q := membership.AuditQuery{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, MaxClockSkew: int64(a.Clocks)}
 	if !a.From.IsZero() {
 		q.From = a.From.UnixNano()
 	}
@@ -176,7 +176,7 @@
 		q.To = a.To.UnixNano()
 	}
 	wrong := 0
-	err := asked(admin.Fleet(c.Fleet.Admin), c.Fleet.JSON, "audit", q, func(out *tabwriter.Writer, f *membership.Finding) {
+	err := asked(admin.Fleet(c.Fleet.Admin), c.Fleet.JSON, "audit", q, func(out *tabwriter.Writer, f *membership.AuditResult) {
 		wrong = len(f.Late) + len(f.Faults)
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tNOT KEPT")
@@ -230,7 +230,7 @@
 	}
 	plan := versions.Plan{Exclusive: p.Exclusive, CanaryFraction: p.Canaries, TrialTime: int64(p.Trial), FalseAlarmRate: p.Alarm, ToleratedRatio: p.Bears, AnnounceTimeout: int64(p.Tell), AdoptTimeout: int64(p.Adopt),
 		DrainTimeout: int64(p.Close)}
-	return c.wish(membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Why: p.Why, Plan: plan}},
+	return c.wish(membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Reason: p.Why, Plan: plan}},
 		"proposed; `fleet versions` shows how it goes")
 }
 
@@ -241,7 +241,7 @@
 
 // Run calls a version off.
 func (f fleetCallOff) Run(c *commands) error {
-	return c.wish(membership.Wish{CallOff: versions.Resource(f.Thing), Why: f.Why}, "called off; `fleet versions` shows how it goes")
+	return c.wish(membership.FleetChange{Withdraw: versions.Resource(f.Thing), Reason: f.Why}, "called off; `fleet versions` shows how it goes")
 }
 
 type fleetReadmit struct {
@@ -251,7 +251,7 @@
 
 // Run lets a driver back in.
 func (r fleetReadmit) Run(c *commands) error {
-	return c.wish(membership.Wish{Readmit: r.Driver, Why: r.Why}, r.Driver+" may ask for a lease again")
+	return c.wish(membership.FleetChange{Readmit: r.Driver, Reason: r.Why}, r.Driver+" may ask for a lease again")
 }
 
 type fleetLevel struct {
@@ -261,10 +261,10 @@
 // Run shows or raises the level.
 func (l fleetLevel) Run(c *commands) error {
 	if l.Raise > 0 {
-		return c.wish(membership.Wish{Raise: l.Raise}, fmt.Sprintf("the fleet acts at level %d", l.Raise))
+		return c.wish(membership.FleetChange{RaiseLevel: l.Raise}, fmt.Sprintf("the fleet acts at level %d", l.Raise))
 	}
-	return c.fleet(func(out *tabwriter.Writer, f *membership.Fleet) {
-		fmt.Fprintf(out, "level %d; all know %d\n", f.Level, f.Highest)
+	return c.fleet(func(out *tabwriter.Writer, f *membership.FleetState) {
+		fmt.Fprintf(out, "level %d; all know %d\n", f.Level, f.HighestCommonLevel)
 	})
 }
 
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -114,7 +114,7 @@
 	said, good = cellsDo("move", "club", "--to", "two")
 	require.True(t, good, said)
 	eventually(t, "the move is done", func() bool {
-		var s membership.State
+		var s membership.CoordinatorState
 		err := admin.Dial(at[0]).Ask(context.Background(), "moves", admin.Wanted{}, &s)
 		return err == nil && len(s.Entries) == 1 && s.Entries[0].Stage == cells.StageIdle && s.Entries[0].Cell == "two"
 	})
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,15 +18,15 @@
 type Desk interface {
 	Cells() cells.Stats
 	Where(t cells.Tenant, key string) Place
-	State(ctx context.Context) (membership.State, error)
-	Move(ctx context.Context, moves []membership.Move) error
-	Abort(ctx context.Context, m membership.Move) error
+	State(ctx context.Context) (membership.CoordinatorState, error)
+	Move(ctx context.Context, moves []membership.MoveRequest) error
+	Abort(ctx context.Context, m membership.MoveRequest) error
 	Plan(ctx context.Context, most int) (Plan, error)
 	Council(ctx context.Context) (chamber.State, error)
 	ChangeCouncil(ctx context.Context, change chamber.VoterChange) error
-	Fleet(ctx context.Context) (membership.Fleet, error)
-	Wish(ctx context.Context, w membership.Wish) error
-	Audit(ctx context.Context, q membership.Question) (membership.Finding, error)
+	Fleet(ctx context.Context) (membership.FleetState, error)
+	Wish(ctx context.Context, w membership.FleetChange) error
+	Audit(ctx context.Context, q membership.AuditQuery) (membership.AuditResult, error)
 }
 
 // Place is where a tenant is, as one instance knows.
@@ -48,7 +48,7 @@
 	Worst, Mean, Bound, Before float64
 	Exact                      bool
 	Cells                      []CellPlan
-	Moves                      []membership.Move
+	Moves                      []membership.MoveRequest
 	Tenants                    []TenantPlan
 }
 
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -68,7 +68,7 @@
 	states, may := map[string]int{}, 0
 	for _, d := range fleet.Drivers {
 		states[d.State.String()]++
-		if d.May {
+		if d.MayAct {
 			may++
 		}
 	}
@@ -80,12 +80,12 @@
 	for thing, all := range fleet.Versions {
 		last := all[len(all)-1]
 		gauge(versionStage, 1, string(thing), strconv.FormatUint(uint64(last.Number), 10), last.Stage.String())
-		closed, _ := fleet.Closed(thing)
+		closed, _ := fleet.LatestClosed(thing)
 		gauge(versionClosed, float64(closed), string(thing))
 	}
-	for _, d := range fleet.Doubts {
-		if d.Silent {
-			gauge(fleetSilent, time.Duration(fleet.Now-d.Since).Seconds(), d.Name)
+	for _, d := range fleet.Suspicions {
+		if d.IsSilent {
+			gauge(fleetSilent, time.Duration(fleet.Now-d.SilentSince).Seconds(), d.Name)
 		}
 	}
 	for _, s := range fleet.Observed {
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -18,7 +18,7 @@
 // still is a desk at which nothing changes.
 type still struct {
 	Desk
-	fleet membership.Fleet
+	fleet membership.FleetState
 	err   error
 }
 
@@ -28,7 +28,7 @@
 	return chamber.State{Term: 7, IsActing: true}, s.err
 }
 
-func (s still) Fleet(context.Context) (membership.Fleet, error) { return s.fleet, s.err }
+func (s still) Fleet(context.Context) (membership.FleetState, error) { return s.fleet, s.err }
 
 func scraped(d Desk) string {
 	w := httptest.NewRecorder()
@@ -38,7 +38,7 @@
 
 // Guards against a version that is held back and nobody can see by whom, and against a page that fails with the council.
 func TestMetrics(t *testing.T) {
-	f := membership.Fleet{Level: 2, Drivers: []membership.Seen{{Driver: roster.Driver{State: roster.Present}, May: true}, {Driver: roster.Driver{State: roster.ShutOut}}},
+	f := membership.FleetState{Level: 2, Drivers: []membership.DriverStatus{{Driver: roster.Driver{State: roster.StatePresent}, MayAct: true}, {Driver: roster.Driver{State: roster.StateShutOut}}},
 		Versions: map[versions.Resource][]versions.Version{"rulebook": {{Number: 2, Stage: versions.StageCompleted}, {Number: 3, Stage: versions.StageActivating}}},
 		Behind:   []versions.StalledVersion{{Resource: "rulebook", Number: 3, Stage: versions.StageActivating, Duration: 1_500_000_000, Instances: []versions.Instance{{Name: "n7"}}}}}
 	page := scraped(still{fleet: f})
--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -32,7 +32,7 @@
 	for _, t := range p.Moves {
 		why := fmt.Sprintf("plan: %s at %.2f of its capacity, worst cell %.2f to %.2f", name(tenants[t].CurrentCell),
 			before.Loads[tenants[t].CurrentCell], before.MaxLoad, p.MaxLoad)
-		plan.Moves = append(plan.Moves, membership.Move{Tenant: cells.Tenant(tenants[t].Name), To: name(p.Placement[t]), Why: why})
+		plan.Moves = append(plan.Moves, membership.MoveRequest{Tenant: cells.Tenant(tenants[t].Name), To: name(p.Placement[t]), Reason: why})
 	}
 	for i, t := range tenants {
 		if len(plan.Tenants) < explainedMost {
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -273,7 +273,7 @@
 }
 
 // fill takes what a coordinator asks of the store. One that is older than what was asked before changes nothing.
-func (f *Fleet) fill(_ context.Context, asked membership.Filling) error {
+func (f *Fleet) fill(_ context.Context, asked membership.FillRequest) error {
 	f.Model(func(_ int64, model *emulator.Fleet) {
 		tenant := string(asked.Tenant)
 		if uint64(asked.Epoch) <= f.fills[tenant] {
@@ -284,7 +284,7 @@
 		case "begin":
 			model.Fill(tenant, numbers(asked.From), numbers(asked.To))
 		case "end":
-			model.EndFill(tenant, asked.Cut)
+			model.EndFill(tenant, asked.CutoverPosition)
 		case "drop":
 			model.DropFill(tenant)
 		}
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -38,7 +38,7 @@
 	if err := c.told(ctx, time.Now()); err != nil {
 		return err
 	}
-	f, err := membership.Audit(ctx, c.at, membership.Question{Thing: routing.Rulebook, Clocks: int64(10 * time.Millisecond)})
+	f, err := membership.Audit(ctx, c.at, membership.AuditQuery{Thing: routing.Rulebook, MaxClockSkew: int64(10 * time.Millisecond)})
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
 	}
-	trails := readTrails(membership.Parts(ctx, c.at))
+	trails := readTrails(membership.CollectParts(ctx, c.at))
 	got := map[string]emulator.UnderFence{}
 	for _, fenced := range c.n.Fleet.Fenced() {
 		if fenced.Write && !fenced.Turned {
@@ -92,7 +92,7 @@
 	}
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
 		heard := map[string]bool{}
-		for _, p := range membership.Parts(ctx, c.at) {
+		for _, p := range membership.CollectParts(ctx, c.at) {
 			if n := len(p.Entries); n > 0 && p.IsClockOffsetKnown && p.Entries[n-1].At+p.ClockOffset > ended.UnixNano() {
 				heard[p.Instance.Name] = true
 			}
--- a/internal/emulator/trials/disks.go
+++ b/internal/emulator/trials/disks.go
@@ -62,7 +62,7 @@
 // refused tells whether a voter says in time that its disk is old.
 func (c *changing) refused(ctx context.Context, v int) bool {
 	for begun := time.Now(); time.Since(begun) < refusedWithin && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
-		s, err := membership.Dial(c.at[v]).Council(ctx)
+		s, err := membership.NewClient(c.at[v]).Council(ctx)
 		if err == nil && strings.Contains(s.RefusalReason, "is older than what it had told") {
 			return true
 		}
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -174,7 +174,7 @@
 // move asks for moves of tenants to cells at random until enough are done, some of them called off, some asked for twice
 // and some sent back while they settle.
 func (m *moving) move(ctx context.Context) error {
-	c := membership.Dial(m.at...)
+	c := membership.NewClient(m.at...)
 	deadline := time.Now().Add(m.Span)
 	for {
 		state, err := c.State(ctx)
@@ -197,14 +197,14 @@
 		}
 		if m.chance.intN(60) == 0 {
 			if under := movingOf(state); len(under) > 0 {
-				c.Abort(ctx, membership.Move{Tenant: under[m.chance.intN(len(under))].Tenant, Why: "trial"})
+				c.Abort(ctx, membership.MoveRequest{Tenant: under[m.chance.intN(len(under))].Tenant, Reason: "trial"})
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func movingOf(s membership.State) (moving []cells.Entry) {
+func movingOf(s membership.CoordinatorState) (moving []cells.Entry) {
 	for _, e := range s.Entries {
 		if e.Stage != cells.StageIdle {
 			moving = append(moving, e)
@@ -214,12 +214,12 @@
 }
 
 // ask asks for a move, now and then twice at once.
-func (m *moving) ask(ctx context.Context, c membership.Coordinator) {
+func (m *moving) ask(ctx context.Context, c membership.Client) {
 	t := cells.Tenant(fmt.Sprintf("t%d", m.chance.intN(m.Tenants)))
 	times := 1 + m.chance.intN(4)/3
 	for range times {
 		to := fmt.Sprintf("c%d", m.chance.intN(moveCells))
-		err := c.Move(ctx, []membership.Move{{Tenant: t, To: to, Why: "trial"}})
+		err := c.Move(ctx, []membership.MoveRequest{{Tenant: t, To: to, Reason: "trial"}})
 		m.mu.Lock()
 		m.result.Asked++
 		if err != nil {
@@ -230,7 +230,7 @@
 }
 
 // watch counts moves that have ended since it looked last.
-func (m *moving) watch(s membership.State) {
+func (m *moving) watch(s membership.CoordinatorState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s.Voter != m.leader {
@@ -263,7 +263,7 @@
 
 // settle waits until no move is under way.
 func (m *moving) settle(ctx context.Context) error {
-	c := membership.Dial(m.at...)
+	c := membership.NewClient(m.at...)
 	for deadline := time.Now().Add(m.Hold + 2*m.Lease + 10*time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		state, err := c.State(ctx)
 		if err == nil {
@@ -279,7 +279,7 @@
 // finish checks what is left and sums up.
 func (m *moving) finish() *MovesResult {
 	r := m.result
-	state, _ := membership.Dial(m.at...).State(context.Background())
+	state, _ := membership.NewClient(m.at...).State(context.Background())
 	groups := map[string]int64{}
 	for _, e := range state.Entries {
 		var cell int64
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -64,7 +64,7 @@
 	Wrote50, Wrote99         time.Duration
 	Faults                   map[string]int
 	Breaches                 []emulator.Breach
-	Drivers                  []membership.Seen
+	Drivers                  []membership.DriverStatus
 	OldDisks, Accepted       int           // put back, and not refused
 	Noticed                  time.Duration // from the begin of a trial to its end by a canary that has failed
 	Audit                    AuditResult
@@ -260,7 +260,7 @@
 func (c *changing) leading() int { return leading(c.at, c.chance) }
 
 func leading(at []string, chance *locked) int {
-	state, err := membership.Dial(at...).Council(context.Background())
+	state, err := membership.NewClient(at...).Council(context.Background())
 	if err != nil || state.Leader == 0 {
 		return chance.intN(len(at))
 	}
@@ -285,11 +285,11 @@
 
 // change proposes versions one after another until enough are closed. Some are wrong, and some are called off.
 func (c *changing) change(ctx context.Context) error {
-	council := membership.Dial(c.at...)
+	council := membership.NewClient(c.at...)
 	deadline := time.Now().Add(c.Span)
 	for n := 1; ; {
 		by, stop := context.WithTimeout(ctx, 2*time.Second)
-		f, err := council.Fleet(by)
+		f, err := council.FleetState(by)
 		if err == nil {
 			c.watch(&f)
 		}
@@ -306,18 +306,18 @@
 			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.Count, c.Span, c.stands(&f))
 		case err == nil && !c.under(&f):
 			wrong := c.Trial == 0 && p.CanaryFraction > 0 && c.chance.intN(4) == 0
-			err := council.Wish(by, membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, wrong), Why: "trial", Plan: p}})
+			err := council.ChangeFleet(by, membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, wrong), Reason: "trial", Plan: p}})
 			n++
 			c.result.Proposed++
 			if err != nil {
 				c.result.Refused++
 			}
 		case err == nil && c.Trial == 0 && c.chance.intN(300) == 0:
-			council.Wish(by, membership.Wish{CallOff: routing.Rulebook, Why: "trial"})
+			council.ChangeFleet(by, membership.FleetChange{Withdraw: routing.Rulebook, Reason: "trial"})
 		}
 		for _, d := range f.Drivers {
 			if d.State.String() == "shut out" && c.chance.intN(40) == 0 {
-				council.Wish(by, membership.Wish{Readmit: d.Name, Why: "trial"})
+				council.ChangeFleet(by, membership.FleetChange{Readmit: d.Name, Reason: "trial"})
 			}
 		}
 		stop()
@@ -357,10 +357,10 @@
 
 // closes proposes the n-th version and waits until it is closed.
 func (c *changing) closes(ctx context.Context, n int) (err error) {
-	council, deadline := membership.Dial(c.at...), time.Now().Add(c.Span)
+	council, deadline := membership.NewClient(c.at...), time.Now().Add(c.Span)
 	p := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
-	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, false), Why: "trial", Plan: p}}
-	for err = council.Wish(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.Wish(ctx, wish) {
+	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, false), Reason: "trial", Plan: p}}
+	for err = council.ChangeFleet(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.ChangeFleet(ctx, wish) {
 		time.Sleep(20 * time.Millisecond) // nobody leads just now
 	}
 	if err != nil {
@@ -368,7 +368,7 @@
 	}
 	c.result.Proposed++
 	for ; c.result.Closed < n; time.Sleep(5 * time.Millisecond) {
-		f, err := council.Fleet(ctx)
+		f, err := council.FleetState(ctx)
 		if err == nil {
 			c.watch(&f)
 		}
@@ -381,15 +381,15 @@
 
 // crash proposes a version that ends its canaries, and waits until it is withdrawn.
 func (c *changing) crash(ctx context.Context) error {
-	council := membership.Dial(c.at...)
+	council := membership.NewClient(c.at...)
 	p := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
-	wish := membership.Wish{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(1, false), Why: "trial", Plan: p}}
-	if err := council.Wish(ctx, wish); err != nil {
+	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(1, false), Reason: "trial", Plan: p}}
+	if err := council.ChangeFleet(ctx, wish); err != nil {
 		return err
 	}
 	var tried time.Time
 	for begun := time.Now(); time.Since(begun) < c.Span; time.Sleep(5 * time.Millisecond) {
-		f, err := council.Fleet(ctx)
+		f, err := council.FleetState(ctx)
 		all := f.Versions[routing.Rulebook]
 		if err != nil || len(all) == 0 {
 			continue
@@ -407,7 +407,7 @@
 }
 
 // stands says how the newest version stands.
-func (c *changing) stands(f *membership.Fleet) string {
+func (c *changing) stands(f *membership.FleetState) string {
 	all := f.Versions[routing.Rulebook]
 	if len(all) == 0 {
 		return "none is known"
@@ -417,7 +417,7 @@
 }
 
 // under tells whether a version is under way.
-func (c *changing) under(f *membership.Fleet) bool {
+func (c *changing) under(f *membership.FleetState) bool {
 	all := f.Versions[routing.Rulebook]
 	if len(all) == 0 {
 		return false
@@ -427,7 +427,7 @@
 }
 
 // watch counts what has happened since it looked last.
-func (c *changing) watch(f *membership.Fleet) {
+func (c *changing) watch(f *membership.FleetState) {
 	for _, v := range f.Versions[routing.Rulebook] {
 		had := c.seen[v.Number]
 		if c.begun[v.Number].IsZero() {
@@ -451,7 +451,7 @@
 		c.seen[v.Number] = v
 	}
 	for _, d := range f.Drivers {
-		key := fmt.Sprint(d.Name, d.Start, d.When)
+		key := fmt.Sprint(d.Name, d.Start, d.ChangedAt)
 		if d.State.String() == "shut out" && !c.shut[key] {
 			c.shut[key] = true
 			c.result.Shut++
@@ -461,10 +461,10 @@
 
 // settle waits until no version is under way and every driver acts on the newest.
 func (c *changing) settle(ctx context.Context) error {
-	council := membership.Dial(c.at...)
-	var last membership.Fleet
+	council := membership.NewClient(c.at...)
+	var last membership.FleetState
 	for deadline := time.Now().Add(20*c.Lease + 10*time.Second); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		f, err := council.Fleet(ctx)
+		f, err := council.FleetState(ctx)
 		if err != nil {
 			continue
 		}
@@ -472,14 +472,14 @@
 		c.watch(&f)
 		for _, d := range f.Drivers {
 			if d.State.String() == "shut out" {
-				council.Wish(ctx, membership.Wish{Readmit: d.Name, Why: "the night is over"})
+				council.ChangeFleet(ctx, membership.FleetChange{Readmit: d.Name, Reason: "the night is over"})
 			}
 		}
-		closed, _ := f.Closed(routing.Rulebook)
+		closed, _ := f.LatestClosed(routing.Rulebook)
 		closed = max(closed, versions.InitialVersion)
 		acting := 0
 		for _, d := range f.Drivers {
-			if d.May && slices.ContainsFunc(d.Seen, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
+			if d.MayAct && slices.ContainsFunc(d.Sightings, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
 				acting++
 			}
 		}
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -16,29 +16,29 @@
 	"sedgespread/internal/versions"
 )
 
-// Agent is a driver's side of the fleet: it asks for a number under its name, and then for its lease again and again.
-type Agent struct {
-	fleet   Coordinator
+// FleetAgent is a driver's side of the fleet: it asks for a number under its name, and then for its lease again and again.
+type FleetAgent struct {
+	fleet   Client
 	claim   roster.Claim
-	start   roster.Start // 0 while it has none
+	start   roster.StartNumber // 0 while it has none
 	lease   time.Duration
-	actor   Actor
+	actor   FleetDriver
 	log     logrus.FieldLogger
 	lost    bool
 	refused string
 	again   time.Duration // it is to ask again after so long
 	held    uint64        // entry up to which the trail was told
-	fellows Fellows       // nil where drivers do not gossip
+	fellows PeerMonitor   // nil where drivers do not gossip
 }
 
-// Fellows tells which other drivers were heard and are not any more.
-type Fellows interface{ Unheard() []string }
+// PeerMonitor tells which other drivers were heard and are not any more.
+type PeerMonitor interface{ Unreachable() []string }
 
-// Listens lets the fleet be told whom this driver does not hear. It is called before Run.
-func (r *Agent) Listens(f Fellows) { r.fellows = f }
+// SetPeerMonitor lets the fleet be told whom this driver does not hear. It is called before Run.
+func (r *FleetAgent) SetPeerMonitor(f PeerMonitor) { r.fellows = f }
 
-// Actor is what an agent asks of the driver that it stands for.
-type Actor interface {
+// FleetDriver is what an agent asks of the driver that it stands for.
+type FleetDriver interface {
 	// Sightings is what the fleet is told, and when that was, on the driver's clock.
 	Sightings() (seen []versions.Report, at int64)
 	// Granted takes in what was granted to what was asked at a time, and does what that takes.
@@ -51,16 +51,16 @@
 	LastTrail(seq uint64) audit.Segment
 }
 
-// NewAgent makes a driver's agent, which asks any of the voters at some addresses.
-func NewAgent(at []string, c roster.Claim, lease time.Duration, a Actor, log logrus.FieldLogger) *Agent {
+// NewFleetAgent makes a driver's agent, which asks any of the voters at some addresses.
+func NewFleetAgent(at []string, c roster.Claim, lease time.Duration, a FleetDriver, log logrus.FieldLogger) *FleetAgent {
 	var token [16]byte
 	rand.Read(token[:])
 	c.Token = hex.EncodeToString(token[:])
-	return &Agent{fleet: Dial(at...), claim: c, lease: lease, actor: a, log: log}
+	return &FleetAgent{fleet: NewClient(at...), claim: c, lease: lease, actor: a, log: log}
 }
 
 // Run asks until the context ends, and then tells that this driver leaves: it must not act any more by then.
-func (r *Agent) Run(ctx context.Context) {
+func (r *FleetAgent) Run(ctx context.Context) {
 	defer r.fleet.close()
 	defer r.leave()
 	for ctx.Err() == nil {
@@ -85,7 +85,7 @@
 }
 
 // note logs when no lease is to be had any more, why, and when there is one again.
-func (r *Agent) note(ctx context.Context, err error) {
+func (r *FleetAgent) note(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // ask asks for a number, or for a lease, and tells whether there is something to report soon.
-func (r *Agent) ask(ctx context.Context) (busy bool, err error) {
+func (r *FleetAgent) ask(ctx context.Context) (busy bool, err error) {
 	wait := r.lease / waitShare
 	if r.lost || r.start == 0 {
 		wait = 0
@@ -130,8 +130,8 @@
 }
 
 // join takes a number, in two steps.
-func (r *Agent) join(by context.Context) error {
-	var offered, taken roster.Start
+func (r *FleetAgent) join(by context.Context) error {
+	var offered, taken roster.StartNumber
 	if err := r.fleet.ask(by, "fleet/join", joining{Claim: r.claim}, &offered); err != nil {
 		return err
 	}
@@ -143,12 +143,12 @@
 	return nil
 }
 
-func (r *Agent) renew(by context.Context, wait time.Duration) (busy bool, err error) {
+func (r *FleetAgent) renew(by context.Context, wait time.Duration) (busy bool, err error) {
 	seen, at := r.actor.Sightings()
 	var g granted
-	asked := asking{Name: r.claim.Name, Token: r.claim.Token, Seen: seen, WaitMs: wait.Milliseconds()}
+	asked := asking{Name: r.claim.Name, Token: r.claim.Token, Sightings: seen, WaitMs: wait.Milliseconds()}
 	if r.fellows != nil {
-		asked.Hears = &hears{r.fellows.Unheard()}
+		asked.Gossip = &hears{r.fellows.Unreachable()}
 	}
 	part := r.actor.Trail(r.held, mostTold)
 	if len(part.Entries) > 0 {
@@ -161,7 +161,7 @@
 	if err != nil {
 		return false, err
 	}
-	r.held = g.Held // a successor may hold less, and is told again
+	r.held = g.StoredTrailSeq // a successor may hold less, and is told again
 	r.again = time.Duration(g.RetryAfter)
 	r.actor.Granted(at, g.Grant)
 	return len(g.Assignments) > 0 || under(seen), nil
@@ -184,7 +184,7 @@
 
 // leave tells the fleet that this driver acts no more, with what is left to tell of its trail. Where that can't be told its
 // lease runs out.
-func (r *Agent) leave() {
+func (r *FleetAgent) leave() {
 	if r.start == 0 {
 		return
 	}
--- a/internal/membership/chair.go
+++ b/internal/membership/chair.go
@@ -19,11 +19,11 @@
 	"sedgespread/internal/store"
 )
 
-// Chair is the coordinator at work: it answers drivers and takes moves on. All that it tells anybody was written down
+// CoordinatorServer is the coordinator at work: it answers drivers and takes moves on. All that it tells anybody was written down
 // before. It has a journal of its own, or is one of several on a council's log of which one decides.
-type Chair struct {
+type CoordinatorServer struct {
 	decisions[cells.Record]
-	fill  Fill
+	fill  FillFunc
 	log   logrus.FieldLogger
 	clock clock.Clock
 
@@ -33,19 +33,19 @@
 	asked   map[cells.Tenant]cells.Epoch
 }
 
-// Fill asks the store for one step, and returns once it has taken it: to begin filling a tenant's new groups with what
+// FillFunc asks the store for one step, and returns once it has taken it: to begin filling a tenant's new groups with what
 // its old ones have, to end that at a position, or to drop what has come. It is asked again after a failure, and after a
 // restart. Nil where the store fills all groups always.
-type Fill func(ctx context.Context, f Filling) error
+type FillFunc func(ctx context.Context, f FillRequest) error
 
-// Filling is what the store is asked.
-type Filling struct {
-	Step   string       `json:"step"` // begin, end or drop
-	Tenant cells.Tenant `json:"tenant"`
-	Epoch  cells.Epoch  `json:"epoch"` // of the decision that it is asked for; higher ones supersede it
-	From   cells.Groups `json:"from"`
-	To     cells.Groups `json:"to"`
-	Cut    int64        `json:"cut_ns,omitempty"` // of end: nothing later may come
+// FillRequest is what the store is asked.
+type FillRequest struct {
+	Step            string       `json:"step"` // begin, end or drop
+	Tenant          cells.Tenant `json:"tenant"`
+	Epoch           cells.Epoch  `json:"epoch"` // of the decision that it is asked for; higher ones supersede it
+	From            cells.Groups `json:"from"`
+	To              cells.Groups `json:"to"`
+	CutoverPosition int64        `json:"cut_ns,omitempty"` // of end: nothing later may come
 }
 
 const (
@@ -54,8 +54,8 @@
 	mostWait  = time.Minute
 )
 
-// NewChair takes up what a journal holds. Leases that were given before are waited for.
-func NewChair(book *cells.Directory, j *store.Journal, lease, hold time.Duration, fill Fill, log logrus.FieldLogger) (*Chair, error) {
+// NewCoordinatorServer takes up what a journal holds. Leases that were given before are waited for.
+func NewCoordinatorServer(book *cells.Directory, j *store.Journal, lease, hold time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
 	h := newChair(fill, log)
 	records, err := store.ReadAll[cells.Record](j)
 	if err != nil {
@@ -66,28 +66,30 @@
 	return h, err
 }
 
-// NewFellow makes a chair that is one of a council's, and Join its place there.
-func NewFellow(book *cells.Directory, lease, hold, skew time.Duration, fill Fill, log logrus.FieldLogger) (*Chair, error) {
+// NewReplicatedCoordinatorServer makes a chair that is one of a council's, and Join its place there.
+func NewReplicatedCoordinatorServer(book *cells.Directory, lease, hold, skew time.Duration, fill FillFunc, log logrus.FieldLogger) (*CoordinatorServer, error) {
 	h := newChair(fill, log)
 	var err error
 	h.c, err = cells.NewCoordinator(h.now(), book, int64(lease), int64(hold), int64(skew), fill != nil, nil)
 	return h, err
 }
 
-// Place is what the council's chamber is to be opened with.
-func (h *Chair) Place() Place { return Place{h} }
+// StateMachine is what the council's chamber is to be opened with.
+func (h *CoordinatorServer) StateMachine() CoordinatorStateMachine { return CoordinatorStateMachine{h} }
 
-// Join says where the council is, before anything is asked of the chair.
-func (h *Chair) Join(c *chamber.Server) { h.ledger = together[cells.Record]{c, MachineName} }
+// AttachCouncil says where the council is, before anything is asked of the chair.
+func (h *CoordinatorServer) AttachCouncil(c *chamber.Server) {
+	h.ledger = together[cells.Record]{c, CoordinatorStateMachineName}
+}
 
-func newChair(fill Fill, log logrus.FieldLogger) *Chair {
-	return &Chair{fill: fill, log: log, clock: clock.New(), changed: newBell(), asked: map[cells.Tenant]cells.Epoch{}}
+func newChair(fill FillFunc, log logrus.FieldLogger) *CoordinatorServer {
+	return &CoordinatorServer{fill: fill, log: log, clock: clock.New(), changed: newBell(), asked: map[cells.Tenant]cells.Epoch{}}
 }
 
-func (h *Chair) now() int64 { return h.clock.Now() }
+func (h *CoordinatorServer) now() int64 { return h.clock.Now() }
 
 // apply lets a record count that was written down. The lock is held.
-func (h *Chair) apply(r cells.Record) error {
+func (h *CoordinatorServer) apply(r cells.Record) error {
 	if err := h.c.Apply(h.now(), r); err != nil {
 		return err
 	}
@@ -100,10 +102,10 @@
 }
 
 // Run takes moves on until the context ends.
-func (h *Chair) Run(ctx context.Context) { again(ctx, h.step) }
+func (h *CoordinatorServer) Run(ctx context.Context) { again(ctx, h.step) }
 
 // step takes all moves on as far as they can go now.
-func (h *Chair) step(ctx context.Context) {
+func (h *CoordinatorServer) step(ctx context.Context) {
 	for {
 		recorded, err := h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Step(h.now()), nil })
 		if err != nil {
@@ -128,14 +130,14 @@
 var fillSteps = map[cells.Stage]string{cells.StagePrepared: "begin", cells.StageSwitched: "end", cells.StageRollingBack: "drop"}
 
 // fillings are what the store has to be asked and has not been. The lock is held.
-func (h *Chair) fillings() (due []Filling) {
+func (h *CoordinatorServer) fillings() (due []FillRequest) {
 	l := h.c.Directory().Layout()
 	for _, e := range h.c.Directory().Moving() {
 		step, asks := fillSteps[e.Stage]
 		if !asks || h.asked[e.Tenant] == e.Epoch {
 			continue
 		}
-		f := Filling{Step: step, Tenant: e.Tenant, Epoch: e.Epoch, Cut: e.CutoverPosition}
+		f := FillRequest{Step: step, Tenant: e.Tenant, Epoch: e.Epoch, CutoverPosition: e.CutoverPosition}
 		from, to := l.Find(e.Cell), l.Find(e.To)
 		if from == cells.NoCell || to == cells.NoCell {
 			continue // this voter's file does not have it: it must not lead for long
@@ -150,7 +152,7 @@
 }
 
 // filling asks the store, and lets it be asked again where that failed.
-func (h *Chair) filling(ctx context.Context, f Filling) {
+func (h *CoordinatorServer) filling(ctx context.Context, f FillRequest) {
 	err := h.fill(ctx, f)
 	if err != nil {
 		h.log.WithError(err).WithField("tenant", f.Tenant).WithField("step", f.Step).Warn("the store did not take a filling")
@@ -167,7 +169,7 @@
 
 // Renew answers a driver's report, at once where it is out of date and else once something has changed or the wait is
 // over.
-func (h *Chair) Renew(ctx context.Context, r cells.Report, wait time.Duration) (cells.Grant, error) {
+func (h *CoordinatorServer) Renew(ctx context.Context, r cells.Report, wait time.Duration) (cells.Grant, error) {
 	h.mu.Lock()
 	named, err := h.c.Renew(r)
 	h.mu.Unlock()
@@ -196,9 +198,9 @@
 }
 
 // Move begins to move tenants, one after another until one can't be moved.
-func (h *Chair) Move(ctx context.Context, moves []Move) error {
+func (h *CoordinatorServer) Move(ctx context.Context, moves []MoveRequest) error {
 	for _, m := range moves {
-		_, err := h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Move(h.now(), m.Tenant, m.To, m.Why) })
+		_, err := h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Move(h.now(), m.Tenant, m.To, m.Reason) })
 		if err != nil {
 			return err
 		}
@@ -207,20 +209,20 @@
 }
 
 // Abort calls a move off.
-func (h *Chair) Abort(ctx context.Context, t cells.Tenant, why string) error {
+func (h *CoordinatorServer) Abort(ctx context.Context, t cells.Tenant, why string) error {
 	_, err := h.decide(ctx, &h.mu, func() ([]cells.Record, error) { return h.c.Abort(h.now(), t, why) })
 	return err
 }
 
-// Move is what is asked of a coordinator.
-type Move struct {
+// MoveRequest is what is asked of a coordinator.
+type MoveRequest struct {
 	Tenant cells.Tenant `json:"tenant"`
 	To     string       `json:"to"`
-	Why    string       `json:"why"`
+	Reason string       `json:"why"`
 }
 
-// State is what a coordinator tells of itself.
-type State struct {
+// CoordinatorState is what a coordinator tells of itself.
+type CoordinatorState struct {
 	Voter   council.VoterID    `json:"voter,omitempty"` // that tells it, of a council
 	Epoch   cells.Epoch        `json:"epoch"`
 	Drivers []cells.Driver     `json:"drivers"`
@@ -230,32 +232,32 @@
 }
 
 // State tells where moves stand.
-func (h *Chair) State() State {
+func (h *CoordinatorServer) State() CoordinatorState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return State{Voter: h.ledger.voter(), Epoch: h.c.Directory().LatestEpoch(), Drivers: h.c.Drivers(), Now: h.now(), Loads: h.c.Loads(h.now()), Entries: h.c.Directory().Since(0)}
+	return CoordinatorState{Voter: h.ledger.voter(), Epoch: h.c.Directory().LatestEpoch(), Drivers: h.c.Drivers(), Now: h.now(), Loads: h.c.Loads(h.now()), Entries: h.c.Directory().Since(0)}
 }
 
-// Become takes over a file read again.
-func (h *Chair) Become(l *cells.Layout, pins map[cells.Tenant]string) error {
+// UpdateLayout takes over a file read again.
+func (h *CoordinatorServer) UpdateLayout(l *cells.Layout, pins map[cells.Tenant]string) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.c.Directory().Update(l, pins)
 }
 
 // Handle lets a chair answer drivers and operators, or pass on what they ask to the one that decides.
-func (h *Chair) Handle(mux *http.ServeMux) {
+func (h *CoordinatorServer) Handle(mux *http.ServeMux) {
 	handle := func(what string, answer http.HandlerFunc) { mux.Handle("POST /v1/"+what, h.ledger.leader(answer)) }
 	handle("renew", jsonhttp.Handler(func(ctx context.Context, r renewal) (cells.Grant, error) {
 		return h.Renew(ctx, r.Report, time.Duration(r.WaitMs)*time.Millisecond)
 	}))
 	handle("move", jsonhttp.ActionHandler(h.Move))
-	handle("abort", jsonhttp.ActionHandler(func(ctx context.Context, m Move) error { return h.Abort(ctx, m.Tenant, m.Why) }))
-	handle("state", jsonhttp.QueryHandler(func(context.Context) (State, error) { return h.State(), nil }))
+	handle("abort", jsonhttp.ActionHandler(func(ctx context.Context, m MoveRequest) error { return h.Abort(ctx, m.Tenant, m.Reason) }))
+	handle("state", jsonhttp.QueryHandler(func(context.Context) (CoordinatorState, error) { return h.State(), nil }))
 }
 
 // Serve answers until the context ends.
-func (h *Chair) Serve(ctx context.Context, l net.Listener) error {
+func (h *CoordinatorServer) Serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	h.Handle(mux)
 	return jsonhttp.Serve(ctx, l, mux)
--- a/internal/membership/chair_test.go
+++ b/internal/membership/chair_test.go
@@ -64,7 +64,7 @@
 
 // Guards against a coordinator that dies between any two records: the next one goes on from there, the store is asked for
 // each step, and the drivers end up where the coordinator does.
-func TestACoordinatorThatDiesAfterEachRecord(t *testing.T) {
+func TestCoordinatorRestartsAfterEachRecord(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -72,7 +72,7 @@
 	at.Close()
 	var mu sync.Mutex
 	steps := map[string]int{}
-	fill := func(_ context.Context, f Filling) error {
+	fill := func(_ context.Context, f FillRequest) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if steps[f.Step]++; steps[f.Step] == 1 {
@@ -80,10 +80,10 @@
 		}
 		return nil
 	}
-	start := func() (*Chair, func()) {
+	start := func() (*CoordinatorServer, func()) {
 		j, err := store.Open(path)
 		require.NoError(t, err)
-		h, err := NewChair(book(), j, 300*time.Millisecond, 10*time.Second, fill, quiet())
+		h, err := NewCoordinatorServer(book(), j, 300*time.Millisecond, 10*time.Second, fill, quiet())
 		require.NoError(t, err)
 		l, err := net.Listen("tcp", address)
 		require.NoError(t, err)
@@ -100,7 +100,7 @@
 	drivers := []*idle{newIdle(), newIdle()}
 	for i, d := range drivers {
 		followers.Add(1)
-		f := NewFollower([]string{address}, []string{"a", "b"}[i], 1, 300*time.Millisecond, d, quiet())
+		f := NewCellAgent([]string{address}, []string{"a", "b"}[i], 1, 300*time.Millisecond, d, quiet())
 		go func() { defer followers.Done(); f.Run(ctx) }()
 	}
 	defer followers.Wait()
@@ -110,11 +110,11 @@
 			require.Less(t, time.Since(begun), 10*time.Second, what)
 		}
 	}
-	c := Dial(address)
+	c := NewClient(address)
 	defer c.close()
 	eventually("the drivers are known", func() bool { return len(h.State().Drivers) == 2 })
-	require.NoError(t, c.Move(ctx, []Move{{Tenant: "t", To: "new", Why: "test"}}))
-	require.ErrorContains(t, c.Move(ctx, []Move{{Tenant: "t", To: "new"}}), "is being moved")
+	require.NoError(t, c.Move(ctx, []MoveRequest{{Tenant: "t", To: "new", Reason: "test"}}))
+	require.ErrorContains(t, c.Move(ctx, []MoveRequest{{Tenant: "t", To: "new"}}), "is being moved")
 	epoch, deaths := cells.Epoch(0), 0
 	for {
 		var entries []cells.Entry
@@ -146,11 +146,11 @@
 }
 
 // Guards against two of one name: the older one gets no lease any more.
-func TestAnOlderStartGetsNoLease(t *testing.T) {
+func TestOlderIncarnationGetsNoLease(t *testing.T) {
 	j, err := store.Open(filepath.Join(t.TempDir(), "journal"))
 	require.NoError(t, err)
 	defer j.Close()
-	h, err := NewChair(book(), j, time.Second, time.Second, nil, quiet())
+	h, err := NewCoordinatorServer(book(), j, time.Second, time.Second, nil, quiet())
 	require.NoError(t, err)
 	renew := func(incarnation uint64, epoch cells.Epoch) int64 {
 		g, err := h.Renew(context.Background(), cells.Report{Driver: "a", Incarnation: incarnation, Epoch: epoch}, 0)
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -14,29 +14,29 @@
 	"sedgespread/internal/jsonhttp"
 )
 
-// Follower is a driver's side: it asks the coordinator for its lease again and again.
-type Follower struct {
-	coordinator Coordinator
+// CellAgent is a driver's side: it asks the coordinator for its lease again and again.
+type CellAgent struct {
+	coordinator Client
 	name        string
 	incarnation uint64
 	lease       time.Duration
-	driver      Driver
+	driver      CellDriver
 	log         logrus.FieldLogger
 	lost        bool
 }
 
-// Driver is what a follower asks of the driver that it stands for.
-type Driver interface {
+// CellDriver is what a follower asks of the driver that it stands for.
+type CellDriver interface {
 	// Report is what the coordinator is told, and when that was, on the driver's clock.
 	Report(name string, incarnation uint64) (r cells.Report, at int64)
 	// ReportGrant takes what the coordinator granted to a report of that time.
 	ReportGrant(asked int64, g cells.Grant) error
 }
 
-// NewFollower makes a driver's follower. The incarnation must be newer after each start. Where the coordinator is one of
+// NewCellAgent makes a driver's follower. The incarnation must be newer after each start. Where the coordinator is one of
 // several it may ask any of them.
-func NewFollower(at []string, name string, incarnation uint64, lease time.Duration, d Driver, log logrus.FieldLogger) *Follower {
-	return &Follower{coordinator: Dial(at...), name: name, incarnation: incarnation, lease: lease, driver: d, log: log}
+func NewCellAgent(at []string, name string, incarnation uint64, lease time.Duration, d CellDriver, log logrus.FieldLogger) *CellAgent {
+	return &CellAgent{coordinator: NewClient(at...), name: name, incarnation: incarnation, lease: lease, driver: d, log: log}
 }
 
 const (
@@ -49,8 +49,8 @@
 
 // slack is how long an answer may take, beyond what it was asked to wait: so that one that stands still does not cost the
 // lease, the next is asked in time.
-func (f *Follower) slack() time.Duration {
-	if f.coordinator.Several() {
+func (f *CellAgent) slack() time.Duration {
+	if f.coordinator.HasFallback() {
 		return slackOf(f.lease)
 	}
 	return slack
@@ -60,7 +60,7 @@
 func slackOf(lease time.Duration) time.Duration { return min(slack, max(leastSlack, lease/waitShare)) }
 
 // Run follows until the context ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *CellAgent) Run(ctx context.Context) {
 	defer f.coordinator.close()
 	for ctx.Err() == nil {
 		moving, err := f.renew(ctx)
@@ -79,7 +79,7 @@
 }
 
 // note logs when the coordinator can't be asked any more, and when it can again.
-func (f *Follower) note(ctx context.Context, err error) {
+func (f *CellAgent) note(ctx context.Context, err error) {
 	if lost := err != nil; lost != f.lost && ctx.Err() == nil {
 		f.lost = lost
 		if lost {
@@ -91,7 +91,7 @@
 }
 
 // renew asks once, and tells whether moves are under way.
-func (f *Follower) renew(ctx context.Context) (moving bool, err error) {
+func (f *CellAgent) renew(ctx context.Context) (moving bool, err error) {
 	report, at := f.driver.Report(f.name, f.incarnation)
 	moving = len(report.Moves) > 0
 	wait := f.lease / waitShare
@@ -112,32 +112,32 @@
 	return moving || len(grant.Entries) > 0, f.driver.ReportGrant(at, grant)
 }
 
-// Coordinator is the way to a coordinator: to it, or to several of which any passes on to it what it is asked.
-type Coordinator struct {
+// Client is the way to a coordinator: to it, or to several of which any passes on to it what it is asked.
+type Client struct {
 	bases  []string
 	at     *atomic.Int64 // the one that is asked first
 	client *http.Client
 }
 
-// Dial names a coordinator by its address, or the addresses of all who know it; nothing is sent yet.
-func Dial(at ...string) Coordinator {
-	c := Coordinator{at: &atomic.Int64{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
+// NewClient names a coordinator by its address, or the addresses of all who know it; nothing is sent yet.
+func NewClient(at ...string) Client {
+	c := Client{at: &atomic.Int64{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
 	for _, a := range at {
 		c.bases = append(c.bases, "http://"+a+"/v1/")
 	}
 	return c
 }
 
-// Several tells whether there is another to ask where one does not answer.
-func (c Coordinator) Several() bool { return len(c.bases) > 1 }
+// HasFallback tells whether there is another to ask where one does not answer.
+func (c Client) HasFallback() bool { return len(c.bases) > 1 }
 
 // next lets another be asked first.
-func (c Coordinator) next() { c.at.Add(1) }
+func (c Client) next() { c.at.Add(1) }
 
-func (c Coordinator) close() { c.client.CloseIdleConnections() }
+func (c Client) close() { c.client.CloseIdleConnections() }
 
 // ask asks whoever answers.
-func (c Coordinator) ask(ctx context.Context, what string, asked, into any) (err error) {
+func (c Client) ask(ctx context.Context, what string, asked, into any) (err error) {
 	for range c.bases {
 		base := c.bases[int(c.at.Load())%len(c.bases)]
 		if err = jsonhttp.Post(ctx, c.client, base+what, asked, into); !jsonhttp.ShouldTryAnother(err) || ctx.Err() != nil {
@@ -149,34 +149,34 @@
 }
 
 // Move asks for moves.
-func (c Coordinator) Move(ctx context.Context, moves []Move) error {
+func (c Client) Move(ctx context.Context, moves []MoveRequest) error {
 	return c.ask(ctx, "move", moves, nil)
 }
 
 // Abort asks to call a move off.
-func (c Coordinator) Abort(ctx context.Context, m Move) error { return c.ask(ctx, "abort", m, nil) }
+func (c Client) Abort(ctx context.Context, m MoveRequest) error { return c.ask(ctx, "abort", m, nil) }
 
 // State asks where moves stand.
-func (c Coordinator) State(ctx context.Context) (s State, err error) {
+func (c Client) State(ctx context.Context) (s CoordinatorState, err error) {
 	err = c.ask(ctx, "state", struct{}{}, &s)
 	return s, err
 }
 
 // Council asks how the council stands.
-func (c Coordinator) Council(ctx context.Context) (s chamber.State, err error) {
+func (c Client) Council(ctx context.Context) (s chamber.State, err error) {
 	err = c.ask(ctx, "council/state", struct{}{}, &s)
 	return s, err
 }
 
 // ChangeCouncil asks for other voters.
-func (c Coordinator) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
+func (c Client) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
 	return c.ask(ctx, "council/change", change, nil)
 }
 
-// HTTPFill asks a store over HTTP.
-func HTTPFill(url string) Fill {
+// NewHTTPFill asks a store over HTTP.
+func NewHTTPFill(url string) FillFunc {
 	client := &http.Client{Timeout: fillWithin}
-	return func(ctx context.Context, f Filling) error { return jsonhttp.Post(ctx, client, url, f, nil) }
+	return func(ctx context.Context, f FillRequest) error { return jsonhttp.Post(ctx, client, url, f, nil) }
 }
 
 const fillWithin = 10 * time.Second
--- a/internal/membership/gossip/gossip.go
+++ b/internal/membership/gossip/gossip.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Ring is a driver among its fellows.
-type Ring struct {
+// Gossiper is a driver among its fellows.
+type Gossiper struct {
 	list    *memberlist.Memberlist
 	fellows []string
 	probe   time.Duration
@@ -37,7 +37,7 @@
 )
 
 // Listen begins to answer fellows at an address, by TCP and UDP. A probe is sent each time that probe has passed.
-func Listen(name, at string, fellows []string, probe time.Duration, log logrus.FieldLogger) (*Ring, error) {
+func Listen(name, at string, fellows []string, probe time.Duration, log logrus.FieldLogger) (*Gossiper, error) {
 	host, digits, err := net.SplitHostPort(at)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Ring{fellows: slices.DeleteFunc(slices.Clone(fellows), func(f string) bool { return f == at }), probe: probe, log: log, lost: map[string]bool{}}
+	r := &Gossiper{fellows: slices.DeleteFunc(slices.Clone(fellows), func(f string) bool { return f == at }), probe: probe, log: log, lost: map[string]bool{}}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = name, host, port, host, port
 	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval, c.SuspicionMult = probe, probe/2, probe/gossipShare, suspicion
@@ -57,14 +57,14 @@
 }
 
 // Run looks for fellows until the context ends, and then says that this driver leaves.
-func (r *Ring) Run(ctx context.Context) {
+func (r *Gossiper) Run(ctx context.Context) {
 	r.look(ctx)
 	r.leave()
 	r.list.Shutdown()
 }
 
 // leave says that this driver leaves: memberlist alone does not tell fellows who has left from who has died.
-func (r *Ring) leave() {
+func (r *Gossiper) leave() {
 	r.mu.Lock()
 	r.leaves = true
 	r.mu.Unlock()
@@ -73,7 +73,7 @@
 }
 
 // look looks for fellows until some was reached, and again whenever there is none.
-func (r *Ring) look(ctx context.Context) {
+func (r *Gossiper) look(ctx context.Context) {
 	tick := time.NewTicker(r.probe)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Unheard are the fellows that were heard and are not any more, in order.
-func (r *Ring) Unheard() (names []string) {
+// Unreachable are the fellows that were heard and are not any more, in order.
+func (r *Gossiper) Unreachable() (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name := range r.lost {
@@ -99,14 +99,14 @@
 }
 
 // NotifyJoin takes in that a fellow is heard.
-func (r *Ring) NotifyJoin(n *memberlist.Node) {
+func (r *Gossiper) NotifyJoin(n *memberlist.Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.lost, n.Name)
 }
 
 // NotifyLeave takes in that a fellow has left, or is not heard any more.
-func (r *Ring) NotifyLeave(n *memberlist.Node) {
+func (r *Gossiper) NotifyLeave(n *memberlist.Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if string(n.Meta) == leaving {
@@ -117,15 +117,15 @@
 }
 
 // NotifyUpdate does nothing: nobody tells more than its name.
-func (r *Ring) NotifyUpdate(*memberlist.Node) {}
+func (r *Gossiper) NotifyUpdate(*memberlist.Node) {}
 
 // NotifyConflict takes in that two fellows say that they have one name. Which of them has it is the council's to say.
-func (r *Ring) NotifyConflict(existing, other *memberlist.Node) {
+func (r *Gossiper) NotifyConflict(existing, other *memberlist.Node) {
 	r.log.WithFields(logrus.Fields{"of": existing.Name, "at": existing.Address(), "other": other.Address()}).Warn("two drivers have one name")
 }
 
 // word is what a driver says of itself with its name: nothing, but that it leaves.
-type word struct{ r *Ring }
+type word struct{ r *Gossiper }
 
 // NodeMeta is what fellows are told.
 func (w word) NodeMeta(int) []byte {
--- a/internal/membership/gossip/gossip_test.go
+++ b/internal/membership/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 type ring struct {
 	t       *testing.T
 	at      []string
-	rings   []*Ring
+	rings   []*Gossiper
 	ends    []func()
 	fellows []string
 }
@@ -53,7 +53,7 @@
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		agree := true
 		for _, i := range of {
-			got := g.rings[i].Unheard()
+			got := g.rings[i].Unreachable()
 			agree = agree && len(got) == len(want) && (len(want) == 0 || got[0] == want[0]) && g.rings[i].list.NumMembers() >= 2
 		}
 		if agree {
@@ -65,7 +65,7 @@
 
 // Guards against a fellow that is not heard and nobody knows, one that has left and is missed, and one that comes back and is
 // still said to be silent.
-func TestFellowsKnowWhoIsNotHeard(t *testing.T) {
+func TestUnreachablePeers(t *testing.T) {
 	g := newRing(t, 4)
 	for i := range 4 {
 		g.start(i)
--- a/internal/membership/ledger.go
+++ b/internal/membership/ledger.go
@@ -67,7 +67,7 @@
 
 // alone is the ledger of a coordinator without fellows: a journal of its own.
 type alone struct {
-	h       *Chair
+	h       *CoordinatorServer
 	journal *store.Journal
 	broken  error // it could not be written last
 }
@@ -133,14 +133,14 @@
 	return err
 }
 
-// MachineName is what the coordinator's records are marked with in a council's log.
-const MachineName = "cells"
+// CoordinatorStateMachineName is what the coordinator's records are marked with in a council's log.
+const CoordinatorStateMachineName = "cells"
 
-// Place is the chair as a machine on a council's log. It takes records in at every voter and decides at one.
-type Place struct{ h *Chair }
+// CoordinatorStateMachine is the chair as a machine on a council's log. It takes records in at every voter and decides at one.
+type CoordinatorStateMachine struct{ h *CoordinatorServer }
 
 // Apply takes in records that the council has agreed on.
-func (p Place) Apply(data []byte) {
+func (p CoordinatorStateMachine) Apply(data []byte) {
 	p.h.mu.Lock()
 	defer p.h.mu.Unlock()
 	if err := applied(data, p.h.apply); err != nil {
@@ -149,14 +149,14 @@
 }
 
 // Snapshot is all that was recorded.
-func (p Place) Snapshot() ([]byte, error) {
+func (p CoordinatorStateMachine) Snapshot() ([]byte, error) {
 	p.h.mu.Lock()
 	defer p.h.mu.Unlock()
 	return json.Marshal(p.h.c.Snapshot())
 }
 
 // Restore takes over a snapshot.
-func (p Place) Restore(data []byte) error {
+func (p CoordinatorStateMachine) Restore(data []byte) error {
 	var past cells.Snapshot
 	if err := json.Unmarshal(data, &past); err != nil {
 		return err
@@ -169,7 +169,7 @@
 }
 
 // Lead begins to decide.
-func (p Place) Lead() {
+func (p CoordinatorStateMachine) Lead() {
 	p.h.mu.Lock()
 	defer p.h.mu.Unlock()
 	p.h.c.TakeOver(p.h.now())
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -19,13 +19,13 @@
 	"sedgespread/internal/versions"
 )
 
-// Registration is the fleet as a machine on the council's log: which drivers there are, and which versions they act on. It takes
+// FleetServer is the fleet as a machine on the council's log: which drivers there are, and which versions they act on. It takes
 // records in at every voter and decides at one.
-type Registration struct {
+type FleetServer struct {
 	decisions[registrationRecord]
 	log   logrus.FieldLogger
 	clock clock.Clock
-	terms Terms
+	terms FleetConfig
 
 	mu       sync.Mutex
 	roster   *roster.Roster
@@ -40,18 +40,18 @@
 	looked   int64                   // when what drivers act on by themselves was looked at last
 	observed []versions.Distribution // as it was then
 	apart    map[versions.Resource]bool
-	doubts   []roster.Doubt // as they were then
+	doubts   []roster.Suspicion // as they were then
 	silent   map[string]bool
 }
 
-// RegistrationName is what the fleet's records are marked with in a council's log.
-const RegistrationName = "fleet"
+// FleetStateMachineName is what the fleet's records are marked with in a council's log.
+const FleetStateMachineName = "fleet"
 
-// Terms are what the operator's file says of the fleet.
-type Terms struct {
-	Lease  time.Duration
-	Forget time.Duration // a driver that was not heard for so long after its lease is gone
-	Most   float64       // the part of the drivers that may be shut out at once
+// FleetConfig are what the operator's file says of the fleet.
+type FleetConfig struct {
+	Lease           time.Duration
+	ForgetAfter     time.Duration // a driver that was not heard for so long after its lease is gone
+	MaxShutOutShare float64       // the part of the drivers that may be shut out at once
 }
 
 // registrationRecord is one of the two.
@@ -69,22 +69,22 @@
 // leaseMargin is the part of a lease by which it is waited for longer than it lasts: clocks differ in rate by less.
 const leaseMargin = 50
 
-// NewRegistration makes the fleet's machine; Join is its place in the council.
-func NewRegistration(terms Terms, log logrus.FieldLogger) *Registration {
-	return &Registration{log: log, clock: clock.New(), terms: terms, changed: newBell(), versions: versions.NewController(),
+// NewFleetServer makes the fleet's machine; Join is its place in the council.
+func NewFleetServer(terms FleetConfig, log logrus.FieldLogger) *FleetServer {
+	return &FleetServer{log: log, clock: clock.New(), terms: terms, changed: newBell(), versions: versions.NewController(),
 		apart: map[versions.Resource]bool{}, trails: audit.NewCollection(mostEntries), pacer: versions.NewPacer(textRate, textBurst),
-		roster: roster.New(int64(terms.Lease), int64(terms.Lease)/leaseMargin, int64(terms.Forget))}
+		roster: roster.New(int64(terms.Lease), int64(terms.Lease)/leaseMargin, int64(terms.ForgetAfter))}
 }
 
-// Join says where the council is, before anything is asked of the registration.
-func (m *Registration) Join(c *chamber.Server) {
-	m.decisions.ledger = together[registrationRecord]{c, RegistrationName}
+// AttachCouncil says where the council is, before anything is asked of the registration.
+func (m *FleetServer) AttachCouncil(c *chamber.Server) {
+	m.decisions.ledger = together[registrationRecord]{c, FleetStateMachineName}
 }
 
-func (m *Registration) now() int64 { return m.clock.Now() }
+func (m *FleetServer) now() int64 { return m.clock.Now() }
 
 // Apply takes in records that the council has agreed on.
-func (m *Registration) Apply(data []byte) {
+func (m *FleetServer) Apply(data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := applied(data, m.apply); err != nil {
@@ -108,12 +108,12 @@
 }
 
 // apply lets a record count. The lock is held.
-func (m *Registration) apply(r registrationRecord) error {
+func (m *FleetServer) apply(r registrationRecord) error {
 	if k := r.Roster; k != nil {
 		if err := m.roster.Apply(m.now(), *k); err != nil {
 			return err
 		}
-		m.log.WithFields(logrus.Fields{"of": k.Name, "start": k.Start, "level": k.Level, "why": k.Why}).Info("driver " + string(k.Kind))
+		m.log.WithFields(logrus.Fields{"of": k.Name, "start": k.Start, "level": k.Level, "why": k.Reason}).Info("driver " + string(k.Kind))
 	}
 	if r.Version == nil {
 		return nil
@@ -129,20 +129,20 @@
 
 // past is all that was recorded.
 type past struct {
-	Roster   roster.Past       `json:"roster"`
-	Versions versions.Snapshot `json:"versions"`
-	Strange  []json.RawMessage `json:"strange,omitempty"` // records of which the build that wrote this did not know all
+	Roster         roster.Snapshot   `json:"roster"`
+	Versions       versions.Snapshot `json:"versions"`
+	UnknownRecords []json.RawMessage `json:"strange,omitempty"` // records of which the build that wrote this did not know all
 }
 
 // Snapshot is all that was recorded.
-func (m *Registration) Snapshot() ([]byte, error) {
+func (m *FleetServer) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return json.Marshal(past{m.roster.Past(), m.versions.Snapshot(), m.strange})
+	return json.Marshal(past{m.roster.Snapshot(), m.versions.Snapshot(), m.strange})
 }
 
 // Restore takes over a snapshot.
-func (m *Registration) Restore(data []byte) error {
+func (m *FleetServer) Restore(data []byte) error {
 	var p past
 	if err := json.Unmarshal(data, &p); err != nil {
 		return err
@@ -151,13 +151,13 @@
 	defer m.mu.Unlock()
 	m.roster.Restore(m.now(), p.Roster)
 	m.versions.Restore(p.Versions)
-	m.strange = p.Strange
+	m.strange = p.UnknownRecords
 	m.changed.ring()
 	return nil
 }
 
 // Lead begins to decide.
-func (m *Registration) Lead() {
+func (m *FleetServer) Lead() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.roster.TakeOver(m.now())
@@ -165,10 +165,10 @@
 }
 
 // Run takes versions on until the context ends.
-func (m *Registration) Run(ctx context.Context) { again(ctx, m.step) }
+func (m *FleetServer) Run(ctx context.Context) { again(ctx, m.step) }
 
 // step takes all on as far as it can go now.
-func (m *Registration) step(ctx context.Context) {
+func (m *FleetServer) step(ctx context.Context) {
 	if m.decisions.ledger.acts() {
 		m.mu.Lock()
 		m.look()
@@ -204,13 +204,13 @@
 }
 
 // present is all drivers as versions see them. The lock is held.
-func (m *Registration) present() (all []versions.DriverStatus) {
+func (m *FleetServer) present() (all []versions.DriverStatus) {
 	now := m.now()
 	for _, d := range m.roster.Drivers() {
-		may := m.roster.May(now, d.Name) && !planted.Is(planted.Straggler)
-		all = append(all, versions.DriverStatus{Instance: sign(d), MayAct: may, IsVoter: d.Votes, IsUnreachable: m.silent[d.Name]})
+		may := m.roster.MayAct(now, d.Name) && !planted.Is(planted.Straggler)
+		all = append(all, versions.DriverStatus{Instance: sign(d), MayAct: may, IsVoter: d.IsVoter, IsUnreachable: m.silent[d.Name]})
 	}
-	for _, s := range m.roster.Shades(now) {
+	for _, s := range m.roster.SupersededStarts(now) {
 		all = append(all, versions.DriverStatus{Instance: versions.Instance{Name: s.Name, Start: uint64(s.Start)}, MayAct: !planted.Is(planted.Straggler)})
 	}
 	return all
@@ -222,19 +222,19 @@
 
 // stragglers proposes to shut out who has held a version back for too long, unless that were too many: then the version is
 // to blame, and nothing happens until a person sees to it. The lock is held.
-func (m *Registration) stragglers(present []versions.DriverStatus) []roster.Record {
+func (m *FleetServer) stragglers(present []versions.DriverStatus) []roster.Record {
 	for _, b := range m.versions.StalledVersions(m.now(), present) {
 		if !b.IsOverdue {
 			continue
 		}
 		var names []string
 		for _, s := range b.Instances {
-			if d, _ := m.roster.Find(s.Name); d.State == roster.Present {
+			if d, _ := m.roster.Find(s.Name); d.State == roster.StatePresent {
 				names = append(names, s.Name)
 			}
 		}
 		why := "it kept version " + string(b.Resource) + " back, at " + b.Stage.String()
-		records, err := m.roster.Shut(m.now(), names, why, m.terms.Most)
+		records, err := m.roster.ShutOut(m.now(), names, why, m.terms.MaxShutOutShare)
 		if err == nil && len(records) > 0 {
 			return records
 		}
--- a/internal/membership/registration_observe.go
+++ b/internal/membership/registration_observe.go
@@ -13,7 +13,7 @@
 
 // look sees what drivers act on that the council does not decide, and logs when some stay behind for longer than a lease, or
 // act on different things of one name, and when that is over. The lock is held.
-func (m *Registration) look() {
+func (m *FleetServer) look() {
 	now := m.now()
 	if now-m.looked < lookEvery {
 		return
@@ -38,15 +38,15 @@
 
 // listen takes stock of whom fellows do not hear, and logs when that has become most of them, and when it is over. The lock is
 // held.
-func (m *Registration) listen(now int64) {
-	m.doubts = m.roster.Doubts(now)
+func (m *FleetServer) listen(now int64) {
+	m.doubts = m.roster.Suspicions(now)
 	silent := map[string]bool{}
 	for _, d := range m.doubts {
-		if !d.Silent {
+		if !d.IsSilent {
 			continue
 		}
 		if silent[d.Name] = true; !m.silent[d.Name] {
-			m.log.WithFields(logrus.Fields{"of": d.Name, "start": d.Start, "by": len(d.By), "listeners": d.Of}).Warn("fellows do not hear a driver")
+			m.log.WithFields(logrus.Fields{"of": d.Name, "start": d.Start, "by": len(d.Reporters), "listeners": d.Listeners}).Warn("fellows do not hear a driver")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.silent)) {
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -14,18 +14,18 @@
 )
 
 // refusal is one of the roster's as it is told over HTTP.
-type refusal struct{ *roster.Refusal }
+type refusal struct{ *roster.RefusedError }
 
 // Status tells whether asking for a number would help.
 func (r refusal) Status() int {
-	if r.Again {
+	if r.ShouldRejoin {
 		return http.StatusConflict
 	}
 	return http.StatusForbidden
 }
 
 func told(err error) error {
-	var r *roster.Refusal
+	var r *roster.RefusedError
 	if errors.As(err, &r) {
 		return refusal{r}
 	}
@@ -34,12 +34,12 @@
 
 // joining is what a start asks first: without a number for one, and with it to take it.
 type joining struct {
-	Claim roster.Claim `json:"claim"`
-	Start roster.Start `json:"start"`
+	Claim roster.Claim       `json:"claim"`
+	Start roster.StartNumber `json:"start"`
 }
 
 // Join offers a start its number, or lets it take it.
-func (m *Registration) join(ctx context.Context, j joining) (roster.Start, error) {
+func (m *FleetServer) join(ctx context.Context, j joining) (roster.StartNumber, error) {
 	m.mu.Lock()
 	offered, err := m.roster.Offer(j.Claim)
 	m.mu.Unlock()
@@ -55,42 +55,42 @@
 
 // asking is what a driver asks a lease with.
 type asking struct {
-	Name   string            `json:"name"`
-	Token  string            `json:"token"`
-	Seen   []versions.Report `json:"seen"`
-	WaitMs int64             `json:"wait_ms"`
-	Hears  *hears            `json:"hears,omitempty"` // nil where drivers do not gossip
-	Trails []audit.Segment   `json:"trails,omitempty"`
+	Name      string            `json:"name"`
+	Token     string            `json:"token"`
+	Sightings []versions.Report `json:"seen"`
+	WaitMs    int64             `json:"wait_ms"`
+	Gossip    *hears            `json:"hears,omitempty"` // nil where drivers do not gossip
+	Trails    []audit.Segment   `json:"trails,omitempty"`
 }
 
 // hears is whom a driver does not hear of those that it did.
 type hears struct {
-	Unheard []string `json:"unheard,omitempty"`
+	Unreachable []string `json:"unheard,omitempty"`
 }
 
 // granted is what it gets.
 type granted struct {
 	versions.Grant
-	Held uint64 `json:"held"` // entry up to which the start's trail is held here
+	StoredTrailSeq uint64 `json:"held"` // entry up to which the start's trail is held here
 }
 
 // renew gives a lease, at once where there are orders and else once something has changed or the wait is over.
-func (m *Registration) renew(ctx context.Context, a asking) (granted, error) {
+func (m *FleetServer) renew(ctx context.Context, a asking) (granted, error) {
 	m.mu.Lock()
 	if !m.decisions.ledger.acts() {
 		m.mu.Unlock()
 		return granted{}, chamber.ErrNotLeading
 	}
 	m.hear(a.Trails, false) // also of a start that gets no lease any more
-	if err := m.roster.Renew(m.now(), a.Name, a.Token); err != nil {
+	if err := m.roster.RenewLease(m.now(), a.Name, a.Token); err != nil {
 		m.mu.Unlock()
 		return granted{}, told(err)
 	}
 	d, _ := m.roster.Find(a.Name)
-	if a.Hears != nil {
-		m.roster.Hears(a.Name, a.Hears.Unheard)
+	if a.Gossip != nil {
+		m.roster.ReportUnreachable(a.Name, a.Gossip.Unreachable)
 	}
-	m.versions.RecordReports(sign(d), a.Seen)
+	m.versions.RecordReports(sign(d), a.Sightings)
 	orders, changed := m.versions.Assignments(sign(d)), m.changed.rings
 	g := granted{versions.Grant{Lease: int64(m.terms.Lease), Assignments: orders}, m.trails.LastSeq(sign(d))}
 	if wait := m.paced(sign(d), orders); wait > 0 {
@@ -114,7 +114,7 @@
 
 // paced is after how long a driver should ask again for texts that it needs, 0 where it may have them now. A driver that
 // has a lease keeps it meanwhile. The lock is held.
-func (m *Registration) paced(who versions.Instance, orders []versions.Assignment) (wait int64) {
+func (m *FleetServer) paced(who versions.Instance, orders []versions.Assignment) (wait int64) {
 	bytes := 0
 	for _, o := range orders {
 		bytes += len(o.Text) + len(o.ActiveText)
@@ -126,7 +126,7 @@
 }
 
 // leave takes in that a driver leaves, with what is left to tell of its trail.
-func (m *Registration) leave(ctx context.Context, a asking) error {
+func (m *FleetServer) leave(ctx context.Context, a asking) error {
 	_, err := m.decide(ctx, &m.mu, func() ([]registrationRecord, error) {
 		m.hear(a.Trails, true)
 		return ofRoster(m.roster.Leave(m.now(), a.Name, a.Token)), nil
@@ -135,7 +135,7 @@
 }
 
 // Handle lets the registration answer drivers and operators, or pass on what they ask to the one that decides.
-func (m *Registration) Handle(mux *http.ServeMux) {
+func (m *FleetServer) Handle(mux *http.ServeMux) {
 	handle := func(what string, answer http.HandlerFunc) {
 		mux.Handle("POST /v1/fleet/"+what, m.decisions.ledger.leader(answer))
 	}
@@ -143,6 +143,6 @@
 	handle("renew", jsonhttp.Handler(m.renew))
 	handle("leave", jsonhttp.ActionHandler(m.leave))
 	handle("wish", jsonhttp.ActionHandler(m.grant))
-	handle("state", jsonhttp.QueryHandler(func(context.Context) (Fleet, error) { return m.Fleet(), nil }))
+	handle("state", jsonhttp.QueryHandler(func(context.Context) (FleetState, error) { return m.State(), nil }))
 	m.handleTrails(mux)
 }
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -25,8 +25,8 @@
 	t            *testing.T
 	at           string
 	disk         string
-	terms        Terms
-	registration *Registration
+	terms        FleetConfig
+	registration *FleetServer
 	stop         func()
 }
 
@@ -35,19 +35,19 @@
 	require.NoError(t, err)
 	at.Close()
 	c := &testCouncil{t: t, at: at.Addr().String(), disk: filepath.Join(t.TempDir(), "disk"),
-		terms: Terms{Lease: 400 * time.Millisecond, Forget: time.Second, Most: most}}
+		terms: FleetConfig{Lease: 400 * time.Millisecond, ForgetAfter: time.Second, MaxShutOutShare: most}}
 	c.start()
 	t.Cleanup(func() { c.stop() })
 	return c
 }
 
 func (c *testCouncil) start() {
-	c.registration = NewRegistration(c.terms, quiet())
-	require.NoError(c.t, c.registration.Keep(c.disk+".trails"))
+	c.registration = NewFleetServer(c.terms, quiet())
+	require.NoError(c.t, c.registration.OpenTrails(c.disk+".trails"))
 	pace := council.Timing{Tick: int64(5 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
-	k, err := chamber.Open(1, chamber.VoterAddresses{1: c.at}, false, c.disk, pace, map[string]chamber.StateMachine{RegistrationName: c.registration}, quiet())
+	k, err := chamber.Open(1, chamber.VoterAddresses{1: c.at}, false, c.disk, pace, map[string]chamber.StateMachine{FleetStateMachineName: c.registration}, quiet())
 	require.NoError(c.t, err)
-	c.registration.Join(k)
+	c.registration.AttachCouncil(k)
 	l, err := net.Listen("tcp", c.at)
 	require.NoError(c.t, err)
 	mux := http.NewServeMux()
@@ -131,7 +131,7 @@
 // joins starts a driver; what it gives ends it in good order.
 func (c *testCouncil) joins(name string, level int) (s *fakeDriver, leave func()) {
 	s = &fakeDriver{holder: versions.NewDriverState()}
-	r := NewAgent([]string{c.at}, roster.Claim{Name: name, At: "at", Build: "b", Level: level}, c.terms.Lease, s, quiet())
+	r := NewFleetAgent([]string{c.at}, roster.Claim{Name: name, Address: "at", Build: "b", Level: level}, c.terms.Lease, s, quiet())
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(1)
@@ -141,30 +141,30 @@
 	return s, leave
 }
 
-func (c *testCouncil) eventually(what string, ok func(f *Fleet) bool) {
+func (c *testCouncil) eventually(what string, ok func(f *FleetState) bool) {
 	c.t.Helper()
-	var f Fleet
+	var f FleetState
 	for begun := time.Now(); time.Since(begun) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
-		if f = c.registration.Fleet(); ok(&f) {
+		if f = c.registration.State(); ok(&f) {
 			return
 		}
 	}
 	c.t.Fatalf("%s: %+v", what, f)
 }
 
-func (f *Fleet) state(name string) roster.State {
+func (f *FleetState) state(name string) roster.State {
 	for _, d := range f.Drivers {
 		if d.Name == name {
 			return d.State
 		}
 	}
-	return roster.Nobody
+	return roster.StateUnknown
 }
 
 // wish asks again while nobody acts for the council: how long its disk takes is not what is tested.
-func (c *testCouncil) wish(w Wish) (err error) {
+func (c *testCouncil) wish(w FleetChange) (err error) {
 	for begun := time.Now(); time.Since(begun) < 10*time.Second; time.Sleep(5 * time.Millisecond) {
-		if err = Dial(c.at).Wish(context.Background(), w); !jsonhttp.ShouldTryAnother(err) {
+		if err = NewClient(c.at).ChangeFleet(context.Background(), w); !jsonhttp.ShouldTryAnother(err) {
 			break
 		}
 	}
@@ -181,20 +181,22 @@
 
 func (c *testCouncil) propose(text string) error {
 	p := versions.Plan{AnnounceTimeout: int64(300 * time.Millisecond), AdoptTimeout: int64(300 * time.Millisecond), DrainTimeout: int64(time.Second)}
-	return c.wish(Wish{Propose: &Proposal{Thing: "x", Text: text, Plan: p}})
+	return c.wish(FleetChange{Propose: &Proposal{Thing: "x", Text: text, Plan: p}})
 }
 
-func closes(n versions.Number) func(*Fleet) bool {
-	return func(f *Fleet) bool { got, _ := f.Closed("x"); return got == n }
+func closes(n versions.Number) func(*FleetState) bool {
+	return func(f *FleetState) bool { got, _ := f.LatestClosed("x"); return got == n }
 }
 
 // Guards against a fleet that does not come to act on one version, over a restart of the council too, and an audit that does
 // not say who did.
-func TestAFleetActsOnOneVersion(t *testing.T) {
+func TestFleetConvergesOnOneVersion(t *testing.T) {
 	c := newTestCouncil(t, 0.5)
 	a, _ := c.joins("a", 1)
 	b, leave := c.joins("b", 1)
-	c.eventually("they join", func(f *Fleet) bool { return f.state("a") == roster.Present && f.state("b") == roster.Present })
+	c.eventually("they join", func(f *FleetState) bool {
+		return f.state("a") == roster.StatePresent && f.state("b") == roster.StatePresent
+	})
 	require.NoError(t, c.propose("one"))
 	require.ErrorContains(t, c.propose("two"), "is under way")
 	c.eventually("closed", closes(2))
@@ -202,19 +204,21 @@
 	require.EqualValues(t, 2, c.acts(b, "r2"))
 	c.stop()
 	c.start()
-	c.eventually("leases again", func(f *Fleet) bool { return len(f.Drivers) == 2 && f.Drivers[0].May && len(f.Drivers[0].Seen) == 1 })
+	c.eventually("leases again", func(f *FleetState) bool {
+		return len(f.Drivers) == 2 && f.Drivers[0].MayAct && len(f.Drivers[0].Sightings) == 1
+	})
 	require.NoError(t, c.propose("two"))
 	c.eventually("closed", closes(3))
 	require.EqualValues(t, 3, c.acts(a, "r3"))
 	leave()
-	c.eventually("it has left, or is gone", func(f *Fleet) bool { return f.state("b") != roster.Present })
+	c.eventually("it has left, or is gone", func(f *FleetState) bool { return f.state("b") != roster.StatePresent })
 	require.NoError(t, c.propose("three"))
 	c.eventually("nobody waits for who has left", closes(4))
 	require.Equal(t, []string{"one", "two", "three"}, a.texts)
-	var f Finding
+	var f AuditResult
 	for begun := time.Now(); time.Since(begun) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
 		var err error
-		f, err = Audit(context.Background(), []string{c.at, "127.0.0.1:1"}, Question{Thing: "x"})
+		f, err = Audit(context.Background(), []string{c.at, "127.0.0.1:1"}, AuditQuery{Thing: "x"})
 		require.NoError(t, err)
 		if len(f.Acted) == 3 {
 			break
@@ -229,16 +233,16 @@
 }
 
 // Guards against what a newer build recorded and an older one drops.
-func TestRecordsOfANewerBuild(t *testing.T) {
-	m := NewRegistration(Terms{Lease: time.Second}, quiet())
+func TestRecordsOfNewerBuild(t *testing.T) {
+	m := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
 	m.Apply([]byte(`[{"roster":{"kind":"joins","name":"a","start":1,"claim":{"name":"a","token":"x","colour":"green"},"when":1}}]`))
 	m.Apply([]byte(`[{"roster":{"kind":"leaves","name":"a","start":1,"when":2}}]`))
 	m.Apply([]byte(`[{"garden":{"kind":"rose"}}]`))
 	d, _ := m.roster.Find("a")
-	require.Equal(t, roster.Left, d.State, "what is understood counts")
+	require.Equal(t, roster.StateLeft, d.State, "what is understood counts")
 	text, err := m.Snapshot()
 	require.NoError(t, err)
-	next := NewRegistration(Terms{Lease: time.Second}, quiet())
+	next := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
 	require.NoError(t, next.Restore(text))
 	again, err := next.Snapshot()
 	require.NoError(t, err)
@@ -249,41 +253,41 @@
 }
 
 // Guards against two of one name that take it from one another again and again.
-func TestTwoOfOneName(t *testing.T) {
+func TestTwoDriversOfOneName(t *testing.T) {
 	c := newTestCouncil(t, 0.5)
 	earlier, _ := c.joins("a", 1)
-	c.eventually("it joins", func(f *Fleet) bool { return len(f.Drivers) == 1 && f.Drivers[0].May })
+	c.eventually("it joins", func(f *FleetState) bool { return len(f.Drivers) == 1 && f.Drivers[0].MayAct })
 	later, _ := c.joins("a", 1)
-	c.eventually("the later one has the name", func(f *Fleet) bool { return f.Drivers[0].Start == 2 })
+	c.eventually("the later one has the name", func(f *FleetState) bool { return f.Drivers[0].Start == 2 })
 	time.Sleep(2 * c.terms.Lease)
-	require.EqualValues(t, 2, c.registration.Fleet().Drivers[0].Start)
+	require.EqualValues(t, 2, c.registration.State().Drivers[0].Start)
 	require.Zero(t, earlier.acts("r"))
 	require.EqualValues(t, versions.InitialVersion, c.acts(later, "r"))
-	err := Dial(c.at).ask(context.Background(), "fleet/renew", asking{Name: "a", Token: "x"}, nil)
+	err := NewClient(c.at).ask(context.Background(), "fleet/renew", asking{Name: "a", Token: "x"}, nil)
 	require.ErrorContains(t, err, "a later start of \"a\", number 2 at at, has taken its name over; end one of the two")
 	require.Equal(t, http.StatusForbidden, err.(*jsonhttp.StatusError).Status)
 }
 
 // Guards against a driver that holds a version back for ever, and against a version that shuts out everybody.
-func TestStragglers(t *testing.T) {
+func TestLaggingDriversAreShutOut(t *testing.T) {
 	c := newTestCouncil(t, 0.4)
 	var all []*fakeDriver
 	for _, name := range []string{"a", "b", "c"} {
 		s, _ := c.joins(name, 1)
 		all = append(all, s)
 	}
-	c.eventually("they join", func(f *Fleet) bool { return len(f.Drivers) == 3 })
+	c.eventually("they join", func(f *FleetState) bool { return len(f.Drivers) == 3 })
 	all[1].stuck = true
 	require.NoError(t, c.propose("one"))
-	c.eventually("shut out", func(f *Fleet) bool { return f.state("b") == roster.ShutOut })
+	c.eventually("shut out", func(f *FleetState) bool { return f.state("b") == roster.StateShutOut })
 	c.eventually("closed without it", closes(2))
 	require.Zero(t, all[1].acts("r"))
 	all[1].mu.Lock()
 	all[1].stuck = false
 	all[1].mu.Unlock()
-	require.NoError(t, c.wish(Wish{Readmit: "b", Why: "mended"}))
-	c.eventually("it is back", func(f *Fleet) bool {
-		return f.state("b") == roster.Present && f.Drivers[1].May && f.Drivers[1].Seen != nil && f.Drivers[1].Seen[0].Active == 2
+	require.NoError(t, c.wish(FleetChange{Readmit: "b", Reason: "mended"}))
+	c.eventually("it is back", func(f *FleetState) bool {
+		return f.state("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Active == 2
 	})
 	for _, s := range all {
 		s.mu.Lock()
@@ -291,39 +295,39 @@
 		s.mu.Unlock()
 	}
 	require.NoError(t, c.propose("two"))
-	c.eventually("it waits", func(f *Fleet) bool { return len(f.Behind) == 1 && f.Behind[0].IsOverdue })
+	c.eventually("it waits", func(f *FleetState) bool { return len(f.Behind) == 1 && f.Behind[0].IsOverdue })
 	time.Sleep(100 * time.Millisecond)
-	f := c.registration.Fleet()
-	require.Equal(t, roster.Present, f.state("a"), "too many: nobody is shut out")
+	f := c.registration.State()
+	require.Equal(t, roster.StatePresent, f.state("a"), "too many: nobody is shut out")
 	require.EqualValues(t, 2, c.acts(all[0], "r"), "all act on the older")
-	require.NoError(t, c.wish(Wish{CallOff: "x", Why: "wrong"}))
-	c.eventually("withdrawn", func(f *Fleet) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
+	require.NoError(t, c.wish(FleetChange{Withdraw: "x", Reason: "wrong"}))
+	c.eventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
 }
 
 // Guards against a build that is too old and acts, and an error that does not say what helps.
-func TestLevelsOfBuilds(t *testing.T) {
+func TestFeatureLevelsOfBuilds(t *testing.T) {
 	c := newTestCouncil(t, 0.5)
 	c.joins("a", 2)
 	old, leave := c.joins("b", 1)
-	c.eventually("they join", func(f *Fleet) bool { return len(f.Drivers) == 2 })
-	require.ErrorContains(t, c.wish(Wish{Raise: 2}), "knows levels up to 1 only")
+	c.eventually("they join", func(f *FleetState) bool { return len(f.Drivers) == 2 })
+	require.ErrorContains(t, c.wish(FleetChange{RaiseLevel: 2}), "knows levels up to 1 only")
 	leave()
-	c.eventually("it has left, or is gone", func(f *Fleet) bool { return f.state("b") != roster.Present })
-	require.NoError(t, c.wish(Wish{Raise: 2}))
+	c.eventually("it has left, or is gone", func(f *FleetState) bool { return f.state("b") != roster.StatePresent })
+	require.NoError(t, c.wish(FleetChange{RaiseLevel: 2}))
 	old, _ = c.joins("b", 1)
 	time.Sleep(c.terms.Lease)
 	require.Zero(t, old.acts("r"))
-	err := Dial(c.at).ask(context.Background(), "fleet/join", joining{Claim: roster.Claim{Name: "b", Token: "t", Build: "b0", Level: 1}}, nil)
+	err := NewClient(c.at).ask(context.Background(), "fleet/join", joining{Claim: roster.Claim{Name: "b", Token: "t", Build: "b0", Level: 1}}, nil)
 	require.True(t, err != nil && strings.Contains(err.Error(), "start a newer build"), "%v", err)
-	require.ErrorContains(t, c.wish(Wish{}), "nothing is asked for")
+	require.ErrorContains(t, c.wish(FleetChange{}), "nothing is asked for")
 }
 
 // Guards against an audit that looks complete though the roster has forgotten starts of which trails may be missing.
 func TestForgottenStartsAreUnknown(t *testing.T) {
-	d := func(name string, oldest roster.Start) Seen {
-		return Seen{Driver: roster.Driver{Claim: roster.Claim{Name: name}, Start: oldest + 1, Earlier: []roster.Ended{{Start: oldest, Joined: 50}}}}
+	d := func(name string, oldest roster.StartNumber) DriverStatus {
+		return DriverStatus{Driver: roster.Driver{Claim: roster.Claim{Name: name}, Start: oldest + 1, EarlierStarts: []roster.EndedStart{{Start: oldest, JoinedAt: 50}}}}
 	}
-	f := Fleet{Lease: 7, Drivers: []Seen{d("a", 1), d("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
+	f := FleetState{Lease: 7, Drivers: []DriverStatus{d("a", 1), d("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
 	all := f.forgotten("", audit.NewCollection(100))
 	require.Len(t, all, 1)
 	require.Equal(t, versions.Instance{Name: "b", Start: 2}, all[0].Instance)
@@ -334,7 +338,7 @@
 
 // Guards against a time that is called unknown though trails are held of it, and one that is not though none are: of starts that the roster has
 // forgotten what lies before, between and after their trails is not known.
-func TestTrailsOfForgottenStartsCount(t *testing.T) {
+func TestTrailsOfForgottenStartsBoundUnknownPeriods(t *testing.T) {
 	held := audit.NewCollection(100)
 	for _, start := range []uint64{1, 2, 4} {
 		trail := audit.NewTrail(int64(10*start), versions.Instance{Name: "b", Start: start}, "x", 100, 1)
@@ -342,7 +346,7 @@
 		trail.RecordObserved(int64(10*start)+3, versions.DiscoveryList, 1)
 		held.Add(trail.Since(0, 100))
 	}
-	f := Fleet{Lease: 7, Drivers: []Seen{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, Earlier: []roster.Ended{{Start: 6, Joined: 60}}}}}}
+	f := FleetState{Lease: 7, Drivers: []DriverStatus{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, EarlierStarts: []roster.EndedStart{{Start: 6, JoinedAt: 60}}}}}}
 	var unknown [][]int64
 	for _, u := range f.forgotten("b", held) {
 		unknown = append(unknown, []int64{int64(u.Instance.Start), u.From, u.To})
@@ -352,8 +356,8 @@
 
 // Guards against the last of a trail that is lost as its driver leaves: the voter that decides by then may hold less than the one before, and
 // what is left comes behind a hole. The audit said nothing of that time, since who leaves has told all.
-func TestALeavingDriverIsHeardBehindAHole(t *testing.T) {
-	m := NewRegistration(Terms{Lease: time.Second}, quiet())
+func TestLastTrailPartIsStoredAfterGap(t *testing.T) {
+	m := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
 	who := versions.Instance{Name: "a", Start: 1}
 	trail := audit.NewTrail(m.now(), who, "x", 100, int64(time.Hour))
 	for range 5 {
@@ -370,10 +374,10 @@
 }
 
 // Guards against trails that are kept in memory alone for good, since the disk refused them for a moment.
-func TestTrailsAreKeptOnceTheDiskAllows(t *testing.T) {
+func TestTrailFileIsRewrittenAfterFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trails")
-	m := NewRegistration(Terms{Lease: time.Second}, quiet())
-	require.NoError(t, m.Keep(path))
+	m := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
+	require.NoError(t, m.OpenTrails(path))
 	trail := audit.NewTrail(m.now(), versions.Instance{Name: "a", Start: 1}, "x", 100, 1)
 	tells := func(count int) {
 		for range count {
@@ -389,7 +393,7 @@
 	m.unkept -= renewShelfEvery
 	tells(2)
 	require.Zero(t, m.unkept)
-	next := NewRegistration(Terms{Lease: time.Second}, quiet())
-	require.NoError(t, next.Keep(path))
+	next := NewFleetServer(FleetConfig{Lease: time.Second}, quiet())
+	require.NoError(t, next.OpenTrails(path))
 	require.Equal(t, m.trails.Segments(), next.trails.Segments())
 }
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -19,14 +19,14 @@
 	mostTold    = 64       // that a driver tells with one request for a lease
 )
 
-// Trails is what one voter holds of drivers' trails.
-type Trails struct {
+// VoterTrails is what one voter holds of drivers' trails.
+type VoterTrails struct {
 	Parts  []audit.Segment `json:"parts"`
 	Faults []string        `json:"faults"`
 }
 
-// Keep lets trails be kept in a file, and takes in those that stand there.
-func (m *Registration) Keep(path string) error {
+// OpenTrails lets trails be kept in a file, and takes in those that stand there.
+func (m *FleetServer) OpenTrails(path string) error {
 	s, parts, spoilt, err := shelf.Open(path, shelf.MaxBytes)
 	if err != nil {
 		return err
@@ -42,7 +42,7 @@
 }
 
 // hear takes in what a driver tells of its trail, the last of it where it leaves: that is taken also behind a hole. The lock is held.
-func (m *Registration) hear(parts []audit.Segment, last bool) {
+func (m *FleetServer) hear(parts []audit.Segment, last bool) {
 	take := m.trails.Add
 	if last {
 		take = m.trails.AddFinal
@@ -59,7 +59,7 @@
 const renewShelfEvery = int64(time.Second)
 
 // keep writes a part down. Where that fails, all that is held is written anew as soon as the disk allows. The lock is held.
-func (m *Registration) keep(p audit.Segment) {
+func (m *FleetServer) keep(p audit.Segment) {
 	if m.unkept != 0 && m.now()-m.unkept < renewShelfEvery {
 		return
 	}
@@ -82,29 +82,29 @@
 }
 
 // trailsHeld are those that this voter was told while it decided.
-func (m *Registration) trailsHeld() Trails {
+func (m *FleetServer) trailsHeld() VoterTrails {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Trails{Parts: m.trails.Segments(), Faults: m.trails.Faults()}
+	return VoterTrails{Parts: m.trails.Segments(), Faults: m.trails.Faults()}
 }
 
 // handleTrails lets this voter tell what it holds, whoever decides.
-func (m *Registration) handleTrails(mux *http.ServeMux) {
-	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (Trails, error) { return m.trailsHeld(), nil }))
+func (m *FleetServer) handleTrails(mux *http.ServeMux) {
+	mux.Handle("POST /v1/fleet/trails", jsonhttp.QueryHandler(func(context.Context) (VoterTrails, error) { return m.trailsHeld(), nil }))
 }
 
-// Question is what is asked of the audit. Times are Unix time in nanoseconds, 0 for no end.
-type Question struct {
-	Thing   versions.Resource `json:"thing"`
-	Version versions.Number   `json:"version"`
-	Driver  string            `json:"driver"`
-	From    int64             `json:"from"`
-	To      int64             `json:"to"`
-	Clocks  int64             `json:"clocks"` // the most by which drivers' clocks differ
+// AuditQuery is what is asked of the audit. Times are Unix time in nanoseconds, 0 for no end.
+type AuditQuery struct {
+	Thing        versions.Resource `json:"thing"`
+	Version      versions.Number   `json:"version"`
+	Driver       string            `json:"driver"`
+	From         int64             `json:"from"`
+	To           int64             `json:"to"`
+	MaxClockSkew int64             `json:"clocks"` // the most by which drivers' clocks differ
 }
 
-// Finding is what the audit answers.
-type Finding struct {
+// AuditResult is what the audit answers.
+type AuditResult struct {
 	Acted   []audit.Activity     `json:"acted"`
 	Late    []audit.LateActivity `json:"late"`    // after a newer version was closed
 	Unknown []audit.Gap          `json:"unknown"` // never filled by a guess
@@ -121,9 +121,9 @@
 	all = audit.NewCollection(2 * mostEntries)
 	var parts []audit.Segment
 	for _, at := range voters {
-		var held Trails
+		var held VoterTrails
 		by, stop := context.WithTimeout(ctx, askVoter)
-		err := Dial(at).ask(by, "fleet/trails", struct{}{}, &held)
+		err := NewClient(at).ask(by, "fleet/trails", struct{}{}, &held)
 		stop()
 		if err != nil {
 			missing = append(missing, at)
@@ -136,15 +136,15 @@
 	return all, append(faults, all.Faults()...), missing
 }
 
-// Parts are all trails that the voters hold between them.
-func Parts(ctx context.Context, voters []string) []audit.Segment {
+// CollectParts are all trails that the voters hold between them.
+func CollectParts(ctx context.Context, voters []string) []audit.Segment {
 	all, _, _ := collect(ctx, voters)
 	return all.Segments()
 }
 
 // Audit answers a question from all that the voters hold.
-func Audit(ctx context.Context, voters []string, q Question) (f Finding, err error) {
-	fleet, err := Dial(voters...).Fleet(ctx)
+func Audit(ctx context.Context, voters []string, q AuditQuery) (f AuditResult, err error) {
+	fleet, err := NewClient(voters...).FleetState(ctx)
 	if err != nil {
 		return f, err
 	}
@@ -158,7 +158,7 @@
 	f.Unknown = append(all.Gaps(starts), fleet.forgotten(q.Driver, all)...)
 	for _, v := range fleet.Versions[q.Thing] {
 		if v.Stage == versions.StageCompleted {
-			f.Late = append(f.Late, all.LateActivities(q.Thing, v.Number, v.Epoch, v.CompletedAt, q.Clocks)...)
+			f.Late = append(f.Late, all.LateActivities(q.Thing, v.Number, v.Epoch, v.CompletedAt, q.MaxClockSkew)...)
 			f.Unknown = append(f.Unknown, all.UnorderedActivities(q.Thing, v.Number, starts)...)
 		}
 	}
@@ -167,13 +167,13 @@
 
 // forgotten are the times in which starts that the roster does not remember any more may have done what nobody was told: before, between and
 // after the trails that are held of them. Each may have acted until a lease after the next one joined.
-func (f *Fleet) forgotten(driver string, held *audit.Collection) (all []audit.Gap) {
+func (f *FleetState) forgotten(driver string, held *audit.Collection) (all []audit.Gap) {
 	for _, d := range f.Drivers {
-		if driver != "" && d.Name != driver || len(d.Earlier) == 0 || d.Earlier[0].Start == 1 {
+		if driver != "" && d.Name != driver || len(d.EarlierStarts) == 0 || d.EarlierStarts[0].Start == 1 {
 			continue
 		}
-		oldest := d.Earlier[0]
-		why := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.Earlier))
+		oldest := d.EarlierStarts[0]
+		why := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.EarlierStarts))
 		last := audit.Extent{Instance: versions.Instance{Name: d.Name}}
 		for _, e := range held.Extents(d.Name) {
 			if e.Instance.Start >= uint64(oldest.Start) {
@@ -184,25 +184,25 @@
 			}
 			last = e
 		}
-		all = append(all, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.Joined + f.Lease, Reason: why})
+		all = append(all, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + f.Lease, Reason: why})
 	}
 	return all
 }
 
 // starts are all starts that the roster remembers, and until when each may have acted.
-func (f *Fleet) starts(driver string) (all []audit.Lifetime) {
+func (f *FleetState) starts(driver string) (all []audit.Lifetime) {
 	for _, d := range f.Drivers {
 		if driver != "" && d.Name != driver {
 			continue
 		}
-		for _, e := range d.Earlier {
-			all = append(all, audit.Lifetime{Instance: versions.Instance{Name: d.Name, Start: uint64(e.Start)}, From: e.Joined, Until: e.When + f.Lease})
+		for _, e := range d.EarlierStarts {
+			all = append(all, audit.Lifetime{Instance: versions.Instance{Name: d.Name, Start: uint64(e.Start)}, From: e.JoinedAt, Until: e.EndedAt + f.Lease})
 		}
-		until := d.Until
-		if d.State == roster.Left { // it told all, and then gave its lease up
+		until := d.LeaseEnd
+		if d.State == roster.StateLeft { // it told all, and then gave its lease up
 			until = 0
 		}
-		all = append(all, audit.Lifetime{Instance: sign(d.Driver), From: d.Joined, Until: until, IsLive: d.May && d.State == roster.Present})
+		all = append(all, audit.Lifetime{Instance: sign(d.Driver), From: d.JoinedAt, Until: until, IsLive: d.MayAct && d.State == roster.StatePresent})
 	}
 	return all
 }
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -30,12 +30,12 @@
 // instance runs it, and the admin commands.
 type operatorServices struct {
 	p             *Program
-	coordinator   *membership.Chair
+	coordinator   *membership.CoordinatorServer
 	journal       *store.Journal
-	councilNode   *chamber.Server          // nil unless this instance is a council voter
-	fleetRegistry *membership.Registration // the fleet's replicated state machine; nil if there is none
-	agent         *membership.Agent        // nil without a fleet
-	gossipRing    *gossip.Ring             // nil without gossip
+	councilNode   *chamber.Server         // nil unless this instance is a council voter
+	fleetRegistry *membership.FleetServer // the fleet's replicated state machine; nil if there is none
+	agent         *membership.FleetAgent  // nil without a fleet
+	gossipRing    *gossip.Gossiper        // nil without gossip
 	versionsOnce  sync.Once
 	startConfig   *operator.Orders                // at start-up
 	startNumber   chan uint64                     // receives the start number once the fleet assigns it
@@ -95,9 +95,9 @@
 func (s *operatorServices) config() *operator.Orders { return s.current.Load() }
 
 // cellFill returns the hook that asks the store to fill cells, or nil.
-func (s *operatorServices) cellFill() membership.Fill {
+func (s *operatorServices) cellFill() membership.FillFunc {
 	if hook := s.config().Cells.GetCoordination().GetFillHook(); hook != "" {
-		return membership.HTTPFill(hook)
+		return membership.NewHTTPFill(hook)
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 	if s.journal, err = store.Open(coordination.Journal); err != nil {
 		return config.Reject("cells.coordination.journal", err)
 	}
-	s.coordinator, err = membership.NewChair(config.Book(), s.journal, milliseconds(coordination.LeaseMs),
+	s.coordinator, err = membership.NewCoordinatorServer(config.Book(), s.journal, milliseconds(coordination.LeaseMs),
 		milliseconds(coordination.HoldMs), s.cellFill(), s.p.log)
 	if err != nil {
 		return config.Reject("cells.coordination.journal", err)
@@ -129,19 +129,19 @@
 	councilConfig := config.Council
 	machines := map[string]chamber.StateMachine{}
 	if coordination := config.Cells.GetCoordination(); coordination != nil {
-		s.coordinator, err = membership.NewFellow(config.Book(), milliseconds(coordination.LeaseMs),
+		s.coordinator, err = membership.NewReplicatedCoordinatorServer(config.Book(), milliseconds(coordination.LeaseMs),
 			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.p.log)
 		if err != nil {
 			return config.Reject("cells", err)
 		}
-		machines[membership.MachineName] = s.coordinator.Place()
+		machines[membership.CoordinatorStateMachineName] = s.coordinator.StateMachine()
 	}
 	if config.Fleet != nil {
-		s.fleetRegistry = membership.NewRegistration(membership.Terms{Lease: milliseconds(config.Fleet.LeaseMs),
-			Forget: time.Duration(config.ForgetS()) * time.Second,
-			Most:   config.Fleet.MostShutOut}, s.p.log)
-		machines[membership.RegistrationName] = s.fleetRegistry
-		if err := s.fleetRegistry.Keep(councilConfig.Disk + ".trails"); err != nil {
+		s.fleetRegistry = membership.NewFleetServer(membership.FleetConfig{Lease: milliseconds(config.Fleet.LeaseMs),
+			ForgetAfter:     time.Duration(config.ForgetS()) * time.Second,
+			MaxShutOutShare: config.Fleet.MostShutOut}, s.p.log)
+		machines[membership.FleetStateMachineName] = s.fleetRegistry
+		if err := s.fleetRegistry.OpenTrails(councilConfig.Disk + ".trails"); err != nil {
 			return config.Reject("council.disk", err)
 		}
 	}
@@ -155,10 +155,10 @@
 		return config.Reject("council.disk", err)
 	}
 	if s.coordinator != nil {
-		s.coordinator.Join(s.councilNode)
+		s.coordinator.AttachCouncil(s.councilNode)
 	}
 	if s.fleetRegistry != nil {
-		s.fleetRegistry.Join(s.councilNode)
+		s.fleetRegistry.AttachCouncil(s.councilNode)
 	}
 	s.peerListener, err = s.listen("council.listen", config.SeatAt())
 	return err
@@ -227,7 +227,7 @@
 			return
 		}
 	}
-	membership.NewFollower(s.config().CoordinatorsAt(), s.p.config.Name, incarnation, lease, s, s.p.log).Run(ctx)
+	membership.NewCellAgent(s.config().CoordinatorsAt(), s.p.config.Name, incarnation, lease, s, s.p.log).Run(ctx)
 }
 
 // peerHandler returns the handler of requests from drivers and voters.
@@ -281,7 +281,7 @@
 		return nil
 	}
 	if s.coordinator != nil { // if it accepts the file, so does the admission controller
-		err = s.coordinator.Become(next.Layout(), next.Pins())
+		err = s.coordinator.UpdateLayout(next.Layout(), next.Pins())
 	}
 	if err == nil {
 		err = routing.ReadAdmission(s.p.router, func(_ int64, g *cells.AdmissionController) error {
@@ -337,11 +337,11 @@
 }
 
 // dialCoordinator returns a client of the coordinator.
-func (s *operatorServices) dialCoordinator() (membership.Coordinator, error) {
+func (s *operatorServices) dialCoordinator() (membership.Client, error) {
 	if s.config().Cells.GetCoordination() == nil {
-		return membership.Coordinator{}, errNoCoordinator
+		return membership.Client{}, errNoCoordinator
 	}
-	return membership.Dial(s.config().CoordinatorsAt()...), nil
+	return membership.NewClient(s.config().CoordinatorsAt()...), nil
 }
 
 // Council returns the state of the council, from this instance's own node or else from the first
@@ -353,7 +353,7 @@
 	case s.config().Council == nil:
 		return chamber.State{}, errNoCouncil
 	}
-	return membership.Dial(s.config().VotersAt()...).Council(ctx)
+	return membership.NewClient(s.config().VotersAt()...).Council(ctx)
 }
 
 // ChangeCouncil asks the council's leader to change the set of voters.
@@ -361,20 +361,20 @@
 	if s.config().Council == nil {
 		return errNoCouncil
 	}
-	return membership.Dial(s.config().VotersAt()...).ChangeCouncil(ctx, change)
+	return membership.NewClient(s.config().VotersAt()...).ChangeCouncil(ctx, change)
 }
 
 // State returns the state of tenant moves.
-func (s *operatorServices) State(ctx context.Context) (membership.State, error) {
+func (s *operatorServices) State(ctx context.Context) (membership.CoordinatorState, error) {
 	coordinator, err := s.dialCoordinator()
 	if err != nil {
-		return membership.State{}, err
+		return membership.CoordinatorState{}, err
 	}
 	return coordinator.State(ctx)
 }
 
 // Move asks the coordinator to move tenants.
-func (s *operatorServices) Move(ctx context.Context, moves []membership.Move) error {
+func (s *operatorServices) Move(ctx context.Context, moves []membership.MoveRequest) error {
 	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return err
@@ -383,7 +383,7 @@
 }
 
 // Abort asks the coordinator to abort a move.
-func (s *operatorServices) Abort(ctx context.Context, m membership.Move) error {
+func (s *operatorServices) Abort(ctx context.Context, m membership.MoveRequest) error {
 	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return err
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -39,9 +39,9 @@
 	s.p.router.EnableVersions(versions.NewDriverState())
 	s.p.router.ObserveVersion(versions.Build, FeatureLevel, buildRevision())
 	s.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(s.config().Common())[:digestPrefixLength])
-	claim := roster.Claim{Name: s.p.config.Name, At: s.p.config.Listen, Build: buildRevision(),
-		Level: FeatureLevel, Votes: s.config().Council.GetId() != 0}
-	s.agent = membership.NewAgent(s.config().VotersAt(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
+	claim := roster.Claim{Name: s.p.config.Name, Address: s.p.config.Listen, Build: buildRevision(),
+		Level: FeatureLevel, IsVoter: s.config().Council.GetId() != 0}
+	s.agent = membership.NewFleetAgent(s.config().VotersAt(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
 	gossipConfig := s.config().Fleet.Gossip
 	if gossipConfig == nil {
 		return nil
@@ -50,7 +50,7 @@
 		milliseconds(s.config().ProbeMs()), s.p.log); err != nil {
 		return s.config().Reject("fleet.gossip.listen", err)
 	}
-	s.agent.Listens(s.gossipRing)
+	s.agent.SetPeerMonitor(s.gossipRing)
 	return nil
 }
 
@@ -77,9 +77,9 @@
 func (s *operatorServices) LastTrail(after uint64) audit.Segment { return s.p.router.FlushTrail(after) }
 
 // Audit answers a question from the audit trails that all voters hold.
-func (s *operatorServices) Audit(ctx context.Context, question membership.Question) (membership.Finding, error) {
+func (s *operatorServices) Audit(ctx context.Context, question membership.AuditQuery) (membership.AuditResult, error) {
 	if s.config().Fleet == nil {
-		return membership.Finding{}, errNoFleet
+		return membership.AuditResult{}, errNoFleet
 	}
 	return membership.Audit(ctx, s.config().VotersAt(), question)
 }
@@ -117,15 +117,15 @@
 }
 
 // Fleet returns the state of the fleet.
-func (s *operatorServices) Fleet(ctx context.Context) (membership.Fleet, error) {
+func (s *operatorServices) Fleet(ctx context.Context) (membership.FleetState, error) {
 	if s.config().Fleet == nil {
-		return membership.Fleet{}, errNoFleet
+		return membership.FleetState{}, errNoFleet
 	}
-	return membership.Dial(s.config().VotersAt()...).Fleet(ctx)
+	return membership.NewClient(s.config().VotersAt()...).FleetState(ctx)
 }
 
 // Wish sends an operator's request to the fleet. A proposed rulebook is validated locally first.
-func (s *operatorServices) Wish(ctx context.Context, wish membership.Wish) error {
+func (s *operatorServices) Wish(ctx context.Context, wish membership.FleetChange) error {
 	if s.config().Fleet == nil {
 		return errNoFleet
 	}
@@ -137,5 +137,5 @@
 			return err
 		}
 	}
-	return membership.Dial(s.config().VotersAt()...).Wish(ctx, wish)
+	return membership.NewClient(s.config().VotersAt()...).ChangeFleet(ctx, wish)
 }
