--- a/cmd/sedgespread/cells.go
+++ b/cmd/sedgespread/cells.go
@@ -33,12 +33,12 @@
 
 // ask asks the instance and prints its answer as JSON or as print does.
 func ask[T any](c *commands, what string, wanted any, print func(out *tabwriter.Writer, answer *T)) error {
-	return asked(admin.Dial(c.Cells.Admin), c.Cells.JSON, what, wanted, print)
+	return asked(admin.NewCellsClient(c.Cells.Admin), c.Cells.JSON, what, wanted, print)
 }
 
 func asked[T any](at admin.Client, asJSON bool, what string, wanted any, print func(out *tabwriter.Writer, answer *T)) error {
 	var raw json.RawMessage
-	if err := at.Ask(context.Background(), what, wanted, &raw); err != nil {
+	if err := at.Call(context.Background(), what, wanted, &raw); err != nil {
 		return err
 	}
 	if asJSON {
@@ -59,7 +59,7 @@
 
 // Run lists cells.
 func (cellsList) Run(c *commands) error {
-	return ask(c, "list", admin.Wanted{}, func(out *tabwriter.Writer, f *cells.Stats) {
+	return ask(c, "list", admin.Query{}, func(out *tabwriter.Writer, f *cells.Stats) {
 		fmt.Fprintln(out, "CELL\tHALL\tGROUPS\tWEIGHT\tRPCS\tSHARE\tLIMIT\tPACE\tCALL-OUTS\tCLIENTS\tTENANTS\tTOOK")
 		for _, k := range f.Cells {
 			fmt.Fprintf(out, "%s\t%s\t%v\t%g\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%v\n", k.Name, k.Hall, k.Groups, k.Weight, k.RPCs, k.Share,
@@ -96,19 +96,19 @@
 
 // Run shows a tenant.
 func (s cellsShow) Run(c *commands) error {
-	return ask(c, "show", admin.Wanted{Tenant: cells.Tenant(s.Tenant), Key: s.Key}, func(out *tabwriter.Writer, p *admin.Place) {
-		fmt.Fprintf(out, "tenant\t%s\ncell\t%s (%s)\ngroups\t%v\nstage\t%s\n", p.Tenant, p.Cell, p.Why, p.Groups, p.Stage)
+	return ask(c, "show", admin.Query{Tenant: cells.Tenant(s.Tenant), Key: s.Key}, func(out *tabwriter.Writer, p *admin.Placement) {
+		fmt.Fprintf(out, "tenant\t%s\ncell\t%s (%s)\ngroups\t%v\nstage\t%s\n", p.Tenant, p.Cell, p.Reason, p.Groups, p.Stage)
 		if s.Key != "" {
 			fmt.Fprintf(out, "group of %q\t%d\n", s.Key, p.Group)
 		}
-		if p.To != "" {
-			fmt.Fprintf(out, "to\t%s\n", p.To)
+		if p.TargetCell != "" {
+			fmt.Fprintf(out, "to\t%s\n", p.TargetCell)
 		}
 		if p.Epoch > 0 {
 			fmt.Fprintf(out, "epoch\t%d\n", p.Epoch)
 		}
-		if p.Floor > 0 {
-			fmt.Fprintf(out, "read from members at\t%s\n", time.Unix(0, p.Floor).UTC().Format(time.RFC3339Nano))
+		if p.MinPosition > 0 {
+			fmt.Fprintf(out, "read from members at\t%s\n", time.Unix(0, p.MinPosition).UTC().Format(time.RFC3339Nano))
 		}
 		fmt.Fprintf(out, "RPCs a second here\t%.1f\n", p.Load)
 	})
@@ -121,7 +121,7 @@
 
 // Run plans.
 func (p cellsPlan) Run(c *commands) error {
-	return ask(c, "plan", admin.Wanted{Most: p.Most}, func(out *tabwriter.Writer, plan *admin.Plan) { printPlan(out, plan, p.Explain) })
+	return ask(c, "plan", admin.Query{MaxMoves: p.Most}, func(out *tabwriter.Writer, plan *admin.Plan) { printPlan(out, plan, p.Explain) })
 }
 
 func printPlan(out *tabwriter.Writer, p *admin.Plan, explain bool) {
@@ -144,9 +144,9 @@
 	}
 	fmt.Fprintln(out, "\nTENANT\tLOAD\tNOW\tPLANNED\tWHY\tWORST CELL IF ELSEWHERE")
 	for _, t := range p.Tenants {
-		fmt.Fprintf(out, "%s\t%.1f\t%s\t%s\t%s\t", t.Tenant, t.Load, t.From, t.To, t.Why)
+		fmt.Fprintf(out, "%s\t%.1f\t%s\t%s\t%s\t", t.Tenant, t.Load, t.From, t.To, t.Reason)
 		for _, k := range p.Cells {
-			if worst, is := t.Else[k.Name]; is {
+			if worst, is := t.Alternatives[k.Name]; is {
 				fmt.Fprintf(out, "%s %.3f ", k.Name, worst)
 			}
 		}
@@ -161,15 +161,15 @@
 // Run plans and begins the moves.
 func (a cellsApply) Run(c *commands) error {
 	var plan admin.Plan
-	at := admin.Dial(c.Cells.Admin)
-	if err := at.Ask(context.Background(), "plan", admin.Wanted{Most: a.Most}, &plan); err != nil {
+	at := admin.NewCellsClient(c.Cells.Admin)
+	if err := at.Call(context.Background(), "plan", admin.Query{MaxMoves: a.Most}, &plan); err != nil {
 		return err
 	}
 	if len(plan.Moves) == 0 {
 		fmt.Println("nothing to move")
 		return nil
 	}
-	if err := at.Ask(context.Background(), "move", plan.Moves, nil); err != nil {
+	if err := at.Call(context.Background(), "move", plan.Moves, nil); err != nil {
 		return err
 	}
 	fmt.Printf("%d moves begun; `cells moves` shows how they go\n", len(plan.Moves))
@@ -194,7 +194,7 @@
 
 // Run lists moves.
 func (cellsMoves) Run(c *commands) error {
-	return ask(c, "moves", admin.Wanted{}, func(out *tabwriter.Writer, s *membership.CoordinatorState) {
+	return ask(c, "moves", admin.Query{}, func(out *tabwriter.Writer, s *membership.CoordinatorState) {
 		fmt.Fprintln(out, "TENANT\tCELL\tSTAGE\tTO\tEPOCH\tSINCE\tWHY")
 		for i := len(s.Entries) - 1; i >= 0; i-- {
 			e := s.Entries[i]
--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -34,11 +34,11 @@
 
 // fleet asks how the fleet stands.
 func (c *commands) fleet(print func(out *tabwriter.Writer, f *membership.FleetState)) error {
-	return asked(admin.Fleet(c.Fleet.Admin), c.Fleet.JSON, "state", struct{}{}, print)
+	return asked(admin.NewFleetClient(c.Fleet.Admin), c.Fleet.JSON, "state", struct{}{}, print)
 }
 
 func (c *commands) wish(w membership.FleetChange, done string) error {
-	err := admin.Fleet(c.Fleet.Admin).Ask(context.Background(), "wish", w, nil)
+	err := admin.NewFleetClient(c.Fleet.Admin).Call(context.Background(), "wish", w, nil)
 	if err == nil {
 		fmt.Println(done)
 	}
@@ -176,7 +176,7 @@
 		q.To = a.To.UnixNano()
 	}
 	wrong := 0
-	err := asked(admin.Fleet(c.Fleet.Admin), c.Fleet.JSON, "audit", q, func(out *tabwriter.Writer, f *membership.AuditResult) {
+	err := asked(admin.NewFleetClient(c.Fleet.Admin), c.Fleet.JSON, "audit", q, func(out *tabwriter.Writer, f *membership.AuditResult) {
 		wrong = len(f.Late) + len(f.Faults)
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tNOT KEPT")
@@ -278,7 +278,7 @@
 
 // Run shows the council.
 func (councilShow) Run(c *commands) error {
-	return asked(admin.Fleet(c.Fleet.Admin), c.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, s *chamber.State) {
+	return asked(admin.NewFleetClient(c.Fleet.Admin), c.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, s *chamber.State) {
 		fmt.Fprintf(out, "as voter %d knows: term %d, %d entries applied, %.1f ms a write of its disk\n", s.Voter, s.Term, s.Applied, s.WriteMs)
 		if s.RefusalReason != "" {
 			fmt.Fprintf(out, "this voter is refused: %s\n", s.RefusalReason)
@@ -296,7 +296,7 @@
 
 // change asks for other voters.
 func (c *commands) change(change chamber.VoterChange) error {
-	err := admin.Fleet(c.Fleet.Admin).Ask(context.Background(), "council/change", change, nil)
+	err := admin.NewFleetClient(c.Fleet.Admin).Call(context.Background(), "council/change", change, nil)
 	if err == nil {
 		fmt.Println("proposed; `fleet council show` tells once it is so")
 	}
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -99,7 +99,7 @@
 	require.Contains(t, said, "one (hashed)")
 	eventually(t, "the coordinator hears of loads", func() bool {
 		var p admin.Plan
-		err := admin.Dial(at[0]).Ask(context.Background(), "plan", admin.Wanted{Most: -1}, &p)
+		err := admin.NewCellsClient(at[0]).Call(context.Background(), "plan", admin.Query{MaxMoves: -1}, &p)
 		return err == nil && len(p.Tenants) > 0
 	})
 	said, good = cellsDo("plan", "--explain")
@@ -115,7 +115,7 @@
 	require.True(t, good, said)
 	eventually(t, "the move is done", func() bool {
 		var s membership.CoordinatorState
-		err := admin.Dial(at[0]).Ask(context.Background(), "moves", admin.Wanted{}, &s)
+		err := admin.NewCellsClient(at[0]).Call(context.Background(), "moves", admin.Query{}, &s)
 		return err == nil && len(s.Entries) == 1 && s.Entries[0].Stage == cells.StageIdle && s.Entries[0].Cell == "two"
 	})
 	require.Equal(t, sockets.Served, write())
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,10 +14,10 @@
 	"sedgespread/internal/membership"
 )
 
-// Desk is what an instance lets its operator see and do.
-type Desk interface {
+// Backend is what an instance lets its operator see and do.
+type Backend interface {
 	Cells() cells.Stats
-	Where(t cells.Tenant, key string) Place
+	TenantPlacement(t cells.Tenant, key string) Placement
 	State(ctx context.Context) (membership.CoordinatorState, error)
 	Move(ctx context.Context, moves []membership.MoveRequest) error
 	Abort(ctx context.Context, m membership.MoveRequest) error
@@ -29,18 +29,18 @@
 	Audit(ctx context.Context, q membership.AuditQuery) (membership.AuditResult, error)
 }
 
-// Place is where a tenant is, as one instance knows.
-type Place struct {
-	Tenant cells.Tenant `json:"tenant"`
-	Cell   string       `json:"cell"`
-	Why    string       `json:"why"` // hashed, pinned or moved
-	Groups cells.Groups `json:"groups"`
-	Group  int64        `json:"group"` // of the key that was asked for
-	Stage  string       `json:"stage"`
-	To     string       `json:"to,omitempty"`
-	Epoch  cells.Epoch  `json:"epoch"`
-	Floor  int64        `json:"floor,omitempty"`
-	Load   float64      `json:"load"` // RPCs a second at this instance, 0 for not among the heaviest
+// Placement is where a tenant is, as one instance knows.
+type Placement struct {
+	Tenant      cells.Tenant `json:"tenant"`
+	Cell        string       `json:"cell"`
+	Reason      string       `json:"why"` // hashed, pinned or moved
+	Groups      cells.Groups `json:"groups"`
+	Group       int64        `json:"group"` // of the key that was asked for
+	Stage       string       `json:"stage"`
+	TargetCell  string       `json:"to,omitempty"`
+	Epoch       cells.Epoch  `json:"epoch"`
+	MinPosition int64        `json:"floor,omitempty"`
+	Load        float64      `json:"load"` // RPCs a second at this instance, 0 for not among the heaviest
 }
 
 // Plan is what the planner made of the loads that drivers tell of.
@@ -60,28 +60,28 @@
 
 // TenantPlan says why a tenant is to be where it is in a plan.
 type TenantPlan struct {
-	Tenant   cells.Tenant
-	Load     float64
-	From, To string
-	Why      string
-	Else     map[string]float64 // the worst load if it were in another cell and all else as planned
+	Tenant       cells.Tenant
+	Load         float64
+	From, To     string
+	Reason       string
+	Alternatives map[string]float64 // the worst load if it were in another cell and all else as planned
 }
 
-// Wanted asks for a tenant or for a plan.
-type Wanted struct {
-	Tenant cells.Tenant `json:"tenant"`
-	Key    string       `json:"key"`
-	Most   int          `json:"most"` // moves of a plan, below 0 for any number
+// Query asks for a tenant or for a plan.
+type Query struct {
+	Tenant   cells.Tenant `json:"tenant"`
+	Key      string       `json:"key"`
+	MaxMoves int          `json:"most"` // moves of a plan, below 0 for any number
 }
 
 // Serve answers commands until the context ends.
-func Serve(ctx context.Context, l net.Listener, d Desk) error {
+func Serve(ctx context.Context, l net.Listener, d Backend) error {
 	mux := http.NewServeMux()
 	handle := func(what string, answer http.HandlerFunc) { mux.Handle("POST /"+what, answer) }
 	handle("cells/list", jsonhttp.QueryHandler(func(context.Context) (cells.Stats, error) { return d.Cells(), nil }))
-	handle("cells/show", jsonhttp.Handler(func(_ context.Context, w Wanted) (Place, error) { return d.Where(w.Tenant, w.Key), nil }))
+	handle("cells/show", jsonhttp.Handler(func(_ context.Context, w Query) (Placement, error) { return d.TenantPlacement(w.Tenant, w.Key), nil }))
 	handle("cells/moves", jsonhttp.QueryHandler(d.State))
-	handle("cells/plan", jsonhttp.Handler(func(ctx context.Context, w Wanted) (Plan, error) { return d.Plan(ctx, w.Most) }))
+	handle("cells/plan", jsonhttp.Handler(func(ctx context.Context, w Query) (Plan, error) { return d.Plan(ctx, w.MaxMoves) }))
 	handle("cells/move", jsonhttp.ActionHandler(d.Move))
 	handle("cells/abort", jsonhttp.ActionHandler(d.Abort))
 	mux.Handle("GET /metrics", metrics(d))
@@ -112,17 +112,17 @@
 
 const askWithin = 30 * time.Second
 
-// Dial names an instance by its admin address, for what there is to ask of cells.
-func Dial(at string) Client { return dial(at, "cells") }
+// NewCellsClient names an instance by its admin address, for what there is to ask of cells.
+func NewCellsClient(at string) Client { return dial(at, "cells") }
 
-// Fleet names an instance by its admin address, for what there is to ask of the fleet.
-func Fleet(at string) Client { return dial(at, "fleet") }
+// NewFleetClient names an instance by its admin address, for what there is to ask of the fleet.
+func NewFleetClient(at string) Client { return dial(at, "fleet") }
 
 func dial(at, of string) Client {
 	return Client{base: "http://" + at + "/" + of + "/", client: &http.Client{Timeout: askWithin}}
 }
 
-// Ask asks a command and reads its answer, into nil for none.
-func (c Client) Ask(ctx context.Context, what string, asked, into any) error {
+// Call asks a command and reads its answer, into nil for none.
+func (c Client) Call(ctx context.Context, what string, asked, into any) error {
 	return jsonhttp.Post(ctx, c.client, c.base+what, asked, into)
 }
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -11,7 +11,7 @@
 )
 
 // figures are what this instance and its fleet tell of themselves, made anew for each look.
-type figures struct{ desk Desk }
+type figures struct{ desk Backend }
 
 // lookWithin is how long the council may take to tell how the fleet stands.
 const lookWithin = 2 * time.Second
@@ -112,7 +112,7 @@
 }
 
 // metrics answers as Prometheus asks.
-func metrics(d Desk) http.Handler {
+func metrics(d Backend) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(figures{d})
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -17,7 +17,7 @@
 
 // still is a desk at which nothing changes.
 type still struct {
-	Desk
+	Backend
 	fleet membership.FleetState
 	err   error
 }
@@ -30,7 +30,7 @@
 
 func (s still) Fleet(context.Context) (membership.FleetState, error) { return s.fleet, s.err }
 
-func scraped(d Desk) string {
+func scraped(d Backend) string {
 	w := httptest.NewRecorder()
 	metrics(d).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Body.String()
--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -11,8 +11,8 @@
 // explainedMost is how many tenants of a plan are explained, the heaviest first.
 const explainedMost = 50
 
-// Explained makes a plan and says why tenants are where they are in it.
-func Explained(tenants []planner.Tenant, rooms []planner.Cell, most int) Plan {
+// NewPlan makes a plan and says why tenants are where they are in it.
+func NewPlan(tenants []planner.Tenant, rooms []planner.Cell, most int) Plan {
 	p := planner.NewPlan(tenants, rooms, most)
 	now := make([]int, len(tenants))
 	for i, t := range tenants {
@@ -44,16 +44,16 @@
 
 // explain says why a tenant is where it is in a plan, and what the worst load would be were it elsewhere.
 func explain(t planner.Tenant, at int, p *planner.Plan, rooms []planner.Cell, name func(int) string) TenantPlan {
-	e := TenantPlan{Tenant: cells.Tenant(t.Name), Load: t.Load, From: name(t.CurrentCell), To: name(at), Else: map[string]float64{}}
+	e := TenantPlan{Tenant: cells.Tenant(t.Name), Load: t.Load, From: name(t.CurrentCell), To: name(at), Alternatives: map[string]float64{}}
 	switch {
 	case t.Pinned:
-		e.Why = "it is pinned, or being moved"
+		e.Reason = "it is pinned, or being moved"
 	case at == t.CurrentCell:
-		e.Why = "it can stay: moving it would not lower the worst load"
+		e.Reason = "it can stay: moving it would not lower the worst load"
 	case at == planner.NoCell:
-		e.Why = "no cell stands in its hall"
+		e.Reason = "no cell stands in its hall"
 	default:
-		e.Why = "its cell is relieved by it"
+		e.Reason = "its cell is relieved by it"
 	}
 	if t.Pinned || at == planner.NoCell {
 		return e
@@ -72,7 +72,7 @@
 			}
 			worst = max(worst, load)
 		}
-		e.Else[name(c)] = worst
+		e.Alternatives[name(c)] = worst
 	}
 	return e
 }
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -310,7 +310,7 @@
 	r.RPCs, r.Unexplained = m.rpcs, m.unexplained
 	for _, address := range m.admins {
 		var f cells.Stats
-		if admin.Dial(address).Ask(context.Background(), "list", admin.Wanted{}, &f) == nil {
+		if admin.NewCellsClient(address).Call(context.Background(), "list", admin.Query{}, &f) == nil {
 			for why, n := range f.Rejected {
 				r.Turned[why] += n
 			}
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -19,7 +19,7 @@
 )
 
 // check tells the first thing that is wrong with a file that could be read.
-func (o *Orders) check() error {
+func (o *Config) check() error {
 	if o.Admin != nil {
 		if err := o.loopback("admin.listen", o.Admin.Listen); err != nil {
 			return err
@@ -43,7 +43,7 @@
 }
 
 // loopback checks an address that only this machine can reach.
-func (o *Orders) loopback(field, address string) error {
+func (o *Config) loopback(field, address string) error {
 	if address == "" {
 		return o.fault(field, "is missing")
 	}
@@ -58,7 +58,7 @@
 }
 
 // positive checks a number that may not be 0 or below where it is given.
-func (o *Orders) positive(field string, given *float64, least float64) error {
+func (o *Config) positive(field string, given *float64, least float64) error {
 	if given != nil && (!(*given >= least) || math.IsInf(*given, 0)) {
 		return o.fault(field, "%v is out of range", *given)
 	}
@@ -67,7 +67,7 @@
 
 const leastWeight = 1e-6
 
-func (o *Orders) checkCells() error {
+func (o *Config) checkCells() error {
 	names, groups := map[string]bool{}, map[int64]string{}
 	if len(o.Cells.Cell) == 0 {
 		return o.fault("cells.cell", "there must be one at least")
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (o *Orders) checkTenancy() error {
+func (o *Config) checkTenancy() error {
 	y := o.Cells.Tenancy
 	if y.GetOthers() == "" {
 		return o.fault("cells.tenancy.others", "is missing")
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (o *Orders) checkTenants() error {
+func (o *Config) checkTenants() error {
 	halls, seen := map[string]string{}, map[string]bool{} // of the cells, by name
 	for _, c := range o.Cells.Cell {
 		halls[c.Name] = c.Hall
@@ -174,7 +174,7 @@
 	return is
 }
 
-func (o *Orders) checkBudget() error {
+func (o *Config) checkBudget() error {
 	b, count := o.Cells.Budget, uint32(len(o.Cells.Cell))
 	switch {
 	case b == nil:
@@ -188,7 +188,7 @@
 	return nil
 }
 
-func (o *Orders) checkCoordination() error {
+func (o *Config) checkCoordination() error {
 	c := o.Cells.Coordination
 	if c == nil {
 		return nil
@@ -242,14 +242,14 @@
 )
 
 // TickMs is the time between two ticks of the council.
-func (o *Orders) TickMs() uint32 {
+func (o *Config) TickMs() uint32 {
 	if t := o.Council.GetTickMs(); t != 0 {
 		return t
 	}
 	return usualTick
 }
 
-func (o *Orders) checkCouncil() error {
+func (o *Config) checkCouncil() error {
 	c := o.Council
 	if c == nil {
 		return nil
@@ -283,7 +283,7 @@
 	return o.checkSeat(ids)
 }
 
-func (o *Orders) checkGossip() error {
+func (o *Config) checkGossip() error {
 	g := o.Fleet.Gossip
 	if g == nil {
 		return nil
@@ -306,14 +306,14 @@
 }
 
 // ProbeMs is the time between two probes of a fellow.
-func (o *Orders) ProbeMs() uint32 {
+func (o *Config) ProbeMs() uint32 {
 	if p := o.Fleet.GetGossip().GetProbeMs(); p != 0 {
 		return p
 	}
 	return usualProbe
 }
 
-func (o *Orders) checkFleet() error {
+func (o *Config) checkFleet() error {
 	f := o.Fleet
 	switch {
 	case f == nil:
@@ -337,21 +337,21 @@
 
 const usualForget = 60 // s
 
-// ForgetS is how long after its last lease a driver is gone.
-func (o *Orders) ForgetS() uint32 {
+// ForgetSeconds is how long after its last lease a driver is gone.
+func (o *Config) ForgetSeconds() uint32 {
 	if s := o.Fleet.GetForgetS(); s != 0 {
 		return s
 	}
 	return usualForget
 }
 
-// With is a file in which what all drivers share says what another text does: the cells, whom RPCs belong to and what is
+// WithRulebook is a file in which what all drivers share says what another text does: the cells, whom RPCs belong to and what is
 // known of tenants. All else stays as it is here. An empty text changes nothing.
-func (o *Orders) With(name, text string) (*Orders, error) {
+func (o *Config) WithRulebook(name, text string) (*Config, error) {
 	if text == "" {
 		return o, nil
 	}
-	shared := &Orders{Operator: &operatorpb.Operator{}, path: name, lines: findLines([]byte(text))}
+	shared := &Config{Operator: &operatorpb.Operator{}, path: name, lines: findLines([]byte(text))}
 	if err := prototext.Unmarshal([]byte(text), shared.Operator); err != nil {
 		return nil, shared.unreadable(err)
 	}
@@ -368,7 +368,7 @@
 }
 
 // checkSeat checks what is said of this instance's own seat.
-func (o *Orders) checkSeat(ids map[uint32]bool) error {
+func (o *Config) checkSeat(ids map[uint32]bool) error {
 	c := o.Council
 	switch {
 	case c.Id == 0 && c.Disk != "":
@@ -393,24 +393,24 @@
 	return o.loopback("council.listen", c.Listen)
 }
 
-// VotersAt are the addresses of the file's voters, in its order.
-func (o *Orders) VotersAt() (addresses []string) {
+// VoterAddresses are the addresses of the file's voters, in its order.
+func (o *Config) VoterAddresses() (addresses []string) {
 	for _, v := range o.Council.GetVoter() {
 		addresses = append(addresses, v.At)
 	}
 	return addresses
 }
 
-// CoordinatorsAt are where a driver may ask for its lease: the coordinator, or all voters.
-func (o *Orders) CoordinatorsAt() []string {
+// CoordinatorAddresses are where a driver may ask for its lease: the coordinator, or all voters.
+func (o *Config) CoordinatorAddresses() []string {
 	if o.Council != nil {
-		return o.VotersAt()
+		return o.VoterAddresses()
 	}
 	return []string{o.Cells.GetCoordination().GetAt()}
 }
 
-// SeatAt is where this instance answers as a voter.
-func (o *Orders) SeatAt() string {
+// VoterAddress is where this instance answers as a voter.
+func (o *Config) VoterAddress() string {
 	if o.Council.Listen != "" {
 		return o.Council.Listen
 	}
@@ -423,7 +423,7 @@
 }
 
 // Layout is the file's cells.
-func (o *Orders) Layout() *cells.Layout {
+func (o *Config) Layout() *cells.Layout {
 	l := cells.NewLayout(int(o.Cells.GroupsATenant))
 	for _, c := range o.Cells.Cell {
 		groups := make(cells.Groups, len(c.Group))
@@ -442,8 +442,8 @@
 var owns = map[operatorpb.Own]cells.DefaultTenant{operatorpb.Own_NOBODY: cells.DefaultNone, operatorpb.Own_USER: cells.DefaultUser,
 	operatorpb.Own_DATABASE: cells.DefaultDatabase}
 
-// Tenancy is the file's rules on whom an RPC belongs to.
-func (o *Orders) Tenancy() *cells.TenantResolver {
+// TenantResolver is the file's rules on whom an RPC belongs to.
+func (o *Config) TenantResolver() *cells.TenantResolver {
 	prefixes, users, databases := map[string]cells.Tenant{}, map[string]cells.Tenant{}, map[string]cells.Tenant{}
 	for _, r := range o.Cells.Tenancy.Rule {
 		switch t := cells.Tenant(r.Tenant); {
@@ -459,7 +459,7 @@
 }
 
 // Pins are the cells that tenants are pinned to.
-func (o *Orders) Pins() map[cells.Tenant]string {
+func (o *Config) Pins() map[cells.Tenant]string {
 	pins := map[cells.Tenant]string{}
 	for _, t := range o.Cells.Tenant {
 		if t.Cell != "" {
@@ -470,7 +470,7 @@
 }
 
 // Weights are the tenants' parts that are not 1.
-func (o *Orders) Weights() map[cells.Tenant]float64 {
+func (o *Config) Weights() map[cells.Tenant]float64 {
 	weights := map[cells.Tenant]float64{}
 	for _, t := range o.Cells.Tenant {
 		if t.Weight != nil {
@@ -482,7 +482,7 @@
 
 // Limits are the limits that the file's budget makes, nil where it has none. So many connections of clients may wait at
 // this driver.
-func (o *Orders) Limits(l *cells.Layout, sockets int) *cells.Limits {
+func (o *Config) Limits(l *cells.Layout, sockets int) *cells.Limits {
 	b := o.Cells.Budget
 	if b == nil {
 		return nil
@@ -492,8 +492,8 @@
 	return cells.NewLimits(all, b.Lend, l, o.Weights())
 }
 
-// Book is where the file alone says that tenants are.
-func (o *Orders) Book() *cells.Directory {
+// Directory is where the file alone says that tenants are.
+func (o *Config) Directory() *cells.Directory {
 	l := o.Layout()
 	pins := map[cells.Tenant]cells.Cell{}
 	for t, name := range o.Pins() {
@@ -502,23 +502,23 @@
 	return cells.NewDirectory(l, pins)
 }
 
-// Gate is what a driver confines tenants by, at which so many connections of clients may wait.
-func (o *Orders) Gate(sockets int) *cells.AdmissionController {
-	b := o.Book()
+// AdmissionController is what a driver confines tenants by, at which so many connections of clients may wait.
+func (o *Config) AdmissionController(sockets int) *cells.AdmissionController {
+	b := o.Directory()
 	held := int(o.Cells.GetCoordination().GetHeld())
-	return cells.NewAdmissionController(b, o.Tenancy(), o.Limits(b.Layout(), sockets), o.Cells.Coordination != nil, held)
+	return cells.NewAdmissionController(b, o.TenantResolver(), o.Limits(b.Layout(), sockets), o.Cells.Coordination != nil, held)
 }
 
-// Rooms are the cells for the planner, in the file's order.
-func (o *Orders) Rooms() (rooms []planner.Cell) {
+// PlannerCells are the cells for the planner, in the file's order.
+func (o *Config) PlannerCells() (rooms []planner.Cell) {
 	for _, c := range o.Cells.Cell {
 		rooms = append(rooms, planner.Cell{Name: c.Name, Capacity: c.Capacity, Hall: c.Hall})
 	}
 	return rooms
 }
 
-// Halls are the halls that tenants' cells must stand in.
-func (o *Orders) Halls() map[cells.Tenant]string {
+// TenantHalls are the halls that tenants' cells must stand in.
+func (o *Config) TenantHalls() map[cells.Tenant]string {
 	halls := map[cells.Tenant]string{}
 	for _, t := range o.Cells.Tenant {
 		if t.Hall != "" {
@@ -528,13 +528,13 @@
 	return halls
 }
 
-// Fixed is what of a file only a start can change.
-func (o *Orders) Fixed() string {
+// StartupSettings is what of a file only a start can change.
+func (o *Config) StartupSettings() string {
 	return fmt.Sprint(o.Admin, o.Council, o.Fleet, o.Cells == nil, o.Cells.GetGroupsATenant(), o.Cells.GetBudget(), o.Cells.GetCoordination())
 }
 
-// Common is what all drivers of a fleet should have alike in their files beside what has versions, told in a way of its own.
-func (o *Orders) Common() string {
+// SharedSettings is what all drivers of a fleet should have alike in their files beside what has versions, told in a way of its own.
+func (o *Config) SharedSettings() string {
 	b, l, f := o.Cells.GetBudget(), o.Cells.GetCoordination(), o.Fleet
 	text := fmt.Sprintf("tick %d clocks %d groups %d budget %d %d %d %v moves %d %d %d fleet %d %v %d", o.TickMs(), o.Council.GetClockErrorMs(),
 		o.Cells.GetGroupsATenant(), b.GetRpcs(), b.GetCallOuts(), b.GetAnswerKib(), b.GetLend(), l.GetLeaseMs(), l.GetHoldMs(), l.GetHeld(),
@@ -546,7 +546,7 @@
 }
 
 // Summary says in a few words what a file asks for.
-func (o *Orders) Summary() string {
+func (o *Config) Summary() string {
 	council := ""
 	if c := o.Council; c != nil {
 		council = fmt.Sprintf(", a council of %d", len(c.Voter))
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -18,15 +18,15 @@
 	"sedgespread/proto/operatorpb"
 )
 
-// Fault is what is wrong with a file.
-type Fault struct {
+// FileError is what is wrong with a file.
+type FileError struct {
 	Path   string
 	Line   int    // 0 where it is not known
 	Field  string // empty where it is not known
 	Reason string
 }
 
-func (f *Fault) Error() string {
+func (f *FileError) Error() string {
 	where := f.Path
 	if f.Line > 0 {
 		where += ":" + strconv.Itoa(f.Line)
@@ -37,8 +37,8 @@
 	return where + ": " + f.Reason
 }
 
-// Orders is what an operator's file says, checked.
-type Orders struct {
+// Config is what an operator's file says, checked.
+type Config struct {
 	*operatorpb.Operator
 	path  string
 	lines lines
@@ -47,7 +47,7 @@
 const mostFile = 64 << 20
 
 // Read reads and checks a file. The error is a *Fault.
-func Read(path string) (*Orders, error) {
+func Read(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > mostFile {
 		err = errors.New("the file is too long")
@@ -57,14 +57,14 @@
 		text, err = os.ReadFile(path)
 	}
 	if err != nil {
-		return nil, &Fault{Path: path, Reason: err.Error()}
+		return nil, &FileError{Path: path, Reason: err.Error()}
 	}
 	return Parse(path, text)
 }
 
 // Parse checks the text of a file.
-func Parse(path string, text []byte) (*Orders, error) {
-	o := &Orders{Operator: &operatorpb.Operator{}, path: path, lines: findLines(text)}
+func Parse(path string, text []byte) (*Config, error) {
+	o := &Config{Operator: &operatorpb.Operator{}, path: path, lines: findLines(text)}
 	if err := prototext.Unmarshal(text, o.Operator); err != nil {
 		return nil, o.unreadable(err)
 	}
@@ -78,10 +78,10 @@
 var position = regexp.MustCompile(`\(line (\d+):(\d+)\): ?`)
 
 // unreadable makes a fault of what prototext found.
-func (o *Orders) unreadable(err error) *Fault {
+func (o *Config) unreadable(err error) *FileError {
 	text := strings.TrimPrefix(strings.ReplaceAll(err.Error(), "\u00a0", " "), "proto: ")
 	text = strings.Join(strings.Fields(strings.TrimPrefix(text, "syntax error ")), " ")
-	f := &Fault{Path: o.path, Reason: text}
+	f := &FileError{Path: o.path, Reason: text}
 	if at := position.FindStringSubmatchIndex(text); at != nil {
 		f.Line, _ = strconv.Atoi(text[at[2]:at[3]])
 		f.Reason = text[:at[0]] + text[at[1]:]
@@ -92,12 +92,12 @@
 }
 
 // fault is what is wrong with a field.
-func (o *Orders) fault(field, format string, args ...any) error {
-	return &Fault{Path: o.path, Line: o.lines.of(field), Field: field, Reason: fmt.Sprintf(format, args...)}
+func (o *Config) fault(field, format string, args ...any) error {
+	return &FileError{Path: o.path, Line: o.lines.of(field), Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Reject makes a fault of what somebody else finds wrong with a file that could be read.
-func (o *Orders) Reject(field string, err error) error { return o.fault(field, "%v", err) }
+// ErrorAt makes a fault of what somebody else finds wrong with a file that could be read.
+func (o *Config) ErrorAt(field string, err error) error { return o.fault(field, "%v", err) }
 
 // lines are the lines of a file's fields, by path, such as cells.cell[2].group.
 type lines struct {
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -35,7 +35,7 @@
 
 // Guards against files that say what nobody meant: each fault is told with its line and field, and the file counts for
 // nothing.
-func TestFaults(t *testing.T) {
+func TestFileErrors(t *testing.T) {
 	_, err := Parse("f", []byte(whole))
 	require.NoError(t, err)
 	for _, c := range []struct{ old, new, says string }{
@@ -90,7 +90,7 @@
 }
 
 // The same with a council and a fleet.
-func TestCouncilFaults(t *testing.T) {
+func TestCouncilErrors(t *testing.T) {
 	council := strings.Replace(whole, `at: "127.0.0.1:7410"`, ``, 1) + `council {
   voter { id: 1 at: "127.0.0.1:7411" }
   voter { id: 2 at: "127.0.0.1:7412" }
@@ -102,8 +102,8 @@
 `
 	o, err := Parse("f", []byte(council))
 	require.NoError(t, err)
-	require.Equal(t, "127.0.0.1:7412", o.SeatAt())
-	require.Len(t, o.CoordinatorsAt(), 3)
+	require.Equal(t, "127.0.0.1:7412", o.VoterAddress())
+	require.Len(t, o.CoordinatorAddresses(), 3)
 	require.Contains(t, o.Summary(), "coordinated by a council of 3 of which this is voter 2")
 	for _, c := range []struct{ old, new, says string }{
 		{`id: 3 at`, `id: 2 at`, "f:26: council.voter[2].id: 2 stands twice"},
@@ -135,16 +135,16 @@
 }
 
 // Guards against a rulebook that says what is each instance's own, or nothing that can be acted on.
-func TestRulebooks(t *testing.T) {
+func TestWithRulebook(t *testing.T) {
 	o, err := Parse("f", []byte(whole))
 	require.NoError(t, err)
 	const good = `cells { cell { name: "a" group: [1, 2] } cell { name: "b" group: 3 } tenancy { others: "all" } tenant { name: "x" weight: 2 } }`
-	next, err := o.With("r", good)
+	next, err := o.WithRulebook("r", good)
 	require.NoError(t, err)
 	require.Equal(t, "all", next.Cells.Tenancy.Others)
-	require.Equal(t, o.Fixed(), next.Fixed())
+	require.Equal(t, o.StartupSettings(), next.StartupSettings())
 	require.Equal(t, "rest", o.Cells.Tenancy.Others, "nothing changes here")
-	same, err := o.With("r", "")
+	same, err := o.WithRulebook("r", "")
 	require.NoError(t, err)
 	require.Same(t, o, same)
 	for text, says := range map[string]string{
@@ -153,12 +153,12 @@
 		strings.Replace(good, `others: "all"`, ``, 1):     "r:1: cells.tenancy.others: is missing",
 		strings.Replace(good, `group: 3`, `groups: 3`, 1): "unknown field",
 	} {
-		_, err := o.With("r", text)
+		_, err := o.WithRulebook("r", text)
 		require.ErrorContains(t, err, says)
 	}
 }
 
-func TestReading(t *testing.T) {
+func TestRead(t *testing.T) {
 	_, err := Read(filepath.Join(t.TempDir(), "none"))
 	require.ErrorContains(t, err, "none: ")
 	o, err := Read("../../deploy/operator.textproto")
@@ -175,8 +175,8 @@
 	f.Add([]byte(whole))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if o, err := Parse("f", text); err == nil && o.Cells != nil {
-			o.Gate(10)
-			o.Rooms()
+			o.AdmissionController(10)
+			o.PlannerCells()
 		}
 	})
 }
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -37,12 +37,12 @@
 	agent         *membership.FleetAgent  // nil without a fleet
 	gossipRing    *gossip.Gossiper        // nil without gossip
 	versionsOnce  sync.Once
-	startConfig   *operator.Orders                // at start-up
+	startConfig   *operator.Config                // at start-up
 	startNumber   chan uint64                     // receives the start number once the fleet assigns it
 	versionsReady chan struct{}                   // closed once a version lease is granted, or if none is needed
 	adminListener net.Listener                    // for admin commands; may be nil
 	peerListener  net.Listener                    // for drivers and voters; may be nil
-	current       atomic.Pointer[operator.Orders] // in effect now
+	current       atomic.Pointer[operator.Config] // in effect now
 	leaseReady    chan struct{}                   // closed once a cell lease is granted, or if none is needed
 	leaseOnce     sync.Once
 }
@@ -74,7 +74,7 @@
 		}
 	}
 	if config.Cells != nil {
-		p.router.EnableAdmission(config.Gate(p.descriptors.Limit() / idleClientsDivisor))
+		p.router.EnableAdmission(config.AdmissionController(p.descriptors.Limit() / idleClientsDivisor))
 		p.idleClients.overusedCell = p.router.MostOverConnectionShare
 	}
 	if config.Fleet != nil {
@@ -92,7 +92,7 @@
 }
 
 // config returns the operator file that is in effect.
-func (s *operatorServices) config() *operator.Orders { return s.current.Load() }
+func (s *operatorServices) config() *operator.Config { return s.current.Load() }
 
 // cellFill returns the hook that asks the store to fill cells, or nil.
 func (s *operatorServices) cellFill() membership.FillFunc {
@@ -107,12 +107,12 @@
 	config := s.config()
 	coordination := config.Cells.Coordination
 	if s.journal, err = store.Open(coordination.Journal); err != nil {
-		return config.Reject("cells.coordination.journal", err)
+		return config.ErrorAt("cells.coordination.journal", err)
 	}
-	s.coordinator, err = membership.NewCoordinatorServer(config.Book(), s.journal, milliseconds(coordination.LeaseMs),
+	s.coordinator, err = membership.NewCoordinatorServer(config.Directory(), s.journal, milliseconds(coordination.LeaseMs),
 		milliseconds(coordination.HoldMs), s.cellFill(), s.p.log)
 	if err != nil {
-		return config.Reject("cells.coordination.journal", err)
+		return config.ErrorAt("cells.coordination.journal", err)
 	}
 	s.peerListener, err = s.listen("cells.coordination.at", coordination.At)
 	return err
@@ -129,20 +129,20 @@
 	councilConfig := config.Council
 	machines := map[string]chamber.StateMachine{}
 	if coordination := config.Cells.GetCoordination(); coordination != nil {
-		s.coordinator, err = membership.NewReplicatedCoordinatorServer(config.Book(), milliseconds(coordination.LeaseMs),
+		s.coordinator, err = membership.NewReplicatedCoordinatorServer(config.Directory(), milliseconds(coordination.LeaseMs),
 			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.p.log)
 		if err != nil {
-			return config.Reject("cells", err)
+			return config.ErrorAt("cells", err)
 		}
 		machines[membership.CoordinatorStateMachineName] = s.coordinator.StateMachine()
 	}
 	if config.Fleet != nil {
 		s.fleetRegistry = membership.NewFleetServer(membership.FleetConfig{Lease: milliseconds(config.Fleet.LeaseMs),
-			ForgetAfter:     time.Duration(config.ForgetS()) * time.Second,
+			ForgetAfter:     time.Duration(config.ForgetSeconds()) * time.Second,
 			MaxShutOutShare: config.Fleet.MostShutOut}, s.p.log)
 		machines[membership.FleetStateMachineName] = s.fleetRegistry
 		if err := s.fleetRegistry.OpenTrails(councilConfig.Disk + ".trails"); err != nil {
-			return config.Reject("council.disk", err)
+			return config.ErrorAt("council.disk", err)
 		}
 	}
 	peers := chamber.VoterAddresses{}
@@ -152,7 +152,7 @@
 	pace := council.Timing{Tick: int64(milliseconds(config.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
 	if s.councilNode, err = chamber.Open(council.VoterID(councilConfig.Id), peers, councilConfig.Join,
 		councilConfig.Disk, pace, machines, s.p.log); err != nil {
-		return config.Reject("council.disk", err)
+		return config.ErrorAt("council.disk", err)
 	}
 	if s.coordinator != nil {
 		s.coordinator.AttachCouncil(s.councilNode)
@@ -160,7 +160,7 @@
 	if s.fleetRegistry != nil {
 		s.fleetRegistry.AttachCouncil(s.councilNode)
 	}
-	s.peerListener, err = s.listen("council.listen", config.SeatAt())
+	s.peerListener, err = s.listen("council.listen", config.VoterAddress())
 	return err
 }
 
@@ -169,7 +169,7 @@
 func (s *operatorServices) listen(field, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, s.config().Reject(field, err)
+		return nil, s.config().ErrorAt(field, err)
 	}
 	return l, nil
 }
@@ -227,7 +227,7 @@
 			return
 		}
 	}
-	membership.NewCellAgent(s.config().CoordinatorsAt(), s.p.config.Name, incarnation, lease, s, s.p.log).Run(ctx)
+	membership.NewCellAgent(s.config().CoordinatorAddresses(), s.p.config.Name, incarnation, lease, s, s.p.log).Run(ctx)
 }
 
 // peerHandler returns the handler of requests from drivers and voters.
@@ -266,17 +266,17 @@
 	if err != nil {
 		return err
 	}
-	if next.Fixed() != s.config().Fixed() {
-		return next.Reject("", errors.New("admin, council, fleet, groups_a_tenant, budget and coordination need a restart"))
+	if next.StartupSettings() != s.config().StartupSettings() {
+		return next.ErrorAt("", errors.New("admin, council, fleet, groups_a_tenant, budget and coordination need a restart"))
 	}
 	if next.Fleet != nil {
-		return next.Reject("fleet", errors.New("the rulebook is managed by the fleet: use `sedgespread fleet propose` to change it"))
+		return next.ErrorAt("fleet", errors.New("the rulebook is managed by the fleet: use `sedgespread fleet propose` to change it"))
 	}
 	return s.apply(next)
 }
 
 // apply puts another operator file into effect, or returns an error and changes nothing.
-func (s *operatorServices) apply(next *operator.Orders) (err error) {
+func (s *operatorServices) apply(next *operator.Config) (err error) {
 	if next.Cells == nil {
 		return nil
 	}
@@ -285,11 +285,11 @@
 	}
 	if err == nil {
 		err = routing.ReadAdmission(s.p.router, func(_ int64, g *cells.AdmissionController) error {
-			return g.Update(next.Layout(), next.Tenancy(), next.Pins(), next.Weights())
+			return g.Update(next.Layout(), next.TenantResolver(), next.Pins(), next.Weights())
 		})
 	}
 	if err != nil {
-		return next.Reject("cells", err)
+		return next.ErrorAt("cells", err)
 	}
 	s.current.Store(next)
 	return nil
@@ -314,18 +314,18 @@
 	})
 }
 
-// Where returns the placement of a tenant, and the group of a key.
-func (s *operatorServices) Where(tenant cells.Tenant, key string) admin.Place {
+// TenantPlacement returns the placement of a tenant, and the group of a key.
+func (s *operatorServices) TenantPlacement(tenant cells.Tenant, key string) admin.Placement {
 	if s.config().Cells == nil {
-		return admin.Place{Tenant: tenant, Why: errNoCells.Error()}
+		return admin.Placement{Tenant: tenant, Reason: errNoCells.Error()}
 	}
-	return routing.ReadAdmission(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Place {
+	return routing.ReadAdmission(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Placement {
 		layout, directory := controller.Layout(), controller.Directory()
-		placement, place := directory.Placement(tenant), admin.Place{Tenant: tenant, Why: "hashed"}
+		placement, place := directory.Placement(tenant), admin.Placement{Tenant: tenant, Reason: "hashed"}
 		if entry, moved := directory.Entry(tenant); moved {
-			place.Why, place.To, place.Epoch, place.Floor = "moved", entry.To, entry.Epoch, entry.MinPosition
+			place.Reason, place.TargetCell, place.Epoch, place.MinPosition = "moved", entry.To, entry.Epoch, entry.MinPosition
 		} else if directory.Pinned(tenant) {
-			place.Why = "pinned"
+			place.Reason = "pinned"
 		}
 		place.Cell, place.Stage = layout.Name(placement.Cell), placement.Stage.String()
 		if placement.Cell != cells.NoCell {
@@ -341,7 +341,7 @@
 	if s.config().Cells.GetCoordination() == nil {
 		return membership.Client{}, errNoCoordinator
 	}
-	return membership.NewClient(s.config().CoordinatorsAt()...), nil
+	return membership.NewClient(s.config().CoordinatorAddresses()...), nil
 }
 
 // Council returns the state of the council, from this instance's own node or else from the first
@@ -353,7 +353,7 @@
 	case s.config().Council == nil:
 		return chamber.State{}, errNoCouncil
 	}
-	return membership.NewClient(s.config().VotersAt()...).Council(ctx)
+	return membership.NewClient(s.config().VoterAddresses()...).Council(ctx)
 }
 
 // ChangeCouncil asks the council's leader to change the set of voters.
@@ -361,7 +361,7 @@
 	if s.config().Council == nil {
 		return errNoCouncil
 	}
-	return membership.NewClient(s.config().VotersAt()...).ChangeCouncil(ctx, change)
+	return membership.NewClient(s.config().VoterAddresses()...).ChangeCouncil(ctx, change)
 }
 
 // State returns the state of tenant moves.
@@ -405,7 +405,7 @@
 		}
 		loads = state.Loads
 	}
-	planCells, halls := s.config().Rooms(), s.config().Halls()
+	planCells, halls := s.config().PlannerCells(), s.config().TenantHalls()
 	for _, planCell := range planCells {
 		if planCell.Capacity <= 0 {
 			return admin.Plan{}, fmt.Errorf("cell %q: capacity is not configured, but is needed for planning", planCell.Name)
@@ -417,14 +417,14 @@
 	}
 	tenants := make([]planner.Tenant, 0, len(loads))
 	for _, load := range loads {
-		place := s.Where(load.Tenant, "")
+		place := s.TenantPlacement(load.Tenant, "")
 		cellIndex, isKnown := index[place.Cell]
 		if !isKnown {
 			cellIndex = planner.NoCell
 		}
 		tenants = append(tenants, planner.Tenant{Name: string(load.Tenant), Load: load.Load, CurrentCell: cellIndex,
 			Hall:   halls[load.Tenant],
-			Pinned: place.Why == "pinned" || place.Stage != cells.StageIdle.String()})
+			Pinned: place.Reason == "pinned" || place.Stage != cells.StageIdle.String()})
 	}
-	return admin.Explained(tenants, planCells, maxMoves), nil
+	return admin.NewPlan(tenants, planCells, maxMoves), nil
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -38,17 +38,17 @@
 func (s *operatorServices) joinFleet() (err error) {
 	s.p.router.EnableVersions(versions.NewDriverState())
 	s.p.router.ObserveVersion(versions.Build, FeatureLevel, buildRevision())
-	s.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(s.config().Common())[:digestPrefixLength])
+	s.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(s.config().SharedSettings())[:digestPrefixLength])
 	claim := roster.Claim{Name: s.p.config.Name, Address: s.p.config.Listen, Build: buildRevision(),
 		Level: FeatureLevel, IsVoter: s.config().Council.GetId() != 0}
-	s.agent = membership.NewFleetAgent(s.config().VotersAt(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
+	s.agent = membership.NewFleetAgent(s.config().VoterAddresses(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
 	gossipConfig := s.config().Fleet.Gossip
 	if gossipConfig == nil {
 		return nil
 	}
 	if s.gossipRing, err = gossip.Listen(s.p.config.Name, gossipConfig.Listen, gossipConfig.Fellow,
 		milliseconds(s.config().ProbeMs()), s.p.log); err != nil {
-		return s.config().Reject("fleet.gossip.listen", err)
+		return s.config().ErrorAt("fleet.gossip.listen", err)
 	}
 	s.agent.SetPeerMonitor(s.gossipRing)
 	return nil
@@ -81,7 +81,7 @@
 	if s.config().Fleet == nil {
 		return membership.AuditResult{}, errNoFleet
 	}
-	return membership.Audit(ctx, s.config().VotersAt(), question)
+	return membership.Audit(ctx, s.config().VoterAddresses(), question)
 }
 
 // Granted processes a grant from the fleet and adopts the versions in it.
@@ -109,7 +109,7 @@
 	if planted.Is(planted.Crash) {
 		os.Exit(3)
 	}
-	next, err := s.startConfig.With(fmt.Sprintf("version %d of the rulebook", adoption.Number), adoption.Text)
+	next, err := s.startConfig.WithRulebook(fmt.Sprintf("version %d of the rulebook", adoption.Number), adoption.Text)
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	if s.config().Fleet == nil {
 		return membership.FleetState{}, errNoFleet
 	}
-	return membership.NewClient(s.config().VotersAt()...).FleetState(ctx)
+	return membership.NewClient(s.config().VoterAddresses()...).FleetState(ctx)
 }
 
 // Wish sends an operator's request to the fleet. A proposed rulebook is validated locally first.
@@ -133,9 +133,9 @@
 		if proposal.Thing != routing.Rulebook {
 			return fmt.Errorf("%q is not a versioned thing", proposal.Thing)
 		}
-		if _, err := s.startConfig.With("the rulebook", proposal.Text); err != nil {
+		if _, err := s.startConfig.WithRulebook("the rulebook", proposal.Text); err != nil {
 			return err
 		}
 	}
-	return membership.NewClient(s.config().VotersAt()...).ChangeFleet(ctx, wish)
+	return membership.NewClient(s.config().VoterAddresses()...).ChangeFleet(ctx, wish)
 }
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -30,7 +30,7 @@
 	IdleTimeout              time.Duration    // of connections to members
 	WatchTimeout             time.Duration    // wait time of a discovery watch
 	DiscoveryTimeout         time.Duration    // of discovery calls that do not wait for changes
-	OperatorConfig           *operator.Orders // nil without an operator file
+	OperatorConfig           *operator.Config // nil without an operator file
 	path, operatorPath       string
 }
 
