--- a/cmd/sedgespread/emulate.go
+++ b/cmd/sedgespread/emulate.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		return err
 	}
-	trial := trials.Flood{Program: program, Seed: f.Seed, Span: f.Span, Cells: f.Cells, Drivers: f.Drivers, Factor: f.Factor,
-		Usual: f.Usual, Tenants: f.Tenants, Dark: f.Dark}
+	trial := trials.Flood{Program: program, Seed: f.Seed, Duration: f.Span, Cells: f.Cells, Drivers: f.Drivers, FloodFactor: f.Factor,
+		BaseLoad: f.Usual, Tenants: f.Tenants, Outage: f.Dark}
 	r, err := trial.Run(ctx)
 	if err != nil {
 		return err
@@ -76,7 +76,7 @@
 		"tenants at %g of what the fleet can bear. Service is the part of the utility that was had in the soft deadline or late.\n\n%s\n",
 		place(), f.Seed, f.Span, f.Cells, f.Drivers, trouble, f.Tenants, f.Usual, r.Table)
 	fmt.Printf("Of the service of a quiet night, other cells' tenants kept %.3f with cells and %.3f without; the troubled cell's other\n"+
-		"tenants kept %.3f.\n", r.Kept, r.KeptOff, r.Within)
+		"tenants kept %.3f.\n", r.OtherCellsWithCells, r.OtherCellsWithoutCells, r.SameCell)
 	return nil
 }
 
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	trial := trials.Moves{Program: program, Seed: v.Seed, Count: v.Count, Span: v.Span, Faults: !v.Calm, Tenants: v.Tenants,
+	trial := trials.Moves{Program: program, Seed: v.Seed, MinMoves: v.Count, Timeout: v.Span, Faults: !v.Calm, Tenants: v.Tenants,
 		Keys: v.Keys, Lease: v.Lease, Hold: v.Hold, Voters: v.Voters}
 	begun := time.Now()
 	r, err := trial.Run(ctx)
@@ -113,8 +113,8 @@
 	}
 	fmt.Printf("%s\nseed %d, 3 cells of 3 members, 3 drivers and %s, %d tenants of %d keys, lease %v, hold %v, %v long\n\n%s",
 		place(), v.Seed, coordinates, v.Tenants, v.Keys, v.Lease, v.Hold, time.Since(begun).Round(time.Second), r.Table())
-	if len(r.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, the first: %+v", len(r.Breaches), r.Breaches[0])
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("%d breaches, the first: %+v", len(r.Violations), r.Violations[0])
 	}
 	return nil
 }
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	trial := trials.Versions{Program: program, Seed: v.Seed, Count: v.Count, Span: v.Span, Faults: !v.Calm, Drivers: v.Drivers, Voters: v.Voters,
+	trial := trials.Versions{Program: program, Seed: v.Seed, MinClosed: v.Count, Timeout: v.Span, Faults: !v.Calm, Drivers: v.Drivers, Voters: v.Voters,
 		Lease: v.Lease, Tenants: 4, Keys: 6}
 	begun := time.Now()
 	r, err := trial.Run(ctx)
@@ -150,8 +150,8 @@
 	for _, d := range r.Drivers {
 		fmt.Printf("- %s, start %d, %s, acts on %s\n", d.Name, d.Start, d.State, actsOn(d.Sightings))
 	}
-	if len(r.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, the first: %+v", len(r.Breaches), r.Breaches[0])
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("%d breaches, the first: %+v", len(r.Violations), r.Violations[0])
 	}
 	return nil
 }
--- a/cmd/sedgespread/main_test.go
+++ b/cmd/sedgespread/main_test.go
@@ -41,8 +41,8 @@
 	program := filepath.Join(dir, "sedgespread")
 	out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
 	require.NoError(t, err, string(out))
-	fleet, err := sockets.Start(emulator.Shape{Groups: 2, Members: 2, Cores: 2, Queue: 10, Service: int64(time.Millisecond), Spread: 0.1,
-		Lag: int64(5 * time.Millisecond), Behind: int64(5 * time.Millisecond), Seed: 1})
+	fleet, err := sockets.Start(emulator.Config{Groups: 2, Members: 2, Cores: 2, QueueLimit: 10, ServiceTime: int64(time.Millisecond), ServiceSigma: 0.1,
+		ReplicaLag: int64(5 * time.Millisecond), FillLag: int64(5 * time.Millisecond), Seed: 1})
 	require.NoError(t, err)
 	defer fleet.Stop()
 	at, err := sockets.FreeAddresses(2)
@@ -57,10 +57,10 @@
   budget { rpcs: 50 call_outs: 50 lend: 0.5 }
   coordination { at: %q here: true journal: %q lease_ms: 500 hold_ms: 2000 held: 10 fill_hook: %q }
 }
-`, at[0], more, at[1], filepath.Join(dir, "journal"), fleet.FillHook())
+`, at[0], more, at[1], filepath.Join(dir, "journal"), fleet.FillHookURL())
 	}
-	methods := []sockets.Method{{Name: "write", Effect: "once", Level: "update", Soft: time.Second, Give: 2 * time.Second, Utility: 1}}
-	drivers, err := fleet.Drivers(program, dir, 1, methods, func(int) string { return text("") })
+	methods := []sockets.Method{{Name: "write", Effect: "once", ReadLevel: "update", SoftDeadline: time.Second, Timeout: 2 * time.Second, Utility: 1}}
+	drivers, err := fleet.NewDrivers(program, dir, 1, methods, func(int) string { return text("") })
 	require.NoError(t, err)
 	orders := filepath.Join(dir, "n0.textproto")
 	rewrite := func(text string) { require.NoError(t, os.WriteFile(orders, []byte(text), 0o600)) }
@@ -80,10 +80,10 @@
 	cellsDo := func(args ...string) (string, bool) {
 		return run(t, program, append([]string{"cells", "--admin", at[0]}, args...)...)
 	}
-	clients := fleet.Clients()
+	clients := fleet.NewClients()
 	defer clients.Close()
-	write := func() sockets.Fate {
-		return clients.Ask(context.Background(), d.Address, sockets.RPC{Method: "write", Key: "club/1", Write: true, Group: 9, Give: 2 * time.Second}).Fate
+	write := func() sockets.Outcome {
+		return clients.Call(context.Background(), d.Address, sockets.RPC{Method: "write", Key: "club/1", Write: true, Group: 9, Timeout: 2 * time.Second}).Outcome
 	}
 	require.Equal(t, sockets.Served, write())
 
@@ -122,7 +122,7 @@
 	said, _ = cellsDo("show", "club")
 	require.Contains(t, said, "two (moved)")
 
-	hup := func() { require.NoError(t, d.Hup()) }
+	hup := func() { require.NoError(t, d.Reload()) }
 	for _, c := range []struct{ text, says string }{
 		{strings.Replace(text(""), `weight: 0`, `weight: 2`, 1), `its weight was 0`},
 		{strings.Replace(text(""), `  cell { name: "two" group: 2 capacity: 100 hall: "turin" weight: 0 }`, "", 1), `it still has club`},
@@ -138,7 +138,7 @@
 	hup()
 	eventually(t, "a cell more", func() bool { said, _ := cellsDo("list"); return strings.Contains(said, "three") })
 	require.NoError(t, d.Signal(syscall.SIGTERM))
-	eventually(t, "it leaves", func() bool { return !d.Runs() })
+	eventually(t, "it leaves", func() bool { return !d.IsRunning() })
 	said, good = run(t, program, "version")
 	require.True(t, good)
 	require.Contains(t, said, "sedgespread ")
--- a/internal/council/chamber/chamber_test.go
+++ b/internal/council/chamber/chamber_test.go
@@ -62,7 +62,7 @@
 // table is a council of chambers in one process, with a relay for each two of them.
 type table struct {
 	t     *testing.T
-	net   *relays.Net
+	net   *relays.Network
 	dir   string
 	at    []string
 	peers []VoterAddresses
@@ -117,7 +117,7 @@
 	for i := range voters {
 		peers := VoterAddresses{}
 		for j := range voters {
-			at, err := b.net.Relay(links.Way{From: name(i), To: name(j)}, b.at[j])
+			at, err := b.net.RelayTCP(links.Link{From: name(i), To: name(j)}, b.at[j])
 			require.NoError(t, err)
 			peers[council.VoterID(j+1)] = at
 		}
@@ -477,15 +477,15 @@
 	}
 	voters := []string{name(0), name(1), name(2)}
 	const ms = time.Millisecond
-	p := &relays.Player{Net: b.net}
+	p := &relays.Player{Network: b.net}
 	clients.Add(2)
 	go func() {
 		defer clients.Done()
-		p.Play(over, links.Draw(3, 5*time.Second, []links.Kind{
-			{What: links.Silent, Every: 500 * ms, From: voters, To: []string{"*"}, Both: true, Least: 100 * ms, Most: 500 * ms},
-			{What: links.Silent, Every: 700 * ms, From: voters, To: voters, Least: 100 * ms, Most: 500 * ms},
-			{What: links.Delay, Every: 500 * ms, From: voters, To: voters, Least: 100 * ms, Most: 500 * ms, Amount: 0.005, Upto: 0.05, Spread: 0.01},
-			{What: links.Chop, Every: 300 * ms, From: voters, To: voters, Amount: 1, Upto: 300},
+		p.Play(over, links.Draw(3, 5*time.Second, []links.FaultSpec{
+			{Fault: links.Silent, MeanInterval: 500 * ms, From: voters, To: []string{"*"}, BothDirections: true, MinDuration: 100 * ms, MaxDuration: 500 * ms},
+			{Fault: links.Silent, MeanInterval: 700 * ms, From: voters, To: voters, MinDuration: 100 * ms, MaxDuration: 500 * ms},
+			{Fault: links.Delay, MeanInterval: 500 * ms, From: voters, To: voters, MinDuration: 100 * ms, MaxDuration: 500 * ms, Amount: 0.005, MaxAmount: 0.05, Jitter: 0.01},
+			{Fault: links.Truncate, MeanInterval: 300 * ms, From: voters, To: voters, Amount: 1, MaxAmount: 300},
 		}))
 	}()
 	go func() {
--- a/internal/council/seat.go
+++ b/internal/council/seat.go
@@ -201,7 +201,7 @@
 // examine refuses the voter whose disk lacks something that it had shown. Guards against a disk that was put back from an
 // old copy: its voter would vote twice in a term, or forget what was recorded with its voice.
 func (s *Node) examine() {
-	if shown := s.seen[s.id]; s.refused == "" && shown.ahead(s.reached) && !planted.Is(planted.OldDisk) {
+	if shown := s.seen[s.id]; s.refused == "" && shown.ahead(s.reached) && !planted.Active(planted.AcceptOldDisk) {
 		s.refuse(fmt.Sprintf("the disk of voter %d is older than what it had told others: at term %d, entry %d of term %d; it had shown "+
 			"term %d, entry %d of term %d", s.id, s.reached.Term, s.reached.LastIndex, s.reached.LastTerm, shown.Term, shown.LastIndex, shown.LastTerm))
 	}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -26,41 +26,43 @@
 	second = 1000 * milli
 )
 
-// Shape is what a fleet is made of. Times are nanoseconds.
-type Shape struct {
-	Groups  int
-	Members int // of a group, its primary among them
-	Cores   int // of a member
-	Queue   int // statements that may wait for a core
-	Service int64
-	Spread  float64 // of the logarithm of the service time
-	Lag     int64   // of a replica, in the mean
-	Behind  int64   // that a group is behind what fills it
-	Seed    uint64
-	Cold    float64 // of its capacity that a member has just after its start, 0 for all
-	Warm    int64   // it has all of it after so long
-	Topple  float64 // sent more than this times its capacity for TopplesIn, a cold member falls over
-	Grace   int64   // a member that drains may still be sent statements for so long
-	Fences  bool    // members turn away what comes under a version that is over
+// Config is what a fleet is made of. Times are nanoseconds.
+type Config struct {
+	Groups         int
+	Members        int // of a group, its primary among them
+	Cores          int // of a member
+	QueueLimit     int // statements that may wait for a core
+	ServiceTime    int64
+	ServiceSigma   float64 // of the logarithm of the service time
+	ReplicaLag     int64   // of a replica, in the mean
+	FillLag        int64   // that a group is behind what fills it
+	Seed           uint64
+	ColdCapacity   float64 // of its capacity that a member has just after its start, 0 for all
+	WarmUpTime     int64   // it has all of it after so long
+	OverloadFactor float64 // sent more than this times its capacity for TopplesIn, a cold member falls over
+	DrainGrace     int64   // a member that drains may still be sent statements for so long
+	RejectFenced   bool    // members turn away what comes under a version that is over
 }
 
-// TopplesIn is the time in which a cold member must not be sent more than it bears.
-const TopplesIn = 2 * second
+// OverloadWindow is the time in which a cold member must not be sent more than it bears.
+const OverloadWindow = 2 * second
 
-// Able is how many statements a second one member can do.
-func (s Shape) Able() float64 { return float64(s.Cores) / (float64(s.Service) / float64(second)) }
+// MemberRate is how many statements a second one member can do.
+func (s Config) MemberRate() float64 {
+	return float64(s.Cores) / (float64(s.ServiceTime) / float64(second))
+}
 
 // MemberID is a member's place in the fleet.
 type MemberID int
 
 // Fleet is all members with what they hold. Its methods are to be called one after another.
 type Fleet struct {
-	Shape
+	Config
 	groups  []*group
 	members []*member
 	rng     *rand.Rand
 	service distuv.LogNormal
-	seen    *Sight
+	seen    *Checker
 }
 
 type group struct {
@@ -99,33 +101,33 @@
 }
 
 // NewFleet makes a fleet; groups are numbered from 1, and the first member of each is its primary.
-func NewFleet(s Shape, seen *Sight) *Fleet {
-	f := &Fleet{Shape: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), seen: seen}
-	f.service = distuv.LogNormal{Mu: 0, Sigma: s.Spread, Src: f.rng}
+func NewFleet(s Config, seen *Checker) *Fleet {
+	f := &Fleet{Config: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), seen: seen}
+	f.service = distuv.LogNormal{Mu: 0, Sigma: s.ServiceSigma, Src: f.rng}
 	for g := range s.Groups {
 		at := &group{number: int64(g + 1), primary: MemberID(g * s.Members), log: map[string][]version{}}
 		f.groups = append(f.groups, at)
 		for range s.Members {
-			f.members = append(f.members, &member{group: at, free: make([]int64, s.Cores), lag: s.Lag/2 + f.rng.Int64N(s.Lag+1)})
+			f.members = append(f.members, &member{group: at, free: make([]int64, s.Cores), lag: s.ReplicaLag/2 + f.rng.Int64N(s.ReplicaLag+1)})
 		}
 	}
 	return f
 }
 
-// Count is how many members there are.
-func (f *Fleet) Count() int { return len(f.members) }
+// MemberCount is how many members there are.
+func (f *Fleet) MemberCount() int { return len(f.members) }
 
 // Group is a member's group.
 func (f *Fleet) Group(m MemberID) int64 { return f.members[m].group.number }
 
-// Primary tells whether a member is its group's primary.
-func (f *Fleet) Primary(m MemberID) bool { return f.members[m].group.primary == m }
+// IsPrimary tells whether a member is its group's primary.
+func (f *Fleet) IsPrimary(m MemberID) bool { return f.members[m].group.primary == m }
 
 // Statement is what a member is sent.
 type Statement struct {
 	ID, Key string
 	Write   bool
-	Within  int64 // its sender waits so long
+	Timeout int64 // its sender waits so long
 	Fence   versions.Fence
 }
 
@@ -135,22 +137,22 @@
 	return tenant
 }
 
-// Refusal is why a member does not do a statement.
-type Refusal int
+// Admission is why a member does not do a statement.
+type Admission int
 
 const (
-	Taken Refusal = iota
-	Full
-	ReadOnly
+	Admitted Admission = iota
+	QueueFull
+	NotPrimary
 	Fenced
 )
 
-// Arrive takes a statement in, and tells when it will be done.
-func (f *Fleet) Arrive(now int64, m MemberID, s Statement) (done int64, r Refusal) {
+// Admit takes a statement in, and tells when it will be done.
+func (f *Fleet) Admit(now int64, m MemberID, s Statement) (done int64, r Admission) {
 	at := f.members[m]
 	f.seen.arrive(s, m, now)
 	f.judge(now, m, s)
-	turned := !at.warden.Accept(s.Fence) && f.Fences
+	turned := !at.warden.Accept(s.Fence) && f.RejectFenced
 	f.seen.fence(s, now, turned)
 	if turned {
 		f.seen.refuse(s)
@@ -158,12 +160,12 @@
 	}
 	if s.Write && at.group.primary != m {
 		f.seen.refuse(s)
-		return 0, ReadOnly
+		return 0, NotPrimary
 	}
 	at.starts = slices.DeleteFunc(at.starts, func(start int64) bool { return start <= now })
-	if len(at.starts) >= f.Queue {
+	if len(at.starts) >= f.QueueLimit {
 		f.seen.refuse(s)
-		return 0, Full
+		return 0, QueueFull
 	}
 	core := 0
 	for c, free := range at.free {
@@ -172,7 +174,7 @@
 		}
 	}
 	start := max(now, at.free[core], at.silent)
-	took := int64(float64(f.Service) * f.service.Rand())
+	took := int64(float64(f.ServiceTime) * f.service.Rand())
 	if at.slowed > 1 {
 		took *= at.slowed
 	}
@@ -181,47 +183,47 @@
 	if start > now {
 		at.starts = append(at.starts, start)
 	}
-	return start + took, Taken
+	return start + took, Admitted
 }
 
 // warmth is the part of its capacity that a member has.
 func (f *Fleet) warmth(now int64, m *member) float64 {
 	age := now - m.started
-	if m.started == 0 || f.Cold == 0 || age >= f.Warm {
+	if m.started == 0 || f.ColdCapacity == 0 || age >= f.WarmUpTime {
 		return 1
 	}
-	return f.Cold + (1-f.Cold)*float64(age)/float64(f.Warm)
+	return f.ColdCapacity + (1-f.ColdCapacity)*float64(age)/float64(f.WarmUpTime)
 }
 
 // judge checks what reaches a member against the rules on members that drain and on cold ones.
 func (f *Fleet) judge(now int64, m MemberID, s Statement) {
 	at := f.members[m]
-	if at.drained != 0 && now-at.drained > f.Grace {
-		f.seen.Breach(RuleDrain, s.ID, "member %d got a call-out %d ms after it began to drain", m, (now-at.drained)/milli)
+	if at.drained != 0 && now-at.drained > f.DrainGrace {
+		f.seen.RecordViolation(RuleDraining, s.ID, "member %d got a call-out %d ms after it began to drain", m, (now-at.drained)/milli)
 	}
 	share := f.warmth(now, at)
 	if share == 1 {
 		at.fed = nil
 		return
 	}
-	at.fed = append(slices.DeleteFunc(at.fed, func(t int64) bool { return now-t > TopplesIn }), now)
-	bears := f.Topple * share * f.Able() * float64(TopplesIn) / float64(second)
+	at.fed = append(slices.DeleteFunc(at.fed, func(t int64) bool { return now-t > OverloadWindow }), now)
+	bears := f.OverloadFactor * share * f.MemberRate() * float64(OverloadWindow) / float64(second)
 	if float64(len(at.fed)) > bears+2*math.Sqrt(bears)+2 { // a little for chance
-		f.seen.Breach(RuleCold, s.ID, "member %d, at %.2f of its capacity, got %d statements in %d ms", m, share, len(at.fed), TopplesIn/milli)
+		f.seen.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, got %d statements in %d ms", m, share, len(at.fed), OverloadWindow/milli)
 		at.silent = now + 10*second
 	}
 }
 
-// Drain lets a member drain, or serve again.
-func (f *Fleet) Drain(now int64, m MemberID, drains bool) {
+// SetDraining lets a member drain, or serve again.
+func (f *Fleet) SetDraining(now int64, m MemberID, drains bool) {
 	f.members[m].drained = 0
 	if drains {
 		f.members[m].drained = now
 	}
 }
 
-// Drains tells whether a member drains.
-func (f *Fleet) Drains(m MemberID) bool { return f.members[m].drained != 0 }
+// IsDraining tells whether a member drains.
+func (f *Fleet) IsDraining(m MemberID) bool { return f.members[m].drained != 0 }
 
 // Restart starts a member anew: it is cold, and what it had taken is not done. Its data is still there.
 func (f *Fleet) Restart(now int64, m MemberID) {
@@ -235,18 +237,18 @@
 	return f.members[m].started, f.members[m].lives
 }
 
-// Answer is what a member says of itself, and of a statement what came of it.
-type Answer struct {
+// Response is what a member says of itself, and of a statement what came of it.
+type Response struct {
 	Value    string
 	Primary  bool
 	Position int64 // of the member, or of the write
-	Lost     bool  // it does not come
+	IsLost   bool  // it does not come
 }
 
-// Do does a statement whose time has come.
-func (f *Fleet) Do(now int64, m MemberID, s Statement) Answer {
+// Execute does a statement whose time has come.
+func (f *Fleet) Execute(now int64, m MemberID, s Statement) Response {
 	at := f.members[m]
-	a := Answer{Primary: at.group.primary == m, Lost: at.mute}
+	a := Response{Primary: at.group.primary == m, IsLost: at.mute}
 	if !s.Write {
 		a.Position = f.position(now, m)
 		own := at.apply(now) // what fills a group does not take back what it has
@@ -266,9 +268,9 @@
 	return a
 }
 
-// Look is what a member tells of itself.
-func (f *Fleet) Look(now int64, m MemberID) Answer {
-	return Answer{Primary: f.Primary(m), Position: f.position(now, m)}
+// Status is what a member tells of itself.
+func (f *Fleet) Status(now int64, m MemberID) Response {
+	return Response{Primary: f.IsPrimary(m), Position: f.position(now, m)}
 }
 
 // stamp is the position of a moment: positions are told in whole milliseconds.
@@ -287,7 +289,7 @@
 		p = at.apply(now)
 	}
 	if len(at.group.feeds) > 0 {
-		return p - f.Behind
+		return p - f.FillLag
 	}
 	return p
 }
@@ -319,9 +321,9 @@
 
 func (f *Fleet) find(number int64) *group { return f.groups[number-1] }
 
-// Fill begins to fill groups with what others have of a tenant. It may be told more than once.
-func (f *Fleet) Fill(tenant string, from, to []int64) {
-	f.DropFill(tenant)
+// BeginFill begins to fill groups with what others have of a tenant. It may be told more than once.
+func (f *Fleet) BeginFill(tenant string, from, to []int64) {
+	f.DiscardFill(tenant)
 	for _, number := range to {
 		g := f.find(number)
 		g.feeds = append(g.feeds, &feed{tenant: tenant, from: from})
@@ -341,7 +343,7 @@
 			}
 		}
 	}
-	f.DropFill(tenant)
+	f.DiscardFill(tenant)
 }
 
 // merge takes over what another group has of a tenant up to a position.
@@ -359,29 +361,29 @@
 	}
 }
 
-// DropFill ends the filling with a tenant's data and throws away what came.
-func (f *Fleet) DropFill(tenant string) {
+// DiscardFill ends the filling with a tenant's data and throws away what came.
+func (f *Fleet) DiscardFill(tenant string) {
 	for _, g := range f.groups {
 		g.feeds = slices.DeleteFunc(g.feeds, func(d *feed) bool { return d.tenant == tenant })
 	}
 }
 
-// Slow makes a member so many times as slow; 1 makes it as before.
-func (f *Fleet) Slow(m MemberID, times int64) { f.members[m].slowed = times }
+// SetSlowdown makes a member so many times as slow; 1 makes it as before.
+func (f *Fleet) SetSlowdown(m MemberID, times int64) { f.members[m].slowed = times }
 
-// Pause lets a member stand still until a time.
-func (f *Fleet) Pause(m MemberID, until int64) { f.members[m].silent = until }
+// PauseUntil lets a member stand still until a time.
+func (f *Fleet) PauseUntil(m MemberID, until int64) { f.members[m].silent = until }
 
-// Mute makes a member lose its answers though it does what it is told.
-func (f *Fleet) Mute(m MemberID, mute bool) { f.members[m].mute = mute }
+// SetReplyLoss makes a member lose its answers though it does what it is told.
+func (f *Fleet) SetReplyLoss(m MemberID, mute bool) { f.members[m].mute = mute }
 
-// LagBy sets how far a replica is behind.
-func (f *Fleet) LagBy(now int64, m MemberID, lag int64) {
+// SetLag sets how far a replica is behind.
+func (f *Fleet) SetLag(now int64, m MemberID, lag int64) {
 	f.members[m].apply(now)
 	f.members[m].lag = lag
 }
 
-// Holds tells whether a group has a write of a key.
-func (f *Fleet) Holds(number int64, key, id string) bool {
+// HasWrite tells whether a group has a write of a key.
+func (f *Fleet) HasWrite(number int64, key, id string) bool {
 	return slices.ContainsFunc(f.find(number).log[key], func(v version) bool { return v.value == id })
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -7,57 +7,57 @@
 	"github.com/stretchr/testify/require"
 )
 
-func trial() (*Fleet, *Sight) {
-	s := NewSight()
-	return NewFleet(Shape{Groups: 2, Members: 3, Cores: 1, Queue: 2, Service: 10 * milli, Spread: 0.1, Lag: 20 * milli, Behind: 50 * milli,
-		Seed: 1, Cold: 0.2, Warm: 4 * second, Topple: 2, Grace: second}, s), s
+func trial() (*Fleet, *Checker) {
+	s := NewChecker()
+	return NewFleet(Config{Groups: 2, Members: 3, Cores: 1, QueueLimit: 2, ServiceTime: 10 * milli, ServiceSigma: 0.1, ReplicaLag: 20 * milli, FillLag: 50 * milli,
+		Seed: 1, ColdCapacity: 0.2, WarmUpTime: 4 * second, OverloadFactor: 2, DrainGrace: second}, s), s
 }
 
-func broken(s *Sight) (rules []string) {
-	for _, b := range s.Breaches() {
+func broken(s *Checker) (rules []string) {
+	for _, b := range s.Violations() {
 		rules = append(rules, b.Rule)
 	}
 	return rules
 }
 
 // The checker must find each breach; it finds none where there is none.
-func TestTheCheckerFindsEachBreach(t *testing.T) {
+func TestCheckerFindsEachViolation(t *testing.T) {
 	write := func(id, key string) Statement { return Statement{ID: id, Key: key, Write: true} }
-	for name, do := range map[string]func(f *Fleet, s *Sight){
-		RuleTwice: func(f *Fleet, s *Sight) { // a second call-out though the first may have run
-			s.Sent("1", "t/k", true)
-			f.Arrive(second, 0, write("1", "t/k"))
-			f.Arrive(second, 0, write("1", "t/k"))
+	for name, do := range map[string]func(f *Fleet, s *Checker){
+		RuleDuplicateEffect: func(f *Fleet, s *Checker) { // a second call-out though the first may have run
+			s.RecordSent("1", "t/k", true)
+			f.Admit(second, 0, write("1", "t/k"))
+			f.Admit(second, 0, write("1", "t/k"))
 		},
-		RuleTwice + " in two cells": func(f *Fleet, s *Sight) {
-			f.Do(second, 0, write("1", "t/k"))
-			f.Do(second, 3, write("1", "t/k"))
+		RuleDuplicateEffect + " in two cells": func(f *Fleet, s *Checker) {
+			f.Execute(second, 0, write("1", "t/k"))
+			f.Execute(second, 3, write("1", "t/k"))
 		},
-		RuleOneAnswer: func(f *Fleet, s *Sight) {
-			s.Sent("1", "t/k", false)
-			s.Answered("1", false)
-			s.Answered("1", true)
+		RuleOneAnswer: func(f *Fleet, s *Checker) {
+			s.RecordSent("1", "t/k", false)
+			s.RecordAnswer("1", false)
+			s.RecordAnswer("1", true)
 		},
-		RuleOneAnswer + ", none": func(f *Fleet, s *Sight) { s.Unanswered("1") },
-		RuleStale:                func(f *Fleet, s *Sight) { s.Read("3", "t/k", "1", "2") },
-		RuleLost: func(f *Fleet, s *Sight) { // acknowledged in one cell, and the tenant is in another
-			s.Sent("1", "t/k", true)
-			f.Do(second, 0, write("1", "t/k"))
-			s.Answered("1", true)
-			require.Equal(t, 1, s.Settle(f, func(string) int64 { return 2 }))
+		RuleOneAnswer + ", none": func(f *Fleet, s *Checker) { s.RecordNoAnswer("1") },
+		RuleStaleRead:            func(f *Fleet, s *Checker) { s.Read("3", "t/k", "1", "2") },
+		RuleLostWrite: func(f *Fleet, s *Checker) { // acknowledged in one cell, and the tenant is in another
+			s.RecordSent("1", "t/k", true)
+			f.Execute(second, 0, write("1", "t/k"))
+			s.RecordAnswer("1", true)
+			require.Equal(t, 1, s.CheckAcknowledged(f, func(string) int64 { return 2 }))
 		},
-		RuleLost + ", never ran": func(f *Fleet, s *Sight) {
-			s.Sent("1", "t/k", true)
-			s.Answered("1", true)
+		RuleLostWrite + ", never ran": func(f *Fleet, s *Checker) {
+			s.RecordSent("1", "t/k", true)
+			s.RecordAnswer("1", true)
 		},
-		RuleDrain: func(f *Fleet, s *Sight) {
-			f.Drain(second, 1, true)
-			f.Arrive(2*second+milli, 1, Statement{ID: "1", Key: "t/k"})
+		RuleDraining: func(f *Fleet, s *Checker) {
+			f.SetDraining(second, 1, true)
+			f.Admit(2*second+milli, 1, Statement{ID: "1", Key: "t/k"})
 		},
-		RuleCold: func(f *Fleet, s *Sight) {
+		RuleColdOverload: func(f *Fleet, s *Checker) {
 			f.Restart(second, 1)
 			for i := range 200 { // it bears about 80 in two seconds
-				f.Arrive(second+int64(i)*milli, 1, Statement{ID: fmt.Sprint(i), Key: "t/k"})
+				f.Admit(second+int64(i)*milli, 1, Statement{ID: fmt.Sprint(i), Key: "t/k"})
 			}
 		},
 	} {
@@ -67,68 +67,68 @@
 		require.Contains(t, name, broken(s)[0])
 	}
 	f, s := trial()
-	s.Sent("1", "t/k", true)
-	_, refused := f.Arrive(second, 1, write("1", "t/k"))
-	require.Equal(t, ReadOnly, refused)
-	f.Arrive(second, 0, write("1", "t/k"))
-	f.Do(second, 0, write("1", "t/k"))
-	s.Answered("1", true)
+	s.RecordSent("1", "t/k", true)
+	_, refused := f.Admit(second, 1, write("1", "t/k"))
+	require.Equal(t, NotPrimary, refused)
+	f.Admit(second, 0, write("1", "t/k"))
+	f.Execute(second, 0, write("1", "t/k"))
+	s.RecordAnswer("1", true)
 	s.Read("2", "t/k", "1", "1")
-	f.Drain(second, 1, true)
-	f.Arrive(2*second, 1, Statement{ID: "3", Key: "t/k"})
+	f.SetDraining(second, 1, true)
+	f.Admit(2*second, 1, Statement{ID: "3", Key: "t/k"})
 	f.Restart(2*second, 2)
 	for i := range 60 {
-		f.Arrive(2*second+int64(i)*30*milli, 2, Statement{ID: fmt.Sprint(i + 10), Key: "t/k"})
+		f.Admit(2*second+int64(i)*30*milli, 2, Statement{ID: fmt.Sprint(i + 10), Key: "t/k"})
 	}
-	s.Settle(f, func(string) int64 { return 1 })
+	s.CheckAcknowledged(f, func(string) int64 { return 1 })
 	require.Empty(t, broken(s))
 }
 
 // Members queue, refuse and tire as they should, and show no more than they have.
-func TestMembers(t *testing.T) {
+func TestMemberQueueAndReplication(t *testing.T) {
 	f, _ := trial()
 	read := func(id string) Statement { return Statement{ID: id, Key: "t/k"} }
-	first, _ := f.Arrive(second, 1, read("1"))
-	next, _ := f.Arrive(second, 1, read("2"))
+	first, _ := f.Admit(second, 1, read("1"))
+	next, _ := f.Admit(second, 1, read("2"))
 	require.Greater(t, next, first, "one core does one after another")
-	f.Arrive(second, 1, read("3"))
-	_, refused := f.Arrive(second, 1, read("4"))
-	require.Equal(t, Full, refused)
-	_, refused = f.Arrive(first+milli, 1, read("5"))
-	require.Equal(t, Taken, refused, "one has begun meanwhile")
-	f.Pause(2, 5*second)
-	done, _ := f.Arrive(second, 2, read("6"))
+	f.Admit(second, 1, read("3"))
+	_, refused := f.Admit(second, 1, read("4"))
+	require.Equal(t, QueueFull, refused)
+	_, refused = f.Admit(first+milli, 1, read("5"))
+	require.Equal(t, Admitted, refused, "one has begun meanwhile")
+	f.PauseUntil(2, 5*second)
+	done, _ := f.Admit(second, 2, read("6"))
 	require.Greater(t, done, 5*second)
-	f.Do(second, 0, Statement{ID: "a", Key: "t/k", Write: true})
-	require.Equal(t, "a", f.Do(second, 0, read("7")).Value)
-	require.Empty(t, f.Do(second, 1, read("8")).Value, "a replica lags")
-	require.Equal(t, "a", f.Do(second+50*milli, 1, read("9")).Value)
-	f.LagBy(second+50*milli, 1, 10*second)
-	require.Equal(t, "a", f.Do(second+60*milli, 1, read("10")).Value, "what it has it keeps")
-	before := f.Look(second+60*milli, 1).Position
-	require.Equal(t, before, f.Look(2*second, 1).Position)
+	f.Execute(second, 0, Statement{ID: "a", Key: "t/k", Write: true})
+	require.Equal(t, "a", f.Execute(second, 0, read("7")).Value)
+	require.Empty(t, f.Execute(second, 1, read("8")).Value, "a replica lags")
+	require.Equal(t, "a", f.Execute(second+50*milli, 1, read("9")).Value)
+	f.SetLag(second+50*milli, 1, 10*second)
+	require.Equal(t, "a", f.Execute(second+60*milli, 1, read("10")).Value, "what it has it keeps")
+	before := f.Status(second+60*milli, 1).Position
+	require.Equal(t, before, f.Status(2*second, 1).Position)
 }
 
 // A group that is filled shows a tenant's data up to what has come, and after the end up to the cut.
-func TestFilling(t *testing.T) {
+func TestFillVisibility(t *testing.T) {
 	f, _ := trial()
-	write := func(now int64, id string) { f.Do(now, 0, Statement{ID: id, Key: "t/k", Write: true}) }
-	shows := func(now int64, key string) string { return f.Do(now, 3, Statement{ID: "r", Key: key}).Value }
+	write := func(now int64, id string) { f.Execute(now, 0, Statement{ID: id, Key: "t/k", Write: true}) }
+	shows := func(now int64, key string) string { return f.Execute(now, 3, Statement{ID: "r", Key: key}).Value }
 	write(second, "a")
 	require.Empty(t, shows(second+milli, "t/k"))
-	f.Fill("t", []int64{1}, []int64{2})
-	require.Equal(t, second, f.Look(second+50*milli, 3).Position)
+	f.BeginFill("t", []int64{1}, []int64{2})
+	require.Equal(t, second, f.Status(second+50*milli, 3).Position)
 	require.Empty(t, shows(second+40*milli, "t/k"))
 	require.Equal(t, "a", shows(second+50*milli, "t/k"))
 	require.Empty(t, shows(second+50*milli, "u/k"), "another tenant's")
-	f.DropFill("t")
+	f.DiscardFill("t")
 	require.Empty(t, shows(2*second, "t/k"))
-	f.Fill("t", []int64{1}, []int64{2})
+	f.BeginFill("t", []int64{1}, []int64{2})
 	write(2*second, "b")
 	write(3*second, "c")
 	f.EndFill("t", 2*second)
 	require.Equal(t, "b", shows(4*second, "t/k"), "nothing after the cut")
-	require.True(t, f.Holds(2, "t/k", "a"))
-	require.False(t, f.Holds(2, "t/k", "c"))
-	require.Equal(t, 4*second, f.Look(4*second, 3).Position)
+	require.True(t, f.HasWrite(2, "t/k", "a"))
+	require.False(t, f.HasWrite(2, "t/k", "c"))
+	require.Equal(t, 4*second, f.Status(4*second, 3).Position)
 }
--- a/internal/emulator/links/links.go
+++ b/internal/emulator/links/links.go
@@ -11,89 +11,89 @@
 	"time"
 )
 
-// Way is one direction between two named processes. A star stands for any.
-type Way struct{ From, To string }
+// Link is one direction between two named processes. A star stands for any.
+type Link struct{ From, To string }
 
-func (w Way) String() string { return w.From + ">" + w.To }
+func (w Link) String() string { return w.From + ">" + w.To }
 
-// Back is the other direction.
-func (w Way) Back() Way { return Way{w.To, w.From} }
+// Reverse is the other direction.
+func (w Link) Reverse() Link { return Link{w.To, w.From} }
 
-// Covers tells whether a way, maybe with stars, is about another.
-func (w Way) Covers(other Way) bool {
+// Matches tells whether a way, maybe with stars, is about another.
+func (w Link) Matches(other Link) bool {
 	return (w.From == "*" || w.From == other.From) && (w.To == "*" || w.To == other.To)
 }
 
-// What is a kind of trouble.
-type What int
+// FaultType is a kind of trouble.
+type FaultType int
 
 const (
-	Delay    What = iota // bytes and datagrams come later, by Amount and up to Spread more
-	Silent               // nothing arrives; what is sent meanwhile arrives afterwards, as it does when it is sent again
-	Cut                  // connections end at once, and no new one is to be had
-	Lossy                // a part of the datagrams is lost: Share
-	Doubled              // a part of the datagrams arrives twice: Share
-	Shuffled             // a part of the datagrams is overtaken by the next: Share
-	Slow                 // so many bytes a second: Amount
-	Reset                // connections are reset, once
-	Chop                 // Amount more bytes of each connection arrive, and then it is reset: a frame cut in the middle
-	Pause                // a process stands still
-	Kill                 // a process is killed, and started again at the end, with its disk
-	Empty                // the same, with an empty disk
-	Old                  // the same, with the copy of its disk made last
-	Copy                 // a copy of a process's disk is made
-	Twin                 // a second process of its name runs
-	Skew                 // a process is killed and started again with a wall clock that is off by Amount
+	Delay       FaultType = iota // bytes and datagrams come later, by Amount and up to Spread more
+	Silent                       // nothing arrives; what is sent meanwhile arrives afterwards, as it does when it is sent again
+	Cut                          // connections end at once, and no new one is to be had
+	Lose                         // a part of the datagrams is lost: Share
+	Duplicate                    // a part of the datagrams arrives twice: Share
+	Reorder                      // a part of the datagrams is overtaken by the next: Share
+	Throttle                     // so many bytes a second: Amount
+	Reset                        // connections are reset, once
+	Truncate                     // Amount more bytes of each connection arrive, and then it is reset: a frame cut in the middle
+	Pause                        // a process stands still
+	Kill                         // a process is killed, and started again at the end, with its disk
+	WipeDisk                     // the same, with an empty disk
+	RestoreDisk                  // the same, with the copy of its disk made last
+	CopyDisk                     // a copy of a process's disk is made
+	Twin                         // a second process of its name runs
+	SkewClock                    // a process is killed and started again with a wall clock that is off by Amount
 )
 
 var names = [...]string{"delay", "silent", "cut", "lossy", "doubled", "shuffled", "slow", "reset", "chop", "pause", "kill", "empty",
 	"old", "copy", "twin", "skew"}
 
-func (w What) String() string { return names[w] }
+func (w FaultType) String() string { return names[w] }
 
 // onLinks tells whether it happens to links; the others happen to processes.
-func (w What) onLinks() bool { return w <= Chop }
+func (w FaultType) onLinks() bool { return w <= Truncate }
 
 // lasts tells whether it has an end.
-func (w What) lasts() bool { return w != Reset && w != Chop && w != Copy }
+func (w FaultType) lasts() bool { return w != Reset && w != Truncate && w != CopyDisk }
 
 // Event is one trouble.
 type Event struct {
-	At     time.Duration // after the timeline's begin
-	What   What
-	Way    Way    // of links
-	Name   string // of a process
-	For    time.Duration
-	Amount float64 // seconds, bytes, or bytes a second
-	Spread float64 // seconds
-	Share  float64 // from 0 to 1
+	At       time.Duration // after the timeline's begin
+	Fault    FaultType
+	Link     Link   // of links
+	Process  string // of a process
+	Duration time.Duration
+	Amount   float64 // seconds, bytes, or bytes a second
+	Jitter   float64 // seconds
+	Share    float64 // from 0 to 1
 }
 
 // String is the event as Parse reads it.
 func (e Event) String() string {
 	var b strings.Builder
-	where := e.Name
-	if e.What.onLinks() {
-		where = e.Way.String()
+	where := e.Process
+	if e.Fault.onLinks() {
+		where = e.Link.String()
 	}
-	fmt.Fprintf(&b, "%.3f %s %s", e.At.Seconds(), e.What, where)
-	switch e.What {
+	fmt.Fprintf(&b, "%.3f %s %s", e.At.Seconds(), e.Fault, where)
+	switch e.Fault {
 	case Delay:
 		fmt.Fprintf(&b, " by %gs", e.Amount)
-		if e.Spread > 0 {
-			fmt.Fprintf(&b, " spread %gs", e.Spread)
+		if e.Jitter > 0 {
+			fmt.Fprintf(&b, " spread %gs", e.Jitter)
 		}
-	case Slow:
+	case Throttle:
 		fmt.Fprintf(&b, " to %gB/s", e.Amount)
-	case Chop:
+	case Truncate:
 		fmt.Fprintf(&b, " after %gB", e.Amount)
-	case Skew:
+	case SkewClock:
 		fmt.Fprintf(&b, " by %gs", e.Amount)
-	case Lossy, Doubled, Shuffled:
+	case Lose, Duplicate, Reorder:
 		fmt.Fprintf(&b, " share %g", e.Share)
 	}
-	if e.What.lasts() {
-		fmt.Fprintf(&b, " for %gs", e.For.Seconds())
+	if e.Fault.lasts() {
+		fmt.Fprintf(&b, " for %gs", e.Duration.Seconds())
 	}
 	return b.String()
 }
@@ -110,10 +110,10 @@
 	return b.String()
 }
 
-// Ends is when the last trouble is over.
-func (t Timeline) Ends() (end time.Duration) {
+// End is when the last trouble is over.
+func (t Timeline) End() (end time.Duration) {
 	for _, e := range t {
-		end = max(end, e.At+e.For)
+		end = max(end, e.At+e.Duration)
 	}
 	return end
 }
@@ -123,50 +123,50 @@
 	return t
 }
 
-// Weather is what troubles links at a moment.
-type Weather struct{ now []Event }
+// ActiveFaults is what troubles links at a moment.
+type ActiveFaults struct{ now []Event }
 
-// Begin lets a trouble of links begin.
-func (w *Weather) Begin(e Event) { w.now = append(w.now, e) }
+// Add lets a trouble of links begin.
+func (w *ActiveFaults) Add(e Event) { w.now = append(w.now, e) }
 
-// End ends it.
-func (w *Weather) End(e Event) {
+// Remove ends it.
+func (w *ActiveFaults) Remove(e Event) {
 	if at := slices.Index(w.now, e); at >= 0 {
 		w.now = slices.Delete(w.now, at, at+1)
 	}
 }
 
-// State is how a way is.
-type State struct {
-	Delay, Spread           time.Duration
-	Silent, Cut             bool
-	Loss, Doubled, Shuffled float64
-	Pace                    float64 // bytes a second, 0 for no limit
+// LinkState is how a way is.
+type LinkState struct {
+	Delay, Jitter               time.Duration
+	Silent, Cut                 bool
+	Lost, Duplicated, Reordered float64
+	BytesPerSecond              float64 // bytes a second, 0 for no limit
 }
 
-// Of is how a way is now: all troubles on it together.
-func (w *Weather) Of(way Way) (s State) {
+// StateOf is how a way is now: all troubles on it together.
+func (w *ActiveFaults) StateOf(way Link) (s LinkState) {
 	for _, e := range w.now {
-		if !e.Way.Covers(way) {
+		if !e.Link.Matches(way) {
 			continue
 		}
-		switch e.What {
+		switch e.Fault {
 		case Delay:
 			s.Delay += seconds(e.Amount)
-			s.Spread += seconds(e.Spread)
+			s.Jitter += seconds(e.Jitter)
 		case Silent:
 			s.Silent = true
 		case Cut:
 			s.Cut = true
-		case Lossy:
-			s.Loss = either(s.Loss, e.Share)
-		case Doubled:
-			s.Doubled = either(s.Doubled, e.Share)
-		case Shuffled:
-			s.Shuffled = either(s.Shuffled, e.Share)
-		case Slow:
-			if s.Pace == 0 || e.Amount < s.Pace {
-				s.Pace = e.Amount
+		case Lose:
+			s.Lost = either(s.Lost, e.Share)
+		case Duplicate:
+			s.Duplicated = either(s.Duplicated, e.Share)
+		case Reorder:
+			s.Reordered = either(s.Reordered, e.Share)
+		case Throttle:
+			if s.BytesPerSecond == 0 || e.Amount < s.BytesPerSecond {
+				s.BytesPerSecond = e.Amount
 			}
 		}
 	}
--- a/internal/emulator/links/links_test.go
+++ b/internal/emulator/links/links_test.go
@@ -7,22 +7,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-func kinds() []Kind {
-	return []Kind{
-		{What: Delay, Every: time.Second, From: []string{"a", "b"}, To: []string{"a", "b"}, Least: time.Second, Most: 2 * time.Second, Amount: 0.01, Upto: 0.1, Spread: 0.02},
-		{What: Silent, Every: time.Second, From: []string{"a"}, To: []string{"b"}, Both: true, Least: time.Second, Most: time.Second},
-		{What: Lossy, Every: time.Second, From: []string{"a"}, To: []string{"*"}, Least: time.Second, Most: time.Second, Share: 0.25},
-		{What: Slow, Every: time.Second, From: []string{"a"}, To: []string{"b"}, Least: time.Second, Most: time.Second, Amount: 10, Upto: 100},
-		{What: Reset, Every: time.Second, From: []string{"a"}, To: []string{"b"}},
-		{What: Chop, Every: time.Second, From: []string{"a"}, To: []string{"b"}, Amount: 1, Upto: 100},
-		{What: Skew, Every: time.Second, Names: []string{"a"}, Least: time.Second, Most: time.Second, Amount: -120, Upto: 120},
-		{What: Pause, Every: time.Second, Names: []string{"a", "b"}, Least: 0, Most: time.Second},
-		{What: Copy, Every: time.Second, Names: []string{"a"}},
+func kinds() []FaultSpec {
+	return []FaultSpec{
+		{Fault: Delay, MeanInterval: time.Second, From: []string{"a", "b"}, To: []string{"a", "b"}, MinDuration: time.Second, MaxDuration: 2 * time.Second, Amount: 0.01, MaxAmount: 0.1, Jitter: 0.02},
+		{Fault: Silent, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}, BothDirections: true, MinDuration: time.Second, MaxDuration: time.Second},
+		{Fault: Lose, MeanInterval: time.Second, From: []string{"a"}, To: []string{"*"}, MinDuration: time.Second, MaxDuration: time.Second, Share: 0.25},
+		{Fault: Throttle, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}, MinDuration: time.Second, MaxDuration: time.Second, Amount: 10, MaxAmount: 100},
+		{Fault: Reset, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}},
+		{Fault: Truncate, MeanInterval: time.Second, From: []string{"a"}, To: []string{"b"}, Amount: 1, MaxAmount: 100},
+		{Fault: SkewClock, MeanInterval: time.Second, Processes: []string{"a"}, MinDuration: time.Second, MaxDuration: time.Second, Amount: -120, MaxAmount: 120},
+		{Fault: Pause, MeanInterval: time.Second, Processes: []string{"a", "b"}, MinDuration: 0, MaxDuration: time.Second},
+		{Fault: CopyDisk, MeanInterval: time.Second, Processes: []string{"a"}},
 	}
 }
 
 // Guards against a night that can't be played again: what is drawn is the same for a seed, and what is printed says it all.
-func TestTimelinesAreTheSameAgain(t *testing.T) {
+func TestTimelineIsReproducible(t *testing.T) {
 	drawn := Draw(7, 20*time.Second, kinds())
 	require.Equal(t, drawn, Draw(7, 20*time.Second, kinds()))
 	require.NotEqual(t, drawn, Draw(8, 20*time.Second, kinds()))
@@ -30,14 +30,14 @@
 	read, err := Parse(drawn.String())
 	require.NoError(t, err)
 	require.Equal(t, drawn, read)
-	seen := map[What]bool{}
+	seen := map[FaultType]bool{}
 	for _, e := range drawn {
-		seen[e.What] = true
+		seen[e.Fault] = true
 		require.Less(t, e.At, 20*time.Second)
-		require.NotEqual(t, Way{"a", "a"}, e.Way)
+		require.NotEqual(t, Link{"a", "a"}, e.Link)
 	}
 	require.Len(t, seen, len(kinds()))
-	require.Greater(t, drawn.Ends(), 19*time.Second)
+	require.Greater(t, drawn.End(), 19*time.Second)
 	fewer := Draw(7, 20*time.Second, kinds()[:2])
 	for _, e := range fewer {
 		require.Contains(t, drawn, e, "one kind more leaves the others where they were")
@@ -45,7 +45,7 @@
 }
 
 // Guards against timelines that say what nobody meant.
-func TestTimelinesThatCantBeRead(t *testing.T) {
+func TestParseRejectsMalformedTimelines(t *testing.T) {
 	for text, says := range map[string]string{
 		"1 delay":                            "line 1: a time, a trouble",
 		"# fine\n\nx delay a>b by 1s for 1s": "line 3: \"x\" is not a number",
@@ -71,27 +71,27 @@
 	}
 	got, err := Parse("2 reset a>*\n1 skew a by -60s for 2s # minutes off")
 	require.NoError(t, err)
-	require.Equal(t, Timeline{{At: time.Second, What: Skew, Name: "a", Amount: -60, For: 2 * time.Second},
-		{At: 2 * time.Second, What: Reset, Way: Way{"a", "*"}}}, got)
+	require.Equal(t, Timeline{{At: time.Second, Fault: SkewClock, Process: "a", Amount: -60, Duration: 2 * time.Second},
+		{At: 2 * time.Second, Fault: Reset, Link: Link{"a", "*"}}}, got)
 }
 
 // Guards against troubles that hide one another.
-func TestTroublesAddUp(t *testing.T) {
-	var w Weather
-	e := func(what What, from, to string, amount, share float64) Event {
-		return Event{What: what, Way: Way{from, to}, Amount: amount, Share: share}
+func TestFaultsCombine(t *testing.T) {
+	var w ActiveFaults
+	e := func(what FaultType, from, to string, amount, share float64) Event {
+		return Event{Fault: what, Link: Link{from, to}, Amount: amount, Share: share}
 	}
-	all := []Event{e(Delay, "a", "b", 0.1, 0), e(Delay, "*", "b", 0.2, 0), e(Lossy, "a", "*", 0, 0.5), e(Lossy, "a", "b", 0, 0.5),
-		e(Slow, "a", "b", 100, 0), e(Slow, "a", "b", 10, 0), e(Silent, "b", "a", 0, 0)}
+	all := []Event{e(Delay, "a", "b", 0.1, 0), e(Delay, "*", "b", 0.2, 0), e(Lose, "a", "*", 0, 0.5), e(Lose, "a", "b", 0, 0.5),
+		e(Throttle, "a", "b", 100, 0), e(Throttle, "a", "b", 10, 0), e(Silent, "b", "a", 0, 0)}
 	for _, k := range all {
-		w.Begin(k)
+		w.Add(k)
 	}
-	s := w.Of(Way{"a", "b"})
-	require.Equal(t, State{Delay: 300 * time.Millisecond, Loss: 0.75, Pace: 10}, s)
-	require.Equal(t, State{Silent: true}, w.Of(Way{"b", "a"}), "each direction apart")
-	require.Equal(t, State{}, w.Of(Way{"c", "d"}))
+	s := w.StateOf(Link{"a", "b"})
+	require.Equal(t, LinkState{Delay: 300 * time.Millisecond, Lost: 0.75, BytesPerSecond: 10}, s)
+	require.Equal(t, LinkState{Silent: true}, w.StateOf(Link{"b", "a"}), "each direction apart")
+	require.Equal(t, LinkState{}, w.StateOf(Link{"c", "d"}))
 	for _, k := range all {
-		w.End(k)
+		w.Remove(k)
 	}
-	require.Equal(t, State{}, w.Of(Way{"a", "b"}))
+	require.Equal(t, LinkState{}, w.StateOf(Link{"a", "b"}))
 }
--- a/internal/emulator/links/parse.go
+++ b/internal/emulator/links/parse.go
@@ -40,17 +40,17 @@
 	if what < 0 {
 		return e, fmt.Errorf("there is no trouble %q", words[1])
 	}
-	e.What = What(what)
+	e.Fault = FaultType(what)
 	from, to, isWay := strings.Cut(words[2], ">")
 	switch {
-	case e.What.onLinks() && (!isWay || from == "" || to == ""):
+	case e.Fault.onLinks() && (!isWay || from == "" || to == ""):
 		return e, fmt.Errorf("%q is not a way from one process to another", words[2])
-	case e.What.onLinks():
-		e.Way = Way{from, to}
+	case e.Fault.onLinks():
+		e.Link = Link{from, to}
 	case isWay:
-		return e, fmt.Errorf("%v befalls a process, and %q is a way", e.What, words[2])
+		return e, fmt.Errorf("%v befalls a process, and %q is a way", e.Fault, words[2])
 	default:
-		e.Name = words[2]
+		e.Process = words[2]
 	}
 	return e, e.figures(words[3:])
 }
@@ -69,7 +69,7 @@
 	}
 	for _, need := range e.needs() {
 		if !given[need] {
-			return fmt.Errorf("%v needs %q and a number", e.What, need)
+			return fmt.Errorf("%v needs %q and a number", e.Fault, need)
 		}
 	}
 	return nil
@@ -77,25 +77,25 @@
 
 // needs are the words that must follow.
 func (e *Event) needs() (words []string) {
-	switch e.What {
-	case Delay, Skew:
+	switch e.Fault {
+	case Delay, SkewClock:
 		words = []string{"by"}
-	case Slow:
+	case Throttle:
 		words = []string{"to"}
-	case Chop:
+	case Truncate:
 		words = []string{"after"}
-	case Lossy, Doubled, Shuffled:
+	case Lose, Duplicate, Reorder:
 		words = []string{"share"}
 	}
-	if e.What.lasts() {
+	if e.Fault.lasts() {
 		words = append(words, "for")
 	}
 	return words
 }
 
 func (e *Event) figure(word, text string) (err error) {
-	if word != "spread" && !slices.Contains(e.needs(), word) || word == "spread" && e.What != Delay {
-		return fmt.Errorf("%v takes no %q", e.What, word)
+	if word != "spread" && !slices.Contains(e.needs(), word) || word == "spread" && e.Fault != Delay {
+		return fmt.Errorf("%v takes no %q", e.Fault, word)
 	}
 	switch word {
 	case "by":
@@ -105,7 +105,7 @@
 	case "after":
 		e.Amount, err = number(text, "B")
 	case "spread":
-		e.Spread, err = number(text, "s")
+		e.Jitter, err = number(text, "s")
 	case "share":
 		if e.Share, err = number(text, ""); err == nil && e.Share > 1 {
 			err = fmt.Errorf("a share of %v is more than all", e.Share)
@@ -113,9 +113,9 @@
 	case "for":
 		var span float64
 		span, err = number(text, "s")
-		e.For = seconds(span)
+		e.Duration = seconds(span)
 	}
-	if err == nil && e.What == Delay && e.Amount < 0 {
+	if err == nil && e.Fault == Delay && e.Amount < 0 {
 		err = errors.New("a delay can't be below 0")
 	}
 	if err == nil && word == "to" && e.Amount == 0 {
--- a/internal/emulator/links/relays/datagrams.go
+++ b/internal/emulator/links/relays/datagrams.go
@@ -14,8 +14,8 @@
 // overtaken is by how much a datagram that is shuffled comes later.
 const overtaken = 5 * time.Millisecond
 
-// Datagrams gives the address at which one process's datagrams to another are taken on their way to where that hears them.
-func (n *Net) Datagrams(way links.Way, target string) (address string, err error) {
+// RelayUDP gives the address at which one process's datagrams to another are taken on their way to where that hears them.
+func (n *Network) RelayUDP(way links.Link, target string) (address string, err error) {
 	to, err := netip.ParseAddrPort(target)
 	if err != nil {
 		return "", err
@@ -39,23 +39,23 @@
 }
 
 // datagram passes one on, or loses it, or more.
-func (n *Net) datagram(s *net.UDPConn, way links.Way, to netip.AddrPort, bytes []byte) {
+func (n *Network) datagram(s *net.UDPConn, way links.Link, to netip.AddrPort, bytes []byte) {
 	state, _ := n.of(way)
 	n.count(func(c *Counts) { c.Datagrams++; c.DatagramBytes += int64(len(bytes)) })
-	if state.Silent || state.Cut || n.chance(state.Loss) {
+	if state.Silent || state.Cut || n.chance(state.Lost) {
 		n.count(func(c *Counts) { c.Lost++ })
 		return
 	}
 	copies := 1
-	if n.chance(state.Doubled) {
+	if n.chance(state.Duplicated) {
 		copies = 2
-		n.count(func(c *Counts) { c.Doubled++ })
+		n.count(func(c *Counts) { c.Duplicated++ })
 	}
 	for range copies {
 		wait := time.Until(n.later(state))
-		if n.chance(state.Shuffled) {
+		if n.chance(state.Reordered) {
 			wait += overtaken
-			n.count(func(c *Counts) { c.Shuffled++ })
+			n.count(func(c *Counts) { c.Reordered++ })
 		}
 		if wait <= 0 {
 			s.WriteToUDPAddrPort(bytes, to)
--- a/internal/emulator/links/relays/pair.go
+++ b/internal/emulator/links/relays/pair.go
@@ -12,8 +12,8 @@
 
 // pair is one connection through a relay: two sockets, and a pipe for each direction.
 type pair struct {
-	n      *Net
-	way    links.Way
+	n      *Network
+	way    links.Link
 	pipes  [2]*pipe // there, and back
 	life   context.Context
 	die    context.CancelFunc
@@ -24,7 +24,7 @@
 // pipe takes bytes one way.
 type pipe struct {
 	p        *pair
-	way      links.Way
+	way      links.Link
 	from, to *net.TCPConn
 	queue    chan chunk
 	left     atomic.Int64 // bytes until the connection is reset, below 0 for no such end
@@ -42,10 +42,10 @@
 	slowBytes  = 64 // at once where so many a second are let through
 )
 
-func newPair(n *Net, way links.Way, c, d *net.TCPConn) *pair {
+func newPair(n *Network, way links.Link, c, d *net.TCPConn) *pair {
 	p := &pair{n: n, way: way, socket: [2]*net.TCPConn{c, d}}
 	p.life, p.die = context.WithCancel(n.life)
-	p.pipes = [2]*pipe{{p: p, way: way, from: c, to: d}, {p: p, way: way.Back(), from: d, to: c}}
+	p.pipes = [2]*pipe{{p: p, way: way, from: c, to: d}, {p: p, way: way.Reverse(), from: d, to: c}}
 	for _, k := range p.pipes {
 		k.queue = make(chan chunk, mostChunks)
 		k.left.Store(-1)
@@ -91,9 +91,9 @@
 }
 
 // chop lets so many more bytes pass on a way before the connection is reset.
-func (p *pair) chop(way links.Way, bytes int64) {
+func (p *pair) chop(way links.Link, bytes int64) {
 	for _, k := range p.pipes {
-		if way.Covers(k.way) {
+		if way.Matches(k.way) {
 			k.left.Store(bytes)
 		}
 	}
@@ -174,7 +174,7 @@
 		}
 		state, _ := k.p.n.of(k.way)
 		most := len(bytes)
-		if state.Pace > 0 {
+		if state.BytesPerSecond > 0 {
 			most = min(most, slowBytes)
 		}
 		left := k.left.Load()
@@ -187,10 +187,10 @@
 		k.p.n.count(func(c *Counts) { c.Bytes += int64(most) })
 		bytes = bytes[most:]
 		if left >= 0 && k.left.Add(-int64(most)) <= 0 {
-			k.p.n.count(func(c *Counts) { c.Chopped++ })
+			k.p.n.count(func(c *Counts) { c.Truncated++ })
 			return false
 		}
-		if state.Pace > 0 && !k.wait(time.Duration(float64(most)/state.Pace*float64(time.Second))) {
+		if state.BytesPerSecond > 0 && !k.wait(time.Duration(float64(most)/state.BytesPerSecond*float64(time.Second))) {
 			return false
 		}
 	}
--- a/internal/emulator/links/relays/player.go
+++ b/internal/emulator/links/relays/player.go
@@ -17,25 +17,25 @@
 	Continue() error
 	Kill() error
 	Start(ctx context.Context) error
-	Wipe() error          // takes its disk away; it does not run
-	Copy() error          // makes a copy of its disk, in place of the one before
-	PutBack() error       // puts the copy in place of its disk; it does not run
-	Off(by time.Duration) // its wall clock is off at its next starts
-	Twin(ctx context.Context) (end func(), err error)
+	WipeDisk() error              // takes its disk away; it does not run
+	CopyDisk() error              // makes a copy of its disk, in place of the one before
+	RestoreDisk() error           // puts the copy in place of its disk; it does not run
+	OffsetClock(by time.Duration) // its wall clock is off at its next starts
+	StartTwin(ctx context.Context) (end func(), err error)
 }
 
 // Player plays timelines.
 type Player struct {
-	Net       *Net
+	Network   *Network
 	Processes map[string]Process
-	Out       io.Writer // where what is done is printed, nil for nowhere
+	Output    io.Writer // where what is done is printed, nil for nowhere
 	mu        sync.Mutex
-	faults    map[links.What]int
+	faults    map[links.FaultType]int
 	busy      map[string]*sync.Mutex
 }
 
-// Faults are how many of each trouble were played.
-func (p *Player) Faults() map[links.What]int {
+// FaultCounts are how many of each trouble were played.
+func (p *Player) FaultCounts() map[links.FaultType]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.faults)
@@ -73,24 +73,24 @@
 func (p *Player) play(ctx context.Context, e links.Event) error {
 	p.mu.Lock()
 	if p.faults == nil {
-		p.faults, p.busy = map[links.What]int{}, map[string]*sync.Mutex{}
+		p.faults, p.busy = map[links.FaultType]int{}, map[string]*sync.Mutex{}
 	}
-	p.faults[e.What]++
-	if p.Out != nil {
-		fmt.Fprintln(p.Out, e)
+	p.faults[e.Fault]++
+	if p.Output != nil {
+		fmt.Fprintln(p.Output, e)
 	}
 	p.mu.Unlock()
-	process := p.Processes[e.Name]
+	process := p.Processes[e.Process]
 	switch {
-	case e.Name == "":
-		p.Net.Begin(e)
-		Sleep(ctx, e.For)
-		p.Net.End(e)
+	case e.Process == "":
+		p.Network.Begin(e)
+		Sleep(ctx, e.Duration)
+		p.Network.End(e)
 		return nil
 	case process == nil:
-		return fmt.Errorf("there is no process %q", e.Name)
+		return fmt.Errorf("there is no process %q", e.Process)
 	}
-	mine := p.of(e.Name) // one trouble of a process at a time
+	mine := p.of(e.Process) // one trouble of a process at a time
 	mine.Lock()
 	defer mine.Unlock()
 	return p.befall(ctx, process, e)
@@ -107,36 +107,36 @@
 
 // befall lets a trouble befall a process.
 func (p *Player) befall(ctx context.Context, process Process, e links.Event) error {
-	switch e.What {
+	switch e.Fault {
 	case links.Pause:
 		if err := process.Pause(); err != nil {
 			return err
 		}
-		Sleep(ctx, e.For)
+		Sleep(ctx, e.Duration)
 		return process.Continue()
-	case links.Copy:
-		return process.Copy()
+	case links.CopyDisk:
+		return process.CopyDisk()
 	case links.Twin:
-		end, err := process.Twin(ctx)
+		end, err := process.StartTwin(ctx)
 		if err != nil {
 			return err
 		}
-		Sleep(ctx, e.For)
+		Sleep(ctx, e.Duration)
 		end()
 		return nil
 	}
 	if err := process.Kill(); err != nil {
 		return err
 	}
-	Sleep(ctx, e.For)
+	Sleep(ctx, e.Duration)
 	var err error
-	switch e.What {
-	case links.Empty:
-		err = process.Wipe()
-	case links.Old:
-		err = process.PutBack()
-	case links.Skew:
-		process.Off(time.Duration(e.Amount * float64(time.Second)))
+	switch e.Fault {
+	case links.WipeDisk:
+		err = process.WipeDisk()
+	case links.RestoreDisk:
+		err = process.RestoreDisk()
+	case links.SkewClock:
+		process.OffsetClock(time.Duration(e.Amount * float64(time.Second)))
 	}
 	if err == nil {
 		err = process.Start(context.WithoutCancel(ctx))
--- a/internal/emulator/links/relays/relays.go
+++ b/internal/emulator/links/relays/relays.go
@@ -14,14 +14,14 @@
 	"sedgespread/internal/emulator/links"
 )
 
-// Net is all relays of a trial.
-type Net struct {
+// Network is all relays of a trial.
+type Network struct {
 	life  context.Context
 	die   context.CancelFunc
 	tasks errgroup.Group
 
 	mu      sync.Mutex
-	weather links.Weather
+	weather links.ActiveFaults
 	changed chan struct{} // closed when the weather changes
 	rng     *rand.Rand
 	pairs   map[*pair]bool
@@ -31,22 +31,22 @@
 
 // Counts are what was done to bytes, so that a trial can tell that its troubles took place.
 type Counts struct {
-	Connections, Refused, Reset, Chopped int
-	Datagrams, Lost, Doubled, Shuffled   int
-	Held                                 time.Duration // for which bytes were held by silence, over all directions
-	Bytes                                int64
-	DatagramBytes                        int64
+	Connections, Refused, Reset, Truncated int
+	Datagrams, Lost, Duplicated, Reordered int
+	Held                                   time.Duration // for which bytes were held by silence, over all directions
+	Bytes                                  int64
+	DatagramBytes                          int64
 }
 
 // New makes a net without relays. What is left to chance is drawn from a seed.
-func New(seed uint64) *Net {
-	n := &Net{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 99)), pairs: map[*pair]bool{}}
+func New(seed uint64) *Network {
+	n := &Network{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 99)), pairs: map[*pair]bool{}}
 	n.life, n.die = context.WithCancel(context.Background())
 	return n
 }
 
 // Close ends all relays and what goes through them.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.die()
 	n.mu.Lock()
 	for _, d := range n.doors {
@@ -60,38 +60,38 @@
 }
 
 // Counts are those so far.
-func (n *Net) Counts() Counts {
+func (n *Network) Counts() Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-func (n *Net) count(do func(c *Counts)) {
+func (n *Network) count(do func(c *Counts)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do(&n.counts)
 }
 
 // of is how a way is, and what is closed once that may have changed.
-func (n *Net) of(way links.Way) (links.State, <-chan struct{}) {
+func (n *Network) of(way links.Link) (links.LinkState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.weather.Of(way), n.changed
+	return n.weather.StateOf(way), n.changed
 }
 
 // later is when what is sent now arrives.
-func (n *Net) later(s links.State) time.Time {
+func (n *Network) later(s links.LinkState) time.Time {
 	due := time.Now().Add(s.Delay)
-	if s.Spread > 0 {
+	if s.Jitter > 0 {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		due = due.Add(time.Duration(n.rng.Int64N(int64(s.Spread))))
+		due = due.Add(time.Duration(n.rng.Int64N(int64(s.Jitter))))
 	}
 	return due
 }
 
 // chance draws whether something with a share happens.
-func (n *Net) chance(share float64) bool {
+func (n *Network) chance(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -101,43 +101,43 @@
 }
 
 // Begin lets a trouble of links begin.
-func (n *Net) Begin(e links.Event) {
-	switch e.What {
+func (n *Network) Begin(e links.Event) {
+	switch e.Fault {
 	case links.Reset:
-		n.each(e.Way, func(p *pair) { p.reset() })
+		n.each(e.Link, func(p *pair) { p.reset() })
 		return
-	case links.Chop:
-		n.each(e.Way, func(p *pair) { p.chop(e.Way, int64(e.Amount)) })
+	case links.Truncate:
+		n.each(e.Link, func(p *pair) { p.chop(e.Link, int64(e.Amount)) })
 		return
 	}
 	n.mu.Lock()
-	n.weather.Begin(e)
+	n.weather.Add(e)
 	n.change()
 	n.mu.Unlock()
-	if e.What == links.Cut {
-		n.each(e.Way, func(p *pair) { p.reset() })
+	if e.Fault == links.Cut {
+		n.each(e.Link, func(p *pair) { p.reset() })
 	}
 }
 
 // End ends it.
-func (n *Net) End(e links.Event) {
+func (n *Network) End(e links.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.weather.End(e)
+	n.weather.Remove(e)
 	n.change()
 }
 
-func (n *Net) change() {
+func (n *Network) change() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
 // each does something to all connections that a way is a direction of.
-func (n *Net) each(way links.Way, do func(p *pair)) {
+func (n *Network) each(way links.Link, do func(p *pair)) {
 	n.mu.Lock()
 	var hit []*pair
 	for p := range n.pairs {
-		if way.Covers(p.way) || way.Covers(p.way.Back()) {
+		if way.Matches(p.way) || way.Matches(p.way.Reverse()) {
 			hit = append(hit, p)
 		}
 	}
@@ -147,8 +147,8 @@
 	}
 }
 
-// Relay gives the address at which the connections of one process to another are taken on their way to where that is.
-func (n *Net) Relay(way links.Way, target string) (address string, err error) {
+// RelayTCP gives the address at which the connections of one process to another are taken on their way to where that is.
+func (n *Network) RelayTCP(way links.Link, target string) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -166,7 +166,7 @@
 	return l.Addr().String(), nil
 }
 
-func (n *Net) keep(door interface{ Close() error }) {
+func (n *Network) keep(door interface{ Close() error }) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.doors = append(n.doors, door)
@@ -175,14 +175,14 @@
 const connectWithin = time.Second
 
 // cut tells whether a link is cut in either direction.
-func (n *Net) cut(way links.Way) bool {
+func (n *Network) cut(way links.Link) bool {
 	there, _ := n.of(way)
-	answers, _ := n.of(way.Back())
+	answers, _ := n.of(way.Reverse())
 	return there.Cut || answers.Cut
 }
 
 // join joins a connection to its target, unless the link is cut.
-func (n *Net) join(way links.Way, c *net.TCPConn, target string) {
+func (n *Network) join(way links.Link, c *net.TCPConn, target string) {
 	d, err := net.Conn(nil), error(net.ErrClosed)
 	if !n.cut(way) {
 		d, err = (&net.Dialer{Timeout: connectWithin}).DialContext(n.life, "tcp", target)
--- a/internal/emulator/links/relays/relays_test.go
+++ b/internal/emulator/links/relays/relays_test.go
@@ -33,12 +33,12 @@
 	return l.Addr().String()
 }
 
-var there, answers = links.Way{From: "a", To: "b"}, links.Way{From: "b", To: "a"}
+var there, answers = links.Link{From: "a", To: "b"}, links.Link{From: "b", To: "a"}
 
-func relayed(t *testing.T) (*Net, string) {
+func relayed(t *testing.T) (*Network, string) {
 	n := New(1)
 	t.Cleanup(n.Close)
-	at, err := n.Relay(there, echoes(t))
+	at, err := n.RelayTCP(there, echoes(t))
 	require.NoError(t, err)
 	return n, at
 }
@@ -68,7 +68,7 @@
 }
 
 // Guards against relays that change what they are not told to.
-func TestRelaysPassAllOn(t *testing.T) {
+func TestRelayForwardsUnchanged(t *testing.T) {
 	n, at := relayed(t)
 	c := dial(t, at)
 	text := strings.Repeat("0123456789", 100_000)
@@ -80,18 +80,18 @@
 }
 
 // Each trouble of connections does what it says, in its own direction.
-func TestTroublesOfConnections(t *testing.T) {
+func TestConnectionFaults(t *testing.T) {
 	const ms = time.Millisecond
 	n, at := relayed(t)
 	c := dial(t, at)
-	delay := links.Event{What: links.Delay, Way: answers, Amount: 0.1}
+	delay := links.Event{Fault: links.Delay, Link: answers, Amount: 0.1}
 	n.Begin(delay)
 	io.WriteString(c, "x")
 	_, took := comes(t, c, 1)
 	require.GreaterOrEqual(t, took, 90*ms)
 	n.End(delay)
 
-	hush := links.Event{What: links.Silent, Way: there}
+	hush := links.Event{Fault: links.Silent, Link: there}
 	n.Begin(hush)
 	io.WriteString(c, "held")
 	nothingComes(t, c, 50*ms)
@@ -100,28 +100,28 @@
 	require.Equal(t, "held", got, "as what is sent again arrives")
 	require.Positive(t, n.Counts().Held)
 
-	slow := links.Event{What: links.Slow, Way: there, Amount: 1000}
+	slow := links.Event{Fault: links.Throttle, Link: there, Amount: 1000}
 	n.Begin(slow)
 	io.WriteString(c, strings.Repeat("x", 200))
 	_, took = comes(t, c, 200)
 	require.GreaterOrEqual(t, took, 120*ms)
 	n.End(slow)
 
-	n.Begin(links.Event{What: links.Chop, Way: there, Amount: 5})
+	n.Begin(links.Event{Fault: links.Truncate, Link: there, Amount: 5})
 	io.WriteString(c, "a whole frame")
 	all, err := io.ReadAll(c)
 	require.Error(t, err)
 	require.LessOrEqual(t, len(all), 5)
-	require.Equal(t, 1, n.Counts().Chopped)
+	require.Equal(t, 1, n.Counts().Truncated)
 
 	c = dial(t, at)
 	io.WriteString(c, "x")
 	comes(t, c, 1)
-	n.Begin(links.Event{What: links.Reset, Way: links.Way{From: "*", To: "a"}})
+	n.Begin(links.Event{Fault: links.Reset, Link: links.Link{From: "*", To: "a"}})
 	_, err = c.Read(make([]byte, 1))
 	require.Error(t, err)
 
-	cut := links.Event{What: links.Cut, Way: there}
+	cut := links.Event{Fault: links.Cut, Link: there}
 	c = dial(t, at)
 	n.Begin(cut)
 	_, err = c.Read(make([]byte, 1))
@@ -138,13 +138,13 @@
 }
 
 // Each trouble of datagrams does what it says.
-func TestTroublesOfDatagrams(t *testing.T) {
+func TestDatagramFaults(t *testing.T) {
 	hears, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	defer hears.Close()
 	n := New(1)
 	defer n.Close()
-	at, err := n.Datagrams(there, hears.LocalAddr().String())
+	at, err := n.RelayUDP(there, hears.LocalAddr().String())
 	require.NoError(t, err)
 	says, err := net.Dial("udp", at)
 	require.NoError(t, err)
@@ -165,17 +165,17 @@
 	}
 	require.Len(t, send(50), 50)
 	during := func(e links.Event, count int) []byte {
-		e.Way = there
+		e.Link = there
 		n.Begin(e)
 		defer n.End(e)
 		return send(count)
 	}
-	require.Empty(t, during(links.Event{What: links.Silent}, 20))
-	require.Empty(t, during(links.Event{What: links.Lossy, Share: 1}, 20))
-	some := len(during(links.Event{What: links.Lossy, Share: 0.5}, 100))
+	require.Empty(t, during(links.Event{Fault: links.Silent}, 20))
+	require.Empty(t, during(links.Event{Fault: links.Lose, Share: 1}, 20))
+	some := len(during(links.Event{Fault: links.Lose, Share: 0.5}, 100))
 	require.True(t, some > 20 && some < 80, "%d", some)
-	require.Len(t, during(links.Event{What: links.Doubled, Share: 1}, 20), 40)
-	shuffled := during(links.Event{What: links.Shuffled, Share: 0.3}, 60)
+	require.Len(t, during(links.Event{Fault: links.Duplicate, Share: 1}, 20), 40)
+	shuffled := during(links.Event{Fault: links.Reorder, Share: 0.3}, 60)
 	require.Len(t, shuffled, 60)
 	turned := 0
 	for i := 1; i < len(shuffled); i++ {
@@ -199,26 +199,26 @@
 	return nil
 }
 
-func (f *fake) Pause() error                { return f.note("pause") }
-func (f *fake) Continue() error             { return f.note("continue") }
-func (f *fake) Kill() error                 { return f.note("kill") }
-func (f *fake) Off(by time.Duration)        { f.note("off by " + by.String()) }
-func (f *fake) Start(context.Context) error { return f.note("start") }
-func (f *fake) Wipe() error                 { return f.note("wipe") }
-func (f *fake) Copy() error                 { return f.note("copy") }
-func (f *fake) PutBack() error              { return f.note("put back") }
-func (f *fake) Twin(context.Context) (func(), error) {
+func (f *fake) Pause() error                 { return f.note("pause") }
+func (f *fake) Continue() error              { return f.note("continue") }
+func (f *fake) Kill() error                  { return f.note("kill") }
+func (f *fake) OffsetClock(by time.Duration) { f.note("off by " + by.String()) }
+func (f *fake) Start(context.Context) error  { return f.note("start") }
+func (f *fake) WipeDisk() error              { return f.note("wipe") }
+func (f *fake) CopyDisk() error              { return f.note("copy") }
+func (f *fake) RestoreDisk() error           { return f.note("put back") }
+func (f *fake) StartTwin(context.Context) (func(), error) {
 	f.note("twin")
 	return func() { f.note("twin ends") }, nil
 }
 
 // Guards against troubles of a process that overlap, and against one that is left as it was when a night ends early.
-func TestTimelinesArePlayed(t *testing.T) {
+func TestPlayerRunsTimelines(t *testing.T) {
 	n := New(1)
 	defer n.Close()
 	f := &fake{}
 	var out bytes.Buffer
-	p := &Player{Net: n, Processes: map[string]Process{"a": f}, Out: &out}
+	p := &Player{Network: n, Processes: map[string]Process{"a": f}, Output: &out}
 	text := "0.000 copy a\n0.010 pause a for 0.03s\n0.020 old a for 0.01s\n0.030 silent x>y for 0.01s\n0.080 empty a for 0.01s\n0.110 twin a for 0.01s\n0.150 kill a for 0.01s\n0.180 skew a by -60s for 0.01s\n"
 	timeline, err := links.Parse(text)
 	require.NoError(t, err)
@@ -226,8 +226,8 @@
 	require.Equal(t, []string{"copy", "pause", "continue", "kill", "put back", "start", "kill", "wipe", "start", "twin", "twin ends", "kill",
 		"start", "kill", "off by -1m0s", "start"}, f.said)
 	require.Equal(t, text, out.String(), "what is printed can be played again")
-	require.Equal(t, 1, p.Faults()[links.Old])
-	require.ErrorContains(t, p.Play(context.Background(), links.Timeline{{What: links.Pause, Name: "b"}}), `there is no process "b"`)
+	require.Equal(t, 1, p.FaultCounts()[links.RestoreDisk])
+	require.ErrorContains(t, p.Play(context.Background(), links.Timeline{{Fault: links.Pause, Process: "b"}}), `there is no process "b"`)
 
 	f.said = nil
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Millisecond)
--- a/internal/emulator/sight.go
+++ b/internal/emulator/sight.go
@@ -5,39 +5,39 @@
 	"sync"
 )
 
-// Sight is what members and clients saw, and the breaches of the rules found in it. It may be used by many at once.
-type Sight struct {
+// Checker is what members and clients saw, and the breaches of the rules found in it. It may be used by many at once.
+type Checker struct {
 	mu       sync.Mutex
 	rpcs     map[string]*sighting
 	acked    map[string][]ack // by key, what its clients were told is there
-	breaches []Breach
-	fenced   []UnderFence
+	breaches []Violation
+	fenced   []FencedAttempt
 }
 
-// UnderFence is a call-out that a member got, with the version that its driver says to have made it under.
-type UnderFence struct {
-	At     int64 // Unix time in nanoseconds
-	Fence  uint64
-	RPC    string
-	Write  bool
-	Turned bool // the member turned it away for that
+// FencedAttempt is a call-out that a member got, with the version that its driver says to have made it under.
+type FencedAttempt struct {
+	At       int64 // Unix time in nanoseconds
+	Fence    uint64
+	RPC      string
+	Write    bool
+	Rejected bool // the member turned it away for that
 }
 
 // fence notes a call-out that came with a version.
-func (s *Sight) fence(st Statement, now int64, turned bool) {
+func (s *Checker) fence(st Statement, now int64, turned bool) {
 	if st.Fence.Version == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fenced = append(s.fenced, UnderFence{At: now, Fence: uint64(st.Fence.Version), RPC: st.ID, Write: st.Write, Turned: turned})
+	s.fenced = append(s.fenced, FencedAttempt{At: now, Fence: uint64(st.Fence.Version), RPC: st.ID, Write: st.Write, Rejected: turned})
 }
 
-// Fenced are all call-outs that came with a version, as they came.
-func (s *Sight) Fenced() []UnderFence {
+// FencedAttempts are all call-outs that came with a version, as they came.
+func (s *Checker) FencedAttempts() []FencedAttempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]UnderFence(nil), s.fenced...)
+	return append([]FencedAttempt(nil), s.fenced...)
 }
 
 // sighting is one RPC.
@@ -57,34 +57,34 @@
 	position int64
 }
 
-// Breach is a rule that was broken.
-type Breach struct {
-	Rule string
-	RPC  string
-	What string
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule   string
+	RPC    string
+	Detail string
 }
 
-// NewSight makes one that has seen nothing.
-func NewSight() *Sight { return &Sight{rpcs: map[string]*sighting{}, acked: map[string][]ack{}} }
+// NewChecker makes one that has seen nothing.
+func NewChecker() *Checker { return &Checker{rpcs: map[string]*sighting{}, acked: map[string][]ack{}} }
 
 // Names of rules in breaches.
 const (
-	RuleOneAnswer = "one final answer"
-	RuleTwice     = "no effect twice"
-	RuleStale     = "no stale read"
-	RuleLost      = "no acknowledged write lost"
-	RuleDrain     = "nothing new after the drain grace"
-	RuleCold      = "no cold member pushed over"
-	RuleVersion   = "nothing under a version that was closed"
-	RuleOverlap   = "no two versions at once that must not overlap"
-	RuleOldDisk   = "no voter with an old disk"
+	RuleOneAnswer       = "one final answer"
+	RuleDuplicateEffect = "no effect twice"
+	RuleStaleRead       = "no stale read"
+	RuleLostWrite       = "no acknowledged write lost"
+	RuleDraining        = "nothing new after the drain grace"
+	RuleColdOverload    = "no cold member pushed over"
+	RuleClosedVersion   = "nothing under a version that was closed"
+	RuleVersionOverlap  = "no two versions at once that must not overlap"
+	RuleOldDisk         = "no voter with an old disk"
 )
 
-func (s *Sight) breach(rule, rpc, format string, args ...any) {
-	s.breaches = append(s.breaches, Breach{rule, rpc, fmt.Sprintf(format, args...)})
+func (s *Checker) breach(rule, rpc, format string, args ...any) {
+	s.breaches = append(s.breaches, Violation{rule, rpc, fmt.Sprintf(format, args...)})
 }
 
-func (s *Sight) rpc(id string) *sighting {
+func (s *Checker) rpc(id string) *sighting {
 	r := s.rpcs[id]
 	if r == nil {
 		r = &sighting{}
@@ -93,20 +93,20 @@
 	return r
 }
 
-// Breach notes that a rule was broken.
-func (s *Sight) Breach(rule, rpc, format string, args ...any) {
+// RecordViolation notes that a rule was broken.
+func (s *Checker) RecordViolation(rule, rpc, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.breach(rule, rpc, format, args...)
 }
 
-// Rules are those that are checked.
-func Rules() []string {
-	return []string{RuleOneAnswer, RuleTwice, RuleDrain, RuleCold, RuleStale, RuleLost, RuleVersion, RuleOverlap, RuleOldDisk}
+// AllRules are those that are checked.
+func AllRules() []string {
+	return []string{RuleOneAnswer, RuleDuplicateEffect, RuleDraining, RuleColdOverload, RuleStaleRead, RuleLostWrite, RuleClosedVersion, RuleVersionOverlap, RuleOldDisk}
 }
 
-// Sent notes that a client sends an RPC.
-func (s *Sight) Sent(id, key string, once bool) {
+// RecordSent notes that a client sends an RPC.
+func (s *Checker) RecordSent(id, key string, once bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.rpc(id)
@@ -114,35 +114,35 @@
 }
 
 // arrive notes that a member got a call-out.
-func (s *Sight) arrive(st Statement, m MemberID, now int64) {
+func (s *Checker) arrive(st Statement, m MemberID, now int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.rpc(st.ID)
 	r.calls++
 	if r.once && r.calls-r.refused > 1 {
-		s.breach(RuleTwice, st.ID, "member %d got a call-out at %d though an earlier one may have run", m, now)
+		s.breach(RuleDuplicateEffect, st.ID, "member %d got a call-out at %d though an earlier one may have run", m, now)
 	}
 }
 
-func (s *Sight) refuse(st Statement) {
+func (s *Checker) refuse(st Statement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rpc(st.ID).refused++
 }
 
 // effect notes that a write ran.
-func (s *Sight) effect(st Statement, group, position int64) {
+func (s *Checker) effect(st Statement, group, position int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.rpc(st.ID)
 	if r.effects++; r.effects > 1 {
-		s.breach(RuleTwice, st.ID, "ran in group %d at %d after it ran in group %d", group, position, r.group)
+		s.breach(RuleDuplicateEffect, st.ID, "ran in group %d at %d after it ran in group %d", group, position, r.group)
 	}
 	r.group, r.position = group, position
 }
 
-// Answered notes the final answer of an RPC. Of a write that is served the client knows from here on that it is there.
-func (s *Sight) Answered(id string, served bool) {
+// RecordAnswer notes the final answer of an RPC. Of a write that is served the client knows from here on that it is there.
+func (s *Checker) RecordAnswer(id string, served bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.rpc(id)
@@ -153,13 +153,13 @@
 		return
 	}
 	if r.effects == 0 {
-		s.breach(RuleLost, id, "was said to be served and never ran")
+		s.breach(RuleLostWrite, id, "was said to be served and never ran")
 	}
 	s.acked[r.key] = append(s.acked[r.key], ack{id, r.position})
 }
 
-// Known is the write of a key that its client was told of last, with the position that it was told.
-func (s *Sight) Known(key string) (id string, position int64) {
+// LastAcknowledged is the write of a key that its client was told of last, with the position that it was told.
+func (s *Checker) LastAcknowledged(key string) (id string, position int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if all := s.acked[key]; len(all) > 0 {
@@ -171,41 +171,41 @@
 
 // Read notes what a read showed of a key of which its client knew a write. Writes of a key come one after another, and
 // ids grow, so that a lower one is older.
-func (s *Sight) Read(id, key, shown, known string) {
+func (s *Checker) Read(id, key, shown, known string) {
 	if shown >= known {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breach(RuleStale, id, "showed %q of %q, where %q was known to be there", shown, key, known)
+	s.breach(RuleStaleRead, id, "showed %q of %q, where %q was known to be there", shown, key, known)
 }
 
-// Unanswered notes the RPCs that never got an answer though their clients waited.
-func (s *Sight) Unanswered(id string) {
+// RecordNoAnswer notes the RPCs that never got an answer though their clients waited.
+func (s *Checker) RecordNoAnswer(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.breach(RuleOneAnswer, id, "got no answer")
 }
 
-// Settle checks, when all is over, that every acknowledged write is where its key's tenant is in the end.
-func (s *Sight) Settle(f *Fleet, group func(key string) int64) (writes int) {
+// CheckAcknowledged checks, when all is over, that every acknowledged write is where its key's tenant is in the end.
+func (s *Checker) CheckAcknowledged(f *Fleet, group func(key string) int64) (writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, all := range s.acked {
 		at := group(key)
 		for _, a := range all {
 			writes++
-			if !f.Holds(at, key, a.id) {
-				s.breach(RuleLost, a.id, "acknowledged for %q, not in group %d (ran in %d)", key, at, s.rpcs[a.id].group)
+			if !f.HasWrite(at, key, a.id) {
+				s.breach(RuleLostWrite, a.id, "acknowledged for %q, not in group %d (ran in %d)", key, at, s.rpcs[a.id].group)
 			}
 		}
 	}
 	return writes
 }
 
-// Breaches are those found so far.
-func (s *Sight) Breaches() []Breach {
+// Violations are those found so far.
+func (s *Checker) Violations() []Violation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Breach(nil), s.breaches...)
+	return append([]Violation(nil), s.breaches...)
 }
--- a/internal/emulator/sockets/addresses_test.go
+++ b/internal/emulator/sockets/addresses_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against two drivers of one trial that are told the same address, drawn for each by a call of its own.
-func TestAddressesAreGivenAwayOnce(t *testing.T) {
+func TestFreeAddressesNeverRepeats(t *testing.T) {
 	given := map[string]bool{}
 	for range 1000 {
 		free, err := FreeAddresses(1)
--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -15,34 +15,34 @@
 
 // RPC is what a client asks.
 type RPC struct {
-	Method string
-	Key    string
-	Write  bool
-	Group  int64
-	Give   time.Duration
-	After  int64 // position that a read must see, Unix time in nanoseconds, 0 for none
-	Again  bool
+	Method      string
+	Key         string
+	Write       bool
+	Group       int64
+	Timeout     time.Duration
+	MinPosition int64 // position that a read must see, Unix time in nanoseconds, 0 for none
+	IsRetry     bool
 }
 
-// Fate is how an RPC ended for its client.
-type Fate int
+// Outcome is how an RPC ended for its client.
+type Outcome int
 
 const (
-	Served Fate = iota
-	PushedBack
+	Served Outcome = iota
+	Rejected
 	Aborted
-	Unanswered // its client gave up waiting
-	Broken     // the connection ended without an answer
-	NoDriver   // no connection could be had, and nothing was sent
+	TimedOut       // its client gave up waiting
+	ConnectionLost // the connection ended without an answer
+	ConnectFailed  // no connection could be had, and nothing was sent
 )
 
 // Reply is what a client got.
 type Reply struct {
-	ID       string
-	Fate     Fate
-	Value    string
-	ComeBack time.Duration
-	Took     time.Duration
+	ID         string
+	Outcome    Outcome
+	Value      string
+	RetryAfter time.Duration
+	Latency    time.Duration
 }
 
 // Clients ask drivers. Each RPC has a connection of its own while it is open; connections are used again.
@@ -54,8 +54,8 @@
 	idle    map[string][]protocol.Member
 }
 
-// Clients makes clients of a fleet's drivers.
-func (f *Fleet) Clients() *Clients {
+// NewClients makes clients of a fleet's drivers.
+func (f *Fleet) NewClients() *Clients {
 	return &Clients{fleet: f, sockets: transport.NewDescriptors(mostConns), idle: map[string][]protocol.Member{}}
 }
 
@@ -64,34 +64,34 @@
 	clientSlack   = 100 * time.Millisecond // an answer may come so late and still counts as one
 )
 
-// Ask asks a driver and waits for the answer.
-func (c *Clients) Ask(ctx context.Context, address string, r RPC) (reply Reply) {
+// Call asks a driver and waits for the answer.
+func (c *Clients) Call(ctx context.Context, address string, r RPC) (reply Reply) {
 	reply.ID = fmt.Sprintf("%016x", c.last.Add(1))
 	begun := time.Now()
-	defer func() { reply.Took = time.Since(begun) }()
+	defer func() { reply.Latency = time.Since(begun) }()
 	m, ok := c.take(address)
 	if !ok {
 		by, stop := context.WithTimeout(ctx, connectWithin)
 		defer stop()
 		var end transport.CloseReason
 		if m, end = protocol.Connect(c.fleet.life, by, c.sockets, address, 1<<20, nil); end != transport.Open {
-			reply.Fate = NoDriver
+			reply.Outcome = ConnectFailed
 			return reply
 		}
 	}
-	c.fleet.Sent(reply.ID, r.Key, r.Write)
-	by, stop := context.WithTimeout(ctx, r.Give+clientSlack)
+	c.fleet.RecordSent(reply.ID, r.Key, r.Write)
+	by, stop := context.WithTimeout(ctx, r.Timeout+clientSlack)
 	defer stop()
 	a, _, end := m.Query(by, r.statement(reply.ID))
-	reply.Fate = fateOf(a, end)
+	reply.Outcome = fateOf(a, end)
 	if a != nil && a.Failure == nil {
 		reply.Value = a.Value()
 	} else if a != nil {
 		millis, _ := strconv.ParseInt(a.Failure.Detail, 10, 64)
-		reply.ComeBack = time.Duration(millis) * time.Millisecond
+		reply.RetryAfter = time.Duration(millis) * time.Millisecond
 	}
-	if reply.Fate <= Aborted {
-		c.fleet.Answered(reply.ID, reply.Fate == Served)
+	if reply.Outcome <= Aborted {
+		c.fleet.RecordAnswer(reply.ID, reply.Outcome == Served)
 		if end == transport.Open {
 			c.give(address, m)
 		}
@@ -99,28 +99,28 @@
 	return reply
 }
 
-func fateOf(a *protocol.Answer, end transport.CloseReason) Fate {
+func fateOf(a *protocol.Answer, end transport.CloseReason) Outcome {
 	switch {
 	case a != nil && a.Failure == nil:
 		return Served
 	case a != nil && (a.Failure.SQLState == protocol.StateTooManyConnections || a.Failure.SQLState == protocol.StateCannotConnectNow):
-		return PushedBack
+		return Rejected
 	case a != nil:
 		return Aborted
 	case end == transport.TimedOut || end == transport.Cancelled:
-		return Unanswered
+		return TimedOut
 	}
-	return Broken
+	return ConnectionLost
 }
 
 // statement is what is sent for an RPC.
 func (r *RPC) statement(id string) string {
-	comment := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, r.Method, r.Give.Milliseconds(), r.Group)
-	if r.Again {
+	comment := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, r.Method, r.Timeout.Milliseconds(), r.Group)
+	if r.IsRetry {
 		comment += ",r=1"
 	}
-	if r.After > 0 {
-		comment += fmt.Sprintf(",after=%d", r.After/int64(time.Millisecond))
+	if r.MinPosition > 0 {
+		comment += fmt.Sprintf(",after=%d", r.MinPosition/int64(time.Millisecond))
 	}
 	if r.Write {
 		return fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x%s') RETURNING content /* %s */`, r.Key,
--- a/internal/emulator/sockets/drivers.go
+++ b/internal/emulator/sockets/drivers.go
@@ -22,13 +22,13 @@
 
 // Method is what drivers are told of a method.
 type Method struct {
-	Name    string
-	Effect  string // repeatable or once
-	Level   string // what a read needs: loose, own_writes or latest; update for a write
-	Soft    time.Duration
-	Give    time.Duration // all that a client waits
-	Utility float64
-	Late    float64 // share of Utility after the soft deadline
+	Name         string
+	Effect       string // repeatable or once
+	ReadLevel    string // what a read needs: loose, own_writes or latest; update for a write
+	SoftDeadline time.Duration
+	Timeout      time.Duration // all that a client waits
+	Utility      float64
+	LateShare    float64 // share of Utility after the soft deadline
 }
 
 // Driver is a driver's process.
@@ -87,14 +87,14 @@
 	return free, nil
 }
 
-// Drivers writes what so many drivers are told into files in a directory and gives them, not started. The operator's
+// NewDrivers writes what so many drivers are told into files in a directory and gives them, not started. The operator's
 // text is each one's, empty for no file.
-func (f *Fleet) Drivers(program, dir string, count int, methods []Method, text func(i int) string) (drivers []*Driver, err error) {
+func (f *Fleet) NewDrivers(program, dir string, count int, methods []Method, text func(i int) string) (drivers []*Driver, err error) {
 	classes, levels := []any{}, []any{}
 	for _, m := range methods {
-		classes = append(classes, map[string]any{"name": m.Name, "effect": m.Effect, "aimUs": m.Soft.Microseconds(),
-			"giveUpUs": m.Give.Microseconds(), "worth": m.Utility, "lateWorth": m.Late})
-		levels = append(levels, m.Level)
+		classes = append(classes, map[string]any{"name": m.Name, "effect": m.Effect, "aimUs": m.SoftDeadline.Microseconds(),
+			"giveUpUs": m.Timeout.Microseconds(), "worth": m.Utility, "lateWorth": m.LateShare})
+		levels = append(levels, m.ReadLevel)
 	}
 	addresses, err := FreeAddresses(count)
 	if err != nil {
@@ -102,14 +102,14 @@
 	}
 	for i := range count {
 		d := &Driver{Name: fmt.Sprintf("n%d", i), program: program, Address: addresses[i]}
-		told := map[string]any{"seed": fmt.Sprintf("%x", i+1), "known": f.List(),
+		told := map[string]any{"seed": fmt.Sprintf("%x", i+1), "known": f.DiscoveryList(),
 			"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 2048},
 			"settings": map[string]any{"classes": classes,
 				"extra": map[string]any{"readLevel": levels, "guards": "none", "tokens": "client"},
 				"limits": map[string]any{"probing": true, "cancelling": true, "mostTries": 4, "connectTimeoutUs": 250_000,
 					"keepaliveUs": 30_000_000, "retryAfter": true, "maxRetryAfterUs": 500_000},
-				"safety": map[string]any{"askEveryUs": 20_000_000, "startCapacity": f.model.Cold, "warmAfterUs": f.model.Warm / 1000,
-					"fallMultiple": f.model.Topple, "drainGraceUs": f.model.Grace / 1000}, "discovery": "subscribe", "fleetSize": count}}
+				"safety": map[string]any{"askEveryUs": 20_000_000, "startCapacity": f.model.ColdCapacity, "warmAfterUs": f.model.WarmUpTime / 1000,
+					"fallMultiple": f.model.OverloadFactor, "drainGraceUs": f.model.DrainGrace / 1000}, "discovery": "subscribe", "fleetSize": count}}
 		config, err := json.Marshal(told)
 		if err != nil {
 			return nil, err
@@ -118,7 +118,7 @@
 		if err := os.WriteFile(path, config, 0o600); err != nil {
 			return nil, err
 		}
-		d.env = append(os.Environ(), "GW_NAME="+d.Name, "GW_LISTEN="+d.Address, "GW_DISCOVERY="+f.Discovery(), "GW_CONFIG="+path)
+		d.env = append(os.Environ(), "GW_NAME="+d.Name, "GW_LISTEN="+d.Address, "GW_DISCOVERY="+f.DiscoveryAddress(), "GW_CONFIG="+path)
 		if text := text(i); text != "" {
 			orders := filepath.Join(dir, d.Name+".textproto")
 			if err := os.WriteFile(orders, []byte(text), 0o600); err != nil {
@@ -131,8 +131,8 @@
 	return drivers, nil
 }
 
-// TwinBy says what an operator's file tells a twin of a driver. It serves clients at an address of its own.
-func (d *Driver) TwinBy(dir, text string) error {
+// ConfigureTwin says what an operator's file tells a twin of a driver. It serves clients at an address of its own.
+func (d *Driver) ConfigureTwin(dir, text string) error {
 	at, err := FreeAddresses(1)
 	if err != nil {
 		return err
@@ -151,7 +151,7 @@
 	}
 	by, stop := context.WithTimeout(ctx, readyWithin)
 	defer stop()
-	return d.Ready(by)
+	return d.WaitReady(by)
 }
 
 // StartAll starts drivers that do not run at once, and waits until all are ready: some may need others.
@@ -164,7 +164,7 @@
 	by, stop := context.WithTimeout(ctx, readyWithin)
 	defer stop()
 	for _, d := range drivers {
-		if err := d.Ready(by); err != nil {
+		if err := d.WaitReady(by); err != nil {
 			return err
 		}
 	}
@@ -191,11 +191,11 @@
 	return cmd
 }
 
-// Off lets the driver's wall clock be off at its next starts.
-func (d *Driver) Off(by time.Duration) { d.off = by }
+// OffsetClock lets the driver's wall clock be off at its next starts.
+func (d *Driver) OffsetClock(by time.Duration) { d.off = by }
 
-// Wipe takes the disk of a driver that does not run away.
-func (d *Driver) Wipe() error {
+// WipeDisk takes the disk of a driver that does not run away.
+func (d *Driver) WipeDisk() error {
 	err := os.Remove(d.Disk)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -203,25 +203,25 @@
 	return err
 }
 
-// Copy makes a copy of the disk. The driver stands still meanwhile, so that the copy is what the disk was at one moment.
-func (d *Driver) Copy() error {
-	if d.Runs() {
+// CopyDisk makes a copy of the disk. The driver stands still meanwhile, so that the copy is what the disk was at one moment.
+func (d *Driver) CopyDisk() error {
+	if d.IsRunning() {
 		d.Pause()
 		defer d.Continue()
 	}
 	return copyFile(d.Disk, d.Disk+".copy")
 }
 
-// PutBack puts the copy in place of the disk of a driver that does not run, and keeps that for Return.
-func (d *Driver) PutBack() error {
+// RestoreDisk puts the copy in place of the disk of a driver that does not run, and keeps that for Return.
+func (d *Driver) RestoreDisk() error {
 	if err := os.Rename(d.Disk, d.Disk+".newest"); err != nil {
 		return err
 	}
 	return copyFile(d.Disk+".copy", d.Disk)
 }
 
-// Return gives a driver that does not run the disk again that it had before PutBack.
-func (d *Driver) Return() error { return os.Rename(d.Disk+".newest", d.Disk) }
+// RestoreNewestDisk gives a driver that does not run the disk again that it had before PutBack.
+func (d *Driver) RestoreNewestDisk() error { return os.Rename(d.Disk+".newest", d.Disk) }
 
 func copyFile(from, to string) error {
 	text, err := os.ReadFile(from)
@@ -231,8 +231,8 @@
 	return os.WriteFile(to, text, 0o600)
 }
 
-// Twin starts another process of the driver's name beside it, and gives what ends it.
-func (d *Driver) Twin(context.Context) (end func(), err error) {
+// StartTwin starts another process of the driver's name beside it, and gives what ends it.
+func (d *Driver) StartTwin(context.Context) (end func(), err error) {
 	cmd := d.command(d.twin)
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -243,8 +243,8 @@
 	}, nil
 }
 
-// Ready waits until a driver that was started takes RPCs.
-func (d *Driver) Ready(by context.Context) error {
+// WaitReady waits until a driver that was started takes RPCs.
+func (d *Driver) WaitReady(by context.Context) error {
 	sockets := transport.NewDescriptors(mostConns)
 	for by.Err() == nil {
 		m, end := protocol.Connect(by, by, sockets, d.Address, protocol.RingBytes, nil)
@@ -290,18 +290,18 @@
 	return err
 }
 
-// Hup lets a driver read its files again.
-func (d *Driver) Hup() error { return d.Signal(syscall.SIGHUP) }
+// Reload lets a driver read its files again.
+func (d *Driver) Reload() error { return d.Signal(syscall.SIGHUP) }
 
-// Alone lets one trouble after another befall a driver: each leaves it as it found it.
-func (d *Driver) Alone(trouble func()) {
+// RunExclusive lets one trouble after another befall a driver: each leaves it as it found it.
+func (d *Driver) RunExclusive(trouble func()) {
 	d.trouble.Lock()
 	defer d.trouble.Unlock()
 	trouble()
 }
 
-// Runs tells whether a driver was started and has not ended.
-func (d *Driver) Runs() bool {
+// IsRunning tells whether a driver was started and has not ended.
+func (d *Driver) IsRunning() bool {
 	select {
 	case <-d.done:
 		return false
@@ -310,8 +310,8 @@
 	}
 }
 
-// Troubled tells whether a driver was paused, continued, killed or started again since a time.
-func (d *Driver) Troubled(since time.Time) bool {
+// DisruptedSince tells whether a driver was paused, continued, killed or started again since a time.
+func (d *Driver) DisruptedSince(since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.troubled.After(since)
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -23,7 +23,7 @@
 
 // Fleet is an emulated fleet on sockets.
 type Fleet struct {
-	*emulator.Sight
+	*emulator.Checker
 	begun     time.Time
 	life      context.Context
 	die       context.CancelCauseFunc
@@ -44,13 +44,13 @@
 const mostConns = 1 << 14
 
 // Start puts a fleet of a shape on loopback.
-func Start(s emulator.Shape) (*Fleet, error) {
-	sight := emulator.NewSight()
-	f := &Fleet{Sight: sight, begun: time.Now(), model: emulator.NewFleet(s, sight), fills: map[string]uint64{},
+func Start(s emulator.Config) (*Fleet, error) {
+	sight := emulator.NewChecker()
+	f := &Fleet{Checker: sight, begun: time.Now(), model: emulator.NewFleet(s, sight), fills: map[string]uint64{},
 		version: 1, changed: make(chan struct{}), conns: map[emulator.MemberID]map[*transport.Conn]bool{}}
 	f.life, f.die = context.WithCancelCause(context.Background())
 	d := transport.NewDescriptors(mostConns)
-	for i := range f.model.Count() {
+	for i := range f.model.MemberCount() {
 		l, err := transport.Listen("127.0.0.1:0", d, protocol.RingBytes)
 		if err != nil {
 			f.Stop()
@@ -82,8 +82,8 @@
 // Now is the fleet's clock, Unix time in nanoseconds.
 func (f *Fleet) Now() int64 { return f.begun.UnixNano() + int64(time.Since(f.begun)) }
 
-// Model lets a function at the model, with the time that it is.
-func (f *Fleet) Model(do func(now int64, m *emulator.Fleet)) {
+// WithModel lets a function at the model, with the time that it is.
+func (f *Fleet) WithModel(do func(now int64, m *emulator.Fleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(f.Now(), f.model)
@@ -127,9 +127,9 @@
 	}
 }
 
-// Drain lets a member drain, or serve again.
-func (f *Fleet) Drain(m emulator.MemberID, drains bool) {
-	f.relist(func(now int64, model *emulator.Fleet) { model.Drain(now, m, drains) })
+// SetDraining lets a member drain, or serve again.
+func (f *Fleet) SetDraining(m emulator.MemberID, drains bool) {
+	f.relist(func(now int64, model *emulator.Fleet) { model.SetDraining(now, m, drains) })
 }
 
 // relist does what changes discovery's list, and lets those who watch it know.
@@ -164,34 +164,34 @@
 	if err != nil {
 		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateProtocolViolation, Message: err.Error()})
 	}
-	order := emulator.Statement{ID: s.ID, Key: s.Key, Write: s.Write, Within: s.TimeoutMillis * int64(time.Millisecond), Fence: fenceOf(text)}
+	order := emulator.Statement{ID: s.ID, Key: s.Key, Write: s.Write, Timeout: s.TimeoutMillis * int64(time.Millisecond), Fence: fenceOf(text)}
 	var done int64
-	var refused emulator.Refusal
-	var state emulator.Answer
+	var refused emulator.Admission
+	var state emulator.Response
 	life, still := 0, 0
-	f.Model(func(now int64, model *emulator.Fleet) {
-		done, refused = model.Arrive(now, m, order)
-		state = model.Look(now, m)
+	f.WithModel(func(now int64, model *emulator.Fleet) {
+		done, refused = model.Admit(now, m, order)
+		state = model.Status(now, m)
 		_, life = model.Started(m)
 	})
 	switch refused {
-	case emulator.Full:
+	case emulator.QueueFull:
 		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateTooManyConnections, Message: "the queue is full"}, told(state)...)
-	case emulator.ReadOnly:
+	case emulator.NotPrimary:
 		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateReadOnly, Message: "this is no primary"}, told(state)...)
 	case emulator.Fenced:
 		return c.SendMemberFailure(protocol.Failure{SQLState: protocol.StateFenced, Message: "its version is over"}, told(state)...)
 	}
 	time.Sleep(time.Duration(done - f.Now())) // what a member has begun it finishes, whoever left meanwhile
-	f.Model(func(now int64, model *emulator.Fleet) {
+	f.WithModel(func(now int64, model *emulator.Fleet) {
 		if _, still = model.Started(m); still == life {
-			state = model.Do(now, m, order)
+			state = model.Execute(now, m, order)
 		}
 	})
 	if still != life { // it has been started anew meanwhile
 		return transport.ShutDown
 	}
-	if state.Lost {
+	if state.IsLost {
 		return c.Await(1)
 	}
 	return c.SendRow(state.Value, told(state)...)
@@ -208,8 +208,8 @@
 }
 
 func (f *Fleet) look(c protocol.Client, m emulator.MemberID) transport.CloseReason {
-	var a emulator.Answer
-	f.Model(func(now int64, model *emulator.Fleet) { a = model.Look(now, m) })
+	var a emulator.Response
+	f.WithModel(func(now int64, model *emulator.Fleet) { a = model.Status(now, m) })
 	role := 0
 	if a.Primary {
 		role = 1
@@ -217,7 +217,7 @@
 	return c.SendRow(fmt.Sprintf("x0=%.3f,x1=%d", float64(a.Position/int64(time.Millisecond))/1000, role), told(a)...)
 }
 
-func told(a emulator.Answer) []protocol.ParameterStatus {
+func told(a emulator.Response) []protocol.ParameterStatus {
 	role := "follower"
 	if a.Primary {
 		role = "leader"
@@ -226,20 +226,20 @@
 		{Name: "replay_position", Value: strconv.FormatInt(a.Position/int64(time.Millisecond), 10)}}
 }
 
-// Discovery is where discovery answers.
-func (f *Fleet) Discovery() string { return f.discovery.Listener.Addr().String() }
+// DiscoveryAddress is where discovery answers.
+func (f *Fleet) DiscoveryAddress() string { return f.discovery.Listener.Addr().String() }
 
-// FillHook is where the store is asked to fill groups.
-func (f *Fleet) FillHook() string { return f.fillHook.URL + "/fill" }
+// FillHookURL is where the store is asked to fill groups.
+func (f *Fleet) FillHookURL() string { return f.fillHook.URL + "/fill" }
 
-// List is discovery's list.
-func (f *Fleet) List() map[string]any {
+// DiscoveryList is discovery's list.
+func (f *Fleet) DiscoveryList() map[string]any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entries := make([]any, 0, len(f.addresses))
 	for i, address := range f.addresses {
 		m, lifecycle := emulator.MemberID(i), "SERVING"
-		if f.model.Drains(m) {
+		if f.model.IsDraining(m) {
 			lifecycle = "DRAINING"
 		}
 		started, _ := f.model.Started(m)
@@ -269,12 +269,12 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	jsonhttp.WriteJSON(w, f.List())
+	jsonhttp.WriteJSON(w, f.DiscoveryList())
 }
 
 // fill takes what a coordinator asks of the store. One that is older than what was asked before changes nothing.
 func (f *Fleet) fill(_ context.Context, asked membership.FillRequest) error {
-	f.Model(func(_ int64, model *emulator.Fleet) {
+	f.WithModel(func(_ int64, model *emulator.Fleet) {
 		tenant := string(asked.Tenant)
 		if uint64(asked.Epoch) <= f.fills[tenant] {
 			return
@@ -282,11 +282,11 @@
 		f.fills[tenant] = uint64(asked.Epoch)
 		switch asked.Step {
 		case "begin":
-			model.Fill(tenant, numbers(asked.From), numbers(asked.To))
+			model.BeginFill(tenant, numbers(asked.From), numbers(asked.To))
 		case "end":
 			model.EndFill(tenant, asked.CutoverPosition)
 		case "drop":
-			model.DropFill(tenant)
+			model.DiscardFill(tenant)
 		}
 	})
 	return nil
--- a/internal/emulator/trials/audited.go
+++ b/internal/emulator/trials/audited.go
@@ -15,16 +15,16 @@
 
 // AuditResult is how what the audit says of writes compares with what members got.
 type AuditResult struct {
-	Writes  int // that members got with a version
-	Right   int // that stand in the audit at that version
-	Counted int // that came so long after a change that they stand there in the counts of that version alone
-	Wrong   int // that stand there at another
-	Unknown int // that do not, of a time of which the audit says that it is unknown
-	Missing int // that do not
-	Entries int
-	Late    int // acts that the audit itself finds after a closing
-	Faults  []string
-	Spans   int // of unknown time
+	Writes       int // that members got with a version
+	Matched      int // that stand in the audit at that version
+	Counted      int // that came so long after a change that they stand there in the counts of that version alone
+	WrongVersion int // that stand there at another
+	Unknown      int // that do not, of a time of which the audit says that it is unknown
+	Missing      int // that do not
+	Entries      int
+	LateActs     int // acts that the audit itself finds after a closing
+	Faults       []string
+	UnknownSpans int // of unknown time
 
 	FirstMissing []string // what is known of some of those that are missing
 	FirstLate    []string // and of some that the audit calls late
@@ -43,15 +43,15 @@
 		return err
 	}
 	r := &c.result.Audit
-	r.Entries, r.Late, r.Faults, r.Spans = f.Entries, len(f.Late), f.Faults, len(f.Unknown)
+	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = f.Entries, len(f.Late), f.Faults, len(f.Unknown)
 	for _, late := range f.Late[:min(mostShown, len(f.Late))] {
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
 	}
 	trails := readTrails(membership.CollectParts(ctx, c.at))
-	got := map[string]emulator.UnderFence{}
-	for _, fenced := range c.n.Fleet.Fenced() {
-		if fenced.Write && !fenced.Turned {
+	got := map[string]emulator.FencedAttempt{}
+	for _, fenced := range c.n.Fleet.FencedAttempts() {
+		if fenced.Write && !fenced.Rejected {
 			got[fenced.RPC] = fenced
 		}
 	}
@@ -60,9 +60,9 @@
 		version, there := trails.singles[id]
 		switch {
 		case there && version == fenced.Fence:
-			r.Right++
+			r.Matched++
 		case there:
-			r.Wrong++
+			r.WrongVersion++
 		case trails.counts(fenced):
 			r.Counted++
 		case slices.ContainsFunc(f.Unknown, func(u audit.Gap) bool {
@@ -77,7 +77,7 @@
 }
 
 // missing notes a write that the audit does not have.
-func (r *AuditResult) missing(w emulator.UnderFence, t *trails) {
+func (r *AuditResult) missing(w emulator.FencedAttempt, t *trails) {
 	if r.Missing++; len(r.FirstMissing) < mostShown {
 		r.FirstMissing = append(r.FirstMissing, fmt.Sprintf("%s under version %d, %v after that was first acted on, %v before the last entry",
 			w.RPC, w.Fence, time.Duration(w.At-t.begun[w.Fence]), time.Duration(t.last-w.At)))
@@ -151,7 +151,7 @@
 
 // counts tells whether a write stands in the counts of its version: those are all that is kept of it once a version was acted on for so long.
 // Each such count stands for one write.
-func (t *trails) counts(w emulator.UnderFence) bool {
+func (t *trails) counts(w emulator.FencedAttempt) bool {
 	begun, known := t.begun[w.Fence]
 	if !known || t.counted[w.Fence] == 0 || time.Duration(w.At-begun) < routing.AuditWindow {
 		return false
--- a/internal/emulator/trials/convened.go
+++ b/internal/emulator/trials/convened.go
@@ -14,7 +14,7 @@
 // convened is a council among the first drivers of a trial. All that drivers and voters say to voters goes through relays,
 // one for each two of them.
 type convened struct {
-	net    *relays.Net
+	net    *relays.Network
 	at     []string   // of voters
 	paths  [][]string // by driver and voter, where that driver reaches that voter
 	dir    string
@@ -28,13 +28,13 @@
 // convene lays the relays between so many drivers and the voters at some addresses, which are the first drivers.
 func convene(seed uint64, at []string, drivers int) (*convened, error) {
 	c := &convened{net: relays.New(seed), at: at}
-	c.player = &relays.Player{Net: c.net}
+	c.player = &relays.Player{Network: c.net}
 	for i := range drivers {
 		var paths []string
 		for v, address := range at {
 			if v != i {
 				var err error
-				if address, err = c.net.Relay(links.Way{From: driverName(i), To: driverName(v)}, address); err != nil {
+				if address, err = c.net.RelayTCP(links.Link{From: driverName(i), To: driverName(v)}, address); err != nil {
 					c.net.Close()
 					return nil, err
 				}
@@ -62,22 +62,22 @@
 }
 
 // kinds are the troubles of links between drivers and voters, and between voters.
-func (c *convened) kinds() []links.Kind {
+func (c *convened) kinds() []links.FaultSpec {
 	var all, voters []string
 	for i := range c.paths {
 		all = append(all, driverName(i))
 	}
 	voters = all[:len(c.at)]
 	const ms = time.Millisecond
-	return []links.Kind{
-		{What: links.Delay, Every: 4 * time.Second, From: all, To: voters, Least: 300 * ms, Most: 1500 * ms, Amount: 0.005, Upto: 0.06, Spread: 0.02},
-		{What: links.Silent, Every: 5 * time.Second, From: all, To: voters, Least: 200 * ms, Most: 1500 * ms},
-		{What: links.Silent, Every: 9 * time.Second, From: voters, To: voters, Both: true, Least: 200 * ms, Most: 1500 * ms},
-		{What: links.Silent, Every: 13 * time.Second, From: voters, To: []string{"*"}, Both: true, Least: 200 * ms, Most: 1200 * ms},
-		{What: links.Cut, Every: 6 * time.Second, From: all, To: voters, Least: 100 * ms, Most: 1000 * ms},
-		{What: links.Slow, Every: 8 * time.Second, From: all, To: voters, Least: 300 * ms, Most: time.Second, Amount: 2000, Upto: 20000},
-		{What: links.Reset, Every: 3 * time.Second, From: all, To: voters},
-		{What: links.Chop, Every: 4 * time.Second, From: all, To: voters, Amount: 1, Upto: 400},
+	return []links.FaultSpec{
+		{Fault: links.Delay, MeanInterval: 4 * time.Second, From: all, To: voters, MinDuration: 300 * ms, MaxDuration: 1500 * ms, Amount: 0.005, MaxAmount: 0.06, Jitter: 0.02},
+		{Fault: links.Silent, MeanInterval: 5 * time.Second, From: all, To: voters, MinDuration: 200 * ms, MaxDuration: 1500 * ms},
+		{Fault: links.Silent, MeanInterval: 9 * time.Second, From: voters, To: voters, BothDirections: true, MinDuration: 200 * ms, MaxDuration: 1500 * ms},
+		{Fault: links.Silent, MeanInterval: 13 * time.Second, From: voters, To: []string{"*"}, BothDirections: true, MinDuration: 200 * ms, MaxDuration: 1200 * ms},
+		{Fault: links.Cut, MeanInterval: 6 * time.Second, From: all, To: voters, MinDuration: 100 * ms, MaxDuration: 1000 * ms},
+		{Fault: links.Throttle, MeanInterval: 8 * time.Second, From: all, To: voters, MinDuration: 300 * ms, MaxDuration: time.Second, Amount: 2000, MaxAmount: 20000},
+		{Fault: links.Reset, MeanInterval: 3 * time.Second, From: all, To: voters},
+		{Fault: links.Truncate, MeanInterval: 4 * time.Second, From: all, To: voters, Amount: 1, MaxAmount: 400},
 	}
 }
 
@@ -92,7 +92,7 @@
 
 // befell adds what befell links.
 func (c *convened) befell(faults map[string]int) {
-	for what, n := range c.player.Faults() {
+	for what, n := range c.player.FaultCounts() {
 		faults["a link: "+what.String()] += n
 	}
 }
--- a/internal/emulator/trials/demo.go
+++ b/internal/emulator/trials/demo.go
@@ -27,7 +27,7 @@
 	demoEvery   = 5 * time.Second
 )
 
-func (d *Demo) text(n *Night, at string, i int) string {
+func (d *Demo) text(n *Cluster, at string, i int) string {
 	var b strings.Builder
 	if i == 0 {
 		fmt.Fprintf(&b, "admin { listen: \"%s\" }\n", d.Admin)
@@ -43,7 +43,7 @@
 	fmt.Fprintf(&b, "  }\n  budget { rpcs: 120 call_outs: 120 lend: 0.5 }\n  coordination {\n    at: \"%s\"\n    lease_ms: 3000\n"+
 		"    hold_ms: 2000\n    held: 1000\n", at)
 	if i == 0 {
-		fmt.Fprintf(&b, "    here: true\n    journal: \"%s\"\n    fill_hook: \"%s\"\n", filepath.Join(n.dir, "cells.journal"), n.Fleet.FillHook())
+		fmt.Fprintf(&b, "    here: true\n    journal: \"%s\"\n    fill_hook: \"%s\"\n", filepath.Join(n.dir, "cells.journal"), n.Fleet.FillHookURL())
 	}
 	b.WriteString("  }\n}\n")
 	return b.String()
@@ -55,9 +55,9 @@
 	if err != nil {
 		return err
 	}
-	shape := emulator.Shape{Groups: demoCells, Members: 3, Cores: 2, Queue: 40, Service: int64(5 * time.Millisecond), Spread: 0.4,
-		Lag: int64(20 * time.Millisecond), Behind: int64(40 * time.Millisecond), Seed: 1}
-	n, err := Open(ctx, d.Program, shape, 2, func(n *Night, i int) string { return d.text(n, at[0], i) })
+	shape := emulator.Config{Groups: demoCells, Members: 3, Cores: 2, QueueLimit: 40, ServiceTime: int64(5 * time.Millisecond), ServiceSigma: 0.4,
+		ReplicaLag: int64(20 * time.Millisecond), FillLag: int64(40 * time.Millisecond), Seed: 1}
+	n, err := StartCluster(ctx, d.Program, shape, 2, func(n *Cluster, i int) string { return d.text(n, at[0], i) })
 	if err != nil {
 		return err
 	}
@@ -80,9 +80,9 @@
 			if chance.intN(4) == 0 {
 				m = &move
 			}
-			rpc := sockets.RPC{Method: m.Name, Key: key, Write: m == &move, Group: 1, Give: m.Give}
+			rpc := sockets.RPC{Method: m.Name, Key: key, Write: m == &move, Group: 1, Timeout: m.Timeout}
 			begun := time.Now()
-			r := n.Clients.Ask(ctx, n.Drivers[chance.intN(len(n.Drivers))].Address, rpc)
+			r := n.Clients.Call(ctx, n.Drivers[chance.intN(len(n.Drivers))].Address, rpc)
 			t.add(m, r, time.Since(begun))
 		})
 		if ctx.Err() == nil {
--- a/internal/emulator/trials/disks.go
+++ b/internal/emulator/trials/disks.go
@@ -18,32 +18,32 @@
 // oldDisks lets, in each round, a voter that does not lead come back with its disk as it was a version before. It has to be
 // refused, the others have to go on without it, and with its own disk again it has to catch up.
 func (c *changing) oldDisks(ctx context.Context) error {
-	for n := 1; n <= 3*c.Count; n += 3 {
+	for n := 1; n <= 3*c.MinClosed; n += 3 {
 		if err := c.closes(ctx, n); err != nil {
 			return err
 		}
 		v := (c.leading() + 1) % c.Voters
 		d := c.n.Drivers[v]
 		d.Disk = filepath.Join(c.n.dir, driverName(v)+".council")
-		if err := d.Copy(); err != nil {
+		if err := d.CopyDisk(); err != nil {
 			return err
 		}
 		if err := c.closes(ctx, n+1); err != nil {
 			return err
 		}
-		if err := startsOver(ctx, d, d.PutBack); err != nil {
+		if err := startsOver(ctx, d, d.RestoreDisk); err != nil {
 			return err
 		}
 		c.result.OldDisks++
 		if !c.refused(ctx, v) {
-			c.result.Accepted++
-			c.result.Breaches = append(c.result.Breaches, emulator.Breach{Rule: emulator.RuleOldDisk,
-				What: "voter " + d.Name + " began with a disk older than what it had told"})
+			c.result.AcceptedOldDisks++
+			c.result.Violations = append(c.result.Violations, emulator.Violation{Rule: emulator.RuleOldDisk,
+				Detail: "voter " + d.Name + " began with a disk older than what it had told"})
 		}
 		if err := c.closes(ctx, n+2); err != nil {
 			return err
 		}
-		if err := startsOver(ctx, d, d.Return); err != nil {
+		if err := startsOver(ctx, d, d.RestoreNewestDisk); err != nil {
 			return err
 		}
 	}
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -24,16 +24,16 @@
 // Moves is a trial in which tenants are moved between cells again and again while they write and read, and while
 // members, drivers and the coordinator fail.
 type Moves struct {
-	Program string
-	Seed    uint64
-	Count   int // of moves that must have been done
-	Span    time.Duration
-	Faults  bool
-	Tenants int
-	Keys    int // of a tenant, each written by one client
-	Lease   time.Duration
-	Hold    time.Duration
-	Voters  int // of a council that coordinates; 0 for one coordinator without fellows
+	Program  string
+	Seed     uint64
+	MinMoves int // of moves that must have been done
+	Timeout  time.Duration
+	Faults   bool
+	Tenants  int
+	Keys     int // of a tenant, each written by one client
+	Lease    time.Duration
+	Hold     time.Duration
+	Voters   int // of a council that coordinates; 0 for one coordinator without fellows
 }
 
 const (
@@ -41,29 +41,29 @@
 	moveDrivers = 3
 )
 
-func (v *Moves) shape() emulator.Shape {
-	return emulator.Shape{Groups: moveCells, Members: 3, Cores: 4, Queue: 100, Service: int64(2 * time.Millisecond), Spread: 0.5,
-		Lag: int64(15 * time.Millisecond), Behind: int64(30 * time.Millisecond), Seed: v.Seed, Cold: 0.2, Warm: int64(4 * time.Second),
-		Topple: 2, Grace: int64(3 * time.Second)}
+func (v *Moves) shape() emulator.Config {
+	return emulator.Config{Groups: moveCells, Members: 3, Cores: 4, QueueLimit: 100, ServiceTime: int64(2 * time.Millisecond), ServiceSigma: 0.5,
+		ReplicaLag: int64(15 * time.Millisecond), FillLag: int64(30 * time.Millisecond), Seed: v.Seed, ColdCapacity: 0.2, WarmUpTime: int64(4 * time.Second),
+		OverloadFactor: 2, DrainGrace: int64(3 * time.Second)}
 }
 
 // MovesResult is what a trial of moves showed.
 type MovesResult struct {
-	Done, Undone, Asked int
-	Refused             int // moves that the coordinator did not begin
-	RPCs                map[sockets.Fate]int
-	Writes, Kept        int           // acknowledged, and those checked to be in the cell where their tenant was in the end
-	Held50, Held99      time.Duration // for which moves that were done held their tenant's writes
-	Wrote50, Wrote99    time.Duration // that served writes took
-	PushedBack          float64       // share of the writes
-	Faults              map[string]int
-	Turned              map[string]int64 // RPCs by why the gates of drivers turned them away, since their last start
-	Lapsed              int64            // call-outs and answers that gates gave up, since then
-	Breaches            []emulator.Breach
-	Unexplained         int           // RPCs without an answer at drivers that had no trouble
-	Leaders             int           // that coordinated one after another
-	Stood50, Stood99    time.Duration // from one step of any move to the next while moves were under way
-	StoodMost           time.Duration
+	Done, RolledBack, Requested int
+	Rejected                    int // moves that the coordinator did not begin
+	RPCs                        map[sockets.Outcome]int
+	Writes, FoundWrites         int           // acknowledged, and those checked to be in the cell where their tenant was in the end
+	HoldP50, HoldP99            time.Duration // for which moves that were done held their tenant's writes
+	WriteP50, WriteP99          time.Duration // that served writes took
+	RejectedShare               float64       // share of the writes
+	Faults                      map[string]int
+	GateRejections              map[string]int64 // RPCs by why the gates of drivers turned them away, since their last start
+	GateFenced                  int64            // call-outs and answers that gates gave up, since then
+	Violations                  []emulator.Violation
+	Unexplained                 int           // RPCs without an answer at drivers that had no trouble
+	Leaders                     int           // that coordinated one after another
+	StepGapP50, StepGapP99      time.Duration // from one step of any move to the next while moves were under way
+	StepGapMax                  time.Duration
 }
 
 // moving is a trial at work.
@@ -107,7 +107,7 @@
 		fmt.Fprintf(&b, "    here: true\n    journal: \"%s\"\n", v.journal)
 	}
 	if i < v.ahead() {
-		fmt.Fprintf(&b, "    fill_hook: \"%s\"\n", v.n.Fleet.FillHook())
+		fmt.Fprintf(&b, "    fill_hook: \"%s\"\n", v.n.Fleet.FillHookURL())
 	}
 	b.WriteString("  }\n}\n")
 	if v.council != nil {
@@ -118,7 +118,7 @@
 
 // Run plays the trial.
 func (v *Moves) Run(ctx context.Context) (*MovesResult, error) {
-	m := &moving{Moves: v, epochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, Turned: map[string]int64{}}}
+	m := &moving{Moves: v, epochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, GateRejections: map[string]int64{}}}
 	m.players = newPlayers(v.Seed, func() *sockets.Driver { return m.n.Drivers[v.ahead()+m.chance.intN(moveDrivers)] })
 	drivers := v.ahead() + moveDrivers
 	at, err := sockets.FreeAddresses(v.ahead() + drivers)
@@ -132,7 +132,7 @@
 		}
 		defer m.council.net.Close()
 	}
-	n, err := Open(ctx, v.Program, v.shape(), drivers, func(n *Night, i int) string {
+	n, err := StartCluster(ctx, v.Program, v.shape(), drivers, func(n *Cluster, i int) string {
 		m.n, m.journal = n, filepath.Join(n.dir, "cells.journal")
 		if m.council != nil {
 			m.council.dir = n.dir
@@ -175,7 +175,7 @@
 // and some sent back while they settle.
 func (m *moving) move(ctx context.Context) error {
 	c := membership.NewClient(m.at...)
-	deadline := time.Now().Add(m.Span)
+	deadline := time.Now().Add(m.Timeout)
 	for {
 		state, err := c.State(ctx)
 		if err == nil {
@@ -185,12 +185,12 @@
 		done := m.result.Done
 		m.mu.Unlock()
 		switch {
-		case done >= m.Count:
+		case done >= m.MinMoves:
 			return nil
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case time.Now().After(deadline):
-			return fmt.Errorf("only %d of %d moves were done in %v (%d undone)", done, m.Count, m.Span, m.result.Undone)
+			return fmt.Errorf("only %d of %d moves were done in %v (%d undone)", done, m.MinMoves, m.Timeout, m.result.RolledBack)
 		}
 		if len(movingOf(state)) < max(1, m.Tenants/2) {
 			m.ask(ctx, c)
@@ -221,9 +221,9 @@
 		to := fmt.Sprintf("c%d", m.chance.intN(moveCells))
 		err := c.Move(ctx, []membership.MoveRequest{{Tenant: t, To: to, Reason: "trial"}})
 		m.mu.Lock()
-		m.result.Asked++
+		m.result.Requested++
 		if err != nil {
-			m.result.Refused++
+			m.result.Rejected++
 		}
 		m.mu.Unlock()
 	}
@@ -256,7 +256,7 @@
 			m.result.Done++
 			m.holds = append(m.holds, float64(e.DecidedAt-e.HoldStartedAt)/1e9)
 		case cells.StageRollingBack:
-			m.result.Undone++
+			m.result.RolledBack++
 		}
 	}
 }
@@ -286,38 +286,38 @@
 		fmt.Sscanf(e.Cell, "c%d", &cell)
 		groups[string(e.Tenant)] = cell + 1
 	}
-	m.n.Fleet.Model(func(_ int64, f *emulator.Fleet) {
-		r.Writes = m.n.Fleet.Settle(f, func(key string) int64 {
+	m.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
+		r.Writes = m.n.Fleet.CheckAcknowledged(f, func(key string) int64 {
 			if g, moved := groups[emulator.TenantOf(key)]; moved {
 				return g
 			}
 			return hashedGroup(moveCells, key)
 		})
 	})
-	r.Breaches = m.n.Fleet.Breaches()
-	r.Kept = r.Writes
-	for _, b := range r.Breaches {
-		if b.Rule == emulator.RuleLost {
-			r.Kept--
+	r.Violations = m.n.Fleet.Violations()
+	r.FoundWrites = r.Writes
+	for _, b := range r.Violations {
+		if b.Rule == emulator.RuleLostWrite {
+			r.FoundWrites--
 		}
 	}
-	r.Held50, r.Held99 = quantiles(m.holds)
-	r.Stood50, r.Stood99 = quantiles(m.stands)
+	r.HoldP50, r.HoldP99 = quantiles(m.holds)
+	r.StepGapP50, r.StepGapP99 = quantiles(m.stands)
 	for _, stood := range m.stands {
-		r.StoodMost = max(r.StoodMost, time.Duration(stood*float64(time.Second)))
+		r.StepGapMax = max(r.StepGapMax, time.Duration(stood*float64(time.Second)))
 	}
-	r.Wrote50, r.Wrote99 = quantiles(m.waits)
+	r.WriteP50, r.WriteP99 = quantiles(m.waits)
 	r.RPCs, r.Unexplained = m.rpcs, m.unexplained
 	for _, address := range m.admins {
 		var f cells.Stats
 		if admin.NewCellsClient(address).Call(context.Background(), "list", admin.Query{}, &f) == nil {
 			for why, n := range f.Rejected {
-				r.Turned[why] += n
+				r.GateRejections[why] += n
 			}
-			r.Lapsed += f.Fenced
+			r.GateFenced += f.Fenced
 		}
 	}
-	r.PushedBack = float64(m.turned) / float64(max(1, m.writes))
+	r.RejectedShare = float64(m.turned) / float64(max(1, m.writes))
 	m.befell(r.Faults)
 	if m.council != nil {
 		m.council.befell(r.Faults)
@@ -352,7 +352,7 @@
 	driver := m.some
 	some := func(do func(id emulator.MemberID, f *emulator.Fleet, now int64)) {
 		id := emulator.MemberID(m.chance.intN(members))
-		m.n.Fleet.Model(func(now int64, f *emulator.Fleet) { do(id, f, now) })
+		m.n.Fleet.WithModel(func(now int64, f *emulator.Fleet) { do(id, f, now) })
 	}
 	return append(m.coordinators(), []fault{
 		{"a driver stands still", 4 * time.Second, func(ctx context.Context) {
@@ -363,24 +363,26 @@
 		}},
 		{"a member loses its answers", 2 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.Mute(at, true) })
+			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetReplyLoss(at, true) })
 			relays.Sleep(ctx, 300*time.Millisecond)
-			m.n.Fleet.Model(func(_ int64, f *emulator.Fleet) { f.Mute(id, false) })
+			m.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetReplyLoss(id, false) })
 		}},
 		{"a member is ten times as slow", 3 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.Slow(at, 10) })
+			some(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetSlowdown(at, 10) })
 			relays.Sleep(ctx, time.Second)
-			m.n.Fleet.Model(func(_ int64, f *emulator.Fleet) { f.Slow(id, 1) })
+			m.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetSlowdown(id, 1) })
 		}},
 		{"a member stands still", 2 * time.Second, func(ctx context.Context) {
-			some(func(at emulator.MemberID, f *emulator.Fleet, now int64) { f.Pause(at, now+int64(500*time.Millisecond)) })
+			some(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
+				f.PauseUntil(at, now+int64(500*time.Millisecond))
+			})
 		}},
 		{"a replica drains and serves again", 4 * time.Second, func(ctx context.Context) {
 			id := emulator.MemberID(m.chance.intN(moveCells)*m.shape().Members + 1) // never both of a group
-			m.n.Fleet.Drain(id, true)
+			m.n.Fleet.SetDraining(id, true)
 			relays.Sleep(ctx, m.drained())
-			m.n.Fleet.Drain(id, false)
+			m.n.Fleet.SetDraining(id, false)
 		}},
 		{"a member starts anew and is cold", 4 * time.Second, func(ctx context.Context) {
 			m.n.Fleet.Restart(emulator.MemberID(m.chance.intN(members)))
@@ -389,10 +391,10 @@
 			var id emulator.MemberID
 			some(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
 				id = at
-				f.LagBy(now, at, int64(2*time.Second))
+				f.SetLag(now, at, int64(2*time.Second))
 			})
 			relays.Sleep(ctx, time.Second)
-			m.n.Fleet.Model(func(now int64, f *emulator.Fleet) { f.LagBy(now, id, f.Shape.Lag) })
+			m.n.Fleet.WithModel(func(now int64, f *emulator.Fleet) { f.SetLag(now, id, f.Config.ReplicaLag) })
 		}},
 	}...)
 }
@@ -421,42 +423,42 @@
 func (m *moving) leading() int { return leading(m.at, m.chance) }
 
 // drained is how long a member drains: longer than what may still be sent to it.
-func (m *moving) drained() time.Duration { return time.Duration(m.shape().Grace) + 2*time.Second }
+func (m *moving) drained() time.Duration { return time.Duration(m.shape().DrainGrace) + 2*time.Second }
 
 // Table is what a trial showed, in Markdown.
 func (r *MovesResult) Table() string {
 	rows := [][]string{
-		{"moves asked for, refused", fmt.Sprintf("%d, %d", r.Asked, r.Refused)},
-		{"moves done, undone", fmt.Sprintf("%d, %d", r.Done, r.Undone)},
+		{"moves asked for, refused", fmt.Sprintf("%d, %d", r.Requested, r.Rejected)},
+		{"moves done, undone", fmt.Sprintf("%d, %d", r.Done, r.RolledBack)},
 		{"RPCs served, pushed back, aborted, no answer, connection broken, no driver", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
-			r.RPCs[sockets.Served], r.RPCs[sockets.PushedBack], r.RPCs[sockets.Aborted], r.RPCs[sockets.Unanswered],
-			r.RPCs[sockets.Broken], r.RPCs[sockets.NoDriver])},
+			r.RPCs[sockets.Served], r.RPCs[sockets.Rejected], r.RPCs[sockets.Aborted], r.RPCs[sockets.TimedOut],
+			r.RPCs[sockets.ConnectionLost], r.RPCs[sockets.ConnectFailed])},
 		{"of those without an answer, at drivers in no trouble", fmt.Sprint(r.Unexplained)},
-		{"acknowledged writes, found in the last cell", fmt.Sprintf("%d, %d", r.Writes, r.Kept)},
-		{"writes held by a move that was done, p50 and p99", fmt.Sprintf("%v, %v", r.Held50.Round(time.Millisecond), r.Held99.Round(time.Millisecond))},
-		{"time of a served write, p50 and p99", fmt.Sprintf("%v, %v", r.Wrote50.Round(time.Millisecond), r.Wrote99.Round(time.Millisecond))},
-		{"share of writes pushed back", fmt.Sprintf("%.4f", r.PushedBack)},
-		{"from one step of a move to the next, p50, p99 and most", fmt.Sprintf("%v, %v, %v", r.Stood50.Round(time.Millisecond),
-			r.Stood99.Round(time.Millisecond), r.StoodMost.Round(time.Millisecond))},
+		{"acknowledged writes, found in the last cell", fmt.Sprintf("%d, %d", r.Writes, r.FoundWrites)},
+		{"writes held by a move that was done, p50 and p99", fmt.Sprintf("%v, %v", r.HoldP50.Round(time.Millisecond), r.HoldP99.Round(time.Millisecond))},
+		{"time of a served write, p50 and p99", fmt.Sprintf("%v, %v", r.WriteP50.Round(time.Millisecond), r.WriteP99.Round(time.Millisecond))},
+		{"share of writes pushed back", fmt.Sprintf("%.4f", r.RejectedShare)},
+		{"from one step of a move to the next, p50, p99 and most", fmt.Sprintf("%v, %v, %v", r.StepGapP50.Round(time.Millisecond),
+			r.StepGapP99.Round(time.Millisecond), r.StepGapMax.Round(time.Millisecond))},
 	}
 	if r.Leaders > 1 {
 		rows = append(rows, []string{"leaders that coordinated one after another, as seen", fmt.Sprint(r.Leaders)})
 	}
 	for w := cells.ReasonDriverFull; w <= cells.ReasonUnknownCell; w++ {
-		rows = append(rows, []string{"turned away by gates: " + w.String(), fmt.Sprint(r.Turned[w.String()])})
+		rows = append(rows, []string{"turned away by gates: " + w.String(), fmt.Sprint(r.GateRejections[w.String()])})
 	}
-	rows = append(rows, []string{"call-outs and answers given up by gates", fmt.Sprint(r.Lapsed)})
-	rows = append(rows, breachRows(r.Breaches)...)
+	rows = append(rows, []string{"call-outs and answers given up by gates", fmt.Sprint(r.GateFenced)})
+	rows = append(rows, breachRows(r.Violations)...)
 	return table([]string{"what", "figure"}, append(rows, faultRows(r.Faults)...))
 }
 
 // breachRows counts breaches by rule.
-func breachRows(breaches []emulator.Breach) (rows [][]string) {
+func breachRows(breaches []emulator.Violation) (rows [][]string) {
 	count := map[string]int{}
 	for _, b := range breaches {
 		count[b.Rule]++
 	}
-	for _, rule := range emulator.Rules() {
+	for _, rule := range emulator.AllRules() {
 		rows = append(rows, []string{"breaches: " + rule, fmt.Sprint(count[rule])})
 	}
 	return rows
--- a/internal/emulator/trials/players.go
+++ b/internal/emulator/trials/players.go
@@ -15,7 +15,7 @@
 
 // players are clients that each write and read one key, one RPC after another, each at some driver.
 type players struct {
-	n      *Night
+	n      *Cluster
 	chance *locked
 	some   func() *sockets.Driver // one that takes clients
 	pause  time.Duration          // of one client between its RPCs, in the mean
@@ -24,7 +24,7 @@
 	stop   atomic.Bool
 
 	counts      sync.Mutex
-	rpcs        map[sockets.Fate]int
+	rpcs        map[sockets.Outcome]int
 	waits       []float64 // seconds that served writes took
 	writes      int
 	turned      int // writes that were pushed back
@@ -35,7 +35,7 @@
 const usualPause = 60 * time.Millisecond
 
 func newPlayers(seed uint64, some func() *sockets.Driver) *players {
-	return &players{chance: &locked{rng: rand.New(rand.NewPCG(seed, 7))}, some: some, pause: usualPause, rpcs: map[sockets.Fate]int{}, faults: map[string]int{}}
+	return &players{chance: &locked{rng: rand.New(rand.NewPCG(seed, 7))}, some: some, pause: usualPause, rpcs: map[sockets.Outcome]int{}, faults: map[string]int{}}
 }
 
 // play starts a client for each key of some tenants.
@@ -58,20 +58,20 @@
 func (p *players) client(ctx context.Context, key string) {
 	for due := time.Now(); !p.stop.Load() && ctx.Err() == nil; {
 		d := p.some()
-		known, position := p.n.Fleet.Known(key)
-		rpc := sockets.RPC{Method: own.Name, Key: key, Group: 1, Give: own.Give, After: position}
+		known, position := p.n.Fleet.LastAcknowledged(key)
+		rpc := sockets.RPC{Method: own.Name, Key: key, Group: 1, Timeout: own.Timeout, MinPosition: position}
 		write := p.chance.intN(2) == 0
 		if write {
-			rpc = sockets.RPC{Method: move.Name, Key: key, Write: true, Group: 1, Give: move.Give}
+			rpc = sockets.RPC{Method: move.Name, Key: key, Write: true, Group: 1, Timeout: move.Timeout}
 		}
 		begun := time.Now()
-		r := p.n.Clients.Ask(ctx, d.Address, rpc)
-		if r.Fate == sockets.Served && !write {
+		r := p.n.Clients.Call(ctx, d.Address, rpc)
+		if r.Outcome == sockets.Served && !write {
 			p.n.Fleet.Read(r.ID, key, r.Value, known)
 		}
 		p.count(d, r, begun, write)
-		if r.Fate == sockets.PushedBack {
-			time.Sleep(r.ComeBack)
+		if r.Outcome == sockets.Rejected {
+			time.Sleep(r.RetryAfter)
 		}
 		if p.every == 0 {
 			time.Sleep(time.Duration(float64(p.pause) * (0.5 + p.chance.float())))
@@ -87,19 +87,19 @@
 func (p *players) count(d *sockets.Driver, r sockets.Reply, begun time.Time, write bool) {
 	p.counts.Lock()
 	defer p.counts.Unlock()
-	p.rpcs[r.Fate]++
+	p.rpcs[r.Outcome]++
 	if write {
 		p.writes++
-		if r.Fate == sockets.PushedBack {
+		if r.Outcome == sockets.Rejected {
 			p.turned++
 		}
-		if r.Fate == sockets.Served {
-			p.waits = append(p.waits, r.Took.Seconds())
+		if r.Outcome == sockets.Served {
+			p.waits = append(p.waits, r.Latency.Seconds())
 		}
 	}
-	if r.Fate >= sockets.Unanswered && r.Fate != sockets.NoDriver && !d.Troubled(begun.Add(-trouble)) && !p.stop.Load() {
+	if r.Outcome >= sockets.TimedOut && r.Outcome != sockets.ConnectFailed && !d.DisruptedSince(begun.Add(-trouble)) && !p.stop.Load() {
 		p.unexplained++
-		p.n.Fleet.Unanswered(r.ID)
+		p.n.Fleet.RecordNoAnswer(r.ID)
 	}
 }
 
@@ -147,7 +147,7 @@
 }
 
 // logs are the last lines of all drivers.
-func (n *Night) logs() (logs string) {
+func (n *Cluster) logs() (logs string) {
 	for _, d := range n.Drivers {
 		all := strings.Split(strings.TrimSpace(d.Log()), "\n")
 		logs += d.Name + ":\n" + strings.Join(all[max(0, len(all)-12):], "\n") + "\n"
--- a/internal/emulator/trials/trials.go
+++ b/internal/emulator/trials/trials.go
@@ -19,23 +19,23 @@
 
 // Methods of the trials: a player's move, a look at the own moves, and the archive.
 var (
-	move    = sockets.Method{Name: "put", Effect: "once", Level: "update", Soft: 400 * time.Millisecond, Give: 2 * time.Second, Utility: 5, Late: 0.3}
-	own     = sockets.Method{Name: "get-own", Effect: "repeatable", Level: "own_writes", Soft: 400 * time.Millisecond, Give: 2 * time.Second, Utility: 2, Late: 0.3}
-	archive = sockets.Method{Name: "archive", Effect: "repeatable", Level: "loose", Soft: 800 * time.Millisecond, Give: 2 * time.Second, Utility: 1, Late: 0.5}
+	move    = sockets.Method{Name: "put", Effect: "once", ReadLevel: "update", SoftDeadline: 400 * time.Millisecond, Timeout: 2 * time.Second, Utility: 5, LateShare: 0.3}
+	own     = sockets.Method{Name: "get-own", Effect: "repeatable", ReadLevel: "own_writes", SoftDeadline: 400 * time.Millisecond, Timeout: 2 * time.Second, Utility: 2, LateShare: 0.3}
+	archive = sockets.Method{Name: "archive", Effect: "repeatable", ReadLevel: "loose", SoftDeadline: 800 * time.Millisecond, Timeout: 2 * time.Second, Utility: 1, LateShare: 0.5}
 	methods = []sockets.Method{move, own, archive}
 )
 
-// Night is a fleet with drivers and clients, for one side of a trial.
-type Night struct {
+// Cluster is a fleet with drivers and clients, for one side of a trial.
+type Cluster struct {
 	Fleet   *sockets.Fleet
 	Drivers []*sockets.Driver
 	Clients *sockets.Clients
 	dir     string
 }
 
-// Open starts a night. The operator's text of a driver is empty for none.
-func Open(ctx context.Context, program string, s emulator.Shape, drivers int, text func(n *Night, i int) string) (*Night, error) {
-	n := &Night{}
+// StartCluster starts a night. The operator's text of a driver is empty for none.
+func StartCluster(ctx context.Context, program string, s emulator.Config, drivers int, text func(n *Cluster, i int) string) (*Cluster, error) {
+	n := &Cluster{}
 	if err := n.open(ctx, program, s, drivers, text); err != nil {
 		n.Close()
 		return nil, err
@@ -43,15 +43,15 @@
 	return n, nil
 }
 
-func (n *Night) open(ctx context.Context, program string, s emulator.Shape, drivers int, text func(n *Night, i int) string) (err error) {
+func (n *Cluster) open(ctx context.Context, program string, s emulator.Config, drivers int, text func(n *Cluster, i int) string) (err error) {
 	if n.dir, err = os.MkdirTemp("", "sedgespread-trial"); err != nil {
 		return err
 	}
 	if n.Fleet, err = sockets.Start(s); err != nil {
 		return err
 	}
-	n.Clients = n.Fleet.Clients()
-	n.Drivers, err = n.Fleet.Drivers(program, n.dir, drivers, methods, func(i int) string { return text(n, i) })
+	n.Clients = n.Fleet.NewClients()
+	n.Drivers, err = n.Fleet.NewDrivers(program, n.dir, drivers, methods, func(i int) string { return text(n, i) })
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 }
 
 // Close ends a night.
-func (n *Night) Close() {
+func (n *Cluster) Close() {
 	for _, d := range n.Drivers {
 		d.Continue()
 		d.Kill()
@@ -78,24 +78,24 @@
 	mu      sync.Mutex
 	offered float64 // utility
 	got     float64
-	fates   map[sockets.Fate]int
+	fates   map[sockets.Outcome]int
 	rpcs    int
 }
 
-func newTally() *tally { return &tally{fates: map[sockets.Fate]int{}} }
+func newTally() *tally { return &tally{fates: map[sockets.Outcome]int{}} }
 
 func (t *tally) add(m *sockets.Method, r sockets.Reply, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rpcs++
 	t.offered += m.Utility
-	t.fates[r.Fate]++
+	t.fates[r.Outcome]++
 	switch {
-	case r.Fate != sockets.Served:
-	case took <= m.Soft:
+	case r.Outcome != sockets.Served:
+	case took <= m.SoftDeadline:
 		t.got += m.Utility
 	default:
-		t.got += m.Utility * m.Late
+		t.got += m.Utility * m.LateShare
 	}
 }
 
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -23,51 +23,51 @@
 // the council fail, and drivers and voters stand still, are killed, or have a twin. Whether anybody acted on a version
 // after it was closed is judged by the call-outs that members got.
 type Versions struct {
-	Program string
-	Seed    uint64
-	Count   int // of versions that must have been closed
-	Span    time.Duration
-	Faults  bool
-	Drivers int // the first Voters of them vote
-	Voters  int
-	Lease   time.Duration
-	Tenants int
-	Keys    int
-	Trial   time.Duration // if not 0 all versions are sound and tried by canaries for so long
-	Undone  int           // of versions that must have been withdrawn
-	Fences  bool          // members turn away what comes under a version that is over
-	Gossip  bool          // drivers hear of one another
-	Crash   bool          // a version is proposed that ends whatever process is to act on it
-	OldDisk bool          // in each round a voter's disk is put back as it was a version before
-	Rate    int           // of RPCs a second in all; 0 leaves it to how fast clients and machine are
-	CutOff  bool          // in each round one driver, at which most clients are, is cut off from the council as a version is proposed
-	CutFor  int           // for so many leases, 0 for three
+	Program      string
+	Seed         uint64
+	MinClosed    int // of versions that must have been closed
+	Timeout      time.Duration
+	Faults       bool
+	Drivers      int // the first Voters of them vote
+	Voters       int
+	Lease        time.Duration
+	Tenants      int
+	Keys         int
+	CanaryTrial  time.Duration // if not 0 all versions are sound and tried by canaries for so long
+	MinWithdrawn int           // of versions that must have been withdrawn
+	RejectFenced bool          // members turn away what comes under a version that is over
+	Gossip       bool          // drivers hear of one another
+	Crash        bool          // a version is proposed that ends whatever process is to act on it
+	OldDisk      bool          // in each round a voter's disk is put back as it was a version before
+	Rate         int           // of RPCs a second in all; 0 leaves it to how fast clients and machine are
+	CutOff       bool          // in each round one driver, at which most clients are, is cut off from the council as a version is proposed
+	CutOffLeases int           // for so many leases, 0 for three
 }
 
 // VersionsResult is what a trial of versions showed.
 type VersionsResult struct {
-	Proposed, Refused        int // by the council
-	Closed, Withdrawn        int
-	Exclusive, Tried         int           // of those closed
-	Reasons                  []string      // why versions were withdrawn, or how canaries of those closed fared
-	Shut                     int           // drivers shut out, counted by record
-	CallOuts                 int           // that members got with a version
-	Turned                   int           // of those, that members turned away
-	Old                      int           // of the others, after it was closed
-	Latest                   time.Duration // that one of them came after the closing
-	Nearest                  time.Duration // from the last call-out under a version to its closing, the least over all
-	Took50, Took99, TookMost time.Duration // from the proposal to the moment from which nobody acts on an older one
-	RPCs                     map[sockets.Fate]int
-	Writes                   int
-	Unexplained              int
-	PushedBack               float64
-	Wrote50, Wrote99         time.Duration
-	Faults                   map[string]int
-	Breaches                 []emulator.Breach
-	Drivers                  []membership.DriverStatus
-	OldDisks, Accepted       int           // put back, and not refused
-	Noticed                  time.Duration // from the begin of a trial to its end by a canary that has failed
-	Audit                    AuditResult
+	Proposed, Rejected           int // by the council
+	Closed, Withdrawn            int
+	Exclusive, Canaried          int           // of those closed
+	Reasons                      []string      // why versions were withdrawn, or how canaries of those closed fared
+	ShutOut                      int           // drivers shut out, counted by record
+	Attempts                     int           // that members got with a version
+	RejectedAttempts             int           // of those, that members turned away
+	LateAttempts                 int           // of the others, after it was closed
+	MaxLateness                  time.Duration // that one of them came after the closing
+	MinCloseMargin               time.Duration // from the last call-out under a version to its closing, the least over all
+	CloseP50, CloseP99, CloseMax time.Duration // from the proposal to the moment from which nobody acts on an older one
+	RPCs                         map[sockets.Outcome]int
+	Writes                       int
+	Unexplained                  int
+	RejectedShare                float64
+	WriteP50, WriteP99           time.Duration
+	Faults                       map[string]int
+	Violations                   []emulator.Violation
+	Drivers                      []membership.DriverStatus
+	OldDisks, AcceptedOldDisks   int           // put back, and not refused
+	WithdrawDelay                time.Duration // from the begin of a trial to its end by a canary that has failed
+	Audit                        AuditResult
 }
 
 // changing is a trial at work.
@@ -87,10 +87,10 @@
 }
 
 // shape is a fleet that is never the bottleneck.
-func (v *Versions) shape() emulator.Shape {
-	return emulator.Shape{Groups: 2, Members: 3, Cores: 8, Queue: 200, Service: int64(2 * time.Millisecond), Spread: 0.5,
-		Lag: int64(15 * time.Millisecond), Behind: int64(30 * time.Millisecond), Seed: v.Seed, Cold: 0.2, Warm: int64(4 * time.Second),
-		Topple: 2, Grace: int64(3 * time.Second), Fences: v.Fences}
+func (v *Versions) shape() emulator.Config {
+	return emulator.Config{Groups: 2, Members: 3, Cores: 8, QueueLimit: 200, ServiceTime: int64(2 * time.Millisecond), ServiceSigma: 0.5,
+		ReplicaLag: int64(15 * time.Millisecond), FillLag: int64(30 * time.Millisecond), Seed: v.Seed, ColdCapacity: 0.2, WarmUpTime: int64(4 * time.Second),
+		OverloadFactor: 2, DrainGrace: int64(3 * time.Second), RejectFenced: v.RejectFenced}
 }
 
 // rulebook is the shared part of the operators' files, different for each n. A wrong one can be read, and no driver that
@@ -130,7 +130,7 @@
 
 // Run plays the trial.
 func (v *Versions) Run(ctx context.Context) (*VersionsResult, error) {
-	c := &changing{Versions: v, result: &VersionsResult{RPCs: map[sockets.Fate]int{}, Faults: map[string]int{}},
+	c := &changing{Versions: v, result: &VersionsResult{RPCs: map[sockets.Outcome]int{}, Faults: map[string]int{}},
 		seen: map[versions.Number]versions.Version{}, begun: map[versions.Number]time.Time{}, shut: map[string]bool{}}
 	c.players = newPlayers(v.Seed, func() *sockets.Driver {
 		if i := c.crowded.Load(); i > 0 && c.chance.intN(10) > 0 {
@@ -138,7 +138,7 @@
 		}
 		return c.n.Drivers[c.chance.intN(v.Drivers)]
 	})
-	if v.CutOff || v.Trial > 0 {
+	if v.CutOff || v.CanaryTrial > 0 {
 		c.pause = 5 * time.Millisecond
 	}
 	if v.Rate > 0 {
@@ -155,7 +155,7 @@
 		return nil, err
 	}
 	defer c.council.net.Close()
-	n, err := Open(ctx, v.Program, v.shape(), v.Drivers, func(n *Night, i int) string {
+	n, err := StartCluster(ctx, v.Program, v.shape(), v.Drivers, func(n *Cluster, i int) string {
 		c.council.dir = n.dir
 		return c.text(i)
 	})
@@ -165,7 +165,7 @@
 	defer n.Close()
 	c.n = n
 	for i, d := range n.Drivers {
-		if err := d.TwinBy(n.dir, c.text(max(i, v.Voters))); err != nil {
+		if err := d.ConfigureTwin(n.dir, c.text(max(i, v.Voters))); err != nil {
 			return nil, err
 		}
 	}
@@ -211,24 +211,24 @@
 	return []fault{
 		{"a driver stands still", 3 * time.Second, func(ctx context.Context) {
 			d := c.some()
-			d.Alone(func() { still(ctx, d, short()) })
+			d.RunExclusive(func() { still(ctx, d, short()) })
 		}},
 		{"a driver is killed and started again", 4 * time.Second, func(ctx context.Context) {
 			d := c.some()
-			d.Alone(func() { again(ctx, d, time.Duration(c.chance.float()*float64(c.Lease))) })
+			d.RunExclusive(func() { again(ctx, d, time.Duration(c.chance.float()*float64(c.Lease))) })
 		}},
 		{"the council's leader is killed and started again", 5 * time.Second, func(ctx context.Context) {
 			d := leader()
-			d.Alone(func() { again(ctx, d, 50*time.Millisecond) })
+			d.RunExclusive(func() { again(ctx, d, 50*time.Millisecond) })
 		}},
 		{"the council's leader stands still", 7 * time.Second, func(ctx context.Context) {
 			d := leader()
-			d.Alone(func() { still(ctx, d, short()) })
+			d.RunExclusive(func() { still(ctx, d, short()) })
 		}},
 		{"a driver has a twin", 9 * time.Second, func(ctx context.Context) {
 			d := follower()
-			d.Alone(func() {
-				end, err := d.Twin(ctx)
+			d.RunExclusive(func() {
+				end, err := d.StartTwin(ctx)
 				if err != nil {
 					return
 				}
@@ -239,16 +239,16 @@
 		}},
 		{"a driver starts with a wall clock minutes off", 8 * time.Second, func(ctx context.Context) {
 			d := follower()
-			d.Alone(func() {
-				d.Off(time.Duration((c.chance.float() - 0.5) * float64(10*time.Minute)))
+			d.RunExclusive(func() {
+				d.OffsetClock(time.Duration((c.chance.float() - 0.5) * float64(10*time.Minute)))
 				again(ctx, d, 0)
 			})
 		}},
 		{"two of the voters are cut off for longer than a lease", 17 * time.Second, func(ctx context.Context) {
 			var cut links.Timeline
 			for v := range 2 {
-				for _, way := range []links.Way{{From: driverName(v), To: "*"}, {From: "*", To: driverName(v)}} {
-					cut = append(cut, links.Event{What: links.Silent, Way: way, For: 3 * c.Lease / 2})
+				for _, way := range []links.Link{{From: driverName(v), To: "*"}, {From: "*", To: driverName(v)}} {
+					cut = append(cut, links.Event{Fault: links.Silent, Link: way, Duration: 3 * c.Lease / 2})
 				}
 			}
 			c.council.player.Play(ctx, cut)
@@ -270,8 +270,8 @@
 // plan draws how a version is to come.
 func (c *changing) plan() versions.Plan {
 	p := versions.Plan{AnnounceTimeout: int64(4 * c.Lease), AdoptTimeout: int64(4 * c.Lease), DrainTimeout: int64(6 * c.Lease), TrialTime: int64(100 * time.Millisecond)}
-	if c.Trial > 0 {
-		p.CanaryFraction, p.TrialTime = 0.2, int64(c.Trial)
+	if c.CanaryTrial > 0 {
+		p.CanaryFraction, p.TrialTime = 0.2, int64(c.CanaryTrial)
 		return p
 	}
 	switch c.chance.intN(3) {
@@ -286,7 +286,7 @@
 // change proposes versions one after another until enough are closed. Some are wrong, and some are called off.
 func (c *changing) change(ctx context.Context) error {
 	council := membership.NewClient(c.at...)
-	deadline := time.Now().Add(c.Span)
+	deadline := time.Now().Add(c.Timeout)
 	for n := 1; ; {
 		by, stop := context.WithTimeout(ctx, 2*time.Second)
 		f, err := council.FleetState(by)
@@ -295,7 +295,7 @@
 		}
 		p := c.plan()
 		switch {
-		case c.result.Closed >= c.Count && c.result.Withdrawn >= c.Undone:
+		case c.result.Closed >= c.MinClosed && c.result.Withdrawn >= c.MinWithdrawn:
 			stop()
 			return nil
 		case ctx.Err() != nil:
@@ -303,16 +303,16 @@
 			return ctx.Err()
 		case time.Now().After(deadline):
 			stop()
-			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.Count, c.Span, c.stands(&f))
+			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.MinClosed, c.Timeout, c.stands(&f))
 		case err == nil && !c.under(&f):
-			wrong := c.Trial == 0 && p.CanaryFraction > 0 && c.chance.intN(4) == 0
+			wrong := c.CanaryTrial == 0 && p.CanaryFraction > 0 && c.chance.intN(4) == 0
 			err := council.ChangeFleet(by, membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, wrong), Reason: "trial", Plan: p}})
 			n++
 			c.result.Proposed++
 			if err != nil {
-				c.result.Refused++
+				c.result.Rejected++
 			}
-		case err == nil && c.Trial == 0 && c.chance.intN(300) == 0:
+		case err == nil && c.CanaryTrial == 0 && c.chance.intN(300) == 0:
 			council.ChangeFleet(by, membership.FleetChange{Withdraw: routing.Rulebook, Reason: "trial"})
 		}
 		for _, d := range f.Drivers {
@@ -328,13 +328,13 @@
 // cutOff proposes one version after another, each while a driver can't be reached by the council for longer than its lease,
 // and waits until it is closed.
 func (c *changing) cutOff(ctx context.Context) error {
-	for n := 1; n <= c.Count; n++ {
+	for n := 1; n <= c.MinClosed; n++ {
 		alone := c.Voters + n%(c.Drivers-c.Voters)
 		c.crowded.Store(int64(alone))
 		cut := links.Timeline{}
 		for v := range c.Voters {
-			for _, way := range []links.Way{{From: driverName(alone), To: driverName(v)}, {From: driverName(v), To: driverName(alone)}} {
-				cut = append(cut, links.Event{What: links.Silent, Way: way, For: time.Duration(cmp.Or(c.CutFor, 3)) * c.Lease})
+			for _, way := range []links.Link{{From: driverName(alone), To: driverName(v)}, {From: driverName(v), To: driverName(alone)}} {
+				cut = append(cut, links.Event{Fault: links.Silent, Link: way, Duration: time.Duration(cmp.Or(c.CutOffLeases, 3)) * c.Lease})
 			}
 		}
 		played := make(chan error, 1)
@@ -357,7 +357,7 @@
 
 // closes proposes the n-th version and waits until it is closed.
 func (c *changing) closes(ctx context.Context, n int) (err error) {
-	council, deadline := membership.NewClient(c.at...), time.Now().Add(c.Span)
+	council, deadline := membership.NewClient(c.at...), time.Now().Add(c.Timeout)
 	p := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
 	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebook(n, false), Reason: "trial", Plan: p}}
 	for err = council.ChangeFleet(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.ChangeFleet(ctx, wish) {
@@ -373,7 +373,7 @@
 			c.watch(&f)
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("version %d was not closed in %v: %s", n, c.Span, c.stands(&f))
+			return fmt.Errorf("version %d was not closed in %v: %s", n, c.Timeout, c.stands(&f))
 		}
 	}
 	return nil
@@ -388,7 +388,7 @@
 		return err
 	}
 	var tried time.Time
-	for begun := time.Now(); time.Since(begun) < c.Span; time.Sleep(5 * time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < c.Timeout; time.Sleep(5 * time.Millisecond) {
 		f, err := council.FleetState(ctx)
 		all := f.Versions[routing.Rulebook]
 		if err != nil || len(all) == 0 {
@@ -399,11 +399,11 @@
 			tried = time.Now()
 		case last.Stage >= versions.StageRollingBack:
 			c.result.Reasons = append(c.result.Reasons, last.Reason)
-			c.result.Noticed = time.Since(tried)
+			c.result.WithdrawDelay = time.Since(tried)
 			return nil
 		}
 	}
-	return fmt.Errorf("a version that ends its canaries was not withdrawn in %v", c.Span)
+	return fmt.Errorf("a version that ends its canaries was not withdrawn in %v", c.Timeout)
 }
 
 // stands says how the newest version stands.
@@ -440,7 +440,7 @@
 				c.result.Exclusive++
 			}
 			if len(v.Canaries) > 0 {
-				c.result.Tried++
+				c.result.Canaried++
 				c.result.Reasons = append(c.result.Reasons, v.TrialResult)
 			}
 		}
@@ -454,7 +454,7 @@
 		key := fmt.Sprint(d.Name, d.Start, d.ChangedAt)
 		if d.State.String() == "shut out" && !c.shut[key] {
 			c.shut[key] = true
-			c.result.Shut++
+			c.result.ShutOut++
 		}
 	}
 }
@@ -495,18 +495,18 @@
 // finish judges by what members saw, and sums up.
 func (c *changing) finish() *VersionsResult {
 	r := c.result
-	r.Took50, r.Took99 = quantiles(c.took)
+	r.CloseP50, r.CloseP99 = quantiles(c.took)
 	for _, t := range c.took {
-		r.TookMost = max(r.TookMost, time.Duration(t*float64(time.Second)))
+		r.CloseMax = max(r.CloseMax, time.Duration(t*float64(time.Second)))
 	}
-	c.judge(c.n.Fleet.Fenced())
-	c.n.Fleet.Model(func(_ int64, f *emulator.Fleet) {
-		r.Writes = c.n.Fleet.Settle(f, func(key string) int64 { return c.group(key) })
+	c.judge(c.n.Fleet.FencedAttempts())
+	c.n.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
+		r.Writes = c.n.Fleet.CheckAcknowledged(f, func(key string) int64 { return c.group(key) })
 	})
-	r.Breaches = append(r.Breaches, c.n.Fleet.Breaches()...)
+	r.Violations = append(r.Violations, c.n.Fleet.Violations()...)
 	r.RPCs, r.Unexplained = c.rpcs, c.unexplained
-	r.PushedBack = float64(c.turned) / float64(max(1, c.writes))
-	r.Wrote50, r.Wrote99 = quantiles(c.waits)
+	r.RejectedShare = float64(c.turned) / float64(max(1, c.writes))
+	r.WriteP50, r.WriteP99 = quantiles(c.waits)
 	c.befell(r.Faults)
 	c.council.befell(r.Faults)
 	return r
@@ -519,29 +519,29 @@
 
 // judge looks for call-outs under a version that came after a newer one was closed, and for two versions at once that must
 // not overlap.
-func (c *changing) judge(fenced []emulator.UnderFence) {
+func (c *changing) judge(fenced []emulator.FencedAttempt) {
 	r := c.result
-	r.CallOuts, r.Nearest = len(fenced), time.Hour
-	fenced = slices.DeleteFunc(fenced, func(f emulator.UnderFence) bool { return f.Turned })
-	r.Turned = r.CallOuts - len(fenced)
-	slices.SortFunc(fenced, func(a, b emulator.UnderFence) int { return int(a.At - b.At) })
+	r.Attempts, r.MinCloseMargin = len(fenced), time.Hour
+	fenced = slices.DeleteFunc(fenced, func(f emulator.FencedAttempt) bool { return f.Rejected })
+	r.RejectedAttempts = r.Attempts - len(fenced)
+	slices.SortFunc(fenced, func(a, b emulator.FencedAttempt) int { return int(a.At - b.At) })
 	newest := uint64(0)
 	for _, f := range fenced {
 		for _, v := range c.seen {
 			if v.Stage == versions.StageCompleted && uint64(v.Number) > f.Fence {
 				if gap := time.Duration(v.CompletedAt - f.At); gap < 0 {
-					r.Old++
-					r.Latest = max(r.Latest, -gap)
-					r.Breaches = append(r.Breaches, emulator.Breach{Rule: emulator.RuleVersion, RPC: f.RPC,
-						What: fmt.Sprintf("a call-out under version %d came %v after version %d was closed", f.Fence, -gap, v.Number)})
+					r.LateAttempts++
+					r.MaxLateness = max(r.MaxLateness, -gap)
+					r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleClosedVersion, RPC: f.RPC,
+						Detail: fmt.Sprintf("a call-out under version %d came %v after version %d was closed", f.Fence, -gap, v.Number)})
 				} else if uint64(v.Base) == f.Fence {
-					r.Nearest = min(r.Nearest, gap)
+					r.MinCloseMargin = min(r.MinCloseMargin, gap)
 				}
 			}
 		}
 		if f.Fence < newest && c.seen[versions.Number(newest)].Plan.Exclusive {
-			r.Breaches = append(r.Breaches, emulator.Breach{Rule: emulator.RuleOverlap, RPC: f.RPC,
-				What: fmt.Sprintf("a call-out under version %d came after one under %d, which must not overlap", f.Fence, newest)})
+			r.Violations = append(r.Violations, emulator.Violation{Rule: emulator.RuleVersionOverlap, RPC: f.RPC,
+				Detail: fmt.Sprintf("a call-out under version %d came after one under %d, which must not overlap", f.Fence, newest)})
 		}
 		newest = max(newest, f.Fence)
 	}
@@ -551,34 +551,34 @@
 func (r *VersionsResult) Table() string {
 	ms := func(d time.Duration) string { return d.Round(time.Millisecond).String() }
 	rows := [][]string{
-		{"versions proposed, refused", fmt.Sprintf("%d, %d", r.Proposed, r.Refused)},
-		{"versions closed, of them exclusive, tried by canaries first", fmt.Sprintf("%d, %d, %d", r.Closed, r.Exclusive, r.Tried)},
+		{"versions proposed, refused", fmt.Sprintf("%d, %d", r.Proposed, r.Rejected)},
+		{"versions closed, of them exclusive, tried by canaries first", fmt.Sprintf("%d, %d, %d", r.Closed, r.Exclusive, r.Canaried)},
 		{"versions withdrawn", fmt.Sprint(r.Withdrawn)},
-		{"drivers shut out", fmt.Sprint(r.Shut)},
-		{"call-outs that members got with a version", fmt.Sprint(r.CallOuts)},
-		{"of those, turned away by members that fence", fmt.Sprint(r.Turned)},
-		{"taken by members under a version after a newer one was closed (bound: 0)", fmt.Sprint(r.Old)},
-		{"the latest of those, after the closing", ms(r.Latest)},
-		{"nearest that a version's last call-out came to the next one's closing", ms(r.Nearest)},
-		{"from proposal to closing, p50, p99 and most", fmt.Sprintf("%s, %s, %s", ms(r.Took50), ms(r.Took99), ms(r.TookMost))},
+		{"drivers shut out", fmt.Sprint(r.ShutOut)},
+		{"call-outs that members got with a version", fmt.Sprint(r.Attempts)},
+		{"of those, turned away by members that fence", fmt.Sprint(r.RejectedAttempts)},
+		{"taken by members under a version after a newer one was closed (bound: 0)", fmt.Sprint(r.LateAttempts)},
+		{"the latest of those, after the closing", ms(r.MaxLateness)},
+		{"nearest that a version's last call-out came to the next one's closing", ms(r.MinCloseMargin)},
+		{"from proposal to closing, p50, p99 and most", fmt.Sprintf("%s, %s, %s", ms(r.CloseP50), ms(r.CloseP99), ms(r.CloseMax))},
 		{"RPCs served, pushed back, aborted, no answer, connection broken, no driver", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
-			r.RPCs[sockets.Served], r.RPCs[sockets.PushedBack], r.RPCs[sockets.Aborted], r.RPCs[sockets.Unanswered],
-			r.RPCs[sockets.Broken], r.RPCs[sockets.NoDriver])},
+			r.RPCs[sockets.Served], r.RPCs[sockets.Rejected], r.RPCs[sockets.Aborted], r.RPCs[sockets.TimedOut],
+			r.RPCs[sockets.ConnectionLost], r.RPCs[sockets.ConnectFailed])},
 		{"of those without an answer, at drivers in no trouble", fmt.Sprint(r.Unexplained)},
 		{"acknowledged writes", fmt.Sprint(r.Writes)},
-		{"time of a served write, p50 and p99", fmt.Sprintf("%s, %s", ms(r.Wrote50), ms(r.Wrote99))},
-		{"share of writes pushed back", fmt.Sprintf("%.4f", r.PushedBack)},
+		{"time of a served write, p50 and p99", fmt.Sprintf("%s, %s", ms(r.WriteP50), ms(r.WriteP99))},
+		{"share of writes pushed back", fmt.Sprintf("%.4f", r.RejectedShare)},
 	}
 	a := &r.Audit
 	rows = append(rows, [][]string{
-		{"audit: entries, faults in trails, spans of unknown time", fmt.Sprintf("%d, %d, %d", a.Entries, len(a.Faults), a.Spans)},
-		{"audit: acts that it finds under a version after a newer one was closed", fmt.Sprint(a.Late)},
+		{"audit: entries, faults in trails, spans of unknown time", fmt.Sprintf("%d, %d, %d", a.Entries, len(a.Faults), a.UnknownSpans)},
+		{"audit: acts that it finds under a version after a newer one was closed", fmt.Sprint(a.LateActs)},
 		{"audit: writes that members got; there at their version, counted there, at another, in unknown time, missing",
-			fmt.Sprintf("%d; %d, %d, %d, %d, %d", a.Writes, a.Right, a.Counted, a.Wrong, a.Unknown, a.Missing)},
+			fmt.Sprintf("%d; %d, %d, %d, %d, %d", a.Writes, a.Matched, a.Counted, a.WrongVersion, a.Unknown, a.Missing)},
 	}...)
 	for _, what := range slices.Concat(a.FirstMissing, a.FirstLate) {
 		rows = append(rows, []string{"audit: for instance", what})
 	}
-	rows = append(rows, breachRows(r.Breaches)...)
+	rows = append(rows, breachRows(r.Violations)...)
 	return table([]string{"what", "figure"}, append(rows, faultRows(r.Faults)...))
 }
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -207,11 +207,11 @@
 func (m *FleetServer) present() (all []versions.DriverStatus) {
 	now := m.now()
 	for _, d := range m.roster.Drivers() {
-		may := m.roster.MayAct(now, d.Name) && !planted.Is(planted.Straggler)
+		may := m.roster.MayAct(now, d.Name) && !planted.Active(planted.IgnoreStragglers)
 		all = append(all, versions.DriverStatus{Instance: sign(d), MayAct: may, IsVoter: d.IsVoter, IsUnreachable: m.silent[d.Name]})
 	}
 	for _, s := range m.roster.SupersededStarts(now) {
-		all = append(all, versions.DriverStatus{Instance: versions.Instance{Name: s.Name, Start: uint64(s.Start)}, MayAct: !planted.Is(planted.Straggler)})
+		all = append(all, versions.DriverStatus{Instance: versions.Instance{Name: s.Name, Start: uint64(s.Start)}, MayAct: !planted.Active(planted.IgnoreStragglers)})
 	}
 	return all
 }
--- a/internal/planted/none.go
+++ b/internal/planted/none.go
@@ -6,13 +6,13 @@
 
 // Names of faults.
 const (
-	Lease     = "lease"     // a driver holds its lease half too long; a tenth is within the time that an answer may wait
-	Straggler = "straggler" // versions are closed without those that have not said so
-	Audit     = "audit"     // every tenth single entry is left out of the trail
-	Crash     = "crash"     // a driver ends when it is to act on a version
-	OldDisk   = "old disk"  // a voter whose disk is old begins all the same
-	Harm      = "harm"      // every fourth RPC is pushed back under any version but the first
+	LongLease        = "lease"     // a driver holds its lease half too long; a tenth is within the time that an answer may wait
+	IgnoreStragglers = "straggler" // versions are closed without those that have not said so
+	DropAuditEntries = "audit"     // every tenth single entry is left out of the trail
+	CrashOnVersion   = "crash"     // a driver ends when it is to act on a version
+	AcceptOldDisk    = "old disk"  // a voter whose disk is old begins all the same
+	RejectRPCs       = "harm"      // every fourth RPC is pushed back under any version but the first
 )
 
-// Is tells whether this build has a fault.
-func Is(string) bool { return false }
+// Active tells whether this build has a fault.
+func Active(string) bool { return false }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -106,7 +106,7 @@
 	if adoption.Resource != routing.Rulebook {
 		return fmt.Errorf("this build does not know what %q is", adoption.Resource)
 	}
-	if planted.Is(planted.Crash) {
+	if planted.Active(planted.CrashOnVersion) {
 		os.Exit(3)
 	}
 	next, err := s.startConfig.WithRulebook(fmt.Sprintf("version %d of the rulebook", adoption.Number), adoption.Text)
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -89,7 +89,7 @@
 
 // harmed tells whether a planted fault ends the RPC.
 func (t *ActiveRPC) harmed() bool {
-	return planted.Is(planted.Harm) && t.pass.version > versions.InitialVersion && t.id%4 == 0
+	return planted.Active(planted.RejectRPCs) && t.pass.version > versions.InitialVersion && t.id%4 == 0
 }
 
 // may tells whether something more may be done for an RPC: its tenant is where it was, and its version is acted on. The
@@ -107,7 +107,7 @@
 		return
 	}
 	t.pass.version = 0
-	if t.r.trail != nil && !(planted.Is(planted.Audit) && t.id%10 == 0) {
+	if t.r.trail != nil && !(planted.Active(planted.DropAuditEntries) && t.id%10 == 0) {
 		t.r.trail.EndRPC(t.r.now(), Rulebook, n, t.name, t.pass.effect, t.pass.outcome, t.pass.acted)
 	}
 	if t.pass.until <= t.r.now() {
@@ -170,7 +170,7 @@
 func (r *Router) ApplyOrders(asked int64, g versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if planted.Is(planted.Lease) {
+	if planted.Active(planted.LongLease) {
 		g.Lease += g.Lease / 2
 	}
 	due := r.holder.ApplyGrant(asked, g)
