--- a/cmd/sedgespread/serve.go
+++ b/cmd/sedgespread/serve.go
@@ -24,7 +24,7 @@
 	defer stop()
 	reload := make(chan os.Signal, 1) // one pending signal is enough: files are read after it is received
 	signal.Notify(reload, syscall.SIGHUP)
-	settings, err := program.ReadPosting(func(name string) string {
+	settings, err := program.ReadConfig(func(name string) string {
 		if name == "GW_OPERATOR" {
 			return s.Operator
 		}
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	settings.Limit()
+	settings.ApplyLimits()
 	return program.Run(ctx, settings, reload, logger.WithField("driver", settings.Name))
 }
 
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -26,396 +26,405 @@
 	"sedgespread/internal/store"
 )
 
-// confinement is what the operator's file adds to a driver: cells, the coordinator where it is here, and the operator's
-// commands. Where there is no file there is none of it.
-type confinement struct {
-	p            *Program
-	chair        *membership.CoordinatorServer
-	journal      *store.Journal
-	chamber      *chamber.Server         // nil where this is no voter of a council
-	registration *membership.FleetServer // the fleet's machine there, nil for none
-	agent        *membership.FleetAgent  // nil where nothing has versions
-	ring         *gossip.Gossiper        // nil where drivers do not gossip
-	heed         sync.Once
-	origin       *operator.Config                // as this driver started
-	number       chan uint64                     // takes that of this start once it has one
-	heeds        chan struct{}                   // closed once it acts on versions, if it needs to
-	desk         net.Listener                    // for commands, nil for none
-	seat         net.Listener                    // for drivers and voters, nil for none
-	acted        atomic.Pointer[operator.Config] // what is acted on now
-	leased       chan struct{}                   // closed once it has had a lease, if it needs one
-	once         sync.Once
+// operatorServices is what the operator file adds to a driver: cells, the coordinator if this
+// instance runs it, and the admin commands.
+type operatorServices struct {
+	p             *Program
+	coordinator   *membership.CoordinatorServer
+	journal       *store.Journal
+	councilNode   *chamber.Server         // nil unless this instance is a council voter
+	fleetRegistry *membership.FleetServer // the fleet's replicated state machine; nil if there is none
+	agent         *membership.FleetAgent  // nil without a fleet
+	gossipRing    *gossip.Gossiper        // nil without gossip
+	versionsOnce  sync.Once
+	startConfig   *operator.Config                // at start-up
+	startNumber   chan uint64                     // receives the start number once the fleet assigns it
+	versionsReady chan struct{}                   // closed once a version lease is granted, or if none is needed
+	adminListener net.Listener                    // for admin commands; may be nil
+	peerListener  net.Listener                    // for drivers and voters; may be nil
+	current       atomic.Pointer[operator.Config] // in effect now
+	leaseReady    chan struct{}                   // closed once a cell lease is granted, or if none is needed
+	leaseOnce     sync.Once
 }
 
-// confine opens what the operator's file asks for. Nothing serves yet.
-func (p *Program) confine() (c *confinement, err error) {
-	o := p.posting.Orders
-	if o == nil {
+// openOperatorServices opens what the operator file configures. run starts serving.
+func (p *Program) openOperatorServices() (services *operatorServices, err error) {
+	config := p.config.OperatorConfig
+	if config == nil {
 		return nil, nil
 	}
-	c = &confinement{p: p, origin: o, leased: make(chan struct{}), heeds: make(chan struct{}),
-		number: make(chan uint64, 1)}
-	c.acted.Store(o)
-	if o.Cells.GetCoordination() == nil {
-		close(c.leased)
+	services = &operatorServices{p: p, startConfig: config,
+		leaseReady: make(chan struct{}), versionsReady: make(chan struct{}),
+		startNumber: make(chan uint64, 1)}
+	services.current.Store(config)
+	if config.Cells.GetCoordination() == nil {
+		close(services.leaseReady)
 	}
-	if o.Fleet == nil {
-		close(c.heeds)
+	if config.Fleet == nil {
+		close(services.versionsReady)
 	}
 	defer func() {
 		if err != nil {
-			c.close()
+			services.close()
 		}
 	}()
-	if o.Admin != nil {
-		if c.desk, err = c.open("admin.listen", o.Admin.Listen); err != nil {
+	if config.Admin != nil {
+		if services.adminListener, err = services.listen("admin.listen", config.Admin.Listen); err != nil {
 			return nil, err
 		}
 	}
-	if o.Cells != nil {
-		p.router.EnableAdmission(o.AdmissionController(p.descriptors.Limit() / roomShare))
-		p.lobby.crowded = p.router.MostOverConnectionShare
+	if config.Cells != nil {
+		p.router.EnableAdmission(config.AdmissionController(p.descriptors.Limit() / idleClientsDivisor))
+		p.idleClients.overusedCell = p.router.MostOverConnectionShare
 	}
-	if o.Fleet != nil {
-		if err = c.enlist(); err != nil {
+	if config.Fleet != nil {
+		if err = services.joinFleet(); err != nil {
 			return nil, err
 		}
 	}
-	if o.Council.GetId() != 0 {
-		return c, c.convene()
+	if config.Council.GetId() != 0 {
+		return services, services.openCouncil()
 	}
-	if o.Cells.GetCoordination().GetHere() {
-		return c, c.coordinate()
+	if config.Cells.GetCoordination().GetHere() {
+		return services, services.openCoordinator()
 	}
-	return c, nil
+	return services, nil
 }
 
-// orders is the file that is acted on now.
-func (c *confinement) orders() *operator.Config { return c.acted.Load() }
+// config returns the operator file that is in effect.
+func (s *operatorServices) config() *operator.Config { return s.current.Load() }
 
-// fill is how the store is asked to fill cells.
-func (c *confinement) fill() membership.FillFunc {
-	if hook := c.orders().Cells.GetCoordination().GetFillHook(); hook != "" {
+// cellFill returns the hook that asks the store to fill cells, or nil.
+func (s *operatorServices) cellFill() membership.FillFunc {
+	if hook := s.config().Cells.GetCoordination().GetFillHook(); hook != "" {
 		return membership.NewHTTPFill(hook)
 	}
 	return nil
 }
 
-// coordinate opens the coordinator that has no fellows.
-func (c *confinement) coordinate() (err error) {
-	o := c.orders()
-	k := o.Cells.Coordination
-	if c.journal, err = store.Open(k.Journal); err != nil {
-		return o.ErrorAt("cells.coordination.journal", err)
-	}
-	c.chair, err = membership.NewCoordinatorServer(o.Directory(), c.journal, millis(k.LeaseMs), millis(k.HoldMs), c.fill(), c.p.log)
+// openCoordinator opens a coordinator that runs on this instance alone.
+func (s *operatorServices) openCoordinator() (err error) {
+	config := s.config()
+	coordination := config.Cells.Coordination
+	if s.journal, err = store.Open(coordination.Journal); err != nil {
+		return config.ErrorAt("cells.coordination.journal", err)
+	}
+	s.coordinator, err = membership.NewCoordinatorServer(config.Directory(), s.journal, milliseconds(coordination.LeaseMs),
+		milliseconds(coordination.HoldMs), s.cellFill(), s.p.log)
 	if err != nil {
-		return o.ErrorAt("cells.coordination.journal", err)
+		return config.ErrorAt("cells.coordination.journal", err)
 	}
-	c.seat, err = c.open("cells.coordination.at", k.At)
+	s.peerListener, err = s.listen("cells.coordination.at", coordination.At)
 	return err
 }
 
-// Of a council's clocks: a voter that found no leader in so many ticks looks for one, and clocks run at the same rate but
-// for that part.
 const (
-	electionTicks = 10
-	clockDrift    = 0.01
+	electionTicks = 10   // without a leader, before a voter starts an election
+	clockDrift    = 0.01 // maximum relative difference between clock rates
 )
 
-// convene opens this instance's seat in the council.
-func (c *confinement) convene() (err error) {
-	o := c.orders()
-	k := o.Council
+// openCouncil opens this instance's council node and its replicated state machines.
+func (s *operatorServices) openCouncil() (err error) {
+	config := s.config()
+	councilConfig := config.Council
 	machines := map[string]chamber.StateMachine{}
-	if l := o.Cells.GetCoordination(); l != nil {
-		c.chair, err = membership.NewReplicatedCoordinatorServer(o.Directory(), millis(l.LeaseMs), millis(l.HoldMs), millis(k.ClockErrorMs), c.fill(), c.p.log)
+	if coordination := config.Cells.GetCoordination(); coordination != nil {
+		s.coordinator, err = membership.NewReplicatedCoordinatorServer(config.Directory(), milliseconds(coordination.LeaseMs),
+			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.p.log)
 		if err != nil {
-			return o.ErrorAt("cells", err)
+			return config.ErrorAt("cells", err)
 		}
-		machines[membership.CoordinatorStateMachineName] = c.chair.StateMachine()
-	}
-	if o.Fleet != nil {
-		c.registration = membership.NewFleetServer(membership.FleetConfig{Lease: millis(o.Fleet.LeaseMs), ForgetAfter: time.Duration(o.ForgetSeconds()) * time.Second,
-			MaxShutOutShare: o.Fleet.MostShutOut}, c.p.log)
-		machines[membership.FleetStateMachineName] = c.registration
-		if err := c.registration.OpenTrails(k.Disk + ".trails"); err != nil {
-			return o.ErrorAt("council.disk", err)
+		machines[membership.CoordinatorStateMachineName] = s.coordinator.StateMachine()
+	}
+	if config.Fleet != nil {
+		s.fleetRegistry = membership.NewFleetServer(membership.FleetConfig{Lease: milliseconds(config.Fleet.LeaseMs),
+			ForgetAfter:     time.Duration(config.ForgetSeconds()) * time.Second,
+			MaxShutOutShare: config.Fleet.MostShutOut}, s.p.log)
+		machines[membership.FleetStateMachineName] = s.fleetRegistry
+		if err := s.fleetRegistry.OpenTrails(councilConfig.Disk + ".trails"); err != nil {
+			return config.ErrorAt("council.disk", err)
 		}
 	}
 	peers := chamber.VoterAddresses{}
-	for _, v := range k.Voter {
-		peers[council.VoterID(v.Id)] = v.At
+	for _, voter := range councilConfig.Voter {
+		peers[council.VoterID(voter.Id)] = voter.At
 	}
-	pace := council.Timing{Tick: int64(millis(o.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
-	if c.chamber, err = chamber.Open(council.VoterID(k.Id), peers, k.Join, k.Disk, pace, machines, c.p.log); err != nil {
-		return o.ErrorAt("council.disk", err)
+	pace := council.Timing{Tick: int64(milliseconds(config.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
+	if s.councilNode, err = chamber.Open(council.VoterID(councilConfig.Id), peers, councilConfig.Join,
+		councilConfig.Disk, pace, machines, s.p.log); err != nil {
+		return config.ErrorAt("council.disk", err)
 	}
-	if c.chair != nil {
-		c.chair.AttachCouncil(c.chamber)
+	if s.coordinator != nil {
+		s.coordinator.AttachCouncil(s.councilNode)
 	}
-	if c.registration != nil {
-		c.registration.AttachCouncil(c.chamber)
+	if s.fleetRegistry != nil {
+		s.fleetRegistry.AttachCouncil(s.councilNode)
 	}
-	c.seat, err = c.open("council.listen", o.VoterAddress())
+	s.peerListener, err = s.listen("council.listen", config.VoterAddress())
 	return err
 }
 
-func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func (c *confinement) open(field, address string) (net.Listener, error) {
+func (s *operatorServices) listen(field, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, c.orders().ErrorAt(field, err)
+		return nil, s.config().ErrorAt(field, err)
 	}
 	return l, nil
 }
 
-func (c *confinement) close() {
-	for _, l := range []net.Listener{c.desk, c.seat} {
+func (s *operatorServices) close() {
+	for _, l := range []net.Listener{s.adminListener, s.peerListener} {
 		if l != nil {
 			l.Close()
 		}
 	}
-	if c.journal != nil {
-		c.journal.Close()
+	if s.journal != nil {
+		s.journal.Close()
 	}
 }
 
 // run serves until the context ends.
-func (c *confinement) run(ctx context.Context) error {
-	defer c.close()
+func (s *operatorServices) run(ctx context.Context) error {
+	defer s.close()
 	var tasks errgroup.Group
-	if c.desk != nil {
-		tasks.Go(func() error { return admin.Serve(ctx, c.desk, c) })
+	if s.adminListener != nil {
+		tasks.Go(func() error { return admin.Serve(ctx, s.adminListener, s) })
 	}
-	if c.seat != nil {
-		tasks.Go(func() error { return jsonhttp.Serve(ctx, c.seat, c.answers()) })
+	if s.peerListener != nil {
+		tasks.Go(func() error { return jsonhttp.Serve(ctx, s.peerListener, s.peerHandler()) })
 	}
-	if c.chamber != nil {
-		tasks.Go(func() error { c.chamber.Run(ctx); return nil })
+	if s.councilNode != nil {
+		tasks.Go(func() error { s.councilNode.Run(ctx); return nil })
 	}
-	if c.chair != nil {
-		tasks.Go(func() error { c.chair.Run(ctx); return nil })
+	if s.coordinator != nil {
+		tasks.Go(func() error { s.coordinator.Run(ctx); return nil })
 	}
-	if k := c.orders().Cells.GetCoordination(); k != nil {
-		tasks.Go(func() error { c.follow(ctx, millis(k.LeaseMs)); return nil })
+	if coordination := s.config().Cells.GetCoordination(); coordination != nil {
+		tasks.Go(func() error { s.followLeases(ctx, milliseconds(coordination.LeaseMs)); return nil })
 	}
-	if c.registration != nil {
-		tasks.Go(func() error { c.registration.Run(ctx); return nil })
+	if s.fleetRegistry != nil {
+		tasks.Go(func() error { s.fleetRegistry.Run(ctx); return nil })
 	}
-	if c.agent != nil {
-		tasks.Go(func() error { c.agent.Run(ctx); return nil })
+	if s.agent != nil {
+		tasks.Go(func() error { s.agent.Run(ctx); return nil })
 	}
-	if c.ring != nil {
-		tasks.Go(func() error { c.ring.Run(ctx); return nil })
+	if s.gossipRing != nil {
+		tasks.Go(func() error { s.gossipRing.Run(ctx); return nil })
 	}
 	return tasks.Wait()
 }
 
-// follow asks for leases on cells until the context ends. Where there is a fleet this start is known by its number there, and
-// else by its clock.
-func (c *confinement) follow(ctx context.Context, lease time.Duration) {
+// followLeases renews cell leases until the context ends. The incarnation is the start number where
+// there is a fleet, and the current time otherwise.
+func (s *operatorServices) followLeases(ctx context.Context, lease time.Duration) {
 	incarnation := uint64(clock.New().Now())
-	if c.agent != nil {
+	if s.agent != nil {
 		select {
-		case incarnation = <-c.number:
+		case incarnation = <-s.startNumber:
 		case <-ctx.Done():
 			return
 		}
 	}
-	membership.NewCellAgent(c.orders().CoordinatorAddresses(), c.p.posting.Name, incarnation, lease, c, c.p.log).Run(ctx)
+	membership.NewCellAgent(s.config().CoordinatorAddresses(), s.p.config.Name, incarnation, lease, s, s.p.log).Run(ctx)
 }
 
-// answers is what drivers and voters may ask here.
-func (c *confinement) answers() http.Handler {
+// peerHandler returns the handler of requests from drivers and voters.
+func (s *operatorServices) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	if c.chair != nil {
-		c.chair.Handle(mux)
+	if s.coordinator != nil {
+		s.coordinator.Handle(mux)
 	}
-	if c.registration != nil {
-		c.registration.Handle(mux)
+	if s.fleetRegistry != nil {
+		s.fleetRegistry.Handle(mux)
 	}
-	if c.chamber != nil {
-		c.chamber.RegisterHandlers(mux)
+	if s.councilNode != nil {
+		s.councilNode.RegisterHandlers(mux)
 	}
 	return mux
 }
 
-// Report is what the coordinator is told.
-func (c *confinement) Report(name string, incarnation uint64) (cells.Report, int64) {
-	return c.p.router.Report(name, incarnation)
+// Report returns this driver's report to the coordinator.
+func (s *operatorServices) Report(name string, incarnation uint64) (cells.Report, int64) {
+	return s.p.router.Report(name, incarnation)
 }
 
-// ReportGrant takes what the coordinator granted. With the first lease this driver is ready to take clients.
-func (c *confinement) ReportGrant(asked int64, g cells.Grant) error {
-	err := c.p.router.ReportGrant(asked, g)
+// ReportGrant applies a grant from the coordinator. The first one makes this driver ready for
+// clients.
+func (s *operatorServices) ReportGrant(requestedAt int64, grant cells.Grant) error {
+	err := s.p.router.ReportGrant(requestedAt, grant)
 	if err == nil {
-		c.once.Do(func() { close(c.leased) })
+		s.leaseOnce.Do(func() { close(s.leaseReady) })
 	}
 	return err
 }
 
-// reload takes over the operator's file as it is now: all of it, or an error and nothing.
-func (c *confinement) reload(path string) error {
+// reload applies the operator file as it is now, or returns an error and changes nothing.
+func (s *operatorServices) reload(path string) error {
 	next, err := operator.Read(path)
 	if err != nil {
 		return err
 	}
-	if next.StartupSettings() != c.orders().StartupSettings() {
+	if next.StartupSettings() != s.config().StartupSettings() {
 		return next.ErrorAt("", errors.New("admin, council, fleet, groups_a_tenant, budget and coordination need a restart"))
 	}
 	if next.Fleet != nil {
-		return next.ErrorAt("fleet", errors.New("all drivers act on one rulebook: `sedgespread fleet propose` brings another"))
+		return next.ErrorAt("fleet", errors.New("the rulebook is managed by the fleet: use `sedgespread fleet propose` to change it"))
 	}
-	return c.become(next)
+	return s.apply(next)
 }
 
-// become acts on another file from now on: all of it, or an error and nothing.
-func (c *confinement) become(next *operator.Config) (err error) {
+// apply puts another operator file into effect, or returns an error and changes nothing.
+func (s *operatorServices) apply(next *operator.Config) (err error) {
 	if next.Cells == nil {
 		return nil
 	}
-	if c.chair != nil { // which knows all that this driver's gate does
-		err = c.chair.UpdateLayout(next.Layout(), next.Pins())
+	if s.coordinator != nil { // if it accepts the file, so does the admission controller
+		err = s.coordinator.UpdateLayout(next.Layout(), next.Pins())
 	}
 	if err == nil {
-		err = routing.ReadAdmission(c.p.router, func(_ int64, g *cells.AdmissionController) error {
+		err = routing.ReadAdmission(s.p.router, func(_ int64, g *cells.AdmissionController) error {
 			return g.Update(next.Layout(), next.TenantResolver(), next.Pins(), next.Weights())
 		})
 	}
 	if err != nil {
 		return next.ErrorAt("cells", err)
 	}
-	c.acted.Store(next)
+	s.current.Store(next)
 	return nil
 }
 
 var (
-	errNoCells       = errors.New("this instance has no cells: its operator's file says nothing of them")
-	errNoFleet       = errors.New("this instance stands in no roster: its operator's file says nothing of a fleet")
-	errNoCouncil     = errors.New("this instance knows of no council: its operator's file says nothing of one")
-	errNoCoordinator = errors.New("this instance has no coordinator: its operator's file says nothing of coordination")
+	errNoCells       = errors.New("cells are not configured in this instance's operator file")
+	errNoFleet       = errors.New("fleet is not configured in this instance's operator file")
+	errNoCouncil     = errors.New("council is not configured in this instance's operator file")
+	errNoCoordinator = errors.New("coordination is not configured in this instance's operator file")
 )
 
-const heaviestShown = 20
+const maxTenantsShown = 20
 
-// Cells tells what the gate has counted and holds.
-func (c *confinement) Cells() cells.Stats {
-	if c.orders().Cells == nil {
+// Cells returns the statistics of the admission controller.
+func (s *operatorServices) Cells() cells.Stats {
+	if s.config().Cells == nil {
 		return cells.Stats{}
 	}
-	return routing.ReadAdmission(c.p.router, func(now int64, g *cells.AdmissionController) cells.Stats { return g.Stats(now, heaviestShown) })
+	return routing.ReadAdmission(s.p.router, func(now int64, g *cells.AdmissionController) cells.Stats {
+		return g.Stats(now, maxTenantsShown)
+	})
 }
 
-// TenantPlacement tells where a tenant is.
-func (c *confinement) TenantPlacement(t cells.Tenant, key string) admin.Placement {
-	if c.orders().Cells == nil {
-		return admin.Placement{Tenant: t, Reason: errNoCells.Error()}
-	}
-	return routing.ReadAdmission(c.p.router, func(now int64, g *cells.AdmissionController) admin.Placement {
-		l, b := g.Layout(), g.Directory()
-		seat, place := b.Placement(t), admin.Placement{Tenant: t, Reason: "hashed"}
-		if e, moved := b.Entry(t); moved {
-			place.Reason, place.TargetCell, place.Epoch, place.MinPosition = "moved", e.To, e.Epoch, e.MinPosition
-		} else if b.Pinned(t) {
+// TenantPlacement returns the placement of a tenant, and the group of a key.
+func (s *operatorServices) TenantPlacement(tenant cells.Tenant, key string) admin.Placement {
+	if s.config().Cells == nil {
+		return admin.Placement{Tenant: tenant, Reason: errNoCells.Error()}
+	}
+	return routing.ReadAdmission(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Placement {
+		layout, directory := controller.Layout(), controller.Directory()
+		placement, place := directory.Placement(tenant), admin.Placement{Tenant: tenant, Reason: "hashed"}
+		if entry, moved := directory.Entry(tenant); moved {
+			place.Reason, place.TargetCell, place.Epoch, place.MinPosition = "moved", entry.To, entry.Epoch, entry.MinPosition
+		} else if directory.Pinned(tenant) {
 			place.Reason = "pinned"
 		}
-		place.Cell, place.Stage = l.Name(seat.Cell), seat.Stage.String()
-		if seat.Cell != cells.NoCell {
-			place.Groups, place.Group = l.TenantGroups(t, seat.Cell), int64(l.Group(t, key, seat.Cell))
+		place.Cell, place.Stage = layout.Name(placement.Cell), placement.Stage.String()
+		if placement.Cell != cells.NoCell {
+			place.Groups, place.Group = layout.TenantGroups(tenant, placement.Cell), int64(layout.Group(tenant, key, placement.Cell))
 		}
-		place.Load = g.Load(t, now)
+		place.Load = controller.Load(tenant, now)
 		return place
 	})
 }
 
-// coordinator is the way to the coordinator.
-func (c *confinement) coordinator() (membership.Client, error) {
-	if c.orders().Cells.GetCoordination() == nil {
+// dialCoordinator returns a client of the coordinator.
+func (s *operatorServices) dialCoordinator() (membership.Client, error) {
+	if s.config().Cells.GetCoordination() == nil {
 		return membership.Client{}, errNoCoordinator
 	}
-	return membership.NewClient(c.orders().CoordinatorAddresses()...), nil
+	return membership.NewClient(s.config().CoordinatorAddresses()...), nil
 }
 
-// Council tells how the council stands, as this instance's own seat knows, or else as the first voter does that answers.
-func (c *confinement) Council(ctx context.Context) (chamber.State, error) {
+// Council returns the state of the council, from this instance's own node or else from the first
+// voter that answers.
+func (s *operatorServices) Council(ctx context.Context) (chamber.State, error) {
 	switch {
-	case c.chamber != nil:
-		return c.chamber.State(), nil
-	case c.orders().Council == nil:
+	case s.councilNode != nil:
+		return s.councilNode.State(), nil
+	case s.config().Council == nil:
 		return chamber.State{}, errNoCouncil
 	}
-	return membership.NewClient(c.orders().VoterAddresses()...).Council(ctx)
+	return membership.NewClient(s.config().VoterAddresses()...).Council(ctx)
 }
 
-// ChangeCouncil asks the council's leader for other voters.
-func (c *confinement) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
-	if c.orders().Council == nil {
+// ChangeCouncil asks the council's leader to change the set of voters.
+func (s *operatorServices) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
+	if s.config().Council == nil {
 		return errNoCouncil
 	}
-	return membership.NewClient(c.orders().VoterAddresses()...).ChangeCouncil(ctx, change)
+	return membership.NewClient(s.config().VoterAddresses()...).ChangeCouncil(ctx, change)
 }
 
-// State tells where moves stand.
-func (c *confinement) State(ctx context.Context) (membership.CoordinatorState, error) {
-	at, err := c.coordinator()
+// State returns the state of tenant moves.
+func (s *operatorServices) State(ctx context.Context) (membership.CoordinatorState, error) {
+	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return membership.CoordinatorState{}, err
 	}
-	return at.State(ctx)
+	return coordinator.State(ctx)
 }
 
-// Move asks the coordinator for moves.
-func (c *confinement) Move(ctx context.Context, moves []membership.MoveRequest) error {
-	at, err := c.coordinator()
+// Move asks the coordinator to move tenants.
+func (s *operatorServices) Move(ctx context.Context, moves []membership.MoveRequest) error {
+	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return err
 	}
-	return at.Move(ctx, moves)
+	return coordinator.Move(ctx, moves)
 }
 
-// Abort asks the coordinator to call a move off.
-func (c *confinement) Abort(ctx context.Context, m membership.MoveRequest) error {
-	at, err := c.coordinator()
+// Abort asks the coordinator to abort a move.
+func (s *operatorServices) Abort(ctx context.Context, m membership.MoveRequest) error {
+	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return err
 	}
-	return at.Abort(ctx, m)
+	return coordinator.Abort(ctx, m)
 }
 
-// Plan plans for the loads that the drivers tell of, or for those of this instance where there is no coordinator.
-func (c *confinement) Plan(ctx context.Context, most int) (admin.Plan, error) {
-	if c.orders().Cells == nil {
+// Plan plans moves for the loads that all drivers report, or for this instance's loads without a
+// coordinator.
+func (s *operatorServices) Plan(ctx context.Context, maxMoves int) (admin.Plan, error) {
+	if s.config().Cells == nil {
 		return admin.Plan{}, errNoCells
 	}
-	loads := c.Cells().HeaviestTenants
-	if c.orders().Cells.Coordination != nil {
-		state, err := c.State(ctx)
+	loads := s.Cells().HeaviestTenants
+	if s.config().Cells.Coordination != nil {
+		state, err := s.State(ctx)
 		if err != nil {
 			return admin.Plan{}, err
 		}
 		loads = state.Loads
 	}
-	rooms, halls := c.orders().PlannerCells(), c.orders().TenantHalls()
-	for _, r := range rooms {
-		if r.Capacity <= 0 {
-			return admin.Plan{}, fmt.Errorf("cell %q: the file does not say its capacity, which a plan needs", r.Name)
+	planCells, halls := s.config().PlannerCells(), s.config().TenantHalls()
+	for _, planCell := range planCells {
+		if planCell.Capacity <= 0 {
+			return admin.Plan{}, fmt.Errorf("cell %q: capacity is not configured, but is needed for planning", planCell.Name)
 		}
 	}
 	index := map[string]int{}
-	for i, r := range rooms {
-		index[r.Name] = i
+	for i, planCell := range planCells {
+		index[planCell.Name] = i
 	}
 	tenants := make([]planner.Tenant, 0, len(loads))
-	for _, w := range loads {
-		place := c.TenantPlacement(w.Tenant, "")
-		at, known := index[place.Cell]
-		if !known {
-			at = planner.NoCell
+	for _, load := range loads {
+		place := s.TenantPlacement(load.Tenant, "")
+		cellIndex, isKnown := index[place.Cell]
+		if !isKnown {
+			cellIndex = planner.NoCell
 		}
-		tenants = append(tenants, planner.Tenant{Name: string(w.Tenant), Load: w.Load, CurrentCell: at, Hall: halls[w.Tenant],
+		tenants = append(tenants, planner.Tenant{Name: string(load.Tenant), Load: load.Load, CurrentCell: cellIndex,
+			Hall:   halls[load.Tenant],
 			Pinned: place.Reason == "pinned" || place.Stage != cells.StageIdle.String()})
 	}
-	return admin.NewPlan(tenants, rooms, most), nil
+	return admin.NewPlan(tenants, planCells, maxMoves), nil
 }
--- a/internal/program/duties.go
+++ b/internal/program/duties.go
@@ -7,8 +7,9 @@
 	"sedgespread/internal/transport"
 )
 
-// duties does what falls due without an RPC, until the context ends.
-func (p *Program) duties(ctx context.Context) error {
+// runScheduledWork executes the work that the router schedules outside of RPCs, until the context
+// ends.
+func (p *Program) runScheduledWork(ctx context.Context) error {
 	for {
 		duty, err := p.router.NextTask(ctx)
 		if err != nil {
@@ -16,23 +17,24 @@
 		}
 		switch d := duty.(type) {
 		case routing.ProbeMember:
-			p.tasks.Go(func() error { p.look(d); return nil })
+			p.tasks.Go(func() error { p.probe(d); return nil })
 		case routing.CloseIdleConnections:
-			p.looks.shed(d.Member)
+			p.prober.closeIdle(d.Member)
 		case routing.ForgetMember:
-			p.looks.drop(d.Member)
+			p.prober.forget(d.Member)
 		case routing.SendToPeers:
-			p.peers.spread(d.Message)
+			p.peers.send(d.Message)
 		case routing.WatchDiscovery:
-			p.tasks.Go(func() error { p.follow(ctx); return nil })
+			p.tasks.Go(func() error { p.followDiscovery(ctx); return nil })
 		}
 	}
 }
 
-// look probes a member.
-func (p *Program) look(d routing.ProbeMember) {
-	by, stop := context.WithTimeoutCause(p.life, p.posting.ConnectWithin, transport.TimedOut)
+// probe probes a member and reports the outcome to the router.
+func (p *Program) probe(look routing.ProbeMember) {
+	ctx, stop := context.WithTimeoutCause(p.lifetime, p.config.ConnectTimeout, transport.TimedOut)
 	defer stop()
-	p.router.ReportProbe(d.Member, p.looks.look(by, d.Member, d.Address, func() bool { return p.router.MayProbe(d.Member) }))
-	p.ready.looked(d.Member)
+	p.router.ReportProbe(look.Member, p.prober.probe(ctx, look.Member, look.Address,
+		func() bool { return p.router.MayProbe(look.Member) }))
+	p.readiness.recordProbe(look.Member)
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -15,122 +15,127 @@
 	"sedgespread/internal/versions"
 )
 
-// Level is the highest feature level that this build knows. It grows with whatever older builds can't take part in.
-const Level = 1
+// FeatureLevel is the highest feature level that this build supports. It is raised by each feature
+// that older builds cannot take part in.
+const FeatureLevel = 1
 
-// build is what this program says of itself in the roster.
-func build() string {
+// buildRevision returns the abbreviated VCS revision of this build.
+func buildRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				return s.Value[:min(12, len(s.Value))]
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				return setting.Value[:min(12, len(setting.Value))]
 			}
 		}
 	}
 	return "unreleased"
 }
 
-// digestShown is how much of a digest is told of things that the fleet does not decide.
-const digestShown = 16
+// digestPrefixLength is how much of a digest is reported as the version of the operator file.
+const digestPrefixLength = 16
 
-// enlist lets this driver act on the versions that the fleet agrees on.
-func (c *confinement) enlist() (err error) {
-	c.p.router.EnableVersions(versions.NewDriverState())
-	c.p.router.ObserveVersion(versions.Build, Level, build())
-	c.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(c.orders().SharedSettings())[:digestShown])
-	claim := roster.Claim{Name: c.p.posting.Name, Address: c.p.posting.Listen, Build: build(), Level: Level, IsVoter: c.orders().Council.GetId() != 0}
-	c.agent = membership.NewFleetAgent(c.orders().VoterAddresses(), claim, millis(c.orders().Fleet.LeaseMs), c, c.p.log)
-	g := c.orders().Fleet.Gossip
-	if g == nil {
+// joinFleet registers this driver with the fleet, whose granted versions it then acts on.
+func (s *operatorServices) joinFleet() (err error) {
+	s.p.router.EnableVersions(versions.NewDriverState())
+	s.p.router.ObserveVersion(versions.Build, FeatureLevel, buildRevision())
+	s.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(s.config().SharedSettings())[:digestPrefixLength])
+	claim := roster.Claim{Name: s.p.config.Name, Address: s.p.config.Listen, Build: buildRevision(),
+		Level: FeatureLevel, IsVoter: s.config().Council.GetId() != 0}
+	s.agent = membership.NewFleetAgent(s.config().VoterAddresses(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
+	gossipConfig := s.config().Fleet.Gossip
+	if gossipConfig == nil {
 		return nil
 	}
-	if c.ring, err = gossip.Listen(c.p.posting.Name, g.Listen, g.Fellow, millis(c.orders().ProbeMs()), c.p.log); err != nil {
-		return c.orders().ErrorAt("fleet.gossip.listen", err)
+	if s.gossipRing, err = gossip.Listen(s.p.config.Name, gossipConfig.Listen, gossipConfig.Fellow,
+		milliseconds(s.config().ProbeMs()), s.p.log); err != nil {
+		return s.config().ErrorAt("fleet.gossip.listen", err)
 	}
-	c.agent.SetPeerMonitor(c.ring)
+	s.agent.SetPeerMonitor(s.gossipRing)
 	return nil
 }
 
-// Sightings is what the fleet is told.
-func (c *confinement) Sightings() ([]versions.Report, int64) { return c.p.router.VersionSightings() }
+// Sightings returns the version observations to report to the fleet.
+func (s *operatorServices) Sightings() ([]versions.Report, int64) {
+	return s.p.router.VersionSightings()
+}
 
-// Joined takes in the number of this driver's start.
-func (c *confinement) Joined(who versions.Instance, token string) {
-	c.p.router.StartTrail(who, token)
+// Joined records the start number that the fleet assigned to this driver.
+func (s *operatorServices) Joined(sign versions.Instance, token string) {
+	s.p.router.StartTrail(sign, token)
 	select {
-	case c.number <- who.Start:
-	default: // it has joined before
+	case s.startNumber <- sign.Start:
+	default: // already joined
 	}
 }
 
-// Trail gives the entries of this driver's trail after one.
-func (c *confinement) Trail(seq uint64, most int) audit.Segment {
-	return c.p.router.TrailSince(seq, most)
+// Trail returns up to limit entries of this driver's audit trail after a sequence number.
+func (s *operatorServices) Trail(after uint64, limit int) audit.Segment {
+	return s.p.router.TrailSince(after, limit)
 }
 
-// LastTrail gives all that is left of it.
-func (c *confinement) LastTrail(seq uint64) audit.Segment { return c.p.router.FlushTrail(seq) }
+// LastTrail returns all remaining entries of the audit trail after a sequence number.
+func (s *operatorServices) LastTrail(after uint64) audit.Segment { return s.p.router.FlushTrail(after) }
 
-// Audit answers a question from what all voters hold of drivers' trails.
-func (c *confinement) Audit(ctx context.Context, q membership.AuditQuery) (membership.AuditResult, error) {
-	if c.orders().Fleet == nil {
+// Audit answers a question from the audit trails that all voters hold.
+func (s *operatorServices) Audit(ctx context.Context, question membership.AuditQuery) (membership.AuditResult, error) {
+	if s.config().Fleet == nil {
 		return membership.AuditResult{}, errNoFleet
 	}
-	return membership.Audit(ctx, c.orders().VoterAddresses(), q)
+	return membership.Audit(ctx, s.config().VoterAddresses(), question)
 }
 
-// Granted takes in what the fleet granted, and adopts what it says.
-func (c *confinement) Granted(asked int64, g versions.Grant) {
-	for _, a := range c.p.router.ApplyOrders(asked, g) {
-		err := c.adopts(a)
-		c.p.router.ReportAdoption(a, err)
-		log := c.p.log.WithField("thing", a.Resource).WithField("version", a.Number)
+// Granted processes a grant from the fleet and adopts the versions in it.
+func (s *operatorServices) Granted(requestedAt int64, grant versions.Grant) {
+	for _, adoption := range s.p.router.ApplyOrders(requestedAt, grant) {
+		err := s.adopt(adoption)
+		s.p.router.ReportAdoption(adoption, err)
+		log := s.p.log.WithField("thing", adoption.Resource).WithField("version", adoption.Number)
 		if err != nil {
-			log.WithError(err).Error("a version can't be acted on")
+			log.WithError(err).Error("failed to adopt version")
 		} else {
-			log.Info("acts on a version")
+			log.Info("adopted version")
 		}
 	}
-	if g.Lease > 0 {
-		c.heed.Do(func() { close(c.heeds) })
+	if grant.Lease > 0 {
+		s.versionsOnce.Do(func() { close(s.versionsReady) })
 	}
 }
 
-// adopts does what it takes to act on a version.
-func (c *confinement) adopts(a versions.Adoption) error {
-	if a.Resource != routing.Rulebook {
-		return fmt.Errorf("this build does not know what %q is", a.Resource)
+// adopt applies a granted version.
+func (s *operatorServices) adopt(adoption versions.Adoption) error {
+	if adoption.Resource != routing.Rulebook {
+		return fmt.Errorf("this build does not know what %q is", adoption.Resource)
 	}
 	if planted.Active(planted.CrashOnVersion) {
 		os.Exit(3)
 	}
-	next, err := c.origin.WithRulebook(fmt.Sprintf("version %d of the rulebook", a.Number), a.Text)
+	next, err := s.startConfig.WithRulebook(fmt.Sprintf("version %d of the rulebook", adoption.Number), adoption.Text)
 	if err != nil {
 		return err
 	}
-	return c.become(next)
+	return s.apply(next)
 }
 
-// Fleet tells how the fleet stands.
-func (c *confinement) Fleet(ctx context.Context) (membership.FleetState, error) {
-	if c.orders().Fleet == nil {
+// Fleet returns the state of the fleet.
+func (s *operatorServices) Fleet(ctx context.Context) (membership.FleetState, error) {
+	if s.config().Fleet == nil {
 		return membership.FleetState{}, errNoFleet
 	}
-	return membership.NewClient(c.orders().VoterAddresses()...).FleetState(ctx)
+	return membership.NewClient(s.config().VoterAddresses()...).FleetState(ctx)
 }
 
-// Wish asks something of the fleet. A rulebook is checked here before it is proposed.
-func (c *confinement) Wish(ctx context.Context, w membership.FleetChange) error {
-	if c.orders().Fleet == nil {
+// Wish sends an operator's request to the fleet. A proposed rulebook is validated locally first.
+func (s *operatorServices) Wish(ctx context.Context, wish membership.FleetChange) error {
+	if s.config().Fleet == nil {
 		return errNoFleet
 	}
-	if p := w.Propose; p != nil {
-		if p.Thing != routing.Rulebook {
-			return fmt.Errorf("there is no thing %q that has versions", p.Thing)
+	if proposal := wish.Propose; proposal != nil {
+		if proposal.Thing != routing.Rulebook {
+			return fmt.Errorf("%q is not a versioned thing", proposal.Thing)
 		}
-		if _, err := c.origin.WithRulebook("the rulebook", p.Text); err != nil {
+		if _, err := s.startConfig.WithRulebook("the rulebook", proposal.Text); err != nil {
 			return err
 		}
 	}
-	return membership.NewClient(c.orders().VoterAddresses()...).ChangeFleet(ctx, w)
+	return membership.NewClient(s.config().VoterAddresses()...).ChangeFleet(ctx, wish)
 }
--- a/internal/program/looks.go
+++ b/internal/program/looks.go
@@ -11,90 +11,99 @@
 	"sedgespread/rules"
 )
 
-// looks makes probes over the connections that attempts use too. While a member does not answer new ones are tried,
-// and if one left over from before still works once the member answers, that ran all along.
-type looks struct {
-	pools *pools
-	mu    sync.Mutex
-	mute  map[rules.MemberID]bool // its last probe was not answered
+// prober probes members, over the connections that attempts use too. While a member does not answer
+// it probes over new connections; if an old connection still works afterwards, the member did not
+// restart.
+type prober struct {
+	pools        *memberPools
+	mu           sync.Mutex
+	unresponsive map[rules.MemberID]bool // whether the last probe went unanswered
 }
 
-func newLooks(p *pools) *looks { return &looks{pools: p, mute: map[rules.MemberID]bool{}} }
+func newProber(pools *memberPools) *prober {
+	return &prober{pools: pools, unresponsive: map[rules.MemberID]bool{}}
+}
 
-// look probes a member. The module has one probe of a member out at a time.
-func (l *looks) look(by context.Context, to rules.MemberID, address string, may func() bool) (o routing.Outcome) {
-	mute, usable, w := l.isMute(to), false, link{}
-	if !mute {
-		w, usable = l.pools.waiting(to, address)
+// probe probes a member. The router runs one probe of a member at a time.
+func (p *prober) probe(ctx context.Context, member rules.MemberID, address string,
+	mayStart func() bool) (outcome routing.Outcome) {
+	wasUnresponsive, usable, conn := p.isUnresponsive(member), false, memberConn{}
+	if !wasUnresponsive {
+		conn, usable = p.pools.takeIdle(member, address)
 	}
 	if usable {
-		o = l.ask(by, to, w, may)
+		outcome = p.query(ctx, member, conn, mayStart)
 	}
-	if !usable || o.Answer == nil && o.CloseReason != transport.TimedOut && o.CloseReason != transport.Withheld { // one that broke tells nothing now
-		o = l.lookAnew(by, to, address, mute, may)
+	// A broken idle connection says nothing about the member.
+	if !usable || outcome.Answer == nil && outcome.CloseReason != transport.TimedOut && outcome.CloseReason != transport.Withheld {
+		outcome = p.probeNewConn(ctx, member, address, wasUnresponsive, mayStart)
 	}
-	if o.CloseReason != transport.Withheld && o.CloseReason != transport.NoDescriptor { // else none was made, which tells nothing
-		l.setMute(to, o.Answer == nil)
+	if outcome.CloseReason != transport.Withheld && outcome.CloseReason != transport.NoDescriptor { // otherwise no probe was sent
+		p.setUnresponsive(member, outcome.Answer == nil)
 	}
-	return o
+	return outcome
 }
 
-// lookAnew probes over a new connection, and then over one from before, where the member did not answer meanwhile.
-func (l *looks) lookAnew(by context.Context, to rules.MemberID, address string, mute bool, may func() bool) routing.Outcome {
-	w, end := l.pools.open(by, to, address)
-	if end != transport.Open {
-		return routing.Outcome{CloseReason: end}
+// probeNewConn probes over a new connection and, if the member was unresponsive, also over an old
+// one.
+func (p *prober) probeNewConn(ctx context.Context, member rules.MemberID, address string, wasUnresponsive bool,
+	mayStart func() bool) routing.Outcome {
+	conn, reason := p.pools.dial(ctx, member, address)
+	if reason != transport.Open {
+		return routing.Outcome{CloseReason: reason}
 	}
-	o := l.ask(by, to, w, may)
-	if o.Answer == nil || !mute {
-		return o
+	outcome := p.query(ctx, member, conn, mayStart)
+	if outcome.Answer == nil || !wasUnresponsive {
+		return outcome
 	}
-	if old, left := l.pools.left(to, address); left {
-		if again := l.ask(by, to, old, may); again.Answer != nil {
+	if old, found := p.pools.takeOldest(member, address); found {
+		if again := p.query(ctx, member, old, mayStart); again.Answer != nil {
 			return again
 		}
 	}
-	return o
+	return outcome
 }
 
-// ask probes over a connection, and gives it to the pool if it is still good.
-func (l *looks) ask(by context.Context, to rules.MemberID, w link, may func() bool) routing.Outcome {
-	if end := begins(by, may); end != transport.Open {
-		l.pools.give(to, w, w.since)
-		return routing.Outcome{CloseReason: end}
+// query sends a probe over a connection and returns the connection to the pool if it is still
+// usable.
+func (p *prober) query(ctx context.Context, member rules.MemberID, conn memberConn,
+	mayStart func() bool) routing.Outcome {
+	if reason := checkStart(ctx, mayStart); reason != transport.Open {
+		p.pools.put(member, conn, conn.idleSince)
+		return routing.Outcome{CloseReason: reason}
 	}
-	answer, sent, end := w.Query(by, protocol.LoadQuery)
-	l.pools.answered(to, answer != nil, end)
-	if end == transport.Open {
-		l.pools.give(to, w, time.Now())
+	answer, sent, reason := conn.Query(ctx, protocol.LoadQuery)
+	p.pools.recordResult(member, answer != nil, reason)
+	if reason == transport.Open {
+		p.pools.put(member, conn, time.Now())
 	}
-	return routing.Outcome{Answer: answer, WasSent: sent, CloseReason: end, OpenedAt: w.opened}
+	return routing.Outcome{Answer: answer, WasSent: sent, CloseReason: reason, OpenedAt: conn.openedAt}
 }
 
-func (l *looks) isMute(to rules.MemberID) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.mute[to]
+func (p *prober) isUnresponsive(member rules.MemberID) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.unresponsive[member]
 }
 
-func (l *looks) setMute(to rules.MemberID, mute bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.mute[to] = mute
+func (p *prober) setUnresponsive(member rules.MemberID, unresponsive bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.unresponsive[member] = unresponsive
 }
 
-// shed closes the connections to a member that carry nothing, but for what is left to tell whether one that does not
-// answer ran on.
-func (l *looks) shed(to rules.MemberID) {
-	if !l.isMute(to) {
-		l.pools.shed(to)
+// closeIdle closes the idle connections to a member, unless the member is unresponsive: then they
+// are kept to detect whether it restarts.
+func (p *prober) closeIdle(member rules.MemberID) {
+	if !p.isUnresponsive(member) {
+		p.pools.closeIdle(member)
 	}
 }
 
-// drop lets go of all that is kept for a member.
-func (l *looks) drop(to rules.MemberID) {
-	l.pools.drop(to)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.mute, to)
+// forget deletes all state of a member.
+func (p *prober) forget(member rules.MemberID) {
+	p.pools.forget(member)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.unresponsive, member)
 }
--- a/internal/program/pools_test.go
+++ b/internal/program/pools_test.go
@@ -11,40 +11,40 @@
 	"sedgespread/rules"
 )
 
-// Guards against the one connection that could outlive a cut link being spent: by members in steady use, and once
-// something was not answered.
-func TestLastConnectionIsLeftAlone(t *testing.T) {
+// Guards against using up the one connection that could survive a cut link, for members in steady
+// use and after timeouts.
+func TestReservedConnection(t *testing.T) {
 	const member = rules.MemberID(1)
-	p := &pools{doubt: map[rules.MemberID]bool{}, used: map[rules.MemberID]*uses{}}
-	require.Equal(t, 0, p.leave(member), "thin use")
-	p.answered(member, false, transport.TimedOut)
-	require.Equal(t, 1, p.leave(member), "not answered")
-	p.answered(member, false, transport.Cancelled)
-	require.Equal(t, 1, p.leave(member), "nor by what was only called off")
-	p.answered(member, true, transport.Open)
-	require.Equal(t, 0, p.leave(member), "answered")
-	p.used[member] = &uses{}
-	for range steadyUses - 1 {
-		p.used[member].note(time.Now())
-		require.Equal(t, 0, p.leave(member), "thin use: with many drivers one left alone at each crowds members")
+	pools := &memberPools{unanswered: map[rules.MemberID]bool{}, returns: map[rules.MemberID]*returnTimes{}}
+	require.Equal(t, 0, pools.reserved(member), "light use")
+	pools.recordResult(member, false, transport.TimedOut)
+	require.Equal(t, 1, pools.reserved(member), "the statement timed out")
+	pools.recordResult(member, false, transport.Cancelled)
+	require.Equal(t, 1, pools.reserved(member), "a cancelled statement changes nothing")
+	pools.recordResult(member, true, transport.Open)
+	require.Equal(t, 0, pools.reserved(member), "the statement was answered")
+	pools.returns[member] = &returnTimes{}
+	for range steadyReturns - 1 {
+		pools.returns[member].record(time.Now())
+		require.Equal(t, 0, pools.reserved(member), "light use: reserved connections of many drivers would exhaust members")
 	}
-	p.used[member].note(time.Now())
-	require.Equal(t, 1, p.leave(member), "steady use")
-	for range steadyUses {
-		p.used[member].note(time.Now().Add(-2 * busyFor))
+	pools.returns[member].record(time.Now())
+	require.Equal(t, 1, pools.reserved(member), "steady use")
+	for range steadyReturns {
+		pools.returns[member].record(time.Now().Add(-2 * steadyWindow))
 	}
-	require.Equal(t, 0, p.leave(member), "no more")
+	require.Equal(t, 0, pools.reserved(member), "no longer in steady use")
 }
 
-// Guards against members that are taken for mute since this driver had no descriptor for a look at them.
-func TestNoDescriptorTellsNothing(t *testing.T) {
+// Guards against marking a member unresponsive because no descriptor was free for its probe.
+func TestProbeWithoutDescriptor(t *testing.T) {
 	const member = rules.MemberID(1)
-	d := transport.NewDescriptors(0) // one, which is discovery's
-	l := newLooks(newPools(context.Background(), d, &Posting{ConnectWithin: 20 * time.Millisecond, MemoryMB: 32}, nil))
-	may := func() bool { return true }
-	require.Equal(t, transport.NoDescriptor, l.look(context.Background(), member, "127.0.0.1:9", may).CloseReason)
-	require.False(t, l.isMute(member))
-	d.Resize(1000)
-	require.Equal(t, transport.DialRefused, l.look(context.Background(), member, "127.0.0.1:9", may).CloseReason)
-	require.True(t, l.isMute(member), "one that refuses is")
+	descriptors := transport.NewDescriptors(0) // the only descriptor is reserved for discovery
+	prober := newProber(newMemberPools(context.Background(), descriptors, &Config{ConnectTimeout: 20 * time.Millisecond, MemoryMB: 32}, nil))
+	mayStart := func() bool { return true }
+	require.Equal(t, transport.NoDescriptor, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).CloseReason)
+	require.False(t, prober.isUnresponsive(member))
+	descriptors.Resize(1000)
+	require.Equal(t, transport.DialRefused, prober.probe(context.Background(), member, "127.0.0.1:9", mayStart).CloseReason)
+	require.True(t, prober.isUnresponsive(member), "the member refused the connection")
 }
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -17,39 +17,39 @@
 	"sedgespread/internal/protocol"
 )
 
-// Posting is where a driver is to work, and what it is told before it starts.
-type Posting struct {
-	Name, Listen, Discovery string
-	PeerListen, PeersAll    string // empty where drivers send one another nothing
-	Seed                    int64
-	Cores                   float64
-	MemoryMB, Sockets       int64
-	Known                   protocol.Targets
-	Deployment              *briefing.Fields
-	ConnectWithin           time.Duration
-	IdleFor                 time.Duration    // a connection to a member may be idle so long
-	WatchFor                time.Duration    // a watch waits for news so long
-	AnswerWithin            time.Duration    // discovery may take so long for an answer
-	Orders                  *operator.Config // nil without an operator's file
-	path, ordersPath        string
+// Config is the configuration of a driver, read from the environment and the configuration file.
+type Config struct {
+	Name, Listen, Discovery  string
+	PeerListen, PeersAddress string // empty if peer messages are disabled
+	Seed                     int64
+	Cores                    float64
+	MemoryMB, Sockets        int64
+	KnownTargets             protocol.Targets
+	Settings                 *briefing.Fields
+	ConnectTimeout           time.Duration
+	IdleTimeout              time.Duration    // of connections to members
+	WatchTimeout             time.Duration    // wait time of a discovery watch
+	DiscoveryTimeout         time.Duration    // of discovery calls that do not wait for changes
+	OperatorConfig           *operator.Config // nil without an operator file
+	path, operatorPath       string
 }
 
 const (
-	longestWatch = time.Minute
-	usualWatch   = 20 * time.Second
-	usualConnect = 250 * time.Millisecond
-	usualIdle    = 30 * time.Second
-	mostPosting  = 4 << 20
+	maxWatchTimeout       = time.Minute
+	defaultWatchTimeout   = 20 * time.Second
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultIdleTimeout    = 30 * time.Second
+	maxConfigBytes        = 4 << 20
 )
 
-// ReadPosting reads the environment and the file that it names.
-func ReadPosting(env func(string) string) (*Posting, error) {
+// ReadConfig reads the environment and the files that it names.
+func ReadConfig(env func(string) string) (*Config, error) {
 	for _, name := range []string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"} {
 		if env(name) == "" {
 			return nil, fmt.Errorf("%s is missing from the environment", name)
 		}
 	}
-	p, err := readFile(env("GW_CONFIG"))
+	p, err := readConfigFile(env("GW_CONFIG"))
 	if err != nil {
 		return nil, err
 	}
@@ -57,15 +57,16 @@
 	if _, _, err := net.SplitHostPort(p.Discovery); err != nil {
 		return nil, fmt.Errorf("GW_DISCOVERY: %w", err)
 	}
-	if p.ordersPath = env("GW_OPERATOR"); p.ordersPath != "" {
-		p.Orders, err = operator.Read(p.ordersPath)
+	if p.operatorPath = env("GW_OPERATOR"); p.operatorPath != "" {
+		p.OperatorConfig, err = operator.Read(p.operatorPath)
 	}
 	return p, err
 }
 
-// Again reads the file once more. What it does not say stays; the environment counts at the start alone.
-func (p *Posting) Again() (*Posting, error) {
-	next, err := readFile(p.path)
+// Reload reads the configuration file again. Fields that it omits keep their values; the
+// environment is not consulted again.
+func (p *Config) Reload() (*Config, error) {
+	next, err := readConfigFile(p.path)
 	if err != nil {
 		return nil, err
 	}
@@ -75,12 +76,12 @@
 	return next, nil
 }
 
-func readFile(path string) (*Posting, error) {
+func readConfigFile(path string) (*Config, error) {
 	text, err := readBounded(path)
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	p, err := parsePosting(text)
+	p, err := parseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
@@ -88,30 +89,30 @@
 	return p, nil
 }
 
-// readBounded reads a file that is not too long, and of one that is no more than that.
+// readBounded reads a file of at most maxConfigBytes.
 func readBounded(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, mostPosting+1))
-	if err == nil && len(text) > mostPosting {
-		err = errors.New("the file is too long")
+	text, err := io.ReadAll(io.LimitReader(file, maxConfigBytes+1))
+	if err == nil && len(text) > maxConfigBytes {
+		err = errors.New("file is too long")
 	}
 	return text, err
 }
 
-func parsePosting(text []byte) (*Posting, error) {
+func parseConfig(text []byte) (*Config, error) {
 	var file struct {
 		Known    json.RawMessage `json:"known"`
 		Settings map[string]any  `json:"settings"`
 		Rest     map[string]any  `json:"-"`
 	}
-	if err := decode(text, &file); err != nil {
+	if err := decodeJSON(text, &file); err != nil {
 		return nil, err
 	}
-	if err := decode(text, &file.Rest); err != nil {
+	if err := decodeJSON(text, &file.Rest); err != nil {
 		return nil, err
 	}
 	if file.Settings == nil {
@@ -119,61 +120,62 @@
 	}
 	delete(file.Rest, "known")
 	delete(file.Rest, "settings")
-	rest := briefing.Flatten("file", file.Rest)
-	p := &Posting{Name: rest.Value("name"), Listen: rest.Value("listen"), Discovery: rest.Value("discovery"),
-		PeerListen: rest.Value("peer_listen"), PeersAll: rest.Value("peers_all"), Cores: rest.NumberOr("limits.cores", 1), MemoryMB: rest.RequiredInteger("limits.memory_mb"),
-		Sockets: rest.RequiredInteger("limits.sockets"), Deployment: briefing.Flatten("settings", file.Settings)}
-	seed, err := strconv.ParseUint(rest.RequiredString("seed"), 16, 64)
+	fields := briefing.Flatten("file", file.Rest)
+	p := &Config{Name: fields.Value("name"), Listen: fields.Value("listen"), Discovery: fields.Value("discovery"),
+		PeerListen: fields.Value("peer_listen"), PeersAddress: fields.Value("peers_all"),
+		Cores: fields.NumberOr("limits.cores", 1), MemoryMB: fields.RequiredInteger("limits.memory_mb"),
+		Sockets: fields.RequiredInteger("limits.sockets"), Settings: briefing.Flatten("settings", file.Settings)}
+	seed, err := strconv.ParseUint(fields.RequiredString("seed"), 16, 64)
 	switch {
-	case rest.Err != nil:
-		return nil, rest.Err
+	case fields.Err != nil:
+		return nil, fields.Err
 	case err != nil:
-		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", rest.Value("seed"))
+		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", fields.Value("seed"))
 	case p.Cores <= 0 || p.MemoryMB < 16 || p.Sockets < 64:
-		return nil, fmt.Errorf("limits: cores, memory_mb or sockets is too small to work with")
+		return nil, fmt.Errorf("limits: cores, memory_mb or sockets is too small")
 	}
 	p.Seed = int64(seed)
 	if _, _, err := net.SplitHostPort(p.Discovery); p.Discovery != "" && err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if len(file.Known) > 0 {
-		if p.Known, err = protocol.ParseTargets(file.Known); err != nil {
+		if p.KnownTargets, err = protocol.ParseTargets(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	p.Known.IsFull = true
-	return p, p.spans()
+	p.KnownTargets.IsFull = true
+	return p, p.readTimeouts()
 }
 
-// spans reads how long the network may take.
-func (p *Posting) spans() error {
-	span := func(name string, usual time.Duration) time.Duration {
-		if t := p.Deployment.MicrosOrZero(name); t > 0 {
-			return time.Duration(t)
+// readTimeouts derives the network timeouts from the settings.
+func (p *Config) readTimeouts() error {
+	duration := func(name string, fallback time.Duration) time.Duration {
+		if value := p.Settings.MicrosOrZero(name); value > 0 {
+			return time.Duration(value)
 		}
-		return usual
+		return fallback
 	}
-	p.ConnectWithin = span("limits.connectTimeoutUs", usualConnect)
-	p.IdleFor = span("limits.keepaliveUs", usualIdle)
-	p.WatchFor = min(longestWatch, span("safety.askEveryUs", usualWatch))
-	p.AnswerWithin = answerWithin
-	if notice := p.Deployment.Discovery(); !notice.OnRequest {
-		p.AnswerWithin = min(answerWithin, max(leastAnswer, time.Duration(notice.DrainGrace/4)))
+	p.ConnectTimeout = duration("limits.connectTimeoutUs", defaultConnectTimeout)
+	p.IdleTimeout = duration("limits.keepaliveUs", defaultIdleTimeout)
+	p.WatchTimeout = min(maxWatchTimeout, duration("safety.askEveryUs", defaultWatchTimeout))
+	p.DiscoveryTimeout = discoveryCallTimeout
+	if drainNotice := p.Settings.Discovery(); !drainNotice.OnRequest {
+		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(drainNotice.DrainGrace/4)))
 	}
-	if !p.Deployment.BoolOr("limits.peerMessages", false) {
-		p.PeersAll = ""
+	if !p.Settings.BoolOr("limits.peerMessages", false) {
+		p.PeersAddress = ""
 	}
-	return p.Deployment.Err
+	return p.Settings.Err
 }
 
-func decode(text []byte, into any) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
-	if err := d.Decode(into); err != nil {
+func decodeJSON(text []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(into); err != nil {
 		return err
 	}
-	if d.More() {
-		return errors.New("something follows the object")
+	if decoder.More() {
+		return errors.New("unexpected data after the JSON object")
 	}
 	return nil
 }
--- a/internal/program/readiness.go
+++ b/internal/program/readiness.go
@@ -9,71 +9,72 @@
 	"sedgespread/rules"
 )
 
-// readiness is reached once discovery has been asked and each member it serves has been probed, or told
-// of by a fellow driver, if probes are made.
+// readiness tracks whether this driver is ready: discovery has been asked, and each serving member
+// has been probed or reported by a peer, if probes are enabled.
 type readiness struct {
-	reached chan struct{}
+	ready chan struct{}
 
-	mu    sync.Mutex
-	asked bool
-	done  bool
-	seen  map[rules.MemberID]bool // probed, of no more use once ready
-	await map[rules.MemberID]bool
+	mu             sync.Mutex
+	discoveryAsked bool
+	isReady        bool
+	probed         map[rules.MemberID]bool // members whose probe has ended; nil once ready
+	awaited        map[rules.MemberID]bool
 }
 
 func newReadiness() *readiness {
-	return &readiness{reached: make(chan struct{}), seen: map[rules.MemberID]bool{}, await: map[rules.MemberID]bool{}}
+	return &readiness{ready: make(chan struct{}), probed: map[rules.MemberID]bool{}, awaited: map[rules.MemberID]bool{}}
 }
 
-// looked notes that a probe of a member has ended.
-func (r *readiness) looked(m rules.MemberID) {
+// recordProbe records that a probe of a member has ended.
+func (r *readiness) recordProbe(member rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.done {
-		r.seen[m] = true
-		delete(r.await, m)
+	if !r.isReady {
+		r.probed[member] = true
+		delete(r.awaited, member)
 		r.check()
 	}
 }
 
-// told looks whether fellow drivers told of members that are waited for.
-func (r *readiness) told(router *routing.Router) {
+// recordPeerMessage stops waiting for members that peers have reported.
+func (r *readiness) recordPeerMessage(router *routing.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
+	if r.isReady {
 		return
 	}
-	r.settle(router)
+	r.dropKnown(router)
 }
 
-// settle waits no longer for members that are known of by now, or are to get nothing new: those are not probed any more. The
-// lock is held.
-func (r *readiness) settle(router *routing.Router) {
-	maps.DeleteFunc(r.await, func(m rules.MemberID, _ bool) bool { return router.HasObservation(m) || !router.MayProbe(m) })
+// dropKnown stops waiting for members that are known by now, or that may not be probed any more.
+// The lock is held.
+func (r *readiness) dropKnown(router *routing.Router) {
+	maps.DeleteFunc(r.awaited, func(m rules.MemberID, _ bool) bool { return router.HasObservation(m) || !router.MayProbe(m) })
 	r.check()
 }
 
-// listed notes what discovery told; nothing where it could not be asked: what was known before must do.
-func (r *readiness) listed(router *routing.Router, t protocol.Targets) {
+// recordList records an answer from discovery. The list is empty if discovery could not be reached;
+// the previously known targets are used then.
+func (r *readiness) recordList(router *routing.Router, targets protocol.Targets) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
+	if r.isReady {
 		return
 	}
-	for _, e := range t.Entries {
-		m, known := router.MemberID(e.ID)
-		if known && router.ProbesMembers() && e.Lifecycle == protocol.Serving && !r.seen[m] && !router.HasObservation(m) {
-			r.await[m] = true
+	for _, entry := range targets.Entries {
+		member, known := router.MemberID(entry.ID)
+		if known && router.ProbesMembers() && entry.Lifecycle == protocol.Serving && !r.probed[member] && !router.HasObservation(member) {
+			r.awaited[member] = true
 		}
 	}
-	r.asked = true
-	r.settle(router)
+	r.discoveryAsked = true
+	r.dropKnown(router)
 }
 
-// check tells once that readiness is reached. The lock is held.
+// check closes the ready channel once the driver is ready. The lock is held.
 func (r *readiness) check() {
-	if r.asked && len(r.await) == 0 {
-		r.done, r.seen, r.await = true, nil, nil
-		close(r.reached)
+	if r.discoveryAsked && len(r.awaited) == 0 {
+		r.isReady, r.probed, r.awaited = true, nil, nil
+		close(r.ready)
 	}
 }
