--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 
 lint:
 	go vet ./...
+	go tool -modfile=tools/go.mod staticcheck -checks all ./...
 	@test -z "$$(gofmt -l cmd internal rules)" || { gofmt -l cmd internal rules; exit 1; }
 
 fuzz:
