--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"sedgespread/internal/briefing"
 	"sedgespread/internal/operator"
 	"sedgespread/internal/protocol"
+	"sedgespread/internal/settings"
 )
 
 // Config is the configuration of a driver, read from the environment and the configuration file.
@@ -25,7 +25,7 @@
 	Cores                    float64
 	MemoryMB, Sockets        int64
 	KnownTargets             protocol.Targets
-	Settings                 *briefing.Fields
+	Settings                 *settings.Fields
 	ConnectTimeout           time.Duration
 	IdleTimeout              time.Duration    // of connections to members
 	WatchTimeout             time.Duration    // wait time of a discovery watch
@@ -120,11 +120,11 @@
 	}
 	delete(file.Rest, "known")
 	delete(file.Rest, "settings")
-	fields := briefing.Flatten("file", file.Rest)
+	fields := settings.Flatten("file", file.Rest)
 	p := &Config{Name: fields.Value("name"), Listen: fields.Value("listen"), Discovery: fields.Value("discovery"),
 		PeerListen: fields.Value("peer_listen"), PeersAddress: fields.Value("peers_all"),
 		Cores: fields.NumberOr("limits.cores", 1), MemoryMB: fields.RequiredInteger("limits.memory_mb"),
-		Sockets: fields.RequiredInteger("limits.sockets"), Settings: briefing.Flatten("settings", file.Settings)}
+		Sockets: fields.RequiredInteger("limits.sockets"), Settings: settings.Flatten("settings", file.Settings)}
 	seed, err := strconv.ParseUint(fields.RequiredString("seed"), 16, 64)
 	switch {
 	case fields.Err != nil:
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"sedgespread/internal/briefing"
+	"sedgespread/internal/settings"
 )
 
 // reloadOnSignal reloads the configuration on each signal, until the driver's lifetime ends.
@@ -48,7 +48,7 @@
 		"listen":      other.Listen == p.Listen,
 		"peer_listen": other.PeerListen == p.PeerListen,
 		"peers_all":   other.PeersAddress == p.PeersAddress,
-		"settings":    briefing.Equal(p.Settings, other.Settings),
+		"settings":    settings.Equal(p.Settings, other.Settings),
 	} {
 		if !isSame {
 			names = append(names, name)
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -1,7 +1,7 @@
 package routing
 
 import (
-	"sedgespread/internal/briefing"
+	"sedgespread/internal/settings"
 	"sedgespread/rules"
 )
 
@@ -51,7 +51,7 @@
 // SendReports sends observations to the peers. Positions too old to be encoded are left out, and an empty
 // message is not sent.
 func (h *host) SendReports(observations []rules.PeerReport) {
-	if message := briefing.EncodeObservations(observations, h.registry.keyOf, 0, h.driver.StoreNow()); len(message) > 0 {
+	if message := settings.EncodeObservations(observations, h.registry.keyOf, 0, h.driver.StoreNow()); len(message) > 0 {
 		h.addTask(SendToPeers{Message: message})
 	}
 }
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"sedgespread/internal/briefing"
 	"sedgespread/internal/protocol"
+	"sedgespread/internal/settings"
 	"sedgespread/internal/transport"
 	"sedgespread/rules"
 )
@@ -101,7 +101,7 @@
 	if o.Answer == nil || o.Answer.Failure != nil {
 		return observation
 	}
-	var load briefing.Fields
+	var load settings.Fields
 	load.Parse("report,"+o.Answer.Value(), ",", "=")
 	if reported := load.Observation(0); load.Err == nil {
 		observation = reported
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,10 +11,10 @@
 	"github.com/sirupsen/logrus"
 
 	"sedgespread/internal/audit"
-	"sedgespread/internal/briefing"
 	"sedgespread/internal/cells"
 	"sedgespread/internal/clock"
 	"sedgespread/internal/protocol"
+	"sedgespread/internal/settings"
 	"sedgespread/internal/versions"
 	"sedgespread/rules"
 )
@@ -54,18 +54,18 @@
 }
 
 // New creates a router from the settings and the last known list of members.
-func New(settings *briefing.Fields, seed int64, lastList protocol.Targets, log logrus.FieldLogger) (*Router, error) {
+func New(driverSettings *settings.Fields, seed int64, lastList protocol.Targets, log logrus.FieldLogger) (*Router, error) {
 	r := &Router{registry: newRegistry(), pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){},
 		activeRPCs: map[rules.RPCID]*ActiveRPC{}, ids: rpcIDs{inUse: map[string]bool{}}, methodIDs: map[string]rules.MethodID{},
 		clock: clock.New(), wakeup: make(chan struct{}, 1), log: log, trace: newTrace(log)}
-	r.methods = settings.Methods()
+	r.methods = driverSettings.Methods()
 	for id, method := range r.methods {
 		r.methodIDs[method.Name] = rules.MethodID(id)
 	}
-	fleet, store, limits, slowStart, discovery := settings.Fleet(), settings.Store(), settings.Limits(), settings.SlowStart(),
-		settings.Discovery()
-	if settings.Err != nil {
-		return nil, settings.Err
+	fleet, store, limits, slowStart, discovery := driverSettings.Fleet(), driverSettings.Store(), driverSettings.Limits(), driverSettings.SlowStart(),
+		driverSettings.Discovery()
+	if driverSettings.Err != nil {
+		return nil, driverSettings.Err
 	}
 	r.limits = limits
 	store.MaxSendDelay = sendDelay
@@ -120,7 +120,7 @@
 func (r *Router) ReceiveObservations(message []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	observations, ok := briefing.DecodeObservations(message, r.registry.idOfKey, 0, r.driver.StoreNow())
+	observations, ok := settings.DecodeObservations(message, r.registry.idOfKey, 0, r.driver.StoreNow())
 	if ok && !r.detectStall() {
 		r.driver.ReceiveReports(observations)
 	}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"sedgespread/internal/briefing"
 	"sedgespread/internal/protocol"
+	"sedgespread/internal/settings"
 	"sedgespread/internal/transport"
 	"sedgespread/rules"
 )
@@ -59,7 +59,7 @@
 
 // newTestRouter returns a router that knows the named members of group 1.
 func newTestRouter(t testing.TB, names ...string) *Router {
-	settings := briefing.Flatten("settings", map[string]any{
+	driverSettings := settings.Flatten("settings", map[string]any{
 		"classes": []any{
 			map[string]any{"name": "read", "effect": "repeatable", "aimUs": 200_000, "giveUpUs": 2_000_000},
 			map[string]any{"name": "write", "effect": "once", "aimUs": 200_000, "giveUpUs": 2_000_000},
@@ -73,7 +73,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r, err := New(settings, 1, list, log)
+	r, err := New(driverSettings, 1, list, log)
 	require.NoError(t, err)
 	return r
 }
@@ -306,7 +306,7 @@
 
 // Guards against a router that starts with incomplete settings.
 func TestNewRejectsIncompleteSettings(t *testing.T) {
-	_, err := New(briefing.Flatten("settings", map[string]any{"classes": []any{map[string]any{"name": "x"}}}), 1,
+	_, err := New(settings.Flatten("settings", map[string]any{"classes": []any{map[string]any{"name": "x"}}}), 1,
 		protocol.Targets{}, logrus.New())
 	require.ErrorContains(t, err, "settings: classes.0.effect is missing")
 }
--- a/internal/briefing/news.go
+++ b/internal/settings/news.go
@@ -1,4 +1,4 @@
-package briefing
+package settings
 
 import (
 	"time"
--- a/internal/briefing/parts.go
+++ b/internal/settings/parts.go
@@ -1,6 +1,6 @@
-// Package briefing parses the settings that a driver starts with, which come from the simulator or from a
+// Package settings parses the settings that a driver starts with, which come from the simulator or from a
 // file, and encodes the observations that drivers exchange.
-package briefing
+package settings
 
 import (
 	"fmt"
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -1,7 +1,7 @@
 package simwire
 
 import (
-	"sedgespread/internal/briefing"
+	"sedgespread/internal/settings"
 	"sedgespread/rules"
 )
 
@@ -30,20 +30,20 @@
 	"598": {rules.MayHaveExecuted, rules.Reset},
 }
 
-func parseMember(fields *briefing.Fields) rules.MemberEntry {
+func parseMember(fields *settings.Fields) rules.MemberEntry {
 	return rules.MemberEntry{
 		Member:  rules.MemberID(fields.RequiredID("member")),
 		Group:   rules.GroupID(fields.IntegerOr("group", 0)),
 		Zone:    fields.Value("hall"),
-		State:   briefing.Lookup(fields, "stageState", fields.RequiredString("stageState"), states),
+		State:   settings.Lookup(fields, "stageState", fields.RequiredString("stageState"), states),
 		Started: fields.MicrosOrZero("bootTimeUs"),
 		Primary: fields.NumberOr("head", 0) == 1,
 		Weight:  fields.NumberOr("size", 0),
 	}
 }
 
-func parseResult(fields *briefing.Fields, epoch int64) rules.Result {
-	outcome := briefing.Lookup(fields, "outcome", fields.RequiredString("outcome"), outcomes)
+func parseResult(fields *settings.Fields, epoch int64) rules.Result {
+	outcome := settings.Lookup(fields, "outcome", fields.RequiredString("outcome"), outcomes)
 	r := rules.Result{Outcome: outcome.outcome, Cause: outcome.cause, Latency: fields.MicrosOrZero("waitTimeUs"), Final: fields.BoolOr("final", false)}
 	positionRole := fields.IntegerOr("posRole", 0)
 	if positionRole < 0 || positionRole%4 == 3 {
@@ -56,10 +56,10 @@
 	return r
 }
 
-func parseProbeResult(fields *briefing.Fields, epoch int64) rules.ProbeResult {
-	outcome := briefing.Lookup(fields, "outcome", fields.RequiredString("outcome"), outcomes)
+func parseProbeResult(fields *settings.Fields, epoch int64) rules.ProbeResult {
+	outcome := settings.Lookup(fields, "outcome", fields.RequiredString("outcome"), outcomes)
 	r := rules.ProbeResult{Cause: outcome.cause}
-	var report briefing.Fields
+	var report settings.Fields
 	report.Parse("report,"+fields.Value("report"), ",", ":")
 	r.Report = report.Observation(epoch)
 	if report.Err != nil && fields.Err == nil {
--- a/internal/simwire/news.go
+++ b/internal/simwire/news.go
@@ -3,13 +3,13 @@
 import (
 	"encoding/base64"
 
-	"sedgespread/internal/briefing"
+	"sedgespread/internal/settings"
 	"sedgespread/rules"
 )
 
 // SendReports sends reports to all peers, unless there is nothing that can be sent.
 func (d *driver) SendReports(reports []rules.PeerReport) {
-	message := briefing.EncodeObservations(reports, func(m rules.MemberID) uint32 { return uint32(m) }, d.epoch, d.conn.now)
+	message := settings.EncodeObservations(reports, func(m rules.MemberID) uint32 { return uint32(m) }, d.epoch, d.conn.now)
 	if len(message) == 0 {
 		return
 	}
@@ -20,7 +20,7 @@
 const emptyContent = "-"
 
 // handlePeerMessage applies the reports of a peer. Messages of an unknown format are ignored.
-func (d *driver) handlePeerMessage(fields *briefing.Fields) {
+func (d *driver) handlePeerMessage(fields *settings.Fields) {
 	content := fields.RequiredString("content")
 	if content == emptyContent {
 		content = ""
@@ -33,7 +33,7 @@
 		return
 	}
 	anyMember := func(key uint32) (rules.MemberID, bool) { return rules.MemberID(key), true }
-	if reports, ok := briefing.DecodeObservations(message, anyMember, d.epoch, d.conn.now); ok {
+	if reports, ok := settings.DecodeObservations(message, anyMember, d.epoch, d.conn.now); ok {
 		d.ReceiveReports(reports)
 	}
 }
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"sedgespread/internal/briefing"
+	"sedgespread/internal/settings"
 	"sedgespread/rules"
 )
 
@@ -22,7 +22,7 @@
 	in              *bufio.Reader
 	out             *bufio.Writer
 	lineNumber      int
-	briefing.Fields        // fields of the last line read
+	settings.Fields        // fields of the last line read
 	output          []byte // line being written
 	now             int64
 	memberLists     map[int64][]rules.MemberEntry
@@ -66,7 +66,7 @@
 }
 
 // readMessage returns the next line that is not empty.
-func (c *connection) readMessage() (*briefing.Fields, error) {
+func (c *connection) readMessage() (*settings.Fields, error) {
 	for {
 		text, err := c.in.ReadString('\n')
 		if err == io.EOF && text != "" {
@@ -85,7 +85,7 @@
 }
 
 // readRequired reads a message where the input must not end.
-func (c *connection) readRequired(container string) (*briefing.Fields, error) {
+func (c *connection) readRequired(container string) (*settings.Fields, error) {
 	fields, err := c.readMessage()
 	if errors.Is(err, io.EOF) {
 		return nil, fmt.Errorf("unexpected end of input in a %s", container)
@@ -121,7 +121,7 @@
 	}
 }
 
-func (c *connection) handleEvent(fields *briefing.Fields) error {
+func (c *connection) handleEvent(fields *settings.Fields) error {
 	switch fields.Name {
 	case "PAGE":
 		return c.handlePage(fields)
@@ -164,7 +164,7 @@
 	return fields.Err
 }
 
-func (c *connection) handlePage(fields *briefing.Fields) error {
+func (c *connection) handlePage(fields *settings.Fields) error {
 	slot, count := fields.RequiredInteger("slot"), fields.RequiredInteger("elements")
 	if fields.Err != nil {
 		return fields.Err
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func (c *connection) handleNewInstance(fields *briefing.Fields) error {
+func (c *connection) handleNewInstance(fields *settings.Fields) error {
 	d := &driver{conn: c, id: fields.RequiredInteger("who"), epoch: fields.MicrosOrZero("extra.countedFromUs"), methods: map[string]rules.MethodID{},
 		rpcs: map[rules.RPCID]*pendingRPC{}, pendingProbes: map[rules.MemberID][]func(rules.ProbeResult){}}
 	methods := fields.Methods()
@@ -204,13 +204,13 @@
 	return nil
 }
 
-func (d *driver) handleView(fields *briefing.Fields) {
+func (d *driver) handleView(fields *settings.Fields) {
 	mode := fields.RequiredString("mode")
 	if mode == "FAILED" {
 		d.WatchFailed()
 		return
 	}
-	isComplete := briefing.Lookup(fields, "mode", mode, modes)
+	isComplete := settings.Lookup(fields, "mode", mode, modes)
 	entries, ok := d.conn.memberLists[fields.RequiredInteger("slot")]
 	if !ok {
 		fields.Fail("slot=%s holds no member list", fields.Value("slot"))
@@ -220,8 +220,8 @@
 	}
 }
 
-func (d *driver) handleRequest(fields *briefing.Fields) {
-	method := briefing.Lookup(fields, "tierClass", fields.RequiredString("tierClass"), d.methods)
+func (d *driver) handleRequest(fields *settings.Fields) {
+	method := settings.Lookup(fields, "tierClass", fields.RequiredString("tierClass"), d.methods)
 	rpc := rules.RPC{ID: rules.RPCID(fields.RequiredID("xid")), Method: method, Group: rules.GroupID(fields.IntegerOr("cluster", 0)),
 		Session: fields.Value("key"), TimeLeft: fields.RequiredInteger("graceUs") * microsecond, IsRetry: fields.IntegerOr("flags", 0)&retryFlag != 0}
 	if writeAge := fields.NumberOr("lastWriteMs", 0); writeAge > 0 {
@@ -233,7 +233,7 @@
 	}
 }
 
-func (d *driver) handleResult(fields *briefing.Fields, isLast bool, r rules.Result) {
+func (d *driver) handleResult(fields *settings.Fields, isLast bool, r rules.Result) {
 	id, n := rules.RPCID(fields.RequiredID("xid")), int(fields.RequiredInteger("n"))
 	if fields.Err != nil {
 		return
@@ -269,7 +269,7 @@
 	}
 }
 
-func (d *driver) handleTimer(fields *briefing.Fields) {
+func (d *driver) handleTimer(fields *settings.Fields) {
 	handle := fields.RequiredInteger("handle")
 	if handle < 0 || handle >= int64(len(d.timers)) || d.timers[handle] == nil {
 		fields.Fail("handle=%d is not set", handle)
@@ -281,7 +281,7 @@
 	next()
 }
 
-func (d *driver) handleProbe(fields *briefing.Fields) {
+func (d *driver) handleProbe(fields *settings.Fields) {
 	to, r := rules.MemberID(fields.RequiredID("member")), parseProbeResult(fields, d.epoch)
 	callbacks := d.pendingProbes[to]
 	if len(callbacks) == 0 {
