--- a/internal/council/seat.go
+++ b/internal/council/seat.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"sedgespread/internal/planted"
+	"sedgespread/internal/failpoint"
 )
 
 // Node is the raft node of one voter. Its methods must not be called concurrently; after each call,
@@ -207,7 +207,7 @@
 // restored from an old copy could make it vote twice in a term, or lose entries that it had
 // acknowledged.
 func (n *Node) checkPosition() {
-	if known := n.knownPositions[n.id]; n.refusalReason == "" && known.exceeds(n.durablePosition) && !planted.Active(planted.AcceptOldDisk) {
+	if known := n.knownPositions[n.id]; n.refusalReason == "" && known.exceeds(n.durablePosition) && !failpoint.Active(failpoint.AcceptOldDisk) {
 		n.refuse(fmt.Sprintf("the disk of voter %d is older than what it had told others: at term %d, entry %d of term %d; it had shown "+
 			"term %d, entry %d of term %d", n.id, n.durablePosition.Term, n.durablePosition.LastIndex, n.durablePosition.LastTerm, known.Term, known.LastIndex, known.LastTerm))
 	}
--- a/internal/planted/planted.go
+++ b/internal/failpoint/failpoint.go
@@ -1,7 +1,7 @@
 //go:build planted
 
-// Package planted activates the fault named by the environment variable SEDGESPREAD_PLANTED.
-package planted
+// Package failpoint activates the fault named by the environment variable SEDGESPREAD_PLANTED.
+package failpoint
 
 import "os"
 
--- a/internal/planted/none.go
+++ b/internal/failpoint/none.go
@@ -1,8 +1,8 @@
 //go:build !planted
 
-// Package planted provides faults for testing that the fault-injection trials detect them. A build with
+// Package failpoint provides faults for testing that the fault-injection trials detect them. A build with
 // the tag "planted" activates the fault named by an environment variable; other builds have none.
-package planted
+package failpoint
 
 // Fault names.
 const (
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -14,7 +14,7 @@
 	"sedgespread/internal/audit/shelf"
 	"sedgespread/internal/clock"
 	"sedgespread/internal/council/chamber"
-	"sedgespread/internal/planted"
+	"sedgespread/internal/failpoint"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/versions"
 )
@@ -208,11 +208,11 @@
 func (s *FleetServer) presentDrivers() (present []versions.DriverStatus) {
 	now := s.now()
 	for _, driver := range s.roster.Drivers() {
-		mayAct := s.roster.MayAct(now, driver.Name) && !planted.Active(planted.IgnoreStragglers)
+		mayAct := s.roster.MayAct(now, driver.Name) && !failpoint.Active(failpoint.IgnoreStragglers)
 		present = append(present, versions.DriverStatus{Instance: startIdentity(driver), MayAct: mayAct, IsVoter: driver.IsVoter, IsUnreachable: s.silentDrivers[driver.Name]})
 	}
 	for _, start := range s.roster.SupersededStarts(now) {
-		present = append(present, versions.DriverStatus{Instance: versions.Instance{Name: start.Name, Start: uint64(start.Start)}, MayAct: !planted.Active(planted.IgnoreStragglers)})
+		present = append(present, versions.DriverStatus{Instance: versions.Instance{Name: start.Name, Start: uint64(start.Start)}, MayAct: !failpoint.Active(failpoint.IgnoreStragglers)})
 	}
 	return present
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -7,9 +7,9 @@
 	"runtime/debug"
 
 	"sedgespread/internal/audit"
+	"sedgespread/internal/failpoint"
 	"sedgespread/internal/membership"
 	"sedgespread/internal/membership/gossip"
-	"sedgespread/internal/planted"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/routing"
 	"sedgespread/internal/versions"
@@ -106,7 +106,7 @@
 	if adoption.Resource != routing.Rulebook {
 		return fmt.Errorf("this build does not know what %q is", adoption.Resource)
 	}
-	if planted.Active(planted.CrashOnVersion) {
+	if failpoint.Active(failpoint.CrashOnVersion) {
 		os.Exit(3)
 	}
 	next, err := s.startConfig.WithRulebook(fmt.Sprintf("version %d of the rulebook", adoption.Number), adoption.Text)
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 
 	"sedgespread/internal/audit"
-	"sedgespread/internal/planted"
+	"sedgespread/internal/failpoint"
 	"sedgespread/internal/protocol"
 	"sedgespread/internal/versions"
 	"sedgespread/rules"
@@ -96,7 +96,7 @@
 // failsByPlantedFault reports whether a planted fault, of which only builds for trials have any, ends the
 // RPC.
 func (a *ActiveRPC) failsByPlantedFault() bool {
-	return planted.Active(planted.RejectRPCs) && a.admission.version > versions.InitialVersion && a.id%4 == 0
+	return failpoint.Active(failpoint.RejectRPCs) && a.admission.version > versions.InitialVersion && a.id%4 == 0
 }
 
 // mayProceed reports whether the RPC's tenant is still in the same cell and its version still in force.
@@ -115,7 +115,7 @@
 		return
 	}
 	a.admission.version = 0
-	if a.router.trail != nil && !(planted.Active(planted.DropAuditEntries) && a.id%10 == 0) {
+	if a.router.trail != nil && !(failpoint.Active(failpoint.DropAuditEntries) && a.id%10 == 0) {
 		a.router.trail.EndRPC(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome,
 			a.admission.lastBeganAt)
 	}
@@ -181,7 +181,7 @@
 func (r *Router) ApplyOrders(askedAt int64, grant versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if planted.Active(planted.LongLease) {
+	if failpoint.Active(failpoint.LongLease) {
 		grant.Lease += grant.Lease / 2
 	}
 	adoptions := r.holder.ApplyGrant(askedAt, grant)
