--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -12,7 +12,7 @@
 	"sedgespread/internal/admin"
 	"sedgespread/internal/audit"
 	"sedgespread/internal/council"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/membership"
 	"sedgespread/internal/routing"
 	"sedgespread/internal/versions"
@@ -279,7 +279,7 @@
 
 // Run prints the state of the council.
 func (councilShow) Run(cli *commandLine) error {
-	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, state *chamber.State) {
+	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "council", struct{}{}, func(out *tabwriter.Writer, state *server.State) {
 		fmt.Fprintf(out, "according to voter %d: term %d, %d entries applied, %.1f ms per disk write\n", state.Voter, state.Term, state.Applied, state.WriteMs)
 		if state.RefusalReason != "" {
 			fmt.Fprintf(out, "this voter is permanently rejected: %s\n", state.RefusalReason)
@@ -296,7 +296,7 @@
 }
 
 // changeCouncil proposes a change of the voters.
-func (cli *commandLine) changeCouncil(change chamber.VoterChange) error {
+func (cli *commandLine) changeCouncil(change server.VoterChange) error {
 	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "council/change", change, nil)
 	if err == nil {
 		fmt.Println("proposed; run `fleet council show` to see when it has taken effect")
@@ -312,7 +312,7 @@
 
 // Run proposes to add a voter.
 func (a councilAdd) Run(cli *commandLine) error {
-	return cli.changeCouncil(chamber.VoterChange{Add: chamber.VoterAddresses{council.VoterID(a.ID): a.At}, Remove: voterIDs(a.Replace)})
+	return cli.changeCouncil(server.VoterChange{Add: server.VoterAddresses{council.VoterID(a.ID): a.At}, Remove: voterIDs(a.Replace)})
 }
 
 type councilRemove struct {
@@ -321,7 +321,7 @@
 
 // Run proposes to remove voters.
 func (r councilRemove) Run(cli *commandLine) error {
-	return cli.changeCouncil(chamber.VoterChange{Remove: voterIDs(r.IDs)})
+	return cli.changeCouncil(server.VoterChange{Remove: voterIDs(r.IDs)})
 }
 
 func voterIDs(ids []uint64) (result []council.VoterID) {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sedgespread/internal/cells"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/jsonhttp"
 	"sedgespread/internal/membership"
 )
@@ -23,8 +23,8 @@
 	Move(ctx context.Context, moves []membership.MoveRequest) error
 	Abort(ctx context.Context, move membership.MoveRequest) error
 	Plan(ctx context.Context, maxMoves int) (Plan, error)
-	Council(ctx context.Context) (chamber.State, error)
-	ChangeCouncil(ctx context.Context, change chamber.VoterChange) error
+	Council(ctx context.Context) (server.State, error)
+	ChangeCouncil(ctx context.Context, change server.VoterChange) error
 	Fleet(ctx context.Context) (membership.FleetState, error)
 	Wish(ctx context.Context, wish membership.FleetChange) error
 	Audit(ctx context.Context, question membership.AuditQuery) (membership.AuditResult, error)
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"sedgespread/internal/cells"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/membership"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/versions"
@@ -24,8 +24,8 @@
 
 func (b fakeBackend) Cells() cells.Stats { return cells.Stats{Rejected: map[string]int64{"lease": 3}} }
 
-func (b fakeBackend) Council(context.Context) (chamber.State, error) {
-	return chamber.State{Term: 7, IsActing: true}, b.err
+func (b fakeBackend) Council(context.Context) (server.State, error) {
+	return server.State{Term: 7, IsActing: true}, b.err
 }
 
 func (b fakeBackend) Fleet(context.Context) (membership.FleetState, error) { return b.fleet, b.err }
--- a/internal/council/chamber/chamber.go
+++ b/internal/council/server/chamber.go
@@ -1,6 +1,6 @@
-// Package chamber runs a council.Node: it provides its disk, its clock and the connections to the
+// Package server runs a council.Node: it provides its disk, its clock and the connections to the
 // other voters. All decisions are made in package council and in the state machines.
-package chamber
+package server
 
 import (
 	"context"
--- a/internal/council/chamber/scribe.go
+++ b/internal/council/server/scribe.go
@@ -1,4 +1,4 @@
-package chamber
+package server
 
 import (
 	"context"
--- a/internal/membership/chair.go
+++ b/internal/membership/chair.go
@@ -15,7 +15,7 @@
 	"sedgespread/internal/cells"
 	"sedgespread/internal/clock"
 	"sedgespread/internal/council"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/jsonhttp"
 	"sedgespread/internal/store"
 )
@@ -81,7 +81,7 @@
 func (s *CoordinatorServer) StateMachine() CoordinatorStateMachine { return CoordinatorStateMachine{s} }
 
 // AttachCouncil sets the council's server. It is called before the first request.
-func (s *CoordinatorServer) AttachCouncil(c *chamber.Server) {
+func (s *CoordinatorServer) AttachCouncil(c *server.Server) {
 	s.recorder = councilRecorder[cells.Record]{c, CoordinatorStateMachineName}
 }
 
@@ -185,7 +185,7 @@
 	s.mu.Lock()
 	if !s.recorder.isActing() {
 		s.mu.Unlock()
-		return cells.Grant{}, chamber.ErrNotLeading
+		return cells.Grant{}, server.ErrNotLeading
 	}
 	grant, changed := s.coordinator.Grant(s.now(), report), s.changed.channel
 	s.mu.Unlock()
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"sedgespread/internal/cells"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/jsonhttp"
 )
 
@@ -166,13 +166,13 @@
 }
 
 // Council fetches the state of the council.
-func (c Client) Council(ctx context.Context) (s chamber.State, err error) {
+func (c Client) Council(ctx context.Context) (s server.State, err error) {
 	err = c.post(ctx, "council/state", struct{}{}, &s)
 	return s, err
 }
 
 // ChangeCouncil requests a change of voters.
-func (c Client) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
+func (c Client) ChangeCouncil(ctx context.Context, change server.VoterChange) error {
 	return c.post(ctx, "council/change", change, nil)
 }
 
--- a/internal/membership/ledger.go
+++ b/internal/membership/ledger.go
@@ -12,13 +12,13 @@
 
 	"sedgespread/internal/cells"
 	"sedgespread/internal/council"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/store"
 )
 
 // recorder makes records durable and applies them.
 type recorder[R any] interface {
-	// record makes records durable and applies them, all or none. After chamber.ErrUnknown they may
+	// record makes records durable and applies them, all or none. After server.ErrOutcomeUnknown they may
 	// still be applied later.
 	record(ctx context.Context, records []R) error
 	// isActing reports whether this process is the only one that may propose records now.
@@ -41,7 +41,7 @@
 	p.proposeMu.Lock()
 	defer p.proposeMu.Unlock()
 	if !p.recorder.isActing() {
-		return false, chamber.ErrNotLeading
+		return false, server.ErrNotLeading
 	}
 	mu.Lock()
 	records, err := makeRecords()
@@ -107,20 +107,20 @@
 
 // councilRecorder replicates the records of one state machine through the council's log.
 type councilRecorder[R any] struct {
-	chamber          *chamber.Server
+	councilServer    *server.Server
 	stateMachineName string
 }
 
-func (c councilRecorder[R]) isActing() bool { return c.chamber.IsActing() }
+func (c councilRecorder[R]) isActing() bool { return c.councilServer.IsActing() }
 
-func (c councilRecorder[R]) voterID() council.VoterID { return c.chamber.State().Voter }
+func (c councilRecorder[R]) voterID() council.VoterID { return c.councilServer.State().Voter }
 
 func (c councilRecorder[R]) onLeader(h http.Handler) http.Handler {
-	return c.chamber.ForwardToLeader(h)
+	return c.councilServer.ForwardToLeader(h)
 }
 
 func (c councilRecorder[R]) record(ctx context.Context, records []R) error {
-	return c.chamber.Record(ctx, c.stateMachineName, records)
+	return c.councilServer.Record(ctx, c.stateMachineName, records)
 }
 
 // applyRecords applies committed records up to the first invalid one. A record is invalid if its
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -13,7 +13,7 @@
 	"sedgespread/internal/audit"
 	"sedgespread/internal/audit/shelf"
 	"sedgespread/internal/clock"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/failpoint"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/versions"
@@ -77,7 +77,7 @@
 }
 
 // AttachCouncil sets the council's server. It is called before the first request.
-func (s *FleetServer) AttachCouncil(c *chamber.Server) {
+func (s *FleetServer) AttachCouncil(c *server.Server) {
 	s.proposer.recorder = councilRecorder[fleetRecord]{c, FleetStateMachineName}
 }
 
--- a/internal/membership/registration_requests.go
+++ b/internal/membership/registration_requests.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sedgespread/internal/audit"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/jsonhttp"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/versions"
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	if !s.proposer.recorder.isActing() {
 		s.mu.Unlock()
-		return leaseResponse{}, chamber.ErrNotLeading
+		return leaseResponse{}, server.ErrNotLeading
 	}
 	s.storeTrails(request.Trails, false) // even if the lease is refused
 	if err := s.roster.RenewLease(s.now(), request.Name, request.Token); err != nil {
--- a/internal/membership/registration_test.go
+++ b/internal/membership/registration_test.go
@@ -14,7 +14,7 @@
 
 	"sedgespread/internal/audit"
 	"sedgespread/internal/council"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/jsonhttp"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/versions"
@@ -45,9 +45,9 @@
 	c.server = NewFleetServer(c.config, newDiscardLogger())
 	require.NoError(c.t, c.server.OpenTrails(c.diskPath+".trails"))
 	timing := council.Timing{Tick: int64(5 * time.Millisecond), ElectionTicks: 10, MaxDrift: 0.01}
-	chamberServer, err := chamber.Open(1, chamber.VoterAddresses{1: c.address}, false, c.diskPath, timing, map[string]chamber.StateMachine{FleetStateMachineName: c.server}, newDiscardLogger())
+	councilServer, err := server.Open(1, server.VoterAddresses{1: c.address}, false, c.diskPath, timing, map[string]server.StateMachine{FleetStateMachineName: c.server}, newDiscardLogger())
 	require.NoError(c.t, err)
-	c.server.AttachCouncil(chamberServer)
+	c.server.AttachCouncil(councilServer)
 	l, err := net.Listen("tcp", c.address)
 	require.NoError(c.t, err)
 	mux := http.NewServeMux()
@@ -55,7 +55,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Add(3)
-	go func() { defer done.Done(); chamberServer.Run(ctx) }()
+	go func() { defer done.Done(); councilServer.Run(ctx) }()
 	go func() { defer done.Done(); c.server.Run(ctx) }()
 	go func() { defer done.Done(); jsonhttp.Serve(ctx, l, mux) }()
 	c.stop = func() { stop(); done.Wait() }
@@ -234,13 +234,13 @@
 
 // An older build must not drop records or fields of a newer one.
 func TestRecordsOfNewerBuild(t *testing.T) {
-	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
-	server.Apply([]byte(`[{"roster":{"kind":"joins","name":"a","start":1,"claim":{"name":"a","token":"x","colour":"green"},"when":1}}]`))
-	server.Apply([]byte(`[{"roster":{"kind":"leaves","name":"a","start":1,"when":2}}]`))
-	server.Apply([]byte(`[{"garden":{"kind":"rose"}}]`))
-	d, _ := server.roster.Find("a")
+	fleetServer := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
+	fleetServer.Apply([]byte(`[{"roster":{"kind":"joins","name":"a","start":1,"claim":{"name":"a","token":"x","colour":"green"},"when":1}}]`))
+	fleetServer.Apply([]byte(`[{"roster":{"kind":"leaves","name":"a","start":1,"when":2}}]`))
+	fleetServer.Apply([]byte(`[{"garden":{"kind":"rose"}}]`))
+	d, _ := fleetServer.roster.Find("a")
 	require.Equal(t, roster.StateLeft, d.State, "known fields are applied")
-	text, err := server.Snapshot()
+	text, err := fleetServer.Snapshot()
 	require.NoError(t, err)
 	next := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	require.NoError(t, next.Restore(text))
@@ -357,43 +357,43 @@
 // The last part of a trail must be stored even if a new leader lacks earlier entries. Otherwise the audit
 // would miss it without noticing, since a driver that left has sent its whole trail.
 func TestLastTrailPartIsStoredAfterGap(t *testing.T) {
-	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
+	fleetServer := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	who := versions.Instance{Name: "a", Start: 1}
-	trail := audit.NewTrail(server.now(), who, "x", 100, int64(time.Hour))
+	trail := audit.NewTrail(fleetServer.now(), who, "x", 100, int64(time.Hour))
 	for range 5 {
-		trail.BeginRPC(server.now(), "x", 1)
-		trail.EndRPC(server.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, server.now())
+		trail.BeginRPC(fleetServer.now(), "x", 1)
+		trail.EndRPC(fleetServer.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, fleetServer.now())
 	}
-	trail.Flush(server.now())
-	server.storeTrails([]audit.Segment{trail.Since(0, 1)}, false)
-	server.storeTrails([]audit.Segment{trail.Since(4, 100)}, false)
-	require.EqualValues(t, 1, server.trails.LastSeq(who), "earlier entries are missing")
-	server.storeTrails([]audit.Segment{trail.Since(4, 100)}, true)
-	require.Len(t, server.trails.Segments(), 2)
-	require.Contains(t, server.trails.Gaps([]audit.Lifetime{{Instance: who}})[0].Reason, "entries 2 to 4 are not held")
+	trail.Flush(fleetServer.now())
+	fleetServer.storeTrails([]audit.Segment{trail.Since(0, 1)}, false)
+	fleetServer.storeTrails([]audit.Segment{trail.Since(4, 100)}, false)
+	require.EqualValues(t, 1, fleetServer.trails.LastSeq(who), "earlier entries are missing")
+	fleetServer.storeTrails([]audit.Segment{trail.Since(4, 100)}, true)
+	require.Len(t, fleetServer.trails.Segments(), 2)
+	require.Contains(t, fleetServer.trails.Gaps([]audit.Lifetime{{Instance: who}})[0].Reason, "entries 2 to 4 are not held")
 }
 
 // Trails must be written to disk again after a temporary write failure.
 func TestTrailFileIsRewrittenAfterFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trails")
-	server := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
-	require.NoError(t, server.OpenTrails(path))
-	trail := audit.NewTrail(server.now(), versions.Instance{Name: "a", Start: 1}, "x", 100, 1)
+	fleetServer := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
+	require.NoError(t, fleetServer.OpenTrails(path))
+	trail := audit.NewTrail(fleetServer.now(), versions.Instance{Name: "a", Start: 1}, "x", 100, 1)
 	storeEntries := func(count int) {
 		for range count {
-			trail.Flush(server.now())
-			trail.RecordEpoch(server.now(), "x", 1, 1)
-			server.storeTrails([]audit.Segment{trail.Since(server.trails.LastSeq(versions.Instance{Name: "a", Start: 1}), 100)}, false)
+			trail.Flush(fleetServer.now())
+			trail.RecordEpoch(fleetServer.now(), "x", 1, 1)
+			fleetServer.storeTrails([]audit.Segment{trail.Since(fleetServer.trails.LastSeq(versions.Instance{Name: "a", Start: 1}), 100)}, false)
 		}
 	}
 	storeEntries(1)
-	require.NoError(t, server.trailStore.Close()) // makes writes fail
+	require.NoError(t, fleetServer.trailStore.Close()) // makes writes fail
 	storeEntries(2)
-	require.NotZero(t, server.storeFailedAt)
-	server.storeFailedAt -= storeRetryInterval
+	require.NotZero(t, fleetServer.storeFailedAt)
+	fleetServer.storeFailedAt -= storeRetryInterval
 	storeEntries(2)
-	require.Zero(t, server.storeFailedAt)
+	require.Zero(t, fleetServer.storeFailedAt)
 	next := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	require.NoError(t, next.OpenTrails(path))
-	require.Equal(t, server.trails.Segments(), next.trails.Segments())
+	require.Equal(t, fleetServer.trails.Segments(), next.trails.Segments())
 }
--- a/internal/program/cells.go
+++ b/internal/program/cells.go
@@ -16,7 +16,7 @@
 	"sedgespread/internal/cells"
 	"sedgespread/internal/clock"
 	"sedgespread/internal/council"
-	"sedgespread/internal/council/chamber"
+	"sedgespread/internal/council/server"
 	"sedgespread/internal/jsonhttp"
 	"sedgespread/internal/membership"
 	"sedgespread/internal/membership/gossip"
@@ -32,7 +32,7 @@
 	p             *Program
 	coordinator   *membership.CoordinatorServer
 	journal       *store.Journal
-	councilNode   *chamber.Server         // nil unless this instance is a council voter
+	councilNode   *server.Server          // nil unless this instance is a council voter
 	fleetRegistry *membership.FleetServer // the fleet's replicated state machine; nil if there is none
 	agent         *membership.FleetAgent  // nil without a fleet
 	gossipRing    *gossip.Gossiper        // nil without gossip
@@ -127,7 +127,7 @@
 func (s *operatorServices) openCouncil() (err error) {
 	config := s.config()
 	councilConfig := config.Council
-	machines := map[string]chamber.StateMachine{}
+	machines := map[string]server.StateMachine{}
 	if coordination := config.Cells.GetCoordination(); coordination != nil {
 		s.coordinator, err = membership.NewReplicatedCoordinatorServer(config.Directory(), milliseconds(coordination.LeaseMs),
 			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.p.log)
@@ -145,12 +145,12 @@
 			return config.ErrorAt("council.disk", err)
 		}
 	}
-	peers := chamber.VoterAddresses{}
+	peers := server.VoterAddresses{}
 	for _, voter := range councilConfig.Voter {
 		peers[council.VoterID(voter.Id)] = voter.At
 	}
 	pace := council.Timing{Tick: int64(milliseconds(config.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
-	if s.councilNode, err = chamber.Open(council.VoterID(councilConfig.Id), peers, councilConfig.Join,
+	if s.councilNode, err = server.Open(council.VoterID(councilConfig.Id), peers, councilConfig.Join,
 		councilConfig.Disk, pace, machines, s.p.log); err != nil {
 		return config.ErrorAt("council.disk", err)
 	}
@@ -346,18 +346,18 @@
 
 // Council returns the state of the council, from this instance's own node or else from the first
 // voter that answers.
-func (s *operatorServices) Council(ctx context.Context) (chamber.State, error) {
+func (s *operatorServices) Council(ctx context.Context) (server.State, error) {
 	switch {
 	case s.councilNode != nil:
 		return s.councilNode.State(), nil
 	case s.config().Council == nil:
-		return chamber.State{}, errNoCouncil
+		return server.State{}, errNoCouncil
 	}
 	return membership.NewClient(s.config().VoterAddresses()...).Council(ctx)
 }
 
 // ChangeCouncil asks the council's leader to change the set of voters.
-func (s *operatorServices) ChangeCouncil(ctx context.Context, change chamber.VoterChange) error {
+func (s *operatorServices) ChangeCouncil(ctx context.Context, change server.VoterChange) error {
 	if s.config().Council == nil {
 		return errNoCouncil
 	}
