--- a/internal/audit/shelf/shelf.go
+++ b/internal/audit/trailstore/trailstore.go
@@ -1,6 +1,6 @@
-// Package shelf stores audit trails in a file, a line of JSON for each segment. Lines that were cut
+// Package trailstore stores audit trails in a file, a line of JSON for each segment. Lines that were cut
 // off or damaged are skipped.
-package shelf
+package trailstore
 
 import (
 	"bufio"
--- a/internal/audit/shelf/shelf_test.go
+++ b/internal/audit/trailstore/trailstore_test.go
@@ -1,4 +1,4 @@
-package shelf
+package trailstore
 
 import (
 	"os"
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"sedgespread/internal/audit"
-	"sedgespread/internal/audit/shelf"
+	"sedgespread/internal/audit/trailstore"
 	"sedgespread/internal/clock"
 	"sedgespread/internal/council/server"
 	"sedgespread/internal/failpoint"
@@ -34,7 +34,7 @@
 	trails           *audit.Collection       // received while this voter was the leader
 	unknownRecords   []json.RawMessage       // with fields that only newer builds know
 	pacer            *versions.Pacer         // limits the rate of version texts sent
-	trailStore       *shelf.Store            // nil to keep trails in memory only
+	trailStore       *trailstore.Store       // nil to keep trails in memory only
 	storeFailedAt    int64                   // when writing trailStore last failed, 0 if all is written
 	lastShutOutError string                  // last logged, to log each error once
 	observedAt       int64                   // time of observed and suspicions
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sedgespread/internal/audit"
-	"sedgespread/internal/audit/shelf"
+	"sedgespread/internal/audit/trailstore"
 	"sedgespread/internal/jsonhttp"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/versions"
@@ -27,7 +27,7 @@
 
 // OpenTrails loads trails from a file and keeps storing them there.
 func (s *FleetServer) OpenTrails(path string) error {
-	trailStore, parts, unreadable, err := shelf.Open(path, shelf.MaxBytes)
+	trailStore, parts, unreadable, err := trailstore.Open(path, trailstore.MaxBytes)
 	if err != nil {
 		return err
 	}
