--- a/cmd/drill/main.go
+++ b/cmd/simdriver/main.go
@@ -1,4 +1,4 @@
-// Command drill connects package rules to the simulator over standard input and output.
+// Command simdriver connects package rules to the simulator over standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simdriver:", err)
 		os.Exit(1)
 	}
 }
