--- a/internal/membership/registration.go
+++ b/internal/membership/fleet_server.go
@@ -11,10 +11,10 @@
 	"github.com/sirupsen/logrus"
 
 	"sedgespread/internal/audit"
-	"sedgespread/internal/audit/shelf"
+	"sedgespread/internal/audit/trailstore"
 	"sedgespread/internal/clock"
-	"sedgespread/internal/council/chamber"
-	"sedgespread/internal/planted"
+	"sedgespread/internal/council/server"
+	"sedgespread/internal/failpoint"
 	"sedgespread/internal/roster"
 	"sedgespread/internal/versions"
 )
@@ -34,7 +34,7 @@
 	trails           *audit.Collection       // received while this voter was the leader
 	unknownRecords   []json.RawMessage       // with fields that only newer builds know
 	pacer            *versions.Pacer         // limits the rate of version texts sent
-	trailStore       *shelf.Store            // nil to keep trails in memory only
+	trailStore       *trailstore.Store       // nil to keep trails in memory only
 	storeFailedAt    int64                   // when writing trailStore last failed, 0 if all is written
 	lastShutOutError string                  // last logged, to log each error once
 	observedAt       int64                   // time of observed and suspicions
@@ -77,7 +77,7 @@
 }
 
 // AttachCouncil sets the council's server. It is called before the first request.
-func (s *FleetServer) AttachCouncil(c *chamber.Server) {
+func (s *FleetServer) AttachCouncil(c *server.Server) {
 	s.proposer.recorder = councilRecorder[fleetRecord]{c, FleetStateMachineName}
 }
 
@@ -208,11 +208,11 @@
 func (s *FleetServer) presentDrivers() (present []versions.DriverStatus) {
 	now := s.now()
 	for _, driver := range s.roster.Drivers() {
-		mayAct := s.roster.MayAct(now, driver.Name) && !planted.Active(planted.IgnoreStragglers)
+		mayAct := s.roster.MayAct(now, driver.Name) && !failpoint.Active(failpoint.IgnoreStragglers)
 		present = append(present, versions.DriverStatus{Instance: startIdentity(driver), MayAct: mayAct, IsVoter: driver.IsVoter, IsUnreachable: s.silentDrivers[driver.Name]})
 	}
 	for _, start := range s.roster.SupersededStarts(now) {
-		present = append(present, versions.DriverStatus{Instance: versions.Instance{Name: start.Name, Start: uint64(start.Start)}, MayAct: !planted.Active(planted.IgnoreStragglers)})
+		present = append(present, versions.DriverStatus{Instance: versions.Instance{Name: start.Name, Start: uint64(start.Start)}, MayAct: !failpoint.Active(failpoint.IgnoreStragglers)})
 	}
 	return present
 }
