--- a/cmd/sedgespread/emulate.go
+++ b/cmd/sedgespread/emulate.go
@@ -95,26 +95,26 @@
 }
 
 // Run runs a trial of moves and prints its results. Consistency violations are an error.
-func (v emulateMoves) Run() error {
+func (m emulateMoves) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	trial := trials.Moves{Program: program, Seed: v.Seed, MinMoves: v.Count, Timeout: v.Span, Faults: !v.Calm, Tenants: v.Tenants,
-		Keys: v.Keys, Lease: v.Lease, Hold: v.Hold, Voters: v.Voters}
+	trial := trials.Moves{Program: program, Seed: m.Seed, MinMoves: m.Count, Timeout: m.Span, Faults: !m.Calm, Tenants: m.Tenants,
+		Keys: m.Keys, Lease: m.Lease, Hold: m.Hold, Voters: m.Voters}
 	startedAt := time.Now()
 	result, err := trial.Run(ctx)
 	if err != nil {
 		return err
 	}
 	coordinator := "a single coordinator"
-	if v.Voters > 0 {
-		coordinator = fmt.Sprintf("a council of %d with failing links", v.Voters)
+	if m.Voters > 0 {
+		coordinator = fmt.Sprintf("a council of %d with failing links", m.Voters)
 	}
 	fmt.Printf("%s\nseed %d, 3 cells of 3 members, 3 drivers and %s, %d tenants of %d keys, lease %v, hold %v, took %v\n\n%s",
-		environment(), v.Seed, coordinator, v.Tenants, v.Keys, v.Lease, v.Hold, time.Since(startedAt).Round(time.Second), result.Table())
+		environment(), m.Seed, coordinator, m.Tenants, m.Keys, m.Lease, m.Hold, time.Since(startedAt).Round(time.Second), result.Table())
 	if len(result.Violations) > 0 {
 		return fmt.Errorf("%d violations, the first: %+v", len(result.Violations), result.Violations[0])
 	}
@@ -132,22 +132,22 @@
 }
 
 // Run runs a trial of version changes and prints its results and the final state of the fleet.
-func (v emulateFleet) Run() error {
+func (f emulateFleet) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	trial := trials.Versions{Program: program, Seed: v.Seed, MinClosed: v.Count, Timeout: v.Span, Faults: !v.Calm, Drivers: v.Drivers, Voters: v.Voters,
-		Lease: v.Lease, Tenants: 4, Keys: 6}
+	trial := trials.Versions{Program: program, Seed: f.Seed, MinClosed: f.Count, Timeout: f.Span, Faults: !f.Calm, Drivers: f.Drivers, Voters: f.Voters,
+		Lease: f.Lease, Tenants: 4, Keys: 6}
 	startedAt := time.Now()
 	result, err := trial.Run(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s\nseed %d, 2 cells of 3 members, %d drivers of which %d are voters, lease %v, took %v\n\n%s", environment(), v.Seed, v.Drivers, v.Voters,
-		v.Lease, time.Since(startedAt).Round(time.Second), result.Table())
+	fmt.Printf("%s\nseed %d, 2 cells of 3 members, %d drivers of which %d are voters, lease %v, took %v\n\n%s", environment(), f.Seed, f.Drivers, f.Voters,
+		f.Lease, time.Since(startedAt).Round(time.Second), result.Table())
 	fmt.Println("\nFinal state of the drivers according to the council:")
 	for _, driver := range result.Drivers {
 		fmt.Printf("- %s, start %d, %s, active: %s\n", driver.Name, driver.Start, driver.State, formatVersions(driver.Sightings))
--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -23,7 +23,7 @@
 
 	List     fleetList     `cmd:"" help:"List the drivers with their start numbers, leases and active versions."`
 	Show     fleetShow     `cmd:"" help:"Show a driver."`
-	Versions fleetVersions `cmd:"" help:"List the versions of a thing, their stages and the drivers that delay them."`
+	Versions fleetVersions `cmd:"" help:"List the versions of a resource, their stages and the drivers that delay them."`
 	Audit    fleetAudit    `cmd:"" help:"Report which drivers acted on which versions, actions on superseded versions, and gaps in the records."`
 	Propose  fleetPropose  `cmd:"" help:"Propose a rulebook, the part of the operator's file that all drivers share."`
 	CallOff  fleetCallOff  `cmd:"" help:"Cancel the rollout of a version. All drivers return to the previous one."`
@@ -37,9 +37,9 @@
 	return call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "state", struct{}{}, printState)
 }
 
-// submitWish submits a change to the council and prints message if it was accepted.
-func (cli *commandLine) submitWish(wish membership.FleetChange, message string) error {
-	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "wish", wish, nil)
+// submitChange submits a change to the council and prints message if it was accepted.
+func (cli *commandLine) submitChange(change membership.FleetChange, message string) error {
+	err := admin.NewFleetClient(cli.Fleet.Admin).Call(context.Background(), "wish", change, nil)
 	if err == nil {
 		fmt.Println(message)
 	}
@@ -56,8 +56,8 @@
 			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", driver.Name, driver.Start, driver.State, driver.Address, driver.Build, driver.Level,
 				formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Sightings), driver.Reason)
 		}
-		for _, doubt := range fleet.Suspicions {
-			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", doubt.Name, doubt.Start, len(doubt.Reporters), doubt.Listeners, strings.Join(doubt.Reporters, ", "))
+		for _, suspicion := range fleet.Suspicions {
+			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", suspicion.Name, suspicion.Start, len(suspicion.Reporters), suspicion.Listeners, strings.Join(suspicion.Reporters, ", "))
 		}
 		if len(fleet.Suspicions) > 0 {
 			fmt.Fprintln(out)
@@ -66,20 +66,20 @@
 }
 
 // formatVersions lists the versions that a driver acts on, with older ones that still have RPCs in flight.
-func formatVersions(sightings []versions.Report) string {
+func formatVersions(reports []versions.Report) string {
 	var parts []string
-	for _, sighting := range sightings {
-		if sighting.Digest != "" { // not decided by the council
+	for _, report := range reports {
+		if report.Digest != "" { // not decided by the council
 			continue
 		}
-		part := fmt.Sprintf("%s %d", sighting.Resource, sighting.Active)
-		for _, n := range sighting.InFlight {
-			if n != sighting.Active {
+		part := fmt.Sprintf("%s %d", report.Resource, report.Active)
+		for _, n := range report.InFlight {
+			if n != report.Active {
 				part += fmt.Sprintf(" (in flight: %d)", n)
 			}
 		}
-		if sighting.Failure != "" {
-			part += " (" + sighting.Failure + ")"
+		if report.Failure != "" {
+			part += " (" + report.Failure + ")"
 		}
 		parts = append(parts, part)
 	}
@@ -114,15 +114,15 @@
 func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339Nano) }
 
 type fleetVersions struct {
-	Thing string `arg:"" optional:"" default:"rulebook" help:"The versioned thing: rulebook, or one that the council does not decide: list, program or file."`
+	Thing string `arg:"" optional:"" default:"rulebook" help:"The versioned resource: rulebook, or one that the council does not decide: list, program or file."`
 }
 
-// Run prints the versions of a thing and the drivers that delay them.
+// Run prints the versions of a resource and the drivers that delay them.
 func (v fleetVersions) Run(cli *commandLine) error {
 	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.FleetState) {
-		for _, spread := range fleet.Observed {
-			if string(spread.Resource) == v.Thing {
-				printObserved(out, spread)
+		for _, distribution := range fleet.Observed {
+			if string(distribution.Resource) == v.Thing {
+				printObserved(out, distribution)
 				return
 			}
 		}
@@ -134,31 +134,31 @@
 			}
 			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", version.Number, version.Stage, formatTime(version.UpdatedAt), closedAt, version.Digest, version.Reason)
 		}
-		for _, behind := range fleet.Behind {
-			if string(behind.Resource) == v.Thing {
-				fmt.Fprintf(out, "\nversion %d has been %s for %s, waiting for %v\n", behind.Number, behind.Stage, time.Duration(behind.Duration).Round(time.Millisecond), behind.Instances)
+		for _, stalled := range fleet.Behind {
+			if string(stalled.Resource) == v.Thing {
+				fmt.Fprintf(out, "\nversion %d has been %s for %s, waiting for %v\n", stalled.Number, stalled.Stage, time.Duration(stalled.Duration).Round(time.Millisecond), stalled.Instances)
 			}
 		}
 	})
 }
 
-// printObserved prints which versions drivers act on, for a thing that the council does not decide.
-func printObserved(out *tabwriter.Writer, spread versions.Distribution) {
+// printObserved prints which versions drivers act on, for a resource that the council does not decide.
+func printObserved(out *tabwriter.Writer, distribution versions.Distribution) {
 	fmt.Fprintln(out, "VERSION\tDIGEST\tDRIVERS\tEXAMPLE")
-	for _, group := range spread.Holders {
-		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", group.Number, group.Digest, len(group.Instances), group.Instances[0].Name)
+	for _, holders := range distribution.Holders {
+		fmt.Fprintf(out, "%d\t%s\t%d\t%s\n", holders.Number, holders.Digest, len(holders.Instances), holders.Instances[0].Name)
 	}
-	for _, driver := range spread.Lagging {
+	for _, driver := range distribution.Lagging {
 		fmt.Fprintf(out, "\n%s acts on version %d and has made no progress for %s", driver.Name, driver.Number, time.Duration(driver.Duration).Round(time.Millisecond))
 	}
-	if spread.HasConflict {
+	if distribution.HasConflict {
 		fmt.Fprint(out, "\nFORKED: two drivers act on different contents of the same version")
 	}
 	fmt.Fprintln(out)
 }
 
 type fleetAudit struct {
-	Thing   string        `default:"rulebook" help:"The versioned thing."`
+	Thing   string        `default:"rulebook" help:"The versioned resource."`
 	Version uint64        `help:"Only this version; 0 for all."`
 	Driver  string        `help:"Only this driver; all if empty."`
 	From    time.Time     `help:"Start time (RFC 3339)."`
@@ -169,38 +169,38 @@
 
 // Run prints the audit of the trails. With --verify, any finding is an error.
 func (a fleetAudit) Run(cli *commandLine) error {
-	question := membership.AuditQuery{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, MaxClockSkew: int64(a.Clocks)}
+	query := membership.AuditQuery{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, MaxClockSkew: int64(a.Clocks)}
 	if !a.From.IsZero() {
-		question.From = a.From.UnixNano()
+		query.From = a.From.UnixNano()
 	}
 	if !a.To.IsZero() {
-		question.To = a.To.UnixNano()
+		query.To = a.To.UnixNano()
 	}
 	violations := 0
-	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", question, func(out *tabwriter.Writer, finding *membership.AuditResult) {
-		violations = len(finding.Late) + len(finding.Faults)
+	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", query, func(out *tabwriter.Writer, result *membership.AuditResult) {
+		violations = len(result.Late) + len(result.Faults)
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tDROPPED")
-			for _, entry := range finding.Acted {
-				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", entry.Resource, entry.Version, entry.Instance.Name, entry.Instance.Start, formatTime(entry.From), formatTime(entry.To),
-					entry.Counts.Total(), entry.Counts.ByOutcome(audit.Served), entry.RPCEntries, entry.Dropped)
+			for _, activity := range result.Acted {
+				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", activity.Resource, activity.Version, activity.Instance.Name, activity.Instance.Start, formatTime(activity.From), formatTime(activity.To),
+					activity.Counts.Total(), activity.Counts.ByOutcome(audit.Served), activity.RPCEntries, activity.Dropped)
 			}
 		}
-		fmt.Fprintf(out, "\nchecked %d trail entries\n", finding.Entries)
-		for _, late := range finding.Late {
-			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", late.Instance.Name, late.Instance.Start, late.Version, formatTime(late.At), late.Reason, late.RPC)
+		fmt.Fprintf(out, "\nchecked %d trail entries\n", result.Entries)
+		for _, lateActivity := range result.Late {
+			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", lateActivity.Instance.Name, lateActivity.Instance.Start, lateActivity.Version, formatTime(lateActivity.At), lateActivity.Reason, lateActivity.RPC)
 		}
-		for _, unknown := range finding.Unknown {
+		for _, gap := range result.Unknown {
 			from := "startup"
-			if unknown.From != 0 {
-				from = formatTime(unknown.From)
+			if gap.From != 0 {
+				from = formatTime(gap.From)
 			}
-			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", unknown.Instance.Name, unknown.Instance.Start, from, formatTime(unknown.To), unknown.Reason)
+			fmt.Fprintf(out, "unknown: %s start %d from %s to %s: %s\n", gap.Instance.Name, gap.Instance.Start, from, formatTime(gap.To), gap.Reason)
 		}
-		for _, fault := range finding.Faults {
+		for _, fault := range result.Faults {
 			fmt.Fprintln(out, "FAULT:", fault)
 		}
-		for _, address := range finding.Missing {
+		for _, address := range result.Missing {
 			fmt.Fprintln(out, "unreachable voter:", address)
 		}
 	})
@@ -231,18 +231,18 @@
 	}
 	plan := versions.Plan{Exclusive: p.Exclusive, CanaryFraction: p.Canaries, TrialTime: int64(p.Trial), FalseAlarmRate: p.Alarm, ToleratedRatio: p.Bears, AnnounceTimeout: int64(p.Tell), AdoptTimeout: int64(p.Adopt),
 		DrainTimeout: int64(p.Close)}
-	return cli.submitWish(membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Reason: p.Why, Plan: plan}},
+	return cli.submitChange(membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Reason: p.Why, Plan: plan}},
 		"proposed; run `fleet versions` to see its progress")
 }
 
 type fleetCallOff struct {
-	Thing string `arg:"" optional:"" default:"rulebook" help:"The versioned thing."`
+	Thing string `arg:"" optional:"" default:"rulebook" help:"The versioned resource."`
 	Why   string `default:"called off by hand" help:"Reason, recorded with the version."`
 }
 
 // Run cancels the rollout of a version.
 func (f fleetCallOff) Run(cli *commandLine) error {
-	return cli.submitWish(membership.FleetChange{Withdraw: versions.Resource(f.Thing), Reason: f.Why}, "cancelled; run `fleet versions` to see its progress")
+	return cli.submitChange(membership.FleetChange{Withdraw: versions.Resource(f.Thing), Reason: f.Why}, "cancelled; run `fleet versions` to see its progress")
 }
 
 type fleetReadmit struct {
@@ -252,7 +252,7 @@
 
 // Run readmits a driver.
 func (r fleetReadmit) Run(cli *commandLine) error {
-	return cli.submitWish(membership.FleetChange{Readmit: r.Driver, Reason: r.Why}, r.Driver+" may request a lease again")
+	return cli.submitChange(membership.FleetChange{Readmit: r.Driver, Reason: r.Why}, r.Driver+" may request a lease again")
 }
 
 type fleetLevel struct {
@@ -262,7 +262,7 @@
 // Run prints or raises the feature level.
 func (l fleetLevel) Run(cli *commandLine) error {
 	if l.Raise > 0 {
-		return cli.submitWish(membership.FleetChange{RaiseLevel: l.Raise}, fmt.Sprintf("raised the feature level to %d", l.Raise))
+		return cli.submitChange(membership.FleetChange{RaiseLevel: l.Raise}, fmt.Sprintf("raised the feature level to %d", l.Raise))
 	}
 	return cli.printFleet(func(out *tabwriter.Writer, fleet *membership.FleetState) {
 		fmt.Fprintf(out, "level %d; all support %d\n", fleet.Level, fleet.HighestCommonLevel)
--- a/cmd/sedgespread/serve.go
+++ b/cmd/sedgespread/serve.go
@@ -24,7 +24,7 @@
 	defer stop()
 	reload := make(chan os.Signal, 1) // one pending signal is enough: files are read after it is received
 	signal.Notify(reload, syscall.SIGHUP)
-	settings, err := program.ReadConfig(func(name string) string {
+	config, err := program.ReadConfig(func(name string) string {
 		if name == "GW_OPERATOR" {
 			return s.Operator
 		}
@@ -33,8 +33,8 @@
 	if err != nil {
 		return err
 	}
-	settings.ApplyLimits()
-	return program.Run(ctx, settings, reload, logger.WithField("driver", settings.Name))
+	config.ApplyLimits()
+	return program.Run(ctx, config, reload, logger.WithField("driver", config.Name))
 }
 
 type checkCommand struct {
@@ -55,18 +55,18 @@
 
 // Run prints the version, the revision and the Go version of the build.
 func (versionCommand) Run() error {
-	version, revision, runtime := "unreleased", "", ""
+	version, revision, goVersion := "unreleased", "", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
-		runtime = info.GoVersion
+		goVersion = info.GoVersion
 		if info.Main.Version != "" && info.Main.Version != "(devel)" {
 			version = info.Main.Version
 		}
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				revision = " " + s.Value
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				revision = " " + setting.Value
 			}
 		}
 	}
-	fmt.Printf("sedgespread %s%s %s\n", version, revision, runtime)
+	fmt.Printf("sedgespread %s%s %s\n", version, revision, goVersion)
 	return nil
 }
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -83,23 +83,23 @@
 		closed, _ := fleet.LatestClosed(thing)
 		gauge(versionClosed, float64(closed), string(thing))
 	}
-	for _, doubt := range fleet.Suspicions {
-		if doubt.IsSilent {
-			gauge(fleetSilentSeconds, time.Duration(fleet.Now-doubt.SilentSince).Seconds(), doubt.Name)
+	for _, suspicion := range fleet.Suspicions {
+		if suspicion.IsSilent {
+			gauge(fleetSilentSeconds, time.Duration(fleet.Now-suspicion.SilentSince).Seconds(), suspicion.Name)
 		}
 	}
-	for _, spread := range fleet.Observed {
-		for _, group := range spread.Holders {
-			gauge(observedDrivers, float64(len(group.Instances)), string(spread.Resource), strconv.FormatUint(uint64(group.Number), 10), group.Digest)
+	for _, distribution := range fleet.Observed {
+		for _, holders := range distribution.Holders {
+			gauge(observedDrivers, float64(len(holders.Instances)), string(distribution.Resource), strconv.FormatUint(uint64(holders.Number), 10), holders.Digest)
 		}
-		for _, late := range spread.Lagging {
-			gauge(observedLateSeconds, time.Duration(late.Duration).Seconds(), string(spread.Resource), late.Name)
+		for _, lagging := range distribution.Lagging {
+			gauge(observedLateSeconds, time.Duration(lagging.Duration).Seconds(), string(distribution.Resource), lagging.Name)
 		}
-		gauge(observedIsForked, boolValue(spread.HasConflict), string(spread.Resource))
+		gauge(observedIsForked, boolValue(distribution.HasConflict), string(distribution.Resource))
 	}
-	for _, behind := range fleet.Behind {
-		for _, driver := range behind.Instances {
-			gauge(versionHeldBackSeconds, time.Duration(behind.Duration).Seconds(), string(behind.Resource), strconv.FormatUint(uint64(behind.Number), 10), behind.Stage.String(), driver.Name)
+	for _, stalled := range fleet.Behind {
+		for _, driver := range stalled.Instances {
+			gauge(versionHeldBackSeconds, time.Duration(stalled.Duration).Seconds(), string(stalled.Resource), strconv.FormatUint(uint64(stalled.Number), 10), stalled.Stage.String(), driver.Name)
 		}
 	}
 }
--- a/internal/admin/plan.go
+++ b/internal/admin/plan.go
@@ -30,10 +30,10 @@
 		}
 		return plannerCells[cell].Name
 	}
-	for _, t := range result.Moves {
-		reason := fmt.Sprintf("plan: %s at %.2f of its capacity, worst cell %.2f to %.2f", cellName(tenants[t].CurrentCell),
-			before.Loads[tenants[t].CurrentCell], before.MaxLoad, result.MaxLoad)
-		plan.Moves = append(plan.Moves, membership.MoveRequest{Tenant: cells.Tenant(tenants[t].Name), To: cellName(result.Placement[t]), Reason: reason})
+	for _, tenantIndex := range result.Moves {
+		reason := fmt.Sprintf("plan: %s at %.2f of its capacity, worst cell %.2f to %.2f", cellName(tenants[tenantIndex].CurrentCell),
+			before.Loads[tenants[tenantIndex].CurrentCell], before.MaxLoad, result.MaxLoad)
+		plan.Moves = append(plan.Moves, membership.MoveRequest{Tenant: cells.Tenant(tenants[tenantIndex].Name), To: cellName(result.Placement[tenantIndex]), Reason: reason})
 	}
 	for i, t := range tenants {
 		if len(plan.Tenants) < maxExplainedTenants {
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -210,7 +210,7 @@
 		field       string
 		value       uint32
 		least, most uint32
-	}{{"lease_ms", coordination.LeaseMs, 200, 300_000}, {"hold_ms", coordination.HoldMs, 100, 60_000}, {"held", coordination.Held, 1, 100_000}} {
+	}{{"lease_ms", coordination.LeaseMs, minLeaseMs, maxLeaseMs}, {"hold_ms", coordination.HoldMs, 100, 60_000}, {"held", coordination.Held, 1, 100_000}} {
 		if bounds.value < bounds.least || bounds.value > bounds.most {
 			return cfg.errorf("cells.coordination."+bounds.field, "%d is not from %d to %d", bounds.value, bounds.least, bounds.most)
 		}
@@ -235,10 +235,13 @@
 }
 
 const (
-	defaultTickMs   = 50
-	defaultProbeMs  = 1000
-	minLeaseTicks   = 20 // long enough to replace a failed leader in a single election round
-	maxClockErrorMs = 600_000
+	defaultTickMs    = 50
+	defaultProbeMs   = 1000
+	minLeaseTicks    = 20 // long enough to replace a failed leader in a single election round
+	minLeaseMs       = 200
+	maxLeaseMs       = 300_000
+	maxClockErrorMs  = 600_000
+	maxForgetSeconds = 24 * 60 * 60
 )
 
 // TickMs returns the tick interval of the council in milliseconds.
@@ -322,11 +325,11 @@
 		return cfg.errorf("fleet", "needs a council")
 	case cfg.Cells.GetCoordination() == nil:
 		return cfg.errorf("fleet", "needs cells with coordination")
-	case fleet.LeaseMs < 200 || fleet.LeaseMs > 300_000 || fleet.LeaseMs < minLeaseTicks*cfg.TickMs():
+	case fleet.LeaseMs < minLeaseMs || fleet.LeaseMs > maxLeaseMs || fleet.LeaseMs < minLeaseTicks*cfg.TickMs():
 		return cfg.errorf("fleet.lease_ms", "%d is not from 200 to 300000, or is less than %d council ticks", fleet.LeaseMs, minLeaseTicks)
 	case !(fleet.MostShutOut >= 0 && fleet.MostShutOut <= 1):
 		return cfg.errorf("fleet.most_shut_out", "%v is not from 0 to 1", fleet.MostShutOut)
-	case fleet.ForgetS > 86_400:
+	case fleet.ForgetS > maxForgetSeconds:
 		return cfg.errorf("fleet.forget_s", "%d is more than 86400", fleet.ForgetS)
 	}
 	if err := cfg.checkGossip(); err != nil {
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -165,9 +165,9 @@
 
 // fieldAt returns the last field on a line that starts at or before a column.
 func (l lineIndex) fieldAt(line, column int) (field string) {
-	for _, b := range l.fieldsByLine[line] {
-		if b.column <= column {
-			field = b.field
+	for _, start := range l.fieldsByLine[line] {
+		if start.column <= column {
+			field = start.field
 		}
 	}
 	return field
