--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -87,7 +87,8 @@
 	c.violations = append(c.violations, Violation{rule, rpc, fmt.Sprintf(format, args...)})
 }
 
-func (c *Checker) record(id string) *rpcRecord {
+// recordFor returns the record of an RPC, which it creates if there is none.
+func (c *Checker) recordFor(id string) *rpcRecord {
 	r := c.rpcs[id]
 	if r == nil {
 		r = &rpcRecord{}
@@ -112,32 +113,32 @@
 func (c *Checker) RecordSent(id, key string, nonIdempotent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := c.record(id)
+	r := c.recordFor(id)
 	r.nonIdempotent, r.key = nonIdempotent, key
 }
 
 // recordArrival records that an attempt reached a member.
-func (c *Checker) recordArrival(statement Statement, m MemberID, now int64) {
+func (c *Checker) recordArrival(statement Statement, id MemberID, now int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := c.record(statement.ID)
+	r := c.recordFor(statement.ID)
 	r.attempts++
 	if r.nonIdempotent && r.attempts-r.rejected > 1 {
-		c.addViolation(RuleDuplicateEffect, statement.ID, "member %d received an attempt at %d although an earlier one may have been executed", m, now)
+		c.addViolation(RuleDuplicateEffect, statement.ID, "member %d received an attempt at %d although an earlier one may have been executed", id, now)
 	}
 }
 
 func (c *Checker) recordRejection(statement Statement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record(statement.ID).rejected++
+	c.recordFor(statement.ID).rejected++
 }
 
 // recordEffect records that a write was executed.
 func (c *Checker) recordEffect(statement Statement, group, position int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := c.record(statement.ID)
+	r := c.recordFor(statement.ID)
 	if r.effects++; r.effects > 1 {
 		c.addViolation(RuleDuplicateEffect, statement.ID, "executed in group %d at %d after it was executed in group %d", group, position, r.group)
 	}
@@ -148,7 +149,7 @@
 func (c *Checker) RecordAnswer(id string, served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := c.record(id)
+	r := c.recordFor(id)
 	if r.answers++; r.answers > 1 {
 		c.addViolation(RuleOneAnswer, id, "received answer %d", r.answers)
 	}
@@ -174,13 +175,13 @@
 
 // Read checks the value that a read returned against the write that was acknowledged before it.
 // Writes of a key are sequential and their ids grow, so a lower id is an older write.
-func (c *Checker) Read(id, key, shown, acknowledged string) {
-	if shown >= acknowledged {
+func (c *Checker) Read(id, key, value, acknowledged string) {
+	if value >= acknowledged {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addViolation(RuleStaleRead, id, "returned %q for %q although %q had been acknowledged", shown, key, acknowledged)
+	c.addViolation(RuleStaleRead, id, "returned %q for %q although %q had been acknowledged", value, key, acknowledged)
 }
 
 // RecordNoAnswer records an RPC whose client waited and got no answer.
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -47,6 +47,9 @@
 // OverloadWindow is the period over which the load of a cold member is measured.
 const OverloadWindow = 2 * second
 
+// overloadPause is how long an overloaded cold member starts no statements.
+const overloadPause = 10 * second
+
 // MemberRate returns the number of statements per second that a fully warm member can execute.
 func (c Config) MemberRate() float64 {
 	return float64(c.Cores) / (float64(c.ServiceTime) / float64(second))
@@ -118,10 +121,10 @@
 func (f *Fleet) MemberCount() int { return len(f.members) }
 
 // Group returns the number of a member's group.
-func (f *Fleet) Group(m MemberID) int64 { return f.members[m].group.number }
+func (f *Fleet) Group(id MemberID) int64 { return f.members[id].group.number }
 
 // IsPrimary reports whether a member is its group's primary.
-func (f *Fleet) IsPrimary(m MemberID) bool { return f.members[m].group.primary == m }
+func (f *Fleet) IsPrimary(id MemberID) bool { return f.members[id].group.primary == id }
 
 // Statement is a read or write sent to a member.
 type Statement struct {
@@ -147,18 +150,19 @@
 	Fenced
 )
 
-// Admit offers a statement to a member. If it is admitted, done is the time at which to execute it.
-func (f *Fleet) Admit(now int64, m MemberID, s Statement) (done int64, admission Admission) {
-	target := f.members[m]
-	f.checker.recordArrival(s, m, now)
-	f.checkArrival(now, m, s)
+// Admit offers a statement to a member. If it is admitted, done is the time at which to
+// execute it.
+func (f *Fleet) Admit(now int64, id MemberID, s Statement) (done int64, admission Admission) {
+	target := f.members[id]
+	f.checker.recordArrival(s, id, now)
+	f.checkArrival(now, id, s)
 	fenced := !target.fenceState.Accept(s.Fence) && f.RejectFenced
 	f.checker.recordFence(s, now, fenced)
 	if fenced {
 		f.checker.recordRejection(s)
 		return 0, Fenced
 	}
-	if s.Write && target.group.primary != m {
+	if s.Write && target.group.primary != id {
 		f.checker.recordRejection(s)
 		return 0, NotPrimary
 	}
@@ -196,10 +200,10 @@
 }
 
 // checkArrival records violations of the rules on draining and cold members.
-func (f *Fleet) checkArrival(now int64, m MemberID, s Statement) {
-	target := f.members[m]
+func (f *Fleet) checkArrival(now int64, id MemberID, s Statement) {
+	target := f.members[id]
 	if target.drainingSince != 0 && now-target.drainingSince > f.DrainGrace {
-		f.checker.RecordViolation(RuleDraining, s.ID, "member %d received an attempt %d ms after it started draining", m, (now-target.drainingSince)/millisecond)
+		f.checker.RecordViolation(RuleDraining, s.ID, "member %d received an attempt %d ms after it started draining", id, (now-target.drainingSince)/millisecond)
 	}
 	share := f.capacityShare(now, target)
 	if share == 1 {
@@ -209,33 +213,33 @@
 	target.coldArrivals = append(slices.DeleteFunc(target.coldArrivals, func(t int64) bool { return now-t > OverloadWindow }), now)
 	expectedMax := f.OverloadFactor * share * f.MemberRate() * float64(OverloadWindow) / float64(second)
 	if float64(len(target.coldArrivals)) > expectedMax+2*math.Sqrt(expectedMax)+2 { // allow for random bursts
-		f.checker.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, received %d statements in %d ms", m, share, len(target.coldArrivals), OverloadWindow/millisecond)
-		target.pausedUntil = now + 10*second
+		f.checker.RecordViolation(RuleColdOverload, s.ID, "member %d, at %.2f of its capacity, received %d statements in %d ms", id, share, len(target.coldArrivals), OverloadWindow/millisecond)
+		target.pausedUntil = now + overloadPause
 	}
 }
 
 // SetDraining makes a member drain or serve again.
-func (f *Fleet) SetDraining(now int64, m MemberID, draining bool) {
-	f.members[m].drainingSince = 0
+func (f *Fleet) SetDraining(now int64, id MemberID, draining bool) {
+	f.members[id].drainingSince = 0
 	if draining {
-		f.members[m].drainingSince = now
+		f.members[id].drainingSince = now
 	}
 }
 
 // IsDraining reports whether a member is draining.
-func (f *Fleet) IsDraining(m MemberID) bool { return f.members[m].drainingSince != 0 }
+func (f *Fleet) IsDraining(id MemberID) bool { return f.members[id].drainingSince != 0 }
 
 // Restart restarts a member: it is cold, keeps its data and loses the statements it had admitted.
-func (f *Fleet) Restart(now int64, m MemberID) {
-	target := f.members[m]
+func (f *Fleet) Restart(now int64, id MemberID) {
+	target := f.members[id]
 	target.startedAt, target.coldArrivals, target.queuedStarts, target.pausedUntil, target.coreFreeAt = now, nil, nil, 0, make([]int64, f.Cores)
 	target.restarts++
 }
 
 // Started returns the time of a member's last start, 0 if before the simulation, and how often it
 // was restarted.
-func (f *Fleet) Started(m MemberID) (at int64, restarts int) {
-	return f.members[m].startedAt, f.members[m].restarts
+func (f *Fleet) Started(id MemberID) (at int64, restarts int) {
+	return f.members[id].startedAt, f.members[id].restarts
 }
 
 // Response is a member's status and, for a statement, its result.
@@ -247,16 +251,16 @@
 }
 
 // Execute executes an admitted statement. The caller calls it at the time returned by Admit.
-func (f *Fleet) Execute(now int64, m MemberID, s Statement) Response {
-	target := f.members[m]
-	response := Response{Primary: target.group.primary == m, IsLost: target.losesReplies}
+func (f *Fleet) Execute(now int64, id MemberID, s Statement) Response {
+	target := f.members[id]
+	response := Response{Primary: target.group.primary == id, IsLost: target.losesReplies}
 	if !s.Write {
-		response.Position = f.position(now, m)
-		applied := target.advance(now) // a fill does not hide writes that are already applied
+		response.Position = f.position(now, id)
+		appliedPosition := target.advance(now) // a fill does not hide writes that are already applied
 		if response.Primary {
-			applied = math.MaxInt64
+			appliedPosition = math.MaxInt64
 		}
-		response.Value = f.visibleValue(target.group, s.Key, applied, response.Position)
+		response.Value = f.visibleValue(target.group, s.Key, appliedPosition, response.Position)
 		return response
 	}
 	position := roundPosition(now)
@@ -270,8 +274,8 @@
 }
 
 // Status returns a member's role and position.
-func (f *Fleet) Status(now int64, m MemberID) Response {
-	return Response{Primary: f.IsPrimary(m), Position: f.position(now, m)}
+func (f *Fleet) Status(now int64, id MemberID) Response {
+	return Response{Primary: f.IsPrimary(id), Position: f.position(now, id)}
 }
 
 // roundPosition rounds a time up to a position: positions are whole milliseconds.
@@ -286,9 +290,9 @@
 
 // position returns the position that a member reports, which includes the lag of any fill of its
 // group.
-func (f *Fleet) position(now int64, m MemberID) int64 {
-	target, p := f.members[m], roundPosition(now)
-	if target.group.primary != m {
+func (f *Fleet) position(now int64, id MemberID) int64 {
+	target, p := f.members[id], roundPosition(now)
+	if target.group.primary != id {
 		p = target.advance(now)
 	}
 	if len(target.group.fills) > 0 {
@@ -297,16 +301,16 @@
 	return p
 }
 
-// visibleValue returns the newest value of a key from the group's own log up to applied and from
-// its fills up to filled.
-func (f *Fleet) visibleValue(g *group, key string, applied, filled int64) string {
-	latest := latestWrite(g.log[key], applied)
+// visibleValue returns the newest value of a key from the group's own log up to appliedPosition and
+// from its fills up to fillPosition.
+func (f *Fleet) visibleValue(g *group, key string, appliedPosition, fillPosition int64) string {
+	latest := latestWrite(g.log[key], appliedPosition)
 	for _, active := range g.fills {
 		if active.tenant != TenantOf(key) {
 			continue
 		}
 		for _, source := range active.sources {
-			if other := latestWrite(f.groupByNumber(source).log[key], filled); other.position > latest.position {
+			if other := latestWrite(f.groupByNumber(source).log[key], fillPosition); other.position > latest.position {
 				latest = other
 			}
 		}
@@ -374,18 +378,18 @@
 }
 
 // SetSlowdown multiplies a member's service times; a factor of 1 restores them.
-func (f *Fleet) SetSlowdown(m MemberID, factor int64) { f.members[m].slowdown = factor }
+func (f *Fleet) SetSlowdown(id MemberID, factor int64) { f.members[id].slowdown = factor }
 
 // PauseUntil keeps a member from starting statements until a time.
-func (f *Fleet) PauseUntil(m MemberID, until int64) { f.members[m].pausedUntil = until }
+func (f *Fleet) PauseUntil(id MemberID, until int64) { f.members[id].pausedUntil = until }
 
 // SetReplyLoss makes a member execute statements without its replies reaching the sender.
-func (f *Fleet) SetReplyLoss(m MemberID, loses bool) { f.members[m].losesReplies = loses }
+func (f *Fleet) SetReplyLoss(id MemberID, loses bool) { f.members[id].losesReplies = loses }
 
 // SetLag sets the lag of a replica.
-func (f *Fleet) SetLag(now int64, m MemberID, lag int64) {
-	f.members[m].advance(now)
-	f.members[m].lag = lag
+func (f *Fleet) SetLag(now int64, id MemberID, lag int64) {
+	f.members[id].advance(now)
+	f.members[id].lag = lag
 }
 
 // HasWrite reports whether a group's log has a write of a key.
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -8,13 +8,13 @@
 )
 
 func newTestFleet() (*Fleet, *Checker) {
-	s := NewChecker()
+	checker := NewChecker()
 	return NewFleet(Config{Groups: 2, Members: 3, Cores: 1, QueueLimit: 2, ServiceTime: 10 * millisecond, ServiceSigma: 0.1, ReplicaLag: 20 * millisecond, FillLag: 50 * millisecond,
-		Seed: 1, ColdCapacity: 0.2, WarmUpTime: 4 * second, OverloadFactor: 2, DrainGrace: second}, s), s
+		Seed: 1, ColdCapacity: 0.2, WarmUpTime: 4 * second, OverloadFactor: 2, DrainGrace: second}, checker), checker
 }
 
-func violatedRules(s *Checker) (rules []string) {
-	for _, violation := range s.Violations() {
+func violatedRules(checker *Checker) (rules []string) {
+	for _, violation := range checker.Violations() {
 		rules = append(rules, violation.Rule)
 	}
 	return rules
@@ -23,112 +23,113 @@
 // The checker must find each violation, and none in a correct run.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	write := func(id, key string) Statement { return Statement{ID: id, Key: key, Write: true} }
-	for name, run := range map[string]func(f *Fleet, checker *Checker){
-		RuleDuplicateEffect: func(f *Fleet, checker *Checker) { // a second attempt although the first may have been executed
+	for name, run := range map[string]func(fleet *Fleet, checker *Checker){
+		RuleDuplicateEffect: func(fleet *Fleet, checker *Checker) { // a second attempt although the first may have been executed
 			checker.RecordSent("1", "t/k", true)
-			f.Admit(second, 0, write("1", "t/k"))
-			f.Admit(second, 0, write("1", "t/k"))
+			fleet.Admit(second, 0, write("1", "t/k"))
+			fleet.Admit(second, 0, write("1", "t/k"))
 		},
-		RuleDuplicateEffect + " in two cells": func(f *Fleet, checker *Checker) {
-			f.Execute(second, 0, write("1", "t/k"))
-			f.Execute(second, 3, write("1", "t/k"))
+		RuleDuplicateEffect + " in two cells": func(fleet *Fleet, checker *Checker) {
+			fleet.Execute(second, 0, write("1", "t/k"))
+			fleet.Execute(second, 3, write("1", "t/k"))
 		},
-		RuleOneAnswer: func(f *Fleet, checker *Checker) {
+		RuleOneAnswer: func(fleet *Fleet, checker *Checker) {
 			checker.RecordSent("1", "t/k", false)
 			checker.RecordAnswer("1", false)
 			checker.RecordAnswer("1", true)
 		},
-		RuleOneAnswer + ", none": func(f *Fleet, checker *Checker) { checker.RecordNoAnswer("1") },
-		RuleStaleRead:            func(f *Fleet, checker *Checker) { checker.Read("3", "t/k", "1", "2") },
-		RuleLostWrite: func(f *Fleet, checker *Checker) { // acknowledged in one group, but the tenant is in another
+		RuleOneAnswer + ", none": func(fleet *Fleet, checker *Checker) { checker.RecordNoAnswer("1") },
+		RuleStaleRead:            func(fleet *Fleet, checker *Checker) { checker.Read("3", "t/k", "1", "2") },
+		RuleLostWrite: func(fleet *Fleet, checker *Checker) { // acknowledged in one group, but the tenant is in another
 			checker.RecordSent("1", "t/k", true)
-			f.Execute(second, 0, write("1", "t/k"))
+			fleet.Execute(second, 0, write("1", "t/k"))
 			checker.RecordAnswer("1", true)
-			require.Equal(t, 1, checker.CheckAcknowledged(f, func(string) int64 { return 2 }))
+			require.Equal(t, 1, checker.CheckAcknowledged(fleet, func(string) int64 { return 2 }))
 		},
-		RuleLostWrite + ", never ran": func(f *Fleet, checker *Checker) {
+		RuleLostWrite + ", never ran": func(fleet *Fleet, checker *Checker) {
 			checker.RecordSent("1", "t/k", true)
 			checker.RecordAnswer("1", true)
 		},
-		RuleDraining: func(f *Fleet, checker *Checker) {
-			f.SetDraining(second, 1, true)
-			f.Admit(2*second+millisecond, 1, Statement{ID: "1", Key: "t/k"})
+		RuleDraining: func(fleet *Fleet, checker *Checker) {
+			fleet.SetDraining(second, 1, true)
+			fleet.Admit(2*second+millisecond, 1, Statement{ID: "1", Key: "t/k"})
 		},
-		RuleColdOverload: func(f *Fleet, checker *Checker) {
-			f.Restart(second, 1)
+		RuleColdOverload: func(fleet *Fleet, checker *Checker) {
+			fleet.Restart(second, 1)
 			for i := range 200 { // it can execute about 80 in two seconds
-				f.Admit(second+int64(i)*millisecond, 1, Statement{ID: fmt.Sprint(i), Key: "t/k"})
+				fleet.Admit(second+int64(i)*millisecond, 1, Statement{ID: fmt.Sprint(i), Key: "t/k"})
 			}
 		},
 	} {
-		f, checker := newTestFleet()
-		run(f, checker)
+		fleet, checker := newTestFleet()
+		run(fleet, checker)
 		require.NotEmpty(t, violatedRules(checker), name)
 		require.Contains(t, name, violatedRules(checker)[0])
 	}
-	f, checker := newTestFleet()
+	fleet, checker := newTestFleet()
 	checker.RecordSent("1", "t/k", true)
-	_, admission := f.Admit(second, 1, write("1", "t/k"))
+	_, admission := fleet.Admit(second, 1, write("1", "t/k"))
 	require.Equal(t, NotPrimary, admission)
-	f.Admit(second, 0, write("1", "t/k"))
-	f.Execute(second, 0, write("1", "t/k"))
+	fleet.Admit(second, 0, write("1", "t/k"))
+	fleet.Execute(second, 0, write("1", "t/k"))
 	checker.RecordAnswer("1", true)
 	checker.Read("2", "t/k", "1", "1")
-	f.SetDraining(second, 1, true)
-	f.Admit(2*second, 1, Statement{ID: "3", Key: "t/k"})
-	f.Restart(2*second, 2)
+	fleet.SetDraining(second, 1, true)
+	fleet.Admit(2*second, 1, Statement{ID: "3", Key: "t/k"})
+	fleet.Restart(2*second, 2)
 	for i := range 60 {
-		f.Admit(2*second+int64(i)*30*millisecond, 2, Statement{ID: fmt.Sprint(i + 10), Key: "t/k"})
+		fleet.Admit(2*second+int64(i)*30*millisecond, 2, Statement{ID: fmt.Sprint(i + 10), Key: "t/k"})
 	}
-	checker.CheckAcknowledged(f, func(string) int64 { return 1 })
+	checker.CheckAcknowledged(fleet, func(string) int64 { return 1 })
 	require.Empty(t, violatedRules(checker))
 }
 
 // Members must queue and reject statements, and replicas must return only what they have applied.
 func TestMemberQueueAndReplication(t *testing.T) {
-	f, _ := newTestFleet()
+	fleet, _ := newTestFleet()
 	read := func(id string) Statement { return Statement{ID: id, Key: "t/k"} }
-	first, _ := f.Admit(second, 1, read("1"))
-	next, _ := f.Admit(second, 1, read("2"))
+	first, _ := fleet.Admit(second, 1, read("1"))
+	next, _ := fleet.Admit(second, 1, read("2"))
 	require.Greater(t, next, first, "a core executes one statement at a time")
-	f.Admit(second, 1, read("3"))
-	_, admission := f.Admit(second, 1, read("4"))
+	fleet.Admit(second, 1, read("3"))
+	_, admission := fleet.Admit(second, 1, read("4"))
 	require.Equal(t, QueueFull, admission)
-	_, admission = f.Admit(first+millisecond, 1, read("5"))
+	_, admission = fleet.Admit(first+millisecond, 1, read("5"))
 	require.Equal(t, Admitted, admission, "one queued statement has started")
-	f.PauseUntil(2, 5*second)
-	done, _ := f.Admit(second, 2, read("6"))
+	fleet.PauseUntil(2, 5*second)
+	done, _ := fleet.Admit(second, 2, read("6"))
 	require.Greater(t, done, 5*second)
-	f.Execute(second, 0, Statement{ID: "a", Key: "t/k", Write: true})
-	require.Equal(t, "a", f.Execute(second, 0, read("7")).Value)
-	require.Empty(t, f.Execute(second, 1, read("8")).Value, "the replica has not applied the write yet")
-	require.Equal(t, "a", f.Execute(second+50*millisecond, 1, read("9")).Value)
-	f.SetLag(second+50*millisecond, 1, 10*second)
-	require.Equal(t, "a", f.Execute(second+60*millisecond, 1, read("10")).Value, "applied writes stay visible")
-	before := f.Status(second+60*millisecond, 1).Position
-	require.Equal(t, before, f.Status(2*second, 1).Position)
+	fleet.Execute(second, 0, Statement{ID: "a", Key: "t/k", Write: true})
+	require.Equal(t, "a", fleet.Execute(second, 0, read("7")).Value)
+	require.Empty(t, fleet.Execute(second, 1, read("8")).Value, "the replica has not applied the write yet")
+	require.Equal(t, "a", fleet.Execute(second+50*millisecond, 1, read("9")).Value)
+	fleet.SetLag(second+50*millisecond, 1, 10*second)
+	require.Equal(t, "a", fleet.Execute(second+60*millisecond, 1, read("10")).Value, "applied writes stay visible")
+	before := fleet.Status(second+60*millisecond, 1).Position
+	require.Equal(t, before, fleet.Status(2*second, 1).Position)
 }
 
-// A group being filled must return the tenant's data up to the fill's position, and after its end up to the cut.
+// A group being filled must return the tenant's data up to the position of the fill, and after the
+// fill up to the position at which it ended.
 func TestFillVisibility(t *testing.T) {
-	f, _ := newTestFleet()
-	write := func(now int64, id string) { f.Execute(now, 0, Statement{ID: id, Key: "t/k", Write: true}) }
-	read := func(now int64, key string) string { return f.Execute(now, 3, Statement{ID: "r", Key: key}).Value }
+	fleet, _ := newTestFleet()
+	write := func(now int64, id string) { fleet.Execute(now, 0, Statement{ID: id, Key: "t/k", Write: true}) }
+	read := func(now int64, key string) string { return fleet.Execute(now, 3, Statement{ID: "r", Key: key}).Value }
 	write(second, "a")
 	require.Empty(t, read(second+millisecond, "t/k"))
-	f.BeginFill("t", []int64{1}, []int64{2})
-	require.Equal(t, second, f.Status(second+50*millisecond, 3).Position)
+	fleet.BeginFill("t", []int64{1}, []int64{2})
+	require.Equal(t, second, fleet.Status(second+50*millisecond, 3).Position)
 	require.Empty(t, read(second+40*millisecond, "t/k"))
 	require.Equal(t, "a", read(second+50*millisecond, "t/k"))
 	require.Empty(t, read(second+50*millisecond, "u/k"), "the key belongs to another tenant")
-	f.DiscardFill("t")
+	fleet.DiscardFill("t")
 	require.Empty(t, read(2*second, "t/k"))
-	f.BeginFill("t", []int64{1}, []int64{2})
+	fleet.BeginFill("t", []int64{1}, []int64{2})
 	write(2*second, "b")
 	write(3*second, "c")
-	f.EndFill("t", 2*second)
-	require.Equal(t, "b", read(4*second, "t/k"), "writes after the cut are not copied")
-	require.True(t, f.HasWrite(2, "t/k", "a"))
-	require.False(t, f.HasWrite(2, "t/k", "c"))
-	require.Equal(t, 4*second, f.Status(4*second, 3).Position)
+	fleet.EndFill("t", 2*second)
+	require.Equal(t, "b", read(4*second, "t/k"), "writes after the end of the fill are not copied")
+	require.True(t, fleet.HasWrite(2, "t/k", "a"))
+	require.False(t, fleet.HasWrite(2, "t/k", "c"))
+	require.Equal(t, 4*second, fleet.Status(4*second, 3).Position)
 }
--- a/internal/emulator/links/parse.go
+++ b/internal/emulator/links/parse.go
@@ -57,14 +57,14 @@
 }
 
 // parseParameters parses pairs of a parameter name and a value.
-func (e *Event) parseParameters(words []string) (err error) {
+func (e *Event) parseParameters(fields []string) (err error) {
 	given := map[string]bool{}
-	for ; len(words) > 0; words = words[2:] {
-		if len(words) == 1 || given[words[0]] {
-			return fmt.Errorf("parameter %q has no value or is repeated", words[0])
+	for ; len(fields) > 0; fields = fields[2:] {
+		if len(fields) == 1 || given[fields[0]] {
+			return fmt.Errorf("parameter %q has no value or is repeated", fields[0])
 		}
-		given[words[0]] = true
-		if err := e.parseParameter(words[0], words[1]); err != nil {
+		given[fields[0]] = true
+		if err := e.parseParameter(fields[0], fields[1]); err != nil {
 			return err
 		}
 	}
@@ -77,21 +77,21 @@
 }
 
 // requiredParameters returns the names of the parameters that the fault must have.
-func (e *Event) requiredParameters() (words []string) {
+func (e *Event) requiredParameters() (names []string) {
 	switch e.Fault {
 	case Delay, SkewClock:
-		words = []string{"by"}
+		names = []string{"by"}
 	case Throttle:
-		words = []string{"to"}
+		names = []string{"to"}
 	case Truncate:
-		words = []string{"after"}
+		names = []string{"after"}
 	case Lose, Duplicate, Reorder:
-		words = []string{"share"}
+		names = []string{"share"}
 	}
 	if e.Fault.hasDuration() {
-		words = append(words, "for")
+		names = append(names, "for")
 	}
-	return words
+	return names
 }
 
 func (e *Event) parseParameter(name, text string) (err error) {
--- a/internal/emulator/links/relays/connection.go
+++ b/internal/emulator/links/relays/connection.go
@@ -57,18 +57,18 @@
 func (c *connection) run() {
 	defer func() { c.close(c.ctx.Err() != nil) }() // a canceled connection is reset, whichever path closes it first
 	defer context.AfterFunc(c.ctx, func() { c.close(true) })()
-	var both sync.WaitGroup
+	var writers sync.WaitGroup
 	for _, stream := range c.streams {
-		both.Add(1)
+		writers.Add(1)
 		go stream.read()
 		go func() {
-			defer both.Done()
+			defer writers.Done()
 			if !stream.write() {
 				c.cancel()
 			}
 		}()
 	}
-	both.Wait()
+	writers.Wait()
 }
 
 // close closes both sockets, optionally with a TCP reset.
--- a/internal/emulator/links/relays/relays_test.go
+++ b/internal/emulator/links/relays/relays_test.go
@@ -100,12 +100,12 @@
 	require.Equal(t, "held", got, "data held by a silent link must be delivered afterwards")
 	require.Positive(t, network.Counts().Held)
 
-	slow := links.Event{Fault: links.Throttle, Link: forwardLink, Amount: 1000}
-	network.Begin(slow)
+	throttle := links.Event{Fault: links.Throttle, Link: forwardLink, Amount: 1000}
+	network.Begin(throttle)
 	io.WriteString(c, strings.Repeat("x", 200))
 	_, elapsed = readBytes(t, c, 200)
 	require.GreaterOrEqual(t, elapsed, 120*ms)
-	network.End(slow)
+	network.End(throttle)
 
 	network.Begin(links.Event{Fault: links.Truncate, Link: forwardLink, Amount: 5})
 	io.WriteString(c, "a whole frame")
@@ -164,18 +164,18 @@
 		}
 	}
 	require.Len(t, send(50), 50)
-	during := func(e links.Event, count int) []byte {
+	sendDuring := func(e links.Event, count int) []byte {
 		e.Link = forwardLink
 		network.Begin(e)
 		defer network.End(e)
 		return send(count)
 	}
-	require.Empty(t, during(links.Event{Fault: links.Silent}, 20))
-	require.Empty(t, during(links.Event{Fault: links.Lose, Share: 1}, 20))
-	received := len(during(links.Event{Fault: links.Lose, Share: 0.5}, 100))
+	require.Empty(t, sendDuring(links.Event{Fault: links.Silent}, 20))
+	require.Empty(t, sendDuring(links.Event{Fault: links.Lose, Share: 1}, 20))
+	received := len(sendDuring(links.Event{Fault: links.Lose, Share: 0.5}, 100))
 	require.True(t, received > 20 && received < 80, "%d", received)
-	require.Len(t, during(links.Event{Fault: links.Duplicate, Share: 1}, 20), 40)
-	reordered := during(links.Event{Fault: links.Reorder, Share: 0.3}, 60)
+	require.Len(t, sendDuring(links.Event{Fault: links.Duplicate, Share: 1}, 20), 40)
+	reordered := sendDuring(links.Event{Fault: links.Reorder, Share: 0.3}, 60)
 	require.Len(t, reordered, 60)
 	inversions := 0
 	for i := 1; i < len(reordered); i++ {
@@ -202,11 +202,11 @@
 func (f *fakeProcess) Pause() error                 { return f.record("pause") }
 func (f *fakeProcess) Continue() error              { return f.record("continue") }
 func (f *fakeProcess) Kill() error                  { return f.record("kill") }
-func (f *fakeProcess) OffsetClock(by time.Duration) { f.record("off by " + by.String()) }
+func (f *fakeProcess) OffsetClock(by time.Duration) { f.record("offset " + by.String()) }
 func (f *fakeProcess) Start(context.Context) error  { return f.record("start") }
 func (f *fakeProcess) WipeDisk() error              { return f.record("wipe") }
 func (f *fakeProcess) CopyDisk() error              { return f.record("copy") }
-func (f *fakeProcess) RestoreDisk() error           { return f.record("put back") }
+func (f *fakeProcess) RestoreDisk() error           { return f.record("restore") }
 func (f *fakeProcess) StartTwin(context.Context) (func(), error) {
 	f.record("twin")
 	return func() { f.record("twin ends") }, nil
@@ -224,8 +224,8 @@
 	timeline, err := links.Parse(text)
 	require.NoError(t, err)
 	require.NoError(t, player.Play(context.Background(), timeline))
-	require.Equal(t, []string{"copy", "pause", "continue", "kill", "put back", "start", "kill", "wipe", "start", "twin", "twin ends", "kill",
-		"start", "kill", "off by -1m0s", "start"}, process.calls)
+	require.Equal(t, []string{"copy", "pause", "continue", "kill", "restore", "start", "kill", "wipe", "start", "twin", "twin ends", "kill",
+		"start", "kill", "offset -1m0s", "start"}, process.calls)
 	require.Equal(t, text, out.String(), "the output must be a timeline that can be parsed")
 	require.Equal(t, 1, player.FaultCounts()[links.RestoreDisk])
 	require.ErrorContains(t, player.Play(context.Background(), links.Timeline{{Fault: links.Pause, Process: "b"}}), `unknown process "b"`)
--- a/internal/emulator/sockets/clients.go
+++ b/internal/emulator/sockets/clients.go
@@ -24,7 +24,8 @@
 	IsRetry     bool
 }
 
-// Outcome is the result of an RPC as its client sees it.
+// Outcome is the result of an RPC as its client sees it. Those up to Aborted are answers of the
+// driver.
 type Outcome int
 
 const (
@@ -62,6 +63,7 @@
 
 const (
 	connectTimeout = time.Second
+	maxAnswerBytes = 1 << 20
 	answerSlack    = 100 * time.Millisecond // how long after the RPC's timeout an answer is still accepted
 )
 
@@ -75,7 +77,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 		defer cancel()
 		var reason transport.CloseReason
-		if conn, reason = protocol.Connect(c.fleet.ctx, callCtx, c.descriptors, address, 1<<20, nil); reason != transport.Open {
+		if conn, reason = protocol.Connect(c.fleet.ctx, callCtx, c.descriptors, address, maxAnswerBytes, nil); reason != transport.Open {
 			reply.Outcome = ConnectFailed
 			return reply
 		}
--- a/internal/emulator/sockets/drivers.go
+++ b/internal/emulator/sockets/drivers.go
@@ -90,8 +90,7 @@
 }
 
 // NewDrivers writes the configuration files of a number of drivers into a directory and returns the
-// drivers, not started. The text function returns the text of a driver's operator file, empty for
-// none.
+// drivers, not started. operatorText returns the text of a driver's operator file, empty for none.
 func (f *Fleet) NewDrivers(program, dir string, count int, methods []Method, operatorText func(i int) string) (drivers []*Driver, err error) {
 	classes, readLevels := []any{}, []any{}
 	for _, m := range methods {
@@ -122,9 +121,9 @@
 			return nil, err
 		}
 		d.env = append(os.Environ(), "GW_NAME="+d.Name, "GW_LISTEN="+d.Address, "GW_DISCOVERY="+f.DiscoveryAddress(), "GW_CONFIG="+path)
-		if operatorText := operatorText(i); operatorText != "" {
+		if text := operatorText(i); text != "" {
 			operatorPath := filepath.Join(dir, d.Name+".textproto")
-			if err := os.WriteFile(operatorPath, []byte(operatorText), 0o600); err != nil {
+			if err := os.WriteFile(operatorPath, []byte(text), 0o600); err != nil {
 				return nil, err
 			}
 			d.env = append(d.env, "GW_OPERATOR="+operatorPath)
--- a/internal/emulator/sockets/members.go
+++ b/internal/emulator/sockets/members.go
@@ -89,36 +89,36 @@
 	use(f.Now(), f.model)
 }
 
-func (f *Fleet) accept(listener *transport.Listener, m emulator.MemberID) {
+func (f *Fleet) accept(listener *transport.Listener, id emulator.MemberID) {
 	for {
 		c, err := listener.Accept(f.ctx, 0, func(bool) {})
 		if err != nil {
 			return
 		}
-		f.tasks.Go(func() error { f.serve(protocol.Client{Conn: c}, m); return nil })
+		f.tasks.Go(func() error { f.serve(protocol.Client{Conn: c}, id); return nil })
 	}
 }
 
 // trackConn adds or removes an open connection of a member.
-func (f *Fleet) trackConn(m emulator.MemberID, c *transport.Conn, open bool) {
+func (f *Fleet) trackConn(id emulator.MemberID, c *transport.Conn, isOpen bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.conns[m] == nil {
-		f.conns[m] = map[*transport.Conn]bool{}
+	if f.conns[id] == nil {
+		f.conns[id] = map[*transport.Conn]bool{}
 	}
-	if open {
-		f.conns[m][c] = true
+	if isOpen {
+		f.conns[id][c] = true
 	} else {
-		delete(f.conns[m], c)
+		delete(f.conns[id], c)
 	}
 }
 
 // Restart restarts a member: its connections are closed and it is cold.
-func (f *Fleet) Restart(m emulator.MemberID) {
-	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.Restart(now, m) })
+func (f *Fleet) Restart(id emulator.MemberID) {
+	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.Restart(now, id) })
 	f.mu.Lock()
 	var closing []*transport.Conn
-	for c := range f.conns[m] {
+	for c := range f.conns[id] {
 		closing = append(closing, c)
 	}
 	f.mu.Unlock()
@@ -128,8 +128,8 @@
 }
 
 // SetDraining makes a member drain or serve again.
-func (f *Fleet) SetDraining(m emulator.MemberID, draining bool) {
-	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.SetDraining(now, m, draining) })
+func (f *Fleet) SetDraining(id emulator.MemberID, draining bool) {
+	f.updateDiscovery(func(now int64, model *emulator.Fleet) { model.SetDraining(now, id, draining) })
 }
 
 // updateDiscovery applies a change that affects the discovery list and wakes up watchers.
@@ -143,22 +143,22 @@
 }
 
 // serve serves one connection to a member.
-func (f *Fleet) serve(c protocol.Client, m emulator.MemberID) {
-	f.trackConn(m, c.Conn, true)
-	defer f.trackConn(m, c.Conn, false)
+func (f *Fleet) serve(c protocol.Client, id emulator.MemberID) {
+	f.trackConn(id, c.Conn, true)
+	defer f.trackConn(id, c.Conn, false)
 	_, reason := c.Handshake(protocol.CancelKey{}, func(protocol.CancelKey) {})
 	for reason == transport.Open {
 		var text string
 		if text, _, reason = c.ReadQuery(); reason == transport.Open {
-			reason = f.answerQuery(c, m, text)
+			reason = f.answerQuery(c, id, text)
 		}
 	}
 	c.Close(reason)
 }
 
-func (f *Fleet) answerQuery(c protocol.Client, m emulator.MemberID, text string) transport.CloseReason {
+func (f *Fleet) answerQuery(c protocol.Client, id emulator.MemberID, text string) transport.CloseReason {
 	if text == protocol.LoadQuery {
-		return f.answerLoadQuery(c, m)
+		return f.answerLoadQuery(c, id)
 	}
 	parsed, err := protocol.ParseStatement(text)
 	if err != nil {
@@ -170,9 +170,9 @@
 	var response emulator.Response
 	restartsBefore, restartsAfter := 0, 0
 	f.WithModel(func(now int64, model *emulator.Fleet) {
-		doneAt, admission = model.Admit(now, m, statement)
-		response = model.Status(now, m)
-		_, restartsBefore = model.Started(m)
+		doneAt, admission = model.Admit(now, id, statement)
+		response = model.Status(now, id)
+		_, restartsBefore = model.Started(id)
 	})
 	switch admission {
 	case emulator.QueueFull:
@@ -184,8 +184,8 @@
 	}
 	time.Sleep(time.Duration(doneAt - f.Now())) // an admitted statement is executed even if its sender has gone
 	f.WithModel(func(now int64, model *emulator.Fleet) {
-		if _, restartsAfter = model.Started(m); restartsAfter == restartsBefore {
-			response = model.Execute(now, m, statement)
+		if _, restartsAfter = model.Started(id); restartsAfter == restartsBefore {
+			response = model.Execute(now, id, statement)
 		}
 	})
 	if restartsAfter != restartsBefore { // the member was restarted meanwhile
@@ -207,9 +207,9 @@
 	return fence
 }
 
-func (f *Fleet) answerLoadQuery(c protocol.Client, m emulator.MemberID) transport.CloseReason {
+func (f *Fleet) answerLoadQuery(c protocol.Client, id emulator.MemberID) transport.CloseReason {
 	var status emulator.Response
-	f.WithModel(func(now int64, model *emulator.Fleet) { status = model.Status(now, m) })
+	f.WithModel(func(now int64, model *emulator.Fleet) { status = model.Status(now, id) })
 	role := 0
 	if status.Primary {
 		role = 1
@@ -238,13 +238,13 @@
 	defer f.mu.Unlock()
 	entries := make([]any, 0, len(f.addresses))
 	for i, address := range f.addresses {
-		m, lifecycle := emulator.MemberID(i), "SERVING"
-		if f.model.IsDraining(m) {
+		id, lifecycle := emulator.MemberID(i), "SERVING"
+		if f.model.IsDraining(id) {
 			lifecycle = "DRAINING"
 		}
-		started, _ := f.model.Started(m)
+		started, _ := f.model.Started(id)
 		entries = append(entries, map[string]any{"instanceId": fmt.Sprintf("m%d", i), "hostPort": address, "zone": "a",
-			"machineType": "m", "cell": f.model.Group(m), "lifecycle": lifecycle, "weight": 1.0,
+			"machineType": "m", "cell": f.model.Group(id), "lifecycle": lifecycle, "weight": 1.0,
 			"startedAtMs": started / int64(time.Millisecond)})
 	}
 	return map[string]any{"generation": f.version, "reset": true, "instances": entries}
@@ -256,9 +256,9 @@
 	if index, err := strconv.Atoi(r.URL.Query().Get("index")); err == nil {
 		wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 		f.mu.Lock()
-		newer, changed := f.version > index, f.changed
+		isNewer, changed := f.version > index, f.changed
 		f.mu.Unlock()
-		if !newer {
+		if !isNewer {
 			select {
 			case <-changed:
 			case <-time.After(time.Duration(wait) * time.Millisecond):
--- a/internal/emulator/trials/audit.go
+++ b/internal/emulator/trials/audit.go
@@ -15,19 +15,19 @@
 
 // AuditResult compares the audit's records of writes with the writes that members received.
 type AuditResult struct {
-	Writes       int // writes with a fence that members received
-	Matched      int // in the audit by themselves with the right version
-	Counted      int // only in the audit's counts for the version, as they came long after a change
-	WrongVersion int // in the audit with another version
-	Unknown      int // not in the audit, but in a span that it reports as unknown
-	Missing      int // not in the audit at all
-	Entries      int
-	LateActs     int // acts that the audit itself finds after their version was closed
-	Faults       []string
-	UnknownSpans int // spans of time that the audit reports as unknown
+	Writes         int // writes with a fence that members received
+	Matched        int // in the audit by themselves with the right version
+	Counted        int // only in the audit's counts for the version, as they came long after a change
+	WrongVersion   int // in the audit with another version
+	Unknown        int // not in the audit, but in a span that it reports as unknown
+	Missing        int // not in the audit at all
+	Entries        int
+	LateActivities int // activities that the audit itself finds after their version was closed
+	Faults         []string
+	UnknownSpans   int // spans of time that the audit reports as unknown
 
 	FirstMissing []string // details of the first missing writes
-	FirstLate    []string // details of the first late acts
+	FirstLate    []string // details of the first late activities
 }
 
 // maxShown limits the number of details in AuditResult.
@@ -43,11 +43,11 @@
 	if err != nil {
 		return err
 	}
-	r := &c.result.Audit
-	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
-	for _, late := range findings.Late[:min(maxShown, len(findings.Late))] {
-		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
-			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
+	result := &c.result.Audit
+	result.Entries, result.LateActivities, result.Faults, result.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
+	for _, lateActivity := range findings.Late[:min(maxShown, len(findings.Late))] {
+		result.FirstLate = append(result.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", lateActivity.Instance.Name, lateActivity.Instance.Start, lateActivity.RPC,
+			lateActivity.Version, time.Since(time.Unix(0, lateActivity.At)).Round(time.Millisecond), lateActivity.IsCertain, lateActivity.Reason))
 	}
 	trails := newAuditTrails(membership.CollectParts(ctx, c.addresses))
 	attempts := map[string]emulator.FencedAttempt{}
@@ -56,22 +56,22 @@
 			attempts[attempt.RPC] = attempt
 		}
 	}
-	r.Writes = len(attempts)
+	result.Writes = len(attempts)
 	for id, attempt := range attempts {
-		version, found := trails.singles[id]
+		version, found := trails.versionByRPC[id]
 		switch {
 		case found && version == attempt.Fence:
-			r.Matched++
+			result.Matched++
 		case found:
-			r.WrongVersion++
+			result.WrongVersion++
 		case trails.takeCounted(attempt):
-			r.Counted++
-		case slices.ContainsFunc(findings.Unknown, func(u audit.Gap) bool {
-			return u.From-int64(unknownMargin) <= attempt.At && attempt.At <= u.To
+			result.Counted++
+		case slices.ContainsFunc(findings.Unknown, func(gap audit.Gap) bool {
+			return gap.From-int64(unknownMargin) <= attempt.At && attempt.At <= gap.To
 		}):
-			r.Unknown++
+			result.Unknown++
 		default:
-			r.recordMissing(attempt, trails)
+			result.recordMissing(attempt, trails)
 		}
 	}
 	return nil
@@ -93,9 +93,9 @@
 	}
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
 		reported := map[string]bool{}
-		for _, p := range membership.CollectParts(ctx, c.addresses) {
-			if n := len(p.Entries); n > 0 && p.IsClockOffsetKnown && p.Entries[n-1].At+p.ClockOffset > writesEnded.UnixNano() {
-				reported[p.Instance.Name] = true
+		for _, segment := range membership.CollectParts(ctx, c.addresses) {
+			if n := len(segment.Entries); n > 0 && segment.IsClockOffsetKnown && segment.Entries[n-1].At+segment.ClockOffset > writesEnded.UnixNano() {
+				reported[segment.Instance.Name] = true
 			}
 		}
 		if len(reported) == c.Drivers {
@@ -114,21 +114,21 @@
 
 // auditTrails are the trails of all drivers, indexed for the comparison.
 type auditTrails struct {
-	singles   map[string]uint64 // version of each write with an entry of its own, by RPC
-	counted   map[uint64]uint64 // by version, writes that are only counted
-	firstUse  map[uint64]int64  // by version, the time of the first act
-	lastEntry int64             // time of the last entry of all trails
+	versionByRPC  map[string]uint64 // version of each write with an entry of its own, by RPC
+	countedWrites map[uint64]uint64 // by version, writes that are only counted
+	firstUse      map[uint64]int64  // by version, the time of the first activity
+	lastEntry     int64             // time of the last entry of all trails
 }
 
-func newAuditTrails(parts []audit.Segment) *auditTrails {
-	t := &auditTrails{singles: map[string]uint64{}, counted: map[uint64]uint64{}, firstUse: map[uint64]int64{}}
-	for _, p := range parts {
-		for i := range p.Entries {
-			t.addEntry(&p.Entries[i], p.ClockOffset)
+func newAuditTrails(segments []audit.Segment) *auditTrails {
+	t := &auditTrails{versionByRPC: map[string]uint64{}, countedWrites: map[uint64]uint64{}, firstUse: map[uint64]int64{}}
+	for _, segment := range segments {
+		for i := range segment.Entries {
+			t.addEntry(&segment.Entries[i], segment.ClockOffset)
 		}
 	}
-	for _, version := range t.singles {
-		t.counted[version] -= min(1, t.counted[version]) // writes with an entry of their own are also counted
+	for _, version := range t.versionByRPC {
+		t.countedWrites[version] -= min(1, t.countedWrites[version]) // writes with an entry of their own are also counted
 	}
 	return t
 }
@@ -138,14 +138,14 @@
 	version := uint64(entry.Version)
 	switch entry.Kind {
 	case audit.KindRPC:
-		t.singles[entry.RPC] = version
+		t.versionByRPC[entry.RPC] = version
 	case audit.KindSpan:
 		if from, known := t.firstUse[version]; !known || entry.From+offset < from {
 			t.firstUse[version] = entry.From + offset
 		}
 		for effect := audit.Deduplicated; effect <= audit.NonIdempotent; effect++ {
 			for _, n := range entry.Counts[effect] {
-				t.counted[version] += n
+				t.countedWrites[version] += n
 			}
 		}
 	}
@@ -155,9 +155,9 @@
 // count. Writes long after the first use of a version are only counted.
 func (t *auditTrails) takeCounted(attempt emulator.FencedAttempt) bool {
 	firstUse, known := t.firstUse[attempt.Fence]
-	if !known || t.counted[attempt.Fence] == 0 || time.Duration(attempt.At-firstUse) < routing.AuditWindow {
+	if !known || t.countedWrites[attempt.Fence] == 0 || time.Duration(attempt.At-firstUse) < routing.AuditWindow {
 		return false
 	}
-	t.counted[attempt.Fence]--
+	t.countedWrites[attempt.Fence]--
 	return true
 }
--- a/internal/emulator/trials/disks.go
+++ b/internal/emulator/trials/disks.go
@@ -64,8 +64,8 @@
 // isRefused reports whether a voter reports within refusalTimeout that its disk is outdated.
 func (c *versionsRun) isRefused(ctx context.Context, voter int) bool {
 	for start := time.Now(); time.Since(start) < refusalTimeout && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
-		s, err := membership.NewClient(c.addresses[voter]).Council(ctx)
-		if err == nil && strings.Contains(s.RefusalReason, "is older than what it had told") {
+		state, err := membership.NewClient(c.addresses[voter]).Council(ctx)
+		if err == nil && strings.Contains(state.RefusalReason, "is older than what it had told") {
 			return true
 		}
 	}
--- a/internal/emulator/trials/flood.go
+++ b/internal/emulator/trials/flood.go
@@ -127,10 +127,10 @@
 	}
 	defer cluster.Close()
 	s.sameCell, s.otherCells, s.bots = newUtilityTally(), newUtilityTally(), newUtilityTally()
-	cell := map[string]int{botsTenant: 0}
+	cellByTenant := map[string]int{botsTenant: 0}
 	names := f.tenantNames()
 	for i, name := range names {
-		cell[name] = i % f.Cells
+		cellByTenant[name] = i % f.Cells
 	}
 	cellRate := f.fleetConfig().MemberRate() * float64(f.fleetConfig().Members)
 	done := make(chan struct{})
@@ -150,7 +150,7 @@
 		tenant := tenants.next()
 		random.mu.Unlock()
 		tally := s.otherCells
-		if cell[tenant] == 0 {
+		if cellByTenant[tenant] == 0 {
 			tally = s.sameCell
 		}
 		method, rpc := f.randomRPC(tenant, random)
@@ -178,15 +178,20 @@
 	return method, sockets.RPC{Method: method.Name, Key: key, Write: method == &putMethod, Group: group, Timeout: method.Timeout}
 }
 
+const (
+	minRetryDelay  = 10 * time.Millisecond
+	minAttemptTime = 50 * time.Millisecond // no retry if less time would be left for it
+)
+
 // callWithRetries calls like a well-behaved client: a rejected RPC is retried after the requested
 // delay while time is left.
 func (f *Flood) callWithRetries(ctx context.Context, cluster *Cluster, rpc sockets.RPC, random *lockedRand) (reply sockets.Reply) {
 	start, timeout := time.Now(), rpc.Timeout
 	for {
-		d := cluster.Drivers[random.intN(len(cluster.Drivers))]
-		reply = cluster.Clients.Call(ctx, d.Address, rpc)
-		wait := max(reply.RetryAfter, 10*time.Millisecond)
-		if reply.Outcome != sockets.Rejected || time.Since(start)+wait+50*time.Millisecond > timeout {
+		driver := cluster.Drivers[random.intN(len(cluster.Drivers))]
+		reply = cluster.Clients.Call(ctx, driver.Address, rpc)
+		wait := max(reply.RetryAfter, minRetryDelay)
+		if reply.Outcome != sockets.Rejected || time.Since(start)+wait+minAttemptTime > timeout {
 			return reply
 		}
 		time.Sleep(wait)
@@ -196,9 +201,9 @@
 
 // pauseFirstCell pauses the members of the first cell for the whole run.
 func (f *Flood) pauseFirstCell(cluster *Cluster) {
-	cluster.Fleet.WithModel(func(now int64, m *emulator.Fleet) {
+	cluster.Fleet.WithModel(func(now int64, model *emulator.Fleet) {
 		for id := range f.fleetConfig().Members {
-			m.PauseUntil(emulator.MemberID(id), now+int64(f.Duration))
+			model.PauseUntil(emulator.MemberID(id), now+int64(f.Duration))
 		}
 	})
 }
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -49,21 +49,21 @@
 
 // MovesResult is the result of a trial of moves.
 type MovesResult struct {
-	Done, RolledBack, Requested int
-	Rejected                    int // move requests that the coordinator rejected
-	RPCs                        map[sockets.Outcome]int
-	Writes, FoundWrites         int           // acknowledged writes, and those found in their tenant's final cell
-	HoldP50, HoldP99            time.Duration // how long completed moves held writes
-	WriteP50, WriteP99          time.Duration // latency of served writes
-	RejectedShare               float64       // share of writes that were rejected
-	Faults                      map[string]int
-	GateRejections              map[string]int64 // rejected RPCs by reason, from the admission gates of drivers since their last start
-	GateFenced                  int64            // attempts and answers dropped by these gates as fenced
-	Violations                  []emulator.Violation
-	Unexplained                 int           // RPCs without an answer at drivers that were not disrupted
-	Leaders                     int           // number of successive coordinators
-	StepGapP50, StepGapP99      time.Duration // between successive steps of moves while any move was in progress
-	StepGapMax                  time.Duration
+	Completed, RolledBack, Requested int
+	Rejected                         int // move requests that the coordinator rejected
+	RPCs                             map[sockets.Outcome]int
+	Writes, FoundWrites              int           // acknowledged writes, and those found in their tenant's final cell
+	HoldP50, HoldP99                 time.Duration // how long completed moves held writes
+	WriteP50, WriteP99               time.Duration // latency of served writes
+	RejectedShare                    float64       // share of writes that were rejected
+	Faults                           map[string]int
+	AdmissionRejections              map[string]int64 // RPCs by reason, rejected by the admission control of drivers since their last start
+	AdmissionFenced                  int64            // attempts and answers that it dropped as fenced
+	Violations                       []emulator.Violation
+	Unexplained                      int           // RPCs without an answer at drivers that were not disrupted
+	Leaders                          int           // number of successive coordinators
+	StepGapP50, StepGapP99           time.Duration // between successive steps of moves while any move was in progress
+	StepGapMax                       time.Duration
 }
 
 // movesRun is a running trial of moves.
@@ -119,7 +119,7 @@
 
 // Run runs the trial.
 func (v *Moves) Run(ctx context.Context) (*MovesResult, error) {
-	m := &movesRun{Moves: v, seenEpochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, GateRejections: map[string]int64{}}}
+	m := &movesRun{Moves: v, seenEpochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, AdmissionRejections: map[string]int64{}}}
 	m.workload = newWorkload(v.Seed, func() *sockets.Driver { return m.cluster.Drivers[v.coordinatorCount()+m.random.intN(moveDrivers)] })
 	drivers := v.coordinatorCount() + moveDrivers
 	addresses, err := sockets.FreeAddresses(v.coordinatorCount() + drivers)
@@ -183,22 +183,22 @@
 			m.observe(state)
 		}
 		m.mu.Lock()
-		done := m.result.Done
+		completed := m.result.Completed
 		m.mu.Unlock()
 		switch {
-		case done >= m.MinMoves:
+		case completed >= m.MinMoves:
 			return nil
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case time.Now().After(deadline):
-			return fmt.Errorf("only %d of %d moves completed in %v (%d rolled back)", done, m.MinMoves, m.Timeout, m.result.RolledBack)
+			return fmt.Errorf("only %d of %d moves completed in %v (%d rolled back)", completed, m.MinMoves, m.Timeout, m.result.RolledBack)
 		}
 		if len(activeMoves(state)) < max(1, m.Tenants/2) {
 			m.requestMove(ctx, coordinator)
 		}
 		if m.random.intN(60) == 0 {
-			if moving := activeMoves(state); len(moving) > 0 {
-				coordinator.Abort(ctx, membership.MoveRequest{Tenant: moving[m.random.intN(len(moving))].Tenant, Reason: "trial"})
+			if active := activeMoves(state); len(active) > 0 {
+				coordinator.Abort(ctx, membership.MoveRequest{Tenant: active[m.random.intN(len(active))].Tenant, Reason: "trial"})
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -217,8 +217,8 @@
 // requestMove requests a random move, sometimes two of the same tenant.
 func (m *movesRun) requestMove(ctx context.Context, coordinator membership.Client) {
 	tenant := cells.Tenant(fmt.Sprintf("t%d", m.random.intN(m.Tenants)))
-	times := 1 + m.random.intN(4)/3
-	for range times {
+	count := 1 + m.random.intN(4)/3
+	for range count {
 		to := fmt.Sprintf("c%d", m.random.intN(moveCells))
 		err := coordinator.Move(ctx, []membership.MoveRequest{{Tenant: tenant, To: to, Reason: "trial"}})
 		m.mu.Lock()
@@ -254,7 +254,7 @@
 		m.seenEpochs[entry.Epoch], hasStepped = true, true
 		switch entry.Stage {
 		case cells.StageSwitched:
-			m.result.Done++
+			m.result.Completed++
 			m.holdTimes = append(m.holdTimes, float64(entry.DecidedAt-entry.HoldStartedAt)/1e9)
 		case cells.StageRollingBack:
 			m.result.RolledBack++
@@ -287,8 +287,8 @@
 		fmt.Sscanf(entry.Cell, "c%d", &cell)
 		groups[string(entry.Tenant)] = cell + 1
 	}
-	m.cluster.Fleet.WithModel(func(_ int64, stats *emulator.Fleet) {
-		r.Writes = m.cluster.Fleet.CheckAcknowledged(stats, func(key string) int64 {
+	m.cluster.Fleet.WithModel(func(_ int64, model *emulator.Fleet) {
+		r.Writes = m.cluster.Fleet.CheckAcknowledged(model, func(key string) int64 {
 			if g, moved := groups[emulator.TenantOf(key)]; moved {
 				return g
 			}
@@ -313,9 +313,9 @@
 		var stats cells.Stats
 		if admin.NewCellsClient(address).Call(context.Background(), "list", admin.Query{}, &stats) == nil {
 			for reason, n := range stats.Rejected {
-				r.GateRejections[reason] += n
+				r.AdmissionRejections[reason] += n
 			}
-			r.GateFenced += stats.Fenced
+			r.AdmissionFenced += stats.Fenced
 		}
 	}
 	r.RejectedShare = float64(m.rejectedWrites) / float64(max(1, m.writes))
@@ -342,19 +342,19 @@
 	}
 	sorted := append([]float64(nil), seconds...)
 	stat.SortWeighted(sorted, nil)
-	at := func(p float64) time.Duration {
+	quantile := func(p float64) time.Duration {
 		return time.Duration(stat.Quantile(p, stat.Empirical, sorted, nil) * float64(time.Second))
 	}
-	return at(0.5), at(0.99)
+	return quantile(0.5), quantile(0.99)
 }
 
 // periodicFaults returns the faults of members, drivers and coordinators.
 func (m *movesRun) periodicFaults() []periodicFault {
 	members := m.fleetConfig().Groups * m.fleetConfig().Members
 	pickDriver := m.pickDriver
-	onRandomMember := func(update func(id emulator.MemberID, f *emulator.Fleet, now int64)) {
+	onRandomMember := func(update func(id emulator.MemberID, model *emulator.Fleet, now int64)) {
 		id := emulator.MemberID(m.random.intN(members))
-		m.cluster.Fleet.WithModel(func(now int64, f *emulator.Fleet) { update(id, f, now) })
+		m.cluster.Fleet.WithModel(func(now int64, model *emulator.Fleet) { update(id, model, now) })
 	}
 	return append(m.coordinatorFaults(), []periodicFault{
 		{"a driver is paused", 4 * time.Second, func(ctx context.Context) {
@@ -365,19 +365,25 @@
 		}},
 		{"replies of a member are lost", 2 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetReplyLoss(at, true) })
+			onRandomMember(func(memberID emulator.MemberID, model *emulator.Fleet, _ int64) {
+				id = memberID
+				model.SetReplyLoss(memberID, true)
+			})
 			relays.Sleep(ctx, 300*time.Millisecond)
-			m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetReplyLoss(id, false) })
+			m.cluster.Fleet.WithModel(func(_ int64, model *emulator.Fleet) { model.SetReplyLoss(id, false) })
 		}},
 		{"a member is ten times as slow", 3 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, _ int64) { id = at; f.SetSlowdown(at, 10) })
+			onRandomMember(func(memberID emulator.MemberID, model *emulator.Fleet, _ int64) {
+				id = memberID
+				model.SetSlowdown(memberID, 10)
+			})
 			relays.Sleep(ctx, time.Second)
-			m.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) { f.SetSlowdown(id, 1) })
+			m.cluster.Fleet.WithModel(func(_ int64, model *emulator.Fleet) { model.SetSlowdown(id, 1) })
 		}},
 		{"a member is paused", 2 * time.Second, func(ctx context.Context) {
-			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
-				f.PauseUntil(at, now+int64(500*time.Millisecond))
+			onRandomMember(func(memberID emulator.MemberID, model *emulator.Fleet, now int64) {
+				model.PauseUntil(memberID, now+int64(500*time.Millisecond))
 			})
 		}},
 		{"a replica drains and returns to service", 4 * time.Second, func(ctx context.Context) {
@@ -391,12 +397,12 @@
 		}},
 		{"a replica lags", 2 * time.Second, func(ctx context.Context) {
 			var id emulator.MemberID
-			onRandomMember(func(at emulator.MemberID, f *emulator.Fleet, now int64) {
-				id = at
-				f.SetLag(now, at, int64(2*time.Second))
+			onRandomMember(func(memberID emulator.MemberID, model *emulator.Fleet, now int64) {
+				id = memberID
+				model.SetLag(now, memberID, int64(2*time.Second))
 			})
 			relays.Sleep(ctx, time.Second)
-			m.cluster.Fleet.WithModel(func(now int64, f *emulator.Fleet) { f.SetLag(now, id, f.Config.ReplicaLag) })
+			m.cluster.Fleet.WithModel(func(now int64, model *emulator.Fleet) { model.SetLag(now, id, model.Config.ReplicaLag) })
 		}},
 	}...)
 }
@@ -434,7 +440,7 @@
 func (r *MovesResult) Table() string {
 	rows := [][]string{
 		{"moves requested, rejected", fmt.Sprintf("%d, %d", r.Requested, r.Rejected)},
-		{"moves completed, rolled back", fmt.Sprintf("%d, %d", r.Done, r.RolledBack)},
+		{"moves completed, rolled back", fmt.Sprintf("%d, %d", r.Completed, r.RolledBack)},
 		{"RPCs served, rejected, aborted, timed out, connection lost, connect failed", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
 			r.RPCs[sockets.Served], r.RPCs[sockets.Rejected], r.RPCs[sockets.Aborted], r.RPCs[sockets.TimedOut],
 			r.RPCs[sockets.ConnectionLost], r.RPCs[sockets.ConnectFailed])},
@@ -449,10 +455,10 @@
 	if r.Leaders > 1 {
 		rows = append(rows, []string{"successive leaders observed", fmt.Sprint(r.Leaders)})
 	}
-	for w := cells.ReasonDriverFull; w <= cells.ReasonUnknownCell; w++ {
-		rows = append(rows, []string{"rejected by admission gates: " + w.String(), fmt.Sprint(r.GateRejections[w.String()])})
+	for reason := cells.ReasonDriverFull; reason <= cells.ReasonUnknownCell; reason++ {
+		rows = append(rows, []string{"rejected by admission gates: " + reason.String(), fmt.Sprint(r.AdmissionRejections[reason.String()])})
 	}
-	rows = append(rows, []string{"attempts and answers dropped by gates as fenced", fmt.Sprint(r.GateFenced)})
+	rows = append(rows, []string{"attempts and answers dropped by gates as fenced", fmt.Sprint(r.AdmissionFenced)})
 	rows = append(rows, violationRows(r.Violations)...)
 	return markdownTable([]string{"what", "figure"}, append(rows, faultCountRows(r.Faults)...))
 }
--- a/internal/emulator/trials/relayed_council.go
+++ b/internal/emulator/trials/relayed_council.go
@@ -92,7 +92,7 @@
 
 // addFaultCounts adds the number of link faults by type.
 func (c *relayedCouncil) addFaultCounts(faults map[string]int) {
-	for what, n := range c.player.FaultCounts() {
-		faults["a link: "+what.String()] += n
+	for fault, n := range c.player.FaultCounts() {
+		faults["a link: "+fault.String()] += n
 	}
 }
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -23,25 +23,25 @@
 // council fail and drivers and voters are paused, killed or duplicated. The attempts that members
 // receive show whether a driver acted on a closed version.
 type Versions struct {
-	Program      string
-	Seed         uint64
-	MinClosed    int // versions that must be closed
-	Timeout      time.Duration
-	Faults       bool
-	Drivers      int // including the voters, which come first
-	Voters       int
-	Lease        time.Duration
-	Tenants      int
-	Keys         int
-	CanaryTrial  time.Duration // if not 0, all versions are valid and tried by canaries for this long
-	MinWithdrawn int           // versions that must be withdrawn
-	RejectFenced bool          // members reject attempts with a closed version
-	Gossip       bool          // drivers exchange gossip
-	Crash        bool          // propose a version that crashes the processes that act on it
-	OldDisk      bool          // in each round, restore a voter's disk of one version earlier
-	Rate         int           // RPCs per second in total; 0 for no fixed rate
-	CutOff       bool          // in each round, partition the busiest driver from the council while a version is proposed
-	CutOffLeases int           // length of the partition in leases; 0 for three
+	Program         string
+	Seed            uint64
+	MinClosed       int // versions that must be closed
+	Timeout         time.Duration
+	Faults          bool
+	Drivers         int // including the voters, which come first
+	Voters          int
+	Lease           time.Duration
+	Tenants         int
+	Keys            int
+	CanaryTrial     time.Duration // if not 0, all versions are valid and tried by canaries for this long
+	MinWithdrawn    int           // versions that must be withdrawn
+	RejectFenced    bool          // members reject attempts with a closed version
+	Gossip          bool          // drivers exchange gossip
+	Crash           bool          // propose a version that crashes the processes that act on it
+	OldDisk         bool          // in each round, restore a voter's disk of one version earlier
+	Rate            int           // RPCs per second in total; 0 for no fixed rate
+	Partition       bool          // in each round, partition the busiest driver from the council while a version is proposed
+	PartitionLeases int           // length of the partition in leases; 0 for three
 }
 
 // VersionsResult is the result of a trial of versions.
@@ -112,7 +112,7 @@
 func (c *versionsRun) operatorText(i int) string {
 	rulebook := strings.TrimSuffix(c.rulebookText(0, false), "}\n")
 	cellLease := c.Lease
-	if c.CutOff { // keep the lease on cells from stopping a driver first
+	if c.Partition { // keep the lease on cells from stopping a driver first
 		cellLease = 10 * c.Lease
 	}
 	return fmt.Sprintf("%s  budget { rpcs: 600 call_outs: 600 lend: 0.5 }\n  coordination { lease_ms: %d hold_ms: 1500 held: 1000 }\n}\n%sfleet { lease_ms: %d most_shut_out: 0.34 %s}\n",
@@ -137,7 +137,7 @@
 		}
 		return c.cluster.Drivers[c.random.intN(v.Drivers)]
 	})
-	if v.CutOff || v.CanaryTrial > 0 {
+	if v.Partition || v.CanaryTrial > 0 {
 		c.meanPause = 5 * time.Millisecond
 	}
 	if v.Rate > 0 {
@@ -181,8 +181,8 @@
 		}
 	}
 	switch {
-	case v.CutOff:
-		err = c.runCutOff(ctx)
+	case v.Partition:
+		err = c.runPartition(ctx)
 	case v.Crash:
 		err = c.runCrash(ctx)
 	case v.OldDisk:
@@ -205,7 +205,7 @@
 // periodicFaults returns the faults of drivers and voters.
 func (c *versionsRun) periodicFaults() []periodicFault {
 	randomDuration := func() time.Duration { return time.Duration((0.2 + 2*c.random.float64()) * float64(c.Lease)) }
-	follower := func() *sockets.Driver { return c.cluster.Drivers[c.Voters+c.random.intN(c.Drivers-c.Voters)] }
+	nonVoter := func() *sockets.Driver { return c.cluster.Drivers[c.Voters+c.random.intN(c.Drivers-c.Voters)] }
 	leader := func() *sockets.Driver { return c.cluster.Drivers[c.leaderVoter()] }
 	return []periodicFault{
 		{"a driver is paused", 3 * time.Second, func(ctx context.Context) {
@@ -225,7 +225,7 @@
 			d.RunExclusive(func() { pauseDriver(ctx, d, randomDuration()) })
 		}},
 		{"a second process with the name of a driver runs", 9 * time.Second, func(ctx context.Context) {
-			d := follower()
+			d := nonVoter()
 			d.RunExclusive(func() {
 				end, err := d.StartTwin(ctx)
 				if err != nil {
@@ -237,20 +237,20 @@
 			})
 		}},
 		{"a driver restarts with a wall clock offset of minutes", 8 * time.Second, func(ctx context.Context) {
-			d := follower()
+			d := nonVoter()
 			d.RunExclusive(func() {
 				d.OffsetClock(time.Duration((c.random.float64() - 0.5) * float64(10*time.Minute)))
 				killAndRestart(ctx, d, 0)
 			})
 		}},
 		{"two voters are partitioned for longer than a lease", 17 * time.Second, func(ctx context.Context) {
-			var cut links.Timeline
+			var partition links.Timeline
 			for v := range 2 {
 				for _, link := range []links.Link{{From: driverName(v), To: "*"}, {From: "*", To: driverName(v)}} {
-					cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: 3 * c.Lease / 2})
+					partition = append(partition, links.Event{Fault: links.Silent, Link: link, Duration: 3 * c.Lease / 2})
 				}
 			}
-			c.council.player.Play(ctx, cut)
+			c.council.player.Play(ctx, partition)
 		}},
 	}
 }
@@ -326,20 +326,20 @@
 	}
 }
 
-// runCutOff proposes versions one after another, each while a driver is partitioned from the
+// runPartition proposes versions one after another, each while a driver is partitioned from the
 // council for longer than its lease, and waits until each is closed.
-func (c *versionsRun) runCutOff(ctx context.Context) error {
+func (c *versionsRun) runPartition(ctx context.Context) error {
 	for n := 1; n <= c.MinClosed; n++ {
 		isolated := c.Voters + n%(c.Drivers-c.Voters)
 		c.busiestDriver.Store(int64(isolated))
-		cut := links.Timeline{}
+		partition := links.Timeline{}
 		for v := range c.Voters {
 			for _, link := range []links.Link{{From: driverName(isolated), To: driverName(v)}, {From: driverName(v), To: driverName(isolated)}} {
-				cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: time.Duration(cmp.Or(c.CutOffLeases, 3)) * c.Lease})
+				partition = append(partition, links.Event{Fault: links.Silent, Link: link, Duration: time.Duration(cmp.Or(c.PartitionLeases, 3)) * c.Lease})
 			}
 		}
 		played := make(chan error, 1)
-		go func() { played <- c.council.player.Play(ctx, cut) }()
+		go func() { played <- c.council.player.Play(ctx, partition) }()
 		if !relays.Sleep(ctx, 50*time.Millisecond) {
 			return ctx.Err()
 		}
@@ -360,8 +360,8 @@
 func (c *versionsRun) closeVersion(ctx context.Context, n int) (err error) {
 	council, deadline := membership.NewClient(c.addresses...), time.Now().Add(c.Timeout)
 	plan := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
-	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Reason: "trial", Plan: plan}}
-	for err = council.ChangeFleet(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.ChangeFleet(ctx, wish) {
+	change := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Reason: "trial", Plan: plan}}
+	for err = council.ChangeFleet(ctx, change); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.ChangeFleet(ctx, change) {
 		time.Sleep(20 * time.Millisecond) // there may be no leader at the moment
 	}
 	if err != nil {
@@ -384,18 +384,18 @@
 func (c *versionsRun) runCrash(ctx context.Context) error {
 	council := membership.NewClient(c.addresses...)
 	plan := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
-	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Reason: "trial", Plan: plan}}
-	if err := council.ChangeFleet(ctx, wish); err != nil {
+	change := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Reason: "trial", Plan: plan}}
+	if err := council.ChangeFleet(ctx, change); err != nil {
 		return err
 	}
 	var trialStart time.Time
 	for start := time.Now(); time.Since(start) < c.Timeout; time.Sleep(5 * time.Millisecond) {
 		fleet, err := council.FleetState(ctx)
-		known := fleet.Versions[routing.Rulebook]
-		if err != nil || len(known) == 0 {
+		history := fleet.Versions[routing.Rulebook]
+		if err != nil || len(history) == 0 {
 			continue
 		}
-		switch last := known[len(known)-1]; {
+		switch last := history[len(history)-1]; {
 		case last.Stage == versions.StageCanary && trialStart.IsZero():
 			trialStart = time.Now()
 		case last.Stage >= versions.StageRollingBack:
@@ -409,21 +409,21 @@
 
 // newestStatus describes the state of the newest version.
 func (c *versionsRun) newestStatus(fleet *membership.FleetState) string {
-	known := fleet.Versions[routing.Rulebook]
-	if len(known) == 0 {
+	history := fleet.Versions[routing.Rulebook]
+	if len(history) == 0 {
 		return "no version is known"
 	}
-	last := known[len(known)-1]
+	last := history[len(history)-1]
 	return fmt.Sprintf("version %d is %v, held back by %v", last.Number, last.Stage, fleet.Behind)
 }
 
 // isChanging reports whether a version is being rolled out or withdrawn.
 func (c *versionsRun) isChanging(fleet *membership.FleetState) bool {
-	known := fleet.Versions[routing.Rulebook]
-	if len(known) == 0 {
+	history := fleet.Versions[routing.Rulebook]
+	if len(history) == 0 {
 		return false
 	}
-	stage := known[len(known)-1].Stage
+	stage := history[len(history)-1].Stage
 	return stage != versions.StageCompleted && stage != versions.StageRolledBack
 }
 
@@ -480,7 +480,9 @@
 		closed = max(closed, versions.InitialVersion)
 		acting := 0
 		for _, driver := range fleet.Drivers {
-			if driver.MayAct && slices.ContainsFunc(driver.Sightings, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
+			if driver.MayAct && slices.ContainsFunc(driver.Sightings, func(report versions.Report) bool {
+				return report.Resource == routing.Rulebook && report.Active == closed
+			}) {
 				acting++
 			}
 		}
@@ -501,8 +503,8 @@
 		r.CloseMax = max(r.CloseMax, time.Duration(t*float64(time.Second)))
 	}
 	c.checkFences(c.cluster.Fleet.FencedAttempts())
-	c.cluster.Fleet.WithModel(func(_ int64, f *emulator.Fleet) {
-		r.Writes = c.cluster.Fleet.CheckAcknowledged(f, func(key string) int64 { return c.tenantGroup(key) })
+	c.cluster.Fleet.WithModel(func(_ int64, model *emulator.Fleet) {
+		r.Writes = c.cluster.Fleet.CheckAcknowledged(model, func(key string) int64 { return c.tenantGroup(key) })
 	})
 	r.Violations = append(r.Violations, c.cluster.Fleet.Violations()...)
 	r.RPCs, r.Unexplained = c.outcomes, c.unexplained
@@ -573,12 +575,12 @@
 	audit := &r.Audit
 	rows = append(rows, [][]string{
 		{"audit: entries, faults in trails, unknown spans", fmt.Sprintf("%d, %d, %d", audit.Entries, len(audit.Faults), audit.UnknownSpans)},
-		{"audit: acts found under a version after a newer one was closed", fmt.Sprint(audit.LateActs)},
+		{"audit: acts found under a version after a newer one was closed", fmt.Sprint(audit.LateActivities)},
 		{"audit: writes received by members; with the right version, only counted, with another version, in an unknown span, missing",
 			fmt.Sprintf("%d; %d, %d, %d, %d, %d", audit.Writes, audit.Matched, audit.Counted, audit.WrongVersion, audit.Unknown, audit.Missing)},
 	}...)
-	for _, what := range slices.Concat(audit.FirstMissing, audit.FirstLate) {
-		rows = append(rows, []string{"audit: example", what})
+	for _, example := range slices.Concat(audit.FirstMissing, audit.FirstLate) {
+		rows = append(rows, []string{"audit: example", example})
 	}
 	rows = append(rows, violationRows(r.Violations)...)
 	return markdownTable([]string{"what", "figure"}, append(rows, faultCountRows(r.Faults)...))
