--- a/internal/account/journaled_ledger.go
+++ b/internal/account/journaled_ledger.go
@@ -15,7 +15,7 @@
 // JournaledLedger is a ledger backed by a journal. It is safe for concurrent use.
 type JournaledLedger struct {
 	journal   *store.Journal
-	committer *store.BatchWriter
+	writer    *store.BatchWriter
 	startedAt time.Time
 
 	mu     sync.Mutex
@@ -27,7 +27,7 @@
 // Open recovers a ledger from a journal. An empty journal may have been lost: until maxDeadline has passed
 // a retry may be of an RPC that has run, and is not granted.
 func Open(journal *store.Journal, maxRPCs, maxRPCsPerCaller int, maxDeadline time.Duration) (*JournaledLedger, error) {
-	l := &JournaledLedger{journal: journal, committer: store.NewBatchWriter(journal, maxRecordsPerWrite), startedAt: time.Now()}
+	l := &JournaledLedger{journal: journal, writer: store.NewBatchWriter(journal, maxRecordsPerWrite), startedAt: time.Now()}
 	records, err := store.ReadAll[ledger.Record](journal)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 func (l *JournaledLedger) write(record ledger.Record) error {
 	text, err := json.Marshal(record)
 	if err == nil {
-		err = l.committer.Append(text)
+		err = l.writer.Append(text)
 	}
 	if err != nil {
 		return fmt.Errorf("writing record to ledger journal: %w", err)
--- a/internal/membership/coordinator_server_test.go
+++ b/internal/membership/coordinator_server_test.go
@@ -49,10 +49,10 @@
 	return d.admission.Report(now, name, incarnation, func(rules.GroupID, int64) bool { return true }), now
 }
 
-func (d *idleDriver) ReportGrant(asked int64, g cells.Grant) error {
+func (d *idleDriver) ApplyCellGrant(reportedAt int64, grant cells.Grant) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, err := d.admission.ApplyGrant(asked, g)
+	_, err := d.admission.ApplyGrant(reportedAt, grant)
 	return err
 }
 
@@ -72,10 +72,10 @@
 	listener.Close()
 	var mu sync.Mutex
 	steps := map[string]int{}
-	fill := func(_ context.Context, agent FillRequest) error {
+	fill := func(_ context.Context, request FillRequest) error {
 		mu.Lock()
 		defer mu.Unlock()
-		if steps[agent.Step]++; steps[agent.Step] == 1 {
+		if steps[request.Step]++; steps[request.Step] == 1 {
 			return errors.New("store unavailable")
 		}
 		return nil
--- a/internal/membership/fleet_observation.go
+++ b/internal/membership/fleet_observation.go
@@ -22,16 +22,16 @@
 	s.observedAt = now
 	s.updateSuspicions(now)
 	s.observed = s.versions.Distributions(now, s.presentDrivers())
-	for _, spread := range s.observed {
+	for _, distribution := range s.observed {
 		late := 0
-		for _, d := range spread.Lagging {
+		for _, d := range distribution.Lagging {
 			if d.Duration > int64(s.config.Lease) {
 				late++
 			}
 		}
-		if diverged := late > 0 || spread.HasConflict; diverged != s.diverged[spread.Resource] {
-			s.diverged[spread.Resource] = diverged
-			s.log.WithFields(logrus.Fields{"thing": spread.Resource, "newest": spread.Holders[0].Number, "kinds": len(spread.Holders), "late": late, "forked": spread.HasConflict}).
+		if diverged := late > 0 || distribution.HasConflict; diverged != s.diverged[distribution.Resource] {
+			s.diverged[distribution.Resource] = diverged
+			s.log.WithFields(logrus.Fields{"thing": distribution.Resource, "newest": distribution.Holders[0].Number, "kinds": len(distribution.Holders), "late": late, "forked": distribution.HasConflict}).
 				Warn(map[bool]string{true: "drivers use different versions", false: "drivers use the same version again"}[diverged])
 		}
 	}
--- a/internal/membership/fleet_requests.go
+++ b/internal/membership/fleet_requests.go
@@ -55,12 +55,12 @@
 
 // leaseRequest is a driver's request to renew its lease, or to leave.
 type leaseRequest struct {
-	Name      string            `json:"name"`
-	Token     string            `json:"token"`
-	Sightings []versions.Report `json:"seen"`
-	WaitMs    int64             `json:"wait_ms"`
-	Gossip    *gossipReport     `json:"hears,omitempty"` // nil without gossip
-	Trails    []audit.Segment   `json:"trails,omitempty"`
+	Name    string            `json:"name"`
+	Token   string            `json:"token"`
+	Reports []versions.Report `json:"seen"`
+	WaitMs  int64             `json:"wait_ms"`
+	Gossip  *gossipReport     `json:"hears,omitempty"` // nil without gossip
+	Trails  []audit.Segment   `json:"trails,omitempty"`
 }
 
 // gossipReport lists the peers that have become unreachable for a driver.
@@ -91,14 +91,14 @@
 	if request.Gossip != nil {
 		s.roster.ReportUnreachable(request.Name, request.Gossip.Unreachable)
 	}
-	s.versions.RecordReports(startIdentity(driver), request.Sightings)
-	orders, changed := s.versions.Assignments(startIdentity(driver)), s.changed.channel
-	response := leaseResponse{versions.Grant{Lease: int64(s.config.Lease), Assignments: orders}, s.trails.LastSeq(startIdentity(driver))}
-	if wait := s.textDelay(startIdentity(driver), orders); wait > 0 {
+	s.versions.RecordReports(instanceOf(driver), request.Reports)
+	assignments, changed := s.versions.Assignments(instanceOf(driver)), s.changed.channel
+	response := leaseResponse{versions.Grant{Lease: int64(s.config.Lease), Assignments: assignments}, s.trails.LastSeq(instanceOf(driver))}
+	if wait := s.textDelay(instanceOf(driver), assignments); wait > 0 {
 		response.Grant = versions.Grant{RetryAfter: wait}
 	}
 	s.mu.Unlock()
-	if len(orders) > 0 || request.WaitMs <= 0 || response.RetryAfter > 0 {
+	if len(assignments) > 0 || request.WaitMs <= 0 || response.RetryAfter > 0 {
 		return response, nil
 	}
 	if err := waitForChange(ctx, changed, time.Duration(request.WaitMs)*time.Millisecond); err != nil {
@@ -106,8 +106,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	response.Assignments = s.versions.Assignments(startIdentity(driver))
-	if s.textDelay(startIdentity(driver), response.Assignments) > 0 { // the next request is answered with the delay
+	response.Assignments = s.versions.Assignments(instanceOf(driver))
+	if s.textDelay(instanceOf(driver), response.Assignments) > 0 { // the next request is answered with the delay
 		response.Assignments = nil
 	}
 	return response, nil
@@ -115,15 +115,15 @@
 
 // textDelay returns after how long a driver should request its texts again, 0 if they may be sent now.
 // Its current lease stays valid meanwhile. The lock is held.
-func (s *FleetServer) textDelay(identity versions.Instance, orders []versions.Assignment) (wait int64) {
+func (s *FleetServer) textDelay(instance versions.Instance, assignments []versions.Assignment) (wait int64) {
 	bytes := 0
-	for _, order := range orders {
-		bytes += len(order.Text) + len(order.ActiveText)
+	for _, assignment := range assignments {
+		bytes += len(assignment.Text) + len(assignment.ActiveText)
 	}
 	if bytes == 0 {
 		return 0
 	}
-	return s.pacer.Reserve(s.now(), identity, bytes)
+	return s.pacer.Reserve(s.now(), instance, bytes)
 }
 
 // leave records that a driver leaves, and stores the rest of its trail.
--- a/internal/membership/fleet_server.go
+++ b/internal/membership/fleet_server.go
@@ -72,7 +72,7 @@
 // NewFleetServer returns a server without drivers. Call AttachCouncil before serving.
 func NewFleetServer(config FleetConfig, log logrus.FieldLogger) *FleetServer {
 	return &FleetServer{log: log, clock: clock.New(), config: config, changed: newChangeSignal(), versions: versions.NewController(),
-		diverged: map[versions.Resource]bool{}, trails: audit.NewCollection(maxEntriesPerStart), pacer: versions.NewPacer(textBytesPerSecond, textBurstDuration),
+		diverged: map[versions.Resource]bool{}, trails: audit.NewCollection(maxTrailEntriesPerStart), pacer: versions.NewPacer(textBytesPerSecond, textBurstDuration),
 		roster: roster.New(int64(config.Lease), int64(config.Lease)/leaseMarginDivisor, int64(config.ForgetAfter))}
 }
 
@@ -209,7 +209,7 @@
 	now := s.now()
 	for _, driver := range s.roster.Drivers() {
 		mayAct := s.roster.MayAct(now, driver.Name) && !failpoint.Active(failpoint.IgnoreStragglers)
-		present = append(present, versions.DriverStatus{Instance: startIdentity(driver), MayAct: mayAct, IsVoter: driver.IsVoter, IsUnreachable: s.silentDrivers[driver.Name]})
+		present = append(present, versions.DriverStatus{Instance: instanceOf(driver), MayAct: mayAct, IsVoter: driver.IsVoter, IsUnreachable: s.silentDrivers[driver.Name]})
 	}
 	for _, start := range s.roster.SupersededStarts(now) {
 		present = append(present, versions.DriverStatus{Instance: versions.Instance{Name: start.Name, Start: uint64(start.Start)}, MayAct: !failpoint.Active(failpoint.IgnoreStragglers)})
@@ -217,7 +217,7 @@
 	return present
 }
 
-func startIdentity(d roster.Driver) versions.Instance {
+func instanceOf(d roster.Driver) versions.Instance {
 	return versions.Instance{Name: d.Name, Start: uint64(d.Start)}
 }
 
@@ -225,24 +225,24 @@
 // too many, the version is probably at fault: it logs an error and waits for an operator. The lock is
 // held.
 func (s *FleetServer) proposeShutOuts(present []versions.DriverStatus) []roster.Record {
-	for _, behind := range s.versions.StalledVersions(s.now(), present) {
-		if !behind.IsOverdue {
+	for _, stalled := range s.versions.StalledVersions(s.now(), present) {
+		if !stalled.IsOverdue {
 			continue
 		}
 		var names []string
-		for _, who := range behind.Instances {
-			if d, _ := s.roster.Find(who.Name); d.State == roster.StatePresent {
-				names = append(names, who.Name)
+		for _, instance := range stalled.Instances {
+			if d, _ := s.roster.Find(instance.Name); d.State == roster.StatePresent {
+				names = append(names, instance.Name)
 			}
 		}
-		reason := "it kept version " + string(behind.Resource) + " back, at " + behind.Stage.String()
+		reason := "it kept version " + string(stalled.Resource) + " back, at " + stalled.Stage.String()
 		records, err := s.roster.ShutOut(s.now(), names, reason, s.config.MaxShutOutShare)
 		if err == nil && len(records) > 0 {
 			return records
 		}
 		if err != nil && s.lastShutOutError != err.Error() {
 			s.lastShutOutError = err.Error()
-			s.log.WithError(err).WithFields(logrus.Fields{"thing": behind.Resource, "version": behind.Number, "stage": behind.Stage, "by": names}).
+			s.log.WithError(err).WithFields(logrus.Fields{"thing": stalled.Resource, "version": stalled.Number, "stage": stalled.Stage, "by": names}).
 				Error("too many drivers hold back a version to shut them all out; call the version off or repair the drivers")
 		}
 	}
--- a/internal/membership/fleet_server_test.go
+++ b/internal/membership/fleet_server_test.go
@@ -64,7 +64,7 @@
 // fakeDriver is a driver that serves only the RPCs that a test begins.
 type fakeDriver struct {
 	mu           sync.Mutex
-	holder       *versions.DriverState
+	versionState *versions.DriverState
 	trail        *audit.Trail
 	isStuck      bool // adopts no versions
 	adoptedTexts []string
@@ -72,65 +72,65 @@
 
 func (d *fakeDriver) now() int64 { return time.Now().UnixNano() }
 
-func (d *fakeDriver) Sightings() ([]versions.Report, int64) {
+func (d *fakeDriver) VersionReports() ([]versions.Report, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.Reports(), d.now()
+	return d.versionState.Reports(), d.now()
 }
 
-func (d *fakeDriver) Granted(asked int64, g versions.Grant) {
+func (d *fakeDriver) ApplyVersionGrant(reportedAt int64, grant versions.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, a := range d.holder.ApplyGrant(asked, g) {
+	for _, adoption := range d.versionState.ApplyGrant(reportedAt, grant) {
 		if !d.isStuck {
-			d.holder.MarkAdopted(a)
-			d.adoptedTexts = append(d.adoptedTexts, a.Text)
+			d.versionState.MarkAdopted(adoption)
+			d.adoptedTexts = append(d.adoptedTexts, adoption.Text)
 		}
 	}
 }
 
-func (d *fakeDriver) Joined(who versions.Instance, token string) {
+func (d *fakeDriver) Joined(instance versions.Instance, token string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.trail == nil {
-		d.trail = audit.NewTrail(d.now(), who, token, 1000, int64(time.Hour))
+		d.trail = audit.NewTrail(d.now(), instance, token, 1000, int64(time.Hour))
 	}
 }
 
-func (d *fakeDriver) Trail(seq uint64, most int) audit.Segment {
+func (d *fakeDriver) TrailSince(seq uint64, limit int) audit.Segment {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.trail == nil {
 		return audit.Segment{}
 	}
 	d.trail.FlushBeforeSend(d.now())
-	return d.trail.Since(seq, most)
+	return d.trail.Since(seq, limit)
 }
 
-func (d *fakeDriver) LastTrail(seq uint64) audit.Segment {
+func (d *fakeDriver) FlushTrail(seq uint64) audit.Segment {
 	d.mu.Lock()
 	d.trail.Flush(d.now())
 	d.mu.Unlock()
-	return d.Trail(seq, 1000)
+	return d.TrailSince(seq, 1000)
 }
 
 // act serves one RPC and returns the version used, 0 if the driver may not act.
 func (d *fakeDriver) act(rpc string) versions.Number {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, mayAct := d.holder.Begin(d.now(), "x")
+	n, mayAct := d.versionState.Begin(d.now(), "x")
 	if !mayAct {
 		return 0
 	}
 	d.trail.BeginRPC(d.now(), "x", n)
 	d.trail.EndRPC(d.now(), "x", n, rpc, audit.NonIdempotent, audit.Served, d.now())
-	d.holder.End("x", n)
+	d.versionState.End("x", n)
 	return n
 }
 
 // join starts a driver. leave stops it gracefully.
 func (c *testCouncil) join(name string, level int) (driver *fakeDriver, leave func()) {
-	driver = &fakeDriver{holder: versions.NewDriverState()}
+	driver = &fakeDriver{versionState: versions.NewDriverState()}
 	agent := NewFleetAgent([]string{c.address}, roster.Claim{Name: name, Address: "at", Build: "b", Level: level}, c.config.Lease, driver, newDiscardLogger())
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -181,11 +181,11 @@
 
 func (c *testCouncil) propose(text string) error {
 	plan := versions.Plan{AnnounceTimeout: int64(300 * time.Millisecond), AdoptTimeout: int64(300 * time.Millisecond), DrainTimeout: int64(time.Second)}
-	return c.changeFleet(FleetChange{Propose: &Proposal{Thing: "x", Text: text, Plan: plan}})
+	return c.changeFleet(FleetChange{Propose: &Proposal{Resource: "x", Text: text, Plan: plan}})
 }
 
-func hasClosed(n versions.Number) func(*FleetState) bool {
-	return func(f *FleetState) bool { got, _ := f.LatestClosed("x"); return got == n }
+func hasCompleted(n versions.Number) func(*FleetState) bool {
+	return func(f *FleetState) bool { got, _ := f.LatestCompleted("x"); return got == n }
 }
 
 // All drivers must converge on the newest version, also over a restart of the council, and the audit must
@@ -199,26 +199,26 @@
 	})
 	require.NoError(t, c.propose("one"))
 	require.ErrorContains(t, c.propose("two"), "is under way")
-	c.requireEventually("version is closed", hasClosed(2))
+	c.requireEventually("version is closed", hasCompleted(2))
 	require.EqualValues(t, 2, c.act(a, "r1"))
 	require.EqualValues(t, 2, c.act(b, "r2"))
 	c.stop()
 	c.start()
 	c.requireEventually("leases are renewed after restart", func(state *FleetState) bool {
-		return len(state.Drivers) == 2 && state.Drivers[0].MayAct && len(state.Drivers[0].Sightings) == 1
+		return len(state.Drivers) == 2 && state.Drivers[0].MayAct && len(state.Drivers[0].Reports) == 1
 	})
 	require.NoError(t, c.propose("two"))
-	c.requireEventually("version is closed", hasClosed(3))
+	c.requireEventually("version is closed", hasCompleted(3))
 	require.EqualValues(t, 3, c.act(a, "r3"))
 	leave()
 	c.requireEventually("driver left or expired", func(state *FleetState) bool { return state.driverState("b") != roster.StatePresent })
 	require.NoError(t, c.propose("three"))
-	c.requireEventually("closed without the driver that left", hasClosed(4))
+	c.requireEventually("closed without the driver that left", hasCompleted(4))
 	require.Equal(t, []string{"one", "two", "three"}, a.adoptedTexts)
 	var result AuditResult
 	for startedAt := time.Now(); time.Since(startedAt) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
 		var err error
-		result, err = Audit(context.Background(), []string{c.address, "127.0.0.1:1"}, AuditQuery{Thing: "x"})
+		result, err = Audit(context.Background(), []string{c.address, "127.0.0.1:1"}, AuditQuery{Resource: "x"})
 		require.NoError(t, err)
 		if len(result.Acted) == 3 {
 			break
@@ -280,14 +280,14 @@
 	drivers[1].isStuck = true
 	require.NoError(t, c.propose("one"))
 	c.requireEventually("driver is shut out", func(f *FleetState) bool { return f.driverState("b") == roster.StateShutOut })
-	c.requireEventually("closed without the shut-out driver", hasClosed(2))
+	c.requireEventually("closed without the shut-out driver", hasCompleted(2))
 	require.Zero(t, drivers[1].act("r"))
 	drivers[1].mu.Lock()
 	drivers[1].isStuck = false
 	drivers[1].mu.Unlock()
 	require.NoError(t, c.changeFleet(FleetChange{Readmit: "b", Reason: "mended"}))
 	c.requireEventually("readmitted driver uses the version", func(f *FleetState) bool {
-		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Active == 2
+		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Reports != nil && f.Drivers[1].Reports[0].Active == 2
 	})
 	for _, driver := range drivers {
 		driver.mu.Lock()
@@ -295,12 +295,12 @@
 		driver.mu.Unlock()
 	}
 	require.NoError(t, c.propose("two"))
-	c.requireEventually("version is overdue", func(f *FleetState) bool { return len(f.Behind) == 1 && f.Behind[0].IsOverdue })
+	c.requireEventually("version is overdue", func(f *FleetState) bool { return len(f.Stalled) == 1 && f.Stalled[0].IsOverdue })
 	time.Sleep(100 * time.Millisecond)
 	f := c.server.State()
 	require.Equal(t, roster.StatePresent, f.driverState("a"), "too many drivers to shut out")
 	require.EqualValues(t, 2, c.act(drivers[0], "r"), "all use the older version")
-	require.NoError(t, c.changeFleet(FleetChange{Withdraw: "x", Reason: "wrong"}))
+	require.NoError(t, c.changeFleet(FleetChange{RollBack: "x", Reason: "wrong"}))
 	c.requireEventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
 }
 
@@ -356,10 +356,10 @@
 
 // The last part of a trail must be stored even if a new leader lacks earlier entries. Otherwise the audit
 // would miss it without noticing, since a driver that left has sent its whole trail.
-func TestLastTrailPartIsStoredAfterGap(t *testing.T) {
+func TestFinalSegmentIsStoredAfterGap(t *testing.T) {
 	fleetServer := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
-	who := versions.Instance{Name: "a", Start: 1}
-	trail := audit.NewTrail(fleetServer.now(), who, "x", 100, int64(time.Hour))
+	instance := versions.Instance{Name: "a", Start: 1}
+	trail := audit.NewTrail(fleetServer.now(), instance, "x", 100, int64(time.Hour))
 	for range 5 {
 		trail.BeginRPC(fleetServer.now(), "x", 1)
 		trail.EndRPC(fleetServer.now(), "x", 1, "w", audit.NonIdempotent, audit.Served, fleetServer.now())
@@ -367,10 +367,10 @@
 	trail.Flush(fleetServer.now())
 	fleetServer.storeTrails([]audit.Segment{trail.Since(0, 1)}, false)
 	fleetServer.storeTrails([]audit.Segment{trail.Since(4, 100)}, false)
-	require.EqualValues(t, 1, fleetServer.trails.LastSeq(who), "earlier entries are missing")
+	require.EqualValues(t, 1, fleetServer.trails.LastSeq(instance), "earlier entries are missing")
 	fleetServer.storeTrails([]audit.Segment{trail.Since(4, 100)}, true)
 	require.Len(t, fleetServer.trails.Segments(), 2)
-	require.Contains(t, fleetServer.trails.Gaps([]audit.Lifetime{{Instance: who}})[0].Reason, "entries 2 to 4 are not held")
+	require.Contains(t, fleetServer.trails.Gaps([]audit.Lifetime{{Instance: instance}})[0].Reason, "entries 2 to 4 are not held")
 }
 
 // Trails must be written to disk again after a temporary write failure.
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -15,19 +15,19 @@
 
 // Limits on audit trails.
 const (
-	maxEntriesPerStart   = 16 << 10 // held by a voter for one start
-	maxEntriesPerRequest = 64       // sent with one renewal
+	maxTrailEntriesPerStart   = 16 << 10 // held by a voter for one start
+	maxTrailEntriesPerRequest = 64       // sent with one renewal
 )
 
 // VoterTrails holds the parts of audit trails that one voter has.
 type VoterTrails struct {
-	Parts  []audit.Segment `json:"parts"`
-	Faults []string        `json:"faults"`
+	Segments []audit.Segment `json:"parts"`
+	Faults   []string        `json:"faults"`
 }
 
 // OpenTrails loads trails from a file and keeps storing them there.
 func (s *FleetServer) OpenTrails(path string) error {
-	trailStore, parts, unreadable, err := trailstore.Open(path, trailstore.MaxBytes)
+	trailStore, segments, unreadable, err := trailstore.Open(path, trailstore.MaxBytes)
 	if err != nil {
 		return err
 	}
@@ -37,21 +37,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trailStore = trailStore
-	s.trails.Merge(parts)
+	s.trails.Merge(segments)
 	return nil
 }
 
 // storeTrails stores parts of a driver's trail. The last part, sent when the driver leaves, is accepted
 // even if entries before it are missing. The lock is held.
-func (s *FleetServer) storeTrails(parts []audit.Segment, isLast bool) {
-	store := s.trails.Add
-	if isLast {
-		store = s.trails.AddFinal
+func (s *FleetServer) storeTrails(segments []audit.Segment, isFinal bool) {
+	add := s.trails.Add
+	if isFinal {
+		add = s.trails.AddFinal
 	}
-	for _, part := range parts {
-		part, held := part.WithClockOffset(s.now()), s.trails.LastSeq(part.Instance)
-		if store(part) != held && s.trailStore != nil {
-			s.saveTrailPart(part)
+	for _, segment := range segments {
+		segment, heldSeq := segment.WithClockOffset(s.now()), s.trails.LastSeq(segment.Instance)
+		if add(segment) != heldSeq && s.trailStore != nil {
+			s.saveSegment(segment)
 		}
 	}
 }
@@ -59,15 +59,15 @@
 // storeRetryInterval is the minimum time between attempts to rewrite a trail file that failed.
 const storeRetryInterval = int64(time.Second)
 
-// saveTrailPart writes a part to the trail file. After a failure it rewrites the whole file once that is
+// saveSegment writes a part to the trail file. After a failure it rewrites the whole file once that is
 // possible again. The lock is held.
-func (s *FleetServer) saveTrailPart(part audit.Segment) {
+func (s *FleetServer) saveSegment(segment audit.Segment) {
 	if s.storeFailedAt != 0 && s.now()-s.storeFailedAt < storeRetryInterval {
 		return
 	}
 	var err error
 	if s.storeFailedAt == 0 {
-		err = s.trailStore.Append(part)
+		err = s.trailStore.Append(segment)
 	}
 	if s.storeFailedAt != 0 || err == nil && s.trailStore.IsFull() {
 		err = s.trailStore.Rewrite(s.trails.Segments())
@@ -87,7 +87,7 @@
 func (s *FleetServer) storedTrails() VoterTrails {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return VoterTrails{Parts: s.trails.Segments(), Faults: s.trails.Faults()}
+	return VoterTrails{Segments: s.trails.Segments(), Faults: s.trails.Faults()}
 }
 
 // handleTrails registers the handler that returns the trails of this voter, leader or not.
@@ -97,7 +97,7 @@
 
 // AuditQuery selects actions from the audit trails. Times are Unix nanoseconds, 0 for unbounded.
 type AuditQuery struct {
-	Thing        versions.Resource `json:"thing"`
+	Resource     versions.Resource `json:"thing"`
 	Version      versions.Number   `json:"version"`
 	Driver       string            `json:"driver"`
 	From         int64             `json:"from"`
@@ -120,8 +120,8 @@
 
 // collectTrails fetches and merges the trails of all voters.
 func collectTrails(ctx context.Context, voters []string) (collection *audit.Collection, faults, missing []string) {
-	collection = audit.NewCollection(2 * maxEntriesPerStart)
-	var parts []audit.Segment
+	collection = audit.NewCollection(2 * maxTrailEntriesPerStart)
+	var segments []audit.Segment
 	for _, address := range voters {
 		var trails VoterTrails
 		requestCtx, cancel := context.WithTimeout(ctx, voterTimeout)
@@ -131,15 +131,15 @@
 			missing = append(missing, address)
 			continue
 		}
-		parts = append(parts, trails.Parts...)
+		segments = append(segments, trails.Segments...)
 		faults = append(faults, trails.Faults...)
 	}
-	collection.Merge(parts)
+	collection.Merge(segments)
 	return collection, append(faults, collection.Faults()...), missing
 }
 
-// CollectParts returns the merged trails of all reachable voters.
-func CollectParts(ctx context.Context, voters []string) []audit.Segment {
+// CollectSegments returns the merged trails of all reachable voters.
+func CollectSegments(ctx context.Context, voters []string) []audit.Segment {
 	collection, _, _ := collectTrails(ctx, voters)
 	return collection.Segments()
 }
@@ -152,16 +152,16 @@
 	}
 	var collection *audit.Collection
 	collection, result.Faults, result.Missing = collectTrails(ctx, voters)
-	for _, part := range collection.Segments() {
-		result.Entries += len(part.Entries)
+	for _, segment := range collection.Segments() {
+		result.Entries += len(segment.Entries)
 	}
-	result.Acted = collection.Activities(audit.Query{Resource: query.Thing, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
+	result.Acted = collection.Activities(audit.Query{Resource: query.Resource, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
 	starts := fleet.rememberedStarts(query.Driver)
 	result.Unknown = append(collection.Gaps(starts), fleet.unknownPeriods(query.Driver, collection)...)
-	for _, version := range fleet.Versions[query.Thing] {
+	for _, version := range fleet.Versions[query.Resource] {
 		if version.Stage == versions.StageCompleted {
-			result.Late = append(result.Late, collection.LateActivities(query.Thing, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
-			result.Unknown = append(result.Unknown, collection.UnorderedActivities(query.Thing, version.Number, starts)...)
+			result.Late = append(result.Late, collection.LateActivities(query.Resource, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
+			result.Unknown = append(result.Unknown, collection.UnorderedActivities(query.Resource, version.Number, starts)...)
 		}
 	}
 	return result, nil
@@ -171,41 +171,41 @@
 // a trail: before, between and after the trails held. Each start may have acted until a lease after the
 // next one joined.
 func (s *FleetState) unknownPeriods(driver string, collection *audit.Collection) (periods []audit.Gap) {
-	for _, d := range s.Drivers {
-		if driver != "" && d.Name != driver || len(d.EarlierStarts) == 0 || d.EarlierStarts[0].Start == 1 {
+	for _, status := range s.Drivers {
+		if driver != "" && status.Name != driver || len(status.EarlierStarts) == 0 || status.EarlierStarts[0].Start == 1 {
 			continue
 		}
-		oldest := d.EarlierStarts[0]
-		reason := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(d.EarlierStarts))
-		last := audit.Extent{Instance: versions.Instance{Name: d.Name}}
-		for _, extent := range collection.Extents(d.Name) {
+		oldest := status.EarlierStarts[0]
+		reason := fmt.Sprintf("it is not remembered, and what is held of its trail ends: a roster remembers %d", len(status.EarlierStarts))
+		last := audit.Extent{Instance: versions.Instance{Name: status.Name}}
+		for _, extent := range collection.Extents(status.Name) {
 			if extent.Instance.Start >= uint64(oldest.Start) {
 				break
 			}
 			if extent.Instance.Start > 1 {
-				periods = append(periods, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: extent.Instance.Start - 1}, From: last.To, To: extent.From + s.Lease, Reason: reason})
+				periods = append(periods, audit.Gap{Instance: versions.Instance{Name: status.Name, Start: extent.Instance.Start - 1}, From: last.To, To: extent.From + s.Lease, Reason: reason})
 			}
 			last = extent
 		}
-		periods = append(periods, audit.Gap{Instance: versions.Instance{Name: d.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Reason: reason})
+		periods = append(periods, audit.Gap{Instance: versions.Instance{Name: status.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Reason: reason})
 	}
 	return periods
 }
 
 // rememberedStarts returns the starts in the roster, and until when each may have acted.
 func (s *FleetState) rememberedStarts(driver string) (starts []audit.Lifetime) {
-	for _, driverStatus := range s.Drivers {
-		if driver != "" && driverStatus.Name != driver {
+	for _, status := range s.Drivers {
+		if driver != "" && status.Name != driver {
 			continue
 		}
-		for _, earlier := range driverStatus.EarlierStarts {
-			starts = append(starts, audit.Lifetime{Instance: versions.Instance{Name: driverStatus.Name, Start: uint64(earlier.Start)}, From: earlier.JoinedAt, Until: earlier.EndedAt + s.Lease})
+		for _, earlier := range status.EarlierStarts {
+			starts = append(starts, audit.Lifetime{Instance: versions.Instance{Name: status.Name, Start: uint64(earlier.Start)}, From: earlier.JoinedAt, Until: earlier.EndedAt + s.Lease})
 		}
-		until := driverStatus.LeaseEnd
-		if driverStatus.State == roster.StateLeft { // it sent all of its trail before it released its lease
+		until := status.LeaseEnd
+		if status.State == roster.StateLeft { // it sent all of its trail before it released its lease
 			until = 0
 		}
-		starts = append(starts, audit.Lifetime{Instance: startIdentity(driverStatus.Driver), From: driverStatus.JoinedAt, Until: until, IsLive: driverStatus.MayAct && driverStatus.State == roster.StatePresent})
+		starts = append(starts, audit.Lifetime{Instance: instanceOf(status.Driver), From: status.JoinedAt, Until: until, IsLive: status.MayAct && status.State == roster.StatePresent})
 	}
 	return starts
 }
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -84,7 +84,7 @@
 // not, the RPC ends, since its tenant may be in another cell by now. The router's lock must be held.
 func (a *ActiveRPC) admitAttempt(onResult func(rules.Result)) bool {
 	router := a.router
-	if a.mayProceed() && !a.failsByPlantedFault() {
+	if a.mayProceed() && !a.failsByFailpoint() {
 		router.admissionController.AttemptStarted(a.admission.ticket, router.now())
 		return true
 	}
@@ -188,11 +188,11 @@
 	return r.admissionController.MostOverConnectionShare()
 }
 
-// ReportGrant applies the coordinator's answer to the report that was made at askedAt.
-func (r *Router) ReportGrant(askedAt int64, grant cells.Grant) error {
+// ApplyCellGrant applies the coordinator's answer to the report that was made at askedAt.
+func (r *Router) ApplyCellGrant(reportedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed, err := r.admissionController.ApplyGrant(askedAt, grant)
+	changed, err := r.admissionController.ApplyGrant(reportedAt, grant)
 	for _, tenant := range changed {
 		entry, _ := r.admissionController.Directory().Entry(tenant)
 		r.log.WithField("tenant", tenant).WithField("stage", entry.Stage).WithField("cell", entry.Cell).WithField("to", entry.To).
--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -52,7 +52,7 @@
 	for _, entry := range entries {
 		grant.LatestEpoch = max(grant.LatestEpoch, entry.Epoch)
 	}
-	require.NoError(t, r.ReportGrant(r.now(), grant))
+	require.NoError(t, r.ApplyCellGrant(r.now(), grant))
 }
 
 // nextStep waits for an RPC's next step and runs due timers meanwhile.
--- a/internal/routing/observed_versions.go
+++ b/internal/routing/observed_versions.go
@@ -11,20 +11,20 @@
 
 // ObserveVersion records this driver's version of a thing that is versioned outside the fleet. It has no
 // effect if nothing is versioned.
-func (r *Router) ObserveVersion(thing versions.Resource, version versions.Number, digest string) {
+func (r *Router) ObserveVersion(resource versions.Resource, version versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.observeVersion(thing, version, digest)
+	r.observeVersion(resource, version, digest)
 }
 
 // observeVersion records a version for the fleet and in the audit trail. r.mu must be held.
-func (r *Router) observeVersion(thing versions.Resource, version versions.Number, digest string) {
-	if r.holder == nil {
+func (r *Router) observeVersion(resource versions.Resource, version versions.Number, digest string) {
+	if r.versionState == nil {
 		return
 	}
-	r.holder.Observe(thing, version, digest)
+	r.versionState.Observe(resource, version, digest)
 	if r.trail != nil {
-		r.trail.RecordObserved(r.now(), thing, version)
+		r.trail.RecordObserved(r.now(), resource, version)
 	}
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -21,9 +21,9 @@
 
 const nanosPerMilli = int64(time.Millisecond)
 
-// sendDelay is how long after an attempt was allowed its last byte may be written, beyond the 0.05 s by
+// maxSendDelay is how long after an attempt was allowed its last byte may be written, beyond the 0.05 s by
 // which the rules extend every staleness bound: 0.15 s in all between reading the clock and writing.
-const sendDelay = 100 * nanosPerMilli
+const maxSendDelay = 100 * nanosPerMilli
 
 // Router gives concurrent callers access to a rules.Driver.
 type Router struct {
@@ -46,7 +46,7 @@
 	admissionController *cells.AdmissionController // nil if tenants have no cells
 	ignorePeersUntil    int64                      // peers' messages are ignored until then, after a stall of the process
 	lastCatchUpProbe    int64                      // when members were last probed for a move
-	holder              *versions.DriverState      // nil if nothing is versioned
+	versionState        *versions.DriverState      // nil if nothing is versioned
 	trail               *audit.Trail               // nil before StartTrail
 
 	listDigest     listDigest
@@ -68,7 +68,7 @@
 		return nil, driverSettings.Err
 	}
 	r.limits = limits
-	store.MaxSendDelay = sendDelay
+	store.MaxSendDelay = maxSendDelay
 	// A pushed list goes to an agent beside the driver, which the driver asks.
 	discovery.ViaAgent, discovery.OnRequest = !discovery.OnRequest, true
 	r.mu.Lock()
@@ -91,11 +91,11 @@
 
 // applyList passes the list, or what changed in it, to the driver. r.mu must be held.
 func (r *Router) applyList(targets protocol.Targets) {
-	listings := make([]rules.MemberEntry, 0, len(targets.Entries))
+	entries := make([]rules.MemberEntry, 0, len(targets.Entries))
 	for _, entry := range targets.Entries {
-		listings = append(listings, r.registry.update(entry))
+		entries = append(entries, r.registry.update(entry))
 	}
-	r.driver.UpdateMembers(listings, targets.IsFull)
+	r.driver.UpdateMembers(entries, targets.IsFull)
 }
 
 // ApplyList applies discovery's list of members, or what changed in it.
@@ -103,7 +103,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.applyList(targets)
-	if r.holder != nil {
+	if r.versionState != nil {
 		r.observeListDigest(targets)
 	}
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -174,8 +174,8 @@
 }
 
 // Guards against leaks of removed members, and against reused numbers, which late messages could confuse.
-func TestMemberChurn(targets *testing.T) {
-	r := newTestRouter(targets, "a")
+func TestMemberChurn(t *testing.T) {
+	r := newTestRouter(t, "a")
 	ids := map[rules.MemberID]bool{}
 	forgotten := 0
 	for round := range 5 {
@@ -190,17 +190,17 @@
 		}
 	}
 	for forgotten < 406 { // 401 former members, and 5 that were only ever listed as deleted
-		switch task := nextTask[Task](targets, r).(type) {
+		switch task := nextTask[Task](t, r).(type) {
 		case ProbeMember:
 			r.ReportProbe(task.Member, Outcome{CloseReason: transport.DialRefused})
 		case ForgetMember:
 			forgotten++
 		}
 	}
-	require.Len(targets, r.registry.members, 100)
-	require.Len(targets, r.registry.idByName, 100)
-	require.Len(targets, r.registry.idByKey, 100)
-	require.Len(targets, ids, 501)
+	require.Len(t, r.registry.members, 100)
+	require.Len(t, r.registry.idByName, 100)
+	require.Len(t, r.registry.idByKey, 100)
+	require.Len(t, ids, 501)
 }
 
 // Guards against observations that mean another member on a driver that numbers the members differently.
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -17,10 +17,10 @@
 const Rulebook versions.Resource = "rulebook"
 
 // EnableVersions ties every RPC to a version of the rulebook. It must be called before the first Admit.
-func (r *Router) EnableVersions(holder *versions.DriverState) {
+func (r *Router) EnableVersions(state *versions.DriverState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.holder = holder
+	r.versionState = state
 }
 
 // AuditWindow is how long after a change of version the audit trail records writes one by one; later
@@ -35,14 +35,14 @@
 
 // StartTrail starts the audit trail of this driver, which is identified by its name and start number.
 // Later calls have no effect.
-func (r *Router) StartTrail(driver versions.Instance, token string) {
+func (r *Router) StartTrail(instance versions.Instance, token string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.trail == nil {
-		r.trail = audit.NewTrail(r.now(), driver, token, maxTrailEntries, int64(AuditWindow+clockSkewAllowance))
-		for _, sighting := range r.holder.Reports() {
-			if sighting.Digest != "" {
-				r.trail.RecordObserved(r.now(), sighting.Resource, sighting.Active)
+		r.trail = audit.NewTrail(r.now(), instance, token, maxTrailEntries, int64(AuditWindow+clockSkewAllowance))
+		for _, report := range r.versionState.Reports() {
+			if report.Digest != "" {
+				r.trail.RecordObserved(r.now(), report.Resource, report.Active)
 			}
 		}
 	}
@@ -74,11 +74,11 @@
 // beginVersion ties the RPC to the version in force on this driver and reports whether there is one.
 // The router's lock must be held.
 func (a *ActiveRPC) beginVersion() (allowed bool) {
-	if a.router.holder == nil {
+	if a.router.versionState == nil {
 		return true
 	}
 	a.admission.startedAt = a.router.now()
-	a.admission.version, allowed = a.router.holder.Begin(a.admission.startedAt, Rulebook)
+	a.admission.version, allowed = a.router.versionState.Begin(a.admission.startedAt, Rulebook)
 	if allowed && a.router.trail != nil {
 		a.router.trail.BeginRPC(a.router.now(), Rulebook, a.admission.version)
 	}
@@ -87,15 +87,15 @@
 
 // recordVersionOutcome counts how the RPC has ended under its version. The router's lock must be held.
 func (a *ActiveRPC) recordVersionOutcome(action Action) {
-	if a.router.holder != nil {
-		a.router.holder.RecordOutcome(Rulebook, a.admission.version, action == ActionServe,
+	if a.router.versionState != nil {
+		a.router.versionState.RecordOutcome(Rulebook, a.admission.version, action == ActionServe,
 			action == ActionReject || action == ActionAbort, a.router.now()-a.admission.startedAt)
 	}
 }
 
-// failsByPlantedFault reports whether a planted fault, of which only builds for trials have any, ends the
+// failsByFailpoint reports whether a planted fault, of which only builds for trials have any, ends the
 // RPC.
-func (a *ActiveRPC) failsByPlantedFault() bool {
+func (a *ActiveRPC) failsByFailpoint() bool {
 	return failpoint.Active(failpoint.RejectRPCs) && a.admission.version > versions.InitialVersion && a.id%4 == 0
 }
 
@@ -104,7 +104,7 @@
 func (a *ActiveRPC) mayProceed() bool {
 	now := a.router.now()
 	return a.router.admissionController.MayProceed(a.admission.ticket, now) &&
-		(a.router.holder == nil || a.router.holder.MayContinue(now, Rulebook, a.admission.version))
+		(a.router.versionState == nil || a.router.versionState.MayContinue(now, Rulebook, a.admission.version))
 }
 
 // endVersion releases the RPC's version once none of its attempts can still be running. The router's
@@ -120,10 +120,10 @@
 			a.admission.lastBeganAt)
 	}
 	if a.admission.runsUntil <= a.router.now() {
-		a.router.holder.End(Rulebook, version)
+		a.router.versionState.End(Rulebook, version)
 		return
 	}
-	a.router.timers.add(a.admission.runsUntil, func() { a.router.holder.End(Rulebook, version) })
+	a.router.timers.add(a.admission.runsUntil, func() { a.router.versionState.End(Rulebook, version) })
 	a.router.wake()
 }
 
@@ -145,12 +145,12 @@
 // fence returns the fence by which a store rejects attempts of closed versions. It is empty if nothing
 // is versioned.
 func (a *ActiveRPC) fence() (fence protocol.Fence) {
-	if a.admission == nil || a.router.holder == nil {
+	if a.admission == nil || a.router.versionState == nil {
 		return fence
 	}
-	known := a.router.holder.Fence(Rulebook, a.admission.version)
-	fence.Version, fence.Epoch = uint64(known.Version), uint64(known.Epoch)
-	for _, version := range known.Valid {
+	versionFence := a.router.versionState.Fence(Rulebook, a.admission.version)
+	fence.Version, fence.Epoch = uint64(versionFence.Version), uint64(versionFence.Epoch)
+	for _, version := range versionFence.Valid {
 		fence.Valid = append(fence.Valid, uint64(version))
 	}
 	return fence
@@ -161,7 +161,7 @@
 func (a *ActiveRPC) handleFenced() {
 	router := a.router
 	router.fencedAttempts++
-	if router.holder != nil && router.holder.MarkFenced(router.now(), Rulebook, a.admission.version) {
+	if router.versionState != nil && router.versionState.MarkFenced(router.now(), Rulebook, a.admission.version) {
 		router.log.WithFields(logrus.Fields{"thing": Rulebook, "version": a.admission.version, "turned_away": router.fencedAttempts}).
 			Warn("store rejected the version in force on this driver")
 	}
@@ -170,28 +170,28 @@
 	}
 }
 
-// VersionSightings returns what this driver reports of its versions, and the time of the report.
-func (r *Router) VersionSightings() ([]versions.Report, int64) {
+// VersionReports returns what this driver reports of its versions, and the time of the report.
+func (r *Router) VersionReports() ([]versions.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.holder.Reports(), r.now()
+	return r.versionState.Reports(), r.now()
 }
 
-// ApplyOrders applies the grant for the report made at askedAt and returns the versions to adopt.
-func (r *Router) ApplyOrders(askedAt int64, grant versions.Grant) []versions.Adoption {
+// ApplyVersionGrant applies the grant for the report made at askedAt and returns the versions to adopt.
+func (r *Router) ApplyVersionGrant(reportedAt int64, grant versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if failpoint.Active(failpoint.LongLease) {
 		grant.Lease += grant.Lease / 2
 	}
-	adoptions := r.holder.ApplyGrant(askedAt, grant)
+	adoptions := r.versionState.ApplyGrant(reportedAt, grant)
 	if r.trail != nil {
-		actsOn := map[versions.Resource]versions.Number{}
-		for _, sighting := range r.holder.Reports() {
-			actsOn[sighting.Resource] = sighting.Active
+		activeVersions := map[versions.Resource]versions.Number{}
+		for _, report := range r.versionState.Reports() {
+			activeVersions[report.Resource] = report.Active
 		}
-		for _, order := range grant.Assignments {
-			r.trail.RecordEpoch(r.now(), order.Resource, order.Epoch, actsOn[order.Resource])
+		for _, assignment := range grant.Assignments {
+			r.trail.RecordEpoch(r.now(), assignment.Resource, assignment.Epoch, activeVersions[assignment.Resource])
 		}
 	}
 	return adoptions
@@ -202,10 +202,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.holder.MarkFailed(adoption, err.Error())
+		r.versionState.MarkFailed(adoption, err.Error())
 		return
 	}
-	r.holder.MarkAdopted(adoption)
+	r.versionState.MarkAdopted(adoption)
 	if r.trail != nil {
 		r.trail.RecordActive(r.now(), adoption.Resource, adoption.Number)
 	}
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -18,16 +18,16 @@
 	if withTrail {
 		r.StartTrail(versions.Instance{Name: "n", Start: 1}, "token")
 	}
-	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 1, Active: 2, Valid: []versions.Number{2}, Stored: 2, Text: "text"})
+	applyAssignment(t, r, time.Hour, versions.Assignment{Epoch: 1, Active: 2, Valid: []versions.Number{2}, Stored: 2, Text: "text"})
 }
 
-// applyOrder applies an order for the rulebook and adopts its version.
-func applyOrder(t testing.TB, r *Router, lease time.Duration, order versions.Assignment) {
-	order.Resource = Rulebook
-	for _, adoption := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{order}}) {
+// applyAssignment applies an order for the rulebook and adopts its version.
+func applyAssignment(t testing.TB, r *Router, lease time.Duration, assignment versions.Assignment) {
+	assignment.Resource = Rulebook
+	for _, adoption := range r.ApplyVersionGrant(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{assignment}}) {
 		r.ReportAdoption(adoption, nil)
 	}
-	require.Equal(t, order.Active, r.holder.Reports()[0].Active)
+	require.Equal(t, assignment.Active, r.versionState.Reports()[0].Active)
 }
 
 // Guards against RPCs that begin without a version in force, and attempts without its fence.
@@ -40,13 +40,13 @@
 	step := nextStep(t, active)
 	require.Equal(t, ActionAttempt, step.Action)
 	require.Equal(t, protocol.Fence{Version: 2, Epoch: 1, Valid: []uint64{2}}, step.Fence)
-	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
+	require.Equal(t, []versions.Number{2}, r.versionState.Reports()[0].InFlight)
 	require.True(t, active.MayBegin(step.AttemptNumber))
 	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionServe, nextStep(t, active).Action)
-	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight, "the RPC is in flight until its answer is delivered")
+	require.Equal(t, []versions.Number{2}, r.versionState.Reports()[0].InFlight, "the RPC is in flight until its answer is delivered")
 	active.AnswerDelivered()
-	require.Empty(t, r.holder.Reports()[0].InFlight)
+	require.Empty(t, r.versionState.Reports()[0].InFlight)
 	var writeEntry *audit.Entry
 	for _, entry := range r.FlushTrail(0).Entries {
 		if entry.Kind == audit.KindRPC {
@@ -65,17 +65,17 @@
 	enableVersions(t, r, false)
 	active := admitRPC(t, r, "write")
 	step := nextStep(t, active)
-	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 2, Active: 3, Stored: 3, Text: "next"})
+	applyAssignment(t, r, time.Hour, versions.Assignment{Epoch: 2, Active: 3, Stored: 3, Text: "next"})
 	active.ReportAttempt(step.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, nextStep(t, active).Action)
 	held := admitRPC(t, r, "write")
 	step = nextStep(t, held)
-	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 3, Active: 4, Stored: 4, Text: "after", Allowed: 3})
+	applyAssignment(t, r, time.Hour, versions.Assignment{Epoch: 3, Active: 4, Stored: 4, Text: "after", Allowed: 3})
 	held.ReportAttempt(step.AttemptNumber, Outcome{Answer: nil, CloseReason: 0, WasSent: false})
 	nextAttempt := nextStep(t, held)
 	require.Equal(t, ActionAttempt, nextAttempt.Action, "a version that is kept may still be used")
 	require.EqualValues(t, 3, nextAttempt.Fence.Version)
-	applyOrder(t, r, time.Hour, versions.Assignment{Epoch: 4, Active: 4, Stored: 4, Text: "after"})
+	applyAssignment(t, r, time.Hour, versions.Assignment{Epoch: 4, Active: 4, Stored: 4, Text: "after"})
 	held.ReportAttempt(nextAttempt.AttemptNumber, answered(r.now()/nanosPerMilli, true))
 	require.Equal(t, ActionAbort, nextStep(t, held).Action)
 }
@@ -91,8 +91,8 @@
 	active.ReportAttempt(step.AttemptNumber, fenced)
 	require.Equal(t, ActionReject, nextStep(t, active).Action, "the attempt never ran")
 	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action)
-	askedAt := r.now()
-	for _, adoption := range r.ApplyOrders(askedAt, versions.Grant{Lease: int64(time.Hour)}) {
+	reportedAt := r.now()
+	for _, adoption := range r.ApplyVersionGrant(reportedAt, versions.Grant{Lease: int64(time.Hour)}) {
 		r.ReportAdoption(adoption, nil)
 	}
 	active = admitRPC(t, r, "write")
@@ -112,8 +112,8 @@
 	active.ClientLeft()
 	active.ReportAttempt(step.AttemptNumber, Outcome{WasSent: true, CloseReason: 1})
 	require.Equal(t, ActionDrop, nextStep(t, active).Action)
-	require.Equal(t, []versions.Number{2}, r.holder.Reports()[0].InFlight)
-	for startedAt := time.Now(); len(r.holder.Reports()[0].InFlight) > 0; time.Sleep(10 * time.Millisecond) {
+	require.Equal(t, []versions.Number{2}, r.versionState.Reports()[0].InFlight)
+	for startedAt := time.Now(); len(r.versionState.Reports()[0].InFlight) > 0; time.Sleep(10 * time.Millisecond) {
 		require.Less(t, time.Since(startedAt), 5*time.Second)
 		r.runTimers()
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,13 +8,13 @@
 )
 
 var (
-	needByName = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
+	consistencyByName = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
 		"latest": rules.ConsistencyLinearizable, "update": rules.ConsistencyWrite}
-	effectByName = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
-	scopeByName  = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone,
+	effectByName     = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
+	dedupScopeByName = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone,
 		"all": rules.DedupEverywhere}
-	isGuardedByName    = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
-	isSubscribedByName = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	rejectsStaleReadsByName = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
+	onRequestByName         = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
 // Methods parses the methods (classes) of the settings.
@@ -32,14 +32,14 @@
 		method := &methods[i]
 		method.Name = f.RequiredString(prefix + "name")
 		method.Effect = Lookup(f, prefix+"effect", f.RequiredString(prefix+"effect"), effectByName)
-		method.DedupScope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), scopeByName)
+		method.DedupScope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), dedupScopeByName)
 		method.DedupWindow = f.MicrosOrZero(prefix + "windowUs")
 		method.SoftDeadline = f.RequiredInteger(prefix+"aimUs") * nanosPerMicro
 		method.Deadline = f.MicrosOrZero(prefix + "giveUpUs")
 		method.Utility = f.NumberOr(prefix+"worth", 1)
 		method.LateUtility = f.NumberOr(prefix+"lateWorth", 0)
 		if i < len(readLevels) {
-			method.Consistency = Lookup(f, "extra.readLevel", readLevels[i], needByName)
+			method.Consistency = Lookup(f, "extra.readLevel", readLevels[i], consistencyByName)
 		}
 		if i < len(maxAges) {
 			method.MaxStaleness = f.ParseInteger("extra.maxAgeUs", maxAges[i]) * nanosPerMicro
@@ -63,7 +63,7 @@
 // Store parses how the store protects session reads.
 func (f *Fields) Store() rules.Store {
 	return rules.Store{
-		RejectsStaleReads:   Lookup(f, "extra.guards", f.Value("extra.guards"), isGuardedByName),
+		RejectsStaleReads:   Lookup(f, "extra.guards", f.Value("extra.guards"), rejectsStaleReadsByName),
 		CarriesSessionToken: f.Value("extra.tokens") == "client",
 	}
 }
@@ -94,7 +94,7 @@
 // Discovery parses how discovery delivers its list and announces members that leave.
 func (f *Fields) Discovery() rules.Discovery {
 	return rules.Discovery{
-		OnRequest:      Lookup(f, "discovery", f.Value("discovery"), isSubscribedByName),
+		OnRequest:      Lookup(f, "discovery", f.Value("discovery"), onRequestByName),
 		OnlyDrainBinds: f.BoolOr("safety.softRemoval", false),
 		DrainGrace:     f.MicrosOrZero("safety.drainGraceUs"),
 	}
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -16,12 +16,12 @@
 )
 
 // newConnPair returns a connection under test and its peer.
-func newConnPair(t *testing.T, bound int) (*Conn, *net.TCPConn, *Descriptors) {
+func newConnPair(t *testing.T, bufferLimit int) (*Conn, *net.TCPConn, *Descriptors) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	descriptors := NewDescriptors(reservedDescriptors + 1)
-	c, reason := Dial(context.Background(), context.Background(), descriptors, 0, listener.Addr().String(), bound)
+	c, reason := Dial(context.Background(), context.Background(), descriptors, 0, listener.Addr().String(), bufferLimit)
 	require.Equal(t, Open, reason)
 	t.Cleanup(func() { c.Close(ShutDown) })
 	peer, err := listener.Accept()
@@ -121,7 +121,7 @@
 	require.Equal(t, Evicted, c.Await(1))
 	peer.Write([]byte("q"))
 	require.Eventually(t, func() bool { return !c.HasNoPendingInput() }, time.Second, time.Millisecond)
-	require.True(t, c.Idle())
+	require.True(t, c.IsIdle())
 }
 
 // Guards against a peer that never finishes a message, and against late input that turns the close into
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -10,8 +10,8 @@
 }
 
 const (
-	initialSize = 512
-	maxIdleSize = 8 << 10 // larger buffers are freed when empty
+	initialRingBytes = 512
+	maxIdleRingBytes = 8 << 10 // larger buffers are freed when empty
 )
 
 // NewRingBuffer returns an empty buffer that grows up to limit bytes.
@@ -25,7 +25,7 @@
 
 // grow makes space for n more bytes, up to the limit.
 func (r *RingBuffer) grow(n int) {
-	size := max(len(r.buf), min(initialSize, r.limit))
+	size := max(len(r.buf), min(initialRingBytes, r.limit))
 	for size < min(r.used+n, r.limit) {
 		size = min(2*size, r.limit)
 	}
@@ -47,7 +47,7 @@
 		return
 	}
 	r.head = 0
-	if len(r.buf) > maxIdleSize {
+	if len(r.buf) > maxIdleRingBytes {
 		r.buf = nil
 	}
 }
--- a/internal/transport/ring_test.go
+++ b/internal/transport/ring_test.go
@@ -35,7 +35,7 @@
 	r := NewRingBuffer(100 << 10)
 	require.Zero(t, cap(r.buf))
 	r.Write("a")
-	require.Len(t, r.buf, initialSize)
+	require.Len(t, r.buf, initialRingBytes)
 	r.Write(strings.Repeat("b", 50<<10))
 	require.Less(t, len(r.buf), 100<<10)
 	r.discard(r.Len())
