--- a/internal/membership/cell_agent.go
+++ b/internal/membership/cell_agent.go
@@ -29,7 +29,7 @@
 type CellDriver interface {
 	// Report returns a report for the coordinator, and the time on the driver's clock.
 	Report(name string, incarnation uint64) (r cells.Report, at int64)
-	// ApplyCellGrant applies a grant to a report of the given time.
+	// ApplyCellGrant applies the answer to the report made at reportedAt.
 	ApplyCellGrant(reportedAt int64, grant cells.Grant) error
 }
 
--- a/internal/membership/fleet_agent.go
+++ b/internal/membership/fleet_agent.go
@@ -40,9 +40,9 @@
 // FleetDriver is the driver on whose behalf a FleetAgent acts.
 type FleetDriver interface {
 	// VersionReports returns the versions in use, and the time on the driver's clock.
-	VersionReports() (sightings []versions.Report, observedAt int64)
-	// ApplyVersionGrant applies a grant to a request of the given time.
-	ApplyVersionGrant(requestedAt int64, grant versions.Grant)
+	VersionReports() (reports []versions.Report, reportedAt int64)
+	// ApplyVersionGrant applies the answer to the reports made at reportedAt.
+	ApplyVersionGrant(reportedAt int64, grant versions.Grant)
 	// Joined sets the identity of this start.
 	Joined(identity versions.Instance, token string)
 	// TrailSince returns up to limit entries of the audit trail after seq.
--- a/internal/membership/fleet_requests.go
+++ b/internal/membership/fleet_requests.go
@@ -74,8 +74,8 @@
 	StoredTrailSeq uint64 `json:"held"` // last entry that the voter holds of the start's trail
 }
 
-// renew grants a lease. It answers at once if there are orders, and else on the next change or at the end
-// of the wait.
+// renew grants a lease. It answers at once if there are assignments, and else on the next change or at
+// the end of the wait.
 func (s *FleetServer) renew(ctx context.Context, request leaseRequest) (leaseResponse, error) {
 	s.mu.Lock()
 	if !s.proposer.recorder.isActing() {
--- a/internal/membership/fleet_server.go
+++ b/internal/membership/fleet_server.go
@@ -243,7 +243,7 @@
 		if err != nil && s.lastShutOutError != err.Error() {
 			s.lastShutOutError = err.Error()
 			s.log.WithError(err).WithFields(logrus.Fields{"thing": stalled.Resource, "version": stalled.Number, "stage": stalled.Stage, "by": names}).
-				Error("too many drivers hold back a version to shut them all out; call the version off or repair the drivers")
+				Error("too many drivers hold back a version to shut them all out; run `fleet call-off` or repair the drivers")
 		}
 	}
 	return nil
--- a/internal/membership/fleet_server_test.go
+++ b/internal/membership/fleet_server_test.go
@@ -199,7 +199,7 @@
 	})
 	require.NoError(t, c.propose("one"))
 	require.ErrorContains(t, c.propose("two"), "is under way")
-	c.requireEventually("version is closed", hasCompleted(2))
+	c.requireEventually("version is completed", hasCompleted(2))
 	require.EqualValues(t, 2, c.act(a, "r1"))
 	require.EqualValues(t, 2, c.act(b, "r2"))
 	c.stop()
@@ -208,12 +208,12 @@
 		return len(state.Drivers) == 2 && state.Drivers[0].MayAct && len(state.Drivers[0].Reports) == 1
 	})
 	require.NoError(t, c.propose("two"))
-	c.requireEventually("version is closed", hasCompleted(3))
+	c.requireEventually("version is completed", hasCompleted(3))
 	require.EqualValues(t, 3, c.act(a, "r3"))
 	leave()
 	c.requireEventually("driver left or expired", func(state *FleetState) bool { return state.driverState("b") != roster.StatePresent })
 	require.NoError(t, c.propose("three"))
-	c.requireEventually("closed without the driver that left", hasCompleted(4))
+	c.requireEventually("completed without the driver that left", hasCompleted(4))
 	require.Equal(t, []string{"one", "two", "three"}, a.adoptedTexts)
 	var result AuditResult
 	for startedAt := time.Now(); time.Since(startedAt) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
@@ -280,7 +280,7 @@
 	drivers[1].isStuck = true
 	require.NoError(t, c.propose("one"))
 	c.requireEventually("driver is shut out", func(f *FleetState) bool { return f.driverState("b") == roster.StateShutOut })
-	c.requireEventually("closed without the shut-out driver", hasCompleted(2))
+	c.requireEventually("completed without the shut-out driver", hasCompleted(2))
 	require.Zero(t, drivers[1].act("r"))
 	drivers[1].mu.Lock()
 	drivers[1].isStuck = false
@@ -301,7 +301,7 @@
 	require.Equal(t, roster.StatePresent, f.driverState("a"), "too many drivers to shut out")
 	require.EqualValues(t, 2, c.act(drivers[0], "r"), "all use the older version")
 	require.NoError(t, c.changeFleet(FleetChange{RollBack: "x", Reason: "wrong"}))
-	c.requireEventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
+	c.requireEventually("rolled back", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
 }
 
 // A build too old for the feature level must not act, and the error must say how to remedy that.
@@ -354,8 +354,8 @@
 	require.Equal(t, [][]int64{{1, 13, 27}, {3, 23, 47}, {5, 43, 67}}, unknown)
 }
 
-// The last part of a trail must be stored even if a new leader lacks earlier entries. Otherwise the audit
-// would miss it without noticing, since a driver that left has sent its whole trail.
+// The final segment of a trail must be stored even if a new leader lacks earlier entries. Otherwise the
+// audit would miss it without noticing, since a driver that left has sent its whole trail.
 func TestFinalSegmentIsStoredAfterGap(t *testing.T) {
 	fleetServer := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	instance := versions.Instance{Name: "a", Start: 1}
--- a/internal/membership/fleet_state.go
+++ b/internal/membership/fleet_state.go
@@ -26,7 +26,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// FleetChange is an operator's request. Only one field besides Reason is set.
+// FleetChange is an operator's request. Exactly one field besides Reason is set.
 type FleetChange struct {
 	Propose    *Proposal         `json:"propose,omitempty"`
 	RollBack   versions.Resource `json:"call_off,omitempty"`
@@ -111,8 +111,9 @@
 	return c.post(ctx, "fleet/wish", change, nil)
 }
 
-// LatestCompleted returns the newest closed version of a thing and the time, on the clock of the voter that
-// closed it, from which no driver acts on an older one. The number is 0 if there is none.
+// LatestCompleted returns the newest version of a resource whose rollout has completed, and the time, on
+// the clock of the voter that completed it, from which no driver acts on an older one. The number is 0 if
+// there is none.
 func (s *FleetState) LatestCompleted(resource versions.Resource) (number versions.Number, completedAt int64) {
 	for _, v := range slices.Backward(s.Versions[resource]) {
 		if v.Stage == versions.StageCompleted {
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -19,7 +19,7 @@
 	maxTrailEntriesPerRequest = 64       // sent with one renewal
 )
 
-// VoterTrails holds the parts of audit trails that one voter has.
+// VoterTrails holds the segments of audit trails that one voter has.
 type VoterTrails struct {
 	Segments []audit.Segment `json:"parts"`
 	Faults   []string        `json:"faults"`
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// storeTrails stores parts of a driver's trail. The last part, sent when the driver leaves, is accepted
-// even if entries before it are missing. The lock is held.
+// storeTrails stores segments of a driver's trail. The final one, sent when the driver leaves, is
+// accepted even if entries before it are missing. The lock is held.
 func (s *FleetServer) storeTrails(segments []audit.Segment, isFinal bool) {
 	add := s.trails.Add
 	if isFinal {
@@ -59,7 +59,7 @@
 // storeRetryInterval is the minimum time between attempts to rewrite a trail file that failed.
 const storeRetryInterval = int64(time.Second)
 
-// saveSegment writes a part to the trail file. After a failure it rewrites the whole file once that is
+// saveSegment writes a segment to the trail file. After a failure it rewrites the whole file once that is
 // possible again. The lock is held.
 func (s *FleetServer) saveSegment(segment audit.Segment) {
 	if s.storeFailedAt != 0 && s.now()-s.storeFailedAt < storeRetryInterval {
@@ -108,7 +108,7 @@
 // AuditResult is the answer to an AuditQuery.
 type AuditResult struct {
 	Acted   []audit.Activity     `json:"acted"`
-	Late    []audit.LateActivity `json:"late"`    // acted after a newer version was closed
+	Late    []audit.LateActivity `json:"late"`    // acted after a newer version was completed
 	Unknown []audit.Gap          `json:"unknown"` // periods of which no trail is held
 	Faults  []string             `json:"faults"`  // inconsistencies of trails
 	Missing []string             `json:"missing"` // unreachable voters
--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -17,6 +17,10 @@
 	maxStartupBytes   = 10_000 // PostgreSQL's own limit
 )
 
+const startupHeaderBytes = 8 // length and code
+
+const cancelKeyBytes = 8 // process and secret
+
 // Client is the server side of a client's connection.
 type Client struct{ *transport.Conn }
 
@@ -42,7 +46,7 @@
 				return Identity{}, reason
 			}
 		case code == cancelRequestCode:
-			if len(body) == 8 {
+			if len(body) == cancelKeyBytes {
 				cancel(CancelKey{binary.BigEndian.Uint32([]byte(body)), binary.BigEndian.Uint32([]byte(body[4:]))})
 			}
 			return Identity{}, transport.ClosedByPeer
@@ -78,13 +82,13 @@
 
 // readStartup reads a startup packet, which has no kind, and returns its code and body.
 func (c Client) readStartup() (code uint32, body string, reason transport.CloseReason) {
-	if reason := c.Await(8); reason != transport.Open {
+	if reason := c.Await(startupHeaderBytes); reason != transport.Open {
 		return 0, "", reason
 	}
-	var header [8]byte
+	var header [startupHeaderBytes]byte
 	c.Peek(header[:])
 	length := binary.BigEndian.Uint32(header[:])
-	if length < 8 {
+	if length < startupHeaderBytes {
 		return 0, "", transport.Malformed
 	}
 	if length > maxStartupBytes {
@@ -95,7 +99,7 @@
 	}
 	packet := make([]byte, length)
 	c.Read(packet)
-	return binary.BigEndian.Uint32(header[4:]), string(packet[8:]), transport.Open
+	return binary.BigEndian.Uint32(header[4:]), string(packet[startupHeaderBytes:]), transport.Open
 }
 
 // finishHandshake sends the messages that complete the startup.
@@ -151,7 +155,7 @@
 	var header [headerBytes]byte
 	for offset := 0; peekAt(offset, header[:]); {
 		length := int64(binary.BigEndian.Uint32(header[1:]))
-		if length < 4 || length+1 > maxStatementBytes {
+		if length < lengthBytes || length+1 > maxStatementBytes {
 			return false, offset + headerBytes
 		}
 		if header[0] == kindTerminate {
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -18,9 +18,12 @@
 	StateQueryCanceled      = "57014"
 	StateUnknownOutcome     = "08007"
 	StateNotSupported       = "0A000"
-	StateFenced             = "VF001" // not of PostgreSQL: the version of the attempt is closed
+	StateFenced             = "VF001" // not a code of PostgreSQL: the version of the attempt is no longer valid
 )
 
+// sqlStateLength is the number of characters of an SQLSTATE.
+const sqlStateLength = 5
+
 // Failure is the content of an ErrorResponse.
 type Failure struct {
 	IsFatal  bool
@@ -61,7 +64,7 @@
 			f.Detail = text
 		}
 	}
-	return f, body == "\x00" && len(f.SQLState) == 5
+	return f, body == "\x00" && len(f.SQLState) == sqlStateLength
 }
 
 // Pushback tells a client that it may safely retry, after retryAfterMillis if that is positive.
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -41,6 +41,9 @@
 
 const headerBytes = 5 // message type and length
 
+// lengthBytes is the size of a message's length, which counts itself but not the type.
+const lengthBytes = 4
+
 // message is a protocol message. raw includes the header, body does not.
 type message struct {
 	kind       byte
@@ -59,7 +62,7 @@
 	c.Peek(header[:])
 	length := int64(binary.BigEndian.Uint32(header[1:]))
 	switch {
-	case length < 4:
+	case length < lengthBytes:
 		return message{}, transport.Malformed
 	case length+1 > int64(maxBytes):
 		return message{}, transport.TooLong
@@ -81,7 +84,7 @@
 
 // writeMessage writes a message whose body is the concatenated pieces.
 func writeMessage(c *transport.Conn, kind byte, pieces ...string) {
-	length := 4
+	length := lengthBytes
 	for _, p := range pieces {
 		length += len(p)
 	}
--- a/internal/protocol/statement.go
+++ b/internal/protocol/statement.go
@@ -17,7 +17,7 @@
 	Group             int64
 	MinPositionMillis int64 // position that a read must have reached, 0 for none
 	IsRetry           bool
-	beforeTimeout     string // text before the value of d
+	beforeTimeout     string // text before the value of the timeout
 	afterTimeout      string // text after it
 	seenNames         uint   // flags of the names found in the comment
 }
--- a/internal/routing/active_rpc.go
+++ b/internal/routing/active_rpc.go
@@ -51,7 +51,7 @@
 }
 
 // ActiveRPC is an admitted RPC. It is finished once NextStep has returned a step other than
-// ActionAttempt; attempts still outstanding then are reported nevertheless.
+// ActionAttempt. Attempts still outstanding then must be reported all the same.
 type ActiveRPC struct {
 	router      *Router
 	id          rules.RPCID
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -188,7 +188,7 @@
 	return r.admissionController.MostOverConnectionShare()
 }
 
-// ApplyCellGrant applies the coordinator's answer to the report that was made at askedAt.
+// ApplyCellGrant applies the coordinator's answer to the report made at reportedAt.
 func (r *Router) ApplyCellGrant(reportedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/observed_versions.go
+++ b/internal/routing/observed_versions.go
@@ -9,15 +9,15 @@
 	"sedgespread/internal/versions"
 )
 
-// ObserveVersion records this driver's version of a thing that is versioned outside the fleet. It has no
-// effect if nothing is versioned.
+// ObserveVersion records this driver's version of a resource whose versions the fleet only observes. It
+// has no effect if nothing is versioned.
 func (r *Router) ObserveVersion(resource versions.Resource, version versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observeVersion(resource, version, digest)
 }
 
-// observeVersion records a version for the fleet and in the audit trail. r.mu must be held.
+// observeVersion records a version to report to the fleet, and in the audit trail. r.mu must be held.
 func (r *Router) observeVersion(resource versions.Resource, version versions.Number, digest string) {
 	if r.versionState == nil {
 		return
@@ -29,7 +29,7 @@
 }
 
 // listDigest is a digest of discovery's list that does not depend on the order of updates, so that
-// drivers can be compared that received the list in different parts.
+// drivers that received the list in different parts can be compared.
 type listDigest struct {
 	sumByMember map[string]uint64 // checksums by member name
 	total       uint64            // XOR of all checksums
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -17,7 +17,8 @@
 	OpenedAt    time.Time             // when the connection was opened
 }
 
-// classificationBySQLState classifies the error answers of members; others count as rules.Errored.
+// classificationBySQLState classifies the error answers of members. Others may have executed and
+// count as rules.ServerError.
 var classificationBySQLState = map[string]classification{
 	protocol.StateReadOnly:           {rules.NotExecuted, rules.Ineligible},
 	protocol.StateSnapshotTooOld:     {rules.NotExecuted, rules.Ineligible},
@@ -48,7 +49,7 @@
 	transport.Withheld:     rules.NotSent,
 }
 
-// classification is whether an attempt ran, and why it failed.
+// classification says whether an attempt ran, and why it failed.
 type classification struct {
 	proof rules.Outcome
 	cause rules.Cause
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -12,7 +12,7 @@
 type registry struct {
 	idByName map[string]rules.MemberID
 	members  map[rules.MemberID]*memberEntry
-	idByKey  map[uint32]rules.MemberID // 0 if members share the key: peers' observations of them are ignored
+	idByKey  map[uint32]rules.MemberID // 0 if several members share the key; peers' observations of them are ignored
 	lastID   rules.MemberID
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -21,8 +21,8 @@
 
 const nanosPerMilli = int64(time.Millisecond)
 
-// maxSendDelay is how long after an attempt was allowed its last byte may be written, beyond the 0.05 s by
-// which the rules extend every staleness bound: 0.15 s in all between reading the clock and writing.
+// maxSendDelay is how long after an attempt was allowed its last byte may be written, beyond
+// the tolerance of 50 ms by which a staleness bound may be exceeded.
 const maxSendDelay = 100 * nanosPerMilli
 
 // Router gives concurrent callers access to a rules.Driver.
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -23,8 +23,8 @@
 	r.versionState = state
 }
 
-// AuditWindow is how long after a change of version the audit trail records writes one by one; later
-// ones are only counted.
+// AuditWindow is how long after a change of version the audit trail has an entry for each write. Later
+// writes are only counted.
 const AuditWindow = 5 * time.Second
 
 // clockSkewAllowance extends AuditWindow, since the clocks of the drivers that are compared may differ.
@@ -93,8 +93,7 @@
 	}
 }
 
-// failsByFailpoint reports whether a planted fault, of which only builds for trials have any, ends the
-// RPC.
+// failsByFailpoint reports whether a failpoint, which only builds for trials can activate, ends the RPC.
 func (a *ActiveRPC) failsByFailpoint() bool {
 	return failpoint.Active(failpoint.RejectRPCs) && a.admission.version > versions.InitialVersion && a.id%4 == 0
 }
@@ -142,8 +141,8 @@
 var auditOutcomes = map[Action]audit.Outcome{ActionServe: audit.Served, ActionReject: audit.PushedBack,
 	ActionAbort: audit.Aborted, ActionDrop: audit.ClientLeft}
 
-// fence returns the fence by which a store rejects attempts of closed versions. It is empty if nothing
-// is versioned.
+// fence returns the fence by which a store rejects attempts under versions that are no longer valid. It
+// is empty if nothing is versioned.
 func (a *ActiveRPC) fence() (fence protocol.Fence) {
 	if a.admission == nil || a.router.versionState == nil {
 		return fence
@@ -170,14 +169,15 @@
 	}
 }
 
-// VersionReports returns what this driver reports of its versions, and the time of the report.
+// VersionReports returns the versions in use on this driver, and the time of the report.
 func (r *Router) VersionReports() ([]versions.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.versionState.Reports(), r.now()
 }
 
-// ApplyVersionGrant applies the grant for the report made at askedAt and returns the versions to adopt.
+// ApplyVersionGrant applies the fleet's answer to the reports made at reportedAt and returns the versions
+// to adopt.
 func (r *Router) ApplyVersionGrant(reportedAt int64, grant versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -21,7 +21,7 @@
 	applyAssignment(t, r, time.Hour, versions.Assignment{Epoch: 1, Active: 2, Valid: []versions.Number{2}, Stored: 2, Text: "text"})
 }
 
-// applyAssignment applies an order for the rulebook and adopts its version.
+// applyAssignment applies an assignment for the rulebook and adopts its version.
 func applyAssignment(t testing.TB, r *Router, lease time.Duration, assignment versions.Assignment) {
 	assignment.Resource = Rulebook
 	for _, adoption := range r.ApplyVersionGrant(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{assignment}}) {
@@ -59,8 +59,8 @@
 	require.EqualValues(t, 2, writeEntry.Version)
 }
 
-// Guards against answers delivered or attempts made under a version that has been closed meanwhile.
-func TestClosedVersionEndsRPCs(t *testing.T) {
+// Guards against answers delivered or attempts made under a version that is no longer allowed.
+func TestSupersededVersionEndsRPCs(t *testing.T) {
 	r := newRouterWithCells(t, false)
 	enableVersions(t, r, false)
 	active := admitRPC(t, r, "write")
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// Equal reports whether two have the same fields in the same order.
+// Equal reports whether first and second have the same fields in the same order.
 func Equal(first, second *Fields) bool { return slices.Equal(first.fields, second.fields) }
 
-// Get returns the value of a field, if present. Lines are so short that a linear search beats a map.
+// Get returns the value of a field, if present. Lines are short, so a linear search suffices.
 func (f *Fields) Get(name string) (string, bool) {
 	for _, entry := range f.fields {
 		if entry.name == name {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,12 +17,15 @@
 	onRequestByName         = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-// Methods parses the methods (classes) of the settings.
+// maxMethods limits the number of methods in the settings.
+const maxMethods = 10_000
+
+// Methods parses the methods, which the settings call classes.
 func (f *Fields) Methods() []rules.Method {
 	readLevels := f.List("extra.readLevel")
 	maxAges := f.List("extra.maxAgeUs")
 	count := f.RequiredInteger("classes.count")
-	if count < 0 || count > 10_000 {
+	if count < 0 || count > maxMethods {
 		f.Fail("classes.count=%d is out of range", count)
 		return nil
 	}
@@ -100,7 +103,7 @@
 	}
 }
 
-// Observation parses what a load report shows of its member. Its position is relative to epoch.
+// Observation parses the role and position in a member's load report. The position is relative to epoch.
 func (f *Fields) Observation(epoch int64) (observation rules.Observation) {
 	if _, ok := f.Get("x0"); !ok {
 		return observation
--- a/internal/transport/close_reason.go
+++ b/internal/transport/close_reason.go
@@ -9,7 +9,8 @@
 	"syscall"
 )
 
-// CloseReason is why a connection closed or could not be opened, or Open.
+// CloseReason says why a connection closed, could not be opened or was not used. It is Open
+// for a connection that has not closed.
 type CloseReason int
 
 // The reasons for which a connection closes, or why it is not used.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -376,7 +376,7 @@
 	idle := c.closeReason == Open && c.readBuffer.Len() == 0 && c.discardLimit == 0
 	if idle {
 		c.stopReason, c.ignoreSocketInput = reason, ignoreSocketInput
-		c.netConn.SetReadDeadline(time.Unix(1, 0))
+		c.netConn.SetReadDeadline(time.Unix(1, 0)) // in the past, to interrupt a pending read
 	}
 	return idle
 }
@@ -387,7 +387,7 @@
 	defer c.mu.Unlock()
 	if c.closeReason == Open {
 		c.stopReason, c.readStopped = reason, true
-		c.netConn.SetReadDeadline(time.Unix(1, 0))
+		c.netConn.SetReadDeadline(time.Unix(1, 0)) // in the past, to interrupt a pending read
 		c.changed.Broadcast()
 	}
 }
