--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -178,19 +178,19 @@
 	}
 	violations := 0
 	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", question, func(out *tabwriter.Writer, finding *membership.AuditResult) {
-		violations = len(finding.Late) + len(finding.Faults)
+		violations = len(finding.LateActivities) + len(finding.Faults)
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tDROPPED")
-			for _, entry := range finding.Acted {
+			for _, entry := range finding.Activities {
 				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", entry.Resource, entry.Version, entry.Instance.Name, entry.Instance.Start, formatTime(entry.From), formatTime(entry.To),
 					entry.Counts.Total(), entry.Counts.ByOutcome(audit.Served), entry.RPCEntries, entry.Dropped)
 			}
 		}
 		fmt.Fprintf(out, "\nchecked %d trail entries\n", finding.Entries)
-		for _, late := range finding.Late {
+		for _, late := range finding.LateActivities {
 			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", late.Instance.Name, late.Instance.Start, late.Version, formatTime(late.At), late.Reason, late.RPC)
 		}
-		for _, unknown := range finding.Unknown {
+		for _, unknown := range finding.Gaps {
 			from := "startup"
 			if unknown.From != 0 {
 				from = formatTime(unknown.From)
@@ -200,7 +200,7 @@
 		for _, fault := range finding.Faults {
 			fmt.Fprintln(out, "FAULT:", fault)
 		}
-		for _, address := range finding.Missing {
+		for _, address := range finding.MissingVoters {
 			fmt.Fprintln(out, "unreachable voter:", address)
 		}
 	})
--- a/internal/emulator/trials/audit.go
+++ b/internal/emulator/trials/audit.go
@@ -44,8 +44,8 @@
 		return err
 	}
 	r := &c.result.Audit
-	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
-	for _, late := range findings.Late[:min(maxShown, len(findings.Late))] {
+	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = findings.Entries, len(findings.LateActivities), findings.Faults, len(findings.Gaps)
+	for _, late := range findings.LateActivities[:min(maxShown, len(findings.LateActivities))] {
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
 	}
@@ -66,7 +66,7 @@
 			r.WrongVersion++
 		case trails.takeCounted(attempt):
 			r.Counted++
-		case slices.ContainsFunc(findings.Unknown, func(u audit.Gap) bool {
+		case slices.ContainsFunc(findings.Gaps, func(u audit.Gap) bool {
 			return u.From-int64(unknownMargin) <= attempt.At && attempt.At <= u.To
 		}):
 			r.Unknown++
--- a/internal/membership/cell_agent.go
+++ b/internal/membership/cell_agent.go
@@ -27,8 +27,8 @@
 
 // CellDriver is the driver on whose behalf a CellAgent acts.
 type CellDriver interface {
-	// Report returns a report for the coordinator, and the time on the driver's clock.
-	Report(name string, incarnation uint64) (r cells.Report, at int64)
+	// CellReport returns a report for the coordinator, and the time on the driver's clock.
+	CellReport(name string, incarnation uint64) (r cells.Report, at int64)
 	// ApplyCellGrant applies the answer to the report made at reportedAt.
 	ApplyCellGrant(reportedAt int64, grant cells.Grant) error
 }
@@ -94,7 +94,7 @@
 
 // renew makes one renewal request. isMoving is set if moves are in progress.
 func (a *CellAgent) renew(ctx context.Context) (isMoving bool, err error) {
-	report, reportedAt := a.driver.Report(a.name, a.incarnation)
+	report, reportedAt := a.driver.CellReport(a.name, a.incarnation)
 	isMoving = len(report.Moves) > 0
 	wait := a.lease / leaseWaitDivisor
 	if isMoving || a.isDisconnected {
--- a/internal/membership/coordinator_server_test.go
+++ b/internal/membership/coordinator_server_test.go
@@ -42,7 +42,7 @@
 	return &idleDriver{admission: cells.NewAdmissionController(newTestDirectory(), resolver, nil, true, 1)}
 }
 
-func (d *idleDriver) Report(name string, incarnation uint64) (cells.Report, int64) {
+func (d *idleDriver) CellReport(name string, incarnation uint64) (cells.Report, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now().UnixNano()
--- a/internal/membership/fleet_server_test.go
+++ b/internal/membership/fleet_server_test.go
@@ -220,16 +220,16 @@
 		var err error
 		result, err = Audit(context.Background(), []string{c.address, "127.0.0.1:1"}, AuditQuery{Resource: "x"})
 		require.NoError(t, err)
-		if len(result.Acted) == 3 {
+		if len(result.Activities) == 3 {
 			break
 		}
 	}
-	require.Len(t, result.Acted, 3)
-	require.Equal(t, []versions.Number{2, 2, 3}, []versions.Number{result.Acted[0].Version, result.Acted[1].Version, result.Acted[2].Version})
-	require.Empty(t, result.Late)
+	require.Len(t, result.Activities, 3)
+	require.Equal(t, []versions.Number{2, 2, 3}, []versions.Number{result.Activities[0].Version, result.Activities[1].Version, result.Activities[2].Version})
+	require.Empty(t, result.LateActivities)
 	require.Empty(t, result.Faults)
-	require.Empty(t, result.Unknown)
-	require.Equal(t, []string{"127.0.0.1:1"}, result.Missing, "unreachable voter is reported")
+	require.Empty(t, result.Gaps)
+	require.Equal(t, []string{"127.0.0.1:1"}, result.MissingVoters, "unreachable voter is reported")
 }
 
 // An older build must not drop records or fields of a newer one.
@@ -328,17 +328,17 @@
 		return DriverStatus{Driver: roster.Driver{Claim: roster.Claim{Name: name}, Start: oldest + 1, EarlierStarts: []roster.EndedStart{{Start: oldest, JoinedAt: 50}}}}
 	}
 	state := FleetState{Lease: 7, Drivers: []DriverStatus{newStatus("a", 1), newStatus("b", 3), {Driver: roster.Driver{Claim: roster.Claim{Name: "c"}, Start: 1}}}}
-	periods := state.unknownPeriods("", audit.NewCollection(100))
-	require.Len(t, periods, 1)
-	require.Equal(t, versions.Instance{Name: "b", Start: 2}, periods[0].Instance)
-	require.EqualValues(t, []int64{0, 57}, []int64{periods[0].From, periods[0].To})
-	require.Contains(t, periods[0].Reason, "a roster remembers 1")
-	require.Empty(t, state.unknownPeriods("a", audit.NewCollection(100)))
+	gaps := state.forgottenStartGaps("", audit.NewCollection(100))
+	require.Len(t, gaps, 1)
+	require.Equal(t, versions.Instance{Name: "b", Start: 2}, gaps[0].Instance)
+	require.EqualValues(t, []int64{0, 57}, []int64{gaps[0].From, gaps[0].To})
+	require.Contains(t, gaps[0].Reason, "a roster remembers 1")
+	require.Empty(t, state.forgottenStartGaps("a", audit.NewCollection(100)))
 }
 
 // For starts that the roster has forgotten, exactly the periods before, between and after their trails are
 // unknown.
-func TestTrailsOfForgottenStartsBoundUnknownPeriods(t *testing.T) {
+func TestTrailsOfForgottenStartsBoundGaps(t *testing.T) {
 	held := audit.NewCollection(100)
 	for _, start := range []uint64{1, 2, 4} {
 		trail := audit.NewTrail(int64(10*start), versions.Instance{Name: "b", Start: start}, "x", 100, 1)
@@ -347,11 +347,11 @@
 		held.Add(trail.Since(0, 100))
 	}
 	state := FleetState{Lease: 7, Drivers: []DriverStatus{{Driver: roster.Driver{Claim: roster.Claim{Name: "b"}, Start: 7, EarlierStarts: []roster.EndedStart{{Start: 6, JoinedAt: 60}}}}}}
-	var unknown [][]int64
-	for _, u := range state.unknownPeriods("b", held) {
-		unknown = append(unknown, []int64{int64(u.Instance.Start), u.From, u.To})
+	var gaps [][]int64
+	for _, gap := range state.forgottenStartGaps("b", held) {
+		gaps = append(gaps, []int64{int64(gap.Instance.Start), gap.From, gap.To})
 	}
-	require.Equal(t, [][]int64{{1, 13, 27}, {3, 23, 47}, {5, 43, 67}}, unknown)
+	require.Equal(t, [][]int64{{1, 13, 27}, {3, 23, 47}, {5, 43, 67}}, gaps)
 }
 
 // The final segment of a trail must be stored even if a new leader lacks earlier entries. Otherwise the
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -107,19 +107,19 @@
 
 // AuditResult is the answer to an AuditQuery.
 type AuditResult struct {
-	Acted   []audit.Activity     `json:"acted"`
-	Late    []audit.LateActivity `json:"late"`    // acted after a newer version was completed
-	Unknown []audit.Gap          `json:"unknown"` // periods of which no trail is held
-	Faults  []string             `json:"faults"`  // inconsistencies of trails
-	Missing []string             `json:"missing"` // unreachable voters
-	Entries int                  `json:"entries"`
+	Activities     []audit.Activity     `json:"acted"`
+	LateActivities []audit.LateActivity `json:"late"`    // acted after a newer version was completed
+	Gaps           []audit.Gap          `json:"unknown"` // periods of which no trail is held
+	Faults         []string             `json:"faults"`  // inconsistencies of trails
+	MissingVoters  []string             `json:"missing"` // unreachable voters
+	Entries        int                  `json:"entries"`
 }
 
 // voterTimeout limits the request for the trails of one voter.
 const voterTimeout = 5 * time.Second
 
 // collectTrails fetches and merges the trails of all voters.
-func collectTrails(ctx context.Context, voters []string) (collection *audit.Collection, faults, missing []string) {
+func collectTrails(ctx context.Context, voters []string) (collection *audit.Collection, faults, missingVoters []string) {
 	collection = audit.NewCollection(2 * maxTrailEntriesPerStart)
 	var segments []audit.Segment
 	for _, address := range voters {
@@ -128,14 +128,14 @@
 		err := NewClient(address).post(requestCtx, "fleet/trails", struct{}{}, &trails)
 		cancel()
 		if err != nil {
-			missing = append(missing, address)
+			missingVoters = append(missingVoters, address)
 			continue
 		}
 		segments = append(segments, trails.Segments...)
 		faults = append(faults, trails.Faults...)
 	}
 	collection.Merge(segments)
-	return collection, append(faults, collection.Faults()...), missing
+	return collection, append(faults, collection.Faults()...), missingVoters
 }
 
 // CollectSegments returns the merged trails of all reachable voters.
@@ -151,26 +151,26 @@
 		return result, err
 	}
 	var collection *audit.Collection
-	collection, result.Faults, result.Missing = collectTrails(ctx, voters)
+	collection, result.Faults, result.MissingVoters = collectTrails(ctx, voters)
 	for _, segment := range collection.Segments() {
 		result.Entries += len(segment.Entries)
 	}
-	result.Acted = collection.Activities(audit.Query{Resource: query.Resource, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
+	result.Activities = collection.Activities(audit.Query{Resource: query.Resource, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
 	starts := fleet.rememberedStarts(query.Driver)
-	result.Unknown = append(collection.Gaps(starts), fleet.unknownPeriods(query.Driver, collection)...)
+	result.Gaps = append(collection.Gaps(starts), fleet.forgottenStartGaps(query.Driver, collection)...)
 	for _, version := range fleet.Versions[query.Resource] {
 		if version.Stage == versions.StageCompleted {
-			result.Late = append(result.Late, collection.LateActivities(query.Resource, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
-			result.Unknown = append(result.Unknown, collection.UnorderedActivities(query.Resource, version.Number, starts)...)
+			result.LateActivities = append(result.LateActivities, collection.LateActivities(query.Resource, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
+			result.Gaps = append(result.Gaps, collection.UnorderedActivities(query.Resource, version.Number, starts)...)
 		}
 	}
 	return result, nil
 }
 
-// unknownPeriods returns the periods in which starts that the roster has forgotten may have acted without
+// forgottenStartGaps returns the periods in which starts that the roster has forgotten may have acted without
 // a trail: before, between and after the trails held. Each start may have acted until a lease after the
 // next one joined.
-func (s *FleetState) unknownPeriods(driver string, collection *audit.Collection) (periods []audit.Gap) {
+func (s *FleetState) forgottenStartGaps(driver string, collection *audit.Collection) (gaps []audit.Gap) {
 	for _, status := range s.Drivers {
 		if driver != "" && status.Name != driver || len(status.EarlierStarts) == 0 || status.EarlierStarts[0].Start == 1 {
 			continue
@@ -183,13 +183,13 @@
 				break
 			}
 			if extent.Instance.Start > 1 {
-				periods = append(periods, audit.Gap{Instance: versions.Instance{Name: status.Name, Start: extent.Instance.Start - 1}, From: last.To, To: extent.From + s.Lease, Reason: reason})
+				gaps = append(gaps, audit.Gap{Instance: versions.Instance{Name: status.Name, Start: extent.Instance.Start - 1}, From: last.To, To: extent.From + s.Lease, Reason: reason})
 			}
 			last = extent
 		}
-		periods = append(periods, audit.Gap{Instance: versions.Instance{Name: status.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Reason: reason})
+		gaps = append(gaps, audit.Gap{Instance: versions.Instance{Name: status.Name, Start: uint64(oldest.Start - 1)}, From: last.To, To: oldest.JoinedAt + s.Lease, Reason: reason})
 	}
-	return periods
+	return gaps
 }
 
 // rememberedStarts returns the starts in the roster, and until when each may have acted.
--- a/internal/program/operator_services.go
+++ b/internal/program/operator_services.go
@@ -245,9 +245,9 @@
 	return mux
 }
 
-// Report returns this driver's report to the coordinator.
-func (s *operatorServices) Report(name string, incarnation uint64) (cells.Report, int64) {
-	return s.p.router.Report(name, incarnation)
+// CellReport returns this driver's report to the coordinator.
+func (s *operatorServices) CellReport(name string, incarnation uint64) (cells.Report, int64) {
+	return s.p.router.CellReport(name, incarnation)
 }
 
 // ApplyCellGrant applies a grant from the coordinator. The first one makes this driver ready for
--- a/internal/routing/active_rpc.go
+++ b/internal/routing/active_rpc.go
@@ -161,7 +161,7 @@
 	allowed := !a.isFinished && attempt.onResult != nil && (a.admission == nil || a.mayProceed()) &&
 		a.router.driver.AttemptAllowed(a.id, attempt.member)
 	if allowed && a.admission != nil {
-		a.admission.lastBeganAt = a.router.now()
+		a.admission.lastAttemptBeganAt = a.router.now()
 	}
 	if a.router.trace.enabled {
 		a.router.trace.printf("attempt begins id=%s number=%d member=%d allowed=%t basis=%s", a.clientID, number,
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -13,12 +13,12 @@
 	mayHaveRun    bool // one of its attempts may have run
 	answerPending bool // the answer has not been delivered yet
 
-	version     versions.Number // version of the rulebook that applies to the RPC, 0 for none
-	runsUntil   int64           // until when one of its attempts may still run
-	lastBeganAt int64           // when the last attempt began, 0 for none
-	effect      audit.Effect
-	outcome     audit.Outcome
-	startedAt   int64
+	version            versions.Number // version of the rulebook that applies to the RPC, 0 for none
+	runsUntil          int64           // until when one of its attempts may still run
+	lastAttemptBeganAt int64           // when the last attempt began, 0 for none
+	effect             audit.Effect
+	outcome            audit.Outcome
+	startedAt          int64
 }
 
 // EnableAdmission puts admission control in front of all RPCs. It must be called before the first Admit.
@@ -202,8 +202,8 @@
 	return err
 }
 
-// Report returns the report for the coordinator and the time at which it was made.
-func (r *Router) Report(name string, incarnation uint64) (cells.Report, int64) {
+// CellReport returns the report for the coordinator and the time at which it was made.
+func (r *Router) CellReport(name string, incarnation uint64) (cells.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -116,7 +116,7 @@
 	a.admission.version = 0
 	if a.router.trail != nil && !(failpoint.Active(failpoint.DropAuditEntries) && a.id%10 == 0) {
 		a.router.trail.EndRPC(a.router.now(), Rulebook, version, a.clientID, a.admission.effect, a.admission.outcome,
-			a.admission.lastBeganAt)
+			a.admission.lastAttemptBeganAt)
 	}
 	if a.admission.runsUntil <= a.router.now() {
 		a.router.versionState.End(Rulebook, version)
