--- a/internal/membership/cell_agent.go
+++ b/internal/membership/cell_agent.go
@@ -28,7 +28,7 @@
 // CellDriver is the driver on whose behalf a CellAgent acts.
 type CellDriver interface {
 	// CellReport returns a report for the coordinator, and the time on the driver's clock.
-	CellReport(name string, incarnation uint64) (r cells.Report, at int64)
+	CellReport(name string, incarnation uint64) (report cells.Report, reportedAt int64)
 	// ApplyCellGrant applies the answer to the report made at reportedAt.
 	ApplyCellGrant(reportedAt int64, grant cells.Grant) error
 }
--- a/internal/membership/fleet_server_test.go
+++ b/internal/membership/fleet_server_test.go
@@ -322,7 +322,7 @@
 	require.ErrorContains(t, c.changeFleet(FleetChange{}), "nothing is asked for")
 }
 
-// An audit must report starts that the roster has forgotten as unknown, because trails may be missing.
+// An audit must report gaps for starts that the roster has forgotten, because trails may be missing.
 func TestForgottenStartsAreUnknown(t *testing.T) {
 	newStatus := func(name string, oldest roster.StartNumber) DriverStatus {
 		return DriverStatus{Driver: roster.Driver{Claim: roster.Claim{Name: name}, Start: oldest + 1, EarlierStarts: []roster.EndedStart{{Start: oldest, JoinedAt: 50}}}}
@@ -336,8 +336,8 @@
 	require.Empty(t, state.forgottenStartGaps("a", audit.NewCollection(100)))
 }
 
-// For starts that the roster has forgotten, exactly the periods before, between and after their trails are
-// unknown.
+// For starts that the roster has forgotten, the gaps must be exactly the periods before, between and after
+// their trails.
 func TestTrailsOfForgottenStartsBoundGaps(t *testing.T) {
 	held := audit.NewCollection(100)
 	for _, start := range []uint64{1, 2, 4} {
--- a/internal/membership/recorder.go
+++ b/internal/membership/recorder.go
@@ -90,7 +90,7 @@
 	}
 	err := j.journal.Append(texts...)
 	if (err == nil) != (j.lastErr == nil) {
-		j.server.log.WithField("error", err).Warn("writing the journal started or stopped failing")
+		j.server.log.WithField("error", err).Warn("journal writes began to fail, or succeeded again")
 	}
 	if j.lastErr = err; err != nil {
 		return fmt.Errorf("nothing was changed: %w", err)
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -76,7 +76,7 @@
 	case err != nil && s.storeFailedAt == 0:
 		s.log.WithError(err).Error("writing the trail file failed; keeping trails in memory only until it succeeds")
 	case err == nil && s.storeFailedAt != 0:
-		s.log.Info("trail file is written again")
+		s.log.Info("writing the trail file succeeded again")
 	}
 	if s.storeFailedAt = 0; err != nil {
 		s.storeFailedAt = s.now()
@@ -167,9 +167,9 @@
 	return result, nil
 }
 
-// forgottenStartGaps returns the periods in which starts that the roster has forgotten may have acted without
-// a trail: before, between and after the trails held. Each start may have acted until a lease after the
-// next one joined.
+// forgottenStartGaps returns the periods in which starts that the roster has forgotten may have acted
+// without a trail: before, between and after the trails held. Each start may have acted until a lease
+// after the next one joined.
 func (s *FleetState) forgottenStartGaps(driver string, collection *audit.Collection) (gaps []audit.Gap) {
 	for _, status := range s.Drivers {
 		if driver != "" && status.Name != driver || len(status.EarlierStarts) == 0 || status.EarlierStarts[0].Start == 1 {
