--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -80,7 +80,7 @@
 	for thing, history := range fleet.Versions {
 		newest := history[len(history)-1]
 		gauge(versionStage, 1, string(thing), strconv.FormatUint(uint64(newest.Number), 10), newest.Stage.String())
-		closed, _ := fleet.LatestClosed(thing)
+		closed, _ := fleet.LatestCompleted(thing)
 		gauge(versionClosed, float64(closed), string(thing))
 	}
 	for _, suspicion := range fleet.Suspicions {
@@ -97,7 +97,7 @@
 		}
 		gauge(observedIsForked, boolValue(distribution.HasConflict), string(distribution.Resource))
 	}
-	for _, stalled := range fleet.Behind {
+	for _, stalled := range fleet.Stalled {
 		for _, driver := range stalled.Instances {
 			gauge(versionHeldBackSeconds, time.Duration(stalled.Duration).Seconds(), string(stalled.Resource), strconv.FormatUint(uint64(stalled.Number), 10), stalled.Stage.String(), driver.Name)
 		}
--- a/internal/emulator/trials/audit.go
+++ b/internal/emulator/trials/audit.go
@@ -39,17 +39,17 @@
 	if err := c.awaitTrails(ctx, time.Now()); err != nil {
 		return err
 	}
-	findings, err := membership.Audit(ctx, c.addresses, membership.AuditQuery{Thing: routing.Rulebook, MaxClockSkew: int64(10 * time.Millisecond)})
+	findings, err := membership.Audit(ctx, c.addresses, membership.AuditQuery{Resource: routing.Rulebook, MaxClockSkew: int64(10 * time.Millisecond)})
 	if err != nil {
 		return err
 	}
 	result := &c.result.Audit
-	result.Entries, result.LateActivities, result.Faults, result.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
-	for _, lateActivity := range findings.Late[:min(maxShown, len(findings.Late))] {
+	result.Entries, result.LateActivities, result.Faults, result.UnknownSpans = findings.Entries, len(findings.LateActivities), findings.Faults, len(findings.Gaps)
+	for _, lateActivity := range findings.LateActivities[:min(maxShown, len(findings.LateActivities))] {
 		result.FirstLate = append(result.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", lateActivity.Instance.Name, lateActivity.Instance.Start, lateActivity.RPC,
 			lateActivity.Version, time.Since(time.Unix(0, lateActivity.At)).Round(time.Millisecond), lateActivity.IsCertain, lateActivity.Reason))
 	}
-	trails := newAuditTrails(membership.CollectParts(ctx, c.addresses))
+	trails := newAuditTrails(membership.CollectSegments(ctx, c.addresses))
 	attempts := map[string]emulator.FencedAttempt{}
 	for _, attempt := range c.cluster.Fleet.FencedAttempts() {
 		if attempt.Write && !attempt.Rejected {
@@ -66,7 +66,7 @@
 			result.WrongVersion++
 		case trails.takeCounted(attempt):
 			result.Counted++
-		case slices.ContainsFunc(findings.Unknown, func(gap audit.Gap) bool {
+		case slices.ContainsFunc(findings.Gaps, func(gap audit.Gap) bool {
 			return gap.From-int64(unknownMargin) <= attempt.At && attempt.At <= gap.To
 		}):
 			result.Unknown++
@@ -93,7 +93,7 @@
 	}
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
 		reported := map[string]bool{}
-		for _, segment := range membership.CollectParts(ctx, c.addresses) {
+		for _, segment := range membership.CollectSegments(ctx, c.addresses) {
 			if n := len(segment.Entries); n > 0 && segment.IsClockOffsetKnown && segment.Entries[n-1].At+segment.ClockOffset > writesEnded.UnixNano() {
 				reported[segment.Instance.Name] = true
 			}
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -18,12 +18,15 @@
 	StateQueryCanceled      = "57014"
 	StateUnknownOutcome     = "08007"
 	StateNotSupported       = "0A000"
-	StateFenced             = "VF001" // not of PostgreSQL: the version of the attempt is closed
+	StateFenced             = "VF001" // not a code of PostgreSQL: the version of the attempt is no longer valid
 )
 
+// sqlStateLength is the number of characters of an SQLSTATE.
+const sqlStateLength = 5
+
 // Failure is the content of an ErrorResponse.
 type Failure struct {
-	Fatal    bool
+	IsFatal  bool
 	SQLState string
 	Message  string
 	Detail   string
@@ -32,7 +35,7 @@
 // writeFailure writes an ErrorResponse.
 func writeFailure(c *transport.Conn, f Failure) {
 	severity := "ERROR"
-	if f.Fatal {
+	if f.IsFatal {
 		severity = "FATAL"
 	}
 	fields := []string{"S", severity, "\x00V", severity, "\x00C", f.SQLState, "\x00M", f.Message, "\x00"}
@@ -52,7 +55,7 @@
 		}
 		switch body = rest; kind {
 		case 'S':
-			f.Fatal = text == "FATAL" || text == "PANIC"
+			f.IsFatal = text == "FATAL" || text == "PANIC"
 		case 'C':
 			f.SQLState = text
 		case 'M':
@@ -61,7 +64,7 @@
 			f.Detail = text
 		}
 	}
-	return f, body == "\x00" && len(f.SQLState) == 5
+	return f, body == "\x00" && len(f.SQLState) == sqlStateLength
 }
 
 // Pushback tells a client that it may safely retry, after retryAfterMillis if that is positive.
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -13,12 +13,12 @@
 	mayHaveRun    bool // one of its attempts may have run
 	answerPending bool // the answer has not been delivered yet
 
-	version     versions.Number // version of the rulebook that applies to the RPC, 0 for none
-	runsUntil   int64           // until when one of its attempts may still run
-	lastBeganAt int64           // when the last attempt began, 0 for none
-	effect      audit.Effect
-	outcome     audit.Outcome
-	startedAt   int64
+	version            versions.Number // version of the rulebook that applies to the RPC, 0 for none
+	runsUntil          int64           // until when one of its attempts may still run
+	lastAttemptBeganAt int64           // when the last attempt began, 0 for none
+	effect             audit.Effect
+	outcome            audit.Outcome
+	startedAt          int64
 }
 
 // EnableAdmission puts admission control in front of all RPCs. It must be called before the first Admit.
@@ -84,7 +84,7 @@
 // not, the RPC ends, since its tenant may be in another cell by now. The router's lock must be held.
 func (a *ActiveRPC) admitAttempt(onResult func(rules.Result)) bool {
 	router := a.router
-	if a.mayProceed() && !a.failsByPlantedFault() {
+	if a.mayProceed() && !a.failsByFailpoint() {
 		router.admissionController.AttemptStarted(a.admission.ticket, router.now())
 		return true
 	}
@@ -188,11 +188,11 @@
 	return r.admissionController.MostOverConnectionShare()
 }
 
-// ReportGrant applies the coordinator's answer to the report that was made at askedAt.
-func (r *Router) ReportGrant(askedAt int64, grant cells.Grant) error {
+// ApplyCellGrant applies the coordinator's answer to the report made at reportedAt.
+func (r *Router) ApplyCellGrant(reportedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changed, err := r.admissionController.ApplyGrant(askedAt, grant)
+	changed, err := r.admissionController.ApplyGrant(reportedAt, grant)
 	for _, tenant := range changed {
 		entry, _ := r.admissionController.Directory().Entry(tenant)
 		r.log.WithField("tenant", tenant).WithField("stage", entry.Stage).WithField("cell", entry.Cell).WithField("to", entry.To).
@@ -202,8 +202,8 @@
 	return err
 }
 
-// Report returns the report for the coordinator and the time at which it was made.
-func (r *Router) Report(name string, incarnation uint64) (cells.Report, int64) {
+// CellReport returns the report for the coordinator and the time at which it was made.
+func (r *Router) CellReport(name string, incarnation uint64) (cells.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
--- a/internal/routing/observed_versions.go
+++ b/internal/routing/observed_versions.go
@@ -9,27 +9,27 @@
 	"sedgespread/internal/versions"
 )
 
-// ObserveVersion records this driver's version of a thing that is versioned outside the fleet. It has no
-// effect if nothing is versioned.
-func (r *Router) ObserveVersion(thing versions.Resource, version versions.Number, digest string) {
+// ObserveVersion records this driver's version of a resource whose versions the fleet only observes. It
+// has no effect if nothing is versioned.
+func (r *Router) ObserveVersion(resource versions.Resource, version versions.Number, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.observeVersion(thing, version, digest)
+	r.observeVersion(resource, version, digest)
 }
 
-// observeVersion records a version for the fleet and in the audit trail. r.mu must be held.
-func (r *Router) observeVersion(thing versions.Resource, version versions.Number, digest string) {
-	if r.holder == nil {
+// observeVersion records a version to report to the fleet, and in the audit trail. r.mu must be held.
+func (r *Router) observeVersion(resource versions.Resource, version versions.Number, digest string) {
+	if r.versionState == nil {
 		return
 	}
-	r.holder.Observe(thing, version, digest)
+	r.versionState.Observe(resource, version, digest)
 	if r.trail != nil {
-		r.trail.RecordObserved(r.now(), thing, version)
+		r.trail.RecordObserved(r.now(), resource, version)
 	}
 }
 
 // listDigest is a digest of discovery's list that does not depend on the order of updates, so that
-// drivers can be compared that received the list in different parts.
+// drivers that received the list in different parts can be compared.
 type listDigest struct {
 	sumByMember map[string]uint64 // checksums by member name
 	total       uint64            // XOR of all checksums
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,21 +8,24 @@
 )
 
 var (
-	needByName = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
+	consistencyByName = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
 		"latest": rules.ConsistencyLinearizable, "update": rules.ConsistencyWrite}
-	effectByName = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
-	scopeByName  = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone,
+	effectByName     = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
+	dedupScopeByName = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone,
 		"all": rules.DedupEverywhere}
-	isGuardedByName    = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
-	isSubscribedByName = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	rejectsStaleReadsByName = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
+	onRequestByName         = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-// Methods parses the methods (classes) of the settings.
+// maxMethods limits the number of methods in the settings.
+const maxMethods = 10_000
+
+// Methods parses the methods, which the settings call classes.
 func (f *Fields) Methods() []rules.Method {
 	readLevels := f.List("extra.readLevel")
 	maxAges := f.List("extra.maxAgeUs")
 	count := f.RequiredInteger("classes.count")
-	if count < 0 || count > 10_000 {
+	if count < 0 || count > maxMethods {
 		f.Fail("classes.count=%d is out of range", count)
 		return nil
 	}
@@ -32,14 +35,14 @@
 		method := &methods[i]
 		method.Name = f.RequiredString(prefix + "name")
 		method.Effect = Lookup(f, prefix+"effect", f.RequiredString(prefix+"effect"), effectByName)
-		method.DedupScope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), scopeByName)
+		method.DedupScope = Lookup(f, prefix+"keyScope", f.Value(prefix+"keyScope"), dedupScopeByName)
 		method.DedupWindow = f.MicrosOrZero(prefix + "windowUs")
 		method.SoftDeadline = f.RequiredInteger(prefix+"aimUs") * nanosPerMicro
 		method.Deadline = f.MicrosOrZero(prefix + "giveUpUs")
 		method.Utility = f.NumberOr(prefix+"worth", 1)
 		method.LateUtility = f.NumberOr(prefix+"lateWorth", 0)
 		if i < len(readLevels) {
-			method.Consistency = Lookup(f, "extra.readLevel", readLevels[i], needByName)
+			method.Consistency = Lookup(f, "extra.readLevel", readLevels[i], consistencyByName)
 		}
 		if i < len(maxAges) {
 			method.MaxStaleness = f.ParseInteger("extra.maxAgeUs", maxAges[i]) * nanosPerMicro
@@ -63,7 +66,7 @@
 // Store parses how the store protects session reads.
 func (f *Fields) Store() rules.Store {
 	return rules.Store{
-		RejectsStaleReads:   Lookup(f, "extra.guards", f.Value("extra.guards"), isGuardedByName),
+		RejectsStaleReads:   Lookup(f, "extra.guards", f.Value("extra.guards"), rejectsStaleReadsByName),
 		CarriesSessionToken: f.Value("extra.tokens") == "client",
 	}
 }
@@ -94,13 +97,13 @@
 // Discovery parses how discovery delivers its list and announces members that leave.
 func (f *Fields) Discovery() rules.Discovery {
 	return rules.Discovery{
-		OnRequest:      Lookup(f, "discovery", f.Value("discovery"), isSubscribedByName),
+		OnRequest:      Lookup(f, "discovery", f.Value("discovery"), onRequestByName),
 		OnlyDrainBinds: f.BoolOr("safety.softRemoval", false),
 		DrainGrace:     f.MicrosOrZero("safety.drainGraceUs"),
 	}
 }
 
-// Observation parses what a load report shows of its member. Its position is relative to epoch.
+// Observation parses the role and position in a member's load report. The position is relative to epoch.
 func (f *Fields) Observation(epoch int64) (observation rules.Observation) {
 	if _, ok := f.Get("x0"); !ok {
 		return observation
