--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -47,8 +47,8 @@
 type Counts [effectCount][outcomeCount]uint64
 
 // Total returns the number of RPCs.
-func (t *Counts) Total() (n uint64) {
-	for _, byOutcome := range t {
+func (c *Counts) Total() (n uint64) {
+	for _, byOutcome := range c {
 		for _, count := range byOutcome {
 			n += count
 		}
@@ -57,17 +57,17 @@
 }
 
 // ByOutcome returns the number of RPCs with an outcome.
-func (t *Counts) ByOutcome(outcome Outcome) (n uint64) {
-	for _, byOutcome := range t {
+func (c *Counts) ByOutcome(outcome Outcome) (n uint64) {
+	for _, byOutcome := range c {
 		n += byOutcome[outcome]
 	}
 	return n
 }
 
-func (t *Counts) add(other *Counts) {
-	for effect := range t {
-		for outcome := range t[effect] {
-			t[effect][outcome] += other[effect][outcome]
+func (c *Counts) add(other *Counts) {
+	for effect := range c {
+		for outcome := range c[effect] {
+			c[effect][outcome] += other[effect][outcome]
 		}
 	}
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -100,29 +100,29 @@
 		trail.BeginRPC(int64(i), testResource, 1)
 		trail.EndRPC(int64(i), testResource, 1, fmt.Sprint("w", i), NonIdempotent, Served, 1)
 	}
-	first, second := NewCollection(1000), NewCollection(1000)
-	first.Add(trail.Since(0, 10))
-	first.Add(trail.Since(0, 10))
-	first.Add(trail.Since(5, 10))
-	second.Add(trail.Since(15, 100))
-	require.EqualValues(t, 15, first.LastSeq(testInstance))
+	firstCollection, secondCollection := NewCollection(1000), NewCollection(1000)
+	firstCollection.Add(trail.Since(0, 10))
+	firstCollection.Add(trail.Since(0, 10))
+	firstCollection.Add(trail.Since(5, 10))
+	secondCollection.Add(trail.Since(15, 100))
+	require.EqualValues(t, 15, firstCollection.LastSeq(testInstance))
 	merged := NewCollection(1000)
-	merged.Merge(append(second.Segments(), first.Segments()...))
+	merged.Merge(append(secondCollection.Segments(), firstCollection.Segments()...))
 	require.Empty(t, merged.Faults())
 	require.Len(t, merged.Segments()[0].Entries, 32)
-	require.EqualValues(t, 15, first.Add(trail.Since(20, 3)), "the missing entries come first")
+	require.EqualValues(t, 15, firstCollection.Add(trail.Since(20, 3)), "the missing entries come first")
 	afterGap := trail.Since(20, 3)
 	afterGap.OldestSeq = 20
-	require.EqualValues(t, 23, first.Add(afterGap), "unless the driver removed them")
-	require.Len(t, first.Segments(), 2)
-	require.Contains(t, fmt.Sprint(first.Gaps([]Lifetime{{testInstance, 0, 0, true}})), "entries 16 to 20 are not held")
-	for _, segment := range first.Segments() {
+	require.EqualValues(t, 23, firstCollection.Add(afterGap), "unless the driver removed them")
+	require.Len(t, firstCollection.Segments(), 2)
+	require.Contains(t, fmt.Sprint(firstCollection.Gaps([]Lifetime{{testInstance, 0, 0, true}})), "entries 16 to 20 are not held")
+	for _, segment := range firstCollection.Segments() {
 		_, err := segment.Verify()
 		require.NoError(t, err)
 	}
-	first.Merge(second.Segments())
-	require.Empty(t, first.Faults())
-	require.EqualValues(t, 32, first.LastSeq(testInstance))
+	firstCollection.Merge(secondCollection.Segments())
+	require.Empty(t, firstCollection.Faults())
+	require.EqualValues(t, 32, firstCollection.LastSeq(testInstance))
 	forged := trail.Since(0, 1)
 	forged.Token = "another"
 	forged.PreviousHash = rootHash(testInstance, "another")
@@ -135,7 +135,7 @@
 
 // Guards against RPC entries that are lost while a driver can't reach the council, although the
 // trail has room.
-func TestUnsentTrailKeepsRPCEntries(t *testing.T) {
+func TestUnacknowledgedTrailKeepsRPCEntries(t *testing.T) {
 	const writes = 3000
 	trail := NewTrail(0, testInstance, "token", 8192, 10*second)
 	trail.RecordEpoch(0, testResource, 1, 1)
--- a/internal/audit/collection.go
+++ b/internal/audit/collection.go
@@ -11,16 +11,17 @@
 // Collection holds the received parts of the trails of many instances.
 type Collection struct {
 	maxEntries int // of one instance
-	trails     map[versions.Instance]*trail
+	trails     map[versions.Instance]*receivedTrail
 	faults     []string
 }
 
-// trail is the received fragments of one instance's trail, in order, with gaps between them.
-type trail struct {
-	token         string
-	fragments     []fragment
-	offset        int64 // smallest received, which has the least transmission delay
-	isOffsetKnown bool
+// receivedTrail holds the received fragments of one instance's trail, in order, with gaps between
+// them.
+type receivedTrail struct {
+	token              string
+	fragments          []fragment
+	clockOffset        int64 // smallest received, which has the least transmission delay
+	isClockOffsetKnown bool
 }
 
 // fragment is a run of consecutive entries with the hash of the entry before them.
@@ -30,12 +31,12 @@
 }
 
 // toReceiverTime converts a time of the instance's clock to the receiver's.
-func (t *trail) toReceiverTime(at int64) int64 { return at + t.offset }
+func (t *receivedTrail) toReceiverTime(at int64) int64 { return at + t.clockOffset }
 
 // NewCollection returns an empty collection that keeps the latest maxEntries entries of each
 // instance.
 func NewCollection(maxEntries int) *Collection {
-	return &Collection{maxEntries: maxEntries, trails: map[versions.Instance]*trail{}}
+	return &Collection{maxEntries: maxEntries, trails: map[versions.Instance]*receivedTrail{}}
 }
 
 const maxFaults = 64
@@ -83,15 +84,15 @@
 	}
 	t := c.trails[segment.Instance]
 	if t == nil {
-		t = &trail{token: segment.Token}
+		t = &receivedTrail{token: segment.Token}
 		c.trails[segment.Instance] = t
 	}
 	if t.token != segment.Token {
 		c.addFault(fmt.Sprintf("%s start %d: two trails say that they are its", segment.Instance.Name, segment.Instance.Start))
 		return t.lastSeq()
 	}
-	if segment.IsClockOffsetKnown && (!t.isOffsetKnown || segment.ClockOffset < t.offset) {
-		t.offset, t.isOffsetKnown = segment.ClockOffset, true
+	if segment.IsClockOffsetKnown && (!t.isClockOffsetKnown || segment.ClockOffset < t.clockOffset) {
+		t.clockOffset, t.isClockOffsetKnown = segment.ClockOffset, true
 	}
 	previousHash := segment.PreviousHash
 	for _, e := range segment.Entries[:validCount] {
@@ -105,7 +106,7 @@
 }
 
 // add appends an entry unless it is held. It returns false if another entry is held at its place.
-func (t *trail) add(previousHash string, e Entry) bool {
+func (t *receivedTrail) add(previousHash string, e Entry) bool {
 	lastSeq := t.lastSeq()
 	if e.Seq <= lastSeq {
 		for _, f := range t.fragments {
@@ -124,7 +125,7 @@
 }
 
 // trim removes the oldest entries beyond maxEntries.
-func (t *trail) trim(maxEntries int) {
+func (t *receivedTrail) trim(maxEntries int) {
 	for excess := t.count() - maxEntries; excess > 0; excess = t.count() - maxEntries {
 		first := &t.fragments[0]
 		if len(first.entries) <= excess {
@@ -135,7 +136,7 @@
 	}
 }
 
-func (t *trail) count() (n int) {
+func (t *receivedTrail) count() (n int) {
 	for _, f := range t.fragments {
 		n += len(f.entries)
 	}
@@ -143,7 +144,7 @@
 }
 
 // each calls visit for all entries, oldest first.
-func (t *trail) each(visit func(e *Entry)) {
+func (t *receivedTrail) each(visit func(e *Entry)) {
 	for _, f := range t.fragments {
 		for i := range f.entries {
 			visit(&f.entries[i])
@@ -158,7 +159,7 @@
 }
 
 // lastSeq returns the number of the last entry held, 0 for none.
-func (t *trail) lastSeq() uint64 {
+func (t *receivedTrail) lastSeq() uint64 {
 	if len(t.fragments) == 0 {
 		return 0
 	}
@@ -183,7 +184,7 @@
 		t := c.trails[instance]
 		for _, f := range t.fragments {
 			segments = append(segments, Segment{Instance: instance, Token: t.token, PreviousHash: f.previousHash,
-				Entries: slices.Clone(f.entries), ClockOffset: t.offset, IsClockOffsetKnown: t.isOffsetKnown})
+				Entries: slices.Clone(f.entries), ClockOffset: t.clockOffset, IsClockOffsetKnown: t.isClockOffsetKnown})
 		}
 	}
 	return segments
@@ -305,7 +306,7 @@
 	return all
 }
 
-// LateActivity is an act under a version after a newer one was completed.
+// LateActivity is activity under a version after a newer one was completed.
 type LateActivity struct {
 	Instance  versions.Instance `json:"who"`
 	Version   versions.Number   `json:"version"`
@@ -316,7 +317,7 @@
 }
 
 // LateActivities returns acts on versions below one that was completed in an epoch, at completedAt
-// by the council's clock. An act is late for certain if the driver knew of the epoch, and otherwise
+// by the council's clock. An act is certainly late if the driver knew of the epoch, and otherwise
 // if it is later by more than the clock error; without a clock offset only the former counts. The
 // time of an act is when its last attempt began, as a paused driver may end old RPCs late. RPCs
 // without an entry are late if they began within a late span.
@@ -357,7 +358,7 @@
 			case isCertain:
 				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC,
 					fmt.Sprintf("entry %d, after it had learned of epoch %d", e.Seq, epoch), true})
-			case c.trails[instance].isOffsetKnown && c.trails[instance].toReceiverTime(attemptedAt) > completedAt+clockError:
+			case c.trails[instance].isClockOffsetKnown && c.trails[instance].toReceiverTime(attemptedAt) > completedAt+clockError:
 				late = append(late, LateActivity{instance, e.Version, attemptedAt, e.RPC,
 					fmt.Sprintf("entry %d, beyond the clocks' error", e.Seq), false})
 			}
@@ -416,7 +417,7 @@
 	lifetimes []Lifetime) (all []Gap) {
 	for _, lifetime := range lifetimes {
 		t, isActive := c.trails[lifetime.Instance], false
-		if t == nil || t.isOffsetKnown {
+		if t == nil || t.isClockOffsetKnown {
 			continue
 		}
 		t.each(func(e *Entry) {
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -56,13 +56,15 @@
 const FlushInterval = int64(250_000_000)
 
 const (
-	rpcEntriesShare = 0.75 // of the entries, for KindRPC entries that are not acknowledged
-	unsentShare     = 0.5  // of the entries; if more are unacknowledged, spans are recorded only before sending
+	rpcEntriesShare        = 0.75 // of the entries, for KindRPC entries that are not acknowledged
+	maxUnacknowledgedShare = 0.5  // of the entries; if more are unacknowledged, spans are recorded only before sending
 )
 
-// NewTrail begins the trail of an instance, which keeps maxEntries entries.
+const minEntries = 16
+
+// NewTrail begins the trail of an instance, which keeps maxEntries entries, at least minEntries.
 func NewTrail(now int64, instance versions.Instance, token string, maxEntries int, nearChange int64) *Trail {
-	t := &Trail{instance: instance, token: token, maxEntries: max(maxEntries, 16), nearChange: nearChange,
+	t := &Trail{instance: instance, token: token, maxEntries: max(maxEntries, minEntries), nearChange: nearChange,
 		openSpans: map[spanKey]*span{}, active: map[versions.Resource]versions.Number{},
 		changedAt: map[versions.Resource]int64{}, dropped: map[spanKey]*droppedRPCs{}, flushedAt: now}
 	t.oldestPreviousHash = rootHash(instance, token)
@@ -174,15 +176,15 @@
 
 // flushIfDue flushes once per interval while there is room.
 func (t *Trail) flushIfDue(now int64) {
-	unsent := float64(t.seq - t.acknowledgedSeq)
-	if now-t.flushedAt >= FlushInterval && unsent < float64(t.maxEntries)*unsentShare {
+	unacknowledged := float64(t.seq - t.acknowledgedSeq)
+	if now-t.flushedAt >= FlushInterval && unacknowledged < float64(t.maxEntries)*maxUnacknowledgedShare {
 		t.Flush(now)
 	}
 }
 
 // sortedKeys returns the keys in order, so that trails are deterministic.
-func sortedKeys[T any](spans map[spanKey]T) []spanKey {
-	return slices.SortedFunc(maps.Keys(spans), func(a, b spanKey) int {
+func sortedKeys[T any](m map[spanKey]T) []spanKey {
+	return slices.SortedFunc(maps.Keys(m), func(a, b spanKey) int {
 		return cmp.Or(cmp.Compare(a.resource, b.resource), cmp.Compare(a.version, b.version))
 	})
 }
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -20,7 +20,7 @@
 
 // Timing holds the timing parameters of a council; they must be the same at all voters.
 type Timing struct {
-	Tick          int64   // nanoseconds between two calls of Seat.Tick
+	Tick          int64   // nanoseconds between two calls of Node.Tick
 	ElectionTicks int     // minimum election timeout in ticks, at least 4
 	MaxDrift      float64 // bound on the rate error of any voter's clock, as a fraction
 }
@@ -33,19 +33,19 @@
 // A voter that received a leader's message grants no other candidate its vote for ElectionTicks of
 // its own ticks. The first tick may be due already, so at least ElectionTicks - 2 whole ticks pass,
 // corrected for the drift of both clocks.
-func (p Timing) LeaderLease() int64 {
-	return int64(float64(p.ElectionTicks-2) * float64(p.Tick) * (1 - p.MaxDrift) / (1 + p.MaxDrift))
+func (t Timing) LeaderLease() int64 {
+	return int64(float64(t.ElectionTicks-2) * float64(t.Tick) * (1 - t.MaxDrift) / (1 + t.MaxDrift))
 }
 
-// LogPosition is how far a voter's disk is known to have advanced; it must never be behind that
-// again.
+// LogPosition is the furthest term and log entry that a voter's disk is known to have held. A disk that
+// is behind it was replaced by an older copy.
 type LogPosition struct {
 	Term      uint64 `json:"term"` // highest term seen or voted in
 	LastTerm  uint64 `json:"last_term"`
 	LastIndex uint64 `json:"last"` // highest acknowledged index of LastTerm
 }
 
-// exceeds reports whether p is ahead of other in term or log.
+// exceeds reports whether p is ahead of other in its term or its last entry.
 func (p LogPosition) exceeds(other LogPosition) bool {
 	return p.Term > other.Term || p.LastTerm > other.LastTerm || p.LastTerm == other.LastTerm && p.LastIndex > other.LastIndex
 }
@@ -81,13 +81,13 @@
 
 // NewDiskState returns the initial durable state of each voter of a new council.
 func NewDiskState(voters []VoterID) DiskState {
-	initialIndex := uint64(1)
+	initial := uint64(1)
 	confState := &raftpb.ConfState{}
 	for _, v := range slices.Sorted(slices.Values(voters)) {
 		confState.Voters = append(confState.Voters, uint64(v))
 	}
-	return DiskState{HardState: &raftpb.HardState{Term: &initialIndex, Commit: &initialIndex},
-		Snapshot: &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{ConfState: confState, Index: &initialIndex, Term: &initialIndex}}}
+	return DiskState{HardState: &raftpb.HardState{Term: &initial, Commit: &initial},
+		Snapshot: &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{ConfState: confState, Index: &initial, Term: &initial}}}
 }
 
 // validateVoterCount rejects even sizes, which tolerate no more failures than the next smaller odd
--- a/internal/council/node.go
+++ b/internal/council/node.go
@@ -159,7 +159,7 @@
 		}
 		n.tryActivate()
 	case n.isLeader && n.IsDiskStalled():
-		// stop sending heartbeats so that the followers elect a leader whose disk works
+		// Sends no heartbeats, so that the followers elect a leader whose disk works.
 	case n.isLeader:
 		n.rawNode.Tick()
 		n.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(now)))
@@ -170,7 +170,7 @@
 }
 
 // campaignIfTimedOut campaigns when no leader was heard for the election timeout. A voter with
-// pending writes does not: its vote for itself would wait behind them.
+// pending writes does not: its vote for itself would have to wait for them.
 func (n *Node) campaignIfTimedOut() {
 	if n.ticksWithoutLeader++; n.ticksWithoutLeader < n.electionTimeout || n.ticksSinceStart < n.timing.ElectionTicks || n.pendingWrites > 0 {
 		return
@@ -213,7 +213,7 @@
 	}
 }
 
-// refuse shuts the node down permanently.
+// refuse stops the node permanently, as its voter ID must not vote again.
 func (n *Node) refuse(reason string) {
 	n.refusalReason, n.isLeader, n.leader, n.packets = reason, false, 0, nil
 }
@@ -492,7 +492,7 @@
 
 var errNotLeader = errors.New("this voter does not lead the council")
 
-// Propose proposes a record. A nil error does not mean that it will be committed.
+// Propose proposes a record. A nil error does not guarantee that it will be committed.
 func (n *Node) Propose(record []byte) error {
 	if !n.IsActive() || !n.isLeader || n.IsDiskStalled() {
 		return errNotLeader
--- a/internal/council/node_test.go
+++ b/internal/council/node_test.go
@@ -60,15 +60,15 @@
 }
 
 func TestLeaderLease(t *testing.T) {
-	p := Timing{Tick: 1000, ElectionTicks: 10, MaxDrift: 0.01}
-	require.EqualValues(t, 7841, p.LeaderLease())
-	require.Less(t, float64(p.LeaderLease())/(1-p.MaxDrift), float64(p.ElectionTicks-2)*float64(p.Tick)/(1+p.MaxDrift), "lease outlasts the vote holdback with clocks at opposite ends of the drift")
+	timing := Timing{Tick: 1000, ElectionTicks: 10, MaxDrift: 0.01}
+	require.EqualValues(t, 7841, timing.LeaderLease())
+	require.Less(t, float64(timing.LeaderLease())/(1-timing.MaxDrift), float64(timing.ElectionTicks-2)*float64(timing.Tick)/(1+timing.MaxDrift), "lease outlasts the time without votes with clocks at opposite ends of the drift")
 }
 
 // Guards against a voter that votes after it lost its disk or got an old copy back.
 func TestOldOrEmptyDiskIsRefused(t *testing.T) {
-	for lag := range VoterID(2) { // the leader and a follower
-		testStaleDiskRefused(t, lag)
+	for offset := range VoterID(2) { // the leader and a follower
+		testStaleDiskRefused(t, offset)
 	}
 }
 
--- a/internal/council/server/disk.go
+++ b/internal/council/server/disk.go
@@ -19,9 +19,9 @@
 
 // logFile is implemented by store.Log, and by tests that simulate slow files.
 type logFile interface {
-	Save(parts ...store.Update) error
+	Save(updates ...store.Update) error
 	Value(name string) ([]byte, error)
-	Each(do func(n uint64, record []byte) error) error
+	Each(visit func(n uint64, record []byte) error) error
 	Close() error
 }
 
@@ -152,7 +152,7 @@
 	update = store.Update{DropBefore: w.DropBefore, Values: map[string][]byte{}}
 	fields := []struct {
 		name  string
-		given bool
+		isSet bool
 		data  func() ([]byte, error)
 	}{
 		{keyHardState, w.HardState != nil, func() ([]byte, error) { return proto.Marshal(w.HardState) }},
@@ -160,11 +160,11 @@
 		{keyKnownPositions, w.KnownPositions != nil, func() ([]byte, error) { return json.Marshal(w.KnownPositions) }},
 		{keyPosition, true, func() ([]byte, error) { return json.Marshal(w.Position) }},
 	}
-	for _, v := range fields {
-		if !v.given {
+	for _, field := range fields {
+		if !field.isSet {
 			continue
 		}
-		if update.Values[v.name], err = v.data(); err != nil {
+		if update.Values[field.name], err = field.data(); err != nil {
 			return update, err
 		}
 	}
--- a/internal/council/server/disk_writer.go
+++ b/internal/council/server/disk_writer.go
@@ -69,6 +69,8 @@
 	}
 }
 
+const meanWindowWrites = 8 // inverse weight of the latest write in the moving average
+
 // writeLatency tracks the duration of disk writes and whether the disk is slow.
 type writeLatency struct {
 	mean   time.Duration // exponentially weighted moving average
@@ -81,7 +83,7 @@
 	if l.mean == 0 {
 		l.mean = took
 	}
-	l.mean += (took - l.mean) / 8
+	l.mean += (took - l.mean) / meanWindowWrites
 	lease := time.Duration(timing.LeaderLease())
 	if isSlow := l.mean > lease || l.isSlow && l.mean > lease/2; isSlow != l.isSlow {
 		l.isSlow = isSlow
--- a/internal/council/server/packet_sender.go
+++ b/internal/council/server/packet_sender.go
@@ -18,7 +18,7 @@
 type packetSender struct {
 	server *Server
 	ctx    context.Context
-	stop   context.CancelFunc
+	cancel context.CancelFunc
 	client *http.Client
 	queues map[council.VoterID]chan council.Packet
 }
@@ -34,13 +34,13 @@
 )
 
 func newPacketSender(server *Server) *packetSender {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}
-	return &packetSender{server: server, ctx: ctx, stop: stop, client: &http.Client{Transport: transport}, queues: map[council.VoterID]chan council.Packet{}}
+	return &packetSender{server: server, ctx: ctx, cancel: cancel, client: &http.Client{Transport: transport}, queues: map[council.VoterID]chan council.Packet{}}
 }
 
 func (p *packetSender) close() {
-	p.stop()
+	p.cancel()
 	p.client.CloseIdleConnections()
 }
 
@@ -72,9 +72,9 @@
 				packet.Messages, packet.Positions = append(packet.Messages, next.Messages...), next.Positions
 				packet.IsQuery, packet.IsReply = packet.IsQuery || next.IsQuery, packet.IsReply || next.IsReply
 			}
-			ctx, stop := context.WithTimeout(p.ctx, sendTimeout)
+			ctx, cancel := context.WithTimeout(p.ctx, sendTimeout)
 			err := jsonhttp.Post(ctx, p.client, "http://"+p.server.address(to)+packetPath, packet, nil)
-			stop()
+			cancel()
 			if err != nil && p.ctx.Err() == nil {
 				p.server.enqueue(p.ctx, func() { p.server.node.ReportUnreachable(to) })
 			}
--- a/internal/council/server/record.go
+++ b/internal/council/server/record.go
@@ -9,8 +9,8 @@
 	Data       json.RawMessage `json:"data"`
 }
 
-// StateMachine applies records of the council's log. Its methods are called sequentially, and
-// records in the same order at every voter. They must not call the Server.
+// StateMachine applies records of the council's log. Its methods are called sequentially, with
+// the records in the same order at every voter, and must not call the Server.
 type StateMachine interface {
 	// Apply applies a committed record. It must be deterministic.
 	Apply(data []byte)
--- a/internal/council/server/server_test.go
+++ b/internal/council/server/server_test.go
@@ -79,13 +79,13 @@
 	writes atomic.Int64
 }
 
-func (p *slowFile) Save(parts ...store.Update) error {
-	time.Sleep(time.Duration(p.delay.Load()))
-	for p.isHung.Load() {
+func (f *slowFile) Save(updates ...store.Update) error {
+	time.Sleep(time.Duration(f.delay.Load()))
+	for f.isHung.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	p.writes.Add(1)
-	return p.logFile.Save(parts...)
+	f.writes.Add(1)
+	return f.logFile.Save(updates...)
 }
 
 type runningVoter struct {
@@ -174,10 +174,10 @@
 	}
 }
 
-func (s *runningVoter) current() (*Server, *register) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.server, s.register
+func (v *runningVoter) current() (*Server, *register) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.server, v.register
 }
 
 func eventually(t *testing.T, failure string, isDone func() bool) {
@@ -249,8 +249,8 @@
 // keep its lease, and concurrent records must share writes.
 func TestSlowDisks(t *testing.T) {
 	cluster := newCluster(t, 3)
-	for _, p := range cluster.files {
-		p.delay.Store(2 * timing.LeaderLease())
+	for _, file := range cluster.files {
+		file.delay.Store(2 * timing.LeaderLease())
 	}
 	cluster.record("first")
 	leader := cluster.waitForLeader()
@@ -495,8 +495,8 @@
 		for ctx.Err() == nil {
 			time.Sleep(time.Duration(300+rng.Intn(500)) * ms)
 			i := rng.Intn(3)
-			if lead := cluster.leader(); lead >= 0 && rng.Intn(2) == 0 {
-				i = lead
+			if leader := cluster.leader(); leader >= 0 && rng.Intn(2) == 0 {
+				i = leader
 			}
 			cluster.stop(i)
 			time.Sleep(time.Duration(rng.Intn(200)) * ms)
--- a/internal/council/simulation_test.go
+++ b/internal/council/simulation_test.go
@@ -31,7 +31,7 @@
 	hasSlowDisks  bool // some disks are slow, and some hang temporarily
 }
 
-// fault is a deliberate bug that the random walk must detect.
+// fault is a deliberate bug that the simulation must detect.
 type fault int
 
 const (
@@ -39,7 +39,7 @@
 	longLease               // a leader acts after its lease has ended
 	earlyVotes              // a voter votes too early after its start
 	sendsBeforeWrite        // a write is completed before it is durable
-	noPositions             // known positions are not exchanged
+	missingPositions        // known positions are not exchanged
 	actsBeforeApplied       // a leader acts before it has applied earlier records
 )
 
@@ -220,7 +220,7 @@
 
 func (c *testCluster) send(packets []Packet) {
 	for _, p := range packets {
-		if c.fault == noPositions {
+		if c.fault == missingPositions {
 			p.Positions = nil
 		}
 		if !c.blockedLinks[[2]VoterID{p.From, p.To}] && len(c.inFlight) < maxInFlight {
@@ -445,11 +445,11 @@
 	require.Greater(t, refusedVoters, 3)
 }
 
-// Guards against a random walk that misses deliberate faults.
+// Guards against a simulation that misses deliberate faults.
 func TestCouncilsWithPlantedFaults(t *testing.T) {
-	for name, planted := range map[string]fault{"a tenure too long": longLease, "votes just after a start": earlyVotes,
-		"sent before written": sendsBeforeWrite, "old disks accepted": noPositions,
-		"acting before knowing": actsBeforeApplied} {
+	for name, planted := range map[string]fault{"lease used after its end": longLease, "vote just after a start": earlyVotes,
+		"write completed before it is durable": sendsBeforeWrite, "old disks accepted": missingPositions,
+		"acting before earlier records are applied": actsBeforeApplied} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(3000) {
 				cluster := newCluster(seed, 3, planted)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -85,7 +85,7 @@
 	EarlierStarts []EndedStart `json:"earlier,omitempty"` // earlier starts of this name, newest last
 }
 
-// EndedStart is a start whose name a later start has taken over.
+// EndedStart describes a superseded start.
 type EndedStart struct {
 	Start    StartNumber `json:"start"`
 	JoinedAt int64       `json:"joined"`
@@ -114,7 +114,7 @@
 	supersededLeaseEnds map[SupersededStart]int64
 
 	unreachableReports map[string]unreachableReport
-	silentSince        map[string]int64 // by name, when it was first found silent
+	unreachableSince   map[string]int64 // by name, when it was first found unreachable
 }
 
 // SupersededStart identifies a start whose name a later start has taken over.
@@ -137,7 +137,7 @@
 	ShouldRejoin   bool
 }
 
-func (r *RefusedError) Error() string { return r.Reason + "; " + r.Remedy }
+func (e *RefusedError) Error() string { return e.Reason + "; " + e.Remedy }
 
 // Offer returns the number that a start would get. It is the first of two steps, so that a delayed
 // message of a start that has ended can't take over the name.
@@ -216,8 +216,8 @@
 // MayAct reports whether a driver may still hold a lease and has to be waited for, whatever its
 // state.
 func (r *Roster) MayAct(now int64, name string) bool {
-	leaseEnd, known := r.leaseEnds[name]
-	return known && leaseEnd >= now
+	leaseEnd, isKnown := r.leaseEnds[name]
+	return isKnown && leaseEnd >= now
 }
 
 // SupersededStarts returns the superseded starts that may still hold a lease, sorted.
@@ -236,13 +236,13 @@
 // LeaseEnd returns when a driver's lease has certainly ended.
 func (r *Roster) LeaseEnd(name string) int64 { return r.leaseEnds[name] }
 
-// TakeOver makes this the roster of a new leader. Any known driver may hold a lease that the previous
-// leader granted just before.
+// TakeOver is called when this process becomes the leader. It assumes that each known driver holds a
+// lease that the previous leader has just granted.
 func (r *Roster) TakeOver(now int64) {
 	for name := range r.drivers {
 		r.leaseEnds[name] = r.leaseEndAt(now)
 	}
-	r.pendingStarts, r.unreachableReports, r.silentSince = map[string]StartNumber{}, map[string]unreachableReport{}, nil
+	r.pendingStarts, r.unreachableReports, r.unreachableSince = map[string]StartNumber{}, map[string]unreachableReport{}, nil
 }
 
 // Leave proposes that a start has left, and releases its lease.
@@ -259,7 +259,7 @@
 func (r *Roster) Step(now int64) (records []Record) {
 	maps.DeleteFunc(r.supersededLeaseEnds, func(_ SupersededStart, leaseEnd int64) bool { return leaseEnd < now })
 	for _, d := range r.Drivers() {
-		if _, known := r.leaseEnds[d.Name]; !known {
+		if _, isKnown := r.leaseEnds[d.Name]; !isKnown {
 			r.leaseEnds[d.Name] = now - 1 // just joined, no lease yet
 		}
 		if d.State == StatePresent && now-r.leaseEnds[d.Name] > r.forgetAfter {
@@ -346,8 +346,8 @@
 	if record.Kind == KindJoin {
 		return r.join(now, d, record)
 	}
-	nextState, known := map[Kind]State{KindLeave: StateLeft, KindExpire: StateGone, KindShutOut: StateShutOut, KindReadmit: StatePresent}[record.Kind]
-	if !known {
+	nextState, isKnown := map[Kind]State{KindLeave: StateLeft, KindExpire: StateGone, KindShutOut: StateShutOut, KindReadmit: StatePresent}[record.Kind]
+	if !isKnown {
 		r.unknownRecords = append(r.unknownRecords, record)
 		return nil
 	}
--- a/internal/roster/suspicions.go
+++ b/internal/roster/suspicions.go
@@ -10,7 +10,7 @@
 	Name              string      `json:"name"`
 	Start             StartNumber `json:"start"`
 	Reporters         []string    `json:"by"`     // peers that report it
-	EligibleReporters int         `json:"of"`     // peers that could report it
+	EligibleReporters int         `json:"of"`     // peers whose reports count
 	IsUnreachable     bool        `json:"silent"` // reported by at least two peers and more than half of them
 	UnreachableSince  int64       `json:"since"`  // on the local clock, 0 if not silent
 }
@@ -32,35 +32,35 @@
 // Suspicions returns the drivers that peers report as unreachable, sorted by name. An unreachable
 // driver may still serve clients, so its lease is waited for all the same.
 func (r *Roster) Suspicions(now int64) (suspicions []Suspicion) {
-	var listeners []string
+	var eligibleReporters []string
 	for _, name := range slices.Sorted(maps.Keys(r.unreachableReports)) {
 		if d := r.drivers[name]; d != nil && d.Start == r.unreachableReports[name].start && d.State == StatePresent && r.MayAct(now, name) {
-			listeners = append(listeners, name)
+			eligibleReporters = append(eligibleReporters, name)
 		}
 	}
-	silentSince := map[string]int64{}
+	unreachableSince := map[string]int64{}
 	for _, d := range r.Drivers() {
 		suspicion := Suspicion{Name: d.Name, Start: d.Start}
-		for _, listener := range listeners {
-			if listener == d.Name {
+		for _, reporter := range eligibleReporters {
+			if reporter == d.Name {
 				continue
 			}
 			suspicion.EligibleReporters++
-			if slices.Contains(r.unreachableReports[listener].unreachable, d.Name) {
-				suspicion.Reporters = append(suspicion.Reporters, listener)
+			if slices.Contains(r.unreachableReports[reporter].unreachable, d.Name) {
+				suspicion.Reporters = append(suspicion.Reporters, reporter)
 			}
 		}
 		if d.State != StatePresent || len(suspicion.Reporters) == 0 {
 			continue
 		}
 		if suspicion.IsUnreachable = len(suspicion.Reporters) >= 2 && 2*len(suspicion.Reporters) > suspicion.EligibleReporters; suspicion.IsUnreachable {
-			if suspicion.UnreachableSince = r.silentSince[d.Name]; suspicion.UnreachableSince == 0 {
+			if suspicion.UnreachableSince = r.unreachableSince[d.Name]; suspicion.UnreachableSince == 0 {
 				suspicion.UnreachableSince = now
 			}
-			silentSince[d.Name] = suspicion.UnreachableSince
+			unreachableSince[d.Name] = suspicion.UnreachableSince
 		}
 		suspicions = append(suspicions, suspicion)
 	}
-	r.silentSince = silentSince
+	r.unreachableSince = unreachableSince
 	return suspicions
 }
--- a/internal/roster/suspicions_test.go
+++ b/internal/roster/suspicions_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A driver must not count as silent because of a peer that is itself cut off, a superseded start or an
-// outdated report.
+// A driver must not count as unreachable because of a peer that is itself cut off, a
+// superseded start or an outdated report.
 func TestSuspicions(t *testing.T) {
 	r := newTestRoster()
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -17,9 +17,9 @@
 	require.Empty(t, r.Suspicions(1))
 	r.ReportUnreachable("a", []string{"b", "c", "d"}) // a is cut off itself
 	require.Len(t, r.Suspicions(1), 3)
-	for _, d := range r.Suspicions(1) {
-		require.False(t, d.IsUnreachable, d.Name)
-		require.Equal(t, 3, d.EligibleReporters)
+	for _, suspicion := range r.Suspicions(1) {
+		require.False(t, suspicion.IsUnreachable, suspicion.Name)
+		require.Equal(t, 3, suspicion.EligibleReporters)
 	}
 	r.ReportUnreachable("b", []string{"a"})
 	r.ReportUnreachable("c", []string{"a"})
--- a/internal/store/journal.go
+++ b/internal/store/journal.go
@@ -27,6 +27,7 @@
 	journalVersion = 1 // format version
 	lockTimeout    = time.Second
 	checksumBytes  = 8
+	numberBytes    = 8 // of an encoded record number
 )
 
 var (
@@ -39,7 +40,7 @@
 // Open opens a journal, or creates one if there is no file. It rejects a truncated or corrupted
 // file, since that may lack records that others already rely on.
 func Open(path string) (j *Journal, err error) {
-	defer recoverDamage(path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(path, &err, debug.SetPanicOnFault(true))
 	db, err := openFile(path)
 	if err != nil {
 		return nil, err
@@ -68,9 +69,9 @@
 	return db, nil
 }
 
-// recoverDamage converts a panic that bbolt raises on corrupted pages into an error. Call it in a
+// recoverCorruption converts a panic that bbolt raises on corrupted pages into an error. Call it in a
 // defer statement; panicOnFault is the setting of debug.SetPanicOnFault to restore.
-func recoverDamage(path string, err *error, panicOnFault bool) {
+func recoverCorruption(path string, err *error, panicOnFault bool) {
 	debug.SetPanicOnFault(panicOnFault)
 	if r := recover(); r != nil {
 		*err = fmt.Errorf("%s: the file is damaged: %v", path, r)
@@ -79,7 +80,7 @@
 
 // initialize checks the format version of an existing journal, and sets up a new one.
 func (j *Journal) initialize() (err error) {
-	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(j.path, &err, debug.SetPanicOnFault(true))
 	err = j.db.Update(func(tx *bbolt.Tx) error {
 		if b := tx.Bucket(bucketFormat); b != nil {
 			if v := b.Get(keyVersion); len(v) != 1 || v[0] != journalVersion {
@@ -107,7 +108,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(j.path, &err, debug.SetPanicOnFault(true))
 	if err := j.append(records); err != nil {
 		return err
 	}
@@ -134,24 +135,24 @@
 	})
 }
 
-// Replay calls each with all records in order. It fails at a missing or corrupted record.
-func (j *Journal) Replay(each func(record []byte) error) (err error) {
-	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
+// Replay calls visit with all records in order. It fails at a missing or corrupted record.
+func (j *Journal) Replay(visit func(record []byte) error) (err error) {
+	defer recoverCorruption(j.path, &err, debug.SetPanicOnFault(true))
 	return j.db.View(func(tx *bbolt.Tx) error {
 		b, count := tx.Bucket(bucketRecords), uint64(0)
-		if first := tx.Bucket(bucketFormat).Get(keyFirstRecord); len(first) == 8 {
+		if first := tx.Bucket(bucketFormat).Get(keyFirstRecord); len(first) == numberBytes {
 			count = binary.BigEndian.Uint64(first) - 1
 		}
 		err := b.ForEach(func(k, v []byte) error {
 			count++
-			if len(k) != 8 || binary.BigEndian.Uint64(k) != count {
+			if len(k) != numberBytes || binary.BigEndian.Uint64(k) != count {
 				return fmt.Errorf("%s: record %d is missing", j.path, count)
 			}
 			record, err := stripChecksum(v)
 			if err != nil {
 				return fmt.Errorf("%s: record %d %w", j.path, count, err)
 			}
-			return each(record)
+			return visit(record)
 		})
 		if err == nil && count != b.Sequence() {
 			err = fmt.Errorf("%s: last record is %d, but %d were written", j.path, count, b.Sequence())
@@ -173,9 +174,9 @@
 	return all, err
 }
 
-// TrimOldest deletes all but the newest keep records.
+// TrimOldest deletes the oldest records so that at most keep remain.
 func (j *Journal) TrimOldest(keep int) (err error) {
-	defer recoverDamage(j.path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(j.path, &err, debug.SetPanicOnFault(true))
 	return j.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketRecords)
 		last := b.Sequence()
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -28,7 +28,7 @@
 // OpenLog opens a log, or creates one if there is no file. It rejects a truncated or corrupted
 // file.
 func OpenLog(path string) (l *Log, err error) {
-	defer recoverDamage(path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(path, &err, debug.SetPanicOnFault(true))
 	db, err := openFile(path)
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 
 // initialize checks the format version of an existing log, and sets up a new one.
 func (l *Log) initialize() (err error) {
-	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(l.path, &err, debug.SetPanicOnFault(true))
 	return l.db.Update(func(tx *bbolt.Tx) error {
 		if b := tx.Bucket(bucketLogFormat); b != nil {
 			if v := b.Get(keyVersion); len(v) != 1 || v[0] != logVersion {
@@ -63,7 +63,7 @@
 	})
 }
 
-// Update is a set of changes to a log. Its fields are applied in their order.
+// Update is a set of changes to a log. They are applied in the order of the fields.
 type Update struct {
 	ReplaceFrom uint64   // delete all records from this number on; 0 deletes none
 	Records     [][]byte // new records, numbered from ReplaceFrom on
@@ -73,7 +73,7 @@
 
 // Save applies updates in order in one transaction, and waits until they are durable.
 func (l *Log) Save(updates ...Update) (err error) {
-	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(l.path, &err, debug.SetPanicOnFault(true))
 	if err := l.save(updates); err != nil {
 		return fmt.Errorf("%s: %w", l.path, err)
 	}
@@ -154,7 +154,7 @@
 
 // Value returns a named value, or nil if it was never written.
 func (l *Log) Value(name string) (value []byte, err error) {
-	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
+	defer recoverCorruption(l.path, &err, debug.SetPanicOnFault(true))
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		v := tx.Bucket(bucketValues).Get([]byte(name))
 		if v == nil {
@@ -168,13 +168,13 @@
 	return value, err
 }
 
-// Each calls do with all records in order. It fails at a missing or corrupted record.
-func (l *Log) Each(do func(n uint64, record []byte) error) (err error) {
-	defer recoverDamage(l.path, &err, debug.SetPanicOnFault(true))
+// Each calls visit with all records in order. It fails at a missing or corrupted record.
+func (l *Log) Each(visit func(n uint64, record []byte) error) (err error) {
+	defer recoverCorruption(l.path, &err, debug.SetPanicOnFault(true))
 	return l.db.View(func(tx *bbolt.Tx) error {
 		next := uint64(0)
 		return tx.Bucket(bucketLog).ForEach(func(k, v []byte) error {
-			if len(k) != 8 {
+			if len(k) != numberBytes {
 				return fmt.Errorf("%s: record key is not a number", l.path)
 			}
 			n := binary.BigEndian.Uint64(k)
@@ -186,7 +186,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: record %d %w", l.path, n, err)
 			}
-			return do(n, record)
+			return visit(n, record)
 		})
 	})
 }
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -25,8 +25,8 @@
 func testValues(v string) map[string][]byte { return map[string][]byte{"v": []byte(v)} }
 
 func encodeRecords(all ...string) (records [][]byte) {
-	for _, t := range all {
-		records = append(records, []byte(t))
+	for _, text := range all {
+		records = append(records, []byte(text))
 	}
 	return records
 }
--- a/internal/versions/distribution.go
+++ b/internal/versions/distribution.go
@@ -96,10 +96,10 @@
 	slices.SortFunc(d.Holders, func(a, b VersionHolders) int {
 		return cmp.Or(cmp.Compare(b.Number, a.Number), cmp.Compare(a.Digest, b.Digest))
 	})
-	newest := d.Holders[0].Number
+	latest := d.Holders[0].Number
 	for i, holder := range d.Holders {
 		d.HasConflict = d.HasConflict || i > 0 && d.Holders[i-1].Number == holder.Number
-		if holder.Number == newest {
+		if holder.Number == latest {
 			continue
 		}
 		for _, instance := range holder.Instances {
--- a/internal/versions/distribution_test.go
+++ b/internal/versions/distribution_test.go
@@ -25,9 +25,9 @@
 	}
 	require.Empty(t, f.controller.Assignments(f.instances[0]), "nothing is assigned")
 	require.Empty(t, f.controller.StalledVersions(0, f.statuses()))
-	s := distribution()
-	require.Equal(t, []VersionHolders{{7, "seven", f.instances}}, s.Holders)
-	require.Empty(t, s.Lagging)
+	d := distribution()
+	require.Equal(t, []VersionHolders{{7, "seven", f.instances}}, d.Holders)
+	require.Empty(t, d.Lagging)
 	report(0, 9, "nine")
 	report(1, 8, "eight")
 	f.now = 100
@@ -35,20 +35,20 @@
 	f.now = 150
 	report(0, 10, "ten")
 	report(1, 9, "nine")
-	s = distribution()
-	require.Equal(t, []LaggingDriver{{f.instances[2], 7, 50}, {f.instances[3], 7, 50}, {f.instances[1], 9, 0}}, s.Lagging,
+	d = distribution()
+	require.Equal(t, []LaggingDriver{{f.instances[2], 7, 50}, {f.instances[3], 7, 50}, {f.instances[1], 9, 0}}, d.Lagging,
 		"the second driver catches up")
-	require.False(t, s.HasConflict)
+	require.False(t, d.HasConflict)
 	f.mayAct["d3"] = false
 	report(1, 10, "another ten")
-	s = distribution()
-	require.True(t, s.HasConflict)
-	require.Len(t, s.Lagging, 1, "drivers that may not act do not lag")
+	d = distribution()
+	require.True(t, d.HasConflict)
+	require.Len(t, d.Lagging, 1, "drivers that may not act do not lag")
 	report(2, 10, "ten")
 	report(1, 10, "ten")
-	s = distribution()
-	require.False(t, s.HasConflict)
-	require.Empty(t, s.Lagging)
+	d = distribution()
+	require.False(t, d.HasConflict)
+	require.Empty(t, d.Lagging)
 	f.controller.StartLeading()
 	require.Empty(t, f.controller.Distributions(f.now, f.statuses()), "reports to the previous leader")
 }
--- a/internal/versions/simulation_test.go
+++ b/internal/versions/simulation_test.go
@@ -10,14 +10,14 @@
 )
 
 // simulation is a controller whose leader changes, drivers with their own clocks, and messages that
-// are delayed, lost, duplicated and reordered. It checks on which versions drivers really act.
+// are delayed, lost, duplicated and reordered. It checks on which versions drivers act.
 type simulation struct {
 	rng           *rand.Rand
 	fault         fault
 	now           int64
 	controller    *Controller
 	records       []Record
-	leaseExpiry   map[string]int64 // by driver, as the leader knows them
+	leaseExpiry   map[string]int64 // by driver name, as the leader knows it
 	drivers       []*driver
 	requests      []request
 	grants        []pendingGrant
@@ -218,7 +218,7 @@
 }
 
 func (s *simulation) beginRequest(d *driver) {
-	if n, may := d.state.Begin(d.clock(s.now), testResource); may {
+	if n, ok := d.state.Begin(d.clock(s.now), testResource); ok {
 		d.inFlight = append(d.inFlight, inFlightRequest{n, s.now + s.rng.Int63n(200) + s.rng.Int63n(40)/39*5*leaseTime})
 	}
 }
@@ -239,7 +239,7 @@
 	active := map[Number][]string{}
 	for _, d := range s.drivers {
 		clock := d.clock(s.now)
-		if n, may := d.state.Begin(clock, testResource); may {
+		if n, ok := d.state.Begin(clock, testResource); ok {
 			active[n] = append(active[n], d.Name)
 			d.state.End(testResource, n)
 		}
@@ -264,16 +264,16 @@
 func TestNobodyActsOnAnOldVersion(t *testing.T) {
 	visitedStages, versions := map[string]bool{}, 0
 	for seed := range int64(150) {
-		stage := newSimulation(seed, noFault)
+		s := newSimulation(seed, noFault)
 		for range 8000 {
-			if stage.step(); stage.violation != "" {
-				t.Fatalf("seed %d: %s", seed, stage.violation)
+			if s.step(); s.violation != "" {
+				t.Fatalf("seed %d: %s", seed, s.violation)
 			}
 		}
-		for stage := range stage.visitedStages {
+		for stage := range s.visitedStages {
 			visitedStages[stage] = true
 		}
-		versions += len(stage.controller.Versions(testResource))
+		versions += len(s.controller.Versions(testResource))
 	}
 	t.Logf("%d versions, stages %v", versions, visitedStages)
 	require.Len(t, visitedStages, len(stageTexts)-1, "every stage but unknown")
--- a/internal/versions/size_test.go
+++ b/internal/versions/size_test.go
@@ -159,7 +159,7 @@
 		d.state.MarkAdopted(adoption)
 	}
 	d.isExpired = false
-	if n, may := d.state.Begin(s.now, testResource); may {
+	if n, ok := d.state.Begin(s.now, testResource); ok {
 		d.state.End(testResource, n)
 		if n >= s.target && !d.isActive {
 			d.isActive = true
--- a/internal/versions/trial.go
+++ b/internal/versions/trial.go
@@ -73,7 +73,7 @@
 	measureCount = 2
 )
 
-// Least data for a comparison.
+// Minimum data for a comparison.
 const (
 	minRPCs   = 20 // of a driver
 	minOthers = 3  // drivers that are not canaries, to estimate how much drivers differ
--- a/internal/versions/trial_test.go
+++ b/internal/versions/trial_test.go
@@ -24,56 +24,56 @@
 	hasBaseline   bool
 }
 
-func (c *trialSimulation) stats(failureRate, latencyFactor float64) (s RPCStats) {
-	for range c.rpcs {
-		s.RPCs++
-		if c.rng.Float64() < failureRate {
-			s.Failed++
+func (s *trialSimulation) stats(failureRate, latencyFactor float64) (stats RPCStats) {
+	for range s.rpcs {
+		stats.RPCs++
+		if s.rng.Float64() < failureRate {
+			stats.Failed++
 			continue
 		}
-		log := math.Log(5e6*latencyFactor) + c.rng.NormFloat64()
-		s.Served, s.LogSum, s.LogSquareSum = s.Served+1, s.LogSum+log, s.LogSquareSum+log*log
+		log := math.Log(5e6*latencyFactor) + s.rng.NormFloat64()
+		stats.Served, stats.LogSum, stats.LogSquareSum = stats.Served+1, stats.LogSum+log, stats.LogSquareSum+log*log
 	}
-	return s
+	return stats
 }
 
-func (c *trialSimulation) comparison(isCanary bool) (result comparison) {
-	failureRate, latencyFactor := c.failureRate*math.Exp(c.driverSpread*c.rng.NormFloat64()),
-		math.Exp(c.driverSpread*c.rng.NormFloat64())
+func (s *trialSimulation) comparison(isCanary bool) (result comparison) {
+	failureRate, latencyFactor := s.failureRate*math.Exp(s.driverSpread*s.rng.NormFloat64()),
+		math.Exp(s.driverSpread*s.rng.NormFloat64())
 	vary := func() (float64, float64) {
-		return min(0.9, failureRate*math.Exp(c.timeSpread*c.rng.NormFloat64())),
-			latencyFactor * math.Exp(c.timeSpread*c.rng.NormFloat64()/4)
+		return min(0.9, failureRate*math.Exp(s.timeSpread*s.rng.NormFloat64())),
+			latencyFactor * math.Exp(s.timeSpread*s.rng.NormFloat64()/4)
 	}
-	if c.hasBaseline {
-		result.baseline = c.stats(vary())
+	if s.hasBaseline {
+		result.baseline = s.stats(vary())
 	}
 	failures, latency := vary()
 	if isCanary {
-		failures, latency = min(0.9, failures+c.extraFailures), latency*max(1, c.slowdown)
+		failures, latency = min(0.9, failures+s.extraFailures), latency*max(1, s.slowdown)
 	}
-	result.during = c.stats(failures, latency)
+	result.during = s.stats(failures, latency)
 	return result
 }
 
-func (c *trialSimulation) trial(canaries, others int) (tested, untested []comparison) {
-	for range canaries {
-		tested = append(tested, c.comparison(true))
+func (s *trialSimulation) trial(canaryCount, otherCount int) (canaries, others []comparison) {
+	for range canaryCount {
+		canaries = append(canaries, s.comparison(true))
 	}
-	for range others {
-		untested = append(untested, c.comparison(false))
+	for range otherCount {
+		others = append(others, s.comparison(false))
 	}
-	return tested, untested
+	return canaries, others
 }
 
 // alarmRate returns the fraction of trials in which a rule finds the version worse.
-func (c *trialSimulation) alarmRate(trials, canaries, others int, rule func(tried, rest []comparison) bool) float64 {
-	n := 0
+func (s *trialSimulation) alarmRate(trials, canaryCount, otherCount int, rule func(canaries, others []comparison) bool) float64 {
+	alarms := 0
 	for range trials {
-		if rule(c.trial(canaries, others)) {
-			n++
+		if rule(s.trial(canaryCount, otherCount)) {
+			alarms++
 		}
 	}
-	return float64(n) / float64(trials)
+	return float64(alarms) / float64(trials)
 }
 
 func detectedByTest(canaries, others []comparison) bool {
@@ -90,42 +90,44 @@
 		}
 		return total
 	}
-	a, b := sum(canaries), sum(others)
-	return float64(a.Failed)/float64(a.RPCs) > 2*float64(b.Failed)/float64(b.RPCs) ||
-		a.LogSum/float64(a.Served)-b.LogSum/float64(b.Served) > math.Log(1.5)
+	canaryTotal, otherTotal := sum(canaries), sum(others)
+	return float64(canaryTotal.Failed)/float64(canaryTotal.RPCs) > 2*float64(otherTotal.Failed)/float64(otherTotal.RPCs) ||
+		canaryTotal.LogSum/float64(canaryTotal.Served)-otherTotal.LogSum/float64(otherTotal.Served) > math.Log(1.5)
 }
 
+const criticalZ = 2.33 // for a one-sided significance level of 1 %
+
 // detectedByPooledCounts is a two-proportion z-test, which treats all RPCs as independent.
 func detectedByPooledCounts(canaries, others []comparison) bool {
-	var a, b RPCStats
-	for _, p := range canaries {
-		a.RPCs, a.Failed = a.RPCs+p.during.RPCs, a.Failed+p.during.Failed
+	var canaryTotal, otherTotal RPCStats
+	for _, c := range canaries {
+		canaryTotal.RPCs, canaryTotal.Failed = canaryTotal.RPCs+c.during.RPCs, canaryTotal.Failed+c.during.Failed
 	}
-	for _, p := range others {
-		b.RPCs, b.Failed = b.RPCs+p.during.RPCs, b.Failed+p.during.Failed
+	for _, c := range others {
+		otherTotal.RPCs, otherTotal.Failed = otherTotal.RPCs+c.during.RPCs, otherTotal.Failed+c.during.Failed
 	}
-	n, m := float64(a.RPCs), float64(b.RPCs)
-	p := float64(a.Failed+b.Failed) / (n + m)
-	return (float64(a.Failed)/n-float64(b.Failed)/m)/math.Sqrt(p*(1-p)*(1/n+1/m)) > 2.33
+	canaryRPCs, otherRPCs := float64(canaryTotal.RPCs), float64(otherTotal.RPCs)
+	pooledRate := float64(canaryTotal.Failed+otherTotal.Failed) / (canaryRPCs + otherRPCs)
+	return (float64(canaryTotal.Failed)/canaryRPCs-float64(otherTotal.Failed)/otherRPCs)/math.Sqrt(pooledRate*(1-pooledRate)*(1/canaryRPCs+1/otherRPCs)) > criticalZ
 }
 
 // Guards against good versions that fail the test as drivers differ naturally, and bad ones that
 // pass.
 func TestCanaryComparisonAllowsForDriverDifferences(t *testing.T) {
-	c := &trialSimulation{rng: rand.New(rand.NewSource(1)), rpcs: 400, driverSpread: 0.8, timeSpread: 0.3, failureRate: 0.02, hasBaseline: true}
-	require.Less(t, c.alarmRate(1000, 1, 8, detectedByTest), 0.04, "good version")
-	require.Greater(t, c.alarmRate(300, 1, 8, detectedByFixedRatio), 0.1, "a fixed ratio ignores differences between drivers")
-	c.hasBaseline = false
-	require.Less(t, c.alarmRate(1000, 2, 7, detectedByTest), 0.04, "good version, no baselines")
-	require.Less(t, c.alarmRate(1000, 2, 4, detectedByTest), 0.05, "good version, few drivers")
-	c.hasBaseline, c.extraFailures = true, 0.2
-	require.Greater(t, c.alarmRate(300, 2, 7, detectedByTest), 0.85, "0.2 more fail")
-	c.extraFailures, c.slowdown = 0, 2
-	require.Greater(t, c.alarmRate(300, 2, 7, detectedByTest), 0.8, "twice the latency")
+	s := &trialSimulation{rng: rand.New(rand.NewSource(1)), rpcs: 400, driverSpread: 0.8, timeSpread: 0.3, failureRate: 0.02, hasBaseline: true}
+	require.Less(t, s.alarmRate(1000, 1, 8, detectedByTest), 0.04, "good version")
+	require.Greater(t, s.alarmRate(300, 1, 8, detectedByFixedRatio), 0.1, "a fixed ratio ignores differences between drivers")
+	s.hasBaseline = false
+	require.Less(t, s.alarmRate(1000, 2, 7, detectedByTest), 0.04, "good version, no baselines")
+	require.Less(t, s.alarmRate(1000, 2, 4, detectedByTest), 0.05, "good version, few drivers")
+	s.hasBaseline, s.extraFailures = true, 0.2
+	require.Greater(t, s.alarmRate(300, 2, 7, detectedByTest), 0.85, "0.2 more fail")
+	s.extraFailures, s.slowdown = 0, 2
+	require.Greater(t, s.alarmRate(300, 2, 7, detectedByTest), 0.8, "twice the latency")
 	_, isConclusive := CompareCanaries([]comparison{{}}, []comparison{{}, {}, {}, {}}, defaultToleratedRatio, 0.01)
 	require.False(t, isConclusive)
-	c.rpcs = 100
-	_, others := c.trial(1, 2)
+	s.rpcs = 100
+	_, others := s.trial(1, 2)
 	_, isConclusive = CompareCanaries(others[:1], others, defaultToleratedRatio, 0.01)
 	require.False(t, isConclusive, "two others are too few")
 }
@@ -184,13 +186,13 @@
 	b.WriteString("| drivers, canaries, RPCs a driver | what the version does | by the test | by a constant | RPCs taken for independent |\n| --- | --- | --- | --- | --- |\n")
 	for _, size := range []struct{ drivers, canaries, rpcs int }{{9, 1, 400}, {9, 2, 400}, {30, 3, 400}, {30, 3, 4000}, {300, 30, 100}} {
 		for _, kind := range []struct {
-			what          string
-			worse, slower float64
+			what                    string
+			extraFailures, slowdown float64
 		}{{"nothing", 0, 1}, {"0.05 more end badly", 0.05, 1}, {"0.2 more end badly", 0.2, 1}, {"1.5 times as long", 0, 1.5}, {"3 times as long", 0, 3}} {
-			c := &trialSimulation{rng: rand.New(rand.NewSource(7)), rpcs: size.rpcs, driverSpread: 0.8, timeSpread: 0.3, failureRate: 0.02, hasBaseline: true, extraFailures: kind.worse, slowdown: kind.slower}
+			s := &trialSimulation{rng: rand.New(rand.NewSource(7)), rpcs: size.rpcs, driverSpread: 0.8, timeSpread: 0.3, failureRate: 0.02, hasBaseline: true, extraFailures: kind.extraFailures, slowdown: kind.slowdown}
 			row := fmt.Sprintf("| %d, %d, %d | %s", size.drivers, size.canaries, size.rpcs, kind.what)
-			for _, rule := range []func(tried, rest []comparison) bool{detectedByTest, detectedByFixedRatio, detectedByPooledCounts} {
-				row += fmt.Sprintf(" | %.3f", c.alarmRate(400, size.canaries, size.drivers-size.canaries, rule))
+			for _, rule := range []func(canaries, others []comparison) bool{detectedByTest, detectedByFixedRatio, detectedByPooledCounts} {
+				row += fmt.Sprintf(" | %.3f", s.alarmRate(400, size.canaries, size.drivers-size.canaries, rule))
 			}
 			b.WriteString(row + " |\n")
 		}
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -20,8 +20,8 @@
 // InitialVersion is what a driver starts with and acts on until it is assigned a version.
 const InitialVersion Number = 1
 
-// Epoch numbers the records of all resources. A driver ignores assignments older than the epoch it
-// knows.
+// Epoch is the number of a record, counted over all resources. A driver ignores assignments older
+// than the epoch that it knows.
 type Epoch uint64
 
 // Stage is the stage of a version's rollout.
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -85,11 +85,11 @@
 	f.states["late"] = NewDriverState()
 	adoptions := f.requestGrant(added)
 	require.Equal(t, []Adoption{{"x", 2, "text of a"}}, adoptions)
-	_, may := f.states["late"].Begin(0, "x")
-	require.False(t, may, "not activated yet")
+	_, ok := f.states["late"].Begin(0, "x")
+	require.False(t, ok, "not activated yet")
 	f.states["late"].MarkAdopted(adoptions[0])
-	n, may := f.states["late"].Begin(0, "x")
-	require.True(t, may)
+	n, ok := f.states["late"].Begin(0, "x")
+	require.True(t, ok)
 	require.EqualValues(t, 2, n)
 	require.Empty(t, f.controller.Assignments(added)[0].ActiveText)
 }
@@ -113,13 +113,13 @@
 	f.runUntilStable()
 	require.Equal(t, StageCompleted, f.stage())
 	require.Equal(t, []Instance{disconnected}, f.controller.Versions("x")[1].Evidence.Expired)
-	n, may := f.states[disconnected.Name].Begin(f.now, "x")
-	require.True(t, may && n == 2, "its own lease has not expired")
+	n, ok := f.states[disconnected.Name].Begin(f.now, "x")
+	require.True(t, ok && n == 2, "its own lease has not expired")
 	f.mayAct[disconnected.Name] = true
 	f.states[disconnected.Name].leaseExpiry = 0
 	adoptions := f.requestGrant(disconnected)
-	_, may = f.states[disconnected.Name].Begin(f.now, "x")
-	require.False(t, may, "must not act on the old version with a new lease")
+	_, ok = f.states[disconnected.Name].Begin(f.now, "x")
+	require.False(t, ok, "must not act on the old version with a new lease")
 	require.Equal(t, []Adoption{{"x", 3, "text of b"}}, adoptions)
 	require.False(t, f.states[disconnected.Name].MayContinue(f.now, "x", 2), "nor continue earlier requests")
 }
@@ -150,8 +150,8 @@
 	f.propose("b", exclusive)
 	f.runUntilStable()
 	require.Equal(t, StageStopping, f.stage())
-	_, may := f.states["d1"].Begin(0, "x")
-	require.False(t, may)
+	_, ok := f.states["d1"].Begin(0, "x")
+	require.False(t, ok)
 	require.False(t, state.MayContinue(0, "x", n))
 	state.End("x", n)
 	f.runUntilStable()
@@ -216,8 +216,8 @@
 		f.apply(f.controller.Step(f.now, f.statuses()), nil)
 	}
 	require.True(t, strings.Contains(f.controller.Versions("x")[1].Reason, "can't act on it: no such cell"), f.controller.Versions("x")[1].Reason)
-	n, may := f.states["d0"].Begin(0, "x")
-	require.True(t, may && n == 2, "still acts on the base version")
+	n, ok := f.states["d0"].Begin(0, "x")
+	require.True(t, ok && n == 2, "still acts on the base version")
 }
 
 // Guards against invalid plans, and records that do not follow from the state.
