--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -57,7 +57,7 @@
 				formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Reports), driver.Reason)
 		}
 		for _, suspicion := range fleet.Suspicions {
-			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", suspicion.Name, suspicion.Start, len(suspicion.Reporters), suspicion.Listeners, strings.Join(suspicion.Reporters, ", "))
+			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", suspicion.Name, suspicion.Start, len(suspicion.Reporters), suspicion.EligibleReporters, strings.Join(suspicion.Reporters, ", "))
 		}
 		if len(fleet.Suspicions) > 0 {
 			fmt.Fprintln(out)
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -84,8 +84,8 @@
 		gauge(versionClosed, float64(closed), string(thing))
 	}
 	for _, suspicion := range fleet.Suspicions {
-		if suspicion.IsSilent {
-			gauge(fleetSilentSeconds, time.Duration(fleet.Now-suspicion.SilentSince).Seconds(), suspicion.Name)
+		if suspicion.IsUnreachable {
+			gauge(fleetSilentSeconds, time.Duration(fleet.Now-suspicion.UnreachableSince).Seconds(), suspicion.Name)
 		}
 	}
 	for _, distribution := range fleet.Observed {
--- a/internal/roster/suspicions_test.go
+++ b/internal/roster/suspicions_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A driver must not count as silent because of a peer that is itself cut off, a superseded start or an
-// outdated report.
+// A driver must not count as unreachable because of a peer that is itself cut off, a
+// superseded start or an outdated report.
 func TestSuspicions(t *testing.T) {
 	r := newTestRoster()
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -17,19 +17,19 @@
 	require.Empty(t, r.Suspicions(1))
 	r.ReportUnreachable("a", []string{"b", "c", "d"}) // a is cut off itself
 	require.Len(t, r.Suspicions(1), 3)
-	for _, d := range r.Suspicions(1) {
-		require.False(t, d.IsSilent, d.Name)
-		require.Equal(t, 3, d.Listeners)
+	for _, suspicion := range r.Suspicions(1) {
+		require.False(t, suspicion.IsUnreachable, suspicion.Name)
+		require.Equal(t, 3, suspicion.EligibleReporters)
 	}
 	r.ReportUnreachable("b", []string{"a"})
 	r.ReportUnreachable("c", []string{"a"})
 	all := r.Suspicions(5)
-	require.Equal(t, Suspicion{Name: "a", Start: 1, Reporters: []string{"b", "c"}, Listeners: 3, IsSilent: true, SilentSince: 5}, all[0])
-	require.EqualValues(t, 5, r.Suspicions(9)[0].SilentSince)
+	require.Equal(t, Suspicion{Name: "a", Start: 1, Reporters: []string{"b", "c"}, EligibleReporters: 3, IsUnreachable: true, UnreachableSince: 5}, all[0])
+	require.EqualValues(t, 5, r.Suspicions(9)[0].UnreachableSince)
 	r.mustJoin(t, 10, newClaim("c", "y"))
-	require.False(t, r.Suspicions(10)[0].IsSilent, "report of a superseded start")
+	require.False(t, r.Suspicions(10)[0].IsUnreachable, "report of a superseded start")
 	r.ReportUnreachable("c", []string{"a"})
-	require.EqualValues(t, 11, r.Suspicions(11)[0].SilentSince)
+	require.EqualValues(t, 11, r.Suspicions(11)[0].UnreachableSince)
 	r.ReportUnreachable("b", nil)
 	r.ReportUnreachable("c", nil)
 	require.Len(t, r.Suspicions(12), 3, "a is reachable again")
