--- a/rules/cold_fleet_test.go
+++ b/rules/cold_fleet_test.go
@@ -48,9 +48,9 @@
 
 func (c *simulatedClock) run(until int64) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
-		a := heap.Pop(c).(scheduledEvent)
-		c.now = a.at
-		a.callback()
+		event := heap.Pop(c).(scheduledEvent)
+		c.now = event.at
+		event.callback()
 	}
 	c.now = until
 }
--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -154,18 +154,18 @@
 // IsStale reports whether the state that an answer carries proves that its data was too old for
 // the read when the attempt was made. This guards against a former primary that served the read.
 // Rounding and clock differences count in favour of the answer.
-func (d *Driver) IsStale(id RPCID, s Observation, attemptedAt int64) bool {
+func (d *Driver) IsStale(id RPCID, observation Observation, attemptedAt int64) bool {
 	c := d.calls[id]
 	if c == nil {
 		return false
 	}
 	switch ahead, known := d.clock.offset(); c.method.Consistency {
 	case ConsistencyLinearizable:
-		return s.Role == RoleReplica
+		return observation.Role == RoleReplica
 	case ConsistencySession:
-		return s.Position != 0 && s.Position+positionRounding < c.SessionToken
+		return observation.Position != 0 && observation.Position+positionRounding < c.SessionToken
 	case ConsistencyBounded:
-		return s.Position != 0 && known && s.Position+clockTolerance < attemptedAt+ahead-c.method.MaxStaleness
+		return observation.Position != 0 && known && observation.Position+clockTolerance < attemptedAt+ahead-c.method.MaxStaleness
 	}
 	return false
 }
--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -63,9 +63,9 @@
 
 // isNew reports whether a peer's observation adds to what is known: a higher position, or another
 // role at the same position.
-func (d *Driver) isNew(m member, s Observation) bool {
+func (d *Driver) isNew(m member, observation Observation) bool {
 	state := &d.replication[m]
-	return s.Position > state.position || s.Role != state.role && s.Position+positionRounding >= state.position
+	return observation.Position > state.position || observation.Role != state.role && observation.Position+positionRounding >= state.position
 }
 
 // recordUptime cancels an inferred restart if a peer's connection to the member outlived the
--- a/rules/health.go
+++ b/rules/health.go
@@ -8,6 +8,10 @@
 	ejectAfterLosses      = 3        // consecutive lost attempts that eject a member
 	errorWeight           = 0.2      // weight of one answer in the smoothed error rate
 	errorMemory           = 10 * sec // time over which the error rate fades without new errors
+	groupLatencyWeight    = 0.03     // weight of one answer in a group's smoothed latency
+	lossDecrease          = 0.85     // factor of the limit after a slow attempt without an answer
+	latencyDecrease       = 0.95     // factor of the limit after an answer above highLatencyRatio
+	overloadDecrease      = 0.8      // factor of the limit after an overload rejection
 )
 
 // recordResult updates a member's health from the result of an attempt. Losses count only if the
@@ -38,25 +42,25 @@
 		d.recordThroughput(m)
 		d.consecutiveLosses[m], d.consecutiveRejections[m], d.unsentLatency[m] = 0, 0, r.Latency
 		d.replication[m].rejectedRead = d.replication[m].rejectedRead && c.method.Consistency == ConsistencyAny
-		c.group.latency += 0.03 * (float64(r.Latency) - c.group.latency)
+		c.group.latency += groupLatencyWeight * (float64(r.Latency) - c.group.latency)
 		d.adjustLimit(m, float64(r.Latency), c.method.latencyTarget(), true)
 	case r.Cause == Ineligible && c.isRead():
 		d.replication[m].rejectedRead = true
 	case r.Cause == Overloaded:
 		d.backOff(m)
-		d.limit[m] = max(1, min(d.limit[m], float64(d.inFlight[m]+1))*0.8)
+		d.limit[m] = max(1, min(d.limit[m], float64(d.inFlight[m]+1))*overloadDecrease)
 	}
 }
 
 // observeResult records what a result shows of its member's role: a stated role, the rejection of
 // a write, or that a statement may have been lost with the answer.
 func (d *Driver) observeResult(c *call, m member, r Result, sentAt int64) {
-	s := r.Observation
+	observation := r.Observation
 	if r.Cause == Ineligible && !c.isRead() {
-		s.Role = RoleReplica
+		observation.Role = RoleReplica
 	}
-	d.observe(m, s, fromAnswer, sentAt)
-	if r.Outcome == MayHaveExecuted && s.Role == RoleUnknown {
+	d.observe(m, observation, fromAnswer, sentAt)
+	if r.Outcome == MayHaveExecuted && observation.Role == RoleUnknown {
 		d.replication[m].unansweredAt = d.host.Now()
 	}
 }
@@ -85,9 +89,9 @@
 	minLimit := max(1, min(d.limit[m], d.initialLimit/2))
 	switch {
 	case !ok && d.latencyRatio[m] > lowLatencyRatio:
-		d.limit[m] = max(minLimit, d.limit[m]*0.85)
+		d.limit[m] = max(minLimit, d.limit[m]*lossDecrease)
 	case d.latencyRatio[m] > highLatencyRatio:
-		d.limit[m] = max(minLimit, d.limit[m]*0.95)
+		d.limit[m] = max(minLimit, d.limit[m]*latencyDecrease)
 		d.isRecovering[m] = false
 	case ok && d.isRecovering[m]:
 		d.limit[m] *= 2
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -53,30 +53,30 @@
 
 // observe applies an observation of a member. askedAt is when the member was asked for it, if it
 // was.
-func (d *Driver) observe(m member, s Observation, from source, askedAt int64) {
-	if s.Role == RoleUnknown {
+func (d *Driver) observe(m member, observation Observation, from source, askedAt int64) {
+	if observation.Role == RoleUnknown {
 		return
 	}
-	d.observeClock(s, from, askedAt)
-	d.observePosition(m, s, from, askedAt)
-	if s.Role == RoleReplica {
-		d.observeReplica(m, s.Position, from)
+	d.observeClock(observation, from, askedAt)
+	d.observePosition(m, observation, from, askedAt)
+	if observation.Role == RoleReplica {
+		d.observeReplica(m, observation.Position, from)
 	} else {
-		d.observePrimary(m, s.Position, from, askedAt)
+		d.observePrimary(m, observation.Position, from, askedAt)
 	}
 }
 
 // observeClock relates the store's clock to the driver's by a position. Positions from peers are
 // already converted and don't count.
-func (d *Driver) observeClock(s Observation, from source, askedAt int64) {
-	if s.Position == 0 || from == fromGossip {
+func (d *Driver) observeClock(observation Observation, from source, askedAt int64) {
+	if observation.Position == 0 || from == fromGossip {
 		return
 	}
 	now := d.host.Now()
 	wasInSync := d.clock.isInSync()
-	d.clock.observePosition(s.Position, now)
-	if from == fromAnswer && s.Role == RolePrimary {
-		d.clock.observePrimary(s.Position, askedAt, now)
+	d.clock.observePosition(observation.Position, now)
+	if from == fromAnswer && observation.Role == RolePrimary {
+		d.clock.observePrimary(observation.Position, askedAt, now)
 	}
 	if wasInSync != d.clock.isInSync() {
 		ahead, known := d.clock.offset()
@@ -87,25 +87,25 @@
 // observePosition applies a position. A lower position than the known one is outdated, as logs
 // only grow, unless it answers a request made after the known one was received. This replaces
 // corrupted positions and positions in the future, which would otherwise persist.
-func (d *Driver) observePosition(m member, s Observation, from source, askedAt int64) {
+func (d *Driver) observePosition(m member, observation Observation, from source, askedAt int64) {
 	now, state, g := d.host.Now(), &d.replication[m], d.groupOf[m]
-	if s.Position == 0 || !d.isPlausible(s.Position) {
+	if observation.Position == 0 || !d.isPlausible(observation.Position) {
 		return
 	}
 	isNewer := from == fromAnswer && askedAt > state.heardAt || !d.isPlausible(state.position)
-	if s.Position < state.position && !isNewer {
+	if observation.Position < state.position && !isNewer {
 		return
 	}
 	age := now - state.heardAt
-	if s.Role != state.role || age >= 2*d.positionMaxAge || age >= d.heartbeatInterval && s.Role == RoleReplica {
+	if observation.Role != state.role || age >= 2*d.positionMaxAge || age >= d.heartbeatInterval && observation.Role == RoleReplica {
 		d.scheduleReport(m)
 	}
-	isLowered := s.Position < state.position
-	state.position, state.heardAt, state.lag = s.Position, now, max(0, d.clock.toStore(now)-s.Position)
+	isLowered := observation.Position < state.position
+	state.position, state.heardAt, state.lag = observation.Position, now, max(0, d.clock.toStore(now)-observation.Position)
 	if isLowered {
 		g.newestPosition = d.newestPosition(g)
 	}
-	g.newestPosition = max(g.newestPosition, s.Position)
+	g.newestPosition = max(g.newestPosition, observation.Position)
 }
 
 // isPlausible reports whether a position is not in the future, as far as is known.
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -26,6 +26,10 @@
 	maxRetryTokens             = 10.0
 	retryTokensPerRPC          = 0.02
 	retryTokensPerRPCAtSuccess = 0.15 // added per RPC, times the success rate of retries
+
+	rpcIntervalWeight      = 0.02 // weights of the latest sample in smoothed values
+	requestIntervalWeight  = 0.05
+	retrySuccessRateWeight = 0.1
 )
 
 // New creates a driver without any state; the caller passes it the members next.
@@ -56,7 +60,7 @@
 // Submit accepts an RPC, which gets exactly one final answer.
 func (d *Driver) Submit(rpc RPC) {
 	now := d.host.Now()
-	d.rpcInterval, d.lastRPC = d.rpcInterval+0.02*(float64(now-d.lastRPC)-d.rpcInterval), now
+	d.rpcInterval, d.lastRPC = d.rpcInterval+rpcIntervalWeight*(float64(now-d.lastRPC)-d.rpcInterval), now
 	method, g := &d.methods[rpc.Method], d.groups[rpc.Group]
 	if g == nil { // the group has no known members
 		d.host.RejectWithRetryAfter(rpc.ID, d.policy.MaxRetryAfter)
@@ -175,7 +179,7 @@
 func (g *group) observeRequest(now int64, nothingHeld bool) {
 	interval := min(float64(max(now-g.lastRequest, ms/10)), 4*g.requestInterval)
 	if nothingHeld || interval < g.requestInterval {
-		g.requestInterval += 0.05 * (interval - g.requestInterval)
+		g.requestInterval += requestIntervalWeight * (interval - g.requestInterval)
 	}
 	g.lastRequest = now
 }
@@ -230,7 +234,7 @@
 		d.host.CloseIdle(d.ids[m])
 	}
 	if c.attempts > 1 && r.Outcome != NotExecuted {
-		d.retrySuccessRate += 0.1 * (map[Outcome]float64{OK: 1}[r.Outcome] - d.retrySuccessRate)
+		d.retrySuccessRate += retrySuccessRateWeight * (map[Outcome]float64{OK: 1}[r.Outcome] - d.retrySuccessRate)
 	}
 	if !c.hasEnded {
 		d.finishOrRetry(c, m, sentAt, r)
--- a/rules/scenario_test.go
+++ b/rules/scenario_test.go
@@ -24,13 +24,13 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			p := &scenarioRunner{t: t, now: int64(time.Hour), probeBehavior: map[int]string{}, rpcs: map[rules.RPCID]*rpcState{},
+			runner := &scenarioRunner{t: t, now: int64(time.Hour), probeBehavior: map[int]string{}, rpcs: map[rules.RPCID]*rpcState{},
 				attemptCounts: map[int]int{}, fleet: rules.Fleet{Drivers: 3}, policy: rules.Policy{MaxAttempts: 6, Cancellation: true, Probing: true}}
 			for i, line := range strings.Split(string(text), "\n") {
-				p.location = fmt.Sprintf("%s:%d: %s", file, i+1, line)
+				runner.location = fmt.Sprintf("%s:%d: %s", file, i+1, line)
 				for _, step := range strings.Split(line, ";") {
 					if words := strings.Fields(step); len(words) > 0 && !strings.HasPrefix(line, "#") {
-						p.runStep(words)
+						runner.runStep(words)
 					}
 				}
 			}
@@ -76,45 +76,45 @@
 	discovery     rules.Discovery
 }
 
-func (p *scenarioRunner) Now() int64 { return p.now }
+func (s *scenarioRunner) Now() int64 { return s.now }
 
-func (p *scenarioRunner) After(wait int64, callback func()) {
-	p.timers = append(p.timers, timer{p.now + max(wait, 0), callback})
+func (s *scenarioRunner) After(wait int64, callback func()) {
+	s.timers = append(s.timers, timer{s.now + max(wait, 0), callback})
 }
 
-func (p *scenarioRunner) Attempt(id rules.RPCID, to rules.MemberID, within int64, next func(rules.Result)) int {
-	r := p.rpcs[id]
-	require.Empty(p.t, r.answer, "%s: attempt after the answer", p.location)
+func (s *scenarioRunner) Attempt(id rules.RPCID, to rules.MemberID, within int64, next func(rules.Result)) int {
+	r := s.rpcs[id]
+	require.Empty(s.t, r.answer, "%s: attempt after the answer", s.location)
 	r.targets, r.callbacks, r.timeout = append(r.targets, int(to)), append(r.callbacks, next), within
-	r.sentAt = append(r.sentAt, p.now)
-	p.attemptCounts[int(to)]++
+	r.sentAt = append(r.sentAt, s.now)
+	s.attemptCounts[int(to)]++
 	return len(r.targets) - 1
 }
 
 func (p *scenarioRunner) Cancel(rules.RPCID, int)  {}
-func (p *scenarioRunner) CloseIdle(rules.MemberID) { p.idleCloses++ }
-func (p *scenarioRunner) Forget(rules.MemberID)    { p.forgotten++ }
-func (p *scenarioRunner) Watch()                   { p.watches++ }
+func (s *scenarioRunner) CloseIdle(rules.MemberID) { s.idleCloses++ }
+func (s *scenarioRunner) Forget(rules.MemberID)    { s.forgotten++ }
+func (s *scenarioRunner) Watch()                   { s.watches++ }
 func (p *scenarioRunner) Log(string)               {}
 
-func (p *scenarioRunner) SendReports(reports []rules.PeerReport) {
-	p.reports = append(p.reports, reports...)
-	p.messages++
+func (s *scenarioRunner) SendReports(reports []rules.PeerReport) {
+	s.reports = append(s.reports, reports...)
+	s.messages++
 }
 
-func (p *scenarioRunner) RejectWithRetryAfter(id rules.RPCID, _ int64) {
-	p.recordAnswer(id, "rejected")
+func (s *scenarioRunner) RejectWithRetryAfter(id rules.RPCID, _ int64) {
+	s.recordAnswer(id, "rejected")
 }
-func (p *scenarioRunner) Abort(id rules.RPCID) { p.recordAnswer(id, "aborted") }
+func (s *scenarioRunner) Abort(id rules.RPCID) { s.recordAnswer(id, "aborted") }
 
-func (p *scenarioRunner) recordAnswer(id rules.RPCID, answer string) {
-	require.Empty(p.t, p.rpcs[id].answer, "%s: a second final answer", p.location)
-	p.rpcs[id].answer = answer
+func (s *scenarioRunner) recordAnswer(id rules.RPCID, answer string) {
+	require.Empty(s.t, s.rpcs[id].answer, "%s: a second final answer", s.location)
+	s.rpcs[id].answer = answer
 }
 
-func (p *scenarioRunner) Probe(to rules.MemberID, next func(rules.ProbeResult)) {
-	p.probes++
-	words := strings.Fields(p.probeBehavior[int(to)])
+func (s *scenarioRunner) Probe(to rules.MemberID, next func(rules.ProbeResult)) {
+	s.probes++
+	words := strings.Fields(s.probeBehavior[int(to)])
 	r, latency := rules.ProbeResult{}, int64(time.Millisecond)
 	switch words[0] {
 	case "silent":
@@ -126,100 +126,100 @@
 	case "down":
 		r.Cause = rules.ConnectFailed
 	default:
-		r.Report = p.observation(words)
+		r.Report = s.observation(words)
 		r.ConnectedAt = r.Report.ConnectedAt
 	}
-	p.After(latency, func() { next(r) })
+	s.After(latency, func() { next(r) })
 }
 
 // observation parses a role and the age of a position.
-func (p *scenarioRunner) observation(words []string) rules.Observation {
-	s := rules.Observation{Role: map[string]rules.Role{"primary": rules.RolePrimary, "replica": rules.RoleReplica}[words[0]]}
-	require.NotZero(p.t, s.Role, p.location)
+func (s *scenarioRunner) observation(words []string) rules.Observation {
+	observed := rules.Observation{Role: map[string]rules.Role{"primary": rules.RolePrimary, "replica": rules.RoleReplica}[words[0]]}
+	require.NotZero(s.t, observed.Role, s.location)
 	if len(words) > 1 {
-		s.Position = p.now - p.duration(words[1])
+		observed.Position = s.now - s.duration(words[1])
 	}
 	if slices.Contains(words, "unbroken") {
-		s.ConnectedAt = 1
+		observed.ConnectedAt = 1
 	}
-	return s
+	return observed
 }
 
-func (p *scenarioRunner) duration(text string) int64 {
+func (s *scenarioRunner) duration(text string) int64 {
 	span, err := time.ParseDuration(text)
-	require.NoError(p.t, err, p.location)
+	require.NoError(s.t, err, s.location)
 	return int64(span)
 }
 
-func (p *scenarioRunner) number(text string) int {
+func (s *scenarioRunner) number(text string) int {
 	n, err := strconv.Atoi(text)
-	require.NoError(p.t, err, p.location)
+	require.NoError(s.t, err, s.location)
 	return n
 }
 
 // advance moves the clock forward and runs the timers that expire.
-func (p *scenarioRunner) advance(span int64) {
-	for end := p.now + span; ; {
+func (s *scenarioRunner) advance(span int64) {
+	for end := s.now + span; ; {
 		due := -1
-		for i, t := range p.timers {
-			if t.at <= end && (due < 0 || t.at < p.timers[due].at) {
+		for i, t := range s.timers {
+			if t.at <= end && (due < 0 || t.at < s.timers[due].at) {
 				due = i
 			}
 		}
 		if due < 0 {
-			p.now = end
+			s.now = end
 			return
 		}
-		t := p.timers[due]
-		p.timers = slices.Delete(p.timers, due, due+1)
-		p.now = max(p.now, t.at)
+		t := s.timers[due]
+		s.timers = slices.Delete(s.timers, due, due+1)
+		s.now = max(s.now, t.at)
 		t.callback()
 	}
 }
 
-func (p *scenarioRunner) runStep(w []string) {
-	switch w[0] {
+func (s *scenarioRunner) runStep(words []string) {
+	switch words[0] {
 	case "method":
-		p.method(w[1:])
+		s.method(words[1:])
 	case "allow":
-		p.allow(w[1:])
+		s.allow(words[1:])
 	case "list":
-		p.list(w[1:])
+		s.list(words[1:])
 	case "member":
-		p.probeBehavior[p.number(w[1])] = strings.Join(w[2:], " ")
+		s.probeBehavior[s.number(words[1])] = strings.Join(words[2:], " ")
 	case "wait":
-		p.advance(p.duration(w[1]))
+		s.advance(s.duration(words[1]))
 	case "rpc":
-		p.rpc(w[1:])
+		s.rpc(words[1:])
 	case "result":
-		p.result(w[1:])
+		s.result(words[1:])
 	case "flow":
-		p.flow(w[1:])
+		s.flow(words[1:])
 	case "report":
-		report := rules.PeerReport{Member: rules.MemberID(p.number(w[1])), Observation: p.observation(w[2:])}
-		if _, latency, hasLatency := strings.Cut(w[len(w)-1], "latency="); hasLatency {
-			report.Latency = p.duration(latency)
+		report := rules.PeerReport{Member: rules.MemberID(s.number(words[1])), Observation: s.observation(words[2:])}
+		if _, latency, hasLatency := strings.Cut(words[len(words)-1], "latency="); hasLatency {
+			report.Latency = s.duration(latency)
 		}
-		report.Failed = w[len(w)-1] == "failed"
-		if uptime, hasUptime := strings.CutPrefix(w[len(w)-1], "uptime="); hasUptime {
-			report.Uptime = p.duration(uptime)
+		report.Failed = words[len(words)-1] == "failed"
+		if uptime, hasUptime := strings.CutPrefix(words[len(words)-1], "uptime="); hasUptime {
+			report.Uptime = s.duration(uptime)
 		}
-		p.driver.ReceiveReports([]rules.PeerReport{report})
+		s.driver.ReceiveReports([]rules.PeerReport{report})
 	case "watch-failed":
-		p.driver.WatchFailed()
+		s.driver.WatchFailed()
 	default:
-		p.expect(w)
+		s.expect(words)
 	}
 }
 
-func (p *scenarioRunner) method(w []string) {
-	m := rules.Method{Name: w[0], SoftDeadline: int64(500 * time.Millisecond), Utility: 1}
-	for _, word := range w[1:] {
+func (s *scenarioRunner) method(words []string) {
+	m := rules.Method{Name: words[0], SoftDeadline: int64(500 * time.Millisecond), Utility: 1}
+	for _, word := range words[1:] {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "any":
 		case "max-staleness":
-			m.Consistency, m.MaxStaleness = rules.ConsistencyBounded, p.duration(value)
+			m.Consistency, m.MaxStaleness = rules.ConsistencyBounded, s.duration(value)
 		case "session":
 			m.Consistency = rules.ConsistencySession
 		case "linearizable":
@@ -229,51 +229,51 @@
 		case "non-idempotent":
 			m.Effect = rules.NonIdempotent
 		case "idempotent-by-token":
-			m.Effect, m.DedupWindow = rules.IdempotentByToken, p.duration(value)
+			m.Effect, m.DedupWindow = rules.IdempotentByToken, s.duration(value)
 		case "deadline":
-			m.Deadline = p.duration(value)
+			m.Deadline = s.duration(value)
 		case "late":
 			m.LateUtility = 0.5
 		case "utility":
-			m.Utility = float64(p.number(value))
+			m.Utility = float64(s.number(value))
 		default:
-			require.Fail(p.t, p.location)
+			require.Fail(s.t, s.location)
 		}
 	}
-	p.methods = append(p.methods, m)
+	s.methods = append(s.methods, m)
 }
 
-func (p *scenarioRunner) allow(w []string) {
-	for _, word := range w {
+func (s *scenarioRunner) allow(words []string) {
+	for _, word := range words {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "hedging":
-			p.policy.Hedging = true
+			s.policy.Hedging = true
 		case "rejects-stale-reads":
-			p.store.RejectsStaleReads = true
+			s.store.RejectsStaleReads = true
 		case "send-delay":
-			p.store.MaxSendDelay = p.duration(value)
+			s.store.MaxSendDelay = s.duration(value)
 		case "on-request":
-			p.discovery.OnRequest = true
+			s.discovery.OnRequest = true
 		case "only-drain-binds":
-			p.discovery.OnlyDrainBinds = true
+			s.discovery.OnlyDrainBinds = true
 		case "reports":
-			p.fleet.ReportsPerMessage = p.number(value)
+			s.fleet.ReportsPerMessage = s.number(value)
 		case "drivers":
-			p.fleet.Drivers = p.number(value)
+			s.fleet.Drivers = s.number(value)
 		case "warm-up":
-			p.slowStart = rules.SlowStart{InitialShare: 0.2, WarmUpTime: p.duration(value), OverloadFactor: 2}
+			s.slowStart = rules.SlowStart{InitialShare: 0.2, WarmUpTime: s.duration(value), OverloadFactor: 2}
 		default:
-			require.Fail(p.t, p.location)
+			require.Fail(s.t, s.location)
 		}
 	}
 }
 
-func (p *scenarioRunner) list(w []string) {
+func (s *scenarioRunner) list(words []string) {
 	var entries []rules.MemberEntry
-	for _, word := range w[1:] {
+	for _, word := range words[1:] {
 		parts := strings.Split(word, ":")
-		entry := rules.MemberEntry{Member: rules.MemberID(p.number(parts[0])), Group: 1}
+		entry := rules.MemberEntry{Member: rules.MemberID(s.number(parts[0])), Group: 1}
 		for _, part := range parts[1:] {
 			switch part {
 			case "draining":
@@ -283,75 +283,75 @@
 			case "primary":
 				entry.Primary = true
 			case "cold":
-				entry.Started = p.now
+				entry.Started = s.now
 			default:
 				weight, hasWeight := strings.CutPrefix(part, "weight=")
-				require.True(p.t, hasWeight, p.location)
-				entry.Weight = float64(p.number(weight))
+				require.True(s.t, hasWeight, s.location)
+				entry.Weight = float64(s.number(weight))
 			}
 		}
 		entries = append(entries, entry)
 	}
-	if p.driver == nil {
-		p.driver = rules.New(p, 1, p.methods, p.fleet, p.store, p.policy, p.slowStart, p.discovery)
+	if s.driver == nil {
+		s.driver = rules.New(s, 1, s.methods, s.fleet, s.store, s.policy, s.slowStart, s.discovery)
 	}
-	p.driver.UpdateMembers(entries, w[0] == "complete")
+	s.driver.UpdateMembers(entries, words[0] == "complete")
 }
 
 // rpc submits one RPC, or a range of them: "rpc 1-20 read".
-func (p *scenarioRunner) rpc(w []string) {
-	first, last, isRange := strings.Cut(w[0], "-")
+func (s *scenarioRunner) rpc(words []string) {
+	first, last, isRange := strings.Cut(words[0], "-")
 	if !isRange {
 		last = first
 	}
 	r := rules.RPC{Group: 1, TimeLeft: int64(2 * time.Second)}
-	r.Method = rules.MethodID(slices.IndexFunc(p.methods, func(m rules.Method) bool { return m.Name == w[1] }))
-	for _, word := range w[2:] {
+	r.Method = rules.MethodID(slices.IndexFunc(s.methods, func(m rules.Method) bool { return m.Name == words[1] }))
+	for _, word := range words[2:] {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "left":
-			r.TimeLeft = p.duration(value)
+			r.TimeLeft = s.duration(value)
 		case "waited":
-			r.Waited = p.duration(value)
+			r.Waited = s.duration(value)
 		case "session":
 			r.Session = value
 		case "retry":
 			r.IsRetry = true
 		default:
-			require.Fail(p.t, p.location)
+			require.Fail(s.t, s.location)
 		}
 	}
-	for id := p.number(first); id <= p.number(last); id++ {
+	for id := s.number(first); id <= s.number(last); id++ {
 		r.ID = rules.RPCID(id)
-		p.rpcs[r.ID] = &rpcState{}
-		p.driver.Submit(r)
+		s.rpcs[r.ID] = &rpcState{}
+		s.driver.Submit(r)
 	}
 }
 
 // flow submits RPCs one by one, "flow 1-99 read 10ms"; attempts succeed before the next RPC.
-func (p *scenarioRunner) flow(w []string) {
-	first, last, _ := strings.Cut(w[0], "-")
-	for id := p.number(first); id <= p.number(last); id++ {
-		p.rpc([]string{strconv.Itoa(id), w[1]})
-		p.advance(p.duration(w[2]))
-		for _, r := range p.rpcs {
-			if n := len(r.callbacks) - 1; n >= 0 && r.callbacks[n] != nil && p.now-r.sentAt[n] < int64(100*time.Millisecond) {
+func (s *scenarioRunner) flow(words []string) {
+	first, last, _ := strings.Cut(words[0], "-")
+	for id := s.number(first); id <= s.number(last); id++ {
+		s.rpc([]string{strconv.Itoa(id), words[1]})
+		s.advance(s.duration(words[2]))
+		for _, r := range s.rpcs {
+			if n := len(r.callbacks) - 1; n >= 0 && r.callbacks[n] != nil && s.now-r.sentAt[n] < int64(100*time.Millisecond) {
 				next := r.callbacks[n]
 				r.callbacks[n], r.answer = nil, "ok"
-				next(rules.Result{Outcome: rules.OK, Final: true, Latency: p.now - r.sentAt[n]})
+				next(rules.Result{Outcome: rules.OK, Final: true, Latency: s.now - r.sentAt[n]})
 			}
 		}
 	}
 }
 
 // result ends the last attempt of an RPC that is in flight.
-func (p *scenarioRunner) result(w []string) {
-	rpc := p.rpcs[rules.RPCID(p.number(w[0]))]
+func (s *scenarioRunner) result(words []string) {
+	rpc := s.rpcs[rules.RPCID(s.number(words[0]))]
 	n := len(rpc.callbacks) - 1
 	for n >= 0 && rpc.callbacks[n] == nil {
 		n--
 	}
-	require.GreaterOrEqual(p.t, n, 0, "%s: no attempt in flight", p.location)
+	require.GreaterOrEqual(s.t, n, 0, "%s: no attempt in flight", s.location)
 	results := map[string]rules.Result{
 		"ok":             {Outcome: rules.OK, Final: true},
 		"ineligible":     {Outcome: rules.NotExecuted, Cause: rules.Ineligible},
@@ -363,11 +363,11 @@
 		"not-sent":       {Outcome: rules.NotExecuted, Cause: rules.NotSent},
 		"started":        {Outcome: rules.Started},
 	}
-	r, known := results[w[1]]
-	require.True(p.t, known, p.location)
-	r.Latency = p.now - rpc.sentAt[n]
-	if len(w) > 2 {
-		r.Observation = p.observation(w[2:])
+	r, known := results[words[1]]
+	require.True(s.t, known, s.location)
+	r.Latency = s.now - rpc.sentAt[n]
+	if len(words) > 2 {
+		r.Observation = s.observation(words[2:])
 	}
 	next := rpc.callbacks[n]
 	if r.Outcome != rules.Started {
@@ -379,44 +379,46 @@
 	next(r)
 }
 
-func (p *scenarioRunner) expect(w []string) {
-	switch w[0] {
+func (s *scenarioRunner) expect(words []string) {
+	switch words[0] {
 	case "attempts": // members that the attempts of an RPC went to; | separates alternatives
-		rpc := p.rpcs[rules.RPCID(p.number(w[1]))]
-		require.Len(p.t, rpc.targets, len(w)-2, p.location)
-		for i, allowed := range w[2:] {
-			require.Contains(p.t, strings.Split(allowed, "|"), strconv.Itoa(rpc.targets[i]), p.location)
+		rpc := s.rpcs[rules.RPCID(s.number(words[1]))]
+		require.Len(s.t, rpc.targets, len(words)-2, s.location)
+		for i, allowed := range words[2:] {
+			require.Contains(s.t, strings.Split(allowed, "|"), strconv.Itoa(rpc.targets[i]), s.location)
 		}
 	case "answer":
-		got := p.rpcs[rules.RPCID(p.number(w[1]))].answer
-		require.Equal(p.t, strings.TrimPrefix(w[2], "none"), got, p.location)
+		got := s.rpcs[rules.RPCID(s.number(words[1]))].answer
+		require.Equal(s.t, strings.TrimPrefix(words[2], "none"), got, s.location)
 	case "sent": // number of attempts sent to a member: "sent 3 0..2"
-		low, high, _ := strings.Cut(w[2], "..")
-		require.GreaterOrEqual(p.t, p.attemptCounts[p.number(w[1])], p.number(low), p.location)
-		require.LessOrEqual(p.t, p.attemptCounts[p.number(w[1])], p.number(high), p.location)
+		low, high, _ := strings.Cut(words[2], "..")
+		require.GreaterOrEqual(s.t, s.attemptCounts[s.number(words[1])], s.number(low), s.location)
+		require.LessOrEqual(s.t, s.attemptCounts[s.number(words[1])], s.number(high), s.location)
 	case "watches", "probes", "idle-closes", "forgotten", "messages": // number so far
-		counts := map[string]int{"watches": p.watches, "probes": p.probes, "idle-closes": p.idleCloses, "forgotten": p.forgotten,
-			"messages": p.messages}
-		require.Equal(p.t, p.number(w[1]), counts[w[0]], p.location)
+		counts := map[string]int{"watches": s.watches, "probes": s.probes, "idle-closes": s.idleCloses, "forgotten": s.forgotten,
+			"messages": s.messages}
+		require.Equal(s.t, s.number(words[1]), counts[words[0]], s.location)
 	case "may": // whether an attempt or a probe may begin: "may 3 2 no", "may probe 2 yes"
-		may, to := false, rules.MemberID(p.number(w[2]))
-		if w[1] == "probe" {
-			may = p.driver.ProbeAllowed(to)
+		may, to := false, rules.MemberID(s.number(words[2]))
+		if words[1] == "probe" {
+			may = s.driver.ProbeAllowed(to)
 		} else {
-			may = p.driver.AttemptAllowed(rules.RPCID(p.number(w[1])), to)
+			may = s.driver.AttemptAllowed(rules.RPCID(s.number(words[1])), to)
 		}
-		require.Equal(p.t, w[3] == "yes", may, p.location)
+		require.Equal(s.t, words[3] == "yes", may, s.location)
 	case "stale": // whether a stated observation proves an RPC's last attempt stale: "stale 1 replica 2s yes"
-		id := rules.RPCID(p.number(w[1]))
-		sent := p.rpcs[id].sentAt
-		require.Equal(p.t, w[4] == "yes", p.driver.IsStale(id, p.observation(w[2:4]), sent[len(sent)-1]), p.location)
+		id := rules.RPCID(s.number(words[1]))
+		sent := s.rpcs[id].sentAt
+		require.Equal(s.t, words[4] == "yes", s.driver.IsStale(id, s.observation(words[2:4]), sent[len(sent)-1]), s.location)
 	case "not-primary": // a member denies being primary outside a complete answer
-		p.driver.NotPrimary(rules.MemberID(p.number(w[1])))
+		s.driver.NotPrimary(rules.MemberID(s.number(words[1])))
 	case "client-left":
-		p.driver.ClientLeft(rules.RPCID(p.number(w[1])))
+		s.driver.ClientLeft(rules.RPCID(s.number(words[1])))
 	case "reported":
-		require.True(p.t, slices.ContainsFunc(p.reports, func(n rules.PeerReport) bool { return int(n.Member) == p.number(w[1]) && n.Failed == (len(w) > 2) }), p.location)
+		require.True(s.t, slices.ContainsFunc(s.reports, func(n rules.PeerReport) bool {
+			return int(n.Member) == s.number(words[1]) && n.Failed == (len(words) > 2)
+		}), s.location)
 	default:
-		require.Fail(p.t, p.location)
+		require.Fail(s.t, s.location)
 	}
 }
--- a/rules/sizes_test.go
+++ b/rules/sizes_test.go
@@ -38,12 +38,12 @@
 	sec := int64(time.Second)
 	methods := []rules.Method{{Name: "read", Consistency: rules.ConsistencyBounded, MaxStaleness: sec, SoftDeadline: sec, Deadline: 2 * sec, Effect: rules.Idempotent, Utility: 1, LateUtility: 0.5},
 		{Name: "write", Consistency: rules.ConsistencyWrite, SoftDeadline: sec, Deadline: 2 * sec, Utility: 1, LateUtility: 0.5}}
-	h := &frozenHost{}
-	d = rules.New(h, 1, methods, rules.Fleet{Drivers: 300, ReportsPerMessage: 20}, rules.Store{RejectsStaleReads: true}, rules.Policy{Probing: true, MaxAttempts: 4, MaxRetryAfter: 1}, rules.SlowStart{}, rules.Discovery{})
+	host := &frozenHost{}
+	d = rules.New(host, 1, methods, rules.Fleet{Drivers: 300, ReportsPerMessage: 20}, rules.Store{RejectsStaleReads: true}, rules.Policy{Probing: true, MaxAttempts: 4, MaxRetryAfter: 1}, rules.SlowStart{}, rules.Discovery{})
 	var reports []rules.PeerReport
 	for m := range members {
 		entries = append(entries, rules.MemberEntry{Member: rules.MemberID(m + 1), Group: rules.GroupID(m / group), State: rules.Healthy, Weight: 1})
-		reports = append(reports, rules.PeerReport{Member: rules.MemberID(m + 1), Observation: rules.Observation{Role: rules.RoleReplica, Position: h.Now() - 1000 - int64(m)}, Latency: 1_000_000})
+		reports = append(reports, rules.PeerReport{Member: rules.MemberID(m + 1), Observation: rules.Observation{Role: rules.RoleReplica, Position: host.Now() - 1000 - int64(m)}, Latency: 1_000_000})
 	}
 	d.UpdateMembers(entries, true)
 	d.ReceiveReports(reports)
@@ -66,9 +66,9 @@
 		}
 		for range rounds {
 			for i, operation := range operations {
-				begun := time.Now()
+				start := time.Now()
 				operation()
-				times[i] = min(times[i], float64(time.Since(begun)))
+				times[i] = min(times[i], float64(time.Since(start)))
 			}
 		}
 	}
@@ -93,11 +93,11 @@
 			}
 		})
 		listBuilders = append(listBuilders, func() func() {
-			d, lines := newSizedDriver(n, 20)
+			d, entries := newSizedDriver(n, 20)
 			for i := range 500 { // writes, which are held without a primary
 				d.Submit(rules.RPC{ID: rules.RPCID(i + 1), Method: 1, Group: rules.GroupID(i % (n / 20)), TimeLeft: int64(time.Second)})
 			}
-			return func() { d.UpdateMembers(lines, true) }
+			return func() { d.UpdateMembers(entries, true) }
 		})
 	}
 	picks, lists := fastestTimes(41, pickBuilders), fastestTimes(21, listBuilders)
