--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -106,13 +106,13 @@
 		}).NsPerOp())
 	}
 	trieCost := cost(trie.Longest)
-	line := func(name string, bytes, ns float64) string {
+	row := func(name string, bytes, ns float64) string {
 		return fmt.Sprintf("| %s | %.1f | %.0f | %.1f |\n", name, bytes/count, ns, ns/trieCost)
 	}
 	runtime.KeepAlive(tenants)
 	return "| 100,000 prefixes | bytes a prefix beyond its text | ns a look-up | over the trie |\n| --- | --- | --- | --- |\n" +
-		line("radix trie", trieBytes, trieCost) + line("scan, the longest first", sortedBytes, cost(scan)) +
-		line("map, asked by every length", byPrefixBytes, cost(byLength))
+		row("radix trie", trieBytes, trieCost) + row("scan, the longest first", sortedBytes, cost(scan)) +
+		row("map, asked by every length", byPrefixBytes, cost(byLength))
 }
 
 // measureHeavyHitters compares space-saving with a map.
@@ -153,9 +153,9 @@
 			}
 		}).NsPerOp()
 	}
-	for _, places := range []int{512, maxTrackedTenants, 8192} {
+	for _, capacity := range []int{512, maxTrackedTenants, 8192} {
 		h, bytes := measureHeap(func() *HeavyHitters {
-			h := NewHeavyHitters(places)
+			h := NewHeavyHitters(capacity)
 			for i := range names {
 				h.Add(names[i], 1)
 			}
@@ -165,14 +165,14 @@
 			return h
 		})
 		found, totalError := 0, 0.0
-		for _, w := range exact {
-			if _, kept := h.index[w.Tenant]; kept {
+		for _, want := range exact {
+			if _, tracked := h.index[want.Tenant]; tracked {
 				found++
-				load, over := h.Load(w.Tenant)
-				totalError += (load - over/2 - w.Load) / w.Load / shown
+				load, over := h.Load(want.Tenant)
+				totalError += (load - over/2 - want.Load) / want.Load / shown
 			}
 		}
-		fmt.Fprintf(&b, "| space-saving, %d places | %.0f | %d | %.4f | %d |\n", places, bytes/1024, found, max(totalError, -totalError),
+		fmt.Fprintf(&b, "| space-saving, %d places | %.0f | %d | %.4f | %d |\n", capacity, bytes/1024, found, max(totalError, -totalError),
 			cost(func(tenant Tenant) { h.Add(tenant, 1) }))
 	}
 	fmt.Fprintf(&b, "| map | %.0f | %d | 0 | %d |\n", countsBytes/1024, shown, cost(func(tenant Tenant) { counts[tenant]++ }))
--- a/internal/cells/heavy_hitters.go
+++ b/internal/cells/heavy_hitters.go
@@ -30,7 +30,7 @@
 // Add adds to a tenant's load.
 func (h *HeavyHitters) Add(t Tenant, load float64) {
 	h.total += load
-	if i, kept := h.index[t]; kept {
+	if i, tracked := h.index[t]; tracked {
 		h.entries[i].load += load
 		h.siftDown(i)
 		return
@@ -50,7 +50,7 @@
 
 // Load returns an upper bound of a tenant's load and by how much it may be too high.
 func (h *HeavyHitters) Load(t Tenant) (load, overestimate float64) {
-	if i, kept := h.index[t]; kept {
+	if i, tracked := h.index[t]; tracked {
 		return h.entries[i].load, h.entries[i].overestimate
 	}
 	if len(h.entries) < h.capacity {
@@ -86,8 +86,8 @@
 // Top returns up to limit tenants with the highest load, in descending order.
 func (h *HeavyHitters) Top(limit int) []TenantLoad {
 	all := make([]TenantLoad, len(h.entries))
-	for i, p := range h.entries {
-		all[i] = TenantLoad{p.tenant, p.load, p.overestimate}
+	for i, entry := range h.entries {
+		all[i] = TenantLoad{entry.tenant, entry.load, entry.overestimate}
 	}
 	return sortHeaviestFirst(all)[:min(limit, len(all))]
 }
--- a/internal/cells/layout_test.go
+++ b/internal/cells/layout_test.go
@@ -154,7 +154,7 @@
 		{"groups change", func() (*Layout, map[Tenant]string) {
 			return newTestLayout(1, 2, 1, 1, 0), map[Tenant]string{pinned: "c1"}
 		}, "groups were"},
-		{"the spread changes", func() (*Layout, map[Tenant]string) {
+		{"the number of groups per tenant changes", func() (*Layout, map[Tenant]string) {
 			return newTestLayout(2, 1, 1, 1, 0), map[Tenant]string{pinned: "c1"}
 		}, "groups_a_tenant"},
 		{"a cell with a weight is removed", func() (*Layout, map[Tenant]string) {
--- a/internal/cells/leases.go
+++ b/internal/cells/leases.go
@@ -11,7 +11,7 @@
 	Loads       []TenantLoad `json:"loads,omitempty"` // RPCs per second of its busiest tenants, sent periodically
 }
 
-// MoveReport is a driver's state of a move at the stage of Epoch.
+// MoveReport is what a driver reports about a move. Epoch is that of the Entry it refers to.
 type MoveReport struct {
 	Tenant     Tenant `json:"tenant"`
 	Epoch      Epoch  `json:"epoch"`
@@ -57,7 +57,7 @@
 	return requestedAt + l.duration + l.duration/clockRateDivisor
 }
 
-// holder returns a driver's record and creates it if needed.
+// holder returns a driver's lease state and creates it if needed.
 func (l *leases) holder(name string) *leaseHolder {
 	h := l.drivers[name]
 	if h == nil {
--- a/internal/cells/limits_test.go
+++ b/internal/cells/limits_test.go
@@ -28,159 +28,159 @@
 }
 
 // admitRequests submits RPCs and returns the admitted tickets and the rejections by reason.
-func admitRequests(g *AdmissionController, tenant string, count int, now int64) (admitted []*Ticket, rejected map[Reason]int) {
+func admitRequests(controller *AdmissionController, tenant string, count int, now int64) (admitted []*Ticket, rejected map[Reason]int) {
 	rejected = map[Reason]int{}
 	for range count {
-		t, v, decided := g.Admit(now, newRequest(tenant, 1), func(Decision) {})
-		if decided && v.Reason == ReasonNone {
+		t, decision, decided := controller.Admit(now, newRequest(tenant, 1), func(Decision) {})
+		if decided && decision.Reason == ReasonNone {
 			admitted = append(admitted, t)
 		} else {
-			rejected[v.Reason]++
+			rejected[decision.Reason]++
 		}
 	}
 	return admitted, rejected
 }
 
-func finishAll(g *AdmissionController, admitted []*Ticket, now int64) {
+func finishAll(controller *AdmissionController, admitted []*Ticket, now int64) {
 	for _, t := range admitted {
-		g.Finished(t, true, now)
-		g.Settle(t, now)
+		controller.Finished(t, true, now)
+		controller.Settle(t, now)
 	}
 }
 
 // Guards against an overloaded cell that takes more of other cells' capacity than they lend.
 func TestCellBorrowsOnlyLentCapacity(t *testing.T) {
-	g := newTestController(100, 0.5)
-	borrowing, rejected := admitRequests(g, "a0", 200, second)
+	controller := newTestController(100, 0.5)
+	borrowing, rejected := admitRequests(controller, "a0", 200, second)
 	require.Len(t, borrowing, 75, "its own 50 and half of the other share")
 	require.Equal(t, 125, rejected[ReasonTenantOverShare]+rejected[ReasonCellFull])
-	admitted, _ := admitRequests(g, "b0", 30, second)
+	admitted, _ := admitRequests(controller, "b0", 30, second)
 	require.GreaterOrEqual(t, len(admitted), 25, "capacity that is not lent is available at once")
-	finishAll(g, append(borrowing, admitted...), second)
-	require.Zero(t, g.limits.bulkheads.totalUsed[RPCs])
+	finishAll(controller, append(borrowing, admitted...), second)
+	require.Zero(t, controller.limits.bulkheads.totalUsed[RPCs])
 }
 
 // Guards against a lender that has to wait for the return of its capacity.
 func TestLentCapacityIsReclaimed(t *testing.T) {
-	g := newTestController(100, 1)
+	controller := newTestController(100, 1)
 	var reclaimed []Reason
 	var borrowing []*Ticket
 	for range 100 {
-		ticket, v, _ := g.Admit(second, newRequest("a0", 1), func(v Decision) { reclaimed = append(reclaimed, v.Reason) })
-		require.Equal(t, ReasonNone, v.Reason)
+		ticket, decision, _ := controller.Admit(second, newRequest("a0", 1), func(decision Decision) { reclaimed = append(reclaimed, decision.Reason) })
+		require.Equal(t, ReasonNone, decision.Reason)
 		borrowing = append(borrowing, ticket)
 	}
 	for _, ticket := range borrowing[:90] { // these have been sent to members
-		g.AttemptStarted(ticket, second)
+		controller.AttemptStarted(ticket, second)
 	}
-	admitted, rejected := admitRequests(g, "b0", 20, second)
+	admitted, rejected := admitRequests(controller, "b0", 20, second)
 	require.Len(t, admitted, 10, "all unsent RPCs are rejected")
 	require.Equal(t, []Reason{ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull, ReasonDriverFull}, reclaimed)
 	require.Equal(t, 10, rejected[ReasonDriverFull])
-	finishAll(g, borrowing[:20], second+ms)
-	more, _ := admitRequests(g, "a0", 20, second+2*ms)
+	finishAll(controller, borrowing[:20], second+ms)
+	more, _ := admitRequests(controller, "a0", 20, second+2*ms)
 	require.Empty(t, more, "lending is paused after a denial")
-	admitted, _ = admitRequests(g, "b0", 20, second+2*ms)
+	admitted, _ = admitRequests(controller, "b0", 20, second+2*ms)
 	require.Len(t, admitted, 20)
 }
 
 // Guards against a tenant that takes more than its fair share of a contended cell.
 func TestTenantFairShare(t *testing.T) {
-	g := newTestController(40, 0) // 20 for each cell
-	admitted, _ := admitRequests(g, "a0", 100, second)
+	controller := newTestController(40, 0) // 20 for each cell
+	admitted, _ := admitRequests(controller, "a0", 100, second)
 	require.Len(t, admitted, 20, "a single tenant may use the whole cell")
-	finishAll(g, admitted[:10], second)
+	finishAll(controller, admitted[:10], second)
 	for range 200 { // a0 retries often while a1 makes few requests
-		admitRequests(g, "a0", 3, second+ms)
+		admitRequests(controller, "a0", 3, second+ms)
 	}
 	for _, ticket := range admitted[10:] {
-		finishAll(g, []*Ticket{ticket}, second+2*ms)
-		other, _ := admitRequests(g, "a1", 1, second+2*ms)
+		finishAll(controller, []*Ticket{ticket}, second+2*ms)
+		other, _ := admitRequests(controller, "a1", 1, second+2*ms)
 		require.Len(t, other, 1)
-		again, _ := admitRequests(g, "a0", 1, second+2*ms)
+		again, _ := admitRequests(controller, "a0", 1, second+2*ms)
 		require.Empty(t, again, "the tenant of weight 3 is below its fair share")
 	}
-	require.EqualValues(t, 10, g.limits.shares.cells[0].active["a1"].used)
+	require.EqualValues(t, 10, controller.limits.shares.cells[0].active["a1"].used)
 }
 
 // Guards against RPCs of low utility that use up the remaining capacity.
 func TestRemainingCapacityIsReservedForHighUtility(t *testing.T) {
-	g := newTestController(200, 0)
-	g.Admit(second, newRequest("a0", 10), func(Decision) {})
+	controller := newTestController(200, 0)
+	controller.Admit(second, newRequest("a0", 10), func(Decision) {})
 	for i := range 50 {
-		admitRequests(g, fmt.Sprint("a", i), 5, second)
+		admitRequests(controller, fmt.Sprint("a", i), 5, second)
 	}
-	_, v, _ := g.Admit(second, newRequest("a40", 1), func(Decision) {})
-	require.Equal(t, ReasonLowUtility, v.Reason)
-	_, v, _ = g.Admit(second, newRequest("a40", 10), func(Decision) {})
-	require.Equal(t, ReasonNone, v.Reason)
+	_, decision, _ := controller.Admit(second, newRequest("a40", 1), func(Decision) {})
+	require.Equal(t, ReasonLowUtility, decision.Reason)
+	_, decision, _ = controller.Admit(second, newRequest("a40", 10), func(Decision) {})
+	require.Equal(t, ReasonNone, decision.Reason)
 }
 
 // Guards against sending RPCs that will time out: the limit falls with late responses and recovers
 // with timely ones.
 func TestConcurrencyLimitFollowsLatency(t *testing.T) {
-	g := newTestController(200, 0)
+	controller := newTestController(200, 0)
 	now := second
 	limitAfter := func(latency int64) int64 {
-		admitted, _ := admitRequests(g, "a0", 1, now)
-		finishAll(g, admitted, now+latency)
+		admitted, _ := admitRequests(controller, "a0", 1, now)
+		finishAll(controller, admitted, now+latency)
 		now += latency
-		return g.limits.concurrencyLimit(0, now)
+		return controller.limits.concurrencyLimit(0, now)
 	}
 	require.EqualValues(t, 100, limitAfter(10*ms))
 	for range 10 {
 		limitAfter(500 * ms)
 	}
-	reducedLimit := g.limits.concurrencyLimit(0, now)
+	reducedLimit := controller.limits.concurrencyLimit(0, now)
 	require.Less(t, reducedLimit, int64(40))
-	require.Equal(t, int64(100), g.limits.concurrencyLimit(1, now), "the limit of another cell does not change")
+	require.Equal(t, int64(100), controller.limits.concurrencyLimit(1, now), "the limit of another cell does not change")
 	for range 200 {
-		admitted, _ := admitRequests(g, "a0", int(reducedLimit), now)
+		admitted, _ := admitRequests(controller, "a0", int(reducedLimit), now)
 		now += 10 * ms
-		finishAll(g, admitted, now)
+		finishAll(controller, admitted, now)
 	}
-	require.Greater(t, g.limits.concurrencyLimit(0, now), reducedLimit)
+	require.Greater(t, controller.limits.concurrencyLimit(0, now), reducedLimit)
 }
 
 // Guards against memory that grows with the number of tenant names.
 func TestManyTenantNamesUseBoundedMemory(t *testing.T) {
-	g := newTestController(40, 0)
+	controller := newTestController(40, 0)
 	suffix := 0
 	for i := range 20_000 {
 		name := fmt.Sprint("name-", i)
-		for g.layout.HomeCell(Tenant(name)) != 0 {
+		for controller.layout.HomeCell(Tenant(name)) != 0 {
 			suffix++
 			name = fmt.Sprint("name-", i, "-", suffix)
 		}
-		admitted, _ := admitRequests(g, name, 1, second+int64(i)*ms/100)
-		finishAll(g, admitted, second+int64(i)*ms/100)
+		admitted, _ := admitRequests(controller, name, 1, second+int64(i)*ms/100)
+		finishAll(controller, admitted, second+int64(i)*ms/100)
 	}
-	require.LessOrEqual(t, len(g.limits.shares.cells[0].active), maxOwnShares)
-	require.LessOrEqual(t, len(g.limits.heavyHitters.entries), maxTrackedTenants)
-	require.Empty(t, g.tenants)
+	require.LessOrEqual(t, len(controller.limits.shares.cells[0].active), maxOwnShares)
+	require.LessOrEqual(t, len(controller.limits.heavyHitters.entries), maxTrackedTenants)
+	require.Empty(t, controller.tenants)
 	now := 10 * second
-	admitted, _ := admitRequests(g, "a0", 1, now)
+	admitted, _ := admitRequests(controller, "a0", 1, now)
 	require.Len(t, admitted, 1)
-	require.Len(t, g.limits.shares.cells[0].active, 1, "idle tenants are removed")
+	require.Len(t, controller.limits.shares.cells[0].active, 1, "idle tenants are removed")
 }
 
 // Each further attempt counts as an RPC of its tenant, and response bytes count until they are
 // passed on.
 func TestAttemptAndResponseAccounting(t *testing.T) {
-	g := newTestController(40, 0)
-	admitted, _ := admitRequests(g, "a0", 1, second)
+	controller := newTestController(40, 0)
+	admitted, _ := admitRequests(controller, "a0", 1, second)
 	ticket := admitted[0]
-	g.AttemptStarted(ticket, second)
+	controller.AttemptStarted(ticket, second)
 	require.EqualValues(t, 1, ticket.usage.used)
-	g.AttemptStarted(ticket, second)
+	controller.AttemptStarted(ticket, second)
 	require.EqualValues(t, 2, ticket.usage.used)
-	g.AttemptEnded(ticket, 0, 1000, second)
-	g.AttemptEnded(ticket, 0, 0, second)
-	require.EqualValues(t, 1000, g.limits.bulkheads.Used(ResponseBytes, 0))
-	g.Finished(ticket, true, second)
-	require.EqualValues(t, 1000, g.limits.bulkheads.Used(ResponseBytes, 0))
-	g.Settle(ticket, second)
-	require.Zero(t, g.limits.bulkheads.Used(ResponseBytes, 0))
+	controller.AttemptEnded(ticket, 0, 1000, second)
+	controller.AttemptEnded(ticket, 0, 0, second)
+	require.EqualValues(t, 1000, controller.limits.bulkheads.Used(ResponseBytes, 0))
+	controller.Finished(ticket, true, second)
+	require.EqualValues(t, 1000, controller.limits.bulkheads.Used(ResponseBytes, 0))
+	controller.Settle(ticket, second)
+	require.Zero(t, controller.limits.bulkheads.Used(ResponseBytes, 0))
 	require.Zero(t, ticket.usage.used)
 }
 
@@ -188,33 +188,33 @@
 func TestMostOverConnectionShare(t *testing.T) {
 	l := newTestLayout(1, 1, 1, 3)
 	limits := NewLimits(Budget{RPCs: 10, Attempts: 10, ClientConnections: 40}, 0, l, nil) // 10 and 30 connections
-	g := NewAdmissionController(NewDirectory(l, nil), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), limits, false, 1)
+	controller := NewAdmissionController(NewDirectory(l, nil), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), limits, false, 1)
 	connect := func(c Cell, n int) {
 		for range n {
-			g.MoveConnection(NoCell, c)
+			controller.MoveConnection(NoCell, c)
 		}
 	}
 	connect(0, 10)
 	connect(1, 30)
-	require.Equal(t, NoCell, g.MostOverConnectionShare(), "both cells are within their shares")
+	require.Equal(t, NoCell, controller.MostOverConnectionShare(), "both cells are within their shares")
 	connect(1, 3)
-	require.Equal(t, Cell(1), g.MostOverConnectionShare())
+	require.Equal(t, Cell(1), controller.MostOverConnectionShare())
 	connect(0, 5)
-	require.Equal(t, Cell(0), g.MostOverConnectionShare())
+	require.Equal(t, Cell(0), controller.MostOverConnectionShare())
 	for range 6 {
-		g.MoveConnection(0, 1)
+		controller.MoveConnection(0, 1)
 	}
-	require.Equal(t, Cell(1), g.MostOverConnectionShare())
+	require.Equal(t, Cell(1), controller.MostOverConnectionShare())
 	for range 10 {
-		g.MoveConnection(1, NoCell)
+		controller.MoveConnection(1, NoCell)
 	}
-	require.Equal(t, NoCell, g.MostOverConnectionShare())
+	require.Equal(t, NoCell, controller.MostOverConnectionShare())
 }
 
 // All resources in use are returned, whatever the order of events.
 func TestResourceUseIsReturned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newTestController(int64(rapid.IntRange(2, 60).Draw(t, "rpcs")), rapid.Float64Range(0, 1).Draw(t, "lend"))
+		controller := newTestController(int64(rapid.IntRange(2, 60).Draw(t, "rpcs")), rapid.Float64Range(0, 1).Draw(t, "lend"))
 		var open []*Ticket
 		now := second
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -222,30 +222,30 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				name := fmt.Sprint(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "cell"), rapid.IntRange(0, 4).Draw(t, "tenant"))
-				admitted, _ := admitRequests(g, name, 1, now)
+				admitted, _ := admitRequests(controller, name, 1, now)
 				open = append(open, admitted...)
 			case 2:
 				if len(open) > 0 && !open[0].finished {
-					g.AttemptStarted(open[0], now)
-					g.AttemptEnded(open[0], 0, rapid.IntRange(0, 5000).Draw(t, "bytes"), now)
+					controller.AttemptStarted(open[0], now)
+					controller.AttemptEnded(open[0], 0, rapid.IntRange(0, 5000).Draw(t, "bytes"), now)
 				}
 			case 3:
 				if len(open) > 0 {
-					finishAll(g, open[:1], now)
+					finishAll(controller, open[:1], now)
 					open = open[1:]
 				}
 			}
-			require.LessOrEqual(t, g.limits.bulkheads.totalUsed[RPCs], g.limits.bulkheads.budget[RPCs])
+			require.LessOrEqual(t, controller.limits.bulkheads.totalUsed[RPCs], controller.limits.bulkheads.budget[RPCs])
 		}
-		finishAll(g, open, now)
-		for c := range g.layout.names {
-			for k := range g.limits.bulkheads.used {
-				require.Zero(t, g.limits.bulkheads.used[k][c])
+		finishAll(controller, open, now)
+		for c := range controller.layout.names {
+			for resource := range controller.limits.bulkheads.used {
+				require.Zero(t, controller.limits.bulkheads.used[resource][c])
 			}
-			for _, p := range g.limits.shares.cells[c].active {
-				require.Zero(t, p.used)
+			for _, usage := range controller.limits.shares.cells[c].active {
+				require.Zero(t, usage.used)
 			}
 		}
-		require.Empty(t, g.tenants)
+		require.Empty(t, controller.tenants)
 	})
 }
--- a/internal/cells/simulation_test.go
+++ b/internal/cells/simulation_test.go
@@ -210,9 +210,9 @@
 	var records []Record
 	var err error
 	if sim.random(40) == 0 {
-		records, err = sim.coordinator.Abort(sim.now, "t", "walk")
+		records, err = sim.coordinator.Abort(sim.now, "t", "test")
 	} else {
-		records, err = sim.coordinator.Move(sim.now, "t", fmt.Sprint("c", sim.random(simCells)), "walk")
+		records, err = sim.coordinator.Move(sim.now, "t", fmt.Sprint("c", sim.random(simCells)), "test")
 	}
 	if err == nil {
 		sim.writeRecords(records)
@@ -251,25 +251,25 @@
 	if sim.random(4) == 0 {
 		i = sim.random(len(sim.grants))
 	}
-	g := sim.grants[i]
+	delivered := sim.grants[i]
 	if sim.random(5) > 0 {
 		sim.grants = slices.Delete(sim.grants, i, i+1)
 	}
-	if g.incarnation != g.driver.incarnation {
+	if delivered.incarnation != delivered.driver.incarnation {
 		return
 	}
-	changed, err := g.driver.controller.ApplyGrant(g.requestedAt, g.grant)
+	changed, err := delivered.driver.controller.ApplyGrant(delivered.requestedAt, delivered.grant)
 	if err != nil {
 		sim.violation = err.Error()
 	}
 	if sim.bug == bugOldEpochs {
-		for _, e := range g.grant.Entries {
-			g.driver.controller.directory.entries[e.Tenant] = e
+		for _, e := range delivered.grant.Entries {
+			delivered.driver.controller.directory.entries[e.Tenant] = e
 			changed = append(changed, e.Tenant)
 		}
 	}
 	for _, t := range changed {
-		g.driver.controller.ResumeHeld(t, sim.now)
+		delivered.driver.controller.ResumeHeld(t, sim.now)
 	}
 }
 
@@ -280,17 +280,17 @@
 		sim.writes++
 		rpc.writeID = sim.writes
 	}
-	onDecision := func(v Decision) {
-		if v.Reason == ReasonNone {
-			rpc.cell = int(v.Group) - 1
+	onDecision := func(decision Decision) {
+		if decision.Reason == ReasonNone {
+			rpc.cell = int(decision.Group) - 1
 			rpc.controller.AttemptStarted(rpc.ticket, sim.now)
 			sim.rpcs = append(sim.rpcs, rpc)
 		}
 	}
-	ticket, v, decided := d.controller.Admit(sim.now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: simRPCTimeout}, onDecision)
+	ticket, decision, decided := d.controller.Admit(sim.now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: simRPCTimeout}, onDecision)
 	rpc.ticket = ticket
 	if decided {
-		onDecision(v)
+		onDecision(decision)
 	}
 }
 
@@ -525,62 +525,62 @@
 
 // Guards against a driver that was paused or disconnected while its tenant moved.
 func TestAdmissionDuringMove(t *testing.T) {
-	g := NewAdmissionController(newTestDirectory(), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), nil, true, 1)
+	controller := NewAdmissionController(newTestDirectory(), NewTenantResolver(nil, nil, nil, DefaultNone, "t"), nil, true, 1)
 	var decisions []Decision
 	admit := func(now int64, write bool) (*Ticket, Decision, bool) {
-		return g.Admit(now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: second}, func(v Decision) { decisions = append(decisions, v) })
+		return controller.Admit(now, Request{Tenant: "t", Key: "k", Write: write, TimeLeft: second}, func(decision Decision) { decisions = append(decisions, decision) })
 	}
-	_, v, _ := admit(0, true)
-	require.Equal(t, ReasonNoLease, v.Reason, "the driver has no lease")
+	_, decision, _ := admit(0, true)
+	require.Equal(t, ReasonNoLease, decision.Reason, "the driver has no lease")
 	grant := func(requestedAt int64, e ...Entry) {
-		newest := g.directory.latestEpoch
+		newest := controller.directory.latestEpoch
 		for _, n := range e {
 			newest = max(newest, n.Epoch)
 		}
-		_, err := g.ApplyGrant(requestedAt, Grant{Lease: second, LatestEpoch: newest, Entries: e})
+		_, err := controller.ApplyGrant(requestedAt, Grant{Lease: second, LatestEpoch: newest, Entries: e})
 		require.NoError(t, err)
-		g.ResumeHeld("t", requestedAt)
+		controller.ResumeHeld("t", requestedAt)
 	}
 	grant(0)
-	first, v, _ := admit(ms, true)
-	require.Equal(t, ReasonNone, v.Reason)
-	require.EqualValues(t, 1, v.Group)
-	require.True(t, g.MayProceed(first, second-1))
-	require.False(t, g.MayProceed(first, second), "the lease has expired")
+	first, decision, _ := admit(ms, true)
+	require.Equal(t, ReasonNone, decision.Reason)
+	require.EqualValues(t, 1, decision.Group)
+	require.True(t, controller.MayProceed(first, second-1))
+	require.False(t, controller.MayProceed(first, second), "the lease has expired")
 	grant(second, Entry{Epoch: 4, Tenant: "t", Cell: "c0", Stage: StageHoldingWrites, To: "c1"})
-	require.True(t, g.MayProceed(first, second), "an RPC in flight continues in the old cell")
-	r := g.Report(second, "a", 1, nil)
+	require.True(t, controller.MayProceed(first, second), "an RPC in flight continues in the old cell")
+	r := controller.Report(second, "a", 1, nil)
 	require.Equal(t, 1, r.Moves[0].Writes)
-	g.AttemptEnded(first, second+50*ms, 0, second)
-	g.Finished(first, false, second)
-	g.Settle(first, second)
-	require.Equal(t, 1, g.Report(second, "a", 1, nil).Moves[0].Writes, "the write may still run")
-	require.Zero(t, g.Report(second+50*ms, "a", 1, nil).Moves[0].Writes)
-	_, v, decided := admit(second, false)
-	require.True(t, decided && v.Reason == ReasonNone, "reads are admitted")
+	controller.AttemptEnded(first, second+50*ms, 0, second)
+	controller.Finished(first, false, second)
+	controller.Settle(first, second)
+	require.Equal(t, 1, controller.Report(second, "a", 1, nil).Moves[0].Writes, "the write may still run")
+	require.Zero(t, controller.Report(second+50*ms, "a", 1, nil).Moves[0].Writes)
+	_, decision, decided := admit(second, false)
+	require.True(t, decided && decision.Reason == ReasonNone, "reads are admitted")
 	_, _, decided = admit(second, true)
 	require.False(t, decided)
-	_, v, _ = admit(second, true)
-	require.Equal(t, ReasonMoving, v.Reason, "the maximum number of RPCs is held")
-	_, err := g.ApplyGrant(second, Grant{Lease: 10 * second, LatestEpoch: 3, Entries: []Entry{{Epoch: 3, Tenant: "t", Cell: "c2"}}})
+	_, decision, _ = admit(second, true)
+	require.Equal(t, ReasonMoving, decision.Reason, "the maximum number of RPCs is held")
+	_, err := controller.ApplyGrant(second, Grant{Lease: 10 * second, LatestEpoch: 3, Entries: []Entry{{Epoch: 3, Tenant: "t", Cell: "c2"}}})
 	require.NoError(t, err)
-	require.Equal(t, StageHoldingWrites, g.directory.Placement("t").Stage, "an older grant is ignored")
-	require.Equal(t, 2*second, g.leaseExpiresAt)
+	require.Equal(t, StageHoldingWrites, controller.directory.Placement("t").Stage, "an older grant is ignored")
+	require.Equal(t, 2*second, controller.leaseExpiresAt)
 	grant(second, Entry{Epoch: 6, Tenant: "t", Cell: "c1", Stage: StageSwitched, To: "c0", MinPosition: 77})
 	require.Equal(t, []Decision{{Group: 2, MinPosition: 77}}, decisions)
-	require.False(t, g.MayProceed(first, second), "the tenant has moved")
+	require.False(t, controller.MayProceed(first, second), "the tenant has moved")
 	grant(second, Entry{Epoch: 7, Tenant: "t", Cell: "c0", Stage: StageHoldingAll, To: "c1"})
 	decisions = nil
 	ticket, _, decided := admit(second, false)
 	require.False(t, decided, "reads are held")
-	g.Expire(ticket)
-	g.Expire(ticket)
+	controller.Expire(ticket)
+	controller.Expire(ticket)
 	require.Equal(t, []Decision{{Reason: ReasonMoving, RetryAfter: minRetryAfter}}, decisions, "rejected once")
 	ticket, _, _ = admit(second, true)
-	g.Cancel(ticket)
-	g.Expire(ticket)
+	controller.Cancel(ticket)
+	controller.Expire(ticket)
 	require.Len(t, decisions, 1, "a cancelled RPC gets no decision")
-	require.Zero(t, g.heldCount)
+	require.Zero(t, controller.heldCount)
 }
 
 // Guards against an earlier start of a driver that may still act after a later one has reported.
--- a/rules/api.go
+++ b/rules/api.go
@@ -66,7 +66,7 @@
 	Observation
 	Latency int64 // a recent latency, 0 if none
 	Failed  bool  // the last answer was an error
-	Uptime  int64 // shortest time it must have run, by the age of its connection; 0 if unknown
+	Uptime  int64 // time for which it has run at least, by the age of its connection; 0 if unknown
 }
 
 // Store describes how the members replicate and what they check.
@@ -203,7 +203,7 @@
 	Forget(id MemberID)    // the member is not used any more, unless discovery lists it again
 	Probe(to MemberID, next func(ProbeResult))
 	After(wait int64, next func())
-	Watch()
+	Watch() // starts a watch of the membership
 	SendReports(reports []PeerReport)
 	Log(line string)
 }
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -51,8 +51,7 @@
 	return s.unansweredAt != 0 && s.primaryStatedAt < s.unansweredAt
 }
 
-// observe applies an observation of a member. askedAt is when the member was asked for it, if it
-// was.
+// observe applies an observation of a member. askedAt is when it was requested, 0 if it was not.
 func (d *Driver) observe(m member, observation Observation, from source, askedAt int64) {
 	if observation.Role == RoleUnknown {
 		return
--- a/rules/scenario_test.go
+++ b/rules/scenario_test.go
@@ -91,11 +91,11 @@
 	return len(r.targets) - 1
 }
 
-func (p *scenarioRunner) Cancel(rules.RPCID, int)  {}
+func (s *scenarioRunner) Cancel(rules.RPCID, int)  {}
 func (s *scenarioRunner) CloseIdle(rules.MemberID) { s.idleCloses++ }
 func (s *scenarioRunner) Forget(rules.MemberID)    { s.forgotten++ }
 func (s *scenarioRunner) Watch()                   { s.watches++ }
-func (p *scenarioRunner) Log(string)               {}
+func (s *scenarioRunner) Log(string)               {}
 
 func (s *scenarioRunner) SendReports(reports []rules.PeerReport) {
 	s.reports = append(s.reports, reports...)
--- a/rules/store_clock.go
+++ b/rules/store_clock.go
@@ -19,7 +19,7 @@
 	// Lower bound on the store's clock minus the driver's, by the positions of this window and the
 	// last.
 	minAhead       int64
-	recentMinAhead int64   // the same by those of this window
+	recentMinAhead int64   // the same by the positions of this window only
 	windowStart    int64   // 0 before the first position
 	outliers       int     // consecutive positions later than the known offset allows
 	upperBounds    []int64 // latest upper bounds on the offset
