--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -54,7 +54,7 @@
 	Caller   Caller
 	Effect   rules.Effect
 	Group    rules.GroupID
-	Window   int64 // of a tokened RPC: its group drops duplicates within this time
+	Window   int64 // for IdempotentByToken: how long the group drops duplicates
 	Deadline int64 // of the client; no grant after it
 	IsRetry  bool  // the caller knows that this is a retry
 }
@@ -85,7 +85,7 @@
 	ReasonFull                    // the ledger is at capacity
 	ReasonQuota                   // the caller is at its quota
 	ReasonMayHaveRun              // an earlier grant of a non-idempotent RPC may have run
-	ReasonOutsideWindow           // a tokened RPC is past its window or has another group
+	ReasonOutsideWindow           // an IdempotentByToken RPC is past its window or has another group
 	ReasonGrantOutstanding        // an earlier grant has not been reported
 	ReasonRecordsLost             // records were lost, so that a retry cannot be recognized
 	ReasonDeadlineExceeded
@@ -96,17 +96,17 @@
 
 // entry is one RPC. Its slot is reused after the RPC has expired.
 type entry struct {
-	id             ID
-	caller         Caller
-	effect         rules.Effect
-	group          rules.GroupID
-	window         int64
-	deadline       int64
-	firstRiskAt    int64 // when the first grant that may have run was given, 0 for none
-	grant          Grant // latest grant
-	state          state
-	outcome        Outcome
-	multipleGroups bool // grants that may have run were for several groups, after a report was lost in a crash
+	id              ID
+	caller          Caller
+	effect          rules.Effect
+	group           rules.GroupID
+	window          int64
+	deadline        int64
+	mayHaveRunSince int64 // when the first grant that may have run was given, 0 for none
+	grant           Grant // latest grant
+	state           state
+	outcome         Outcome
+	multipleGroups  bool // grants that may have run were for several groups, after a report was lost in a crash
 }
 
 // Ledger tracks RPCs. It is not safe for concurrent use.
@@ -208,7 +208,7 @@
 	case e.effect != request.Effect || e.window != request.Window: // changed by the caller; the stricter effect applies
 		return l.abortOrReject(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
-	case e.effect == rules.IdempotentByToken && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != request.Group || e.multipleGroups):
+	case e.effect == rules.IdempotentByToken && e.mayHaveRun() && (e.mayHaveRunSince+e.window <= now || e.group != request.Group || e.multipleGroups):
 		return l.abortOrReject(e, ReasonOutsideWindow)
 	case e.effect == rules.NonIdempotent && e.state == granted:
 		return l.abortOrReject(e, ReasonGrantOutstanding)
@@ -279,8 +279,8 @@
 	if e.state == granted && known { // an outstanding grant of an RPC that may be retried
 		l.markUncertain(e)
 	}
-	if e.firstRiskAt == 0 {
-		e.firstRiskAt, e.group = now, request.Group
+	if e.mayHaveRunSince == 0 {
+		e.mayHaveRunSince, e.group = now, request.Group
 	}
 	e.multipleGroups = e.multipleGroups || e.group != request.Group
 	if known && e.caller != request.Caller {
@@ -330,7 +330,7 @@
 	case NeverRan:
 		e.state = idle
 		if e.outcome == NeverRan {
-			e.firstRiskAt, e.multipleGroups = 0, false
+			e.mayHaveRunSince, e.multipleGroups = 0, false
 		}
 	case MayHaveRun:
 		e.state, e.outcome = uncertain, MayHaveRun
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -26,7 +26,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				id := rapid.Int32Range(0, 20).Draw(t, "place")
+				id := rapid.Int32Range(0, 20).Draw(t, "id")
 				span := []int64{50, 700, 50_000, 3_000_000, 400_000_000}[rapid.IntRange(0, 4).Draw(t, "scale")]
 				at := now + rapid.Int64Range(-20, span).Draw(t, "in")
 				wheel.Set(id, at)
@@ -86,8 +86,8 @@
 	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
 	token := Request{ID: "1", Effect: rules.IdempotentByToken, Group: 1, Window: 300 * ms}
 	read := Request{ID: "1", Effect: rules.Idempotent, Group: 1}
-	other := token
-	other.Group = 2
+	otherGroup := token
+	otherGroup.Group = 2
 	for i, c := range []testCase{
 		{none, write, 10 * ms, ActionAbort, ReasonGrantOutstanding},
 		{NeverRan, write, 10 * ms, ActionGrant, ReasonNone},
@@ -99,79 +99,79 @@
 		{MayHaveRun, token, 299 * ms, ActionGrant, ReasonNone},
 		{MayHaveRun, token, 300 * ms, ActionAbort, ReasonOutsideWindow},
 		{none, token, 300 * ms, ActionAbort, ReasonOutsideWindow},
-		{MayHaveRun, other, 10 * ms, ActionAbort, ReasonOutsideWindow},
-		{NeverRan, other, 10 * ms, ActionGrant, ReasonNone},
+		{MayHaveRun, otherGroup, 10 * ms, ActionAbort, ReasonOutsideWindow},
+		{NeverRan, otherGroup, 10 * ms, ActionGrant, ReasonNone},
 		{NeverRan, token, 400 * ms, ActionGrant, ReasonNone},
 		{none, read, 10 * ms, ActionGrant, ReasonNone},
 		{MayHaveRun, read, 10 * ms, ActionGrant, ReasonNone},
 		{none, Request{ID: "1", Effect: rules.Idempotent, Group: 1, Caller: 1}, 10 * ms, ActionGrant, ReasonNone},
 	} {
-		l, do := newTestLedger(t)
+		l, decide := newTestLedger(t)
 		first := c.again
 		first.Group, first.Caller = 1, 0
-		d := do(0, first)
+		d := decide(0, first)
 		require.Equal(t, ActionGrant, d.Action)
 		if c.report != none {
 			require.True(t, l.Report(0, 1, d.Grant, c.report))
 		}
-		again := do(c.at, c.again)
+		again := decide(c.at, c.again)
 		require.Equal(t, []any{c.want, c.reason}, []any{again.Action, again.Reason}, "row %d", i)
 	}
-	_, do := newTestLedger(t)
-	do(0, write)
-	require.Equal(t, ActionAbort, do(ms, read).Action, "a retry cannot change the effect of an RPC")
+	_, decide := newTestLedger(t)
+	decide(0, write)
+	require.Equal(t, ActionAbort, decide(ms, read).Action, "a retry cannot change the effect of an RPC")
 }
 
 // Guards against duplicate reports and reports by another caller or an earlier start.
 func TestReports(t *testing.T) {
-	l, do := newTestLedger(t)
+	l, decide := newTestLedger(t)
 	write := Request{ID: "1", Effect: rules.NonIdempotent, Group: 1}
-	g := do(0, write).Grant
-	require.False(t, l.Report(1, 1, g, NeverRan), "the grant belongs to another caller")
-	require.False(t, l.Report(0, 2, g, NeverRan), "the caller has another epoch")
-	require.True(t, l.Report(0, 1, g, MayHaveRun))
-	require.False(t, l.Report(0, 1, g, NeverRan), "duplicate report")
-	require.Equal(t, ActionAbort, do(ms, write).Action)
+	grant := decide(0, write).Grant
+	require.False(t, l.Report(1, 1, grant, NeverRan), "the grant belongs to another caller")
+	require.False(t, l.Report(0, 2, grant, NeverRan), "the caller has another epoch")
+	require.True(t, l.Report(0, 1, grant, MayHaveRun))
+	require.False(t, l.Report(0, 1, grant, NeverRan), "duplicate report")
+	require.Equal(t, ActionAbort, decide(ms, write).Action)
 	late := Request{ID: "2", Effect: rules.NonIdempotent, Group: 1}
-	g = do(0, late).Grant
+	grant = decide(0, late).Grant
 	_, joined := l.Join("a", 2)
 	require.True(t, joined)
-	require.False(t, l.Report(0, 1, g, NeverRan), "the grant is from before the restart")
-	require.Equal(t, ActionAbort, do(ms, late).Action)
+	require.False(t, l.Report(0, 1, grant, NeverRan), "the grant is from before the restart")
+	require.Equal(t, ActionAbort, decide(ms, late).Action)
 	_, joined = l.Join("a", 1)
 	require.False(t, joined, "the epoch is older")
 	require.Equal(t, Counts{UnknownReports: 2, ForeignReports: 2, Grants: 2, Rejected: l.counts.Rejected}, l.Counts())
 	l.Answer("2")
-	require.Equal(t, ActionReplay, do(ms, late).Action)
+	require.Equal(t, ActionReplay, decide(ms, late).Action)
 }
 
 // Guards against a caller that never reports, and a full ledger that removes RPCs that may have
 // run.
 func TestCapacityAndExpiry(t *testing.T) {
-	l, do := newTestLedger(t)
+	l, decide := newTestLedger(t)
 	for i := range 50 {
-		require.Equal(t, ActionGrant, do(0, Request{ID: ID(fmt.Sprint("a", i)), Effect: rules.NonIdempotent}).Action)
+		require.Equal(t, ActionGrant, decide(0, Request{ID: ID(fmt.Sprint("a", i)), Effect: rules.NonIdempotent}).Action)
 	}
-	require.Equal(t, ReasonQuota, do(0, Request{ID: "more", Effect: rules.NonIdempotent}).Reason)
+	require.Equal(t, ReasonQuota, decide(0, Request{ID: "more", Effect: rules.NonIdempotent}).Reason)
 	for i := range 50 {
-		require.Equal(t, ActionGrant, do(0, Request{ID: ID(fmt.Sprint("b", i)), Caller: 1, Effect: rules.NonIdempotent}).Action)
+		require.Equal(t, ActionGrant, decide(0, Request{ID: ID(fmt.Sprint("b", i)), Caller: 1, Effect: rules.NonIdempotent}).Action)
 	}
-	require.Equal(t, ReasonFull, do(0, Request{ID: "more", Caller: 1}).Reason)
-	require.Equal(t, ReasonUnknownCaller, do(0, Request{ID: "more", Caller: 7}).Reason)
+	require.Equal(t, ReasonFull, decide(0, Request{ID: "more", Caller: 1}).Reason)
+	require.Equal(t, ReasonUnknownCaller, decide(0, Request{ID: "more", Caller: 7}).Reason)
 	l.Advance(1000 * ms)
-	require.Equal(t, ActionAbort, do(1000*ms, Request{ID: "a1", Effect: rules.NonIdempotent}).Action, "RPCs are kept until they expire")
+	require.Equal(t, ActionAbort, decide(1000*ms, Request{ID: "a1", Effect: rules.NonIdempotent}).Action, "RPCs are kept until they expire")
 	l.Advance(1000*ms + reportGrace + expiryTick)
 	known, outstanding := l.Open()
 	require.Zero(t, known+outstanding)
 	require.EqualValues(t, 100, l.Counts().ExpiredGrants)
-	require.Equal(t, ActionGrant, do(2000*ms, Request{ID: "more", Effect: rules.NonIdempotent, Deadline: 3000 * ms}).Action)
+	require.Equal(t, ActionGrant, decide(2000*ms, Request{ID: "more", Effect: rules.NonIdempotent, Deadline: 3000 * ms}).Action)
 	l.MarkRecordsLost(2500 * ms)
-	require.Equal(t, ReasonRecordsLost, do(2000*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Reason)
-	require.Equal(t, ActionGrant, do(2500*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Action)
+	require.Equal(t, ReasonRecordsLost, decide(2000*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Reason)
+	require.Equal(t, ActionGrant, decide(2500*ms, Request{ID: "x", Effect: rules.NonIdempotent, Deadline: 3000 * ms, IsRetry: true}).Action)
 }
 
-// A non-idempotent RPC that may have run is never granted again, and a tokened one only in its
-// group and window, whatever the order of requests, reports and crashes.
+// A non-idempotent RPC that may have run is never granted again, and an RPC deduplicated by token
+// only in its group and window, whatever the order of requests, reports and crashes.
 func TestNonIdempotentRPCsRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const startTime = 1000 * ms
@@ -262,8 +262,8 @@
 
 // expiryHeap is the binary heap that the wheel is compared with.
 type expiryHeap []struct {
-	at    int64
-	place int32
+	at int64
+	id int32
 }
 
 func (p expiryHeap) Len() int           { return len(p) }
@@ -271,8 +271,8 @@
 func (p expiryHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
 func (p *expiryHeap) Push(x any) {
 	*p = append(*p, x.(struct {
-		at    int64
-		place int32
+		at int64
+		id int32
 	}))
 }
 func (p *expiryHeap) Pop() any {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -45,6 +45,9 @@
 	targetCount      = 48    // loads tried between the lower bound and the current load
 	maxBranchTenants = 18    // above this, branch and bound is not tried
 	maxBranchNodes   = 1 << 20
+
+	limitTolerance       = 1e-12 // relative and absolute, for rounding errors of loads at a limit
+	minBranchImprovement = 1e-9  // relative to the best load so far, for rounding errors
 )
 
 // NewPlan computes a plan with up to maxMoves moves, any number if negative.
@@ -229,7 +232,7 @@
 func (s *solver) placeWithin(target float64, maxMoves int) []int {
 	placement := s.currentPlacement()
 	loads := s.loads(placement)
-	limit := func(c int) float64 { return target*s.cells[c].Capacity*(1+1e-12) + 1e-12 }
+	limit := func(c int) float64 { return target*s.cells[c].Capacity*(1+limitTolerance) + limitTolerance }
 	members := make([][]int, len(s.cells)) // heaviest first
 	for _, t := range s.order {
 		if placement[t] == NoCell {
@@ -241,10 +244,10 @@
 	for c := range s.cells {
 		unplaced = append(unplaced, s.selectToRemove(members[c], loads[c]-limit(c))...)
 	}
-	heaviestFirst := func(ts []int) {
-		slices.SortStableFunc(ts, func(a, b int) int { return cmp.Compare(s.tenants[b].Load, s.tenants[a].Load) })
+	sortHeaviestFirst := func(tenants []int) {
+		slices.SortStableFunc(tenants, func(a, b int) int { return cmp.Compare(s.tenants[b].Load, s.tenants[a].Load) })
 	}
-	heaviestFirst(unplaced)
+	sortHeaviestFirst(unplaced)
 	for _, t := range unplaced {
 		loads[placement[t]] -= s.tenants[t].Load
 		placement[t] = NoCell
@@ -263,7 +266,7 @@
 				placement[other] = NoCell
 			}
 			unplaced = append(unplaced, displaced...)
-			heaviestFirst(unplaced)
+			sortHeaviestFirst(unplaced)
 		}
 		placement[t] = c
 		loads[c] += s.tenants[t].Load
@@ -390,6 +393,7 @@
 
 const maxSwapCandidates = 64 // per cell
 
+// bestSwap returns the move or swap out of a cell that lowers the higher load of the two cells most.
 func (s *solver) bestSwap(from int, placement []int, loads []float64) swap {
 	maxLoad := loads[from] / s.cells[from].Capacity
 	best, lowest := swap{NoCell, NoCell, NoCell}, maxLoad*(1-minImprovement)
@@ -468,7 +472,7 @@
 			}
 			tried[state] = true
 			load := loads[c] + s.tenants[t].Load
-			if load/s.cells[c].Capacity >= least*(1-1e-9) {
+			if load/s.cells[c].Capacity >= least*(1-minBranchImprovement) {
 				continue
 			}
 			previous := loads[c]
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -122,8 +122,8 @@
 		tenants := make([]Tenant, rapid.IntRange(0, 7).Draw(t, "tenants"))
 		for i := range tenants {
 			tenants[i] = Tenant{Name: fmt.Sprint(i), Load: rapid.Float64Range(0.1, 3).Draw(t, "load"),
-				CurrentCell: rapid.IntRange(NoCell, len(cells)-1).Draw(t, "at"), Pinned: rapid.Bool().Draw(t, "pinned")}
-			if rapid.IntRange(0, 3).Draw(t, "bound") == 0 {
+				CurrentCell: rapid.IntRange(NoCell, len(cells)-1).Draw(t, "current cell"), Pinned: rapid.Bool().Draw(t, "pinned")}
+			if rapid.IntRange(0, 3).Draw(t, "hall required") == 0 {
 				tenants[i].Hall = cells[0].Hall
 			}
 		}
@@ -197,7 +197,7 @@
 			tenants[i].CurrentCell = c
 		}
 		var baseline time.Duration
-		line := func(name string, place func() []int) {
+		addRow := func(name string, place func() []int) {
 			start := time.Now()
 			placement := place()
 			elapsed := time.Since(start)
@@ -208,11 +208,11 @@
 			fmt.Fprintf(&b, "| %d, %d | %s | %.4f | %.4f | %d | %.1f |\n", size[0], size[1], name, p.MaxLoad/p.MeanLoad, p.MaxLoad/p.LowerBound, len(p.Moves),
 				float64(elapsed)/float64(baseline))
 		}
-		line("first-fit decreasing", func() []int { return placeFirstFit(tenants, cells) })
-		line("random", func() []int { return placeRandomly(tenants, cells, 1) })
-		line("rendezvous", func() []int { return current })
-		line("plan, any number of moves", func() []int { return NewPlan(tenants, cells, -1).Placement })
-		line("plan, at most 20 moves", func() []int { return NewPlan(tenants, cells, 20).Placement })
+		addRow("first-fit decreasing", func() []int { return placeFirstFit(tenants, cells) })
+		addRow("random", func() []int { return placeRandomly(tenants, cells, 1) })
+		addRow("rendezvous", func() []int { return current })
+		addRow("plan, any number of moves", func() []int { return NewPlan(tenants, cells, -1).Placement })
+		addRow("plan, at most 20 moves", func() []int { return NewPlan(tenants, cells, 20).Placement })
 	}
 	require.NoError(t, os.WriteFile(path, []byte(b.String()), 0o600))
 }
--- a/internal/simwire/line.go
+++ b/internal/simwire/line.go
@@ -5,7 +5,11 @@
 	"sedgespread/rules"
 )
 
-const microsecond = int64(1000)
+const (
+	microsecond    = int64(1000)      // in nanoseconds
+	millisecond    = int64(1_000_000) // in nanoseconds
+	posRoleDivisor = 4                // posRole is this times the position in milliseconds, plus the role
+)
 
 var (
 	states = map[string]rules.MemberState{"healthy": rules.Healthy, "cordoned": rules.Draining, "deregistered": rules.Deregistered}
@@ -46,12 +50,12 @@
 	outcome := settings.Lookup(fields, "outcome", fields.RequiredString("outcome"), outcomes)
 	r := rules.Result{Outcome: outcome.outcome, Cause: outcome.cause, Latency: fields.MicrosOrZero("waitTimeUs"), Final: fields.BoolOr("final", false)}
 	positionRole := fields.IntegerOr("posRole", 0)
-	if positionRole < 0 || positionRole%4 == 3 {
+	if positionRole < 0 || positionRole%posRoleDivisor == 3 {
 		fields.Fail("posRole=%d is not a position and role", positionRole)
 	}
-	r.Role = rules.Role(positionRole % 4)
-	if positionRole >= 4 {
-		r.Position = epoch + positionRole/4*int64(1_000_000)
+	r.Role = rules.Role(positionRole % posRoleDivisor)
+	if positionRole >= posRoleDivisor {
+		r.Position = epoch + positionRole/posRoleDivisor*millisecond
 	}
 	return r
 }
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -257,14 +257,14 @@
 
 // markEnded records that an RPC has its final answer.
 func (d *driver) markEnded(id rules.RPCID) {
-	if p := d.rpcs[id]; p != nil {
-		p.hasEnded = true
+	if rpc := d.rpcs[id]; rpc != nil {
+		rpc.hasEnded = true
 		d.releaseIfDone(id)
 	}
 }
 
 func (d *driver) releaseIfDone(id rules.RPCID) {
-	if p := d.rpcs[id]; p != nil && p.hasEnded && p.inFlight == 0 {
+	if rpc := d.rpcs[id]; rpc != nil && rpc.hasEnded && rpc.inFlight == 0 {
 		delete(d.rpcs, id)
 	}
 }
@@ -326,10 +326,10 @@
 func (d *driver) Now() int64 { return d.conn.now }
 
 func (d *driver) Attempt(id rules.RPCID, to rules.MemberID, within int64, next func(rules.Result)) int {
-	p := d.rpcs[id]
-	n := len(p.callbacks)
-	p.callbacks = append(p.callbacks, next)
-	p.inFlight++
+	rpc := d.rpcs[id]
+	n := len(rpc.callbacks)
+	rpc.callbacks = append(rpc.callbacks, next)
+	rpc.inFlight++
 	d.beginMessage("ATTEMPT").intField("xid", int64(id)).intField("member", int64(to)).intField("withinUs", toMicroseconds(within)).send()
 	return n
 }
