--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -10,14 +10,14 @@
 // observed itself. Messages are spaced by the size of the fleet and this driver's traffic.
 func (d *Driver) scheduleReport(m member) {
 	d.hasUnsentReport[m] = d.fleet.ReportsPerMessage > 0
-	if d.gossipPending || !d.hasUnsentReport[m] {
+	if d.sendPending || !d.hasUnsentReport[m] {
 		return
 	}
-	d.gossipPending = true
+	d.sendPending = true
 	fleet := int64(d.fleet.Drivers)
 	spacing := min(maxMessageSpacing*fleet, max(minMessageSpacing*fleet, int64(rpcsPerMessage*d.rpcInterval)))
-	d.host.After(d.lastGossip+max(d.heartbeatInterval, spacing)-d.host.Now(), func() {
-		d.gossipPending = false
+	d.host.After(d.reportsSentAt+max(d.heartbeatInterval, spacing)-d.host.Now(), func() {
+		d.sendPending = false
 		var reports []PeerReport
 		for m, isUnsent := range d.hasUnsentReport {
 			d.hasUnsentReport[m] = false
@@ -32,7 +32,7 @@
 			}
 		}
 		if len(reports) > 0 {
-			d.lastGossip = d.host.Now()
+			d.reportsSentAt = d.host.Now()
 			d.host.SendReports(reports)
 		}
 	})
@@ -43,7 +43,7 @@
 func (d *Driver) ReceiveReports(reports []PeerReport) {
 	for _, report := range reports {
 		if m, known := d.index[report.Member]; known && d.isNew(m, report.Observation) {
-			d.observe(m, report.Observation, fromGossip, 0)
+			d.observe(m, report.Observation, fromPeerReport, 0)
 			d.hasUnsentReport[m] = false
 			if report.Latency > 0 {
 				d.updateLatency(m, float64(report.Latency), d.meanSoftDeadline)
--- a/rules/health.go
+++ b/rules/health.go
@@ -1,11 +1,14 @@
 package rules
 
 const (
-	overloadBackoff       = 40 * ms  // base delay before a member that rejected an attempt gets another
-	connectionsScarceTime = 2 * sec  // how long idle connections are closed after a refused connection
-	highLatencyRatio      = 0.33     // ratio of latency to soft deadline above which the limit shrinks
-	lowLatencyRatio       = 0.2      // ratio below which a slow attempt is taken for lost
-	ejectAfterLosses      = 3        // consecutive lost attempts that eject a member
+	overloadBackoff       = 40 * ms // base delay before a member that rejected an attempt gets another
+	connectionsScarceTime = 2 * sec // how long idle connections are closed after a refused connection
+	highLatencyRatio      = 0.33    // ratio of latency to soft deadline above which the limit shrinks
+	lowLatencyRatio       = 0.2     // ratio below which a slow attempt is taken for lost
+	maxBackoffExponent    = 5       // rejections in a row after which the delay stops growing
+	ejectAfterLosses      = 3       // consecutive lost attempts that eject a member
+	minEjectionTime       = sec / 2 // after ejectAfterLosses losses; doubles with each further one
+	maxEjectionTime       = 8 * sec
 	errorWeight           = 0.2      // weight of one answer in the smoothed error rate
 	errorMemory           = 10 * sec // time over which the error rate fades without new errors
 	groupLatencyWeight    = 0.03     // weight of one answer in a group's smoothed latency
@@ -119,7 +122,7 @@
 // backOff pauses attempts to a member that rejected one, with exponential, randomized delays so
 // that drivers do not return all at once.
 func (d *Driver) backOff(m member) {
-	d.consecutiveRejections[m] = min(d.consecutiveRejections[m]+1, 5)
+	d.consecutiveRejections[m] = min(d.consecutiveRejections[m]+1, maxBackoffExponent)
 	wait := overloadBackoff/2<<d.consecutiveRejections[m]/2 + d.randomBelow(overloadBackoff/2<<d.consecutiveRejections[m])
 	d.ejectedUntil[m] = max(d.ejectedUntil[m], d.host.Now()+wait)
 	d.host.After(wait, func() { d.retryHeld(d.groupOf[m]) })
@@ -140,7 +143,7 @@
 func (d *Driver) recordLoss(m member, now int64) {
 	d.consecutiveLosses[m]++
 	if d.consecutiveLosses[m] >= ejectAfterLosses && now >= d.ejectedUntil[m] {
-		wait := min(8*sec, sec/2<<min(4, d.consecutiveLosses[m]-ejectAfterLosses))
+		wait := min(maxEjectionTime, minEjectionTime<<min(4, d.consecutiveLosses[m]-ejectAfterLosses))
 		d.ejectedUntil[m] = now + wait
 		d.limit[m], d.isRecovering[m] = 1, true
 		d.logf("set aside member=%d lost=%d for_ms=%d", d.ids[m], d.consecutiveLosses[m], wait/ms)
--- a/rules/list.go
+++ b/rules/list.go
@@ -3,6 +3,9 @@
 const (
 	firstProbeSpacing      = ms     // between first probes of new members where drivers send no reports
 	largeFleetProbeSpacing = 8 * ms // per driver, between first probes of one member by a large fleet
+
+	minWatchRetryDelay = sec / 2
+	watchRetryJitter   = 3 * sec / 2 // added at random, so that drivers do not retry all at once
 )
 
 // UpdateMembers applies the full membership or, if isComplete is false, a change to it.
@@ -69,16 +72,16 @@
 // failures do not multiply calls.
 func (d *Driver) WatchFailed() {
 	d.isWatching = false
-	if d.retryPending {
+	if d.watchRetryPending {
 		return
 	}
-	d.retryPending = true
-	pause := sec/2 + d.randomBelow(3*sec/2)
+	d.watchRetryPending = true
+	pause := minWatchRetryDelay + d.randomBelow(watchRetryJitter)
 	if d.discovery.ViaAgent {
 		pause = min(pause, d.discovery.DrainGrace/4)
 	}
 	d.host.After(pause, func() {
-		d.retryPending = false
+		d.watchRetryPending = false
 		d.watch()
 	})
 }
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -6,7 +6,7 @@
 const (
 	fromAnswer     source = iota // the member's own answer, true at some time since the request
 	fromLoadReport               // its load report, which may be much older than the answer
-	fromGossip                   // a report of a peer
+	fromPeerReport               // a report of a peer
 )
 
 var sourceNames = [...]string{"answer", "report", "gossip"}
@@ -68,7 +68,7 @@
 // observeClock relates the store's clock to the driver's by a position. Positions from peers are
 // already converted and don't count.
 func (d *Driver) observeClock(observation Observation, from source, askedAt int64) {
-	if observation.Position == 0 || from == fromGossip {
+	if observation.Position == 0 || from == fromPeerReport {
 		return
 	}
 	now := d.host.Now()
--- a/rules/slow_start.go
+++ b/rules/slow_start.go
@@ -7,6 +7,8 @@
 	budgetShare           = 0.8 // share of the load that a cold member tolerates
 	largeFleetBudgetShare = 0.7 // the same in a large fleet
 
+	minOwnRateTime = 10 * sec // shortest time over which a member's own answer rate is averaged
+
 	priorAnswers = 10.0 // weight of the expected throughput before any answer, in answers
 )
 
@@ -101,7 +103,7 @@
 	elapsed := min(maxAccruedAttempts*g.requestInterval, float64(now-max(d.lastDraw[m], started)))
 	d.lastDraw[m] = now
 	// The mean rate at which the member itself has answered this driver.
-	ownRate := float64(d.answered[m]) / float64(max(10*sec, now-d.startedAt))
+	ownRate := float64(d.answered[m]) / float64(max(minOwnRateTime, now-d.startedAt))
 	rate := max(ownRate, d.throughputPerWeight(g)*d.weight[m])
 	return d.rng.Float64() < elapsed*rate*min(2, capacityShare*d.OverloadFactor*min(budgetShare, largeFleetBudgetShare*d.initialLimit))
 }
--- a/rules/state.go
+++ b/rules/state.go
@@ -13,18 +13,18 @@
 
 // membership is the state known from discovery, and of the watch that delivers it.
 type membership struct {
-	discovery      Discovery
-	isWatching     bool
-	retryPending   bool  // a failed watch is about to be retried
-	nextFirstProbe int64 // time of the latest first probe scheduled for a new member
-	ids            []MemberID
-	groupOf        []*group
-	zone           []string
-	state          []MemberState
-	weight         []float64
-	isInGroup      []bool   // the member belongs to its group and is probed periodically, where probing is allowed
-	groupedCount   int      // number of members with isInGroup set
-	freeSlots      []member // slots of removed members
+	discovery         Discovery
+	isWatching        bool
+	watchRetryPending bool  // a failed watch is about to be retried
+	nextFirstProbe    int64 // time of the latest first probe scheduled for a new member
+	ids               []MemberID
+	groupOf           []*group
+	zone              []string
+	state             []MemberState
+	weight            []float64
+	isInGroup         []bool   // the member belongs to its group and is probed periodically, where probing is allowed
+	groupedCount      int      // number of members with isInGroup set
+	freeSlots         []member // slots of removed members
 }
 
 // observations are the observed positions and roles. A time of 0 means never, here and below.
@@ -34,8 +34,8 @@
 	heartbeatInterval, positionMaxAge, maxProbeInterval int64 // of the staleness estimate; age at which positions are refreshed; limit between own probes
 	replication                                         []replicationState
 	fleet                                               Fleet
-	lastGossip                                          int64 // when reports were last sent to peers
-	gossipPending                                       bool
+	reportsSentAt                                       int64 // when reports were last sent to peers
+	sendPending                                         bool  // a message to peers is scheduled
 	hasUnsentReport                                     []bool
 	unsentLatency                                       []int64 // latency not yet reported to peers
 	lastAnswerFailed                                    []bool
