--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// Sightings returns the version observations to report to the fleet.
-func (s *operatorServices) Sightings() ([]versions.Report, int64) {
-	return s.p.router.VersionSightings()
+// VersionReports returns the version observations to report to the fleet.
+func (s *operatorServices) VersionReports() ([]versions.Report, int64) {
+	return s.p.router.VersionReports()
 }
 
 // Joined records the start number that the fleet assigned to this driver.
@@ -68,13 +68,15 @@
 	}
 }
 
-// Trail returns up to limit entries of this driver's audit trail after a sequence number.
-func (s *operatorServices) Trail(after uint64, limit int) audit.Segment {
+// TrailSince returns up to limit entries of this driver's audit trail after a sequence number.
+func (s *operatorServices) TrailSince(after uint64, limit int) audit.Segment {
 	return s.p.router.TrailSince(after, limit)
 }
 
-// LastTrail returns all remaining entries of the audit trail after a sequence number.
-func (s *operatorServices) LastTrail(after uint64) audit.Segment { return s.p.router.FlushTrail(after) }
+// FlushTrail returns all remaining entries of the audit trail after a sequence number.
+func (s *operatorServices) FlushTrail(after uint64) audit.Segment {
+	return s.p.router.FlushTrail(after)
+}
 
 // Audit answers a question from the audit trails that all voters hold.
 func (s *operatorServices) Audit(ctx context.Context, question membership.AuditQuery) (membership.AuditResult, error) {
@@ -84,9 +86,9 @@
 	return membership.Audit(ctx, s.config().VoterAddresses(), question)
 }
 
-// Granted processes a grant from the fleet and adopts the versions in it.
-func (s *operatorServices) Granted(requestedAt int64, grant versions.Grant) {
-	for _, adoption := range s.p.router.ApplyOrders(requestedAt, grant) {
+// ApplyVersionGrant processes a grant from the fleet and adopts the versions in it.
+func (s *operatorServices) ApplyVersionGrant(requestedAt int64, grant versions.Grant) {
+	for _, adoption := range s.p.router.ApplyVersionGrant(requestedAt, grant) {
 		err := s.adopt(adoption)
 		s.p.router.ReportAdoption(adoption, err)
 		log := s.p.log.WithField("thing", adoption.Resource).WithField("version", adoption.Number)
@@ -130,8 +132,8 @@
 		return errNoFleet
 	}
 	if proposal := wish.Propose; proposal != nil {
-		if proposal.Thing != routing.Rulebook {
-			return fmt.Errorf("%q is not a versioned thing", proposal.Thing)
+		if proposal.Resource != routing.Rulebook {
+			return fmt.Errorf("%q is not a versioned thing", proposal.Resource)
 		}
 		if _, err := s.startConfig.WithRulebook("the rulebook", proposal.Text); err != nil {
 			return err
