--- a/rules/health.go
+++ b/rules/health.go
@@ -1,13 +1,20 @@
 package rules
 
 const (
-	overloadBackoff       = 40 * ms  // base delay before a member that rejected an attempt gets another
-	connectionsScarceTime = 2 * sec  // how long idle connections are closed after a refused connection
-	highLatencyRatio      = 0.33     // ratio of latency to soft deadline above which the limit shrinks
-	lowLatencyRatio       = 0.2      // ratio below which a slow attempt is taken for lost
-	ejectAfterLosses      = 3        // consecutive lost attempts that eject a member
+	overloadBackoff       = 40 * ms // base delay before a member that rejected an attempt gets another
+	connectionsScarceTime = 2 * sec // how long idle connections are closed after a refused connection
+	highLatencyRatio      = 0.33    // ratio of latency to soft deadline above which the limit shrinks
+	lowLatencyRatio       = 0.2     // ratio below which a slow attempt is taken for lost
+	maxBackoffExponent    = 5       // rejections in a row after which the delay stops growing
+	ejectAfterLosses      = 3       // consecutive lost attempts that eject a member
+	minEjectionTime       = sec / 2 // after ejectAfterLosses losses; doubles with each further one
+	maxEjectionTime       = 8 * sec
 	errorWeight           = 0.2      // weight of one answer in the smoothed error rate
 	errorMemory           = 10 * sec // time over which the error rate fades without new errors
+	groupLatencyWeight    = 0.03     // weight of one answer in a group's smoothed latency
+	lossDecrease          = 0.85     // factor of the limit after a slow attempt without an answer
+	latencyDecrease       = 0.95     // factor of the limit after an answer above highLatencyRatio
+	overloadDecrease      = 0.8      // factor of the limit after an overload rejection
 )
 
 // recordResult updates a member's health from the result of an attempt. Losses count only if the
@@ -38,25 +45,25 @@
 		d.recordThroughput(m)
 		d.consecutiveLosses[m], d.consecutiveRejections[m], d.unsentLatency[m] = 0, 0, r.Latency
 		d.replication[m].rejectedRead = d.replication[m].rejectedRead && c.method.Consistency == ConsistencyAny
-		c.group.latency += 0.03 * (float64(r.Latency) - c.group.latency)
+		c.group.latency += groupLatencyWeight * (float64(r.Latency) - c.group.latency)
 		d.adjustLimit(m, float64(r.Latency), c.method.latencyTarget(), true)
 	case r.Cause == Ineligible && c.isRead():
 		d.replication[m].rejectedRead = true
 	case r.Cause == Overloaded:
 		d.backOff(m)
-		d.limit[m] = max(1, min(d.limit[m], float64(d.inFlight[m]+1))*0.8)
+		d.limit[m] = max(1, min(d.limit[m], float64(d.inFlight[m]+1))*overloadDecrease)
 	}
 }
 
 // observeResult records what a result shows of its member's role: a stated role, the rejection of
 // a write, or that a statement may have been lost with the answer.
 func (d *Driver) observeResult(c *call, m member, r Result, sentAt int64) {
-	s := r.Observation
+	observation := r.Observation
 	if r.Cause == Ineligible && !c.isRead() {
-		s.Role = RoleReplica
+		observation.Role = RoleReplica
 	}
-	d.observe(m, s, fromAnswer, sentAt)
-	if r.Outcome == MayHaveExecuted && s.Role == RoleUnknown {
+	d.observe(m, observation, fromAnswer, sentAt)
+	if r.Outcome == MayHaveExecuted && observation.Role == RoleUnknown {
 		d.replication[m].unansweredAt = d.host.Now()
 	}
 }
@@ -85,9 +92,9 @@
 	minLimit := max(1, min(d.limit[m], d.initialLimit/2))
 	switch {
 	case !ok && d.latencyRatio[m] > lowLatencyRatio:
-		d.limit[m] = max(minLimit, d.limit[m]*0.85)
+		d.limit[m] = max(minLimit, d.limit[m]*lossDecrease)
 	case d.latencyRatio[m] > highLatencyRatio:
-		d.limit[m] = max(minLimit, d.limit[m]*0.95)
+		d.limit[m] = max(minLimit, d.limit[m]*latencyDecrease)
 		d.isRecovering[m] = false
 	case ok && d.isRecovering[m]:
 		d.limit[m] *= 2
@@ -115,7 +122,7 @@
 // backOff pauses attempts to a member that rejected one, with exponential, randomized delays so
 // that drivers do not return all at once.
 func (d *Driver) backOff(m member) {
-	d.consecutiveRejections[m] = min(d.consecutiveRejections[m]+1, 5)
+	d.consecutiveRejections[m] = min(d.consecutiveRejections[m]+1, maxBackoffExponent)
 	wait := overloadBackoff/2<<d.consecutiveRejections[m]/2 + d.randomBelow(overloadBackoff/2<<d.consecutiveRejections[m])
 	d.ejectedUntil[m] = max(d.ejectedUntil[m], d.host.Now()+wait)
 	d.host.After(wait, func() { d.retryHeld(d.groupOf[m]) })
@@ -136,7 +143,7 @@
 func (d *Driver) recordLoss(m member, now int64) {
 	d.consecutiveLosses[m]++
 	if d.consecutiveLosses[m] >= ejectAfterLosses && now >= d.ejectedUntil[m] {
-		wait := min(8*sec, sec/2<<min(4, d.consecutiveLosses[m]-ejectAfterLosses))
+		wait := min(maxEjectionTime, minEjectionTime<<min(4, d.consecutiveLosses[m]-ejectAfterLosses))
 		d.ejectedUntil[m] = now + wait
 		d.limit[m], d.isRecovering[m] = 1, true
 		d.logf("set aside member=%d lost=%d for_ms=%d", d.ids[m], d.consecutiveLosses[m], wait/ms)
