--- a/internal/failpoint/none.go
+++ b/internal/failpoint/none.go
@@ -1,6 +1,6 @@
 //go:build !planted
 
-// Package failpoint provides faults for testing that the fault-injection trials detect them. A build with
+// Package failpoint provides deliberate faults that the fault-injection trials must detect. A build with
 // the tag "planted" activates the fault named by an environment variable; other builds have none.
 package failpoint
 
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -40,6 +40,8 @@
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleTimeout    = 30 * time.Second
 	maxConfigBytes        = 4 << 20
+	minMemoryMB           = 16
+	minSockets            = 64
 )
 
 // ReadConfig reads the environment and the files that it names.
@@ -49,30 +51,30 @@
 			return nil, fmt.Errorf("%s is missing from the environment", name)
 		}
 	}
-	p, err := readConfigFile(env("GW_CONFIG"))
+	config, err := readConfigFile(env("GW_CONFIG"))
 	if err != nil {
 		return nil, err
 	}
-	p.Name, p.Listen, p.Discovery = env("GW_NAME"), env("GW_LISTEN"), env("GW_DISCOVERY")
-	if _, _, err := net.SplitHostPort(p.Discovery); err != nil {
+	config.Name, config.Listen, config.Discovery = env("GW_NAME"), env("GW_LISTEN"), env("GW_DISCOVERY")
+	if _, _, err := net.SplitHostPort(config.Discovery); err != nil {
 		return nil, fmt.Errorf("GW_DISCOVERY: %w", err)
 	}
-	if p.operatorPath = env("GW_OPERATOR"); p.operatorPath != "" {
-		p.OperatorConfig, err = operator.Read(p.operatorPath)
+	if config.operatorPath = env("GW_OPERATOR"); config.operatorPath != "" {
+		config.OperatorConfig, err = operator.Read(config.operatorPath)
 	}
-	return p, err
+	return config, err
 }
 
 // Reload reads the configuration file again. Fields that it omits keep their values; the
 // environment is not consulted again.
-func (p *Config) Reload() (*Config, error) {
-	next, err := readConfigFile(p.path)
+func (c *Config) Reload() (*Config, error) {
+	next, err := readConfigFile(c.path)
 	if err != nil {
 		return nil, err
 	}
-	next.Name = cmp.Or(next.Name, p.Name)
-	next.Listen = cmp.Or(next.Listen, p.Listen)
-	next.Discovery = cmp.Or(next.Discovery, p.Discovery)
+	next.Name = cmp.Or(next.Name, c.Name)
+	next.Listen = cmp.Or(next.Listen, c.Listen)
+	next.Discovery = cmp.Or(next.Discovery, c.Discovery)
 	return next, nil
 }
 
@@ -81,12 +83,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	p, err := parseConfig(text)
+	config, err := parseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	p.path = path
-	return p, nil
+	config.path = path
+	return config, nil
 }
 
 // readBounded reads a file of at most maxConfigBytes.
@@ -121,7 +123,7 @@
 	delete(file.Rest, "known")
 	delete(file.Rest, "settings")
 	fields := settings.Flatten("file", file.Rest)
-	p := &Config{Name: fields.Value("name"), Listen: fields.Value("listen"), Discovery: fields.Value("discovery"),
+	config := &Config{Name: fields.Value("name"), Listen: fields.Value("listen"), Discovery: fields.Value("discovery"),
 		PeerListen: fields.Value("peer_listen"), PeersAddress: fields.Value("peers_all"),
 		Cores: fields.NumberOr("limits.cores", 1), MemoryMB: fields.RequiredInteger("limits.memory_mb"),
 		Sockets: fields.RequiredInteger("limits.sockets"), Settings: settings.Flatten("settings", file.Settings)}
@@ -131,41 +133,41 @@
 		return nil, fields.Err
 	case err != nil:
 		return nil, fmt.Errorf("seed=%q is not a hexadecimal number", fields.Value("seed"))
-	case p.Cores <= 0 || p.MemoryMB < 16 || p.Sockets < 64:
+	case config.Cores <= 0 || config.MemoryMB < minMemoryMB || config.Sockets < minSockets:
 		return nil, fmt.Errorf("limits: cores, memory_mb or sockets is too small")
 	}
-	p.Seed = int64(seed)
-	if _, _, err := net.SplitHostPort(p.Discovery); p.Discovery != "" && err != nil {
+	config.Seed = int64(seed)
+	if _, _, err := net.SplitHostPort(config.Discovery); config.Discovery != "" && err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if len(file.Known) > 0 {
-		if p.KnownTargets, err = protocol.ParseTargets(file.Known); err != nil {
+		if config.KnownTargets, err = protocol.ParseTargets(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	p.KnownTargets.IsFull = true
-	return p, p.readTimeouts()
+	config.KnownTargets.IsFull = true
+	return config, config.readTimeouts()
 }
 
 // readTimeouts derives the network timeouts from the settings.
-func (p *Config) readTimeouts() error {
+func (c *Config) readTimeouts() error {
 	duration := func(name string, fallback time.Duration) time.Duration {
-		if value := p.Settings.MicrosOrZero(name); value > 0 {
+		if value := c.Settings.MicrosOrZero(name); value > 0 {
 			return time.Duration(value)
 		}
 		return fallback
 	}
-	p.ConnectTimeout = duration("limits.connectTimeoutUs", defaultConnectTimeout)
-	p.IdleTimeout = duration("limits.keepaliveUs", defaultIdleTimeout)
-	p.WatchTimeout = min(maxWatchTimeout, duration("safety.askEveryUs", defaultWatchTimeout))
-	p.DiscoveryTimeout = discoveryCallTimeout
-	if drainNotice := p.Settings.Discovery(); !drainNotice.OnRequest {
-		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(drainNotice.DrainGrace/4)))
+	c.ConnectTimeout = duration("limits.connectTimeoutUs", defaultConnectTimeout)
+	c.IdleTimeout = duration("limits.keepaliveUs", defaultIdleTimeout)
+	c.WatchTimeout = min(maxWatchTimeout, duration("safety.askEveryUs", defaultWatchTimeout))
+	c.DiscoveryTimeout = discoveryCallTimeout
+	if discovery := c.Settings.Discovery(); !discovery.OnRequest {
+		c.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(discovery.DrainGrace/4)))
 	}
-	if !p.Settings.BoolOr("limits.peerMessages", false) {
-		p.PeersAddress = ""
+	if !c.Settings.BoolOr("limits.peerMessages", false) {
+		c.PeersAddress = ""
 	}
-	return p.Settings.Err
+	return c.Settings.Err
 }
 
 func decodeJSON(text []byte, into any) error {
--- a/internal/program/discovery.go
+++ b/internal/program/discovery.go
@@ -187,8 +187,7 @@
 
 // fetchNow requests changes since the held list, or the full list if there is none, and reports
 // which. After DiscoveryTimeout it reports a failure to the router but keeps waiting until the
-// router asks again, so that a slow discovery does not write answers to calls that were just
-// cancelled.
+// router asks again, so that calls are not cancelled just before a slow discovery answers them.
 func (p *Program) fetchNow(ctx context.Context, client *protocol.Discovery) (
 	targets protocol.Targets, isFullFetch bool, err error) {
 	call, cancel := context.WithCancel(ctx)
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -36,60 +36,62 @@
 
 // joinFleet registers this driver with the fleet, whose granted versions it then acts on.
 func (s *operatorServices) joinFleet() (err error) {
-	s.p.router.EnableVersions(versions.NewDriverState())
-	s.p.router.ObserveVersion(versions.Build, FeatureLevel, buildRevision())
-	s.p.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(s.config().SharedSettings())[:digestPrefixLength])
-	claim := roster.Claim{Name: s.p.config.Name, Address: s.p.config.Listen, Build: buildRevision(),
+	s.program.router.EnableVersions(versions.NewDriverState())
+	s.program.router.ObserveVersion(versions.Build, FeatureLevel, buildRevision())
+	s.program.router.ObserveVersion(versions.OperatorFile, 1, membership.Digest(s.config().SharedSettings())[:digestPrefixLength])
+	claim := roster.Claim{Name: s.program.config.Name, Address: s.program.config.Listen, Build: buildRevision(),
 		Level: FeatureLevel, IsVoter: s.config().Council.GetId() != 0}
-	s.agent = membership.NewFleetAgent(s.config().VoterAddresses(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.p.log)
+	s.fleetAgent = membership.NewFleetAgent(s.config().VoterAddresses(), claim, milliseconds(s.config().Fleet.LeaseMs), s, s.program.log)
 	gossipConfig := s.config().Fleet.Gossip
 	if gossipConfig == nil {
 		return nil
 	}
-	if s.gossipRing, err = gossip.Listen(s.p.config.Name, gossipConfig.Listen, gossipConfig.Fellow,
-		milliseconds(s.config().ProbeMs()), s.p.log); err != nil {
+	if s.gossiper, err = gossip.Listen(s.program.config.Name, gossipConfig.Listen, gossipConfig.Fellow,
+		milliseconds(s.config().ProbeMs()), s.program.log); err != nil {
 		return s.config().ErrorAt("fleet.gossip.listen", err)
 	}
-	s.agent.SetPeerMonitor(s.gossipRing)
+	s.fleetAgent.SetPeerMonitor(s.gossiper)
 	return nil
 }
 
 // Sightings returns the version observations to report to the fleet.
 func (s *operatorServices) Sightings() ([]versions.Report, int64) {
-	return s.p.router.VersionSightings()
+	return s.program.router.VersionSightings()
 }
 
 // Joined records the start number that the fleet assigned to this driver.
-func (s *operatorServices) Joined(sign versions.Instance, token string) {
-	s.p.router.StartTrail(sign, token)
+func (s *operatorServices) Joined(instance versions.Instance, token string) {
+	s.program.router.StartTrail(instance, token)
 	select {
-	case s.startNumber <- sign.Start:
+	case s.startNumber <- instance.Start:
 	default: // already joined
 	}
 }
 
 // Trail returns up to limit entries of this driver's audit trail after a sequence number.
 func (s *operatorServices) Trail(after uint64, limit int) audit.Segment {
-	return s.p.router.TrailSince(after, limit)
+	return s.program.router.TrailSince(after, limit)
 }
 
 // LastTrail returns all remaining entries of the audit trail after a sequence number.
-func (s *operatorServices) LastTrail(after uint64) audit.Segment { return s.p.router.FlushTrail(after) }
+func (s *operatorServices) LastTrail(after uint64) audit.Segment {
+	return s.program.router.FlushTrail(after)
+}
 
 // Audit answers a question from the audit trails that all voters hold.
-func (s *operatorServices) Audit(ctx context.Context, question membership.AuditQuery) (membership.AuditResult, error) {
+func (s *operatorServices) Audit(ctx context.Context, query membership.AuditQuery) (membership.AuditResult, error) {
 	if s.config().Fleet == nil {
 		return membership.AuditResult{}, errNoFleet
 	}
-	return membership.Audit(ctx, s.config().VoterAddresses(), question)
+	return membership.Audit(ctx, s.config().VoterAddresses(), query)
 }
 
 // Granted processes a grant from the fleet and adopts the versions in it.
 func (s *operatorServices) Granted(requestedAt int64, grant versions.Grant) {
-	for _, adoption := range s.p.router.ApplyOrders(requestedAt, grant) {
+	for _, adoption := range s.program.router.ApplyOrders(requestedAt, grant) {
 		err := s.adopt(adoption)
-		s.p.router.ReportAdoption(adoption, err)
-		log := s.p.log.WithField("thing", adoption.Resource).WithField("version", adoption.Number)
+		s.program.router.ReportAdoption(adoption, err)
+		log := s.program.log.WithField("thing", adoption.Resource).WithField("version", adoption.Number)
 		if err != nil {
 			log.WithError(err).Error("failed to adopt version")
 		} else {
@@ -125,11 +127,11 @@
 }
 
 // Wish sends an operator's request to the fleet. A proposed rulebook is validated locally first.
-func (s *operatorServices) Wish(ctx context.Context, wish membership.FleetChange) error {
+func (s *operatorServices) Wish(ctx context.Context, change membership.FleetChange) error {
 	if s.config().Fleet == nil {
 		return errNoFleet
 	}
-	if proposal := wish.Propose; proposal != nil {
+	if proposal := change.Propose; proposal != nil {
 		if proposal.Thing != routing.Rulebook {
 			return fmt.Errorf("%q is not a versioned thing", proposal.Thing)
 		}
@@ -137,5 +139,5 @@
 			return err
 		}
 	}
-	return membership.NewClient(s.config().VoterAddresses()...).ChangeFleet(ctx, wish)
+	return membership.NewClient(s.config().VoterAddresses()...).ChangeFleet(ctx, change)
 }
--- a/internal/program/idle_clients.go
+++ b/internal/program/idle_clients.go
@@ -43,7 +43,7 @@
 
 // add tracks a client until remove is called. While draining it closes the client, unless a query
 // has arrived.
-func (i *idleClients) add(c protocol.Client, isServed bool, cell cells.Cell) (remove func()) {
+func (i *idleClients) add(client protocol.Client, isServed bool, cell cells.Cell) (remove func()) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	clients := &i.newClients
@@ -51,9 +51,9 @@
 		clients = &i.servedClients
 	}
 	if i.draining {
-		c.StopIfIdle(transport.ShutDown)
+		client.StopIfIdle(transport.ShutDown)
 	}
-	element := clients.PushBack(&idleClient{conn: c, cell: cell, idleSince: time.Now()})
+	element := clients.PushBack(&idleClient{conn: client, cell: cell, idleSince: time.Now()})
 	if clients.Len() > i.descriptors.Limit()/idleClientsDivisor {
 		i.evictOne(clients, newClientMinIdle, isServed)
 	}
@@ -117,11 +117,11 @@
 
 // stopBeforeLastAnswer stops reading from a client while draining, and reports whether the answer
 // about to be sent is its last. Nothing that the client sends after that answer is processed.
-func (i *idleClients) stopBeforeLastAnswer(c protocol.Client) bool {
+func (i *idleClients) stopBeforeLastAnswer(client protocol.Client) bool {
 	i.mu.Lock()
 	draining := i.draining
 	i.mu.Unlock()
-	return draining && c.ForceStopIfIdle(transport.ShutDown) && c.Await(1) == transport.ShutDown
+	return draining && client.ForceStopIfIdle(transport.ShutDown) && client.Await(1) == transport.ShutDown
 }
 
 // sweep closes the clients of a list that have been idle for maxIdle, or at once while draining. A
--- a/internal/program/operator_services.go
+++ b/internal/program/operator_services.go
@@ -29,20 +29,20 @@
 // operatorServices is what the operator file adds to a driver: cells, the coordinator if this
 // instance runs it, and the admin commands.
 type operatorServices struct {
-	p             *Program
+	program       *Program
 	coordinator   *membership.CoordinatorServer
 	journal       *store.Journal
 	councilNode   *server.Server          // nil unless this instance is a council voter
-	fleetRegistry *membership.FleetServer // the fleet's replicated state machine; nil if there is none
-	agent         *membership.FleetAgent  // nil without a fleet
-	gossipRing    *gossip.Gossiper        // nil without gossip
+	fleetServer   *membership.FleetServer // the fleet's replicated state machine; nil if there is none
+	fleetAgent    *membership.FleetAgent  // nil without a fleet
+	gossiper      *gossip.Gossiper        // nil without gossip
 	versionsOnce  sync.Once
-	startConfig   *operator.Config                // at start-up
+	startConfig   *operator.Config                // operator file as read at start-up
 	startNumber   chan uint64                     // receives the start number once the fleet assigns it
 	versionsReady chan struct{}                   // closed once a version lease is granted, or if none is needed
 	adminListener net.Listener                    // for admin commands; may be nil
 	peerListener  net.Listener                    // for drivers and voters; may be nil
-	current       atomic.Pointer[operator.Config] // in effect now
+	current       atomic.Pointer[operator.Config] // operator file in effect
 	leaseReady    chan struct{}                   // closed once a cell lease is granted, or if none is needed
 	leaseOnce     sync.Once
 }
@@ -53,7 +53,7 @@
 	if config == nil {
 		return nil, nil
 	}
-	services = &operatorServices{p: p, startConfig: config,
+	services = &operatorServices{program: p, startConfig: config,
 		leaseReady: make(chan struct{}), versionsReady: make(chan struct{}),
 		startNumber: make(chan uint64, 1)}
 	services.current.Store(config)
@@ -110,7 +110,7 @@
 		return config.ErrorAt("cells.coordination.journal", err)
 	}
 	s.coordinator, err = membership.NewCoordinatorServer(config.Directory(), s.journal, milliseconds(coordination.LeaseMs),
-		milliseconds(coordination.HoldMs), s.cellFill(), s.p.log)
+		milliseconds(coordination.HoldMs), s.cellFill(), s.program.log)
 	if err != nil {
 		return config.ErrorAt("cells.coordination.journal", err)
 	}
@@ -130,18 +130,18 @@
 	machines := map[string]server.StateMachine{}
 	if coordination := config.Cells.GetCoordination(); coordination != nil {
 		s.coordinator, err = membership.NewReplicatedCoordinatorServer(config.Directory(), milliseconds(coordination.LeaseMs),
-			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.p.log)
+			milliseconds(coordination.HoldMs), milliseconds(councilConfig.ClockErrorMs), s.cellFill(), s.program.log)
 		if err != nil {
 			return config.ErrorAt("cells", err)
 		}
 		machines[membership.CoordinatorStateMachineName] = s.coordinator.StateMachine()
 	}
 	if config.Fleet != nil {
-		s.fleetRegistry = membership.NewFleetServer(membership.FleetConfig{Lease: milliseconds(config.Fleet.LeaseMs),
+		s.fleetServer = membership.NewFleetServer(membership.FleetConfig{Lease: milliseconds(config.Fleet.LeaseMs),
 			ForgetAfter:     time.Duration(config.ForgetSeconds()) * time.Second,
-			MaxShutOutShare: config.Fleet.MostShutOut}, s.p.log)
-		machines[membership.FleetStateMachineName] = s.fleetRegistry
-		if err := s.fleetRegistry.OpenTrails(councilConfig.Disk + ".trails"); err != nil {
+			MaxShutOutShare: config.Fleet.MostShutOut}, s.program.log)
+		machines[membership.FleetStateMachineName] = s.fleetServer
+		if err := s.fleetServer.OpenTrails(councilConfig.Disk + ".trails"); err != nil {
 			return config.ErrorAt("council.disk", err)
 		}
 	}
@@ -149,16 +149,16 @@
 	for _, voter := range councilConfig.Voter {
 		peers[council.VoterID(voter.Id)] = voter.At
 	}
-	pace := council.Timing{Tick: int64(milliseconds(config.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
+	timing := council.Timing{Tick: int64(milliseconds(config.TickMs())), ElectionTicks: electionTicks, MaxDrift: clockDrift}
 	if s.councilNode, err = server.Open(council.VoterID(councilConfig.Id), peers, councilConfig.Join,
-		councilConfig.Disk, pace, machines, s.p.log); err != nil {
+		councilConfig.Disk, timing, machines, s.program.log); err != nil {
 		return config.ErrorAt("council.disk", err)
 	}
 	if s.coordinator != nil {
 		s.coordinator.AttachCouncil(s.councilNode)
 	}
-	if s.fleetRegistry != nil {
-		s.fleetRegistry.AttachCouncil(s.councilNode)
+	if s.fleetServer != nil {
+		s.fleetServer.AttachCouncil(s.councilNode)
 	}
 	s.peerListener, err = s.listen("council.listen", config.VoterAddress())
 	return err
@@ -204,14 +204,14 @@
 	if coordination := s.config().Cells.GetCoordination(); coordination != nil {
 		tasks.Go(func() error { s.followLeases(ctx, milliseconds(coordination.LeaseMs)); return nil })
 	}
-	if s.fleetRegistry != nil {
-		tasks.Go(func() error { s.fleetRegistry.Run(ctx); return nil })
+	if s.fleetServer != nil {
+		tasks.Go(func() error { s.fleetServer.Run(ctx); return nil })
 	}
-	if s.agent != nil {
-		tasks.Go(func() error { s.agent.Run(ctx); return nil })
+	if s.fleetAgent != nil {
+		tasks.Go(func() error { s.fleetAgent.Run(ctx); return nil })
 	}
-	if s.gossipRing != nil {
-		tasks.Go(func() error { s.gossipRing.Run(ctx); return nil })
+	if s.gossiper != nil {
+		tasks.Go(func() error { s.gossiper.Run(ctx); return nil })
 	}
 	return tasks.Wait()
 }
@@ -220,14 +220,14 @@
 // there is a fleet, and the current time otherwise.
 func (s *operatorServices) followLeases(ctx context.Context, lease time.Duration) {
 	incarnation := uint64(clock.New().Now())
-	if s.agent != nil {
+	if s.fleetAgent != nil {
 		select {
 		case incarnation = <-s.startNumber:
 		case <-ctx.Done():
 			return
 		}
 	}
-	membership.NewCellAgent(s.config().CoordinatorAddresses(), s.p.config.Name, incarnation, lease, s, s.p.log).Run(ctx)
+	membership.NewCellAgent(s.config().CoordinatorAddresses(), s.program.config.Name, incarnation, lease, s, s.program.log).Run(ctx)
 }
 
 // peerHandler returns the handler of requests from drivers and voters.
@@ -236,8 +236,8 @@
 	if s.coordinator != nil {
 		s.coordinator.Handle(mux)
 	}
-	if s.fleetRegistry != nil {
-		s.fleetRegistry.Handle(mux)
+	if s.fleetServer != nil {
+		s.fleetServer.Handle(mux)
 	}
 	if s.councilNode != nil {
 		s.councilNode.RegisterHandlers(mux)
@@ -247,13 +247,13 @@
 
 // Report returns this driver's report to the coordinator.
 func (s *operatorServices) Report(name string, incarnation uint64) (cells.Report, int64) {
-	return s.p.router.Report(name, incarnation)
+	return s.program.router.Report(name, incarnation)
 }
 
 // ReportGrant applies a grant from the coordinator. The first one makes this driver ready for
 // clients.
 func (s *operatorServices) ReportGrant(requestedAt int64, grant cells.Grant) error {
-	err := s.p.router.ReportGrant(requestedAt, grant)
+	err := s.program.router.ReportGrant(requestedAt, grant)
 	if err == nil {
 		s.leaseOnce.Do(func() { close(s.leaseReady) })
 	}
@@ -284,8 +284,8 @@
 		err = s.coordinator.UpdateLayout(next.Layout(), next.Pins())
 	}
 	if err == nil {
-		err = routing.ReadAdmission(s.p.router, func(_ int64, g *cells.AdmissionController) error {
-			return g.Update(next.Layout(), next.TenantResolver(), next.Pins(), next.Weights())
+		err = routing.ReadAdmission(s.program.router, func(_ int64, controller *cells.AdmissionController) error {
+			return controller.Update(next.Layout(), next.TenantResolver(), next.Pins(), next.Weights())
 		})
 	}
 	if err != nil {
@@ -309,30 +309,30 @@
 	if s.config().Cells == nil {
 		return cells.Stats{}
 	}
-	return routing.ReadAdmission(s.p.router, func(now int64, g *cells.AdmissionController) cells.Stats {
-		return g.Stats(now, maxTenantsShown)
+	return routing.ReadAdmission(s.program.router, func(now int64, controller *cells.AdmissionController) cells.Stats {
+		return controller.Stats(now, maxTenantsShown)
 	})
 }
 
-// TenantPlacement returns the placement of a tenant, and the group of a key.
+// TenantPlacement returns the placement of a tenant, and the group that holds a key of it.
 func (s *operatorServices) TenantPlacement(tenant cells.Tenant, key string) admin.Placement {
 	if s.config().Cells == nil {
 		return admin.Placement{Tenant: tenant, Reason: errNoCells.Error()}
 	}
-	return routing.ReadAdmission(s.p.router, func(now int64, controller *cells.AdmissionController) admin.Placement {
+	return routing.ReadAdmission(s.program.router, func(now int64, controller *cells.AdmissionController) admin.Placement {
 		layout, directory := controller.Layout(), controller.Directory()
-		placement, place := directory.Placement(tenant), admin.Placement{Tenant: tenant, Reason: "hashed"}
+		placement, result := directory.Placement(tenant), admin.Placement{Tenant: tenant, Reason: "hashed"}
 		if entry, moved := directory.Entry(tenant); moved {
-			place.Reason, place.TargetCell, place.Epoch, place.MinPosition = "moved", entry.To, entry.Epoch, entry.MinPosition
+			result.Reason, result.TargetCell, result.Epoch, result.MinPosition = "moved", entry.To, entry.Epoch, entry.MinPosition
 		} else if directory.Pinned(tenant) {
-			place.Reason = "pinned"
+			result.Reason = "pinned"
 		}
-		place.Cell, place.Stage = layout.Name(placement.Cell), placement.Stage.String()
+		result.Cell, result.Stage = layout.Name(placement.Cell), placement.Stage.String()
 		if placement.Cell != cells.NoCell {
-			place.Groups, place.Group = layout.TenantGroups(tenant, placement.Cell), int64(layout.Group(tenant, key, placement.Cell))
+			result.Groups, result.Group = layout.TenantGroups(tenant, placement.Cell), int64(layout.Group(tenant, key, placement.Cell))
 		}
-		place.Load = controller.Load(tenant, now)
-		return place
+		result.Load = controller.Load(tenant, now)
+		return result
 	})
 }
 
@@ -383,12 +383,12 @@
 }
 
 // Abort asks the coordinator to abort a move.
-func (s *operatorServices) Abort(ctx context.Context, m membership.MoveRequest) error {
+func (s *operatorServices) Abort(ctx context.Context, move membership.MoveRequest) error {
 	coordinator, err := s.dialCoordinator()
 	if err != nil {
 		return err
 	}
-	return coordinator.Abort(ctx, m)
+	return coordinator.Abort(ctx, move)
 }
 
 // Plan plans moves for the loads that all drivers report, or for this instance's loads without a
@@ -417,14 +417,14 @@
 	}
 	tenants := make([]planner.Tenant, 0, len(loads))
 	for _, load := range loads {
-		place := s.TenantPlacement(load.Tenant, "")
-		cellIndex, isKnown := index[place.Cell]
+		placement := s.TenantPlacement(load.Tenant, "")
+		cellIndex, isKnown := index[placement.Cell]
 		if !isKnown {
 			cellIndex = planner.NoCell
 		}
 		tenants = append(tenants, planner.Tenant{Name: string(load.Tenant), Load: load.Load, CurrentCell: cellIndex,
 			Hall:   halls[load.Tenant],
-			Pinned: place.Reason == "pinned" || place.Stage != cells.StageIdle.String()})
+			Pinned: placement.Reason == "pinned" || placement.Stage != cells.StageIdle.String()})
 	}
 	return admin.NewPlan(tenants, planCells, maxMoves), nil
 }
--- a/internal/program/peers.go
+++ b/internal/program/peers.go
@@ -49,7 +49,7 @@
 
 // receive reports messages from peers to the router and calls onMessage for each valid one, until
 // the socket is closed.
-func (p *peers) receive(r *routing.Router, onMessage func()) {
+func (p *peers) receive(router *routing.Router, onMessage func()) {
 	if p.socket == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		if !r.ReceiveObservations(buffer[:n]) {
+		if !router.ReceiveObservations(buffer[:n]) {
 			p.log.WithField("from", from).WithField("dropped", p.dropped.Add(1)).
 				Warn("dropped a datagram that is not a valid peer message")
 			continue
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -23,7 +23,7 @@
 
 	mu         sync.Mutex
 	idle       map[rules.MemberID][]memberConn
-	unanswered map[rules.MemberID]bool         // the last statement timed out
+	unanswered map[rules.MemberID]bool         // members whose last statement timed out
 	returns    map[rules.MemberID]*returnTimes // when connections were returned to the pool
 }
 
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -42,13 +42,13 @@
 }
 
 // changedFixedFields returns the names of the fields that differ and need a restart to take effect.
-func (p *Config) changedFixedFields(other *Config) (names []string) {
+func (c *Config) changedFixedFields(other *Config) (names []string) {
 	for name, isSame := range map[string]bool{
-		"name":        other.Name == p.Name,
-		"listen":      other.Listen == p.Listen,
-		"peer_listen": other.PeerListen == p.PeerListen,
-		"peers_all":   other.PeersAddress == p.PeersAddress,
-		"settings":    settings.Equal(p.Settings, other.Settings),
+		"name":        other.Name == c.Name,
+		"listen":      other.Listen == c.Listen,
+		"peer_listen": other.PeerListen == c.PeerListen,
+		"peers_all":   other.PeersAddress == c.PeersAddress,
+		"settings":    settings.Equal(c.Settings, other.Settings),
 	} {
 		if !isSame {
 			names = append(names, name)
--- a/internal/program/scheduled_work.go
+++ b/internal/program/scheduled_work.go
@@ -11,19 +11,19 @@
 // ends.
 func (p *Program) runScheduledWork(ctx context.Context) error {
 	for {
-		duty, err := p.router.NextTask(ctx)
+		task, err := p.router.NextTask(ctx)
 		if err != nil {
 			return nil
 		}
-		switch d := duty.(type) {
+		switch t := task.(type) {
 		case routing.ProbeMember:
-			p.tasks.Go(func() error { p.probe(d); return nil })
+			p.tasks.Go(func() error { p.probe(t); return nil })
 		case routing.CloseIdleConnections:
-			p.prober.closeIdle(d.Member)
+			p.prober.closeIdle(t.Member)
 		case routing.ForgetMember:
-			p.prober.forget(d.Member)
+			p.prober.forget(t.Member)
 		case routing.SendToPeers:
-			p.peers.send(d.Message)
+			p.peers.send(t.Message)
 		case routing.WatchDiscovery:
 			p.tasks.Go(func() error { p.followDiscovery(ctx); return nil })
 		}
@@ -31,10 +31,10 @@
 }
 
 // probe probes a member and reports the outcome to the router.
-func (p *Program) probe(look routing.ProbeMember) {
+func (p *Program) probe(task routing.ProbeMember) {
 	ctx, stop := context.WithTimeoutCause(p.lifetime, p.config.ConnectTimeout, transport.TimedOut)
 	defer stop()
-	p.router.ReportProbe(look.Member, p.prober.probe(ctx, look.Member, look.Address,
-		func() bool { return p.router.MayProbe(look.Member) }))
-	p.readiness.recordProbe(look.Member)
+	p.router.ReportProbe(task.Member, p.prober.probe(ctx, task.Member, task.Address,
+		func() bool { return p.router.MayProbe(task.Member) }))
+	p.readiness.recordProbe(task.Member)
 }
--- a/internal/program/session.go
+++ b/internal/program/session.go
@@ -13,43 +13,43 @@
 )
 
 // serveClient serves a client connection until it closes.
-func (p *Program) serveClient(c protocol.Client) {
+func (p *Program) serveClient(client protocol.Client) {
 	cell := cells.NoCell // cell of the last RPC, to which the connection is charged
-	removeIdle := p.idleClients.add(c, false, cell)
-	c.SetWriteTimeout(clientWriteTimeout)
+	removeIdle := p.idleClients.add(client, false, cell)
+	client.SetWriteTimeout(clientWriteTimeout)
 	entry, unregister := p.cancels.register()
 	defer unregister()
-	identity, reason := c.Handshake(entry.key, p.cancels.cancel)
+	identity, reason := client.Handshake(entry.key, p.cancels.cancel)
 	for isServed := false; reason == transport.Open; {
 		var text string
 		var receivedAt time.Time
-		if text, receivedAt, reason = c.ReadQuery(); reason != transport.Open {
+		if text, receivedAt, reason = client.ReadQuery(); reason != transport.Open {
 			break
 		}
-		if reason = c.CloseReason(); reason != transport.Open { // the client left after sending the query
+		if reason = client.CloseReason(); reason != transport.Open { // the client left after sending the query
 			break
 		}
 		removeIdle()
-		var trip *routing.ActiveRPC
-		trip, reason = p.serveQuery(c, entry, identity, text, receivedAt)
-		if trip != nil {
+		var rpc *routing.ActiveRPC
+		rpc, reason = p.serveQuery(client, entry, identity, text, receivedAt)
+		if rpc != nil {
 			isServed = true
 			previous := cell
-			cell = trip.Cell()
+			cell = rpc.Cell()
 			p.router.MoveConnection(previous, cell)
 		}
 		removeIdle = func() {}
 		if reason == transport.Open {
-			removeIdle = p.idleClients.add(c, isServed, cell)
+			removeIdle = p.idleClients.add(client, isServed, cell)
 		}
 	}
 	removeIdle()
 	p.router.MoveConnection(cell, cells.NoCell)
 	if linger := lingerTimes[reason]; linger > 0 {
-		c.Linger(linger, maxLingerBytes)
+		client.Linger(linger, maxLingerBytes)
 	}
 	p.log.Debugf("client connection closed end=%q", reason)
-	c.Close(reason)
+	client.Close(reason)
 }
 
 // lingerTimes is how long the driver drains input after closing its side of a client connection.
@@ -71,26 +71,26 @@
 	pipelinedMemoryDivisor = 16      // all clients together may buffer 1/16 of the memory limit
 )
 
-// serveQuery serves a query whose last byte arrived at receivedAt. It returns the trip of the RPC,
-// or nil if the query was not admitted as one.
-func (p *Program) serveQuery(c protocol.Client, entry *cancelEntry, identity protocol.Identity, text string,
-	receivedAt time.Time) (trip *routing.ActiveRPC, reason transport.CloseReason) {
+// serveQuery serves a query whose last byte arrived at receivedAt. It returns the RPC, or nil
+// if the query was not admitted as one.
+func (p *Program) serveQuery(client protocol.Client, entry *cancelEntry, identity protocol.Identity, text string,
+	receivedAt time.Time) (rpc *routing.ActiveRPC, reason transport.CloseReason) {
 	if strings.Trim(text, " \t\r\n;") == "" {
-		return nil, p.answerEmptyQuery(c)
+		return nil, p.answerEmptyQuery(client)
 	}
 	statement, err := protocol.ParseStatement(text)
 	if err == nil {
-		rpcCall := newCall(&statement, identity, receivedAt)
-		trip, err = p.router.Admit(&rpcCall)
+		request := newRequest(&statement, identity, receivedAt)
+		rpc, err = p.router.Admit(&request)
 	}
 	if err != nil {
-		return nil, c.SendFailure(protocol.Failure{SQLState: protocol.StateSyntaxError, Message: err.Error()})
+		return nil, client.SendFailure(protocol.Failure{SQLState: protocol.StateSyntaxError, Message: err.Error()})
 	}
-	return trip, p.serveRPC(c, entry, &statement, trip)
+	return rpc, p.serveRPC(client, entry, &statement, rpc)
 }
 
-// newCall converts a statement that arrived at receivedAt to an RPC.
-func newCall(statement *protocol.Statement, identity protocol.Identity, receivedAt time.Time) routing.Request {
+// newRequest converts a statement that arrived at receivedAt to the router's request.
+func newRequest(statement *protocol.Statement, identity protocol.Identity, receivedAt time.Time) routing.Request {
 	const milli = int64(time.Millisecond)
 	return routing.Request{ID: statement.ID, Method: statement.Method, Key: statement.Key, IsWrite: statement.Write,
 		IsRetry: statement.IsRetry, Group: rules.GroupID(statement.Group),
@@ -100,15 +100,15 @@
 
 // answerEmptyQuery answers once this driver is ready; clients use an empty query as a readiness
 // check.
-func (p *Program) answerEmptyQuery(c protocol.Client) transport.CloseReason {
+func (p *Program) answerEmptyQuery(client protocol.Client) transport.CloseReason {
 	for _, ready := range append(p.readySignals(), p.readiness.ready) {
 		select {
 		case <-ready:
-		case <-c.Context().Done():
-			return c.CloseReason()
+		case <-client.Context().Done():
+			return client.CloseReason()
 		}
 	}
-	return c.SendEmpty()
+	return client.SendEmpty()
 }
 
 // readySignals returns the channels that are closed once this driver has its cell lease and its
@@ -122,14 +122,14 @@
 
 // serveRPC runs an RPC and sends its answer. The RPC is abandoned if the client leaves or cancels
 // it.
-func (p *Program) serveRPC(c protocol.Client, entry *cancelEntry, statement *protocol.Statement,
-	trip *routing.ActiveRPC) transport.CloseReason {
-	final := p.runAttempts(c, entry, statement, trip)
+func (p *Program) serveRPC(client protocol.Client, entry *cancelEntry, statement *protocol.Statement,
+	rpc *routing.ActiveRPC) transport.CloseReason {
+	final := p.runAttempts(client, entry, statement, rpc)
 	if final.Action == routing.ActionServe {
-		defer trip.AnswerDelivered()
+		defer rpc.AnswerDelivered()
 	}
-	isLast := p.idleClients.stopBeforeLastAnswer(c)
-	reason := p.sendAnswer(c, final)
+	isLast := p.idleClients.stopBeforeLastAnswer(client)
+	reason := p.sendAnswer(client, final)
 	if isLast && reason == transport.Open {
 		return transport.ShutDown
 	}
@@ -137,42 +137,42 @@
 }
 
 // runAttempts runs the attempts of an RPC and returns the router's final step.
-func (p *Program) runAttempts(c protocol.Client, entry *cancelEntry, statement *protocol.Statement,
-	trip *routing.ActiveRPC) routing.Step {
-	defer context.AfterFunc(c.Context(), trip.ClientLeft)()
-	defer p.cancels.setCancel(entry, trip.ClientLeft)()
-	defer c.WatchForClose(p.overflow)()
+func (p *Program) runAttempts(client protocol.Client, entry *cancelEntry, statement *protocol.Statement,
+	rpc *routing.ActiveRPC) routing.Step {
+	defer context.AfterFunc(client.Context(), rpc.ClientLeft)()
+	defer p.cancels.setCancel(entry, rpc.ClientLeft)()
+	defer client.WatchForClose(p.overflow)()
 	for {
-		step := trip.NextStep()
+		step := rpc.NextStep()
 		if step.Action != routing.ActionAttempt {
 			return step
 		}
 		p.tasks.Go(func() error {
-			trip.ReportAttempt(step.AttemptNumber, p.runAttempt(step, statement, trip))
+			rpc.ReportAttempt(step.AttemptNumber, p.runAttempt(step, statement, rpc))
 			return nil
 		})
 	}
 }
 
-// sendAnswer sends a client the final answer to its RPC.
-func (p *Program) sendAnswer(c protocol.Client, final routing.Step) transport.CloseReason {
+// sendAnswer sends a client the answer that the final step of its RPC selects.
+func (p *Program) sendAnswer(client protocol.Client, final routing.Step) transport.CloseReason {
 	switch final.Action {
 	case routing.ActionServe:
-		return c.Forward(final.Answer)
+		return client.Forward(final.Answer)
 	case routing.ActionReject:
-		return c.SendFailure(protocol.Pushback(final.RetryAfter / int64(time.Millisecond)))
+		return client.SendFailure(protocol.Pushback(final.RetryAfter / int64(time.Millisecond)))
 	case routing.ActionAbort:
-		return c.SendFailure(protocol.Aborted())
+		return client.SendFailure(protocol.Aborted())
 	}
-	if reason := c.CloseReason(); reason != transport.Open {
+	if reason := client.CloseReason(); reason != transport.Open {
 		return reason
 	}
-	return c.SendFailure(protocol.Canceled())
+	return client.SendFailure(protocol.Canceled())
 }
 
 // runAttempt sends the statement to the selected member, with the time that is left as its timeout.
-func (p *Program) runAttempt(step routing.Step, statement *protocol.Statement, trip *routing.ActiveRPC) routing.Outcome {
-	mayStart := func() bool { return trip.MayBegin(step.AttemptNumber) }
+func (p *Program) runAttempt(step routing.Step, statement *protocol.Statement, rpc *routing.ActiveRPC) routing.Outcome {
+	mayStart := func() bool { return rpc.MayBegin(step.AttemptNumber) }
 	return p.pools.query(step.Context, step.Member, step.Address, mayStart, func(timeout time.Duration) []string {
 		return statement.WithTimeout(max(1, timeout.Milliseconds()), step.Fence)
 	})
