--- a/internal/program/connecting_test.go
+++ b/internal/program/connecting_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withSlowConnects sets a long connect timeout.
-func withSlowConnects(file map[string]any) {
+// withLongConnectTimeout sets a long connect timeout.
+func withLongConnectTimeout(file map[string]any) {
 	limits := file["settings"].(map[string]any)["limits"].(map[string]any)
 	limits["connectTimeoutUs"] = 3_000_000
 }
@@ -29,7 +29,7 @@
 func TestDrainWhileConnecting(t *testing.T) {
 	primary, other := newFakeMember(t, "p", "leader"), newFakeMember(t, "r", "follower")
 	discovery := newFakeDiscovery(t, primary, other)
-	driver := startDriver(t, discovery, withSlowConnects)
+	driver := startDriver(t, discovery, withLongConnectTimeout)
 	client := driver.connect(t)
 	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	release := sendDuringConnect(t, primary, client, statement("write", 1500))
@@ -51,7 +51,7 @@
 	for _, cancelling := range []bool{true, false} {
 		primary := newFakeMember(t, "p", "leader")
 		driver := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
-			withSlowConnects(file)
+			withLongConnectTimeout(file)
 			file["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
 		})
 		client, other := driver.connect(t), driver.connect(t)
@@ -68,7 +68,7 @@
 func TestWindowEndsWhileConnecting(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	driver := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
-		withSlowConnects(file)
+		withLongConnectTimeout(file)
 		write := file["settings"].(map[string]any)["classes"].([]any)[1].(map[string]any)
 		write["effect"], write["windowUs"] = "by_key", 500_000
 	})
@@ -99,7 +99,7 @@
 // Guards against an attempt that starts after the deadline of its RPC.
 func TestTimeEndsWhileConnecting(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	client := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects).connect(t)
+	client := startDriver(t, newFakeDiscovery(t, primary), withLongConnectTimeout).connect(t)
 	release := sendDuringConnect(t, primary, client, statement("write", 300))
 	require.Equal(t, "08007", client.readReply(t))
 	release()
@@ -110,7 +110,7 @@
 // Guards against a write that is sent to the former primary after waiting for its connection.
 func TestPrimaryChangesWhileConnecting(t *testing.T) {
 	one, other := newFakeMember(t, "p", "leader"), newFakeMember(t, "q", "follower")
-	driver := startDriver(t, newFakeDiscovery(t, one, other), withSlowConnects)
+	driver := startDriver(t, newFakeDiscovery(t, one, other), withLongConnectTimeout)
 	client := driver.connect(t)
 	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	release := sendDuringConnect(t, one, client, statement("write", 1900))
--- a/internal/program/fake_group_test.go
+++ b/internal/program/fake_group_test.go
@@ -62,183 +62,183 @@
 const reportInterval = 250 * time.Millisecond // of refreshing load reports, except while the member hangs
 
 func newFakeGroup(t *testing.T, seed int64, members int) *fakeGroup {
-	s := &fakeGroup{rng: rand.New(rand.NewSource(seed)), logStoppedAt: time.Now(), maxReadAge: maxReadAge, faultKinds: basicFaultKinds}
+	group := &fakeGroup{rng: rand.New(rand.NewSource(seed)), logStoppedAt: time.Now(), maxReadAge: maxReadAge, faultKinds: basicFaultKinds}
 	for i := range members {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		r := &groupMember{fakeMember: &fakeMember{name: fmt.Sprintf("s%d", i), listener: listener,
-			conns: map[net.Conn]bool{}}, group: s, applied: time.Now(), lag: 5 * time.Millisecond, reportPosition: time.Now()}
-		s.members = append(s.members, r)
-		go r.accept()
-		t.Cleanup(r.shutDown)
+		member := &groupMember{fakeMember: &fakeMember{name: fmt.Sprintf("s%d", i), listener: listener,
+			conns: map[net.Conn]bool{}}, group: group, applied: time.Now(), lag: 5 * time.Millisecond, reportPosition: time.Now()}
+		group.members = append(group.members, member)
+		go member.accept()
+		t.Cleanup(member.shutDown)
 	}
-	s.elect(s.members[0])
-	return s
+	group.elect(group.members[0])
+	return group
 }
 
 // elect makes a member the primary.
-func (s *fakeGroup) elect(r *groupMember) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.primary, r.claimsPrimary, r.wasPrimary, r.deniedAt = r, true, true, time.Time{}
+func (g *fakeGroup) elect(member *groupMember) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.primary, member.claimsPrimary, member.wasPrimary, member.deniedAt = member, true, true, time.Time{}
 }
 
 // depose removes the primary from its role. The former primary still claims the role until announce
 // is called.
-func (s *fakeGroup) depose() (former *groupMember, announce func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	former = s.primary
-	s.catchUp()
-	s.primary, s.logStoppedAt = nil, former.applied
+func (g *fakeGroup) depose() (former *groupMember, announce func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	former = g.primary
+	g.catchUp()
+	g.primary, g.logStoppedAt = nil, former.applied
 	return former, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
+		g.mu.Lock()
+		defer g.mu.Unlock()
 		former.claimsPrimary = false
 	}
 }
 
 // catchUp lets all members apply the log up to now. The lock is held.
-func (s *fakeGroup) catchUp() {
+func (g *fakeGroup) catchUp() {
 	now := time.Now()
-	end := s.logStoppedAt
-	if s.primary != nil {
+	end := g.logStoppedAt
+	if g.primary != nil {
 		end = now
 	}
-	for _, r := range s.members {
+	for _, member := range g.members {
 		upTo := end
-		if r != s.primary && upTo.After(now.Add(-r.lag)) {
-			upTo = now.Add(-r.lag)
+		if member != g.primary && upTo.After(now.Add(-member.lag)) {
+			upTo = now.Add(-member.lag)
 		}
-		if upTo.After(r.applied) {
-			r.applied = upTo
+		if upTo.After(member.applied) {
+			member.applied = upTo
 		}
-		if now.Sub(r.reportedAt) >= reportInterval && now.After(r.hangsUntil) && now.After(r.reportPausedUntil) {
-			r.reportedAt, r.reportPosition, r.reportsPrimary = now, r.applied, r.claimsPrimary
+		if now.Sub(member.reportedAt) >= reportInterval && now.After(member.hangsUntil) && now.After(member.reportPausedUntil) {
+			member.reportedAt, member.reportPosition, member.reportsPrimary = now, member.applied, member.claimsPrimary
 		}
 	}
 }
 
-func (r *groupMember) accept() {
+func (m *groupMember) accept() {
 	for {
-		c, err := r.listener.Accept()
+		c, err := m.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.fakeMember.mu.Lock()
-		r.conns[c] = true
-		r.fakeMember.mu.Unlock()
-		go r.serve(newPGConn(c))
+		m.fakeMember.mu.Lock()
+		m.conns[c] = true
+		m.fakeMember.mu.Unlock()
+		go m.serve(newPGConn(c))
 	}
 }
 
 // statusMessages returns the messages with the member's current status and records the report.
-func (r *groupMember) statusMessages() string {
-	r.group.mu.Lock()
-	defer r.group.mu.Unlock()
-	r.group.catchUp()
-	if !r.claimsPrimary && r.wasPrimary && r.deniedAt.IsZero() {
-		r.deniedAt = time.Now()
+func (m *groupMember) statusMessages() string {
+	m.group.mu.Lock()
+	defer m.group.mu.Unlock()
+	m.group.catchUp()
+	if !m.claimsPrimary && m.wasPrimary && m.deniedAt.IsZero() {
+		m.deniedAt = time.Now()
 	}
-	return status{map[bool]string{true: "leader", false: "follower"}[r.claimsPrimary], r.applied.UnixMilli()}.messages()
+	return status{map[bool]string{true: "leader", false: "follower"}[m.claimsPrimary], m.applied.UnixMilli()}.messages()
 }
 
 // nextAnswerKind returns the kind of the next answer.
-func (r *groupMember) nextAnswerKind() int {
-	r.group.mu.Lock()
-	defer r.group.mu.Unlock()
-	if r.failuresLeft == 0 {
+func (m *groupMember) nextAnswerKind() int {
+	m.group.mu.Lock()
+	defer m.group.mu.Unlock()
+	if m.failuresLeft == 0 {
 		return completeAnswer
 	}
-	r.failuresLeft--
-	return 1 + r.group.rng.Intn(answerKinds-1)
+	m.failuresLeft--
+	return 1 + m.group.rng.Intn(answerKinds-1)
 }
 
-func (r *groupMember) serve(conn *pgConn) {
+func (m *groupMember) serve(conn *pgConn) {
 	defer conn.Close()
 	if _, err := conn.readBody(); err != nil {
 		return
 	}
-	io.WriteString(conn, message("R", "\x00\x00\x00\x00")+r.statusMessages()+message("Z", "I"))
+	io.WriteString(conn, message("R", "\x00\x00\x00\x00")+m.statusMessages()+message("Z", "I"))
 	for {
 		kind, body, err := conn.read()
 		if err != nil || kind != 'Q' {
 			return
 		}
 		if strings.HasPrefix(body, "SHOW server_load") {
-			io.WriteString(conn, rowMessages(r.loadReport())+message("Z", "I"))
+			io.WriteString(conn, rowMessages(m.loadReport())+message("Z", "I"))
 			continue
 		}
-		r.checkStatement(time.Now(), body)
-		if !r.answer(conn, strings.HasPrefix(body, "INSERT")) {
+		m.checkStatement(time.Now(), body)
+		if !m.answer(conn, strings.HasPrefix(body, "INSERT")) {
 			return
 		}
 	}
 }
 
 // loadReport returns the load report. A member that hangs repeats its last one.
-func (r *groupMember) loadReport() string {
-	r.group.mu.Lock()
-	defer r.group.mu.Unlock()
-	r.group.catchUp()
-	if r.group.omitStatus {
+func (m *groupMember) loadReport() string {
+	m.group.mu.Lock()
+	defer m.group.mu.Unlock()
+	m.group.catchUp()
+	if m.group.omitStatus {
 		return "inflight=1"
 	}
-	return status{map[bool]string{true: "leader", false: "follower"}[r.reportsPrimary], r.reportPosition.UnixMilli()}.loadReport()
+	return status{map[bool]string{true: "leader", false: "follower"}[m.reportsPrimary], m.reportPosition.UnixMilli()}.loadReport()
 }
 
 // checkStatement records a statement that was just received and checks the age of the data for it.
-func (r *groupMember) checkStatement(receivedAt time.Time, statement string) {
-	read := strings.HasPrefix(statement, "SELECT")
-	r.group.mu.Lock()
-	defer r.group.mu.Unlock()
-	if r.group.arrivals != nil {
+func (m *groupMember) checkStatement(receivedAt time.Time, statement string) {
+	isRead := strings.HasPrefix(statement, "SELECT")
+	m.group.mu.Lock()
+	defer m.group.mu.Unlock()
+	if m.group.arrivals != nil {
 		id := rpcID(statement)
-		r.group.arrivals[id] = append(r.group.arrivals[id], receivedAt)
+		m.group.arrivals[id] = append(m.group.arrivals[id], receivedAt)
 	}
-	r.group.catchUp()
-	age := receivedAt.Sub(r.applied)
-	hasDenied := !r.deniedAt.IsZero() && receivedAt.Sub(r.deniedAt) > statusGrace
-	isTooOld := age > r.group.maxReadAge+2*readAgeSlack || r.group.latestReads && hasDenied
-	if read && isTooOld && !r.group.omitStatus && (!r.wasPrimary || hasDenied || r.group.strict) {
-		r.group.violations = append(r.group.violations, fmt.Sprintf(
+	m.group.catchUp()
+	age := receivedAt.Sub(m.applied)
+	hasDenied := !m.deniedAt.IsZero() && receivedAt.Sub(m.deniedAt) > statusGrace
+	isTooOld := age > m.group.maxReadAge+2*readAgeSlack || m.group.latestReads && hasDenied
+	if isRead && isTooOld && !m.group.omitStatus && (!m.wasPrimary || hasDenied || m.group.strict) {
+		m.group.violations = append(m.group.violations, fmt.Sprintf(
 			"%s got a read with data that was %v too old; was primary: %t, time since it denied that: %v",
-			r.name, age-r.group.maxReadAge, r.wasPrimary, receivedAt.Sub(r.deniedAt)))
+			m.name, age-m.group.maxReadAge, m.wasPrimary, receivedAt.Sub(m.deniedAt)))
 	}
 }
 
 // takeRespond returns the function for the next answer, if any, and clears it.
-func (r *groupMember) takeRespond() (respond func(s *pgConn, status string) bool) {
-	r.group.mu.Lock()
-	defer r.group.mu.Unlock()
-	respond, r.respond = r.respond, nil
+func (m *groupMember) takeRespond() (respond func(conn *pgConn, status string) bool) {
+	m.group.mu.Lock()
+	defer m.group.mu.Unlock()
+	respond, m.respond = m.respond, nil
 	return respond
 }
 
 // answer answers a client's statement and reports whether the connection is still open.
-func (r *groupMember) answer(conn *pgConn, write bool) bool {
-	r.group.mu.Lock()
-	hangTime := time.Until(r.hangsUntil)
-	workTime := time.Duration(1+r.group.rng.Intn(8)) * time.Millisecond
-	r.group.mu.Unlock()
+func (m *groupMember) answer(conn *pgConn, isWrite bool) bool {
+	m.group.mu.Lock()
+	hangTime := time.Until(m.hangsUntil)
+	workTime := time.Duration(1+m.group.rng.Intn(8)) * time.Millisecond
+	m.group.mu.Unlock()
 	time.Sleep(max(0, hangTime) + workTime)
-	r.group.mu.Lock()
-	r.group.catchUp()
-	position := r.applied.UnixMilli()
-	r.group.mu.Unlock()
-	kind, status := r.nextAnswerKind(), r.statusMessages()
-	if respond := r.takeRespond(); respond != nil {
+	m.group.mu.Lock()
+	m.group.catchUp()
+	position := m.applied.UnixMilli()
+	m.group.mu.Unlock()
+	kind, status := m.nextAnswerKind(), m.statusMessages()
+	if respond := m.takeRespond(); respond != nil {
 		return respond(conn, status)
 	}
-	r.group.mu.Lock()
-	isPrimary := r.claimsPrimary && r.group.primary == r
-	r.group.mu.Unlock()
-	value := "from " + r.name
-	if r.group.omitStatus {
+	m.group.mu.Lock()
+	isPrimary := m.claimsPrimary && m.group.primary == m
+	m.group.mu.Unlock()
+	value := "from " + m.name
+	if m.group.omitStatus {
 		value += fmt.Sprintf(" at %d", position)
 	}
 	result := rowMessages(value)
-	if write && !isPrimary {
+	if isWrite && !isPrimary {
 		result = errorMessage("25006")
 	}
 	switch kind {
--- a/internal/program/fakes_test.go
+++ b/internal/program/fakes_test.go
@@ -43,21 +43,21 @@
 
 func newPGConn(c net.Conn) *pgConn { return &pgConn{Conn: c, reader: bufio.NewReader(c)} }
 
-func (s *pgConn) read() (kind byte, body string, err error) {
-	if kind, err = s.reader.ReadByte(); err != nil {
+func (c *pgConn) read() (kind byte, body string, err error) {
+	if kind, err = c.reader.ReadByte(); err != nil {
 		return 0, "", err
 	}
-	body, err = s.readBody()
+	body, err = c.readBody()
 	return kind, body, err
 }
 
-func (s *pgConn) readBody() (string, error) {
+func (c *pgConn) readBody() (string, error) {
 	var head [4]byte
-	if _, err := io.ReadFull(s.reader, head[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return "", err
 	}
 	body := make([]byte, binary.BigEndian.Uint32(head[:])-4)
-	_, err := io.ReadFull(s.reader, body)
+	_, err := io.ReadFull(c.reader, body)
 	return string(body), err
 }
 
@@ -263,9 +263,9 @@
 // list returns the target list as JSON values.
 func (d *fakeDiscovery) list() map[string]any {
 	entries := []any{}
-	for m, state := range d.lifecycles {
+	for m, lifecycle := range d.lifecycles {
 		entries = append(entries, map[string]any{"instanceId": m.name, "hostPort": m.listener.Addr().String(), "zone": "z",
-			"cell": 1, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
+			"cell": 1, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 	}
 	return map[string]any{"generation": d.generation, "reset": true, "instances": entries}
 }
@@ -275,9 +275,9 @@
 	d.callCount++
 	index, _ := strconv.Atoi(r.URL.Query().Get("index"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	changed, due := d.changed, !d.down && d.generation <= index
+	changed, shouldWait := d.changed, !d.down && d.generation <= index
 	d.mu.Unlock()
-	if due {
+	if shouldWait {
 		select {
 		case <-changed:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
@@ -388,27 +388,27 @@
 	})
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(2 * waitTimeout))
-	s := newPGConn(c)
-	io.WriteString(s, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // SSLRequest
-	declined, err := s.reader.ReadByte()
+	conn := newPGConn(c)
+	io.WriteString(conn, "\x00\x00\x00\x08\x04\xd2\x16\x2f") // SSLRequest
+	declined, err := conn.reader.ReadByte()
 	require.NoError(t, err)
 	require.Equal(t, byte('N'), declined)
-	io.WriteString(s, "\x00\x00\x00\x08\x00\x03\x00\x00")
-	s.readReply(t)
-	return s
+	io.WriteString(conn, "\x00\x00\x00\x08\x00\x03\x00\x00")
+	conn.readReply(t)
+	return conn
 }
 
 // ask sends a query and returns the value in its answer, "empty", or the SQLSTATE of an error.
-func (s *pgConn) ask(t *testing.T, query string) string {
-	s.send(query)
-	return s.readReply(t)
+func (c *pgConn) ask(t *testing.T, query string) string {
+	c.send(query)
+	return c.readReply(t)
 }
 
-func (s *pgConn) send(query string) { io.WriteString(s, message("Q", query+"\x00")) }
+func (c *pgConn) send(query string) { io.WriteString(c, message("Q", query+"\x00")) }
 
-func (s *pgConn) readReply(t *testing.T) (got string) {
+func (c *pgConn) readReply(t *testing.T) (got string) {
 	for {
-		kind, body, err := s.read()
+		kind, body, err := c.read()
 		if err != nil {
 			return strings.TrimSpace(got + " end")
 		}
@@ -416,7 +416,7 @@
 		case 'Z':
 			return got
 		case 'K':
-			s.cancelKey = body
+			c.cancelKey = body
 		case 'D':
 			got = body[6:]
 		case 'I':
@@ -449,14 +449,14 @@
 	text strings.Builder
 }
 
-func (o *lockedBuffer) Write(p []byte) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.text.Write(p)
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-func (o *lockedBuffer) String() string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.text.String()
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
--- a/internal/program/freshness_soak_test.go
+++ b/internal/program/freshness_soak_test.go
@@ -39,9 +39,8 @@
 	})
 }
 
-// TestMutePrimarySoak guards against forwarding answers of a former primary that state themselves
-// that they are too old, where load reports omit role and position. The answers that clients got
-// are checked.
+// TestMutePrimarySoak guards against forwarding answers of a former primary whose data is too old,
+// where load reports omit role and position. The position in the answers that clients got is checked.
 func TestMutePrimarySoak(t *testing.T) {
 	runSeeds(t, 8, 9, func(t *testing.T, seed int64) {
 		runSoak(t, soakPlan{seed: seed, drivers: 3, clients: 3, pause: 20 * time.Millisecond, minReads: 100, strict: true, omitStatus: true})
@@ -94,8 +93,8 @@
 		group.maxReadAge = plan.maxReadAge
 	}
 	members := make([]*fakeMember, len(group.members))
-	for i, r := range group.members {
-		members[i] = r.fakeMember
+	for i, member := range group.members {
+		members[i] = member.fakeMember
 	}
 	discovery := newFakeDiscovery(t, members...)
 	broadcast := newLossyBroadcast(t, plan.drivers)
@@ -159,59 +158,59 @@
 }
 
 // checkAnswer counts an answer and checks the age of its data, if the answer states it.
-func (s *fakeGroup) checkAnswer(answer string, bounded bool, sent time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (g *fakeGroup) checkAnswer(answer string, isBounded bool, sent time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if !strings.HasPrefix(answer, "from") {
 		return
 	}
-	s.served++
-	if _, positionText, hasPosition := strings.Cut(answer, " at "); hasPosition && bounded {
+	g.served++
+	if _, positionText, hasPosition := strings.Cut(answer, " at "); hasPosition && isBounded {
 		position, _ := strconv.ParseInt(positionText, 10, 64)
-		if age := sent.Sub(time.UnixMilli(position)); age > s.maxReadAge+2*readAgeSlack {
-			s.violations = append(s.violations, fmt.Sprintf("%s: data was %v too old when the read was sent", answer, age-s.maxReadAge))
+		if age := sent.Sub(time.UnixMilli(position)); age > g.maxReadAge+2*readAgeSlack {
+			g.violations = append(g.violations, fmt.Sprintf("%s: data was %v too old when the read was sent", answer, age-g.maxReadAge))
 		}
 	}
 }
 
 // injectFault injects a random fault into the group, followed by some quiet time.
-func (s *fakeGroup) injectFault(drivers []*os.Process) {
-	s.mu.Lock()
-	kind, failures := s.rng.Intn(s.faultKinds), s.rng.Intn(6)
-	randomTime := func(low, high int) time.Duration { return time.Duration(low+s.rng.Intn(high-low)) * time.Millisecond }
+func (g *fakeGroup) injectFault(drivers []*os.Process) {
+	g.mu.Lock()
+	kind, failures := g.rng.Intn(g.faultKinds), g.rng.Intn(6)
+	randomTime := func(low, high int) time.Duration { return time.Duration(low+g.rng.Intn(high-low)) * time.Millisecond }
 	hangTime, handover, election, lag, quiet := randomTime(300, 1200), randomTime(0, 300), randomTime(200, 1200), randomTime(600, 2500), randomTime(200, 700)
-	successor, lagging := s.members[s.rng.Intn(len(s.members))], s.members[s.rng.Intn(len(s.members))]
-	s.mu.Unlock()
+	successor, lagging := g.members[g.rng.Intn(len(g.members))], g.members[g.rng.Intn(len(g.members))]
+	g.mu.Unlock()
 	switch kind {
 	case 0, 1: // the primary hands over, or hangs and is deposed
-		former, announce := s.depose()
-		s.mu.Lock()
+		former, announce := g.depose()
+		g.mu.Lock()
 		former.failuresLeft = failures
 		if kind == 1 {
 			former.hangsUntil = time.Now().Add(hangTime)
-			handover = hangTime * time.Duration(s.rng.Intn(3)) / 2
+			handover = hangTime * time.Duration(g.rng.Intn(3)) / 2
 		}
-		s.mu.Unlock()
+		g.mu.Unlock()
 		time.Sleep(handover)
 		announce()
 		time.Sleep(election)
-		s.elect(successor)
+		g.elect(successor)
 	case 2: // a replica lags
-		s.mu.Lock()
+		g.mu.Lock()
 		lagging.lag = lag
-		s.mu.Unlock()
+		g.mu.Unlock()
 		time.Sleep(lag / 2)
-		s.mu.Lock()
+		g.mu.Lock()
 		lagging.lag = 5 * time.Millisecond
-		s.mu.Unlock()
+		g.mu.Unlock()
 	case 3: // answers fail
-		s.mu.Lock()
+		g.mu.Lock()
 		lagging.failuresLeft = 3 * failures
-		s.mu.Unlock()
+		g.mu.Unlock()
 	case 5: // the primary is cut off and keeps its role after a successor was elected
-		_, announce := s.depose()
+		_, announce := g.depose()
 		time.Sleep(election)
-		s.elect(successor)
+		g.elect(successor)
 		time.Sleep(lag)
 		announce()
 	case 4: // drivers are stopped for a while
@@ -236,39 +235,39 @@
 }
 
 func newLossyBroadcast(t *testing.T, drivers int) *lossyBroadcast {
-	link, err := net.ListenPacket("udp", "127.0.0.1:0")
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { link.Close() })
-	g := &lossyBroadcast{conn: link}
+	t.Cleanup(func() { conn.Close() })
+	broadcast := &lossyBroadcast{conn: conn}
 	for range drivers {
 		socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
-		g.drivers = append(g.drivers, socket.LocalAddr().String())
+		broadcast.drivers = append(broadcast.drivers, socket.LocalAddr().String())
 		socket.Close()
 	}
-	go g.forward()
-	return g
+	go broadcast.forward()
+	return broadcast
 }
 
 // join configures a driver to use the broadcast.
-func (g *lossyBroadcast) join(file map[string]any, driver int) {
-	file["peer_listen"], file["peers_all"] = g.drivers[driver], g.conn.LocalAddr().String()
+func (b *lossyBroadcast) join(file map[string]any, driver int) {
+	file["peer_listen"], file["peers_all"] = b.drivers[driver], b.conn.LocalAddr().String()
 	settings := file["settings"].(map[string]any)
-	settings["fleetSize"] = len(g.drivers)
+	settings["fleetSize"] = len(b.drivers)
 	settings["limits"].(map[string]any)["peerMessages"] = true
 }
 
-func (g *lossyBroadcast) forward() {
+func (b *lossyBroadcast) forward() {
 	message := make([]byte, 512)
 	for count := 0; ; count++ {
-		n, _, err := g.conn.ReadFrom(message)
+		n, _, err := b.conn.ReadFrom(message)
 		if err != nil {
 			return
 		}
-		for i, driver := range g.drivers {
+		for i, driver := range b.drivers {
 			to, err := net.ResolveUDPAddr("udp", driver)
 			if err == nil && (count+i)%5 != 0 {
-				g.conn.WriteTo(message[:n], to)
+				b.conn.WriteTo(message[:n], to)
 			}
 		}
 	}
--- a/internal/program/leaving_clients_test.go
+++ b/internal/program/leaving_clients_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against attempts for clients that disconnected, in one way or another, while their query
-// waited.
+// Guards against attempts for clients that disconnected, in any of several ways, while their query
+// waited for a connection.
 func TestClientsThatDisconnectWhileWaiting(t *testing.T) {
 	queries := strings.Repeat(message("Q", statement("write", 1900)+"\x00"), 3000) // some 400 KB
 	for name, disconnect := range map[string]func(client *pgConn){
@@ -31,13 +31,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			primary := newFakeMember(t, "p", "leader")
-			driver := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
+			driver := startDriver(t, newFakeDiscovery(t, primary), withLongConnectTimeout)
 			client, other := driver.connect(t), driver.connect(t)
 			release := sendDuringConnect(t, primary, client, statement("write", 1900))
-			gone := make(chan struct{})
-			go func() { disconnect(client); close(gone) }()
+			disconnected := make(chan struct{})
+			go func() { disconnect(client); close(disconnected) }()
 			select {
-			case <-gone:
+			case <-disconnected:
 			case <-time.After(waitTimeout):
 				require.Fail(t, "the driver does not read the input")
 			}
@@ -54,7 +54,7 @@
 func TestPipelinedQueriesWhileConnecting(t *testing.T) {
 	const count = 3000 // some 400 KB
 	primary := newFakeMember(t, "p", "leader")
-	driver := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
+	driver := startDriver(t, newFakeDiscovery(t, primary), withLongConnectTimeout)
 	client, flooding := driver.connect(t), driver.connect(t)
 	release := sendDuringConnect(t, primary, client, statement("write", 1900))
 	queries := strings.Builder{}
@@ -115,7 +115,7 @@
 // Guards against cancel requests that do nothing, or cancel another RPC than the intended one.
 func TestCancelRequest(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
-	driver := startDriver(t, newFakeDiscovery(t, primary), withSlowConnects)
+	driver := startDriver(t, newFakeDiscovery(t, primary), withLongConnectTimeout)
 	client, other := driver.connect(t), driver.connect(t)
 	require.Len(t, client.cancelKey, 8)
 	require.NotEqual(t, client.cancelKey, other.cancelKey)
--- a/internal/program/pipelined_queries_test.go
+++ b/internal/program/pipelined_queries_test.go
@@ -42,7 +42,7 @@
 	between(780*time.Millisecond, 1500*time.Millisecond, "the last query")
 	timeouts := map[string]int{}
 	for _, received := range primary.statements()[1:] {
-		for name, sent := range map[string]string{"head": head, "over": expired, "short": short, "after": after} {
+		for name, sent := range map[string]string{"head": head, "expired": expired, "short": short, "after": after} {
 			if id := regexp.MustCompile(`id=\d+,`).FindString(sent); strings.Contains(received, id) {
 				timeouts[name], _ = strconv.Atoi(regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(received)[1])
 			}
--- a/internal/program/pools_test.go
+++ b/internal/program/pools_test.go
@@ -11,8 +11,8 @@
 	"sedgespread/rules"
 )
 
-// Guards against using up the one connection that could survive a cut link, for members in steady
-// use and after timeouts.
+// Guards against using the reserved connection, which shows after a cut link that the member did not
+// restart, for members in steady use and after timeouts.
 func TestReservedConnection(t *testing.T) {
 	const member = rules.MemberID(1)
 	pools := &memberPools{unanswered: map[rules.MemberID]bool{}, returns: map[rules.MemberID]*returnTimes{}}
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -89,8 +89,8 @@
 
 func megabyte() string { return strings.Repeat("x", 1<<20) }
 
-// Guards against a client that sends queries and never reads the answers, holding resources for
-// ever.
+// Guards against a client that sends queries, never reads the answers and so holds resources
+// indefinitely.
 func TestClientThatDoesNotRead(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
@@ -124,7 +124,7 @@
 	require.Len(t, primary.statements(), 1)
 }
 
-// Guards against idle clients that exclude others or hold memory for ever.
+// Guards against idle clients that keep others from connecting or hold memory indefinitely.
 func TestIdleClients(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	driver := startDriver(t, newFakeDiscovery(t, primary), func(file map[string]any) {
@@ -154,8 +154,9 @@
 	require.Greater(t, time.Since(startTime), 2*time.Second, "not before new clients are evicted")
 }
 
-// Guards against malformed answers that are forwarded, taken as proof, waited for without end, or
-// taken for the next answer, and against blaming members for statements that none can execute.
+// Guards against malformed answers that are forwarded, treated as a definite outcome, waited for
+// indefinitely or taken for the next answer, and against penalizing members for statements that none
+// can execute.
 func TestMalformedAnswers(t *testing.T) {
 	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "leader")
 	driver := startDriver(t, newFakeDiscovery(t, one, other), nil)
@@ -194,20 +195,20 @@
 func TestFailingMembers(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	client := startDriver(t, newFakeDiscovery(t, primary), nil).connect(t)
-	for _, step := range []struct{ act, answer string }{
+	for _, testCase := range []struct{ behavior, answer string }{
 		{"reset", "08007"},  // after the last byte of the statement: it may have run
 		{"XX000", "08007"},  // the write may have run
 		{"silent", "08007"}, // it may have run, or run later
 		{"53300", "53300"},  // it did not run: retried, then rejected with a retry delay
 		{"", "from p"},
 	} {
-		primary.setBehavior(step.act)
+		primary.setBehavior(testCase.behavior)
 		before := len(primary.statements())
 		startTime := time.Now()
-		require.Equal(t, step.answer, client.ask(t, statement("write", 300)), step.act)
+		require.Equal(t, testCase.answer, client.ask(t, statement("write", 300)), testCase.behavior)
 		require.Less(t, time.Since(startTime), 400*time.Millisecond, "an answer before the client's deadline")
-		if step.answer == "08007" {
-			require.Len(t, primary.statements(), before+1, "%s: the write is not retried", step.act)
+		if testCase.answer == "08007" {
+			require.Len(t, primary.statements(), before+1, "%s: the write is not retried", testCase.behavior)
 		}
 	}
 }
@@ -218,10 +219,10 @@
 	one, other := newFakeMember(t, "a", "follower"), newFakeMember(t, "b", "follower")
 	driver := startDriver(t, newFakeDiscovery(t, one, other), nil)
 	client := driver.connect(t)
-	for _, act := range []string{"silent", "reset", "72000"} {
-		one.setBehavior(act)
+	for _, behavior := range []string{"silent", "reset", "72000"} {
+		one.setBehavior(behavior)
 		for range 6 {
-			require.Equal(t, "from b", client.ask(t, statement("read", 2000)), act)
+			require.Equal(t, "from b", client.ask(t, statement("read", 2000)), behavior)
 		}
 	}
 	one.shutDown()
@@ -238,9 +239,9 @@
 		return []*pgConn{driver.connect(t), driver.connect(t), driver.connect(t), driver.connect(t)}
 	}
 	clients := connectFour()
-	sendAll := func(left int) {
+	sendAll := func(timeoutMillis int) {
 		for _, client := range clients {
-			client.send(statement("write", left))
+			client.send(statement("write", timeoutMillis))
 		}
 	}
 	primary.setBehavior("silent")
@@ -270,7 +271,8 @@
 	eventually(t, "all attempts are sent at once", func() bool { return len(primary.statements()) == before+4 })
 }
 
-// Guards against the same if one client keeps a single connection busy, which dies with the link.
+// Guards against treating a member as restarted after a cut link if one client kept a single
+// connection busy, which was lost with the link.
 func TestCutLinkInSteadyUse(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	driver := startDriver(t, newFakeDiscovery(t, primary), nil)
@@ -324,7 +326,7 @@
 	eventually(t, "the list is received", func() bool { return client.ask(t, statement("write", 300)) == "53300" })
 }
 
-// Guards against connecting to the old address of a member for ever.
+// Guards against connecting to the old address of a member indefinitely.
 func TestMemberChangesAddress(t *testing.T) {
 	before, after := newFakeMember(t, "p", "leader"), newFakeMember(t, "p", "leader")
 	discovery := newFakeDiscovery(t, before)
--- a/internal/program/role_reports_test.go
+++ b/internal/program/role_reports_test.go
@@ -13,7 +13,7 @@
 // connection starts, before an answer breaks off or stalls, or beside an error. From 150 ms after
 // the report it must get no read that has to see all writes.
 func TestRoleInPartialAnswers(t *testing.T) {
-	none := message("Z", "I")
+	readyMessage := message("Z", "I")
 	for name, respond := range map[string]func(conn *pgConn, status string) (isOpen bool){
 		"before a reset": func(conn *pgConn, status string) bool {
 			io.WriteString(conn, status)
@@ -35,15 +35,15 @@
 			return false
 		},
 		"beside an error": func(conn *pgConn, status string) bool {
-			io.WriteString(conn, errorMessage("XX000")+status+none)
+			io.WriteString(conn, errorMessage("XX000")+status+readyMessage)
 			return true
 		},
 		"beside a rejection": func(conn *pgConn, status string) bool {
-			io.WriteString(conn, errorMessage("53300")+status+none)
+			io.WriteString(conn, errorMessage("53300")+status+readyMessage)
 			return true
 		},
 		"rejected write without a status": func(conn *pgConn, _ string) bool {
-			io.WriteString(conn, errorMessage("25006")+none)
+			io.WriteString(conn, errorMessage("25006")+readyMessage)
 			return true
 		},
 	} {
@@ -60,7 +60,7 @@
 
 // testRoleReport lets a former primary report its new role in one answer, or at the start of a
 // connection, and sends reads after that.
-func testRoleReport(t *testing.T, write bool, respond func(conn *pgConn, status string) bool, atStart bool) {
+func testRoleReport(t *testing.T, isWrite bool, respond func(conn *pgConn, status string) bool, atStart bool) {
 	group := newFakeGroup(t, 1, 2)
 	group.latestReads = true
 	primary, other := group.members[0], group.members[1]
@@ -99,7 +99,7 @@
 			return !former.deniedAt.IsZero()
 		})
 	} else {
-		client.ask(t, statement(map[bool]string{true: "write", false: "read"}[write], 300))
+		client.ask(t, statement(map[bool]string{true: "write", false: "read"}[isWrite], 300))
 	}
 	time.Sleep(statusGrace + readAgeSlack)
 	for range 5 {
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -28,21 +28,21 @@
 // randomSettings returns settings with random classes, tenants, limits and costs, and the classes.
 func randomSettings(rng *rand.Rand) (classes []settingsClass, change func(file map[string]any)) {
 	effects, levels := []string{"repeatable", "by_key", "once"}, []string{"loose", "recent", "own_writes", "update"}
-	var list, read, bounds []any
+	var classList, readLevels, maxAges []any
 	for i := range 5 + rng.Intn(4) {
 		c := settingsClass{name: randomName(rng), level: levels[i%4], effect: "repeatable", scope: []string{"cell", "all"}[rng.Intn(2)], giveUp: time.Duration(600+rng.Intn(900)) * time.Millisecond}
 		if c.level == "update" {
 			c.effect = effects[(i/4+1)%3]
 		}
 		classes = append(classes, c)
-		list = append(list, map[string]any{"name": c.name, "effect": c.effect, "keyScope": c.scope,
+		classList = append(classList, map[string]any{"name": c.name, "effect": c.effect, "keyScope": c.scope,
 			"windowUs": 2_000_000 + rng.Intn(3_000_000), "aimUs": 100_000 + rng.Intn(300_000), "giveUpUs": c.giveUp.Microseconds(),
 			"worth": rng.Float64() * 50, "lateWorth": 0.1 + rng.Float64()*0.8, "stream": false})
-		read, bounds = append(read, c.level), append(bounds, 2_000_000+rng.Intn(1_000_000))
+		readLevels, maxAges = append(readLevels, c.level), append(maxAges, 2_000_000+rng.Intn(1_000_000))
 	}
-	settings := map[string]any{"classes": list, "fleetSize": 1 + rng.Intn(40), "discovery": []string{"subscribe", "automatic"}[rng.Intn(2)], "workload": randomName(rng),
+	settings := map[string]any{"classes": classList, "fleetSize": 1 + rng.Intn(40), "discovery": []string{"subscribe", "automatic"}[rng.Intn(2)], "workload": randomName(rng),
 		"az": randomName(rng), "azs": []any{randomName(rng), randomName(rng)}, "layers": []any{randomName(rng)}, "flavors": []any{randomName(rng)},
-		"extra": map[string]any{"readLevel": read, "maxAgeUs": bounds, "guards": []string{"none", "reject", "hold"}[rng.Intn(3)],
+		"extra": map[string]any{"readLevel": readLevels, "maxAgeUs": maxAges, "guards": []string{"none", "reject", "hold"}[rng.Intn(3)],
 			"holdsForUs": rng.Intn(300_000), "tokens": "client", randomName(rng): randomName(rng)},
 		"limits": map[string]any{"probing": true, "cancelling": rng.Intn(2) == 0, "mostTries": 3 + rng.Intn(9), "openCap": rng.Intn(9999),
 			"connectTimeoutUs": 150_000 + rng.Intn(400_000), "keepaliveUs": 8_000_000 + rng.Intn(60_000_000), "multiplex": 1 + rng.Intn(20),
@@ -59,8 +59,8 @@
 }
 
 // statement returns a statement of the class.
-func (c *settingsClass) statement(key string, left time.Duration) string {
-	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */", nextID.Add(1), c.name, left.Milliseconds())
+func (c *settingsClass) statement(key string, timeout time.Duration) string {
+	comment := fmt.Sprintf("/* id=%d,c=%s,d=%d,cluster=1 */", nextID.Add(1), c.name, timeout.Milliseconds())
 	if c.level == "update" {
 		return fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x9f03') RETURNING content %s`, key, comment)
 	}
--- a/internal/program/shutdown_test.go
+++ b/internal/program/shutdown_test.go
@@ -113,7 +113,7 @@
 	require.Len(t, primary.statements(), 1+5+1+1)
 }
 
-// Guards against waiting without end for the rest of a query at shutdown, and against resetting the
+// Guards against waiting indefinitely for the rest of a query at shutdown, and against resetting the
 // connection of a client that still sends.
 func TestPartialQueryAtShutdown(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
--- a/internal/program/side_effects_test.go
+++ b/internal/program/side_effects_test.go
@@ -21,10 +21,10 @@
 	cmd.Dir = folder
 	require.NoError(t, cmd.Start())
 	require.Equal(t, "from p", (&testDriver{address: env["GW_LISTEN"]}).connect(t).ask(t, statement("write", 1000)))
-	process := fmt.Sprintf("/proc/%d/", cmd.Process.Pid)
-	unix, err := os.ReadFile(process + "net/unix")
+	procDir := fmt.Sprintf("/proc/%d/", cmd.Process.Pid)
+	unix, err := os.ReadFile(procDir + "net/unix")
 	require.NoError(t, err)
-	open, err := filepath.Glob(process + "fd/*")
+	open, err := filepath.Glob(procDir + "fd/*")
 	require.NoError(t, err)
 	sockets := 0
 	for _, path := range open {
@@ -32,18 +32,18 @@
 		if err != nil {
 			continue // already closed
 		}
-		inode, socket := strings.CutPrefix(target, "socket:[")
-		if socket {
+		inode, isSocket := strings.CutPrefix(target, "socket:[")
+		if isSocket {
 			sockets++
 			require.NotContains(t, string(unix), " "+strings.TrimSuffix(inode, "]")+" ")
 			require.NotContains(t, string(unix), " "+strings.TrimSuffix(inode, "]")+"\n")
 			continue
 		}
-		special := strings.HasPrefix(target, "/dev/") || strings.HasPrefix(target, "pipe:") || strings.HasPrefix(target, "anon_inode:")
-		require.True(t, special || strings.HasPrefix(target, "/sys/fs/cgroup/"), target)
+		isSpecial := strings.HasPrefix(target, "/dev/") || strings.HasPrefix(target, "pipe:") || strings.HasPrefix(target, "anon_inode:")
+		require.True(t, isSpecial || strings.HasPrefix(target, "/sys/fs/cgroup/"), target)
 	}
 	require.GreaterOrEqual(t, sockets, 3, "listener, discovery and a member")
-	children, err := filepath.Glob(process + "task/*/children")
+	children, err := filepath.Glob(procDir + "task/*/children")
 	require.NoError(t, err)
 	for _, path := range children {
 		text, err := os.ReadFile(path)
--- a/internal/program/signals_soak_test.go
+++ b/internal/program/signals_soak_test.go
@@ -53,8 +53,8 @@
 	s := &signalsSoak{t: t, seed: seed, rng: rand.New(rand.NewSource(seed)), group: newFakeGroup(t, seed, 3), disconnects: map[string]time.Time{}}
 	s.group.arrivals = map[string][]time.Time{}
 	var members []*fakeMember
-	for _, r := range s.group.members {
-		members = append(members, r.fakeMember)
+	for _, member := range s.group.members {
+		members = append(members, member.fakeMember)
 	}
 	s.driverProcess = startProcess(t, newFakeDiscovery(t, members...), func(file map[string]any) {
 		withBoundedReads(file)
@@ -71,11 +71,11 @@
 	var clients sync.WaitGroup
 	for n := range 10 {
 		rng := rand.New(rand.NewSource(s.seed*100 + int64(n)))
-		clients.Go(func() { s.client(rng) })
+		clients.Go(func() { s.runClient(rng) })
 	}
 	if s.hasIdleCrowd() {
 		for range 150 {
-			clients.Go(s.idle)
+			clients.Go(s.holdIdleConnection)
 		}
 	}
 	var ended atomic.Bool
@@ -131,8 +131,8 @@
 // send sends a signal to the process, which may have exited already.
 func (s *signalsSoak) send(signal syscall.Signal) { syscall.Kill(s.pid, signal) }
 
-// client sends requests on one connection after another for as long as the driver accepts any.
-func (s *signalsSoak) client(rng *rand.Rand) {
+// runClient sends requests on one connection after another for as long as the driver accepts any.
+func (s *signalsSoak) runClient(rng *rand.Rand) {
 	for s.killedAt.Load() == 0 {
 		c, err := s.connect()
 		if err != nil {
@@ -142,7 +142,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		for s.request(c, rng) {
+		for s.sendRequest(c, rng) {
 			time.Sleep(time.Duration(rng.Intn(30)) * time.Millisecond)
 		}
 		c.Close()
@@ -170,16 +170,16 @@
 	}
 }
 
-// idle holds a connection and sends nothing.
-func (s *signalsSoak) idle() {
+// holdIdleConnection holds a connection and sends nothing.
+func (s *signalsSoak) holdIdleConnection() {
 	if c, err := s.connect(); err == nil {
 		c.readReply(s.t)
 		c.Close()
 	}
 }
 
-// request sends one request and reports whether the connection is still open.
-func (s *signalsSoak) request(c *pgConn, rng *rand.Rand) (isOpen bool) {
+// sendRequest sends one request and reports whether the connection is still open.
+func (s *signalsSoak) sendRequest(c *pgConn, rng *rand.Rand) (isOpen bool) {
 	timeoutMillis := 50 + rng.Intn(1850)
 	text := statement([]string{"read", "read", "write"}[rng.Intn(3)], timeoutMillis)
 	sent := time.Now()
@@ -255,8 +255,8 @@
 }
 
 // arrivalsOf returns the times when members got a request.
-func (s *fakeGroup) arrivalsOf(id string) []time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.arrivals[id]
+func (g *fakeGroup) arrivalsOf(id string) []time.Time {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.arrivals[id]
 }
--- a/internal/program/sizes_test.go
+++ b/internal/program/sizes_test.go
@@ -19,27 +19,27 @@
 
 // memberList returns a list of groups with one primary and three replicas each, at the addresses of
 // two fake members.
-func memberList(generation, first, count int, all bool, state string, primary, replica *fakeMember) map[string]any {
+func memberList(generation, first, count int, isFull bool, lifecycle string, primary, replica *fakeMember) map[string]any {
 	entries := []any{}
 	for i := first; i < first+count; i++ {
-		at := replica
+		member := replica
 		if i%4 == 0 {
-			at = primary
+			member = primary
 		}
-		entries = append(entries, map[string]any{"instanceId": fmt.Sprintf("s-%08x", 1+i*2654435761%(1<<32)), "hostPort": at.listener.Addr().String(),
-			"zone": "zone-" + strconv.Itoa(i%5), "machineType": "m2", "cell": i / 4, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
+		entries = append(entries, map[string]any{"instanceId": fmt.Sprintf("s-%08x", 1+i*2654435761%(1<<32)), "hostPort": member.listener.Addr().String(),
+			"zone": "zone-" + strconv.Itoa(i%5), "machineType": "m2", "cell": i / 4, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 	}
-	return map[string]any{"generation": generation, "reset": all, "instances": entries}
+	return map[string]any{"generation": generation, "reset": isFull, "instances": entries}
 }
 
 // watchParams returns the generation and wait time of a watch call; 0 for other calls.
 func watchParams(path string) (generation int, wait time.Duration) {
-	at, err := url.Parse(path)
+	requestURL, err := url.Parse(path)
 	if err != nil {
 		return 0, 0
 	}
-	generation, _ = strconv.Atoi(at.Query().Get("index"))
-	milliseconds, _ := strconv.Atoi(at.Query().Get("wait"))
+	generation, _ = strconv.Atoi(requestURL.Query().Get("index"))
+	milliseconds, _ := strconv.Atoi(requestURL.Query().Get("wait"))
 	return generation, time.Duration(milliseconds) * time.Millisecond
 }
 
@@ -63,8 +63,8 @@
 	indented := func(list any) string { text, _ := json.MarshalIndent(list, "", "    "); return string(text) }
 	for name, testCase := range map[string]struct {
 		members, drivers int
-		messages         bool // peer messages are enabled
-		text             func(list any) string
+		peerMessages     bool // peer messages are enabled
+		encode           func(list any) string
 		pieces           bool
 	}{
 		"few drivers":                      {320, 6, false, plain, false},
@@ -89,7 +89,7 @@
 						list["instances"] = append(list["instances"].([]any), memberList(2, 0, members, false, "DELETED", primary, replica)["instances"].([]any)...)
 					}
 				}
-				answer := httpOK(testCase.text(list))
+				answer := httpOK(testCase.encode(list))
 				for testCase.pieces && len(answer) > 20_000 {
 					io.WriteString(to, answer[:20_000])
 					answer = answer[20_000:]
@@ -102,7 +102,7 @@
 				file["limits"] = map[string]any{"cores": 1.0, "memory_mb": memory, "sockets": sockets}
 				settings := file["settings"].(map[string]any)
 				settings["fleetSize"] = testCase.drivers
-				if testCase.messages {
+				if testCase.peerMessages {
 					settings["limits"].(map[string]any)["peerMessages"] = true
 					peers := []any{}
 					for i := range testCase.drivers {
@@ -111,7 +111,7 @@
 					file["peers"], file["peers_all"], file["peer_listen"] = peers, "127.0.0.1:9", "127.0.0.1:0"
 				}
 			})
-			env["GW_DISCOVERY"] = discovery.listen.Addr().String()
+			env["GW_DISCOVERY"] = discovery.listener.Addr().String()
 			cmd, stderr := driverCommand(t, env)
 			require.NoError(t, cmd.Start())
 			driver := &testDriver{address: env["GW_LISTEN"]}
@@ -122,12 +122,12 @@
 			queryGroups := func(from int) {
 				client := driver.connect(t)
 				for group := from; group < from+members/4; group++ {
-					for _, form := range []string{
+					for _, format := range []string{
 						"SELECT content FROM kv WHERE name = 'k' /* id=%d,c=read,d=1900,cluster=%d */",
 						`INSERT INTO kv (name, content) VALUES ('k', '\x9f03') RETURNING content /* id=%d,c=write,d=1900,cluster=%d */`,
 					} {
 						eventually(t, fmt.Sprintf("group %d is served", group), func() bool {
-							return strings.HasPrefix(client.ask(t, fmt.Sprintf(form, nextID.Add(1), group)), "from ")
+							return strings.HasPrefix(client.ask(t, fmt.Sprintf(format, nextID.Add(1), group)), "from ")
 						})
 					}
 					megabytes, d := resourceUse(t, cmd.Process.Pid)
--- a/internal/program/watch_test.go
+++ b/internal/program/watch_test.go
@@ -18,9 +18,9 @@
 // scriptedDiscovery is a fake discovery service that answers each call by a script.
 type scriptedDiscovery struct {
 	*fakeDiscovery // source of the list
-	listen         net.Listener
+	listener       net.Listener
 	mu             sync.Mutex
-	calls          []string // request paths
+	paths          []string // request paths
 	answer         func(call int, path string, c net.Conn) (answer string)
 }
 
@@ -28,7 +28,7 @@
 func newScriptedDiscovery(t *testing.T, d *fakeDiscovery, answer func(call int, path string, c net.Conn) string) *scriptedDiscovery {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &scriptedDiscovery{fakeDiscovery: d, listen: listener, answer: answer}
+	s := &scriptedDiscovery{fakeDiscovery: d, listener: listener, answer: answer}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -51,8 +51,8 @@
 			return
 		}
 		s.mu.Lock()
-		s.calls = append(s.calls, r.URL.String())
-		n := len(s.calls)
+		s.paths = append(s.paths, r.URL.String())
+		n := len(s.paths)
 		s.mu.Unlock()
 		io.WriteString(c, s.answer(n, r.URL.String(), c))
 	}
@@ -61,12 +61,12 @@
 func (s *scriptedDiscovery) requestPaths() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.calls...)
+	return append([]string(nil), s.paths...)
 }
 
 // startDriver starts a driver that uses this discovery service.
 func (s *scriptedDiscovery) startDriver(t *testing.T, change func(file map[string]any)) *testDriver {
-	return startDriverAt(t, s.fakeDiscovery, s.listen.Addr().String(), change)
+	return startDriverAt(t, s.fakeDiscovery, s.listener.Addr().String(), change)
 }
 
 func httpOK(body string) string {
@@ -74,18 +74,18 @@
 }
 
 // singleEntryList returns a list, or a change to one, with one member.
-func singleEntryList(generation int, all bool, m *fakeMember, state string) string {
-	return targetList(generation, all, targetEntry(m, state))
+func singleEntryList(generation int, isFull bool, m *fakeMember, lifecycle string) string {
+	return targetList(generation, isFull, targetEntry(m, lifecycle))
 }
 
 // targetList returns a list, or a change to one, with the given entries.
-func targetList(generation int, all bool, lines ...string) string {
-	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, all, strings.Join(lines, ","))
+func targetList(generation int, isFull bool, entries ...string) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, isFull, strings.Join(entries, ","))
 }
 
 // targetEntry returns a member's entry in a list.
-func targetEntry(m *fakeMember, state string) string {
-	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"z","cell":1,"lifecycle":%q,"weight":1,"startedAtMs":0}`, m.name, m.listener.Addr(), state)
+func targetEntry(m *fakeMember, lifecycle string) string {
+	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"z","cell":1,"lifecycle":%q,"weight":1,"startedAtMs":0}`, m.name, m.listener.Addr(), lifecycle)
 }
 
 // timeToDrain returns how long it takes until a draining member gets no writes any more.
@@ -221,9 +221,9 @@
 	discovery.setLifecycle(nil, "", true)
 	discovery.CloseClientConnections()
 	eventually(t, "discovery is called and rejects the call", func() bool { return discovery.calls() >= 4 })
-	back := time.Now()
+	recoveredAt := time.Now()
 	discovery.setLifecycle(primary, "DRAINING", false)
-	require.Less(t, timeToDrain(t, driver.connect(t), back), 4*time.Second)
+	require.Less(t, timeToDrain(t, driver.connect(t), recoveredAt), 4*time.Second)
 }
 
 // Guards against a driver that cannot reach discovery after an outage because connections of
@@ -255,9 +255,9 @@
 		}
 	}()
 	eventually(t, "discovery is called and rejects the call", func() bool { return discovery.calls() >= 4 })
-	back := time.Now()
+	recoveredAt := time.Now()
 	discovery.setLifecycle(primary, "DRAINING", false)
-	require.Less(t, timeToDrain(t, driver.connect(t), back), 4*time.Second)
+	require.Less(t, timeToDrain(t, driver.connect(t), recoveredAt), 4*time.Second)
 	discovery.setLifecycle(primary, "SERVING", false)
 	eventually(t, "writes are served again", func() bool { return driver.connect(t).ask(t, statement("write", 1000)) == "from p" })
 	close(stop)
@@ -265,7 +265,7 @@
 }
 
 // Guards against never requesting a list if the settings say that lists are pushed: an agent at the
-// discovery address has them.
+// discovery address still has to be asked for them.
 func TestPushedLists(t *testing.T) {
 	primary := newFakeMember(t, "p", "leader")
 	discovery := newFakeDiscovery(t, primary)
@@ -280,12 +280,12 @@
 func TestDrainAfterAgentOutage(t *testing.T) {
 	const grace = time.Second
 	primary := newFakeMember(t, "p", "leader")
-	var back atomic.Bool
+	var hasRecovered atomic.Bool
 	discovery := newScriptedDiscovery(t, newFakeDiscovery(t, primary), func(call int, path string, _ net.Conn) string {
 		switch {
 		case call == 1:
 			return httpOK(singleEntryList(1, true, primary, "SERVING"))
-		case strings.Contains(path, "index") || !back.Load():
+		case strings.Contains(path, "index") || !hasRecovered.Load():
 			return ""
 		}
 		return httpOK(singleEntryList(2, true, primary, "DRAINING"))
@@ -297,11 +297,11 @@
 	})
 	eventually(t, "the silent call is detected", func() bool { return len(discovery.requestPaths()) >= 3 })
 	time.Sleep(time.Second)
-	back.Store(true)
-	returned := time.Now()
+	hasRecovered.Store(true)
+	recoveredAt := time.Now()
 	client := driver.connect(t)
 	for client.ask(t, statement("write", 300)) == "from p" {
-		require.Less(t, time.Since(returned), grace)
+		require.Less(t, time.Since(recoveredAt), grace)
 	}
 }
 
