--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,7 +26,7 @@
 	Council(ctx context.Context) (server.State, error)
 	ChangeCouncil(ctx context.Context, change server.VoterChange) error
 	Fleet(ctx context.Context) (membership.FleetState, error)
-	Wish(ctx context.Context, wish membership.FleetChange) error
+	ChangeFleet(ctx context.Context, wish membership.FleetChange) error
 	Audit(ctx context.Context, question membership.AuditQuery) (membership.AuditResult, error)
 }
 
@@ -94,7 +94,7 @@
 	handle("fleet/council/change", jsonhttp.ActionHandler(backend.ChangeCouncil))
 	handle("fleet/state", jsonhttp.QueryHandler(backend.Fleet))
 	handle("fleet/audit", jsonhttp.Handler(backend.Audit))
-	handle("fleet/wish", jsonhttp.ActionHandler(backend.Wish))
+	handle("fleet/wish", jsonhttp.ActionHandler(backend.ChangeFleet))
 	return jsonhttp.Serve(ctx, listener, requireLoopbackHost(mux))
 }
 
--- a/internal/emulator/trials/audit.go
+++ b/internal/emulator/trials/audit.go
@@ -15,16 +15,16 @@
 
 // AuditResult compares the audit's records of writes with the writes that members received.
 type AuditResult struct {
-	Writes       int // writes with a fence that members received
-	Matched      int // in the audit by themselves with the right version
-	Counted      int // only in the audit's counts for the version, as they came long after a change
-	WrongVersion int // in the audit with another version
-	Unknown      int // not in the audit, but in a span that it reports as unknown
-	Missing      int // not in the audit at all
-	Entries      int
-	LateActs     int // acts that the audit itself finds after their version was closed
-	Faults       []string
-	UnknownSpans int // spans of time that the audit reports as unknown
+	Writes         int // writes with a fence that members received
+	Matched        int // in the audit by themselves with the right version
+	Counted        int // only in the audit's counts for the version, as they came long after a change
+	WrongVersion   int // in the audit with another version
+	Unknown        int // not in the audit, but in a span that it reports as unknown
+	Missing        int // not in the audit at all
+	Entries        int
+	LateActivities int // acts that the audit itself finds after their version was closed
+	Faults         []string
+	UnknownSpans   int // spans of time that the audit reports as unknown
 
 	FirstMissing []string // details of the first missing writes
 	FirstLate    []string // details of the first late acts
@@ -44,7 +44,7 @@
 		return err
 	}
 	r := &c.result.Audit
-	r.Entries, r.LateActs, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
+	r.Entries, r.LateActivities, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
 	for _, late := range findings.Late[:min(maxShown, len(findings.Late))] {
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
--- a/internal/emulator/trials/moves.go
+++ b/internal/emulator/trials/moves.go
@@ -49,21 +49,21 @@
 
 // MovesResult is the result of a trial of moves.
 type MovesResult struct {
-	Done, RolledBack, Requested int
-	Rejected                    int // move requests that the coordinator rejected
-	RPCs                        map[sockets.Outcome]int
-	Writes, FoundWrites         int           // acknowledged writes, and those found in their tenant's final cell
-	HoldP50, HoldP99            time.Duration // how long completed moves held writes
-	WriteP50, WriteP99          time.Duration // latency of served writes
-	RejectedShare               float64       // share of writes that were rejected
-	Faults                      map[string]int
-	GateRejections              map[string]int64 // rejected RPCs by reason, from the admission gates of drivers since their last start
-	GateFenced                  int64            // attempts and answers dropped by these gates as fenced
-	Violations                  []emulator.Violation
-	Unexplained                 int           // RPCs without an answer at drivers that were not disrupted
-	Leaders                     int           // number of successive coordinators
-	StepGapP50, StepGapP99      time.Duration // between successive steps of moves while any move was in progress
-	StepGapMax                  time.Duration
+	Completed, RolledBack, Requested int
+	Rejected                         int // move requests that the coordinator rejected
+	RPCs                             map[sockets.Outcome]int
+	Writes, FoundWrites              int           // acknowledged writes, and those found in their tenant's final cell
+	HoldP50, HoldP99                 time.Duration // how long completed moves held writes
+	WriteP50, WriteP99               time.Duration // latency of served writes
+	RejectedShare                    float64       // share of writes that were rejected
+	Faults                           map[string]int
+	AdmissionRejections              map[string]int64 // rejected RPCs by reason, from the admission gates of drivers since their last start
+	AdmissionFenced                  int64            // attempts and answers dropped by these gates as fenced
+	Violations                       []emulator.Violation
+	Unexplained                      int           // RPCs without an answer at drivers that were not disrupted
+	Leaders                          int           // number of successive coordinators
+	StepGapP50, StepGapP99           time.Duration // between successive steps of moves while any move was in progress
+	StepGapMax                       time.Duration
 }
 
 // movesRun is a running trial of moves.
@@ -119,7 +119,7 @@
 
 // Run runs the trial.
 func (v *Moves) Run(ctx context.Context) (*MovesResult, error) {
-	m := &movesRun{Moves: v, seenEpochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, GateRejections: map[string]int64{}}}
+	m := &movesRun{Moves: v, seenEpochs: map[cells.Epoch]bool{}, result: &MovesResult{Faults: map[string]int{}, AdmissionRejections: map[string]int64{}}}
 	m.workload = newWorkload(v.Seed, func() *sockets.Driver { return m.cluster.Drivers[v.coordinatorCount()+m.random.intN(moveDrivers)] })
 	drivers := v.coordinatorCount() + moveDrivers
 	addresses, err := sockets.FreeAddresses(v.coordinatorCount() + drivers)
@@ -183,7 +183,7 @@
 			m.observe(state)
 		}
 		m.mu.Lock()
-		done := m.result.Done
+		done := m.result.Completed
 		m.mu.Unlock()
 		switch {
 		case done >= m.MinMoves:
@@ -254,7 +254,7 @@
 		m.seenEpochs[entry.Epoch], hasStepped = true, true
 		switch entry.Stage {
 		case cells.StageSwitched:
-			m.result.Done++
+			m.result.Completed++
 			m.holdTimes = append(m.holdTimes, float64(entry.DecidedAt-entry.HoldStartedAt)/1e9)
 		case cells.StageRollingBack:
 			m.result.RolledBack++
@@ -313,9 +313,9 @@
 		var stats cells.Stats
 		if admin.NewCellsClient(address).Call(context.Background(), "list", admin.Query{}, &stats) == nil {
 			for reason, n := range stats.Rejected {
-				r.GateRejections[reason] += n
+				r.AdmissionRejections[reason] += n
 			}
-			r.GateFenced += stats.Fenced
+			r.AdmissionFenced += stats.Fenced
 		}
 	}
 	r.RejectedShare = float64(m.rejectedWrites) / float64(max(1, m.writes))
@@ -434,7 +434,7 @@
 func (r *MovesResult) Table() string {
 	rows := [][]string{
 		{"moves requested, rejected", fmt.Sprintf("%d, %d", r.Requested, r.Rejected)},
-		{"moves completed, rolled back", fmt.Sprintf("%d, %d", r.Done, r.RolledBack)},
+		{"moves completed, rolled back", fmt.Sprintf("%d, %d", r.Completed, r.RolledBack)},
 		{"RPCs served, rejected, aborted, timed out, connection lost, connect failed", fmt.Sprintf("%d, %d, %d, %d, %d, %d",
 			r.RPCs[sockets.Served], r.RPCs[sockets.Rejected], r.RPCs[sockets.Aborted], r.RPCs[sockets.TimedOut],
 			r.RPCs[sockets.ConnectionLost], r.RPCs[sockets.ConnectFailed])},
@@ -450,9 +450,9 @@
 		rows = append(rows, []string{"successive leaders observed", fmt.Sprint(r.Leaders)})
 	}
 	for w := cells.ReasonDriverFull; w <= cells.ReasonUnknownCell; w++ {
-		rows = append(rows, []string{"rejected by admission gates: " + w.String(), fmt.Sprint(r.GateRejections[w.String()])})
+		rows = append(rows, []string{"rejected by admission gates: " + w.String(), fmt.Sprint(r.AdmissionRejections[w.String()])})
 	}
-	rows = append(rows, []string{"attempts and answers dropped by gates as fenced", fmt.Sprint(r.GateFenced)})
+	rows = append(rows, []string{"attempts and answers dropped by gates as fenced", fmt.Sprint(r.AdmissionFenced)})
 	rows = append(rows, violationRows(r.Violations)...)
 	return markdownTable([]string{"what", "figure"}, append(rows, faultCountRows(r.Faults)...))
 }
--- a/internal/emulator/trials/trials_test.go
+++ b/internal/emulator/trials/trials_test.go
@@ -77,7 +77,7 @@
 	require.NoError(t, err)
 	t.Log("\n" + r.Table())
 	require.Empty(t, r.Violations)
-	require.GreaterOrEqual(t, r.Done, 25)
+	require.GreaterOrEqual(t, r.Completed, 25)
 	require.Greater(t, r.Writes, 100)
 	require.Equal(t, r.Writes, r.FoundWrites)
 }
@@ -91,7 +91,7 @@
 	require.NoError(t, err)
 	t.Log("\n" + r.Table())
 	require.Empty(t, r.Violations)
-	require.GreaterOrEqual(t, r.Done, 20)
+	require.GreaterOrEqual(t, r.Completed, 20)
 	require.Greater(t, r.Writes, 100)
 	require.Equal(t, r.Writes, r.FoundWrites)
 }
@@ -167,7 +167,7 @@
 	program, faulty := buildProgram(t), buildProgram(t, "planted")
 	run := func(program string, count int, rejectFenced bool) *VersionsResult {
 		v := Versions{Program: program, Seed: 1, MinClosed: count, Timeout: 20 * time.Second, Drivers: 5, Voters: 3, Lease: time.Second, Tenants: 4, Keys: 4,
-			CutOff: true, RejectFenced: rejectFenced}
+			Partition: true, RejectFenced: rejectFenced}
 		r, err := v.Run(context.Background())
 		require.NoError(t, err)
 		return r
@@ -206,7 +206,7 @@
 // buffer holds until it is reachable again.
 func TestPartitionedDriverKeepsItsTrail(t *testing.T) {
 	v := Versions{Program: buildProgram(t), Seed: 2, MinClosed: 1, Timeout: 20 * time.Second, Drivers: 5, Voters: 3, Lease: time.Second, Tenants: 8, Keys: 8,
-		CutOff: true, RejectFenced: true, Rate: 2400}
+		Partition: true, RejectFenced: true, Rate: 2400}
 	r, err := v.Run(context.Background())
 	require.NoError(t, err)
 	t.Log("\n" + r.Table())
@@ -214,7 +214,7 @@
 	require.Empty(t, r.Audit.Faults)
 	require.Greater(t, r.Audit.Writes, 2*512, "more than twice the former buffer size of 512 entries")
 	require.Equal(t, r.Audit.Writes, r.Audit.Matched+r.Audit.Counted, "each write must be in the audit: %+v", r.Audit)
-	require.Zero(t, r.Audit.LateActs)
+	require.Zero(t, r.Audit.LateActivities)
 }
 
 // Guards against writes missing from the audit after partitions of different lengths and rates. The
@@ -233,16 +233,16 @@
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			v := Versions{Program: program, Seed: uint64(seed), MinClosed: 1, Timeout: 30 * time.Second, Drivers: 5, Voters: 3, Lease: time.Second, Tenants: 8, Keys: 8,
-				CutOff: true, RejectFenced: true, CutOffLeases: 3 + seed%6, Rate: 600 + 200*(seed%8)}
+				Partition: true, RejectFenced: true, PartitionLeases: 3 + seed%6, Rate: 600 + 200*(seed%8)}
 			r, err := v.Run(context.Background())
 			require.NoError(t, err)
-			t.Logf("seed %d: partition of %d leases, %d RPCs per second; %d writes at members: %d with entries, %d counted, %d unknown, %d missing; %d late", seed, v.CutOffLeases,
-				v.Rate, r.Audit.Writes, r.Audit.Matched, r.Audit.Counted, r.Audit.Unknown, r.Audit.Missing, r.Audit.LateActs)
+			t.Logf("seed %d: partition of %d leases, %d RPCs per second; %d writes at members: %d with entries, %d counted, %d unknown, %d missing; %d late", seed, v.PartitionLeases,
+				v.Rate, r.Audit.Writes, r.Audit.Matched, r.Audit.Counted, r.Audit.Unknown, r.Audit.Missing, r.Audit.LateActivities)
 			require.Empty(t, r.Violations)
 			require.Empty(t, r.Audit.Faults)
 			require.Zero(t, r.Audit.WrongVersion)
 			require.Zero(t, r.Audit.Missing, r.Audit.FirstMissing)
-			require.Zero(t, r.Audit.LateActs, r.Audit.FirstLate)
+			require.Zero(t, r.Audit.LateActivities, r.Audit.FirstLate)
 		})
 	}
 }
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -23,25 +23,25 @@
 // council fail and drivers and voters are paused, killed or duplicated. The attempts that members
 // receive show whether a driver acted on a closed version.
 type Versions struct {
-	Program      string
-	Seed         uint64
-	MinClosed    int // versions that must be closed
-	Timeout      time.Duration
-	Faults       bool
-	Drivers      int // including the voters, which come first
-	Voters       int
-	Lease        time.Duration
-	Tenants      int
-	Keys         int
-	CanaryTrial  time.Duration // if not 0, all versions are valid and tried by canaries for this long
-	MinWithdrawn int           // versions that must be withdrawn
-	RejectFenced bool          // members reject attempts with a closed version
-	Gossip       bool          // drivers exchange gossip
-	Crash        bool          // propose a version that crashes the processes that act on it
-	OldDisk      bool          // in each round, restore a voter's disk of one version earlier
-	Rate         int           // RPCs per second in total; 0 for no fixed rate
-	CutOff       bool          // in each round, partition the busiest driver from the council while a version is proposed
-	CutOffLeases int           // length of the partition in leases; 0 for three
+	Program         string
+	Seed            uint64
+	MinClosed       int // versions that must be closed
+	Timeout         time.Duration
+	Faults          bool
+	Drivers         int // including the voters, which come first
+	Voters          int
+	Lease           time.Duration
+	Tenants         int
+	Keys            int
+	CanaryTrial     time.Duration // if not 0, all versions are valid and tried by canaries for this long
+	MinWithdrawn    int           // versions that must be withdrawn
+	RejectFenced    bool          // members reject attempts with a closed version
+	Gossip          bool          // drivers exchange gossip
+	Crash           bool          // propose a version that crashes the processes that act on it
+	OldDisk         bool          // in each round, restore a voter's disk of one version earlier
+	Rate            int           // RPCs per second in total; 0 for no fixed rate
+	Partition       bool          // in each round, partition the busiest driver from the council while a version is proposed
+	PartitionLeases int           // length of the partition in leases; 0 for three
 }
 
 // VersionsResult is the result of a trial of versions.
@@ -112,7 +112,7 @@
 func (c *versionsRun) operatorText(i int) string {
 	rulebook := strings.TrimSuffix(c.rulebookText(0, false), "}\n")
 	cellLease := c.Lease
-	if c.CutOff { // keep the lease on cells from stopping a driver first
+	if c.Partition { // keep the lease on cells from stopping a driver first
 		cellLease = 10 * c.Lease
 	}
 	return fmt.Sprintf("%s  budget { rpcs: 600 call_outs: 600 lend: 0.5 }\n  coordination { lease_ms: %d hold_ms: 1500 held: 1000 }\n}\n%sfleet { lease_ms: %d most_shut_out: 0.34 %s}\n",
@@ -137,7 +137,7 @@
 		}
 		return c.cluster.Drivers[c.random.intN(v.Drivers)]
 	})
-	if v.CutOff || v.CanaryTrial > 0 {
+	if v.Partition || v.CanaryTrial > 0 {
 		c.meanPause = 5 * time.Millisecond
 	}
 	if v.Rate > 0 {
@@ -181,7 +181,7 @@
 		}
 	}
 	switch {
-	case v.CutOff:
+	case v.Partition:
 		err = c.runCutOff(ctx)
 	case v.Crash:
 		err = c.runCrash(ctx)
@@ -335,7 +335,7 @@
 		cut := links.Timeline{}
 		for v := range c.Voters {
 			for _, link := range []links.Link{{From: driverName(isolated), To: driverName(v)}, {From: driverName(v), To: driverName(isolated)}} {
-				cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: time.Duration(cmp.Or(c.CutOffLeases, 3)) * c.Lease})
+				cut = append(cut, links.Event{Fault: links.Silent, Link: link, Duration: time.Duration(cmp.Or(c.PartitionLeases, 3)) * c.Lease})
 			}
 		}
 		played := make(chan error, 1)
@@ -573,7 +573,7 @@
 	audit := &r.Audit
 	rows = append(rows, [][]string{
 		{"audit: entries, faults in trails, unknown spans", fmt.Sprintf("%d, %d, %d", audit.Entries, len(audit.Faults), audit.UnknownSpans)},
-		{"audit: acts found under a version after a newer one was closed", fmt.Sprint(audit.LateActs)},
+		{"audit: acts found under a version after a newer one was closed", fmt.Sprint(audit.LateActivities)},
 		{"audit: writes received by members; with the right version, only counted, with another version, in an unknown span, missing",
 			fmt.Sprintf("%d; %d, %d, %d, %d, %d", audit.Writes, audit.Matched, audit.Counted, audit.WrongVersion, audit.Unknown, audit.Missing)},
 	}...)
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -126,8 +126,8 @@
 	return membership.NewClient(s.config().VoterAddresses()...).FleetState(ctx)
 }
 
-// Wish sends an operator's request to the fleet. A proposed rulebook is validated locally first.
-func (s *operatorServices) Wish(ctx context.Context, change membership.FleetChange) error {
+// ChangeFleet sends an operator's request to the fleet. A proposed rulebook is validated locally first.
+func (s *operatorServices) ChangeFleet(ctx context.Context, change membership.FleetChange) error {
 	if s.config().Fleet == nil {
 		return errNoFleet
 	}
