--- a/cmd/sedgespread/emulate.go
+++ b/cmd/sedgespread/emulate.go
@@ -150,7 +150,7 @@
 		v.Lease, time.Since(startedAt).Round(time.Second), result.Table())
 	fmt.Println("\nFinal state of the drivers according to the council:")
 	for _, driver := range result.Drivers {
-		fmt.Printf("- %s, start %d, %s, active: %s\n", driver.Name, driver.Start, driver.State, formatVersions(driver.Sightings))
+		fmt.Printf("- %s, start %d, %s, active: %s\n", driver.Name, driver.Start, driver.State, formatVersions(driver.Reports))
 	}
 	if len(result.Violations) > 0 {
 		return fmt.Errorf("%d violations, the first: %+v", len(result.Violations), result.Violations[0])
--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -54,7 +54,7 @@
 		fmt.Fprintf(out, "voter %d, level %d (all support %d)\n\nDRIVER\tSTART\tSTATE\tADDRESS\tBUILD\tLEVEL\tLEASE\tACTIVE\tREASON\n", fleet.Voter, fleet.Level, fleet.HighestCommonLevel)
 		for _, driver := range fleet.Drivers {
 			fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", driver.Name, driver.Start, driver.State, driver.Address, driver.Build, driver.Level,
-				formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Sightings), driver.Reason)
+				formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Reports), driver.Reason)
 		}
 		for _, doubt := range fleet.Suspicions {
 			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", doubt.Name, doubt.Start, len(doubt.Reporters), doubt.Listeners, strings.Join(doubt.Reporters, ", "))
@@ -102,7 +102,7 @@
 				continue
 			}
 			fmt.Fprintf(out, "driver\t%s\nstart\t%d\nstate\t%s %s\nsince\t%s\naddress\t%s\nbuild\t%s\nlevel\t%d\nlease\t%s\nactive\t%s\n", driver.Name, driver.Start,
-				driver.State, driver.Reason, formatTime(driver.ChangedAt), driver.Address, driver.Build, driver.Level, formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Sightings))
+				driver.State, driver.Reason, formatTime(driver.ChangedAt), driver.Address, driver.Build, driver.Level, formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Reports))
 		}
 	})
 	if err == nil && !found && !cli.Fleet.JSON {
@@ -134,7 +134,7 @@
 			}
 			fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%.12s\t%s\n", version.Number, version.Stage, formatTime(version.UpdatedAt), closedAt, version.Digest, version.Reason)
 		}
-		for _, behind := range fleet.Behind {
+		for _, behind := range fleet.Stalled {
 			if string(behind.Resource) == v.Thing {
 				fmt.Fprintf(out, "\nversion %d has been %s for %s, waiting for %v\n", behind.Number, behind.Stage, time.Duration(behind.Duration).Round(time.Millisecond), behind.Instances)
 			}
@@ -169,7 +169,7 @@
 
 // Run prints the audit of the trails. With --verify, any finding is an error.
 func (a fleetAudit) Run(cli *commandLine) error {
-	question := membership.AuditQuery{Thing: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, MaxClockSkew: int64(a.Clocks)}
+	question := membership.AuditQuery{Resource: versions.Resource(a.Thing), Version: versions.Number(a.Version), Driver: a.Driver, MaxClockSkew: int64(a.Clocks)}
 	if !a.From.IsZero() {
 		question.From = a.From.UnixNano()
 	}
@@ -178,19 +178,19 @@
 	}
 	violations := 0
 	err := call(admin.NewFleetClient(cli.Fleet.Admin), cli.Fleet.JSON, "audit", question, func(out *tabwriter.Writer, finding *membership.AuditResult) {
-		violations = len(finding.Late) + len(finding.Faults)
+		violations = len(finding.LateActivities) + len(finding.Faults)
 		if !a.Verify {
 			fmt.Fprintln(out, "THING\tVERSION\tDRIVER\tSTART\tFROM\tTO\tRPCS\tSERVED\tSINGLE ENTRIES\tDROPPED")
-			for _, entry := range finding.Acted {
+			for _, entry := range finding.Activities {
 				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", entry.Resource, entry.Version, entry.Instance.Name, entry.Instance.Start, formatTime(entry.From), formatTime(entry.To),
 					entry.Counts.Total(), entry.Counts.ByOutcome(audit.Served), entry.RPCEntries, entry.Dropped)
 			}
 		}
 		fmt.Fprintf(out, "\nchecked %d trail entries\n", finding.Entries)
-		for _, late := range finding.Late {
+		for _, late := range finding.LateActivities {
 			fmt.Fprintf(out, "LATE: %s start %d acted on version %d at %s: %s %s\n", late.Instance.Name, late.Instance.Start, late.Version, formatTime(late.At), late.Reason, late.RPC)
 		}
-		for _, unknown := range finding.Unknown {
+		for _, unknown := range finding.Gaps {
 			from := "startup"
 			if unknown.From != 0 {
 				from = formatTime(unknown.From)
@@ -200,7 +200,7 @@
 		for _, fault := range finding.Faults {
 			fmt.Fprintln(out, "FAULT:", fault)
 		}
-		for _, address := range finding.Missing {
+		for _, address := range finding.MissingVoters {
 			fmt.Fprintln(out, "unreachable voter:", address)
 		}
 	})
@@ -231,7 +231,7 @@
 	}
 	plan := versions.Plan{Exclusive: p.Exclusive, CanaryFraction: p.Canaries, TrialTime: int64(p.Trial), FalseAlarmRate: p.Alarm, ToleratedRatio: p.Bears, AnnounceTimeout: int64(p.Tell), AdoptTimeout: int64(p.Adopt),
 		DrainTimeout: int64(p.Close)}
-	return cli.submitWish(membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: string(text), Reason: p.Why, Plan: plan}},
+	return cli.submitWish(membership.FleetChange{Propose: &membership.Proposal{Resource: routing.Rulebook, Text: string(text), Reason: p.Why, Plan: plan}},
 		"proposed; run `fleet versions` to see its progress")
 }
 
@@ -242,7 +242,7 @@
 
 // Run cancels the rollout of a version.
 func (f fleetCallOff) Run(cli *commandLine) error {
-	return cli.submitWish(membership.FleetChange{Withdraw: versions.Resource(f.Thing), Reason: f.Why}, "cancelled; run `fleet versions` to see its progress")
+	return cli.submitWish(membership.FleetChange{RollBack: versions.Resource(f.Thing), Reason: f.Why}, "cancelled; run `fleet versions` to see its progress")
 }
 
 type fleetReadmit struct {
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -80,7 +80,7 @@
 	for thing, history := range fleet.Versions {
 		newest := history[len(history)-1]
 		gauge(versionStage, 1, string(thing), strconv.FormatUint(uint64(newest.Number), 10), newest.Stage.String())
-		closed, _ := fleet.LatestClosed(thing)
+		closed, _ := fleet.LatestCompleted(thing)
 		gauge(versionClosed, float64(closed), string(thing))
 	}
 	for _, doubt := range fleet.Suspicions {
@@ -97,7 +97,7 @@
 		}
 		gauge(observedIsForked, boolValue(spread.HasConflict), string(spread.Resource))
 	}
-	for _, behind := range fleet.Behind {
+	for _, behind := range fleet.Stalled {
 		for _, driver := range behind.Instances {
 			gauge(versionHeldBackSeconds, time.Duration(behind.Duration).Seconds(), string(behind.Resource), strconv.FormatUint(uint64(behind.Number), 10), behind.Stage.String(), driver.Name)
 		}
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -40,7 +40,7 @@
 func TestMetrics(t *testing.T) {
 	fleet := membership.FleetState{Level: 2, Drivers: []membership.DriverStatus{{Driver: roster.Driver{State: roster.StatePresent}, MayAct: true}, {Driver: roster.Driver{State: roster.StateShutOut}}},
 		Versions: map[versions.Resource][]versions.Version{"rulebook": {{Number: 2, Stage: versions.StageCompleted}, {Number: 3, Stage: versions.StageActivating}}},
-		Behind:   []versions.StalledVersion{{Resource: "rulebook", Number: 3, Stage: versions.StageActivating, Duration: 1_500_000_000, Instances: []versions.Instance{{Name: "n7"}}}}}
+		Stalled:  []versions.StalledVersion{{Resource: "rulebook", Number: 3, Stage: versions.StageActivating, Duration: 1_500_000_000, Instances: []versions.Instance{{Name: "n7"}}}}}
 	page := scrape(fakeBackend{fleet: fleet})
 	for _, line := range []string{`sedgespread_version_held_back_seconds{driver="n7",stage="opening",thing="rulebook",version="3"} 1.5`,
 		`sedgespread_version_closed{thing="rulebook"} 2`, `sedgespread_fleet_drivers{state="shut out"} 1`, "sedgespread_council_term 7",
--- a/internal/emulator/trials/audit.go
+++ b/internal/emulator/trials/audit.go
@@ -39,17 +39,17 @@
 	if err := c.awaitTrails(ctx, time.Now()); err != nil {
 		return err
 	}
-	findings, err := membership.Audit(ctx, c.addresses, membership.AuditQuery{Thing: routing.Rulebook, MaxClockSkew: int64(10 * time.Millisecond)})
+	findings, err := membership.Audit(ctx, c.addresses, membership.AuditQuery{Resource: routing.Rulebook, MaxClockSkew: int64(10 * time.Millisecond)})
 	if err != nil {
 		return err
 	}
 	r := &c.result.Audit
-	r.Entries, r.LateActivities, r.Faults, r.UnknownSpans = findings.Entries, len(findings.Late), findings.Faults, len(findings.Unknown)
-	for _, late := range findings.Late[:min(maxShown, len(findings.Late))] {
+	r.Entries, r.LateActivities, r.Faults, r.UnknownSpans = findings.Entries, len(findings.LateActivities), findings.Faults, len(findings.Gaps)
+	for _, late := range findings.LateActivities[:min(maxShown, len(findings.LateActivities))] {
 		r.FirstLate = append(r.FirstLate, fmt.Sprintf("%s start %d: %q under version %d, %v before the audit, sure: %t: %s", late.Instance.Name, late.Instance.Start, late.RPC,
 			late.Version, time.Since(time.Unix(0, late.At)).Round(time.Millisecond), late.IsCertain, late.Reason))
 	}
-	trails := newAuditTrails(membership.CollectParts(ctx, c.addresses))
+	trails := newAuditTrails(membership.CollectSegments(ctx, c.addresses))
 	attempts := map[string]emulator.FencedAttempt{}
 	for _, attempt := range c.cluster.Fleet.FencedAttempts() {
 		if attempt.Write && !attempt.Rejected {
@@ -66,7 +66,7 @@
 			r.WrongVersion++
 		case trails.takeCounted(attempt):
 			r.Counted++
-		case slices.ContainsFunc(findings.Unknown, func(u audit.Gap) bool {
+		case slices.ContainsFunc(findings.Gaps, func(u audit.Gap) bool {
 			return u.From-int64(unknownMargin) <= attempt.At && attempt.At <= u.To
 		}):
 			r.Unknown++
@@ -93,7 +93,7 @@
 	}
 	for deadline := time.Now().Add(20 * c.Lease); time.Now().Before(deadline); {
 		reported := map[string]bool{}
-		for _, p := range membership.CollectParts(ctx, c.addresses) {
+		for _, p := range membership.CollectSegments(ctx, c.addresses) {
 			if n := len(p.Entries); n > 0 && p.IsClockOffsetKnown && p.Entries[n-1].At+p.ClockOffset > writesEnded.UnixNano() {
 				reported[p.Instance.Name] = true
 			}
--- a/internal/emulator/trials/versions.go
+++ b/internal/emulator/trials/versions.go
@@ -307,14 +307,14 @@
 			return fmt.Errorf("only %d of %d versions were closed in %v: %s", c.result.Closed, c.MinClosed, c.Timeout, c.newestStatus(&fleet))
 		case err == nil && !c.isChanging(&fleet):
 			invalid := c.CanaryTrial == 0 && plan.CanaryFraction > 0 && c.random.intN(4) == 0
-			err := council.ChangeFleet(callCtx, membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, invalid), Reason: "trial", Plan: plan}})
+			err := council.ChangeFleet(callCtx, membership.FleetChange{Propose: &membership.Proposal{Resource: routing.Rulebook, Text: c.rulebookText(n, invalid), Reason: "trial", Plan: plan}})
 			n++
 			c.result.Proposed++
 			if err != nil {
 				c.result.Rejected++
 			}
 		case err == nil && c.CanaryTrial == 0 && c.random.intN(300) == 0:
-			council.ChangeFleet(callCtx, membership.FleetChange{Withdraw: routing.Rulebook, Reason: "trial"})
+			council.ChangeFleet(callCtx, membership.FleetChange{RollBack: routing.Rulebook, Reason: "trial"})
 		}
 		for _, d := range fleet.Drivers {
 			if d.State.String() == "shut out" && c.random.intN(40) == 0 {
@@ -360,7 +360,7 @@
 func (c *versionsRun) closeVersion(ctx context.Context, n int) (err error) {
 	council, deadline := membership.NewClient(c.addresses...), time.Now().Add(c.Timeout)
 	plan := versions.Plan{AnnounceTimeout: int64(20 * c.Lease), AdoptTimeout: int64(20 * c.Lease), DrainTimeout: int64(20 * c.Lease)}
-	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(n, false), Reason: "trial", Plan: plan}}
+	wish := membership.FleetChange{Propose: &membership.Proposal{Resource: routing.Rulebook, Text: c.rulebookText(n, false), Reason: "trial", Plan: plan}}
 	for err = council.ChangeFleet(ctx, wish); err != nil && time.Now().Before(deadline) && ctx.Err() == nil; err = council.ChangeFleet(ctx, wish) {
 		time.Sleep(20 * time.Millisecond) // there may be no leader at the moment
 	}
@@ -384,7 +384,7 @@
 func (c *versionsRun) runCrash(ctx context.Context) error {
 	council := membership.NewClient(c.addresses...)
 	plan := versions.Plan{CanaryFraction: 0.2, TrialTime: int64(time.Minute), AnnounceTimeout: int64(time.Minute), AdoptTimeout: int64(time.Minute), DrainTimeout: int64(time.Minute)}
-	wish := membership.FleetChange{Propose: &membership.Proposal{Thing: routing.Rulebook, Text: c.rulebookText(1, false), Reason: "trial", Plan: plan}}
+	wish := membership.FleetChange{Propose: &membership.Proposal{Resource: routing.Rulebook, Text: c.rulebookText(1, false), Reason: "trial", Plan: plan}}
 	if err := council.ChangeFleet(ctx, wish); err != nil {
 		return err
 	}
@@ -414,7 +414,7 @@
 		return "no version is known"
 	}
 	last := known[len(known)-1]
-	return fmt.Sprintf("version %d is %v, held back by %v", last.Number, last.Stage, fleet.Behind)
+	return fmt.Sprintf("version %d is %v, held back by %v", last.Number, last.Stage, fleet.Stalled)
 }
 
 // isChanging reports whether a version is being rolled out or withdrawn.
@@ -476,11 +476,11 @@
 				council.ChangeFleet(ctx, membership.FleetChange{Readmit: driver.Name, Reason: "the night is over"})
 			}
 		}
-		closed, _ := fleet.LatestClosed(routing.Rulebook)
+		closed, _ := fleet.LatestCompleted(routing.Rulebook)
 		closed = max(closed, versions.InitialVersion)
 		acting := 0
 		for _, driver := range fleet.Drivers {
-			if driver.MayAct && slices.ContainsFunc(driver.Sightings, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
+			if driver.MayAct && slices.ContainsFunc(driver.Reports, func(s versions.Report) bool { return s.Resource == routing.Rulebook && s.Active == closed }) {
 				acting++
 			}
 		}
--- a/internal/membership/cell_agent.go
+++ b/internal/membership/cell_agent.go
@@ -27,10 +27,10 @@
 
 // CellDriver is the driver on whose behalf a CellAgent acts.
 type CellDriver interface {
-	// Report returns a report for the coordinator, and the time on the driver's clock.
-	Report(name string, incarnation uint64) (r cells.Report, at int64)
-	// ReportGrant applies a grant to a report of the given time.
-	ReportGrant(reportedAt int64, grant cells.Grant) error
+	// CellReport returns a report for the coordinator, and the time on the driver's clock.
+	CellReport(name string, incarnation uint64) (r cells.Report, at int64)
+	// ApplyCellGrant applies a grant to a report of the given time.
+	ApplyCellGrant(reportedAt int64, grant cells.Grant) error
 }
 
 // NewCellAgent returns an agent that asks any of the given addresses. The incarnation must increase
@@ -94,7 +94,7 @@
 
 // renew makes one renewal request. isMoving is set if moves are in progress.
 func (a *CellAgent) renew(ctx context.Context) (isMoving bool, err error) {
-	report, reportedAt := a.driver.Report(a.name, a.incarnation)
+	report, reportedAt := a.driver.CellReport(a.name, a.incarnation)
 	isMoving = len(report.Moves) > 0
 	wait := a.lease / leaseWaitDivisor
 	if isMoving || a.isDisconnected {
@@ -111,7 +111,7 @@
 	if grant.Lease == 0 {
 		return false, errors.New("no lease granted: the coordinator is behind this driver, or has seen a newer incarnation")
 	}
-	return isMoving || len(grant.Entries) > 0, a.driver.ReportGrant(reportedAt, grant)
+	return isMoving || len(grant.Entries) > 0, a.driver.ApplyCellGrant(reportedAt, grant)
 }
 
 // Client calls the coordinator and the council over HTTP. Any of the servers forwards a request to the
--- a/internal/membership/coordinator_server_test.go
+++ b/internal/membership/coordinator_server_test.go
@@ -42,14 +42,14 @@
 	return &idleDriver{admission: cells.NewAdmissionController(newTestDirectory(), resolver, nil, true, 1)}
 }
 
-func (d *idleDriver) Report(name string, incarnation uint64) (cells.Report, int64) {
+func (d *idleDriver) CellReport(name string, incarnation uint64) (cells.Report, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now().UnixNano()
 	return d.admission.Report(now, name, incarnation, func(rules.GroupID, int64) bool { return true }), now
 }
 
-func (d *idleDriver) ReportGrant(asked int64, g cells.Grant) error {
+func (d *idleDriver) ApplyCellGrant(asked int64, g cells.Grant) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, err := d.admission.ApplyGrant(asked, g)
--- a/internal/membership/fleet_agent.go
+++ b/internal/membership/fleet_agent.go
@@ -39,16 +39,16 @@
 
 // FleetDriver is the driver on whose behalf a FleetAgent acts.
 type FleetDriver interface {
-	// Sightings returns the versions in use, and the time on the driver's clock.
-	Sightings() (sightings []versions.Report, observedAt int64)
-	// Granted applies a grant to a request of the given time.
-	Granted(requestedAt int64, grant versions.Grant)
+	// VersionReports returns the versions in use, and the time on the driver's clock.
+	VersionReports() (sightings []versions.Report, observedAt int64)
+	// ApplyVersionGrant applies a grant to a request of the given time.
+	ApplyVersionGrant(requestedAt int64, grant versions.Grant)
 	// Joined sets the identity of this start.
 	Joined(identity versions.Instance, token string)
-	// Trail returns up to limit entries of the audit trail after seq.
-	Trail(seq uint64, limit int) audit.Segment
-	// LastTrail returns all entries after seq, once the driver has stopped acting.
-	LastTrail(seq uint64) audit.Segment
+	// TrailSince returns up to limit entries of the audit trail after seq.
+	TrailSince(seq uint64, limit int) audit.Segment
+	// FlushTrail returns all entries after seq, once the driver has stopped acting.
+	FlushTrail(seq uint64) audit.Segment
 }
 
 // NewFleetAgent returns an agent that registers with the voters at the given addresses.
@@ -145,13 +145,13 @@
 }
 
 func (a *FleetAgent) renew(ctx context.Context, wait time.Duration) (isBusy bool, err error) {
-	sightings, observedAt := a.driver.Sightings()
+	sightings, observedAt := a.driver.VersionReports()
 	var response leaseResponse
-	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Sightings: sightings, WaitMs: wait.Milliseconds()}
+	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Reports: sightings, WaitMs: wait.Milliseconds()}
 	if a.peerMonitor != nil {
 		request.Gossip = &gossipReport{a.peerMonitor.Unreachable()}
 	}
-	part := a.driver.Trail(a.storedTrailSeq, maxEntriesPerRequest)
+	part := a.driver.TrailSince(a.storedTrailSeq, maxEntriesPerRequest)
 	if len(part.Entries) > 0 {
 		request.Trails = []audit.Segment{part}
 	}
@@ -164,7 +164,7 @@
 	}
 	a.storedTrailSeq = response.StoredTrailSeq // a new leader may hold fewer entries
 	a.retryAfter = time.Duration(response.RetryAfter)
-	a.driver.Granted(observedAt, response.Grant)
+	a.driver.ApplyVersionGrant(observedAt, response.Grant)
 	return len(response.Assignments) > 0 || hasOtherVersionInFlight(sightings), nil
 }
 
@@ -190,7 +190,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Trails: []audit.Segment{a.driver.LastTrail(a.storedTrailSeq)}}
+	request := leaseRequest{Name: a.claim.Name, Token: a.claim.Token, Trails: []audit.Segment{a.driver.FlushTrail(a.storedTrailSeq)}}
 	if err := a.client.post(ctx, "fleet/leave", request, nil); err != nil {
 		a.log.WithError(err).Warn("reporting to the fleet that this driver leaves failed")
 	}
--- a/internal/membership/fleet_requests.go
+++ b/internal/membership/fleet_requests.go
@@ -55,12 +55,12 @@
 
 // leaseRequest is a driver's request to renew its lease, or to leave.
 type leaseRequest struct {
-	Name      string            `json:"name"`
-	Token     string            `json:"token"`
-	Sightings []versions.Report `json:"seen"`
-	WaitMs    int64             `json:"wait_ms"`
-	Gossip    *gossipReport     `json:"hears,omitempty"` // nil without gossip
-	Trails    []audit.Segment   `json:"trails,omitempty"`
+	Name    string            `json:"name"`
+	Token   string            `json:"token"`
+	Reports []versions.Report `json:"seen"`
+	WaitMs  int64             `json:"wait_ms"`
+	Gossip  *gossipReport     `json:"hears,omitempty"` // nil without gossip
+	Trails  []audit.Segment   `json:"trails,omitempty"`
 }
 
 // gossipReport lists the peers that have become unreachable for a driver.
@@ -91,7 +91,7 @@
 	if request.Gossip != nil {
 		s.roster.ReportUnreachable(request.Name, request.Gossip.Unreachable)
 	}
-	s.versions.RecordReports(startIdentity(driver), request.Sightings)
+	s.versions.RecordReports(startIdentity(driver), request.Reports)
 	orders, changed := s.versions.Assignments(startIdentity(driver)), s.changed.channel
 	response := leaseResponse{versions.Grant{Lease: int64(s.config.Lease), Assignments: orders}, s.trails.LastSeq(startIdentity(driver))}
 	if wait := s.textDelay(startIdentity(driver), orders); wait > 0 {
--- a/internal/membership/fleet_server_test.go
+++ b/internal/membership/fleet_server_test.go
@@ -72,13 +72,13 @@
 
 func (d *fakeDriver) now() int64 { return time.Now().UnixNano() }
 
-func (d *fakeDriver) Sightings() ([]versions.Report, int64) {
+func (d *fakeDriver) VersionReports() ([]versions.Report, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.holder.Reports(), d.now()
 }
 
-func (d *fakeDriver) Granted(asked int64, g versions.Grant) {
+func (d *fakeDriver) ApplyVersionGrant(asked int64, g versions.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.holder.ApplyGrant(asked, g) {
@@ -97,7 +97,7 @@
 	}
 }
 
-func (d *fakeDriver) Trail(seq uint64, most int) audit.Segment {
+func (d *fakeDriver) TrailSince(seq uint64, most int) audit.Segment {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.trail == nil {
@@ -107,11 +107,11 @@
 	return d.trail.Since(seq, most)
 }
 
-func (d *fakeDriver) LastTrail(seq uint64) audit.Segment {
+func (d *fakeDriver) FlushTrail(seq uint64) audit.Segment {
 	d.mu.Lock()
 	d.trail.Flush(d.now())
 	d.mu.Unlock()
-	return d.Trail(seq, 1000)
+	return d.TrailSince(seq, 1000)
 }
 
 // act serves one RPC and returns the version used, 0 if the driver may not act.
@@ -181,11 +181,11 @@
 
 func (c *testCouncil) propose(text string) error {
 	plan := versions.Plan{AnnounceTimeout: int64(300 * time.Millisecond), AdoptTimeout: int64(300 * time.Millisecond), DrainTimeout: int64(time.Second)}
-	return c.changeFleet(FleetChange{Propose: &Proposal{Thing: "x", Text: text, Plan: plan}})
+	return c.changeFleet(FleetChange{Propose: &Proposal{Resource: "x", Text: text, Plan: plan}})
 }
 
 func hasClosed(n versions.Number) func(*FleetState) bool {
-	return func(f *FleetState) bool { got, _ := f.LatestClosed("x"); return got == n }
+	return func(f *FleetState) bool { got, _ := f.LatestCompleted("x"); return got == n }
 }
 
 // All drivers must converge on the newest version, also over a restart of the council, and the audit must
@@ -205,7 +205,7 @@
 	c.stop()
 	c.start()
 	c.requireEventually("leases are renewed after restart", func(state *FleetState) bool {
-		return len(state.Drivers) == 2 && state.Drivers[0].MayAct && len(state.Drivers[0].Sightings) == 1
+		return len(state.Drivers) == 2 && state.Drivers[0].MayAct && len(state.Drivers[0].Reports) == 1
 	})
 	require.NoError(t, c.propose("two"))
 	c.requireEventually("version is closed", hasClosed(3))
@@ -218,18 +218,18 @@
 	var result AuditResult
 	for startedAt := time.Now(); time.Since(startedAt) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
 		var err error
-		result, err = Audit(context.Background(), []string{c.address, "127.0.0.1:1"}, AuditQuery{Thing: "x"})
+		result, err = Audit(context.Background(), []string{c.address, "127.0.0.1:1"}, AuditQuery{Resource: "x"})
 		require.NoError(t, err)
-		if len(result.Acted) == 3 {
+		if len(result.Activities) == 3 {
 			break
 		}
 	}
-	require.Len(t, result.Acted, 3)
-	require.Equal(t, []versions.Number{2, 2, 3}, []versions.Number{result.Acted[0].Version, result.Acted[1].Version, result.Acted[2].Version})
-	require.Empty(t, result.Late)
+	require.Len(t, result.Activities, 3)
+	require.Equal(t, []versions.Number{2, 2, 3}, []versions.Number{result.Activities[0].Version, result.Activities[1].Version, result.Activities[2].Version})
+	require.Empty(t, result.LateActivities)
 	require.Empty(t, result.Faults)
-	require.Empty(t, result.Unknown)
-	require.Equal(t, []string{"127.0.0.1:1"}, result.Missing, "unreachable voter is reported")
+	require.Empty(t, result.Gaps)
+	require.Equal(t, []string{"127.0.0.1:1"}, result.MissingVoters, "unreachable voter is reported")
 }
 
 // An older build must not drop records or fields of a newer one.
@@ -287,7 +287,7 @@
 	drivers[1].mu.Unlock()
 	require.NoError(t, c.changeFleet(FleetChange{Readmit: "b", Reason: "mended"}))
 	c.requireEventually("readmitted driver uses the version", func(f *FleetState) bool {
-		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Sightings != nil && f.Drivers[1].Sightings[0].Active == 2
+		return f.driverState("b") == roster.StatePresent && f.Drivers[1].MayAct && f.Drivers[1].Reports != nil && f.Drivers[1].Reports[0].Active == 2
 	})
 	for _, driver := range drivers {
 		driver.mu.Lock()
@@ -295,12 +295,12 @@
 		driver.mu.Unlock()
 	}
 	require.NoError(t, c.propose("two"))
-	c.requireEventually("version is overdue", func(f *FleetState) bool { return len(f.Behind) == 1 && f.Behind[0].IsOverdue })
+	c.requireEventually("version is overdue", func(f *FleetState) bool { return len(f.Stalled) == 1 && f.Stalled[0].IsOverdue })
 	time.Sleep(100 * time.Millisecond)
 	f := c.server.State()
 	require.Equal(t, roster.StatePresent, f.driverState("a"), "too many drivers to shut out")
 	require.EqualValues(t, 2, c.act(drivers[0], "r"), "all use the older version")
-	require.NoError(t, c.changeFleet(FleetChange{Withdraw: "x", Reason: "wrong"}))
+	require.NoError(t, c.changeFleet(FleetChange{RollBack: "x", Reason: "wrong"}))
 	c.requireEventually("withdrawn", func(f *FleetState) bool { v := f.Versions["x"]; return v[len(v)-1].Stage == versions.StageRolledBack })
 }
 
@@ -338,7 +338,7 @@
 
 // For starts that the roster has forgotten, exactly the periods before, between and after their trails are
 // unknown.
-func TestTrailsOfForgottenStartsBoundUnknownPeriods(t *testing.T) {
+func TestTrailsOfForgottenStartsBoundGaps(t *testing.T) {
 	held := audit.NewCollection(100)
 	for _, start := range []uint64{1, 2, 4} {
 		trail := audit.NewTrail(int64(10*start), versions.Instance{Name: "b", Start: start}, "x", 100, 1)
@@ -356,7 +356,7 @@
 
 // The last part of a trail must be stored even if a new leader lacks earlier entries. Otherwise the audit
 // would miss it without noticing, since a driver that left has sent its whole trail.
-func TestLastTrailPartIsStoredAfterGap(t *testing.T) {
+func TestFinalSegmentIsStoredAfterGap(t *testing.T) {
 	fleetServer := NewFleetServer(FleetConfig{Lease: time.Second}, newDiscardLogger())
 	who := versions.Instance{Name: "a", Start: 1}
 	trail := audit.NewTrail(fleetServer.now(), who, "x", 100, int64(time.Hour))
--- a/internal/membership/fleet_state.go
+++ b/internal/membership/fleet_state.go
@@ -14,10 +14,10 @@
 
 // Proposal asks for the rollout of a new version.
 type Proposal struct {
-	Thing  versions.Resource `json:"thing"`
-	Text   string            `json:"text"`
-	Reason string            `json:"why"`
-	Plan   versions.Plan     `json:"plan"`
+	Resource versions.Resource `json:"thing"`
+	Text     string            `json:"text"`
+	Reason   string            `json:"why"`
+	Plan     versions.Plan     `json:"plan"`
 }
 
 // Digest returns the SHA-256 hash of a text in hexadecimal.
@@ -29,7 +29,7 @@
 // FleetChange is an operator's request. Only one field besides Reason is set.
 type FleetChange struct {
 	Propose    *Proposal         `json:"propose,omitempty"`
-	Withdraw   versions.Resource `json:"call_off,omitempty"`
+	RollBack   versions.Resource `json:"call_off,omitempty"`
 	RaiseLevel int               `json:"raise,omitempty"`
 	Readmit    string            `json:"readmit,omitempty"`
 	Reason     string            `json:"why,omitempty"`
@@ -41,10 +41,10 @@
 		now := s.now()
 		switch proposal := change.Propose; {
 		case proposal != nil:
-			records, err := s.versions.Propose(now, proposal.Thing, Digest(proposal.Text), proposal.Text, proposal.Reason, proposal.Plan)
+			records, err := s.versions.Propose(now, proposal.Resource, Digest(proposal.Text), proposal.Text, proposal.Reason, proposal.Plan)
 			return versionRecords(records), err
-		case change.Withdraw != "":
-			records, err := s.versions.RollBack(now, change.Withdraw, change.Reason)
+		case change.RollBack != "":
+			records, err := s.versions.RollBack(now, change.RollBack, change.Reason)
 			return versionRecords(records), err
 		case change.RaiseLevel > 0:
 			records, err := s.roster.RaiseLevel(now, change.RaiseLevel)
@@ -61,9 +61,9 @@
 // DriverStatus is a driver with its lease and the versions it uses.
 type DriverStatus struct {
 	roster.Driver
-	MayAct    bool              `json:"may"`      // it may hold a lease
-	LeaseEnd  int64             `json:"until"`    // when its lease has certainly ended
-	Sightings []versions.Report `json:"sighting"` // as last reported
+	MayAct   bool              `json:"may"`      // it may hold a lease
+	LeaseEnd int64             `json:"until"`    // when its lease has certainly ended
+	Reports  []versions.Report `json:"sighting"` // as last reported
 }
 
 // FleetState describes the drivers and versions of the fleet.
@@ -75,7 +75,7 @@
 	HighestCommonLevel int                                      `json:"highest"` // supported by all drivers
 	Drivers            []DriverStatus                           `json:"drivers"`
 	Versions           map[versions.Resource][]versions.Version `json:"versions"`
-	Behind             []versions.StalledVersion                `json:"behind"`
+	Stalled            []versions.StalledVersion                `json:"behind"`
 	Observed           []versions.Distribution                  `json:"observed"` // versions that the council does not decide
 	Suspicions         []roster.Suspicion                       `json:"doubts"`   // drivers that peers report as unreachable
 }
@@ -86,10 +86,10 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	state := FleetState{Voter: s.proposer.recorder.voterID(), Now: now, Lease: int64(s.config.Lease), Level: s.roster.Level(), HighestCommonLevel: s.roster.HighestCommonLevel(now),
-		Versions: map[versions.Resource][]versions.Version{}, Behind: s.versions.StalledVersions(now, s.presentDrivers()), Observed: s.observed, Suspicions: s.suspicions}
+		Versions: map[versions.Resource][]versions.Version{}, Stalled: s.versions.StalledVersions(now, s.presentDrivers()), Observed: s.observed, Suspicions: s.suspicions}
 	for _, driver := range s.roster.Drivers() {
 		state.Drivers = append(state.Drivers, DriverStatus{Driver: driver, MayAct: s.roster.MayAct(now, driver.Name), LeaseEnd: s.roster.LeaseEnd(driver.Name),
-			Sightings: s.versions.Reports(startIdentity(driver))})
+			Reports: s.versions.Reports(startIdentity(driver))})
 	}
 	for _, thing := range s.versions.Resources() {
 		state.Versions[thing] = s.versions.Versions(thing)
@@ -111,9 +111,9 @@
 	return c.post(ctx, "fleet/wish", change, nil)
 }
 
-// LatestClosed returns the newest closed version of a thing and the time, on the clock of the voter that
+// LatestCompleted returns the newest closed version of a thing and the time, on the clock of the voter that
 // closed it, from which no driver acts on an older one. The number is 0 if there is none.
-func (s *FleetState) LatestClosed(thing versions.Resource) (number versions.Number, closedAt int64) {
+func (s *FleetState) LatestCompleted(thing versions.Resource) (number versions.Number, closedAt int64) {
 	for _, v := range slices.Backward(s.Versions[thing]) {
 		if v.Stage == versions.StageCompleted {
 			return v.Number, v.CompletedAt
--- a/internal/membership/trails.go
+++ b/internal/membership/trails.go
@@ -21,8 +21,8 @@
 
 // VoterTrails holds the parts of audit trails that one voter has.
 type VoterTrails struct {
-	Parts  []audit.Segment `json:"parts"`
-	Faults []string        `json:"faults"`
+	Segments []audit.Segment `json:"parts"`
+	Faults   []string        `json:"faults"`
 }
 
 // OpenTrails loads trails from a file and keeps storing them there.
@@ -87,7 +87,7 @@
 func (s *FleetServer) storedTrails() VoterTrails {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return VoterTrails{Parts: s.trails.Segments(), Faults: s.trails.Faults()}
+	return VoterTrails{Segments: s.trails.Segments(), Faults: s.trails.Faults()}
 }
 
 // handleTrails registers the handler that returns the trails of this voter, leader or not.
@@ -97,7 +97,7 @@
 
 // AuditQuery selects actions from the audit trails. Times are Unix nanoseconds, 0 for unbounded.
 type AuditQuery struct {
-	Thing        versions.Resource `json:"thing"`
+	Resource     versions.Resource `json:"thing"`
 	Version      versions.Number   `json:"version"`
 	Driver       string            `json:"driver"`
 	From         int64             `json:"from"`
@@ -107,12 +107,12 @@
 
 // AuditResult is the answer to an AuditQuery.
 type AuditResult struct {
-	Acted   []audit.Activity     `json:"acted"`
-	Late    []audit.LateActivity `json:"late"`    // acted after a newer version was closed
-	Unknown []audit.Gap          `json:"unknown"` // periods of which no trail is held
-	Faults  []string             `json:"faults"`  // inconsistencies of trails
-	Missing []string             `json:"missing"` // unreachable voters
-	Entries int                  `json:"entries"`
+	Activities     []audit.Activity     `json:"acted"`
+	LateActivities []audit.LateActivity `json:"late"`    // acted after a newer version was closed
+	Gaps           []audit.Gap          `json:"unknown"` // periods of which no trail is held
+	Faults         []string             `json:"faults"`  // inconsistencies of trails
+	MissingVoters  []string             `json:"missing"` // unreachable voters
+	Entries        int                  `json:"entries"`
 }
 
 // voterTimeout limits the request for the trails of one voter.
@@ -131,15 +131,15 @@
 			missing = append(missing, address)
 			continue
 		}
-		parts = append(parts, trails.Parts...)
+		parts = append(parts, trails.Segments...)
 		faults = append(faults, trails.Faults...)
 	}
 	collection.Merge(parts)
 	return collection, append(faults, collection.Faults()...), missing
 }
 
-// CollectParts returns the merged trails of all reachable voters.
-func CollectParts(ctx context.Context, voters []string) []audit.Segment {
+// CollectSegments returns the merged trails of all reachable voters.
+func CollectSegments(ctx context.Context, voters []string) []audit.Segment {
 	collection, _, _ := collectTrails(ctx, voters)
 	return collection.Segments()
 }
@@ -151,17 +151,17 @@
 		return result, err
 	}
 	var collection *audit.Collection
-	collection, result.Faults, result.Missing = collectTrails(ctx, voters)
+	collection, result.Faults, result.MissingVoters = collectTrails(ctx, voters)
 	for _, part := range collection.Segments() {
 		result.Entries += len(part.Entries)
 	}
-	result.Acted = collection.Activities(audit.Query{Resource: query.Thing, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
+	result.Activities = collection.Activities(audit.Query{Resource: query.Resource, Version: query.Version, Driver: query.Driver, From: query.From, To: query.To})
 	starts := fleet.rememberedStarts(query.Driver)
-	result.Unknown = append(collection.Gaps(starts), fleet.unknownPeriods(query.Driver, collection)...)
-	for _, version := range fleet.Versions[query.Thing] {
+	result.Gaps = append(collection.Gaps(starts), fleet.unknownPeriods(query.Driver, collection)...)
+	for _, version := range fleet.Versions[query.Resource] {
 		if version.Stage == versions.StageCompleted {
-			result.Late = append(result.Late, collection.LateActivities(query.Thing, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
-			result.Unknown = append(result.Unknown, collection.UnorderedActivities(query.Thing, version.Number, starts)...)
+			result.LateActivities = append(result.LateActivities, collection.LateActivities(query.Resource, version.Number, version.Epoch, version.CompletedAt, query.MaxClockSkew)...)
+			result.Gaps = append(result.Gaps, collection.UnorderedActivities(query.Resource, version.Number, starts)...)
 		}
 	}
 	return result, nil
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// Sightings returns the version observations to report to the fleet.
-func (s *operatorServices) Sightings() ([]versions.Report, int64) {
-	return s.program.router.VersionSightings()
+// VersionReports returns the version observations to report to the fleet.
+func (s *operatorServices) VersionReports() ([]versions.Report, int64) {
+	return s.program.router.VersionReports()
 }
 
 // Joined records the start number that the fleet assigned to this driver.
@@ -68,13 +68,13 @@
 	}
 }
 
-// Trail returns up to limit entries of this driver's audit trail after a sequence number.
-func (s *operatorServices) Trail(after uint64, limit int) audit.Segment {
+// TrailSince returns up to limit entries of this driver's audit trail after a sequence number.
+func (s *operatorServices) TrailSince(after uint64, limit int) audit.Segment {
 	return s.program.router.TrailSince(after, limit)
 }
 
-// LastTrail returns all remaining entries of the audit trail after a sequence number.
-func (s *operatorServices) LastTrail(after uint64) audit.Segment {
+// FlushTrail returns all remaining entries of the audit trail after a sequence number.
+func (s *operatorServices) FlushTrail(after uint64) audit.Segment {
 	return s.program.router.FlushTrail(after)
 }
 
@@ -86,9 +86,9 @@
 	return membership.Audit(ctx, s.config().VoterAddresses(), query)
 }
 
-// Granted processes a grant from the fleet and adopts the versions in it.
-func (s *operatorServices) Granted(requestedAt int64, grant versions.Grant) {
-	for _, adoption := range s.program.router.ApplyOrders(requestedAt, grant) {
+// ApplyVersionGrant processes a grant from the fleet and adopts the versions in it.
+func (s *operatorServices) ApplyVersionGrant(requestedAt int64, grant versions.Grant) {
+	for _, adoption := range s.program.router.ApplyVersionGrant(requestedAt, grant) {
 		err := s.adopt(adoption)
 		s.program.router.ReportAdoption(adoption, err)
 		log := s.program.log.WithField("thing", adoption.Resource).WithField("version", adoption.Number)
@@ -132,8 +132,8 @@
 		return errNoFleet
 	}
 	if proposal := change.Propose; proposal != nil {
-		if proposal.Thing != routing.Rulebook {
-			return fmt.Errorf("%q is not a versioned thing", proposal.Thing)
+		if proposal.Resource != routing.Rulebook {
+			return fmt.Errorf("%q is not a versioned thing", proposal.Resource)
 		}
 		if _, err := s.startConfig.WithRulebook("the rulebook", proposal.Text); err != nil {
 			return err
--- a/internal/program/operator_services.go
+++ b/internal/program/operator_services.go
@@ -245,15 +245,15 @@
 	return mux
 }
 
-// Report returns this driver's report to the coordinator.
-func (s *operatorServices) Report(name string, incarnation uint64) (cells.Report, int64) {
-	return s.program.router.Report(name, incarnation)
+// CellReport returns this driver's report to the coordinator.
+func (s *operatorServices) CellReport(name string, incarnation uint64) (cells.Report, int64) {
+	return s.program.router.CellReport(name, incarnation)
 }
 
-// ReportGrant applies a grant from the coordinator. The first one makes this driver ready for
+// ApplyCellGrant applies a grant from the coordinator. The first one makes this driver ready for
 // clients.
-func (s *operatorServices) ReportGrant(requestedAt int64, grant cells.Grant) error {
-	err := s.program.router.ReportGrant(requestedAt, grant)
+func (s *operatorServices) ApplyCellGrant(requestedAt int64, grant cells.Grant) error {
+	err := s.program.router.ApplyCellGrant(requestedAt, grant)
 	if err == nil {
 		s.leaseOnce.Do(func() { close(s.leaseReady) })
 	}
--- a/internal/program/pools.go
+++ b/internal/program/pools.go
@@ -40,7 +40,7 @@
 // isUsable reports whether an idle connection leads to the address and is not about to be closed by
 // the member's idle timeout.
 func (c memberConn) isUsable(address string, idleTimeout time.Duration) bool {
-	return c.Idle() && c.address == address && time.Since(c.idleSince) < idleTimeout*9/10
+	return c.IsIdle() && c.address == address && time.Since(c.idleSince) < idleTimeout*9/10
 }
 
 // closeUnlessQuiet reports whether no input arrived while the connection was idle. Otherwise it
@@ -207,7 +207,7 @@
 
 // prune closes the idle connections to a member that have ended or are unwanted. The lock is held.
 func (p *memberPools) prune(member rules.MemberID, unwanted func(memberConn) bool) {
-	p.idle[member] = closeUnless(p.idle[member], func(conn memberConn) bool { return conn.Idle() && !unwanted(conn) })
+	p.idle[member] = closeUnless(p.idle[member], func(conn memberConn) bool { return conn.IsIdle() && !unwanted(conn) })
 	if len(p.idle[member]) == 0 {
 		delete(p.idle, member)
 	}
@@ -260,7 +260,7 @@
 	var oldest memberConn
 	for _, conns := range p.idle {
 		for _, conn := range conns {
-			if conn.Idle() && (oldest.Conn == nil || conn.idleSince.Before(oldest.idleSince)) {
+			if conn.IsIdle() && (oldest.Conn == nil || conn.idleSince.Before(oldest.idleSince)) {
 				oldest = conn
 			}
 		}
--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -183,7 +183,7 @@
 
 // sendFatal reports a protocol error before the caller closes the connection.
 func (c Client) sendFatal(state, text string, reason transport.CloseReason) transport.CloseReason {
-	writeFailure(c.Conn, Failure{Fatal: true, SQLState: state, Message: text})
+	writeFailure(c.Conn, Failure{IsFatal: true, SQLState: state, Message: text})
 	c.Flush()
 	return reason
 }
--- a/internal/protocol/failure.go
+++ b/internal/protocol/failure.go
@@ -23,7 +23,7 @@
 
 // Failure is the content of an ErrorResponse.
 type Failure struct {
-	Fatal    bool
+	IsFatal  bool
 	SQLState string
 	Message  string
 	Detail   string
@@ -32,7 +32,7 @@
 // writeFailure writes an ErrorResponse.
 func writeFailure(c *transport.Conn, f Failure) {
 	severity := "ERROR"
-	if f.Fatal {
+	if f.IsFatal {
 		severity = "FATAL"
 	}
 	fields := []string{"S", severity, "\x00V", severity, "\x00C", f.SQLState, "\x00M", f.Message, "\x00"}
@@ -52,7 +52,7 @@
 		}
 		switch body = rest; kind {
 		case 'S':
-			f.Fatal = text == "FATAL" || text == "PANIC"
+			f.IsFatal = text == "FATAL" || text == "PANIC"
 		case 'C':
 			f.SQLState = text
 		case 'M':
--- a/internal/protocol/member.go
+++ b/internal/protocol/member.go
@@ -147,7 +147,7 @@
 			return false, transport.Malformed
 		}
 		complete = msg.kind == kindCommandComplete || msg.kind == kindError
-		if a.Failure != nil && a.Failure.Fatal {
+		if a.Failure != nil && a.Failure.IsFatal {
 			return true, transport.ClosedByPeer
 		}
 	}
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -188,8 +188,8 @@
 	return r.admissionController.MostOverConnectionShare()
 }
 
-// ReportGrant applies the coordinator's answer to the report that was made at askedAt.
-func (r *Router) ReportGrant(askedAt int64, grant cells.Grant) error {
+// ApplyCellGrant applies the coordinator's answer to the report that was made at askedAt.
+func (r *Router) ApplyCellGrant(askedAt int64, grant cells.Grant) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed, err := r.admissionController.ApplyGrant(askedAt, grant)
@@ -202,8 +202,8 @@
 	return err
 }
 
-// Report returns the report for the coordinator and the time at which it was made.
-func (r *Router) Report(name string, incarnation uint64) (cells.Report, int64) {
+// CellReport returns the report for the coordinator and the time at which it was made.
+func (r *Router) CellReport(name string, incarnation uint64) (cells.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -52,7 +52,7 @@
 	for _, entry := range entries {
 		grant.LatestEpoch = max(grant.LatestEpoch, entry.Epoch)
 	}
-	require.NoError(t, r.ReportGrant(r.now(), grant))
+	require.NoError(t, r.ApplyCellGrant(r.now(), grant))
 }
 
 // nextStep waits for an RPC's next step and runs due timers meanwhile.
@@ -131,7 +131,7 @@
 	require.Equal(t, ActionAttempt, nextStep(t, admitRPC(t, r, "read")).Action, "reads must not be held yet")
 	cancelled.ClientLeft()
 	require.Equal(t, ActionDrop, nextStep(t, cancelled).Action)
-	report, _ := r.Report("n", 1)
+	report, _ := r.CellReport("n", 1)
 	require.Zero(t, report.Moves[0].Writes, "held writes are not in flight")
 	applyGrant(t, r, time.Minute, cells.Entry{Epoch: 2, Tenant: "t", Cell: "one", Stage: cells.StageRollingBack, To: "two"})
 	require.Equal(t, ActionAttempt, nextStep(t, held).Action, "held writes must resume after a rollback")
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -170,15 +170,15 @@
 	}
 }
 
-// VersionSightings returns what this driver reports of its versions, and the time of the report.
-func (r *Router) VersionSightings() ([]versions.Report, int64) {
+// VersionReports returns what this driver reports of its versions, and the time of the report.
+func (r *Router) VersionReports() ([]versions.Report, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holder.Reports(), r.now()
 }
 
-// ApplyOrders applies the grant for the report made at askedAt and returns the versions to adopt.
-func (r *Router) ApplyOrders(askedAt int64, grant versions.Grant) []versions.Adoption {
+// ApplyVersionGrant applies the grant for the report made at askedAt and returns the versions to adopt.
+func (r *Router) ApplyVersionGrant(askedAt int64, grant versions.Grant) []versions.Adoption {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if failpoint.Active(failpoint.LongLease) {
--- a/internal/routing/versioned_test.go
+++ b/internal/routing/versioned_test.go
@@ -24,7 +24,7 @@
 // applyOrder applies an order for the rulebook and adopts its version.
 func applyOrder(t testing.TB, r *Router, lease time.Duration, order versions.Assignment) {
 	order.Resource = Rulebook
-	for _, adoption := range r.ApplyOrders(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{order}}) {
+	for _, adoption := range r.ApplyVersionGrant(r.now(), versions.Grant{Lease: int64(lease), Assignments: []versions.Assignment{order}}) {
 		r.ReportAdoption(adoption, nil)
 	}
 	require.Equal(t, order.Active, r.holder.Reports()[0].Active)
@@ -60,7 +60,7 @@
 }
 
 // Guards against answers delivered or attempts made under a version that has been closed meanwhile.
-func TestClosedVersionEndsRPCs(t *testing.T) {
+func TestSupersededVersionEndsRPCs(t *testing.T) {
 	r := newRouterWithCells(t, false)
 	enableVersions(t, r, false)
 	active := admitRPC(t, r, "write")
@@ -92,7 +92,7 @@
 	require.Equal(t, ActionReject, nextStep(t, active).Action, "the attempt never ran")
 	require.Equal(t, ActionReject, nextStep(t, admitRPC(t, r, "write")).Action)
 	askedAt := r.now()
-	for _, adoption := range r.ApplyOrders(askedAt, versions.Grant{Lease: int64(time.Hour)}) {
+	for _, adoption := range r.ApplyVersionGrant(askedAt, versions.Grant{Lease: int64(time.Hour)}) {
 		r.ReportAdoption(adoption, nil)
 	}
 	active = admitRPC(t, r, "write")
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -290,8 +290,8 @@
 	return c.readBuffer.Len()
 }
 
-// Idle reports whether the connection is open and no input is buffered.
-func (c *Conn) Idle() bool {
+// IsIdle reports whether the connection is open and no input is buffered.
+func (c *Conn) IsIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeReason == Open && c.readBuffer.Len() == 0
@@ -301,7 +301,7 @@
 // the end of the stream.
 func (c *Conn) HasNoPendingInput() bool {
 	// Idle is checked again because readLoop may have moved input from the socket to readBuffer.
-	return c.Idle() && c.socketInputEmpty() && c.Idle()
+	return c.IsIdle() && c.socketInputEmpty() && c.IsIdle()
 }
 
 // socketInputEmpty reports whether the socket holds neither unread input nor the end of the stream. It
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -121,7 +121,7 @@
 	require.Equal(t, Evicted, c.Await(1))
 	peer.Write([]byte("q"))
 	require.Eventually(t, func() bool { return !c.HasNoPendingInput() }, time.Second, time.Millisecond)
-	require.True(t, c.Idle())
+	require.True(t, c.IsIdle())
 }
 
 // Guards against a peer that never finishes a message, and against late input that turns the close into
