--- a/cmd/sedgespread/fleet.go
+++ b/cmd/sedgespread/fleet.go
@@ -57,7 +57,7 @@
 				formatLease(driver.LeaseEnd-fleet.Now), formatVersions(driver.Reports), driver.Reason)
 		}
 		for _, doubt := range fleet.Suspicions {
-			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", doubt.Name, doubt.Start, len(doubt.Reporters), doubt.Listeners, strings.Join(doubt.Reporters, ", "))
+			fmt.Fprintf(out, "\n%s, start %d, is unreachable from %d of %d peers: %s", doubt.Name, doubt.Start, len(doubt.Reporters), doubt.EligibleReporters, strings.Join(doubt.Reporters, ", "))
 		}
 		if len(fleet.Suspicions) > 0 {
 			fmt.Fprintln(out)
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -84,8 +84,8 @@
 		gauge(versionClosed, float64(closed), string(thing))
 	}
 	for _, doubt := range fleet.Suspicions {
-		if doubt.IsSilent {
-			gauge(fleetSilentSeconds, time.Duration(fleet.Now-doubt.SilentSince).Seconds(), doubt.Name)
+		if doubt.IsUnreachable {
+			gauge(fleetSilentSeconds, time.Duration(fleet.Now-doubt.UnreachableSince).Seconds(), doubt.Name)
 		}
 	}
 	for _, spread := range fleet.Observed {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -135,7 +135,7 @@
 
 // Guards against RPC entries that are lost while a driver can't reach the council, although the
 // trail has room.
-func TestUnsentTrailKeepsRPCEntries(t *testing.T) {
+func TestUnacknowledgedTrailKeepsRPCEntries(t *testing.T) {
 	const writes = 3000
 	trail := NewTrail(0, testInstance, "token", 8192, 10*second)
 	trail.RecordEpoch(0, testResource, 1, 1)
--- a/internal/membership/fleet_observation.go
+++ b/internal/membership/fleet_observation.go
@@ -43,11 +43,11 @@
 	s.suspicions = s.roster.Suspicions(now)
 	silent := map[string]bool{}
 	for _, suspicion := range s.suspicions {
-		if !suspicion.IsSilent {
+		if !suspicion.IsUnreachable {
 			continue
 		}
 		if silent[suspicion.Name] = true; !s.silentDrivers[suspicion.Name] {
-			s.log.WithFields(logrus.Fields{"of": suspicion.Name, "start": suspicion.Start, "by": len(suspicion.Reporters), "listeners": suspicion.Listeners}).Warn("driver is unreachable for most of its peers")
+			s.log.WithFields(logrus.Fields{"of": suspicion.Name, "start": suspicion.Start, "by": len(suspicion.Reporters), "listeners": suspicion.EligibleReporters}).Warn("driver is unreachable for most of its peers")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.silentDrivers)) {
--- a/internal/roster/suspicions.go
+++ b/internal/roster/suspicions.go
@@ -7,12 +7,12 @@
 
 // Suspicion is a present driver that peers report as unreachable.
 type Suspicion struct {
-	Name        string      `json:"name"`
-	Start       StartNumber `json:"start"`
-	Reporters   []string    `json:"by"`     // peers that report it
-	Listeners   int         `json:"of"`     // peers that could report it
-	IsSilent    bool        `json:"silent"` // reported by at least two peers and more than half of them
-	SilentSince int64       `json:"since"`  // on the local clock, 0 if not silent
+	Name              string      `json:"name"`
+	Start             StartNumber `json:"start"`
+	Reporters         []string    `json:"by"`     // peers that report it
+	EligibleReporters int         `json:"of"`     // peers that could report it
+	IsUnreachable     bool        `json:"silent"` // reported by at least two peers and more than half of them
+	UnreachableSince  int64       `json:"since"`  // on the local clock, 0 if not silent
 }
 
 // unreachableReport holds the peers that a start last reported as unreachable.
@@ -45,7 +45,7 @@
 			if listener == d.Name {
 				continue
 			}
-			suspicion.Listeners++
+			suspicion.EligibleReporters++
 			if slices.Contains(r.unreachableReports[listener].unreachable, d.Name) {
 				suspicion.Reporters = append(suspicion.Reporters, listener)
 			}
@@ -53,11 +53,11 @@
 		if d.State != StatePresent || len(suspicion.Reporters) == 0 {
 			continue
 		}
-		if suspicion.IsSilent = len(suspicion.Reporters) >= 2 && 2*len(suspicion.Reporters) > suspicion.Listeners; suspicion.IsSilent {
-			if suspicion.SilentSince = r.silentSince[d.Name]; suspicion.SilentSince == 0 {
-				suspicion.SilentSince = now
+		if suspicion.IsUnreachable = len(suspicion.Reporters) >= 2 && 2*len(suspicion.Reporters) > suspicion.EligibleReporters; suspicion.IsUnreachable {
+			if suspicion.UnreachableSince = r.silentSince[d.Name]; suspicion.UnreachableSince == 0 {
+				suspicion.UnreachableSince = now
 			}
-			silentSince[d.Name] = suspicion.SilentSince
+			silentSince[d.Name] = suspicion.UnreachableSince
 		}
 		suspicions = append(suspicions, suspicion)
 	}
