--- a/internal/program/pipelined_queries_test.go
+++ b/internal/program/pipelined_queries_test.go
@@ -44,7 +44,7 @@
 	for _, received := range primary.statements()[1:] {
 		for name, sent := range map[string]string{"head": head, "expired": expired, "short": short, "after": after} {
 			if id := regexp.MustCompile(`id=\d+,`).FindString(sent); strings.Contains(received, id) {
-				timeouts[name], _ = strconv.Atoi(regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(received)[1])
+				timeouts[name], _ = strconv.Atoi(regexp.MustCompile(`,d=(\d+),`).FindStringSubmatch(received)[1])
 			}
 		}
 	}
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -25,8 +25,8 @@
 	require.Equal(t, "from r", client.ask(t, read))
 	require.Equal(t, "from p", client.ask(t, statement("write", 1000)))
 	got := replica.statements()[0]
-	before, after, _ := strings.Cut(read, "d=1000")
-	require.True(t, strings.HasPrefix(got, before) && strings.HasSuffix(got, after), got)
+	before, after, _ := strings.Cut(read, ",d=1000")
+	require.True(t, strings.HasPrefix(got, before+",d=") && strings.HasSuffix(got, after), got)
 	require.NotEqual(t, read, got, "d is the remaining time")
 }
 
