--- a/internal/briefing/start.go
+++ b/internal/briefing/start.go
@@ -8,10 +8,10 @@
 )
 
 var (
-	needs = map[string]rules.Need{"loose": rules.NeedAny, "recent": rules.NeedBounded, "own_writes": rules.NeedSession,
-		"latest": rules.NeedFresh, "update": rules.NeedPrimary}
-	effects = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.Tokened, "once": rules.NonIdempotent}
-	scopes  = map[string]rules.Scope{"": rules.ScopeGroup, "cell": rules.ScopeGroup, "zone": rules.ScopeZone, "all": rules.ScopeAll}
+	needs = map[string]rules.Consistency{"loose": rules.ConsistencyAny, "recent": rules.ConsistencyBounded, "own_writes": rules.ConsistencySession,
+		"latest": rules.ConsistencyLinearizable, "update": rules.ConsistencyWrite}
+	effects = map[string]rules.Effect{"repeatable": rules.Idempotent, "by_key": rules.IdempotentByToken, "once": rules.NonIdempotent}
+	scopes  = map[string]rules.DedupScope{"": rules.DedupInGroup, "cell": rules.DedupInGroup, "zone": rules.DedupInZone, "all": rules.DedupEverywhere}
 	guards  = map[string]bool{"": false, "none": false, "reject": true, "hold": true}
 	asks    = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
@@ -30,17 +30,17 @@
 		m := &methods[i]
 		m.Name = p.Text(at + "name")
 		m.Effect = Choice(p, at+"effect", p.Text(at+"effect"), effects)
-		m.Scope = Choice(p, at+"keyScope", p.At(at+"keyScope"), scopes)
-		m.Window = p.Time(at + "windowUs")
+		m.DedupScope = Choice(p, at+"keyScope", p.At(at+"keyScope"), scopes)
+		m.DedupWindow = p.Time(at + "windowUs")
 		m.SoftDeadline = p.Integer(at+"aimUs") * micro
 		m.Deadline = p.Time(at + "giveUpUs")
 		m.Utility = p.NumberOr(at+"worth", 1)
 		m.LateUtility = p.NumberOr(at+"lateWorth", 0)
 		if i < len(read) {
-			m.Need = Choice(p, "extra.readLevel", read[i], needs)
+			m.Consistency = Choice(p, "extra.readLevel", read[i], needs)
 		}
 		if i < len(bounds) {
-			m.Bound = p.AsInteger("extra.maxAgeUs", bounds[i]) * micro
+			m.MaxStaleness = p.AsInteger("extra.maxAgeUs", bounds[i]) * micro
 		}
 	}
 	return methods
@@ -52,44 +52,44 @@
 		p.Wrong("fleetSize=%d is out of range", c.Drivers)
 	}
 	if p.BoolOr("limits.peerMessages", false) {
-		c.News = protocol.ObservationsPerMessage
+		c.ReportsPerMessage = protocol.ObservationsPerMessage
 	}
 	return c
 }
 
 func (p *Parts) Store() rules.Store {
 	return rules.Store{
-		Guarded: Choice(p, "extra.guards", p.At("extra.guards"), guards),
-		Carried: p.At("extra.tokens") == "client",
+		RejectsStaleReads:   Choice(p, "extra.guards", p.At("extra.guards"), guards),
+		CarriesSessionToken: p.At("extra.tokens") == "client",
 	}
 }
 
-func (p *Parts) Allowed() rules.Allowed {
-	a := rules.Allowed{
-		Attempts: int(p.IntegerOr("limits.mostTries", 1)),
-		Copies:   p.BoolOr("limits.mayDuplicate", false),
-		Cancel:   p.BoolOr("limits.cancelling", false),
-		Probes:   p.BoolOr("limits.probing", false),
+func (p *Parts) Allowed() rules.Policy {
+	a := rules.Policy{
+		MaxAttempts:  int(p.IntegerOr("limits.mostTries", 1)),
+		Hedging:      p.BoolOr("limits.mayDuplicate", false),
+		Cancellation: p.BoolOr("limits.cancelling", false),
+		Probing:      p.BoolOr("limits.probing", false),
 	}
 	if p.BoolOr("limits.retryAfter", false) {
-		a.ComeBack = p.Time("limits.maxRetryAfterUs")
+		a.MaxRetryAfter = p.Time("limits.maxRetryAfterUs")
 	}
 	return a
 }
 
 func (p *Parts) SlowStart() rules.SlowStart {
 	return rules.SlowStart{
-		Share:     p.NumberOr("safety.startCapacity", 1),
-		WarmAfter: p.Time("safety.warmAfterUs"),
-		Multiple:  p.NumberOr("safety.fallMultiple", 1),
+		InitialShare:   p.NumberOr("safety.startCapacity", 1),
+		WarmUpTime:     p.Time("safety.warmAfterUs"),
+		OverloadFactor: p.NumberOr("safety.fallMultiple", 1),
 	}
 }
 
-func (p *Parts) Notice() rules.Notice {
-	return rules.Notice{
-		Asked:     Choice(p, "discovery", p.At("discovery"), asks),
-		DrainOnly: p.BoolOr("safety.softRemoval", false),
-		Grace:     p.Time("safety.drainGraceUs"),
+func (p *Parts) Notice() rules.Discovery {
+	return rules.Discovery{
+		OnRequest:      Choice(p, "discovery", p.At("discovery"), asks),
+		OnlyDrainBinds: p.BoolOr("safety.softRemoval", false),
+		DrainGrace:     p.Time("safety.drainGraceUs"),
 	}
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -208,7 +208,7 @@
 	case e.effect != request.Effect || e.window != request.Window: // changed by the caller; the stricter effect applies
 		return l.abortOrReject(e, ReasonMayHaveRun)
 	case e.effect == rules.Idempotent:
-	case e.effect == rules.Tokened && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != request.Group || e.multipleGroups):
+	case e.effect == rules.IdempotentByToken && e.mayHaveRun() && (e.firstRiskAt+e.window <= now || e.group != request.Group || e.multipleGroups):
 		return l.abortOrReject(e, ReasonOutsideWindow)
 	case e.effect == rules.NonIdempotent && e.state == granted:
 		return l.abortOrReject(e, ReasonGrantOutstanding)
--- a/internal/program/posting.go
+++ b/internal/program/posting.go
@@ -159,8 +159,8 @@
 	p.IdleTimeout = duration("limits.keepaliveUs", defaultIdleTimeout)
 	p.WatchTimeout = min(maxWatchTimeout, duration("safety.askEveryUs", defaultWatchTimeout))
 	p.DiscoveryTimeout = discoveryCallTimeout
-	if drainNotice := p.Settings.Notice(); !drainNotice.Asked {
-		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(drainNotice.Grace/4)))
+	if drainNotice := p.Settings.Notice(); !drainNotice.OnRequest {
+		p.DiscoveryTimeout = min(discoveryCallTimeout, max(minDiscoveryTimeout, time.Duration(drainNotice.DrainGrace/4)))
 	}
 	if !p.Settings.BoolOr("limits.peerMessages", false) {
 		p.PeersAddress = ""
--- a/internal/routing/confine.go
+++ b/internal/routing/confine.go
@@ -43,7 +43,7 @@
 func (t *Trip) ask(rpc rules.RPC, c *Call) {
 	r, now := t.r, t.r.now()
 	m := &r.methods[rpc.Method]
-	a := cells.Request{Tenant: r.gate.Tenant(c.Key, c.User, c.Base), Key: c.Key, Write: c.Write, SoftDeadline: m.SoftDeadline, TimeLeft: max(0, rpc.Left),
+	a := cells.Request{Tenant: r.gate.Tenant(c.Key, c.User, c.Base), Key: c.Key, Write: c.Write, SoftDeadline: m.SoftDeadline, TimeLeft: max(0, rpc.TimeLeft),
 		Utility: m.Utility}
 	t.pass = &pass{effect: effectOf(m)}
 	if !t.begins() {
@@ -53,7 +53,7 @@
 	}
 	ticket, v, decided := r.gate.Admit(now, a, func(v cells.Decision) {
 		held := r.now() - now
-		rpc.Left, rpc.Waited = rpc.Left-held, rpc.Waited+held
+		rpc.TimeLeft, rpc.Waited = rpc.TimeLeft-held, rpc.Waited+held
 		t.decided(rpc, v)
 	})
 	t.pass.ticket = ticket
@@ -68,11 +68,11 @@
 // decided goes on with an RPC as its gate has decided. The lock is held.
 func (t *Trip) decided(rpc rules.RPC, v cells.Decision) {
 	if v.Reason != cells.ReasonNone {
-		t.r.driver.Left(t.id)
-		t.finish(Step{Act: PushBack, ComeBack: min(v.RetryAfter, t.r.allowed.ComeBack)})
+		t.r.driver.ClientLeft(t.id)
+		t.finish(Step{Act: PushBack, ComeBack: min(v.RetryAfter, t.r.allowed.MaxRetryAfter)})
 		return
 	}
-	rpc.Group, rpc.Floor = v.Group, v.MinPosition
+	rpc.Group, rpc.MinPosition = v.Group, v.MinPosition
 	t.take(rpc)
 }
 
@@ -92,7 +92,7 @@
 	r.timers.add(r.now(), func() {
 		t.calls[n].next = nil
 		t.out--
-		next(rules.Result{Proof: rules.NeverRan, Cause: rules.Cancelled, Final: true})
+		next(rules.Result{Outcome: rules.NotExecuted, Cause: rules.Cancelled, Final: true})
 		t.drop()
 	})
 	r.stir()
@@ -113,7 +113,7 @@
 // moved, is not passed on: others may have gone on without it. The lock is held.
 func (t *Trip) returned(c *call, v verdict, o Outcome) {
 	r, until, bytes := t.r, int64(0), 0
-	if v.proof == rules.MayHaveRun {
+	if v.proof == rules.MayHaveExecuted {
 		until, t.pass.risky = c.until+graceOver, true
 		t.pass.until = max(t.pass.until, until)
 	}
@@ -204,10 +204,10 @@
 	if now-r.looked >= lookEvery {
 		r.looked = now
 		for _, g := range r.gate.CatchUpGroups() {
-			r.driver.Look(g)
+			r.driver.ProbeGroup(g)
 		}
 	}
-	return r.gate.Report(now, name, incarnation, r.driver.Reached), now
+	return r.gate.Report(now, name, incarnation, r.driver.CaughtUp), now
 }
 
 // lookEvery is how often the members are probed that a move waits for.
--- a/internal/routing/host.go
+++ b/internal/routing/host.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func (h *host) PushBack(id rules.RPCID, comeBack int64) {
+func (h *host) RejectWithRetryAfter(id rules.RPCID, comeBack int64) {
 	h.trips[id].finish(Step{Act: PushBack, ComeBack: comeBack})
 }
 
@@ -48,8 +48,8 @@
 
 func (h *host) Watch() { h.add(Follow{}) }
 
-// Tell passes news on, but for those that can't be told, of positions from long ago. It guards against messages that say nothing.
-func (h *host) Tell(news []rules.News) {
+// SendReports passes news on, but for those that can't be told, of positions from long ago. It guards against messages that say nothing.
+func (h *host) SendReports(news []rules.PeerReport) {
 	if message := briefing.Message(news, h.registry.key, 0, h.driver.StoreNow()); len(message) > 0 {
 		h.add(Spread{Message: message})
 	}
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -19,37 +19,37 @@
 
 // states maps what a member answers in place of a row.
 var states = map[string]verdict{
-	protocol.StateReadOnly:           {rules.NeverRan, rules.Missed},
-	protocol.StateSnapshotTooOld:     {rules.NeverRan, rules.Missed},
-	protocol.StateTooManyConnections: {rules.NeverRan, rules.Full},
-	protocol.StateCannotConnectNow:   {rules.NeverRan, rules.Full},
-	protocol.StateSyntaxError:        {rules.MayHaveRun, rules.Moot},
-	protocol.StateFenced:             {rules.NeverRan, rules.Moot},
+	protocol.StateReadOnly:           {rules.NotExecuted, rules.Ineligible},
+	protocol.StateSnapshotTooOld:     {rules.NotExecuted, rules.Ineligible},
+	protocol.StateTooManyConnections: {rules.NotExecuted, rules.Overloaded},
+	protocol.StateCannotConnectNow:   {rules.NotExecuted, rules.Overloaded},
+	protocol.StateSyntaxError:        {rules.MayHaveExecuted, rules.NotSent},
+	protocol.StateFenced:             {rules.NotExecuted, rules.NotSent},
 }
 
 // causes maps how a connection ended to why an attempt on it was not ok.
 var causes = map[transport.CloseReason]rules.Cause{
-	transport.DialRefused:  rules.NoConnect,
-	transport.DialTimedOut: rules.NoConnect,
-	transport.DialFailed:   rules.NoConnect,
-	transport.NoDescriptor: rules.NoConnect,
-	transport.Rejected:     rules.NoConnect,
+	transport.DialRefused:  rules.ConnectFailed,
+	transport.DialTimedOut: rules.ConnectFailed,
+	transport.DialFailed:   rules.ConnectFailed,
+	transport.NoDescriptor: rules.ConnectFailed,
+	transport.Rejected:     rules.ConnectFailed,
 	transport.ClosedByPeer: rules.Reset,
 	transport.Truncated:    rules.Reset,
 	transport.ResetByPeer:  rules.Reset,
-	transport.Malformed:    rules.Errored,
-	transport.TooLong:      rules.Errored,
+	transport.Malformed:    rules.ServerError,
+	transport.TooLong:      rules.ServerError,
 	transport.WriteStalled: rules.TimedOut,
 	transport.TimedOut:     rules.TimedOut,
 	transport.Cancelled:    rules.Cancelled,
 	transport.Evicted:      rules.Reset,
-	transport.Stalled:      rules.Errored,
+	transport.Stalled:      rules.ServerError,
 	transport.ShutDown:     rules.Cancelled,
-	transport.Withheld:     rules.Moot,
+	transport.Withheld:     rules.NotSent,
 }
 
 type verdict struct {
-	proof rules.Proof
+	proof rules.Outcome
 	cause rules.Cause
 }
 
@@ -61,16 +61,16 @@
 		if v, known := states[a.Failure.SQLState]; known {
 			return v
 		}
-		return verdict{rules.MayHaveRun, rules.Errored}
+		return verdict{rules.MayHaveExecuted, rules.ServerError}
 	}
 	cause := causes[o.End]
 	if o.Sent {
-		return verdict{rules.MayHaveRun, cause}
+		return verdict{rules.MayHaveExecuted, cause}
 	}
-	if cause == rules.Reset || cause == rules.Errored {
-		cause = rules.NoConnect
+	if cause == rules.Reset || cause == rules.ServerError {
+		cause = rules.ConnectFailed
 	}
-	return verdict{rules.NeverRan, cause}
+	return verdict{rules.NotExecuted, cause}
 }
 
 // unusable tells that the member could not follow the statement: no other will.
@@ -88,9 +88,9 @@
 func (o Outcome) found() rules.ProbeResult {
 	switch o.End {
 	case transport.Rejected:
-		return rules.ProbeResult{Cause: rules.Full}
+		return rules.ProbeResult{Cause: rules.Overloaded}
 	case transport.NoDescriptor:
-		return rules.ProbeResult{Cause: rules.Moot}
+		return rules.ProbeResult{Cause: rules.NotSent}
 	}
 	return rules.ProbeResult{Cause: o.verdict().cause, Report: o.reported(), Observation: o.observation()}
 }
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -75,15 +75,15 @@
 	return ""
 }
 
-var lifecycles = map[protocol.Lifecycle]rules.State{protocol.Serving: rules.Healthy, protocol.Draining: rules.Draining,
-	protocol.Deleted: rules.Gone}
+var lifecycles = map[protocol.Lifecycle]rules.MemberState{protocol.Serving: rules.Healthy, protocol.Draining: rules.Draining,
+	protocol.Deleted: rules.Deregistered}
 
 // listing takes in an entry of discovery's list.
-func (r *registry) listing(t protocol.Target) rules.Listing {
+func (r *registry) listing(t protocol.Target) rules.MemberEntry {
 	id := r.number(t.ID)
 	if t.Address != "" {
 		r.known[id].address = t.Address
 	}
-	return rules.Listing{Member: id, Group: rules.GroupID(t.Group), Zone: t.Zone, State: lifecycles[t.Lifecycle],
-		Started: int64(t.StartedAtMillis) * milli, Size: t.Weight}
+	return rules.MemberEntry{Member: id, Group: rules.GroupID(t.Group), Zone: t.Zone, State: lifecycles[t.Lifecycle],
+		Started: int64(t.StartedAtMillis) * milli, Weight: t.Weight}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -38,7 +38,7 @@
 	ids      ids
 	methods  []rules.Method
 	numbers  map[string]rules.MethodID // of the methods
-	allowed  rules.Allowed
+	allowed  rules.Policy
 	clock    clock.Clock
 	stirred  chan struct{} // a timer or a duty has been added
 	log      logrus.FieldLogger
@@ -67,8 +67,8 @@
 		return nil, told.Err
 	}
 	r.allowed = allowed
-	store.SendDelay = sendDelay
-	notice.Agent, notice.Asked = !notice.Asked, true // a list that is pushed is pushed to an agent, which is asked
+	store.MaxSendDelay = sendDelay
+	notice.ViaAgent, notice.OnRequest = !notice.OnRequest, true // a list that is pushed is pushed to an agent, which is asked
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.driver = rules.New((*host)(r), seed, r.methods, fleet, store, allowed, slowStart, notice)
@@ -88,11 +88,11 @@
 }
 
 func (r *Router) list(t protocol.Targets) {
-	lines := make([]rules.Listing, 0, len(t.Entries))
+	lines := make([]rules.MemberEntry, 0, len(t.Entries))
 	for _, e := range t.Entries {
 		lines = append(lines, r.registry.listing(e))
 	}
-	r.driver.List(lines, t.IsFull)
+	r.driver.UpdateMembers(lines, t.IsFull)
 }
 
 // ReportList reports the list, or what changed in it.
@@ -109,7 +109,7 @@
 func (r *Router) ReportNoList() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver.ListFailed()
+	r.driver.WatchFailed()
 }
 
 // ReportNews reports a peer's message, and tells whether it was one. After this process stood still it may have waited for so long that its positions
@@ -119,7 +119,7 @@
 	defer r.mu.Unlock()
 	news, ok := briefing.News(message, r.registry.member, 0, r.driver.StoreNow())
 	if ok && !r.stoodStill() {
-		r.driver.Told(news)
+		r.driver.ReceiveReports(news)
 	}
 	return ok
 }
@@ -147,7 +147,7 @@
 		delete(r.looks, to)
 	}
 	found := o.found()
-	found.Opened = r.at(o.Opened)
+	found.ConnectedAt = r.at(o.Opened)
 	r.trace.printf("probe ended member=%d end=%q role=%s position=%d", to, o.End, roleNames[max(found.Role, found.Report.Role)], max(found.Position, found.Report.Position)/milli)
 	waiting[0](found)
 }
@@ -156,14 +156,14 @@
 func (r *Router) ReportDenied(by rules.MemberID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.driver.Denied(by)
+	r.driver.NotPrimary(by)
 }
 
 // MayLook tells whether a probe may still begin. It is asked just before its first byte is written.
 func (r *Router) MayLook(to rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.driver.MayLook(to)
+	return r.driver.ProbeAllowed(to)
 }
 
 // Tick waits until something falls due that no RPC asks for, and gives it. Meanwhile the module's timers run.
@@ -224,8 +224,8 @@
 func (r *Router) Met(id rules.MemberID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.driver.Met(id)
+	return r.driver.Known(id)
 }
 
 // Probes tells whether members are probed.
-func (r *Router) Probes() bool { return r.allowed.Probes }
+func (r *Router) Probes() bool { return r.allowed.Probing }
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -32,6 +32,6 @@
 
 var actNames = map[Act]string{Attempt: "attempt", Serve: "served", PushBack: "rejected", Abort: "failed", Drop: "client left"}
 
-var proofNames = map[rules.Proof]string{rules.OK: "ok", rules.Started: "started", rules.NeverRan: "never ran", rules.MayHaveRun: "may have run"}
+var proofNames = map[rules.Outcome]string{rules.OK: "ok", rules.Started: "started", rules.NotExecuted: "never ran", rules.MayHaveExecuted: "may have run"}
 
 var roleNames = map[rules.Role]string{rules.RoleUnknown: "none", rules.RolePrimary: "primary", rules.RoleReplica: "replica"}
--- a/internal/routing/trip.go
+++ b/internal/routing/trip.go
@@ -86,15 +86,15 @@
 	}
 	method := &r.methods[number]
 	switch {
-	case c.Write != (method.Need == rules.NeedPrimary):
+	case c.Write != (method.Consistency == rules.ConsistencyWrite):
 		return nil, errKind
 	case c.Left > longestLeft(method):
 		return nil, errLeft
 	}
-	rpc := rules.RPC{Method: number, Group: c.Group, Session: c.Key, Left: c.Left, Repeat: c.Repeat, Token: c.Token}
+	rpc := rules.RPC{Method: number, Group: c.Group, Session: c.Key, TimeLeft: c.Left, IsRetry: c.Repeat, SessionToken: c.Token}
 	if !c.Came.IsZero() {
 		rpc.Waited = max(0, r.now()-r.at(c.Came))
-		rpc.Left -= rpc.Waited
+		rpc.TimeLeft -= rpc.Waited
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,7 @@
 		return nil, errID
 	}
 	t := r.open(id)
-	r.trace.printf("taken id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, c.Method, c.Group, rpc.Left/milli, rpc.Waited/milli)
+	r.trace.printf("taken id=%s method=%s group=%d left_ms=%d waited_ms=%d", id, c.Method, c.Group, rpc.TimeLeft/milli, rpc.Waited/milli)
 	if r.gate == nil {
 		t.take(rpc)
 	} else {
@@ -138,7 +138,7 @@
 	for r.trips[r.last] != nil {
 		r.last++
 	}
-	t := &Trip{r: r, id: r.last, name: name, steps: make(chan Step, r.allowed.Attempts+1)}
+	t := &Trip{r: r, id: r.last, name: name, steps: make(chan Step, r.allowed.MaxAttempts+1)}
 	r.trips[t.id] = t
 	return t
 }
@@ -146,7 +146,7 @@
 // take hands an RPC to the module. The lock is held.
 func (t *Trip) take(rpc rules.RPC) {
 	rpc.ID = t.id
-	t.r.driver.Take(rpc)
+	t.r.driver.Submit(rpc)
 }
 
 // May tells whether an attempt may still begin. It is asked just before the first byte is written, on whatever connection
@@ -155,12 +155,12 @@
 	t.r.mu.Lock()
 	defer t.r.mu.Unlock()
 	c := &t.calls[number]
-	may := !t.ended && c.next != nil && (t.pass == nil || t.may()) && t.r.driver.May(t.id, c.to)
+	may := !t.ended && c.next != nil && (t.pass == nil || t.may()) && t.r.driver.AttemptAllowed(t.id, c.to)
 	if may && t.pass != nil {
 		t.pass.acted = t.r.now()
 	}
 	if t.r.trace.enabled {
-		t.r.trace.printf("begins id=%s number=%d member=%d allowed=%t basis=%s", t.name, number, c.to, may, t.r.driver.Basis(t.id, c.to))
+		t.r.trace.printf("begins id=%s number=%d member=%d allowed=%t basis=%s", t.name, number, c.to, may, t.r.driver.Eligibility(t.id, c.to))
 	}
 	return may
 }
@@ -173,7 +173,7 @@
 	t.r.mu.Lock()
 	defer t.r.mu.Unlock()
 	if !t.ended {
-		t.r.driver.Left(t.id)
+		t.r.driver.ClientLeft(t.id)
 		if t.pass != nil {
 			t.r.gate.Cancel(t.pass.ticket)
 		}
@@ -194,8 +194,8 @@
 	c.next = nil
 	t.out--
 	v := o.verdict()
-	if v.proof == rules.OK && t.r.driver.TooOld(t.id, o.observation(), c.sent) {
-		v = verdict{rules.MayHaveRun, rules.Missed}
+	if v.proof == rules.OK && t.r.driver.IsStale(t.id, o.observation(), c.sent) {
+		v = verdict{rules.MayHaveExecuted, rules.Ineligible}
 	}
 	if t.pass != nil {
 		t.returned(c, v, o)
@@ -208,10 +208,10 @@
 	if t.pass != nil && o.fenced() {
 		t.fenced()
 	}
-	result := rules.Result{Proof: v.proof, Cause: v.cause, Took: t.r.now() - c.sent, Final: t.ended, Observation: o.observation()}
-	result.Opened = t.r.at(o.Opened)
+	result := rules.Result{Outcome: v.proof, Cause: v.cause, Latency: t.r.now() - c.sent, Final: t.ended, Observation: o.observation()}
+	result.ConnectedAt = t.r.at(o.Opened)
 	t.r.trace.printf("attempt ended id=%s number=%d member=%d took_ms=%d end=%q proof=%q role=%s position=%d",
-		t.name, number, c.to, result.Took/milli, o.End, proofNames[v.proof], roleNames[result.Role], result.Position/milli)
+		t.name, number, c.to, result.Latency/milli, o.End, proofNames[v.proof], roleNames[result.Role], result.Position/milli)
 	next(result)
 	t.drop()
 }
--- a/internal/routing/versioned.go
+++ b/internal/routing/versioned.go
@@ -118,12 +118,12 @@
 	t.r.stir()
 }
 
-var effects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.Tokened: audit.Tokened,
+var effects = map[rules.Effect]audit.Effect{rules.Idempotent: audit.Idempotent, rules.IdempotentByToken: audit.Tokened,
 	rules.NonIdempotent: audit.NonIdempotent}
 
 // effectOf is what an RPC of a method does to data.
 func effectOf(m *rules.Method) audit.Effect {
-	if m.Need != rules.NeedPrimary {
+	if m.Consistency != rules.ConsistencyWrite {
 		return audit.Read
 	}
 	return effects[m.Effect]
@@ -202,7 +202,7 @@
 
 // pushesBack ends an RPC that was taken and had no attempt: trying again is harmless.
 func (t *Trip) pushesBack() {
-	t.finish(Step{Act: PushBack, ComeBack: min(noVersion, t.r.allowed.ComeBack)})
+	t.finish(Step{Act: PushBack, ComeBack: min(noVersion, t.r.allowed.MaxRetryAfter)})
 }
 
 // noVersion is when a client may come back that found a driver without a version to act on.
--- a/internal/simwire/news.go
+++ b/internal/simwire/news.go
@@ -7,8 +7,8 @@
 	"sedgespread/rules"
 )
 
-// Tell sends the news to all fellow drivers, if there are any that can be told.
-func (d *driver) Tell(news []rules.News) {
+// SendReports sends the news to all fellow drivers, if there are any that can be told.
+func (d *driver) SendReports(news []rules.PeerReport) {
 	message := briefing.Message(news, func(m rules.MemberID) uint32 { return uint32(m) }, d.epoch, d.w.now)
 	if len(message) == 0 {
 		return
@@ -34,6 +34,6 @@
 	}
 	everyone := func(key uint32) (rules.MemberID, bool) { return rules.MemberID(key), true }
 	if news, ok := briefing.News(message, everyone, d.epoch, d.w.now); ok {
-		d.Told(news)
+		d.ReceiveReports(news)
 	}
 }
--- a/rules/choice.go
+++ b/rules/choice.go
@@ -18,10 +18,10 @@
 func (d *Driver) pick(c *call) member {
 	g, p := c.group, c.group.primary
 	passers, unknown := d.picking.passers[:0], d.picking.unknown[:0]
-	look := d.many() && c.looks < mostLooks && c.isRead() && d.allowed.Probes
+	look := d.many() && c.looks < mostLooks && c.isRead() && d.allowed.Probing
 	for _, m := range g.members {
 		switch {
-		case m == p || (!d.store.Guarded || d.many()) && !d.atEase(m, c):
+		case m == p || (!d.store.RejectsStaleReads || d.many()) && !d.atEase(m, c):
 		case !d.fits(m, c, 1) || slices.Contains(c.tried, m):
 		case d.basis(m, c) != noBasis:
 			passers = append(passers, m)
@@ -38,7 +38,7 @@
 		share, again = readShare, !slices.Contains(c.tried, p)
 	}
 	jam := fewOrMany(d, jammed, crowded)
-	primary := p != nobody && again && d.known[p].position >= c.Floor && d.atEase(p, c) && d.fits(p, c, share)
+	primary := p != nobody && again && d.known[p].position >= c.MinPosition && d.atEase(p, c) && d.fits(p, c, share)
 	if primary && d.basis(p, c) == noBasis {
 		primary = false
 		if len(passers) == 0 {
@@ -111,14 +111,14 @@
 
 // usable tells whether a member may get anything at all.
 func (d *Driver) usable(m member) bool {
-	met := d.met(m) || !d.allowed.Probes // guards against strangers in the list
+	met := d.met(m) || !d.allowed.Probing // guards against strangers in the list
 	return met && d.here(m) && !d.silent[m] && d.host.Now() >= d.aside[m]
 }
 
-// May tells whether an attempt that was made may still begin: it is asked just before its first byte is
+// AttemptAllowed tells whether an attempt that was made may still begin: it is asked just before its first byte is
 // written. Guards against whatever changed since the decision, while a connection was waited for: the list,
 // the primary, positions, the window for repeats, the deadline, a client that left.
-func (d *Driver) May(id RPCID, to MemberID) bool {
+func (d *Driver) AttemptAllowed(id RPCID, to MemberID) bool {
 	c := d.calls[id]
 	m, known := d.index[to]
 	if c == nil || !known || !d.here(m) || d.host.Now() >= c.deadline || !d.mayRepeat(c, m) {
@@ -129,7 +129,7 @@
 
 // mayRepeat keeps the rule on effects for an attempt that would follow others.
 func (d *Driver) mayRepeat(c *call, m member) bool {
-	inScope := c.method.Scope != ScopeZone || d.zone[m] == c.riskZone
-	dropped := c.method.Effect == Tokened && d.host.Now()-c.risk < c.method.Window && inScope
+	inScope := c.method.DedupScope != DedupInZone || d.zone[m] == c.riskZone
+	dropped := c.method.Effect == IdempotentByToken && d.host.Now()-c.risk < c.method.DedupWindow && inScope
 	return c.risk == 0 || c.method.Effect == Idempotent || dropped
 }
--- a/rules/freshness.go
+++ b/rules/freshness.go
@@ -30,22 +30,22 @@
 // byte of the attempt, for every attempt alike.
 func (d *Driver) basis(m member, c *call) basis {
 	k := &d.known[m]
-	if k.position < c.Floor {
+	if k.position < c.MinPosition {
 		return noBasis
 	}
 	primary := c.group.primary == m
 	switch {
-	case c.method.Need == NeedPrimary && primary:
+	case c.method.Consistency == ConsistencyWrite && primary:
 		return asPrimary
 	case !c.isRead() && !primary:
 		return noBasis
-	case c.method.Need == NeedAny:
+	case c.method.Consistency == ConsistencyAny:
 		return asAnyMember
 	case c.isRead() && d.reaches(m, c):
 		return asFresh
 	case primary:
 		return d.primaryBasis(m, c)
-	case c.method.Need == NeedBounded && d.likelyFresh(m, c):
+	case c.method.Consistency == ConsistencyBounded && d.likelyFresh(m, c):
 		return asChecking
 	}
 	return noBasis
@@ -62,7 +62,7 @@
 	switch {
 	case d.confirmed(m, c.method):
 		return asPrimary
-	case !d.allowed.Probes, asked && k.mute, asked && k.confirmed >= c.askedAt && !k.lostWord():
+	case !d.allowed.Probing, asked && k.mute, asked && k.confirmed >= c.askedAt && !k.lostWord():
 		return asClaimed
 	}
 	return noBasis
@@ -78,7 +78,7 @@
 // which can't have grown older than that since, whoever was elected meanwhile. Where that leaves less time than it takes to ask, reads rest on
 // what is assumed of elections, as session and fresh ones do.
 func (d *Driver) roleTrusted(method *Method) int64 {
-	if usable := d.usableAge(method); method.Need == NeedBounded && usable >= looksApart {
+	if usable := d.usableAge(method); method.Consistency == ConsistencyBounded && usable >= looksApart {
 		return usable
 	}
 	return soonestElection
@@ -90,9 +90,9 @@
 	switch {
 	case k.position == 0 || !d.plausible(k.position):
 		return false
-	case c.method.Need == NeedSession:
-		return k.position >= max(c.Token, d.floor)
-	case c.method.Need == NeedBounded && (c.group.primary == m || !d.trustsCheck(m)):
+	case c.method.Consistency == ConsistencySession:
+		return k.position >= max(c.SessionToken, d.floor)
+	case c.method.Consistency == ConsistencyBounded && (c.group.primary == m || !d.trustsCheck(m)):
 		ahead, known := d.clock.offset()
 		return known && k.position >= d.host.Now()+ahead-d.usableAge(c.method) && d.fresher(m, c)
 	}
@@ -100,7 +100,9 @@
 }
 
 // usableAge is how old a position may be for a bounded read: the bound, less the time that may pass before the last byte is sent.
-func (d *Driver) usableAge(method *Method) int64 { return method.Bound - d.store.SendDelay - ms }
+func (d *Driver) usableAge(method *Method) int64 {
+	return method.MaxStaleness - d.store.MaxSendDelay - ms
+}
 
 // likelyFresh tells whether a replica that checks the age of its data itself is expected to be within the bound.
 func (d *Driver) likelyFresh(m member, c *call) bool {
@@ -111,12 +113,12 @@
 // away, and not while it has been primary and was not seen to follow another since.
 func (d *Driver) trustsCheck(m member) bool {
 	k := &d.known[m]
-	return d.store.Guarded && !k.missed && k.formerAt == 0
+	return d.store.RejectsStaleReads && !k.missed && k.formerAt == 0
 }
 
 // fresher tells whether the source's estimate of a replica's staleness is within the bound.
 func (d *Driver) fresher(m member, c *call) bool {
-	return c.group.primary == m || d.staleness(m) <= c.method.Bound
+	return c.group.primary == m || d.staleness(m) <= c.method.MaxStaleness
 }
 
 // staleness is the source's estimate, but for the primary's term, the least of its office, lest its slow
@@ -143,27 +145,27 @@
 	d.probe(m)
 }
 
-// TooOld tells whether an answer to a read shows by what it states of its member that its data was too old for the read when the attempt was made.
+// IsStale tells whether an answer to a read shows by what it states of its member that its data was too old for the read when the attempt was made.
 // Guards against a former primary that got the read on its last word, or on one that crossed the read: what it answers earns nothing, and another
 // member may serve. Positions are rounded, and clocks differ a little: only what is certain counts.
-func (d *Driver) TooOld(id RPCID, s Observation, made int64) bool {
+func (d *Driver) IsStale(id RPCID, s Observation, made int64) bool {
 	c := d.calls[id]
 	if c == nil {
 		return false
 	}
-	switch ahead, known := d.clock.offset(); c.method.Need {
-	case NeedFresh:
+	switch ahead, known := d.clock.offset(); c.method.Consistency {
+	case ConsistencyLinearizable:
 		return s.Role == RoleReplica
-	case NeedSession:
-		return s.Position != 0 && s.Position+rounding < c.Token
-	case NeedBounded:
-		return s.Position != 0 && known && s.Position+clockTolerance < made+ahead-c.method.Bound
+	case ConsistencySession:
+		return s.Position != 0 && s.Position+rounding < c.SessionToken
+	case ConsistencyBounded:
+		return s.Position != 0 && known && s.Position+clockTolerance < made+ahead-c.method.MaxStaleness
 	}
 	return false
 }
 
-// Basis tells for the log why an attempt at a member may begin.
-func (d *Driver) Basis(id RPCID, to MemberID) string {
+// Eligibility tells for the log why an attempt at a member may begin.
+func (d *Driver) Eligibility(id RPCID, to MemberID) string {
 	c := d.calls[id]
 	m, known := d.index[to]
 	if c == nil || !known {
@@ -175,8 +177,8 @@
 
 // probeWithin is how old a position may grow before a probe for a bounded method's sake: half of what is usable.
 func (d *Driver) probeWithin(m Method) int64 {
-	if d.store.Guarded {
-		return m.Bound / 2
+	if d.store.RejectsStaleReads {
+		return m.MaxStaleness / 2
 	}
-	return (m.Bound - d.store.SendDelay) / 2
+	return (m.MaxStaleness - d.store.MaxSendDelay) / 2
 }
--- a/rules/gossip.go
+++ b/rules/gossip.go
@@ -9,7 +9,7 @@
 // tell passes on to the fellow drivers what was learned first-hand and they are likely not to know, at once
 // or when their number allows.
 func (d *Driver) tell(m member) {
-	d.untold[m] = d.fleet.News > 0
+	d.untold[m] = d.fleet.ReportsPerMessage > 0
 	if d.telling || !d.untold[m] {
 		return
 	}
@@ -18,39 +18,39 @@
 	apart := min(newsRare*fleet, max(newsApart*fleet, int64(newsFor*d.gap)))
 	d.host.After(d.told+max(d.interval, apart)-d.host.Now(), func() {
 		d.telling = false
-		var news []News
+		var news []PeerReport
 		for m, untold := range d.untold {
 			d.untold[m] = false
-			if untold && len(news) < d.fleet.News && d.host.Now()-d.known[m].learned < d.due {
+			if untold && len(news) < d.fleet.ReportsPerMessage && d.host.Now()-d.known[m].learned < d.due {
 				ran := int64(0)
 				if d.opened[m] != 0 {
 					ran = d.heard[m] - d.opened[m]
 				}
-				news = append(news, News{d.ids[m], Observation{Role: d.known[m].role, Position: d.known[m].position}, d.answered[m],
+				news = append(news, PeerReport{d.ids[m], Observation{Role: d.known[m].role, Position: d.known[m].position}, d.answered[m],
 					d.erred[m], ran})
 				d.answered[m], d.erred[m] = 0, false
 			}
 		}
 		if len(news) > 0 {
 			d.told = d.host.Now()
-			d.host.Tell(news)
+			d.host.SendReports(news)
 		}
 	})
 }
 
-// Told takes in a fellow driver's news. A position once true stays true, whoever saw it.
-func (d *Driver) Told(news []News) {
+// ReceiveReports takes in a fellow driver's news. A position once true stays true, whoever saw it.
+func (d *Driver) ReceiveReports(news []PeerReport) {
 	for _, n := range news {
 		if m, known := d.index[n.Member]; known && d.isNew(m, n.Observation) {
 			d.observe(m, n.Observation, byGossip, 0)
 			d.untold[m] = false
-			if n.Took > 0 {
-				d.learn(m, float64(n.Took), d.soft)
+			if n.Latency > 0 {
+				d.learn(m, float64(n.Latency), d.soft)
 			}
-			if n.Took > 0 || n.Failed {
+			if n.Latency > 0 || n.Failed {
 				d.fares(m, n.Failed)
 			}
-			d.ranOn(m, n.Ran)
+			d.ranOn(m, n.Uptime)
 			if d.silent[m] { // it has moved on: look for ourselves, not all at once
 				d.host.After(d.upTo(hush), func() { d.probe(m) })
 			}
--- a/rules/health.go
+++ b/rules/health.go
@@ -14,34 +14,34 @@
 func (d *Driver) judge(c *call, m member, sent int64, r Result, long bool) {
 	now := d.host.Now()
 	switch cause := r.Cause; {
-	case cause == NoConnect:
+	case cause == ConnectFailed:
 		d.noConnection(m, now)
 	case cause == TimedOut && now-d.heard[m] >= d.due && (!d.many() || d.strain[m] <= quick || d.lost[m] > 0):
 		d.probe(m)
-	case cause == NoCause || cause == Errored || cause == Missed || cause == Full:
-		d.alive(m, r.Opened)
+	case cause == NoCause || cause == ServerError || cause == Ineligible || cause == Overloaded:
+		d.alive(m, r.ConnectedAt)
 	}
 	d.observeResult(c, m, r, sent)
-	if r.Proof == OK || r.Cause == Errored {
-		d.fares(m, r.Cause == Errored)
-		d.erred[m] = r.Cause == Errored
+	if r.Outcome == OK || r.Cause == ServerError {
+		d.fares(m, r.Cause == ServerError)
+		d.erred[m] = r.Cause == ServerError
 	}
 	switch {
-	case !long && now-d.timed[m] < hush && (r.Cause == Errored || r.Cause == Reset): // it finishes others
-	case r.Cause == Errored || r.Cause == Reset || long && (r.Cause == TimedOut || r.Cause == Cancelled):
+	case !long && now-d.timed[m] < hush && (r.Cause == ServerError || r.Cause == Reset): // it finishes others
+	case r.Cause == ServerError || r.Cause == Reset || long && (r.Cause == TimedOut || r.Cause == Cancelled):
 		d.strike(m, now)
 		if long {
-			d.teach(m, max(float64(r.Took), d.took[m]), c.method.ample(), false)
+			d.teach(m, max(float64(r.Latency), d.took[m]), c.method.ample(), false)
 		}
-	case r.Proof == OK:
+	case r.Outcome == OK:
 		d.observeLoad(m)
-		d.lost[m], d.refused[m], d.answered[m] = 0, 0, r.Took
-		d.known[m].missed = d.known[m].missed && c.method.Need == NeedAny
-		c.group.took += 0.03 * (float64(r.Took) - c.group.took)
-		d.teach(m, float64(r.Took), c.method.ample(), true)
-	case r.Cause == Missed && c.isRead():
+		d.lost[m], d.refused[m], d.answered[m] = 0, 0, r.Latency
+		d.known[m].missed = d.known[m].missed && c.method.Consistency == ConsistencyAny
+		c.group.took += 0.03 * (float64(r.Latency) - c.group.took)
+		d.teach(m, float64(r.Latency), c.method.ample(), true)
+	case r.Cause == Ineligible && c.isRead():
 		d.known[m].missed = true
-	case r.Cause == Full:
+	case r.Cause == Overloaded:
 		d.rest(m)
 		d.room[m] = max(1, min(d.room[m], float64(d.out[m]+1))*0.8)
 	}
@@ -51,11 +51,11 @@
 // or that its word may have been lost.
 func (d *Driver) observeResult(c *call, m member, r Result, sent int64) {
 	s := r.Observation
-	if r.Cause == Missed && !c.isRead() {
+	if r.Cause == Ineligible && !c.isRead() {
 		s.Role = RoleReplica
 	}
 	d.observe(m, s, byAnswer, sent)
-	if r.Proof == MayHaveRun && s.Role == RoleUnknown {
+	if r.Outcome == MayHaveExecuted && s.Role == RoleUnknown {
 		d.known[m].unanswered = d.host.Now()
 	}
 }
--- a/rules/observations.go
+++ b/rules/observations.go
@@ -180,9 +180,9 @@
 // StoreNow is the time by the clock that positions count by, more or less.
 func (d *Driver) StoreNow() int64 { return d.clock.around(d.host.Now()) }
 
-// Denied hears that a member has said that it is no primary where nothing else of what it said may be relied on: before an answer that may yet
+// NotPrimary hears that a member has said that it is no primary where nothing else of what it said may be relied on: before an answer that may yet
 // break off, or at the start of a connection. It counts from then on.
-func (d *Driver) Denied(id MemberID) {
+func (d *Driver) NotPrimary(id MemberID) {
 	if m, known := d.index[id]; known {
 		d.observeReplica(m, 0, byAnswer)
 	}
--- a/rules/probing.go
+++ b/rules/probing.go
@@ -20,7 +20,7 @@
 	learned := d.known[m].learned
 	wait, age := min(d.rarest, max(2*d.due, int64(d.gap*float64(d.keeping)))), now-learned
 	enough := wait
-	if d.fleet.News == 0 || !d.many() {
+	if d.fleet.ReportsPerMessage == 0 || !d.many() {
 		enough = min(wait, 2*d.due)
 	}
 	if d.here(m) && (d.silent[m] || learned == 0 || d.old(m) && age >= enough) {
@@ -55,26 +55,26 @@
 func (d *Driver) probed(m member, r ProbeResult) {
 	asked := d.asking[m]
 	d.asking[m] = 0
-	if r.Cause == Moot { // it was never sent
+	if r.Cause == NotSent { // it was never sent
 		return
 	}
 	d.lookedAt[m] = d.host.Now()
-	if r.Cause == NoCause || r.Cause == Full || r.Cause == Errored { // whatever it answers it is alive
-		d.alive(m, r.Opened)
+	if r.Cause == NoCause || r.Cause == Overloaded || r.Cause == ServerError { // whatever it answers it is alive
+		d.alive(m, r.ConnectedAt)
 		d.known[m].mute = r.Report.Role == RoleUnknown && r.Role == RoleUnknown
 		d.observe(m, r.Report, byReport, asked)
 		d.observe(m, r.Observation, byAnswer, asked)
 	} else if d.host.Now()-d.heard[m] >= hush { // else it lives, and only the probe's connection broke
 		d.hushed(m)
-		if d.fleet.News == 0 { // look again soon: it may have stood still for a moment
+		if d.fleet.ReportsPerMessage == 0 { // look again soon: it may have stood still for a moment
 			d.host.After(max(d.due, d.host.Now()-d.since[m]), func() { d.probe(m) })
 		}
 	}
 	d.wake(d.of[m])
 }
 
-// MayLook tells whether a probe that was made may still begin.
-func (d *Driver) MayLook(to MemberID) bool {
+// ProbeAllowed tells whether a probe that was made may still begin.
+func (d *Driver) ProbeAllowed(to MemberID) bool {
 	m, known := d.index[to]
 	return known && d.here(m)
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -26,8 +26,8 @@
 )
 
 // New makes a driver that knows nothing yet; the first List follows at once.
-func New(h Host, seed int64, methods []Method, fleet Fleet, store Store, allowed Allowed, slowStart SlowStart,
-	notice Notice) *Driver {
+func New(h Host, seed int64, methods []Method, fleet Fleet, store Store, allowed Policy, slowStart SlowStart,
+	notice Discovery) *Driver {
 	d := &Driver{host: h, rng: rand.New(rand.NewSource(seed)), methods: methods, allowed: allowed,
 		roster: roster{notice: notice}, observations: observations{store: store, fleet: fleet},
 		health:  health{first: max(1, firstRoom/float64(max(1, fleet.Drivers)))},
@@ -36,36 +36,36 @@
 	half := rarestProbe // of the smallest bound
 	for _, m := range methods {
 		d.soft += m.SoftDeadline / int64(len(methods))
-		if m.Need == NeedBounded {
+		if m.Consistency == ConsistencyBounded {
 			half = min(half, d.probeWithin(m))
 		}
 	}
 	half = max(half, shortestProbe/2)
 	d.due = min(longestProbe, max(shortestProbe, half))
 	d.rarest = min(rarestProbe, d.due*int64(max(1, fleet.Drivers/2)))
-	if fleet.News == 0 { // else the fellow drivers' probes serve as well
+	if fleet.ReportsPerMessage == 0 { // else the fellow drivers' probes serve as well
 		d.rarest = min(d.rarest, half)
 	}
 	d.interval, d.begun, d.taken, d.gap = d.due/2, h.Now(), h.Now(), float64(firstGap)
 	return d
 }
 
-// Take accepts an RPC; it gets exactly one final answer.
-func (d *Driver) Take(rpc RPC) {
+// Submit accepts an RPC; it gets exactly one final answer.
+func (d *Driver) Submit(rpc RPC) {
 	now := d.host.Now()
 	d.gap, d.taken = d.gap+0.02*(float64(now-d.taken)-d.gap), now
 	method, g := &d.methods[rpc.Method], d.groups[rpc.Group]
 	if g == nil { // the list names no member of it
-		d.host.PushBack(rpc.ID, d.allowed.ComeBack)
+		d.host.RejectWithRetryAfter(rpc.ID, d.allowed.MaxRetryAfter)
 		return
 	}
-	c := &call{RPC: rpc, method: method, group: g, deadline: now + rpc.Left,
+	c := &call{RPC: rpc, method: method, group: g, deadline: now + rpc.TimeLeft,
 		soft: now + method.SoftDeadline - rpc.Waited, looked: nobody, lot: d.rng.Float64()}
-	if method.Need == NeedSession && !d.store.Carried {
-		c.Token = max(d.tokens[rpc.Session], d.older[rpc.Session])
+	if method.Consistency == ConsistencySession && !d.store.CarriesSessionToken {
+		c.SessionToken = max(d.tokens[rpc.Session], d.older[rpc.Session])
 	}
-	if rpc.Repeat { // its client counts from its first try, and has Left of the whole time now
-		c.soft -= max(0, method.Deadline-rpc.Left-rpc.Waited)
+	if rpc.IsRetry { // its client counts from its first try, and has Left of the whole time now
+		c.soft -= max(0, method.Deadline-rpc.TimeLeft-rpc.Waited)
 	}
 	d.calls[rpc.ID] = c
 	if c.last() < now+int64(g.took/2) { // no answer could still be of use: guards against storms of repeats
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, m := range c.group.members { // nobody told of it yet
-		if d.allowed.Probes && d.many() && !d.met(m) {
+		if d.allowed.Probing && d.many() && !d.met(m) {
 			d.probe(m)
 		}
 	}
@@ -99,7 +99,7 @@
 	now := d.host.Now()
 	left := c.last() - int64(c.group.took) - now
 	if !c.reached {
-		left = min(left, c.deadline-int64((1-unreached)*float64(c.Left+c.Waited))-now)
+		left = min(left, c.deadline-int64((1-unreached)*float64(c.TimeLeft+c.Waited))-now)
 	}
 	switch {
 	case c.ended || !c.held:
@@ -131,7 +131,7 @@
 				d.attempt(c, m)
 				continue
 			}
-			alike := c.method.Need != NeedSession && c.Floor == 0 && len(c.tried) == 0 && c.risk == 0
+			alike := c.method.Consistency != ConsistencySession && c.MinPosition == 0 && len(c.tried) == 0 && c.risk == 0
 			stuck[c.Method] = alike && c.looks == looks
 		}
 		g.held = append(g.held, c)
@@ -151,10 +151,10 @@
 	number, counted, wait := 0, true, d.tooLong(c, m)
 	before := d.served[m] + int64(d.out[m]) // answers to come first where none overtakes another
 	number = d.host.Attempt(c.ID, d.ids[m], d.patience(c, m), func(r Result) {
-		if r.Proof != Started && counted {
+		if r.Outcome != Started && counted {
 			d.out[m]--
 		}
-		d.judge(c, m, now, r, r.Took >= wait && d.served[m] < before+overtakers)
+		d.judge(c, m, now, r, r.Latency >= wait && d.served[m] < before+overtakers)
 		d.settle(c, m, now, number, r)
 	})
 	c.out = append(c.out, number)
@@ -179,7 +179,7 @@
 // patience is the time-out of an attempt. Where copies are not allowed an idempotent read leaves a member
 // that keeps it waiting too long while there is time for another; else it waits to the deadline.
 func (d *Driver) patience(c *call, m member) int64 {
-	if wait := d.tooLong(c, m) * 2; !d.allowed.Copies && d.another(c, wait) {
+	if wait := d.tooLong(c, m) * 2; !d.allowed.Hedging && d.another(c, wait) {
 		return wait
 	}
 	return c.deadline - d.host.Now()
@@ -191,7 +191,7 @@
 
 // another tells whether a further attempt of an idempotent read may be made after a wait, and be in time.
 func (d *Driver) another(c *call, wait int64) bool {
-	may := c.method.Effect == Idempotent && c.isRead() && c.tries < d.allowed.Attempts && d.spare >= 1
+	may := c.method.Effect == Idempotent && c.isRead() && c.tries < d.allowed.MaxAttempts && d.spare >= 1
 	return may && d.host.Now()+wait+int64(c.group.took) <= c.deadline
 }
 
@@ -202,7 +202,7 @@
 	if c.started || !slices.Contains(c.out, number) {
 		return true
 	}
-	if !c.ended && d.allowed.Copies && len(c.out) == 1 && d.another(c, 0) {
+	if !c.ended && d.allowed.Hedging && len(c.out) == 1 && d.another(c, 0) {
 		if to := d.pick(c); to != nobody { // a second copy
 			d.spare--
 			d.attempt(c, to)
@@ -213,18 +213,18 @@
 
 // settle takes the result of an attempt and decides what follows.
 func (d *Driver) settle(c *call, m member, sent int64, number int, r Result) {
-	if r.Proof == Started { // the attempt is the client's now; what it ends with ends the RPC
+	if r.Outcome == Started { // the attempt is the client's now; what it ends with ends the RPC
 		c.started = true
 		d.cancelOut(c, number)
 		return
 	}
 	c.out = slices.DeleteFunc(c.out, func(n int) bool { return n == number })
-	c.reached = c.reached || r.Cause != NoConnect && r.Cause != Moot
-	if d.host.Now() < d.scarce && d.out[m] == 0 && r.Cause != NoConnect && !d.silent[m] {
+	c.reached = c.reached || r.Cause != ConnectFailed && r.Cause != NotSent
+	if d.host.Now() < d.scarce && d.out[m] == 0 && r.Cause != ConnectFailed && !d.silent[m] {
 		d.host.CloseIdle(d.ids[m])
 	}
-	if c.tries > 1 && r.Proof != NeverRan {
-		d.success += 0.1 * (map[Proof]float64{OK: 1}[r.Proof] - d.success)
+	if c.tries > 1 && r.Outcome != NotExecuted {
+		d.success += 0.1 * (map[Outcome]float64{OK: 1}[r.Outcome] - d.success)
 	}
 	if !c.ended {
 		d.next(c, m, sent, r)
@@ -233,21 +233,21 @@
 }
 
 func (d *Driver) next(c *call, m member, sent int64, r Result) {
-	if r.Final || r.Proof == OK {
+	if r.Final || r.Outcome == OK {
 		d.remember(c, r.Position, forgetAfter)
 		d.end(c)
 		return
 	}
-	if r.Proof == MayHaveRun && c.risk == 0 {
+	if r.Outcome == MayHaveExecuted && c.risk == 0 {
 		c.risk, c.riskZone = sent, d.zone[m]
 	}
-	over := c.started || c.tries >= d.allowed.Attempts || d.host.Now() >= c.deadline
+	over := c.started || c.tries >= d.allowed.MaxAttempts || d.host.Now() >= c.deadline
 	switch {
 	case len(c.out) > 0:
-	case over || !d.mayRepeat(c, m) || r.Proof == MayHaveRun && d.spare < 1:
+	case over || !d.mayRepeat(c, m) || r.Outcome == MayHaveExecuted && d.spare < 1:
 		d.finish(c)
 	default:
-		if r.Proof == MayHaveRun {
+		if r.Outcome == MayHaveExecuted {
 			d.spare--
 		}
 		d.step(c)
@@ -257,9 +257,9 @@
 // finish gives up on an RPC: pushed back where a further try of the client does no harm, aborted otherwise.
 func (d *Driver) finish(c *call) {
 	harmless := c.risk == 0 && len(c.out) == 0 || c.method.Effect == Idempotent ||
-		c.method.Effect == Tokened && c.method.Scope == ScopeAll
+		c.method.Effect == IdempotentByToken && c.method.DedupScope == DedupEverywhere
 	if harmless && d.host.Now() < c.deadline {
-		d.host.PushBack(c.ID, min(d.allowed.ComeBack, int64(c.group.took)))
+		d.host.RejectWithRetryAfter(c.ID, min(d.allowed.MaxRetryAfter, int64(c.group.took)))
 	} else {
 		d.host.Abort(c.ID)
 	}
--- a/rules/slow_start.go
+++ b/rules/slow_start.go
@@ -79,7 +79,7 @@
 // warm tells whether a member has not started lately.
 func (d *Driver) warm(m member) bool {
 	started := d.startOf(m)
-	return started == 0 || d.host.Now()-started >= d.WarmAfter
+	return started == 0 || d.host.Now()-started >= d.WarmUpTime
 }
 
 // admittedBySlowStart keeps a cold member's budget: 0.8 of the stated multiple of what it can do at the least, 0.7 with
@@ -90,12 +90,12 @@
 		return true
 	}
 	now, g, started := d.host.Now(), d.of[m], d.startOf(m)
-	able := d.Share + (1-d.Share)*float64(now-started)/float64(d.WarmAfter)
+	able := d.InitialShare + (1-d.InitialShare)*float64(now-started)/float64(d.WarmUpTime)
 	span := min(savedUp*g.gap, float64(now-max(d.lastLot[m], started))) // since the last lot
 	d.lastLot[m] = now
 	own := float64(d.served[m]) / float64(max(10*sec, now-d.begun)) // what it served itself, in the mean
 	rate := max(own, d.loadPerSize(g)*d.size[m])
-	return d.rng.Float64() < span*rate*min(2, able*d.Multiple*min(0.8, 0.7*d.first))
+	return d.rng.Float64() < span*rate*min(2, able*d.OverloadFactor*min(0.8, 0.7*d.first))
 }
 
 // startOf is when a member started last, by the list or by a silence that is taken for a restart, on the driver's clock; 0 for long ago.
--- a/rules/state.go
+++ b/rules/state.go
@@ -12,14 +12,14 @@
 
 // roster is what the list tells, and how it is kept up.
 type roster struct {
-	notice  Notice
+	notice  Discovery
 	asked   bool
 	pausing bool  // before it is asked for again
 	looking int64 // when the last new member is looked at for the first time
 	ids     []MemberID
 	of      []*group
 	zone    []string
-	state   []State
+	state   []MemberState
 	size    []float64
 	kept    []bool   // member of its group, looked at by a probe loop where probes are allowed
 	keeping int      // members that are
@@ -116,7 +116,7 @@
 	host          Host
 	rng           *rand.Rand
 	methods       []Method
-	allowed       Allowed
+	allowed       Policy
 	index         map[MemberID]member
 	groups        map[GroupID]*group
 	calls         map[RPCID]*call
@@ -162,8 +162,8 @@
 	d.of[m].members = append(d.of[m].members, m)
 }
 
-// Met tells whether anything was heard of a member, from itself or from a fellow driver.
-func (d *Driver) Met(id MemberID) bool {
+// Known tells whether anything was heard of a member, from itself or from a fellow driver.
+func (d *Driver) Known(id MemberID) bool {
 	m, known := d.index[id]
 	return known && d.met(m)
 }
@@ -181,9 +181,9 @@
 	return few
 }
 
-// Reached tells whether all of a group's members that answer and are to serve, its primary among them, were seen at a
+// CaughtUp tells whether all of a group's members that answer and are to serve, its primary among them, were seen at a
 // position or past it.
-func (d *Driver) Reached(id GroupID, position int64) bool {
+func (d *Driver) CaughtUp(id GroupID, position int64) bool {
 	g := d.groups[id]
 	if g == nil || g.primary == nobody || d.silent[g.primary] || d.known[g.primary].position < position {
 		return false
@@ -196,9 +196,9 @@
 	return true
 }
 
-// Look probes a group's members, for somebody who waits until they are Reached.
-func (d *Driver) Look(id GroupID) {
-	if g := d.groups[id]; g != nil && d.allowed.Probes {
+// ProbeGroup probes a group's members, for somebody who waits until they are Reached.
+func (d *Driver) ProbeGroup(id GroupID) {
+	if g := d.groups[id]; g != nil && d.allowed.Probing {
 		for _, m := range g.members {
 			if d.state[m] == Healthy {
 				d.probe(m)
@@ -223,7 +223,7 @@
 }
 
 // add makes room for a member in the arrays; took, gap and room are what to expect at first.
-func (d *Driver) add(l Listing, took, gap, room float64) member {
+func (d *Driver) add(l MemberEntry, took, gap, room float64) member {
 	m := d.place()
 	g := d.groups[l.Group]
 	if g == nil {
@@ -242,7 +242,9 @@
 }
 
 // isRead tells whether a replica may answer.
-func (c *call) isRead() bool { return c.method.Need != NeedPrimary && c.method.Need != NeedFresh }
+func (c *call) isRead() bool {
+	return c.method.Consistency != ConsistencyWrite && c.method.Consistency != ConsistencyLinearizable
+}
 
 // last is when an answer is of use at the latest.
 func (c *call) last() int64 {
@@ -259,8 +261,8 @@
 	return c.method.Utility
 }
 
-// Left hears that the client of an RPC has gone.
-func (d *Driver) Left(id RPCID) {
+// ClientLeft hears that the client of an RPC has gone.
+func (d *Driver) ClientLeft(id RPCID) {
 	if c := d.calls[id]; c != nil {
 		d.end(c)
 	}
@@ -275,7 +277,7 @@
 // cancelOut calls off what is out for an RPC, but for one attempt.
 func (d *Driver) cancelOut(c *call, but int) {
 	for _, n := range c.out {
-		if d.allowed.Cancel && n != but {
+		if d.allowed.Cancellation && n != but {
 			d.host.Cancel(c.ID, n)
 		}
 	}
@@ -283,7 +285,7 @@
 
 // remember keeps a session's last commit for one to two spans; of those dropped the newest holds for all sessions.
 func (d *Driver) remember(c *call, commit, span int64) {
-	if c.method.Need == NeedPrimary && !d.store.Carried {
+	if c.method.Consistency == ConsistencyWrite && !d.store.CarriesSessionToken {
 		d.tokens[c.Session] = max(d.tokens[c.Session], commit)
 	}
 	if now := d.host.Now(); now > d.swept+span {
